--- a/crates/blueprint/tests/checks.rs
+++ b/crates/configuration/tests/checks.rs
@@ -1,6 +1,6 @@
 //! Blueprints that must be refused whole, each fault with its path, and texts of any kind.
 
-use blueprint::{check, parse, Blueprint, Fault, TEXT_MAX};
+use configuration::{check, parse, Blueprint, Fault, TEXT_MAX};
 use fuzzing::seeded;
 use serde_json::{json, Value};
 
--- a/crates/controller/src/changes.rs
+++ b/crates/controller/src/changes.rs
@@ -3,7 +3,7 @@
 use crate::controller::Controller;
 use consensus::{CLOSURES_KEY, DESCRIPTION_KEY};
 use event_loop::LineId;
-use orders::{BaseVersion, Execution, Order, OrderKind, RefusalKind, Reply, Step};
+use operator_commands::{BaseVersion, Execution, Order, OrderKind, RefusalKind, Reply, Step};
 use register::Outcome;
 use std::collections::HashMap;
 
--- a/crates/controller/src/guide.rs
+++ b/crates/controller/src/guide.rs
@@ -5,7 +5,7 @@
 use crate::operators::{location_of, RETRY_AFTER};
 use crate::options::{ControllerError, Reload, Translator};
 use event_loop::{Event, EventLoop, LineId};
-use exchange::{write_response, Bounds, Request, RequestReader};
+use http1::{write_response, Bounds, Request, RequestReader};
 use protocol::{frame, take_frames, Message};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/controller/src/operators.rs
+++ b/crates/controller/src/operators.rs
@@ -1,7 +1,7 @@
 use crate::controller::{Controller, Role};
 use event_loop::LineId;
-use exchange::{write_response, Bounds, Request};
-use orders::OrderKind;
+use http1::{write_response, Bounds, Request};
+use operator_commands::OrderKind;
 use std::net::{IpAddr, SocketAddr};
 
 const HEAD_MAX: usize = 64 << 10;
@@ -36,7 +36,7 @@
         match reader.read(inbox, &bounds) {
             Ok(None) => {
                 if reader.expects_continue() {
-                    self.event_loop.send(line, exchange::CONTINUE);
+                    self.event_loop.send(line, http1::CONTINUE);
                 }
             }
             Ok(Some(request)) => {
--- a/crates/controller/src/options.rs
+++ b/crates/controller/src/options.rs
@@ -1,6 +1,6 @@
 use autoscaler::{RunnerSight, StartFault, WorkerSight};
-use exchange::Headers;
-use orders::{BaseVersion, OrderKind};
+use http1::Headers;
+use operator_commands::{BaseVersion, OrderKind};
 use routing::Documents;
 use std::fmt;
 use std::io;
--- a/crates/controller/src/recent_changes.rs
+++ b/crates/controller/src/recent_changes.rs
@@ -1,6 +1,6 @@
 //! The newest changes of the configuration, for gateways that lack only these.
 
-use orders::Configuration;
+use operator_commands::Configuration;
 use std::collections::VecDeque;
 
 /// Changes that are kept.
--- a/crates/controller/src/scaling_calls.rs
+++ b/crates/controller/src/scaling_calls.rs
@@ -2,7 +2,7 @@
 use crate::options::Call;
 use autoscaler::StartFault;
 use event_loop::LineId;
-use exchange::{write_request, Bounds, Response, ResponseReader};
+use http1::{write_request, Bounds, Response, ResponseReader};
 use std::collections::{HashMap, VecDeque};
 
 const ANSWER_MAX: usize = 16 << 20;
--- a/crates/core/src/duty.rs
+++ b/crates/core/src/duty.rs
@@ -1,10 +1,10 @@
 use crate::shared::Shared;
-use ballot::{Duty, Move, Tenure};
+use leader_election::{Duty, Move, Tenure};
 use register::{Change, Outcome};
 use speedy::{Readable, Writable};
 use std::thread;
 use std::time::Duration;
-use wire::now_ms;
+use transport::now_ms;
 
 const KEY: &str = "duty/scaler";
 
--- a/crates/core/src/joining.rs
+++ b/crates/core/src/joining.rs
@@ -4,8 +4,8 @@
 use crossbeam::channel::bounded;
 use register::{merged, replaced, Change, Outcome, Stored, VoterRef, VoterSet, VOTERS_KEY};
 use speedy::{Readable, Writable};
+use transport::{now_ms, Message};
 use voter::{HeardCore, Installing, JoinStep, Joining};
-use wire::{now_ms, Message};
 
 /// Takes the next step of an empty core into the set of voters.
 pub fn step(shared: &Shared, joining: &mut Joining, set: &VoterSet, heard: &[HeardCore]) {
--- a/crates/core/src/main.rs
+++ b/crates/core/src/main.rs
@@ -16,8 +16,8 @@
 mod voting;
 mod witness;
 
-use blueprint::{read_settings, CoreSettings, SettingsFault};
 use clap::Parser;
+use configuration::{read_settings, CoreSettings, SettingsFault};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/core/src/mending.rs
+++ b/crates/core/src/mending.rs
@@ -1,12 +1,12 @@
 use crate::set;
 use crate::shared::Shared;
 use crate::voting::Work;
+use anti_entropy::Digests;
 use crossbeam::channel::bounded;
 use register::Held;
-use repair::Digests;
 use std::thread;
 use std::time::Duration;
-use wire::{Copy, Message, Responder};
+use transport::{Copy, Message, Responder};
 
 /// Takes the messages that have to do with sets and copies.
 pub fn on_message(shared: &Shared, message: Message, responder: Option<Responder>) {
--- a/crates/core/src/news.rs
+++ b/crates/core/src/news.rs
@@ -1,9 +1,9 @@
 use crate::shared::Shared;
 use crate::store::Settled;
-use blueprint::Version;
+use configuration::Version;
 use parking_lot::Mutex;
 use std::time::Duration;
-use wire::{now_ms, BlueprintNews, Message, News, PlanNews, Responder};
+use transport::{now_ms, BlueprintNews, Message, News, PlanNews, Responder};
 
 /// Questions that may wait at once.
 const WAITING_MAX: usize = 2_048;
--- a/crates/core/src/operators.rs
+++ b/crates/core/src/operators.rs
@@ -3,7 +3,7 @@
 use crate::puts;
 use crate::shared::Shared;
 use crate::voting::Work;
-use blueprint::{RunnerEntry, TEXT_MAX};
+use configuration::{RunnerEntry, TEXT_MAX};
 use crossbeam::channel::bounded;
 use oxhttp::model::{Body, Method, Request, Response};
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
-use wire::{json, now_ms, read_body, serve as serve_http, text};
+use transport::{json, now_ms, read_body, serve as serve_http, text};
 
 const CONNECTIONS_MAX: usize = 256;
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -1,5 +1,5 @@
 use crate::shared::Shared;
-use blueprint::RunnerEntry;
+use configuration::RunnerEntry;
 use oxhttp::model::Method;
 use scaler::{ListedRunner, ListedState, Order, OrderResult, Worker};
 use serde::Deserialize;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use wire::call;
+use transport::call;
 
 const LIST_MAX: u64 = 8 << 20;
 
--- a/crates/core/src/puts.rs
+++ b/crates/core/src/puts.rs
@@ -1,17 +1,17 @@
 use crate::news;
 use crate::shared::Shared;
 use crate::store::{BlueprintValue, HistoryLine, BLUEPRINT};
-use blueprint::{Blueprint, Fault, Version};
+use configuration::{Blueprint, Fault, Version};
 use oxhttp::model::{Body, Response};
 use register::{Change, Outcome, Stored};
 use speedy::{Readable, Writable};
 use std::thread;
 use std::time::Duration;
-use wire::{json, now_ms, text, unix_ms};
+use transport::{json, now_ms, text, unix_ms};
 
 /// Checks a text as a put would, also against the workers that are known now.
 pub fn check(shared: &Shared, body: &str) -> Result<Blueprint, Vec<Fault>> {
-    let blueprint = blueprint::parse(body)?;
+    let blueprint = configuration::parse(body)?;
     let lists = shared.platform.load();
     let largest = lists.workers.iter().map(|worker| worker.memory_mb).max();
     let Some(largest) = largest else {
--- a/crates/core/src/scaling.rs
+++ b/crates/core/src/scaling.rs
@@ -2,7 +2,7 @@
 use crate::platform;
 use crate::shared::Shared;
 use crate::store::PLAN;
-use blueprint::{Plan, Version};
+use configuration::{Plan, Version};
 use crossbeam::channel::{bounded, Receiver, Sender};
 use rand::Rng;
 use register::{Change, Outcome};
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use wire::now_ms;
+use transport::now_ms;
 
 /// Calls to the platform that are under way at once.
 const CALLERS: usize = 16;
--- a/crates/core/src/set.rs
+++ b/crates/core/src/set.rs
@@ -2,14 +2,14 @@
 use crate::mending;
 use crate::shared::Shared;
 use crate::voting::Work;
-use blueprint::Version;
+use configuration::Version;
 use crossbeam::channel::bounded;
 use register::VoterSet;
 use std::net::SocketAddr;
 use std::thread;
 use std::time::Instant;
+use transport::{now_ms, Message, News};
 use voter::{FoundStep, Founding, FrontsHold, HeardCore, Joining};
-use wire::{now_ms, Message, News};
 
 /// Finds out which voters count, again and again. Where all three seeds say that they are empty,
 /// the first of them forms a new era; a core that is empty beside others joins them.
--- a/crates/core/src/shared.rs
+++ b/crates/core/src/shared.rs
@@ -3,13 +3,13 @@
 use crate::voting::{self, Work};
 use crate::{duty, identity, mending, operators, platform, scaling, set, witness};
 use arc_swap::ArcSwap;
-use ballot::{Duty, Tenure};
-use blueprint::{CoreSettings, PeerRef, Version};
+use configuration::{CoreSettings, PeerRef, Version};
 use crossbeam::channel::{bounded, Receiver, Sender};
 use error_stack::Report;
-use holding::{DeskMessage, FrontReport};
+use leader_election::{Duty, Tenure};
 use parking_lot::Mutex;
 use rand::Rng;
+use request_queue::{DeskMessage, FrontReport};
 use scaler::{FrontSight, FunctionNote};
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -17,9 +17,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use std::{fmt, io, thread};
+use transport::{now_ms, unix_ms, Envelope, Handler, Links, Message, Responder, Role};
 use voter::agreed_wall;
 use voter::VoterError;
-use wire::{now_ms, unix_ms, Envelope, Handler, Links, Message, Responder, Role};
 
 /// Questions to this voter that may wait.
 const VOTER_WORK_MAX: usize = 16_384;
@@ -275,7 +275,7 @@
 fn end_in_order(shared: &Shared) -> Result<(), CoreError> {
     log::info!("core: stops");
     let bounds = shared.store.settled().blueprint.bounds.clone();
-    if !wire::close_door(shared.settings.http) {
+    if !transport::close_door(shared.settings.http) {
         log::warn!("core: new connections could not be kept out");
     }
     let stop_by = now_ms() + 2 * bounds.change_ms;
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -1,11 +1,11 @@
 use arc_swap::ArcSwap;
-use blueprint::{Blueprint, Plan, Version};
+use configuration::{Blueprint, Plan, Version};
 use register::{Change, Outcome, RegisterClient, Stored, VoterSet};
 use serde::Serialize;
 use speedy::{Readable, Writable};
 use std::sync::Arc;
 use std::time::Duration;
-use wire::{Links, News, WireVoters};
+use transport::{Links, News, WireVoters};
 
 /// Key of the blueprint's register.
 pub const BLUEPRINT: &str = "blueprint";
@@ -198,7 +198,7 @@
             return;
         }
         let value = BlueprintValue::read_from_buffer(&stored.bytes).unwrap_or_default();
-        let Ok(blueprint) = blueprint::parse(&value.text) else {
+        let Ok(blueprint) = configuration::parse(&value.text) else {
             log::error!("store: settled blueprint {} cannot be read", version.no);
             return;
         };
--- a/crates/core/src/voting.rs
+++ b/crates/core/src/voting.rs
@@ -4,8 +4,8 @@
 use register::{Held, VoterMessage, VoterReply, VoterSet};
 use std::path::Path;
 use std::time::{Duration, Instant};
+use transport::{Copy, Message, Responder};
 use voter::{Installing, Voter};
-use wire::{Copy, Message, Responder};
 
 /// Most questions that are answered with one sync.
 const BATCH_MAX: usize = 256;
--- a/crates/core/src/witness.rs
+++ b/crates/core/src/witness.rs
@@ -1,7 +1,7 @@
 use crate::shared::Shared;
-use holding::{DeskMessage, FrontReport};
+use request_queue::{DeskMessage, FrontReport};
 use std::sync::atomic::Ordering;
-use wire::{unix_ms, Message};
+use transport::{unix_ms, Message};
 
 /// Answers a front's heartbeat. Cores are on the roster beside the fronts, so that fronts keep their
 /// standing when many of them are gone, and when all cores are.
--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -2,23 +2,23 @@
 use crate::once::Claimed;
 use crate::operators;
 use crate::shared::{refusal_words, Shared};
-use blueprint::{Blueprint, Listing};
-use claims::{digest_hex, Claim, OnceKey};
-use holding::{Refusal, Ticket};
+use configuration::{Blueprint, Listing};
+use idempotency_keys::{digest_hex, Claim, OnceKey};
 use oxhttp::model::{Body, HeaderValue, Method, Request, Response, StatusCode};
 use rand::Rng;
+use request_queue::{Refusal, Ticket};
 use std::io;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
-use wire::{json, now_ms, read_body, text, unix_ms};
+use transport::{json, now_ms, read_body, text, unix_ms};
 
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Opens the port for callers and operators.
 pub fn serve(shared: &Arc<Shared>) -> io::Result<()> {
     let handling = shared.clone();
-    wire::serve(
+    transport::serve(
         shared.settings.http,
         shared.settings.connections_max,
         IDLE_TIMEOUT,
--- a/crates/front/src/continuations.rs
+++ b/crates/front/src/continuations.rs
@@ -1,6 +1,6 @@
 use crossbeam::channel::{bounded, Receiver, Sender};
-use holding::Refusal;
 use parking_lot::Mutex;
+use request_queue::Refusal;
 use slab::Slab;
 use std::sync::Arc;
 
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -9,8 +9,8 @@
 mod tries;
 mod viewing;
 
-use blueprint::{read_settings, FrontSettings, SettingsFault};
 use clap::Parser;
+use configuration::{read_settings, FrontSettings, SettingsFault};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/front/src/news.rs
+++ b/crates/front/src/news.rs
@@ -1,13 +1,13 @@
 use crate::shared::Shared;
 use crate::viewing;
-use blueprint::{parse, Version};
-use holding::DeskMessage;
+use configuration::{parse, Version};
+use peer_sampling::Neighbour;
+use request_queue::DeskMessage;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use views::Neighbour;
-use wire::{now_ms, BlueprintNews, Message, News, PlanNews, Responder};
+use transport::{now_ms, BlueprintNews, Message, News, PlanNews, Responder};
 
 /// Follows every seed and every voter, also those that become voters later.
 pub fn follow_all(shared: &Arc<Shared>) {
--- a/crates/front/src/once.rs
+++ b/crates/front/src/once.rs
@@ -1,7 +1,7 @@
 use arc_swap::ArcSwap;
-use blueprint::PeerRef;
-use claims::{Claim, OnceKey};
+use configuration::PeerRef;
 use crossbeam::channel::{bounded, Receiver, Sender};
+use idempotency_keys::{Claim, OnceKey};
 use parking_lot::Mutex;
 use register::{Ballot, Change, Held, Outcome, RegisterClient, Stored, VoterSet};
 use speedy::{Readable, Writable};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use wire::{Links, Message, WireVoters};
+use transport::{Links, Message, WireVoters};
 
 /// Largest answer that is kept with a claim, in bytes.
 const KEPT_BODY_MAX: usize = 32 * 1024;
--- a/crates/front/src/operators.rs
+++ b/crates/front/src/operators.rs
@@ -1,8 +1,8 @@
 use crate::shared::Shared;
-use blueprint::{Blueprint, RunnerState};
+use configuration::{Blueprint, RunnerState};
 use oxhttp::model::{Body, Method, Request, Response};
 use std::sync::atomic::Ordering;
-use wire::{json, now_ms, text, unix_ms, Message};
+use transport::{json, now_ms, text, unix_ms, Message};
 
 /// Answers what operators ask of a front.
 pub fn handle(shared: &Shared, request: &Request<Body>, path: &str) -> Response<Body> {
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -2,11 +2,12 @@
 use crate::once::Ledger;
 use crate::{callers, news, operators, tries, viewing};
 use arc_swap::ArcSwap;
-use blueprint::{Blueprint, FrontSettings, PeerRef};
+use configuration::{Blueprint, FrontSettings, PeerRef};
 use crossbeam::channel::{bounded, Receiver, Sender};
-use holding::{Action, Desk, DeskMessage, Refusal, SeatGrant, Ticket, TryEnd};
 use parking_lot::Mutex;
+use peer_sampling::View;
 use rand::Rng;
+use request_queue::{Action, Desk, DeskMessage, Refusal, SeatGrant, Ticket, TryEnd};
 use std::collections::HashMap;
 use std::io;
 use std::net::TcpListener;
@@ -14,8 +15,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use views::View;
-use wire::{now_ms, Envelope, Handler, Links, Message, Responder, Role};
+use transport::{now_ms, Envelope, Handler, Links, Message, Responder, Role};
 
 /// Probes that may wait at once.
 const PROBES_MAX: usize = 1_024;
@@ -241,7 +241,7 @@
         // Callers on connections that they keep are told for the length of a lease that it drains.
         let is_told = now >= since + bounds.lease_ms();
         if shut_at.is_none() && is_told && operators::has_drained(shared) {
-            if !wire::close_door(shared.settings.http) {
+            if !transport::close_door(shared.settings.http) {
                 log::warn!("front: new connections could not be kept out");
             }
             shut_at = Some(now);
--- a/crates/front/src/tries.rs
+++ b/crates/front/src/tries.rs
@@ -1,14 +1,14 @@
 use crate::continuations::{Call, Ending};
 use crate::shared::Shared;
-use claims::seal;
 use crossbeam::channel::Receiver;
-use holding::{SeatGrant, Ticket, TryEnd};
+use idempotency_keys::seal;
 use oxhttp::model::Method;
+use request_queue::{SeatGrant, Ticket, TryEnd};
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use wire::{call, now_ms, Answer, HttpError};
+use transport::{call, now_ms, Answer, HttpError};
 
 /// Timers of tries and callers may fire so far apart.
 const TIMER_SLACK_MS: u64 = 5;
--- a/crates/front/src/viewing.rs
+++ b/crates/front/src/viewing.rs
@@ -1,9 +1,9 @@
 use crate::shared::Shared;
+use peer_sampling::Neighbour;
 use rand::Rng;
 use std::thread;
 use std::time::Duration;
-use views::Neighbour;
-use wire::Message;
+use transport::Message;
 
 /// Takes a part of another front's view in, and gives a part of this one's.
 pub fn take_in(shared: &Shared, part: Vec<Neighbour>) -> Vec<Neighbour> {
--- a/crates/gateway/src/answers.rs
+++ b/crates/gateway/src/answers.rs
@@ -1,4 +1,4 @@
-use exchange::{end_to_end, Response};
+use http1::{end_to_end, Response};
 use speedy::{Readable, Writable};
 
 /// Most bytes of a packed answer that is told to copies.
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -3,7 +3,7 @@
 use crate::gateway::{Due, Gateway, Role};
 use crate::tickets::{Stage, Ticket};
 use event_loop::LineId;
-use exchange::{write_response, Bounds, Fault, Request, RequestReader, CONTINUE};
+use http1::{write_response, Bounds, Fault, Request, RequestReader, CONTINUE};
 
 /// A client's connection.
 #[derive(Default)]
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -6,7 +6,7 @@
 use crate::runners::RunnerLine;
 use crate::tickets::Tickets;
 use event_loop::{Event, EventLoop, Hatch, LineId, Timers};
-use exchange::RequestReader;
+use http1::RequestReader;
 use jobs::{Ends, Jobs};
 use seat_leases::{Action, Credit, Keeper};
 use std::collections::HashMap;
--- a/crates/gateway/src/jobs.rs
+++ b/crates/gateway/src/jobs.rs
@@ -1,7 +1,7 @@
 use crate::answers::{pack, unpack, TOLD_MAX};
 use crate::gateway::Gateway;
 use crate::tickets::{Stage, Ticket};
-use exchange::{Request, Response};
+use http1::{Request, Response};
 use jobs::{digest, is_key, JobAction, Pass};
 use protocol::{Bid, JobEnd, JobResult, JobVerdict, Message, Outcome};
 
--- a/crates/gateway/src/outcomes.rs
+++ b/crates/gateway/src/outcomes.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Gateway;
 use crate::runner_connection::{judge, RunnerAnswer, Verdict};
 use crate::tickets::{Stage, Ticket};
-use exchange::{end_to_end, Response};
+use http1::{end_to_end, Response};
 use protocol::{JobResult, Outcome};
 use seat_leases::Credit;
 
--- a/crates/gateway/src/runner_connection.rs
+++ b/crates/gateway/src/runner_connection.rs
@@ -6,7 +6,7 @@
 //! a connection on which anything else was ever seen is not used again.
 
 use crate::options::Manner;
-use exchange::{Bounds, Response, ResponseReader};
+use http1::{Bounds, Response, ResponseReader};
 
 /// Largest body of a runner's answer, in bytes.
 pub const ANSWER_MAX: usize = 4 << 20;
--- a/crates/gateway/src/runners.rs
+++ b/crates/gateway/src/runners.rs
@@ -6,7 +6,7 @@
 };
 use crate::tickets::{Sent, Stage};
 use event_loop::{End, LineId};
-use exchange::{end_to_end, idle_seconds, write_request};
+use http1::{end_to_end, idle_seconds, write_request};
 use protocol::{Grant, Outcome};
 
 /// Most bytes of a runner that wait to be read.
--- a/crates/gateway/src/tickets.rs
+++ b/crates/gateway/src/tickets.rs
@@ -1,5 +1,5 @@
 use event_loop::LineId;
-use exchange::Request;
+use http1::Request;
 use jobs::Pass;
 use slab::Slab;
 
--- a/crates/gateway/tests/runner_connection.rs
+++ b/crates/gateway/tests/runner_connection.rs
@@ -1,11 +1,11 @@
 //! The state of one connection to a runner, for every cut and every interleaving of its bytes: no part of an answer
 //! reaches another request, and an answer that is cut short is never whole.
 
-use exchange::write_response;
 use gateway::runner_connection::{
     judge, Outstanding, Reading, RunnerAnswer, RunnerConnection, Verdict,
 };
 use gateway::Manner;
+use http1::write_response;
 
 const MANNER: Manner = Manner {
     id: "Id",
--- a/crates/hallkeel/src/cores.rs
+++ b/crates/hallkeel/src/cores.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::thread;
 use std::time::Duration;
-use wire::call;
+use transport::call;
 
 const PATIENCE: Duration = Duration::from_secs(8);
 const ANSWER_MAX: u64 = 32 << 20;
--- a/crates/exchange/tests/common/mod.rs
+++ b/crates/http1/tests/common/mod.rs
@@ -1,6 +1,6 @@
 #![allow(dead_code)]
 
-use exchange::{Bounds, Fault, Request, RequestReader, Response, ResponseReader};
+use http1::{Bounds, Fault, Request, RequestReader, Response, ResponseReader};
 
 pub const BOUNDS: Bounds = Bounds {
     header_bytes: 16 * 1024,
--- a/crates/exchange/tests/fields.rs
+++ b/crates/http1/tests/fields.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::BOUNDS;
-use exchange::{
+use http1::{
     end_to_end, idle_seconds, write_request, write_response, Headers, RequestReader, ResponseReader,
 };
 
--- a/crates/exchange/tests/requests.rs
+++ b/crates/http1/tests/requests.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{chunked, fields, piecewise, read_request, Draws, BOUNDS};
-use exchange::{end_to_end, write_request, Request, RequestReader};
 use fuzzing::seeded;
+use http1::{end_to_end, write_request, Request, RequestReader};
 
 struct Sent {
     method: &'static str,
--- a/crates/exchange/tests/responses.rs
+++ b/crates/http1/tests/responses.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{chunked, fields, piecewise, read_response, Draws, BOUNDS};
-use exchange::{end_to_end, write_response, Fault, Headers, Response, ResponseReader};
 use fuzzing::seeded;
+use http1::{end_to_end, write_response, Fault, Headers, Response, ResponseReader};
 
 struct Sent {
     response: Response,
--- a/crates/exchange/tests/smuggling.rs
+++ b/crates/http1/tests/smuggling.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{piecewise, read_request, Draws, BOUNDS};
-use exchange::{Bounds, Fault, RequestReader};
+use http1::{Bounds, Fault, RequestReader};
 
 const CHUNKED: &str = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
 
--- a/crates/ballot/src/duty.rs
+++ b/crates/leader_election/src/duty.rs
@@ -1,4 +1,4 @@
-use blueprint::PeerRef;
+use configuration::PeerRef;
 use speedy::{Readable, Writable};
 
 /// What a duty's register holds.
--- a/crates/orders/tests/decisions.rs
+++ b/crates/operator_commands/tests/decisions.rs
@@ -5,7 +5,7 @@
 mod documents;
 
 use documents::{body, dropping_body, version_of, TownDocuments};
-use orders::{
+use operator_commands::{
     decide, BaseVersion, Configuration, Decision, Evacuations, Order, OrderKind, RefusalKind,
     Reply, TAKEN_MAX,
 };
--- a/crates/orders/tests/executions.rs
+++ b/crates/operator_commands/tests/executions.rs
@@ -5,7 +5,9 @@
 mod documents;
 
 use documents::{body, TownDocuments};
-use orders::{BaseVersion, Evacuations, Execution, Order, OrderKind, Reply, Step, ROUNDS_MAX};
+use operator_commands::{
+    BaseVersion, Evacuations, Execution, Order, OrderKind, Reply, Step, ROUNDS_MAX,
+};
 use register::{Ballot, Outcome, Stored};
 use speedy::Writable;
 
--- a/crates/orders/tests/town/members.rs
+++ b/crates/operator_commands/tests/town/members.rs
@@ -2,7 +2,7 @@
 
 use super::documents::{version_of, TownDocuments};
 use super::{Copy, Parcel, Town, CONFIGURATION, EVACUATIONS};
-use orders::{Execution, Reply, Step};
+use operator_commands::{Execution, Reply, Step};
 use rand::Rng;
 use register::{
     Ballot, Change, Outcome, Proposal, ProposalStep, VoterAsk, VoterMessage, VoterReply,
--- a/crates/orders/tests/town/mod.rs
+++ b/crates/operator_commands/tests/town/mod.rs
@@ -36,7 +36,7 @@
     },
     Answer {
         copy: Copy,
-        reply: orders::Reply,
+        reply: operator_commands::Reply,
     },
     Ask {
         member: usize,
--- a/crates/orders/tests/town/operators.rs
+++ b/crates/operator_commands/tests/town/operators.rs
@@ -3,7 +3,7 @@
 
 use super::documents::{body, dropping_body, version_of};
 use super::{Copy, Parcel, Town, ZONES};
-use orders::{BaseVersion, Order, OrderKind, Reply};
+use operator_commands::{BaseVersion, Order, OrderKind, Reply};
 use rand::Rng;
 
 const UNDER_WAY_MAX: usize = 8;
--- a/crates/orders/tests/town/oracle.rs
+++ b/crates/operator_commands/tests/town/oracle.rs
@@ -2,7 +2,7 @@
 
 use super::documents::{order_of, TownDocuments};
 use super::{CONFIGURATION, EVACUATIONS};
-use orders::{BaseVersion, Configuration, Evacuations, Order, OrderKind, Reply};
+use operator_commands::{BaseVersion, Configuration, Evacuations, Order, OrderKind, Reply};
 use register::{Acceptor, Ballot, Stored};
 use routing::Documents;
 use std::collections::{BTreeMap, BTreeSet};
@@ -157,7 +157,7 @@
                     !self.is_chosen(number),
                     "order {number} is in force and is refused: {reason}"
                 );
-                self.stale += usize::from(*kind == orders::RefusalKind::Stale);
+                self.stale += usize::from(*kind == operator_commands::RefusalKind::Stale);
                 self.refused.insert(number);
             }
             Reply::Unclear(_) => self.unclear += 1,
--- a/crates/views/src/view.rs
+++ b/crates/peer_sampling/src/view.rs
@@ -1,4 +1,4 @@
-use blueprint::PeerRef;
+use configuration::PeerRef;
 use speedy::{Readable, Writable};
 
 /// Most neighbours in a view.
--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -1,6 +1,6 @@
 use crate::jobs::{is_job, JobWindow, FORGOTTEN_KEY};
 use crate::message::{Ballot, Stored, VoterAsk, VoterMessage, VoterReply, VoterSet};
-use repair::{range_of, Digests};
+use anti_entropy::{range_of, Digests};
 use speedy::{Readable, Writable};
 use std::collections::BTreeMap;
 use std::ops::Bound;
--- a/crates/holding/src/action.rs
+++ b/crates/request_queue/src/action.rs
@@ -1,4 +1,4 @@
-use blueprint::PeerRef;
+use configuration::PeerRef;
 
 /// A ticket as the desk knows it.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/holding/src/bids.rs
+++ b/crates/request_queue/src/bids.rs
@@ -1,5 +1,5 @@
 use crate::message::RankCount;
-use blueprint::PeerRef;
+use configuration::PeerRef;
 use std::collections::BTreeMap;
 
 /// Seats lent to one front of which it has not yet said that it saw them.
--- a/crates/holding/src/desk.rs
+++ b/crates/request_queue/src/desk.rs
@@ -6,7 +6,7 @@
 use crate::kept::Kept;
 use crate::message::DeskMessage;
 use crate::standing::Standing;
-use blueprint::{Blueprint, PeerRef, Plan, Version};
+use configuration::{Blueprint, PeerRef, Plan, Version};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
--- a/crates/holding/src/index.rs
+++ b/crates/request_queue/src/index.rs
@@ -1,4 +1,4 @@
-use blueprint::{Plan, RunnerEntry, RunnerState};
+use configuration::{Plan, RunnerEntry, RunnerState};
 use std::collections::HashMap;
 
 /// Where things stand in a plan, made once for each plan, since every ticket asks.
--- a/crates/holding/src/keeping.rs
+++ b/crates/request_queue/src/keeping.rs
@@ -4,7 +4,7 @@
 use crate::index::Index;
 use crate::kept::Kept;
 use crate::message::{DeskMessage, Return, DESK_LISTS_MAX};
-use blueprint::{Blueprint, PeerRef, Plan, RunnerState, Version};
+use configuration::{Blueprint, PeerRef, Plan, RunnerState, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/holding/src/kept.rs
+++ b/crates/request_queue/src/kept.rs
@@ -1,4 +1,4 @@
-use blueprint::{Bounds, PeerRef, RunnerEntry, RunnerState};
+use configuration::{Bounds, PeerRef, RunnerEntry, RunnerState};
 use std::collections::BTreeMap;
 
 /// Faults in a row after which a runner is left out.
--- a/crates/holding/src/lending.rs
+++ b/crates/request_queue/src/lending.rs
@@ -2,7 +2,7 @@
 use crate::desk::{Desk, HeldSeat};
 use crate::kept::Kept;
 use crate::message::{Award, DeskMessage, RankCount, Return};
-use blueprint::{PeerRef, RunnerEntry, RunnerState};
+use configuration::{PeerRef, RunnerEntry, RunnerState};
 use std::collections::BTreeMap;
 
 /// Who is served next by a keeper: this front's own holding, or another front's bid.
--- a/crates/holding/src/message.rs
+++ b/crates/request_queue/src/message.rs
@@ -1,4 +1,4 @@
-use blueprint::Version;
+use configuration::Version;
 use speedy::{Readable, Writable};
 
 /// Longest list within a message between fronts.
--- a/crates/holding/src/standing.rs
+++ b/crates/request_queue/src/standing.rs
@@ -1,4 +1,4 @@
-use blueprint::{Plan, Version};
+use configuration::{Plan, Version};
 use std::collections::BTreeMap;
 
 #[derive(Debug, Default)]
--- a/crates/holding/tests/desk.rs
+++ b/crates/request_queue/tests/desk.rs
@@ -2,9 +2,9 @@
 
 mod fixtures;
 
-use blueprint::{PeerRef, Version};
+use configuration::{PeerRef, Version};
 use fixtures::*;
-use holding::{Action, Desk, DeskMessage, RankCount, Refusal, Return, TryEnd};
+use request_queue::{Action, Desk, DeskMessage, RankCount, Refusal, Return, TryEnd};
 use std::sync::Arc;
 
 #[test]
--- a/crates/holding/tests/oracles.rs
+++ b/crates/request_queue/tests/oracles.rs
@@ -4,7 +4,7 @@
 
 use fixtures::ticket;
 use fuzzing::seeded;
-use holding::{Admission, Allowance, Holding};
+use request_queue::{Admission, Allowance, Holding};
 
 seeded! {
     fn a_holding_agrees_with_a_sorted_list(steps: Vec<(u8, u8)>) -> bool {
--- a/crates/holding/tests/speeds.rs
+++ b/crates/request_queue/tests/speeds.rs
@@ -3,7 +3,7 @@
 mod fixtures;
 
 use fixtures::*;
-use holding::{Desk, Ticket, TryEnd};
+use request_queue::{Desk, Ticket, TryEnd};
 use std::sync::Arc;
 
 /// A desk that keeps a quick runner, and a slow one that has shown what it takes.
--- a/crates/scaler/src/demand.rs
+++ b/crates/scaler/src/demand.rs
@@ -1,6 +1,6 @@
 use crate::forecast::Forecast;
 use crate::sight::Sight;
-use blueprint::{Bounds, PeerRef};
+use configuration::{Bounds, PeerRef};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 /// Milliseconds of one answer that are assumed until answers were seen.
--- a/crates/scaler/src/keepers.rs
+++ b/crates/scaler/src/keepers.rs
@@ -1,5 +1,5 @@
 use crate::sight::{FrontSight, Sight};
-use blueprint::{Plan, RunnerState};
+use configuration::{Plan, RunnerState};
 use std::collections::BTreeMap;
 
 /// Fronts that have been silent for so many return bounds leave the roster.
--- a/crates/scaler/src/life.rs
+++ b/crates/scaler/src/life.rs
@@ -1,7 +1,7 @@
 use crate::orders::Orders;
 use crate::sight::{ListedState, Sight};
-use blueprint::{Plan, RunnerEntry, RunnerState, Version};
-use holding::RunnerReport;
+use configuration::{Plan, RunnerEntry, RunnerState, Version};
+use request_queue::RunnerReport;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A runner that has been slow for so many return bounds is replaced.
--- a/crates/scaler/src/orders.rs
+++ b/crates/scaler/src/orders.rs
@@ -1,5 +1,5 @@
 use crate::sight::ListedRunner;
-use blueprint::{Plan, RunnerEntry, RunnerState};
+use configuration::{Plan, RunnerEntry, RunnerState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A call to the platform.
--- a/crates/scaler/src/placing.rs
+++ b/crates/scaler/src/placing.rs
@@ -1,5 +1,5 @@
 use crate::sight::{Sight, Worker};
-use blueprint::{Plan, RunnerState};
+use configuration::{Plan, RunnerState};
 use std::collections::HashSet;
 
 /// Where a new runner goes.
--- a/crates/scaler/src/room.rs
+++ b/crates/scaler/src/room.rs
@@ -1,6 +1,6 @@
 use crate::life::Lives;
 use crate::sight::Sight;
-use blueprint::{Listing, Plan, RunnerState};
+use configuration::{Listing, Plan, RunnerState};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
--- a/crates/scaler/src/scaler.rs
+++ b/crates/scaler/src/scaler.rs
@@ -6,7 +6,7 @@
 use crate::room::{Room, Share};
 use crate::sight::Sight;
 use crate::steps::{grow, shrink, Pod};
-use blueprint::{Listing, Plan, RunnerEntry, RunnerState};
+use configuration::{Listing, Plan, RunnerEntry, RunnerState};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
--- a/crates/scaler/src/sight.rs
+++ b/crates/scaler/src/sight.rs
@@ -1,5 +1,5 @@
-use blueprint::{Blueprint, PeerRef, Plan, Version};
-use holding::FrontReport;
+use configuration::{Blueprint, PeerRef, Plan, Version};
+use request_queue::FrontReport;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/crates/scaler/tests/algorithm.rs
+++ b/crates/scaler/tests/algorithm.rs
@@ -1,10 +1,10 @@
 //! The ordinary path of Algorithm 1, and where the scaler leaves it.
 
-use blueprint::{
+use configuration::{
     Blueprint, District, DistrictState, Kind, Listing, PeerRef, Plan, RunnerState, Version,
 };
 use fuzzing::{seeded, TestResult};
-use holding::{FrontReport, FunctionReport, RunnerReport};
+use request_queue::{FrontReport, FunctionReport, RunnerReport};
 use scaler::{grow, shrink, FrontSight, Order, OrderResult, Orders, Pod, Scaler, Sight, Worker};
 use std::collections::BTreeMap;
 
--- a/crates/scaler/tests/shortage.rs
+++ b/crates/scaler/tests/shortage.rs
@@ -1,10 +1,10 @@
 //! Runners that differ in speed, and memory that is short: a town whose functions are called at
 //! given rates, whose platform starts what the plan says, and whose work waits where seats lack.
 
-use blueprint::{
+use configuration::{
     Blueprint, District, DistrictState, Kind, Listing, PeerRef, Plan, RunnerState, Version,
 };
-use holding::{FrontReport, FunctionReport, RunnerReport};
+use request_queue::{FrontReport, FunctionReport, RunnerReport};
 use scaler::{FrontSight, Order, OrderResult, Orders, Scaler, Sight, Worker};
 use std::collections::BTreeMap;
 
--- a/crates/simulator/src/core_duties.rs
+++ b/crates/simulator/src/core_duties.rs
@@ -2,7 +2,7 @@
 use crate::net::{Happening, Net};
 use crate::oracle::Oracle;
 use crate::yard::Yard;
-use blueprint::Version;
+use configuration::Version;
 use register::Change;
 use scaler::Sight;
 use speedy::Writable;
--- a/crates/simulator/src/core_founding.rs
+++ b/crates/simulator/src/core_founding.rs
@@ -1,12 +1,12 @@
 use crate::core_node::{CoreNode, Purpose};
 use crate::net::Net;
 use crate::oracle::Oracle;
-use blueprint::Version;
+use configuration::Version;
 use register::Change;
 use speedy::Writable;
 use std::collections::BTreeMap;
+use transport::{BlueprintNews, Message, News, PlanNews};
 use voter::{agreed_wall, FoundStep, Founding, FrontsHold, HeardCore};
-use wire::{BlueprintNews, Message, News, PlanNews};
 
 /// Numbers of questions for what fronts hold.
 pub(crate) const GATHER: u64 = 3;
--- a/crates/simulator/src/core_joining.rs
+++ b/crates/simulator/src/core_joining.rs
@@ -4,8 +4,8 @@
 use register::{merged, Change, Held, Outcome, VoterRef, VoterSet, VOTERS_KEY};
 use speedy::{Readable, Writable};
 use std::collections::{BTreeMap, BTreeSet};
+use transport::{Copy, Message};
 use voter::{HeardCore, Installing, JoinStep, Joining};
-use wire::{Copy, Message};
 
 const CYCLE: u64 = 500;
 /// Time between comparisons with the other members' copies.
--- a/crates/simulator/src/core_news.rs
+++ b/crates/simulator/src/core_news.rs
@@ -1,12 +1,12 @@
 use crate::core_node::CoreNode;
 use crate::net::{Net, Parcel};
-use ballot::Tenure;
-use blueprint::{parse, Plan, Version};
-use holding::{DeskMessage, FrontReport};
+use configuration::{parse, Plan, Version};
+use leader_election::Tenure;
 use register::{Outcome, Stored};
+use request_queue::{DeskMessage, FrontReport};
 use speedy::Readable;
 use std::sync::Arc;
-use wire::Message;
+use transport::Message;
 
 impl CoreNode {
     /// Answers a front's heartbeat.
--- a/crates/simulator/src/core_node.rs
+++ b/crates/simulator/src/core_node.rs
@@ -4,18 +4,18 @@
 use crate::net::{Event, Net, Parcel};
 use crate::oracle::Oracle;
 use crate::yard::Yard;
-use ballot::{Duty, Move, Tenure};
-use blueprint::{Blueprint, PeerRef, Plan, Version};
-use holding::DeskMessage;
+use configuration::{Blueprint, PeerRef, Plan, Version};
 use journal::MemoryFolder;
+use leader_election::{Duty, Move, Tenure};
 use rand::Rng;
 use register::{Ballot, Change, Outcome, Proposal, ProposalStep, VoterAsk, VoterSet};
+use request_queue::DeskMessage;
 use scaler::{FrontSight, Orders, Scaler};
 use speedy::Writable;
 use std::collections::BTreeMap;
 use std::sync::Arc;
+use transport::{BlueprintNews, Message, News, PlanNews};
 use voter::Voter;
-use wire::{BlueprintNews, Message, News, PlanNews};
 
 const PATIENCE: u64 = 500;
 
--- a/crates/simulator/src/core_puts.rs
+++ b/crates/simulator/src/core_puts.rs
@@ -1,7 +1,7 @@
 use crate::core_node::{CoreNode, Purpose};
 use crate::net::Net;
 use crate::oracle::Oracle;
-use blueprint::{check, Blueprint, DistrictState, Version};
+use configuration::{check, Blueprint, DistrictState, Version};
 use register::{Change, Outcome};
 
 /// Longest time until a put is answered.
@@ -59,7 +59,7 @@
             return;
         };
         let text = String::from_utf8_lossy(&stored.bytes).into_owned();
-        let Ok(current) = blueprint::parse(&text) else {
+        let Ok(current) = configuration::parse(&text) else {
             return;
         };
         let next = edited(&current, put.seed);
@@ -114,7 +114,8 @@
             };
             let holding = roster.iter().filter(holds).count();
             if holding > roster.len() / 2 {
-                let blueprint = blueprint::parse(&put.text).unwrap_or_else(|_| Blueprint::empty());
+                let blueprint =
+                    configuration::parse(&put.text).unwrap_or_else(|_| Blueprint::empty());
                 let evacuated = blueprint.districts.iter();
                 let evacuated: Vec<String> = evacuated
                     .filter(|district| district.state == DistrictState::Evacuated)
--- a/crates/simulator/src/front_claims.rs
+++ b/crates/simulator/src/front_claims.rs
@@ -1,7 +1,7 @@
 use crate::front_node::{Claiming, FrontNode, Purpose};
 use crate::net::{Net, Parcel};
 use crate::oracle::Oracle;
-use claims::Claim;
+use idempotency_keys::Claim;
 use register::{Ballot, Change, Outcome, Proposal, ProposalStep, VoterAsk, VoterReply};
 use speedy::Writable;
 
--- a/crates/simulator/src/front_node.rs
+++ b/crates/simulator/src/front_node.rs
@@ -1,13 +1,13 @@
 use crate::net::{Event, Happening, Net, Parcel, Wish};
 use crate::oracle::Oracle;
 use crate::yard::{ticket_id, Answer, Request};
-use blueprint::{parse, Blueprint, PeerRef, Version};
-use claims::Claim;
-use holding::{Action, Desk, DeskMessage, SeatGrant, Ticket, TryEnd};
+use configuration::{parse, Blueprint, PeerRef, Version};
+use idempotency_keys::Claim;
 use register::{Proposal, VoterSet};
+use request_queue::{Action, Desk, DeskMessage, SeatGrant, Ticket, TryEnd};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use wire::{BlueprintNews, Message, News, PlanNews};
+use transport::{BlueprintNews, Message, News, PlanNews};
 
 pub(crate) struct Open {
     pub wish: Wish,
@@ -314,5 +314,5 @@
 /// Looks at the seal as a front does, over what came back.
 fn is_sealed(answer: &Answer, call: u64, seat: &SeatGrant) -> bool {
     let (name, body) = (ticket_id(call, seat), answer.call.to_le_bytes());
-    claims::seal(&seat.key, &name, &seat.runner, 200, "", &body) == answer.seal
+    idempotency_keys::seal(&seat.key, &name, &seat.runner, 200, "", &body) == answer.seal
 }
--- a/crates/simulator/src/front_wishes.rs
+++ b/crates/simulator/src/front_wishes.rs
@@ -1,8 +1,8 @@
 use crate::front_node::{FrontNode, Open, Purpose};
 use crate::net::{Event, Net, Wish};
 use crate::oracle::Oracle;
-use claims::{Claim, OnceKey};
-use holding::Ticket;
+use idempotency_keys::{Claim, OnceKey};
+use request_queue::Ticket;
 
 impl FrontNode {
     pub fn wish(&mut self, net: &mut Net, oracle: &mut Oracle, wish: Wish) {
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -1,12 +1,12 @@
-use blueprint::PeerRef;
-use holding::{SeatGrant, Ticket, TryEnd};
+use configuration::PeerRef;
 use rand::rngs::StdRng;
 use rand::Rng;
 use register::{VoterAsk, VoterMessage, VoterSet};
+use request_queue::{SeatGrant, Ticket, TryEnd};
 use scaler::{Order, OrderResult};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use wire::Message;
+use transport::Message;
 
 use crate::faults::Fault;
 use crate::yard::Answer;
--- a/crates/simulator/src/oracle.rs
+++ b/crates/simulator/src/oracle.rs
@@ -1,4 +1,4 @@
-use blueprint::Version;
+use configuration::Version;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most lines that are kept of what is broken.
--- a/crates/simulator/src/start.rs
+++ b/crates/simulator/src/start.rs
@@ -1,5 +1,5 @@
 use crate::config::Config;
-use blueprint::{Blueprint, District, Kind, Listing};
+use configuration::{Blueprint, District, Kind, Listing};
 
 pub(crate) fn district(place: usize) -> String {
     ["a", "b", "c"][place % 3].to_string()
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -6,7 +6,7 @@
 use crate::oracle::Oracle;
 use crate::start::{district, first_blueprint};
 use crate::yard::Yard;
-use blueprint::{Blueprint, PeerRef};
+use configuration::{Blueprint, PeerRef};
 use journal::MemoryFolder;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -14,7 +14,7 @@
 use scaler::Worker;
 use std::collections::BTreeMap;
 
-use wire::Message;
+use transport::Message;
 
 const TICK: u64 = 100;
 /// Some callers' clocks are off by so much.
--- a/crates/simulator/src/yard.rs
+++ b/crates/simulator/src/yard.rs
@@ -1,8 +1,8 @@
 use crate::net::{Event, Happening, Net};
 use crate::oracle::Oracle;
-use blueprint::RunnerEntry;
-use holding::{SeatGrant, Ticket, TryEnd};
+use configuration::RunnerEntry;
 use rand::Rng;
+use request_queue::{SeatGrant, Ticket, TryEnd};
 use scaler::{ListedRunner, ListedState, Order, OrderResult, Worker};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -202,7 +202,7 @@
             let name = ticket_id(request.call, &request.seat);
             let body = call.to_le_bytes();
             let key = key.clone().unwrap_or_default();
-            claims::seal(&key, &name, &run.runner, 200, "", &body)
+            idempotency_keys::seal(&key, &name, &run.runner, 200, "", &body)
         };
         let answer = |call: u64, seal: String| {
             Some(Answer {
--- a/crates/wire/src/inbound.rs
+++ b/crates/transport/src/inbound.rs
@@ -1,6 +1,6 @@
 use crate::frame::{decode, encode, FrameError};
 use crate::message::{Envelope, Message, Role};
-use blueprint::PeerRef;
+use configuration::PeerRef;
 use crossbeam::channel::{bounded, Sender};
 use std::io::{self, BufReader, BufWriter, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
--- a/crates/wire/src/links.rs
+++ b/crates/transport/src/links.rs
@@ -1,7 +1,7 @@
 use crate::frame::{decode, encode};
 use crate::inbound::{listen, Handler, WireCounts};
 use crate::message::{Envelope, Message, Role};
-use blueprint::PeerRef;
+use configuration::PeerRef;
 use crossbeam::channel::{bounded, Receiver, Sender};
 use parking_lot::Mutex;
 use std::collections::HashMap;
--- a/crates/wire/src/message.rs
+++ b/crates/transport/src/message.rs
@@ -1,8 +1,8 @@
-use blueprint::{PeerRef, Plan, Version};
-use holding::{DeskMessage, FrontReport};
+use configuration::{PeerRef, Plan, Version};
+use peer_sampling::Neighbour;
 use register::{Held, VoterMessage, VoterReply, VoterSet};
+use request_queue::{DeskMessage, FrontReport};
 use speedy::{Readable, Writable};
-use views::Neighbour;
 
 /// What a daemon is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
--- a/crates/wire/tests/frames.rs
+++ b/crates/transport/tests/frames.rs
@@ -1,10 +1,10 @@
 //! Frames under fuzzing: what was written is read again, and nothing else is taken for a message.
 
-use blueprint::{PeerRef, Version};
+use configuration::{PeerRef, Version};
 use fuzzing::{seeded, TestResult};
-use holding::{DeskMessage, RankCount};
 use register::{Ballot, Stored, VoterAsk, VoterMessage, VoterReply};
-use wire::{decode, encode, Envelope, FrameError, Message, Role, FRAME_MAX};
+use request_queue::{DeskMessage, RankCount};
+use transport::{decode, encode, Envelope, FrameError, Message, Role, FRAME_MAX};
 
 fn envelope(body: Message, number: u64) -> Envelope {
     Envelope {
@@ -84,7 +84,7 @@
 
     fn any_bytes_are_read_without_a_panic(bytes: Vec<u8>) -> bool {
         let mut frame = (bytes.len() as u32 + 1).to_le_bytes().to_vec();
-        frame.push(wire::WIRE_VERSION);
+        frame.push(transport::WIRE_VERSION);
         frame.extend(&bytes);
         // A short garbage payload cannot hold a whole envelope with its names and numbers.
         bytes.len() > 24 || decode(&mut frame.as_slice()).is_err()
@@ -105,13 +105,13 @@
 #[test]
 fn oversized_and_foreign_frames_are_refused() {
     let mut long = (FRAME_MAX as u32 + 1).to_le_bytes().to_vec();
-    long.push(wire::WIRE_VERSION);
+    long.push(transport::WIRE_VERSION);
     assert!(matches!(
         decode(&mut long.as_slice()),
         Err(FrameError::TooLong(_))
     ));
     let mut frame = encode(&envelope(Message::Hello, 1)).unwrap();
-    frame[4] = wire::WIRE_VERSION + 1;
+    frame[4] = transport::WIRE_VERSION + 1;
     assert!(matches!(
         decode(&mut frame.as_slice()),
         Err(FrameError::OtherVersion(_))
--- a/crates/voter/src/founding.rs
+++ b/crates/voter/src/founding.rs
@@ -1,4 +1,4 @@
-use blueprint::Bounds;
+use configuration::Bounds;
 use register::{VoterRef, VoterSet};
 
 /// What a core said of itself.
--- a/tests/hollow/src/carrier.rs
+++ b/tests/hollow/src/carrier.rs
@@ -2,7 +2,7 @@
 
 use crate::meter::{median_ns, tell_fit, Markdown};
 use crate::town;
-use exchange::{write_request, write_response, Bounds, RequestReader, ResponseReader};
+use http1::{write_request, write_response, Bounds, RequestReader, ResponseReader};
 use protocol::{frame, Bid, Frames, Grant, Message, Outcome, Release};
 use std::hint::black_box;
 
@@ -90,7 +90,7 @@
     table.named("read the request", &[ns]);
     let ns = median_ns(TIMES, || {
         let mut out = Vec::new();
-        let headers = exchange::end_to_end(&whole.headers);
+        let headers = http1::end_to_end(&whole.headers);
         write_request(&mut out, &whole.method, &whole.target, headers, &whole.body);
         black_box(out);
     });
@@ -103,7 +103,7 @@
     let answer = read.ok().flatten().expect("an answer");
     let ns = median_ns(TIMES, || {
         let mut out = Vec::new();
-        let headers = exchange::end_to_end(&answer.headers);
+        let headers = http1::end_to_end(&answer.headers);
         write_response(&mut out, answer.status, headers, &answer.body, true, false);
         black_box(out);
     });
--- a/tests/lab/src/callers.rs
+++ b/tests/lab/src/callers.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use wire::{call, Answer, HttpError};
+use transport::{call, Answer, HttpError};
 
 /// Callers at once in ordinary traffic. The load is open-loop below this bound.
 const CALLERS: usize = 800;
--- a/tests/lab/src/cost.rs
+++ b/tests/lab/src/cost.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
-use wire::call;
+use transport::call;
 
 const PATIENCE: Duration = Duration::from_secs(5);
 const CALLS: usize = 400;
--- a/tests/lab/src/deployment.rs
+++ b/tests/lab/src/deployment.rs
@@ -1,4 +1,4 @@
-use blueprint::{Blueprint, Bounds, District, DistrictState, Kind, Listing};
+use configuration::{Blueprint, Bounds, District, DistrictState, Kind, Listing};
 use figment::providers::{Format, Toml};
 use figment::Figment;
 use serde::Deserialize;
@@ -112,7 +112,7 @@
         let read: Result<Self, _> = Figment::from(Toml::file_exact(path)).extract();
         let deployment =
             read.map_err(|fault| LabFault::Input(format!("{}: {fault}", path.display())))?;
-        let faults = blueprint::check(&deployment.blueprint());
+        let faults = configuration::check(&deployment.blueprint());
         if !faults.is_empty() {
             let text = format!("{}: {faults:?}", path.display());
             return Err(LabFault::Input(text));
--- a/tests/lab/src/failing_system.rs
+++ b/tests/lab/src/failing_system.rs
@@ -1,12 +1,12 @@
 use crate::deployment::LabFault;
-use crate::mishaps;
+use crate::fault_injection;
 use crate::stage::Stage;
 use std::time::{Duration, Instant};
 
 const HOUR_MS: i64 = 3_600_000;
 
 fn order(stage: &Stage, name: &str, words: &str) -> Result<(), LabFault> {
-    mishaps::order(&stage.fleet.dir, name, words)
+    fault_injection::order(&stage.fleet.dir, name, words)
 }
 
 /// One disk machine's disk fails in some way for eight seconds; its voter closes where a write or sync
@@ -86,7 +86,7 @@
         }
         for place in 0..stage.fleet.cores.len() {
             let name = stage.fleet.cores[place].name.clone();
-            lost += mishaps::lose_unsynced(&dir, &name)?;
+            lost += fault_injection::lose_unsynced(&dir, &name)?;
             stage.fleet.cores[place].start(&dir)?;
         }
         stage
--- a/tests/lab/src/mishaps.rs
+++ b/tests/lab/src/fault_injection.rs
@@ -5,14 +5,14 @@
 use std::path::{Path, PathBuf};
 
 /// The library that is loaded into daemons whose calls to the system are to fail.
-const LIBRARY: &str = "libmishaps.so";
+const LIBRARY: &str = "libfault_injection.so";
 
 fn fault(error: impl std::fmt::Display) -> LabFault {
-    LabFault::Fleet(format!("mishaps: {error}"))
+    LabFault::Fleet(format!("fault_injection: {error}"))
 }
 
 fn orders_of(dir: &Path, name: &str) -> PathBuf {
-    dir.join("mishaps").join(name)
+    dir.join("fault_injection").join(name)
 }
 
 fn data_of(dir: &Path, name: &str) -> PathBuf {
--- a/tests/lab/src/fleet.rs
+++ b/tests/lab/src/fleet.rs
@@ -1,6 +1,6 @@
 use crate::deployment::{Deployment, LabFault};
+use crate::fault_injection;
 use crate::member::Member;
-use crate::mishaps;
 use crate::platform::WorkerLine;
 use crate::relay::Relays;
 use oxhttp::model::Method;
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::thread;
 use std::time::{Duration, Instant};
-use wire::call;
+use transport::call;
 
 const UP_PATIENCE: Duration = Duration::from_secs(30);
 const PORTS_EACH: u16 = 400;
@@ -22,7 +22,7 @@
     /// Links between daemons can be cut.
     pub relays: bool,
     /// Disks and clocks of daemons can fail.
-    pub mishaps: bool,
+    pub fault_injection: bool,
 }
 
 /// A whole fleet on loopback. Dropping it ends every process that it started.
@@ -114,9 +114,9 @@
             let relays = Relays::open(deployment.base_port, &names.collect::<Vec<_>>());
             fleet.relays = Some(relays.map_err(fleet_fault)?);
         }
-        if needs.mishaps {
+        if needs.fault_injection {
             for daemon in fleet.cores.iter_mut().chain(&mut fleet.fronts) {
-                mishaps::load_into(daemon, dir)?;
+                fault_injection::load_into(daemon, dir)?;
             }
         }
         let members = fleet.workers.iter_mut().chain([&mut fleet.platform]);
--- a/tests/lab/src/interface.rs
+++ b/tests/lab/src/interface.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use wire::{call, Answer};
+use transport::{call, Answer};
 
 /// What the checks act on.
 pub struct Desk {
--- a/tests/lab/src/member.rs
+++ b/tests/lab/src/member.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
-use wire::{call, Answer};
+use transport::{call, Answer};
 
 fn fleet_fault(error: impl std::fmt::Display) -> LabFault {
     LabFault::Fleet(error.to_string())
--- a/tests/lab/src/platform.rs
+++ b/tests/lab/src/platform.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use wire::{call, json, read_body, serve, text};
+use transport::{call, json, read_body, serve, text};
 
 const PATIENCE: Duration = Duration::from_millis(1_500);
 /// Age of the lists while they are late.
--- a/tests/lab/src/relay.rs
+++ b/tests/lab/src/relay.rs
@@ -5,7 +5,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::thread;
-use wire::{decode, encode, Envelope};
+use transport::{decode, encode, Envelope};
 
 /// Pairs (from, to) of daemons between which nothing passes.
 type Cuts = Arc<Mutex<HashSet<(String, String)>>>;
--- a/tests/lab/src/replay.rs
+++ b/tests/lab/src/replay.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
-use wire::call;
+use transport::call;
 
 const ENTRIES_MAX: usize = 100_000;
 const CALLERS: usize = 64;
--- a/tests/lab/src/scenarios.rs
+++ b/tests/lab/src/scenarios.rs
@@ -34,7 +34,7 @@
     }
 
     fn mishap(mut self) -> Self {
-        self.needs.mishaps = true;
+        self.needs.fault_injection = true;
         self
     }
 }
--- a/tests/lab/src/soak.rs
+++ b/tests/lab/src/soak.rs
@@ -1,7 +1,7 @@
 use crate::deployment::{Deployment, LabFault};
+use crate::fault_injection;
 use crate::fleet::Needs;
 use crate::ledger::unix_now_ms;
-use crate::mishaps;
 use crate::operating::set_state;
 use crate::scenario::{perform, Part};
 use crate::stage::Stage;
@@ -142,7 +142,7 @@
         name: format!("soak {seed}"),
         needs: Needs {
             relays: true,
-            mishaps: true,
+            fault_injection: true,
         },
         with_crowd: false,
         seconds,
@@ -193,7 +193,7 @@
             stage.fleet.cores[*place].start(&dir)?;
         }
         Trouble::CoreDisk(place, kind) => {
-            mishaps::order(&dir, &format!("core-{place}"), words(kind))?;
+            fault_injection::order(&dir, &format!("core-{place}"), words(kind))?;
         }
         Trouble::WorkerCrashed(place) if is_begin => stage.fleet.workers[*place].kill(),
         Trouble::WorkerCrashed(place) => stage.fleet.workers[*place].start(&dir)?,
@@ -216,7 +216,7 @@
         }
         Trouble::Clock(name, jump) => {
             let jump = if is_begin { *jump } else { 0 };
-            mishaps::order(&dir, name, &format!("wall={jump}"))?;
+            fault_injection::order(&dir, name, &format!("wall={jump}"))?;
         }
         Trouble::Evacuated(district) => evacuate(stage, district, is_begin),
         Trouble::Put(number) if is_begin => {
--- a/tests/lab/src/stage.rs
+++ b/tests/lab/src/stage.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::thread;
 use std::time::{Duration, Instant};
-use wire::call;
+use transport::call;
 
 /// What a scenario looks at by itself: wishes, runs, and the worker of each runner.
 pub type Look = fn(&mut Stage, &[Wish], &[RunLine], &BTreeMap<String, String>);
--- a/tests/lab/src/worker.rs
+++ b/tests/lab/src/worker.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use wire::{json, read_body, serve, text};
+use transport::{json, read_body, serve, text};
 
 #[derive(Deserialize)]
 struct MischiefOrder {
