--- /dev/null
+++ b/tests/conventions/src/names.rs
@@ -0,0 +1,120 @@
+//! The names that a crate shows to its readers: files, items, fields, variants, and the words of log lines.
+
+use crate::SourceFile;
+use std::collections::BTreeMap;
+use syn::visit::{self, Visit};
+
+/// Macros whose first literal is a log line.
+const LOG_MACROS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
+
+#[derive(Default)]
+struct Names {
+    found: Vec<String>,
+}
+
+impl Names {
+    fn add(&mut self, name: &syn::Ident) {
+        self.found.push(name.to_string());
+    }
+}
+
+impl<'ast> Visit<'ast> for Names {
+    fn visit_item_fn(&mut self, item: &'ast syn::ItemFn) {
+        self.add(&item.sig.ident);
+        visit::visit_item_fn(self, item);
+    }
+
+    fn visit_impl_item_fn(&mut self, item: &'ast syn::ImplItemFn) {
+        self.add(&item.sig.ident);
+        visit::visit_impl_item_fn(self, item);
+    }
+
+    fn visit_trait_item_fn(&mut self, item: &'ast syn::TraitItemFn) {
+        self.add(&item.sig.ident);
+        visit::visit_trait_item_fn(self, item);
+    }
+
+    fn visit_item_struct(&mut self, item: &'ast syn::ItemStruct) {
+        self.add(&item.ident);
+        visit::visit_item_struct(self, item);
+    }
+
+    fn visit_item_enum(&mut self, item: &'ast syn::ItemEnum) {
+        self.add(&item.ident);
+        visit::visit_item_enum(self, item);
+    }
+
+    fn visit_item_trait(&mut self, item: &'ast syn::ItemTrait) {
+        self.add(&item.ident);
+        visit::visit_item_trait(self, item);
+    }
+
+    fn visit_item_type(&mut self, item: &'ast syn::ItemType) {
+        self.add(&item.ident);
+    }
+
+    fn visit_item_const(&mut self, item: &'ast syn::ItemConst) {
+        self.add(&item.ident);
+    }
+
+    fn visit_variant(&mut self, variant: &'ast syn::Variant) {
+        self.add(&variant.ident);
+        visit::visit_variant(self, variant);
+    }
+
+    fn visit_field(&mut self, field: &'ast syn::Field) {
+        if let Some(name) = &field.ident {
+            self.add(name);
+        }
+        visit::visit_field(self, field);
+    }
+
+    fn visit_macro(&mut self, call: &'ast syn::Macro) {
+        let name = call.path.segments.last().map(|last| last.ident.to_string());
+        if !name.is_some_and(|name| LOG_MACROS.contains(&name.as_str())) {
+            return;
+        }
+        let tokens = call.tokens.to_string();
+        let line = tokens.split('"').nth(1).unwrap_or_default();
+        self.found.push(line.to_string());
+    }
+}
+
+/// Names and log lines of a file, its own name included.
+#[must_use]
+pub fn of_file(file: &SourceFile) -> Vec<String> {
+    let mut names = Names::default();
+    names.visit_file(&file.syntax);
+    names.found.extend(file.module.last().cloned());
+    names.found
+}
+
+/// Lower-case words of a name or a line, where `CamelCase`, `snake_case` and punctuation separate them.
+#[must_use]
+pub fn words(name: &str) -> Vec<String> {
+    let mut words = vec![String::new()];
+    let mut was_lower = false;
+    for letter in name.chars() {
+        let begins = !letter.is_alphanumeric() || (letter.is_uppercase() && was_lower);
+        if begins {
+            words.push(String::new());
+        }
+        if letter.is_alphanumeric() {
+            let word = words.last_mut();
+            word.into_iter()
+                .for_each(|word| word.extend(letter.to_lowercase()));
+        }
+        was_lower = letter.is_lowercase() || letter.is_numeric();
+    }
+    words.retain(|word| !word.is_empty());
+    words
+}
+
+/// Withdrawn words, each with what to write in its place, from lines such as `beat = heartbeat`.
+#[must_use]
+pub fn withdrawn(lines: &[String]) -> BTreeMap<String, String> {
+    let pairs = lines.iter().filter_map(|line| line.split_once(" = "));
+    pairs
+        .map(|(word, instead)| (word.to_string(), instead.to_string()))
+        .collect()
+}
