--- a/crates/controller/src/changes.rs
+++ b/crates/controller/src/changes.rs
@@ -3,7 +3,9 @@
 use crate::controller::Controller;
 use consensus::{CLOSURES_KEY, DESCRIPTION_KEY};
 use event_loop::LineId;
-use operator_commands::{BaseVersion, Execution, Order, OrderKind, RefusalKind, Reply, Step};
+use operator_commands::{
+    BaseVersion, Command, CommandExecution, CommandKind, CommandReply, ExecutionStep, RejectionKind,
+};
 use register::Outcome;
 use std::collections::HashMap;
 
@@ -19,7 +21,7 @@
 struct Change {
     line: LineId,
     keeps_alive: bool,
-    execution: Execution,
+    execution: CommandExecution,
     ends_at: u64,
     is_writing: bool,
 }
@@ -40,7 +42,7 @@
     }
 }
 
-fn key_of(order: &Order) -> &'static str {
+fn key_of(order: &Command) -> &'static str {
     if order.is_evacuation() {
         CLOSURES_KEY
     } else {
@@ -49,14 +51,14 @@
 }
 
 /// Status and body of a reply.
-fn response(reply: Reply) -> (u16, Vec<u8>) {
+fn response(reply: CommandReply) -> (u16, Vec<u8>) {
     match reply {
-        Reply::Acknowledged => (200, b"{}".to_vec()),
-        Reply::Document(document) => (200, document),
-        Reply::Refused(RefusalKind::Invalid, reason) => (400, reason.into_bytes()),
-        Reply::Refused(RefusalKind::Stale, reason) => (412, reason.into_bytes()),
-        Reply::Refused(RefusalKind::NotFound, reason) => (404, reason.into_bytes()),
-        Reply::Unclear(reason) => (503, reason.into_bytes()),
+        CommandReply::Acknowledged => (200, b"{}".to_vec()),
+        CommandReply::Document(document) => (200, document),
+        CommandReply::Rejected(RejectionKind::Invalid, reason) => (400, reason.into_bytes()),
+        CommandReply::Rejected(RejectionKind::Stale, reason) => (412, reason.into_bytes()),
+        CommandReply::Rejected(RejectionKind::NotFound, reason) => (404, reason.into_bytes()),
+        CommandReply::Undecided(reason) => (503, reason.into_bytes()),
     }
 }
 
@@ -64,7 +66,7 @@
     pub fn begin_change(
         &mut self,
         line: LineId,
-        kind: OrderKind,
+        kind: CommandKind,
         base: BaseVersion,
         body: Vec<u8>,
         keeps_alive: bool,
@@ -75,19 +77,19 @@
         }
         self.changes.last += 1;
         let token = self.changes.last;
-        let order = Order {
-            version: self.options.translator.version_of(&body),
+        let order = Command {
+            version: self.options.operator_codec.version_of(&body),
             kind,
             base,
             body,
         };
         let answer_ms = ANSWER_MS + order.body.len() as u64 / BYTES_EACH_MS;
-        let answer_ms = answer_ms.min(self.options.change_ms.max(ANSWER_MS));
+        let answer_ms = answer_ms.min(self.options.propagation_timeout_ms.max(ANSWER_MS));
         let key = key_of(&order);
         let change = Change {
             line,
             keeps_alive,
-            execution: Execution::new(order),
+            execution: CommandExecution::new(order),
             ends_at: self.now + answer_ms,
             is_writing: false,
         };
@@ -116,11 +118,11 @@
         let Some(mut change) = self.changes.pending.remove(&token) else {
             return;
         };
-        let documents = self.options.translator.documents();
+        let documents = self.options.operator_codec.documents();
         match change.execution.on_outcome(outcome, documents) {
-            Step::Reply(reply) => self.end_change(&change, reply),
-            Step::Write { expected, bytes } => {
-                let key = key_of(change.execution.order());
+            ExecutionStep::Reply(reply) => self.end_change(&change, reply),
+            ExecutionStep::Write { expected, bytes } => {
+                let key = key_of(change.execution.command());
                 change.is_writing = true;
                 self.changes.pending.insert(token, change);
                 self.consensus.write(self.now, token, key, expected, bytes);
@@ -128,16 +130,16 @@
         }
     }
 
-    fn end_change(&mut self, change: &Change, reply: Reply) {
-        let order = change.execution.order();
+    fn end_change(&mut self, change: &Change, reply: CommandReply) {
+        let order = change.execution.command();
         let (kind, version) = (&order.kind, order.version);
         match &reply {
-            Reply::Acknowledged => log::info!("controller: {kind:?} of {version:?} taken"),
-            Reply::Document(_) => {}
-            Reply::Refused(_, reason) => {
+            CommandReply::Acknowledged => log::info!("controller: {kind:?} of {version:?} taken"),
+            CommandReply::Document(_) => {}
+            CommandReply::Rejected(_, reason) => {
                 log::info!("controller: {kind:?} of {version:?} refused: {reason}");
             }
-            Reply::Unclear(reason) => {
+            CommandReply::Undecided(reason) => {
                 log::info!("controller: {kind:?} of {version:?} got no clear answer: {reason}");
             }
         }
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -9,7 +9,7 @@
 use consensus::{Consensus, ConsensusAction, ConsensusOptions, CLOSURES_KEY, DESCRIPTION_KEY};
 use event_loop::{Event, EventLoop, Hatch, LineId};
 use http1::RequestReader;
-use operator_commands::{Configuration, Evacuations};
+use operator_commands::{ConfigurationRecord, Evacuations};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     pub changes: Changes,
     pub jobs: JobAsks,
     pub scaling: Scaling,
-    pub kept: Arc<Configuration>,
+    pub kept: Arc<ConfigurationRecord>,
     pub kept_at: u64,
     pub steps: RecentChanges,
     pub closures: Evacuations,
@@ -72,7 +72,7 @@
         if term.load(Ordering::Relaxed) && stops_at.is_none() {
             log::info!("controller: told to stop");
             controller.consensus.resign(controller.now);
-            stops_at = Some(controller.now + controller.options.grace_ms / 4);
+            stops_at = Some(controller.now + controller.options.grace_period_ms / 4);
         }
         if stops_at.is_some_and(|at| controller.now >= at) {
             return Ok(());
@@ -107,26 +107,26 @@
     fn open(options: ControllerOptions) -> Result<Self, ControllerError> {
         let silence = options.lease_ms() as u32;
         let mut event_loop =
-            EventLoop::new(options.lines_max, silence).map_err(ControllerError::System)?;
+            EventLoop::new(options.connections_max, silence).map_err(ControllerError::System)?;
         let mut listen = |address, inbox_max| {
             let hatch = event_loop.listen(address, inbox_max);
             hatch.map_err(|error| ControllerError::Listen(address, error))
         };
-        let operators = listen(options.operators, OPERATOR_INBOX)?;
-        let gateways = listen(options.gateways, LINK_INBOX)?;
-        let consensus_hatch = listen(options.consensus, LINK_INBOX)?;
-        let voter_disk = disk::open(&options.data).map_err(ControllerError::Data)?;
+        let operators = listen(options.operator_address, OPERATOR_INBOX)?;
+        let gateways = listen(options.gateway_address, LINK_INBOX)?;
+        let consensus_hatch = listen(options.consensus_address, LINK_INBOX)?;
+        let voter_disk = disk::open(&options.data_dir).map_err(ControllerError::Data)?;
         let held = consensus::HeldSummary::of(voter_disk.voter());
         let consensus = Consensus::new(
             ConsensusOptions {
                 name: options.name.clone(),
-                address: options.consensus.to_string(),
+                address: options.consensus_address.to_string(),
                 seeds: options.seeds.iter().map(ToString::to_string).collect(),
                 is_first_start: options.is_first_start,
                 disk: voter_disk.identity(),
                 lease_ms: options.lease_ms(),
                 heartbeat_ms: options.heartbeat_ms(),
-                patience_ms: options.sync_ms * 3 / 5,
+                patience_ms: options.resync_ms * 3 / 5,
                 seed: rand::random(),
                 voters_wanted: options.voters_wanted,
             },
@@ -136,7 +136,7 @@
         let waker = event_loop.waker().map_err(ControllerError::System)?;
         let disk = Disk::start(voter_disk, waker);
         Ok(Self {
-            controllers: ControllerLinks::new(options.consensus.to_string()),
+            controllers: ControllerLinks::new(options.consensus_address.to_string()),
             gateways: Gateways::default(),
             changes: Changes::default(),
             jobs: JobAsks::default(),
@@ -208,7 +208,7 @@
 
     /// Takes other controllers' addresses from settings that have changed.
     fn reload(&mut self) {
-        let Some(seeds) = (self.options.reload)() else {
+        let Some(seeds) = (self.options.reload_seeds)() else {
             return;
         };
         log::info!(
@@ -252,7 +252,7 @@
         let mut is_described = false;
         if let Some((version, bytes)) = self.consensus.settled(DESCRIPTION_KEY) {
             if version > self.kept_at {
-                if let Some(kept) = Configuration::read(bytes) {
+                if let Some(kept) = ConfigurationRecord::read(bytes) {
                     self.steps.note(version, &kept);
                     self.kept = Arc::new(kept);
                     self.kept_at = version;
--- a/crates/controller/src/gateways.rs
+++ b/crates/controller/src/gateways.rs
@@ -165,7 +165,7 @@
     }
 
     fn controller_heartbeat(&self) -> Message {
-        let port = self.options.gateways_port;
+        let port = self.options.gateway_port;
         let controllers = self.consensus.controllers();
         let controllers = controllers.iter().filter_map(|address| {
             let address: SocketAddr = address.parse().ok()?;
@@ -176,7 +176,7 @@
             closures: self.closures_at,
             term: self.consensus.term(self.now).unwrap_or(0),
             controllers: controllers.collect(),
-            district: self.options.district.clone(),
+            district: self.options.zone.clone(),
             is_current: self.consensus.is_current(self.now),
         }
     }
--- a/crates/controller/src/jobs.rs
+++ b/crates/controller/src/jobs.rs
@@ -85,7 +85,7 @@
 
     /// Lets jobs be forgotten that are old.
     pub fn tend_jobs(&mut self) {
-        if self.now < self.jobs.turned_at + self.options.remembered_ms {
+        if self.now < self.jobs.turned_at + self.options.job_retention_ms {
             return;
         }
         self.jobs.turned_at = self.now;
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -8,15 +8,18 @@
 mod directory;
 mod disk;
 mod gateways;
-mod guide;
 mod jobs;
 mod operators;
 mod options;
 mod recent_changes;
+mod redirector;
 mod scaling;
 mod scaling_calls;
 
 pub use controller::run;
 pub use directory::MemberDirectory;
-pub use guide::{guide, GuideOptions};
-pub use options::{Call, ControllerError, ControllerOptions, StartReply, Translator};
+pub use options::{
+    CommandParseError, ControllerError, ControllerOptions, FencingToken, OperatorCodec,
+    PlatformCodec, PlatformRequest, RunnerPage, SeedReloader, StartResult,
+};
+pub use redirector::{run_redirector, RedirectorOptions};
--- a/crates/controller/src/operators.rs
+++ b/crates/controller/src/operators.rs
@@ -1,7 +1,8 @@
 use crate::controller::{Controller, Role};
+use crate::options::CommandParseError;
 use event_loop::LineId;
 use http1::{write_response, Bounds, Request};
-use operator_commands::OrderKind;
+use operator_commands::CommandKind;
 use std::net::{IpAddr, SocketAddr};
 
 const HEAD_MAX: usize = 64 << 10;
@@ -50,23 +51,27 @@
     }
 
     fn take_order(&mut self, line: LineId, request: Request) {
-        let translator = &self.options.translator;
-        let call = translator.operator_call(&request.method, &request.target);
+        let codec = &self.options.operator_codec;
+        let parsed = codec.parse_command(&request.method, &request.target);
         let keeps = request.keeps_alive;
-        match call {
-            None => self.reply(line, 404, b"there is no such call", keeps),
-            Some(Err(status)) => self.reply(line, status, b"not this method", keeps),
-            Some(Ok(
-                OrderKind::BeginEvacuation(district) | OrderKind::FinishEvacuation(district),
-            )) if !self.options.districts.contains(&district) => {
+        match parsed {
+            Err(CommandParseError::UnknownTarget) => {
+                self.reply(line, 404, b"there is no such call", keeps)
+            }
+            Err(CommandParseError::Rejected(status)) => {
+                self.reply(line, status, b"not this method", keeps)
+            }
+            Ok(CommandKind::BeginEvacuation(zone) | CommandKind::FinishEvacuation(zone))
+                if !self.options.zones.contains(&zone) =>
+            {
                 self.reply(line, 404, b"there is no such zone", keeps);
             }
-            Some(Ok(_)) if !self.consensus.is_in_contact(self.clock()) => {
+            Ok(_) if !self.consensus.is_in_contact(self.clock()) => {
                 self.send_on(line, &request.target, keeps);
             }
-            Some(Ok(call)) => {
-                let base = self.options.translator.base_version(&request.headers);
-                self.begin_change(line, call, base, request.body, keeps);
+            Ok(kind) => {
+                let base = self.options.operator_codec.base_version(&request.headers);
+                self.begin_change(line, kind, base, request.body, keeps);
             }
         }
     }
@@ -76,7 +81,7 @@
         let members = self.consensus.members_in_contact(self.now);
         let turn: usize = rand::random::<u32>() as usize;
         let member = members.get(turn % members.len().max(1));
-        let port = self.options.operators.port();
+        let port = self.options.operator_address.port();
         let address: Option<SocketAddr> = member.and_then(|member| member.parse().ok());
         let location = address.map(|address| location_of(address.ip(), port, target));
         let answer = match location {
--- a/crates/controller/src/recent_changes.rs
+++ b/crates/controller/src/recent_changes.rs
@@ -1,6 +1,6 @@
 //! The newest changes of the configuration, for gateways that lack only these.
 
-use operator_commands::Configuration;
+use operator_commands::ConfigurationRecord;
 use std::collections::VecDeque;
 
 /// Changes that are kept.
@@ -15,7 +15,7 @@
 
 impl RecentChanges {
     /// A configuration came into force at a version of the register.
-    pub fn note(&mut self, version: u64, configuration: &Configuration) {
+    pub fn note(&mut self, version: u64, configuration: &ConfigurationRecord) {
         let follows = version == self.first + self.changes.len() as u64;
         if !follows || configuration.change.is_empty() {
             self.changes.clear();
--- a/crates/controller/src/guide.rs
+++ b/crates/controller/src/redirector.rs
@@ -3,7 +3,7 @@
 
 use crate::directory::MemberDirectory;
 use crate::operators::{location_of, RETRY_AFTER};
-use crate::options::{ControllerError, Reload, Translator};
+use crate::options::{CommandParseError, ControllerError, OperatorCodec, SeedReloader};
 use event_loop::{Event, EventLoop, LineId};
 use http1::{write_response, Bounds, Request, RequestReader};
 use protocol::{frame, take_frames, Message};
@@ -21,33 +21,33 @@
     body_bytes: 32 << 20,
 };
 
-/// What a daemon of the control plane without a disk needs to know.
-pub struct GuideOptions {
-    /// Address for operators.
-    pub operators: SocketAddr,
+/// Settings of a daemon of the control plane without a disk.
+pub struct RedirectorOptions {
+    /// Address at which it listens for operators.
+    pub operator_address: SocketAddr,
     /// Address at which this daemon would listen for gateways, if it had a disk.
-    pub gateways: SocketAddr,
+    pub gateway_address: SocketAddr,
     /// Such addresses of daemons that may have a disk, as far as they are known at the start.
     pub seeds: Vec<SocketAddr>,
     /// Milliseconds within which an acknowledged change holds everywhere.
-    pub change_ms: u64,
-    /// Most open lines.
-    pub lines_max: usize,
-    /// How operators speak.
-    pub translator: Box<dyn Translator>,
-    /// Reads the settings anew: the seeds, where the settings have changed.
-    pub reload: Reload,
+    pub propagation_timeout_ms: u64,
+    /// Most open connections.
+    pub connections_max: usize,
+    /// Forms of the operators' API.
+    pub operator_codec: Box<dyn OperatorCodec>,
+    /// Reads the seeds anew.
+    pub reload_seeds: SeedReloader,
 }
 
-impl GuideOptions {
+impl RedirectorOptions {
     /// Milliseconds between questions to a member: a tenth of the bound on changes.
     fn ask_ms(&self) -> u64 {
-        self.change_ms / 10
+        self.propagation_timeout_ms / 10
     }
 
     /// Milliseconds for which a member's word counts: three tenths of the bound on changes.
     fn fresh_ms(&self) -> u64 {
-        self.change_ms * 3 / 10
+        self.propagation_timeout_ms * 3 / 10
     }
 }
 
@@ -57,8 +57,8 @@
     Member(SocketAddr),
 }
 
-struct Guide {
-    options: GuideOptions,
+struct Redirector {
+    options: RedirectorOptions,
     event_loop: EventLoop,
     roles: HashMap<LineId, Role>,
     links: HashMap<SocketAddr, LineId>,
@@ -70,7 +70,7 @@
 }
 
 /// Serves operators on a machine without a disk: nothing is kept here, so each call is sent on to another daemon.
-pub fn guide(options: GuideOptions) -> Result<(), ControllerError> {
+pub fn run_redirector(options: RedirectorOptions) -> Result<(), ControllerError> {
     let (term, hup) = (Arc::default(), Arc::default());
     let watch = |signal, flag: &Arc<AtomicBool>| {
         signal_hook::flag::register(signal, Arc::clone(flag)).map_err(ControllerError::System)
@@ -78,41 +78,41 @@
     watch(signal_hook::consts::SIGTERM, &term)?;
     watch(signal_hook::consts::SIGINT, &term)?;
     watch(signal_hook::consts::SIGHUP, &hup)?;
-    let mut guide = Guide::open(options)?;
+    let mut redirector = Redirector::open(options)?;
     let mut events = Vec::new();
     while !term.load(Ordering::Relaxed) {
         if hup.swap(false, Ordering::Relaxed) {
-            guide.reload();
+            redirector.reload();
         }
-        guide.now = guide.clock();
-        if guide.now >= guide.ticked_at + TICK_MS {
-            guide.ticked_at = guide.now;
-            guide.tick();
+        redirector.now = redirector.clock();
+        if redirector.now >= redirector.ticked_at + TICK_MS {
+            redirector.ticked_at = redirector.now;
+            redirector.tick();
         }
         let patience = Duration::from_millis(TICK_MS);
-        guide.event_loop.wait(patience, &mut events);
-        guide.now = guide.clock();
+        redirector.event_loop.wait(patience, &mut events);
+        redirector.now = redirector.clock();
         for event in events.drain(..) {
-            guide.handle(event);
+            redirector.handle(event);
         }
     }
     Ok(())
 }
 
-impl Guide {
-    fn open(options: GuideOptions) -> Result<Self, ControllerError> {
+impl Redirector {
+    fn open(options: RedirectorOptions) -> Result<Self, ControllerError> {
         let silence = options.fresh_ms() as u32;
         let mut event_loop =
-            EventLoop::new(options.lines_max, silence).map_err(ControllerError::System)?;
-        let listening = event_loop.listen(options.operators, OPERATOR_INBOX);
-        listening.map_err(|error| ControllerError::Listen(options.operators, error))?;
+            EventLoop::new(options.connections_max, silence).map_err(ControllerError::System)?;
+        let listening = event_loop.listen(options.operator_address, OPERATOR_INBOX);
+        listening.map_err(|error| ControllerError::Listen(options.operator_address, error))?;
         let seeds = options.seeds.clone();
         let (ask, fresh) = (options.ask_ms(), options.fresh_ms());
         log::info!(
             "controller: no disk here; calls are sent on, members are learnt from {seeds:?}"
         );
         Ok(Self {
-            directory: MemberDirectory::new(options.gateways, seeds, ask, fresh),
+            directory: MemberDirectory::new(options.gateway_address, seeds, ask, fresh),
             event_loop,
             roles: HashMap::new(),
             links: HashMap::new(),
@@ -129,7 +129,7 @@
     }
 
     fn reload(&mut self) {
-        let Some(seeds) = (self.options.reload)() else {
+        let Some(seeds) = (self.options.reload_seeds)() else {
             return;
         };
         log::info!(
@@ -248,15 +248,15 @@
 
     /// Sends a call on to a member in contact with a majority; where none is known the caller comes again.
     fn send_on(&mut self, request: &Request, out: &mut Vec<u8>) {
-        let translator = &self.options.translator;
-        let call = translator.operator_call(&request.method, &request.target);
+        let codec = &self.options.operator_codec;
+        let parsed = codec.parse_command(&request.method, &request.target);
         let mut header: Vec<(&str, String)> = Vec::new();
-        let status = match call {
-            None => 404,
-            Some(Err(status)) => status,
-            Some(Ok(_)) => match self.next_member() {
+        let status = match parsed {
+            Err(CommandParseError::UnknownTarget) => 404,
+            Err(CommandParseError::Rejected(status)) => status,
+            Ok(_) => match self.next_member() {
                 Some(member) => {
-                    let port = self.options.operators.port();
+                    let port = self.options.operator_address.port();
                     let location = location_of(member.ip(), port, &request.target);
                     header.push(("Location", location));
                     307
--- a/crates/controller/src/scaling.rs
+++ b/crates/controller/src/scaling.rs
@@ -1,4 +1,5 @@
 use crate::controller::Controller;
+use crate::options::FencingToken;
 use crate::scaling_calls::PlatformCalls;
 use autoscaler::{Launcher, Options, Order, RunnerSight};
 use protocol::{frame, FunctionReport, Member, Message};
@@ -71,7 +72,7 @@
         let options = Options {
             list_lag_ms: self.options.list_lag_ms,
             drain_ms: self.options.drain_ms,
-            starts_per_s: self.options.starts_per_s,
+            starts_per_s: self.options.starts_per_second,
             own_nonce: format!("{term:x}"),
             term,
             ..Options::default()
@@ -94,7 +95,7 @@
             return;
         };
         if self.kept.version > 0 {
-            let documents = self.options.translator.documents();
+            let documents = self.options.operator_codec.documents();
             match documents.read(&self.kept.document().unwrap_or_default()) {
                 Ok(description) => launcher.describe(self.now, &description),
                 Err(fault) => log::error!("scaler: the description cannot be read: {fault}"),
@@ -188,20 +189,23 @@
     }
 
     fn give(&mut self, order: Order) {
-        let fence = self.scaling.term;
         let name = self.options.name.clone();
-        let translator = &self.options.translator;
+        let fence = FencingToken {
+            holder: &name,
+            term: self.scaling.term,
+        };
+        let codec = &self.options.platform_codec;
         match order {
             Order::Start {
                 function,
                 worker,
                 nonce,
             } => {
-                let call = translator.start(&function, &worker, &nonce, (&name, fence));
+                let call = codec.start(&function, &worker, &nonce, fence);
                 self.call_platform(call, crate::scaling_calls::Purpose::Start(nonce));
             }
             Order::Stop { id } => {
-                let call = translator.stop(&id, (&name, fence));
+                let call = codec.stop(&id, fence);
                 self.call_platform(call, crate::scaling_calls::Purpose::Stop(id));
             }
         }
@@ -213,14 +217,14 @@
         let is_due = |at: u64| at == 0 || now >= at + every;
         if is_due(self.scaling.workers_at) {
             self.scaling.workers_at = self.now.max(1);
-            let call = self.options.translator.list_workers();
+            let call = self.options.platform_codec.list_workers();
             self.call_platform(call, crate::scaling_calls::Purpose::Workers);
         }
         if is_due(self.scaling.listed_at) && !self.scaling.is_listing {
             self.scaling.listed_at = self.now.max(1);
             self.scaling.is_listing = true;
             self.scaling.pages.clear();
-            let call = self.options.translator.list_runners(None);
+            let call = self.options.platform_codec.list_runners(None);
             self.call_platform(call, crate::scaling_calls::Purpose::Runners);
         }
     }
--- a/crates/controller/src/scaling_calls.rs
+++ b/crates/controller/src/scaling_calls.rs
@@ -1,5 +1,5 @@
 use crate::controller::{Controller, Role};
-use crate::options::Call;
+use crate::options::PlatformRequest;
 use autoscaler::StartFault;
 use event_loop::LineId;
 use http1::{write_request, Bounds, Response, ResponseReader};
@@ -31,13 +31,13 @@
 /// Calls to the platform: some under way, each on a connection of its own, the others waiting.
 #[derive(Default)]
 pub(crate) struct PlatformCalls {
-    waiting: VecDeque<(Call, Purpose)>,
+    waiting: VecDeque<(PlatformRequest, Purpose)>,
     busy: HashMap<LineId, Busy>,
     idle: Vec<LineId>,
 }
 
 impl Controller {
-    pub fn call_platform(&mut self, call: Call, purpose: Purpose) {
+    pub fn call_platform(&mut self, call: PlatformRequest, purpose: Purpose) {
         if self.scaling.calls.waiting.len() >= WAITING_MAX {
             self.fail(purpose);
             return;
@@ -48,7 +48,7 @@
 
     fn send_calls(&mut self) {
         while let Some((call, purpose)) = self.scaling.calls.waiting.pop_front() {
-            let Some(address) = self.options.platform else {
+            let Some(address) = self.options.platform_address else {
                 self.fail(purpose);
                 continue;
             };
@@ -163,27 +163,27 @@
     }
 
     fn take_answer(&mut self, purpose: Purpose, response: &Response) {
-        let translator = &self.options.translator;
+        let codec = &self.options.platform_codec;
         let Some(launcher) = self.scaling.launcher.as_mut() else {
             return;
         };
         match purpose {
             Purpose::Workers if response.status == 200 => {
-                match translator.read_workers(&response.body) {
+                match codec.read_workers(&response.body) {
                     Ok(workers) => launcher.see_workers(self.now, workers),
                     Err(reason) => log::warn!("scaler: the list of workers: {reason}"),
                 }
             }
             Purpose::Runners if response.status == 200 => self.take_page(&response.body),
             Purpose::Start(nonce) => {
-                let reply = translator.read_start(response.status, &response.body);
+                let reply = codec.read_start(response.status, &response.body);
                 if let Err(fault) = &reply {
                     log::info!("scaler: start {nonce} gave no runner: {fault:?}");
                 }
                 launcher.started(self.now, &nonce, reply);
             }
             Purpose::Stop(id) => {
-                let is_done = translator.is_stopped(response.status);
+                let is_done = codec.is_stopped(response.status);
                 launcher.stopped(self.now, &id, is_done);
             }
             purpose => self.fail(purpose),
@@ -191,8 +191,8 @@
     }
 
     fn take_page(&mut self, body: &[u8]) {
-        let translator = &self.options.translator;
-        let (runners, next) = match translator.read_runners(body) {
+        let codec = &self.options.platform_codec;
+        let page = match codec.read_runners(body) {
             Ok(page) => page,
             Err(reason) => {
                 log::warn!("scaler: the list of runners: {reason}");
@@ -200,9 +200,9 @@
                 return;
             }
         };
-        self.scaling.pages.extend(runners);
-        if let Some(next) = next.filter(|_| self.scaling.pages.len() < LISTED_MAX) {
-            let call = translator.list_runners(Some(&next));
+        self.scaling.pages.extend(page.runners);
+        if let Some(next) = page.next.filter(|_| self.scaling.pages.len() < LISTED_MAX) {
+            let call = codec.list_runners(Some(&next));
             self.call_platform(call, Purpose::Runners);
             return;
         }
--- a/crates/operator_commands/src/order.rs
+++ b/crates/operator_commands/src/command.rs
@@ -1,8 +1,8 @@
 //! What an operator asks for, as far as decisions need it.
 
-/// What an order asks for.
+/// What a command asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderKind {
+pub enum CommandKind {
     /// Read the newest configuration.
     Read,
     /// Put a whole configuration in place.
@@ -15,11 +15,11 @@
     FinishEvacuation(String),
 }
 
-/// The version that a configuration order builds on, as the operator told it.
+/// The version that a configuration command builds on, as the operator told it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaseVersion {
     /// Exactly one readable number.
-    Told(u64),
+    Given(u64),
     /// It was not told.
     Missing,
     /// It was told more than once.
@@ -42,15 +42,15 @@
         let is_decimal = value.iter().all(u8::is_ascii_digit);
         let text = std::str::from_utf8(value).ok().filter(|_| is_decimal);
         let number = text.and_then(|text| text.parse().ok());
-        number.map_or(Self::Malformed, Self::Told)
+        number.map_or(Self::Malformed, Self::Given)
     }
 }
 
-/// One order of an operator.
+/// One command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct Command {
     /// What it asks for.
-    pub kind: OrderKind,
+    pub kind: CommandKind,
     /// The version that it builds on; of no meaning for reads and evacuations.
     pub base: BaseVersion,
     /// The version that its body bears, where that can be read.
@@ -59,12 +59,12 @@
     pub body: Vec<u8>,
 }
 
-impl Order {
-    /// Whether the order is about the evacuations' register and not about the configuration's.
+impl Command {
+    /// Whether the command is about the evacuations' register and not about the configuration's.
     pub fn is_evacuation(&self) -> bool {
         matches!(
             self.kind,
-            OrderKind::BeginEvacuation(_) | OrderKind::FinishEvacuation(_)
+            CommandKind::BeginEvacuation(_) | CommandKind::FinishEvacuation(_)
         )
     }
 }
--- a/crates/operator_commands/src/configuration.rs
+++ b/crates/operator_commands/src/configuration.rs
@@ -1,27 +1,27 @@
 //! The value of the configuration's register.
 
-use crate::order::OrderKind;
-use crate::taken::{OrderDigest, TakenOrder, TakenOrders};
+use crate::accepted_commands::{AcceptedCommand, AcceptedCommands, CommandDigest};
+use crate::command::CommandKind;
 use protocol::{pack, unpack};
 use speedy::{Readable, Writable};
 
 /// Largest document, in bytes.
 const DOCUMENT_MAX: u64 = 64 << 20;
 
-/// The configuration in force, with what is needed to judge the next order.
+/// The configuration in force, with what is needed to judge the next command.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
-pub struct Configuration {
+pub struct ConfigurationRecord {
     /// The operator's version; 0 where there is none yet.
     pub version: u64,
     /// The whole document, deflated.
     pub packed: Vec<u8>,
     /// The change that led here from the value before, deflated; empty where a whole document did.
     pub change: Vec<u8>,
-    /// The newest orders that were taken.
-    pub taken: TakenOrders,
+    /// The newest commands that were accepted.
+    pub accepted: AcceptedCommands,
 }
 
-impl Configuration {
+impl ConfigurationRecord {
     /// Reads a register's bytes; none where they cannot be read. A register never written holds no configuration.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         if bytes.is_empty() {
@@ -38,23 +38,23 @@
         unpack(&self.packed, DOCUMENT_MAX)
     }
 
-    /// The value after an order was taken that puts a document in place.
+    /// The value after a command was accepted that puts a document in place.
     pub fn next(
         &self,
-        kind: &OrderKind,
+        kind: &CommandKind,
         version: u64,
         document: &[u8],
         body: &[u8],
-    ) -> Configuration {
-        let digest = OrderDigest::of(kind, self.version, version, body);
-        let mut taken = self.taken.clone();
-        taken.remember(TakenOrder { version, digest });
-        let is_update = *kind == OrderKind::Update;
+    ) -> ConfigurationRecord {
+        let digest = CommandDigest::of(kind, self.version, version, body);
+        let mut accepted = self.accepted.clone();
+        accepted.remember(AcceptedCommand { version, digest });
+        let is_update = *kind == CommandKind::Update;
         Self {
             version,
             packed: pack(document),
             change: if is_update { pack(body) } else { Vec::new() },
-            taken,
+            accepted,
         }
     }
 }
--- a/crates/operator_commands/src/decision.rs
+++ b/crates/operator_commands/src/decision.rs
@@ -1,16 +1,16 @@
-//! The decision on one order, given the value that was read at a majority.
+//! The decision on one command, given the value that was read at a majority.
 
-use crate::configuration::Configuration;
-use crate::evacuation::Evacuations;
-use crate::order::{BaseVersion, Order, OrderKind};
-use crate::taken::{Lookup, OrderDigest};
+use crate::accepted_commands::{AcceptanceLookup, CommandDigest};
+use crate::command::{BaseVersion, Command, CommandKind};
+use crate::configuration::ConfigurationRecord;
+use crate::evacuations::Evacuations;
 use routing::{Documents, Fault};
 use speedy::Writable;
 
-/// Why an order is refused. A refusal is final: no copy of a refused order is ever taken.
+/// Why a command is rejected. A rejection is final: no copy of a rejected command is ever accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RefusalKind {
-    /// The order is not valid.
+pub enum RejectionKind {
+    /// The command is not valid.
     Invalid,
     /// Another version than its base is in place, for good.
     Stale,
@@ -20,111 +20,113 @@
 
 /// What the operator is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reply {
-    /// The order is in force, or was.
+pub enum CommandReply {
+    /// The command is in force, or was.
     Acknowledged,
     /// The configuration that was asked for.
     Document(Vec<u8>),
-    /// The order is not in force and never will be.
-    Refused(RefusalKind, String),
-    /// It is not told whether the order was taken, or it could not be yet; it may be sent again.
-    Unclear(String),
+    /// The command is not in force and never will be.
+    Rejected(RejectionKind, String),
+    /// It is not told whether the command was accepted, or it could not be yet; it may be sent again.
+    Undecided(String),
 }
 
-impl Reply {
-    /// An unclear reply, with its reason.
-    pub fn unclear(reason: &str) -> Self {
-        Self::Unclear(reason.to_string())
+impl CommandReply {
+    /// An undecided reply, with its reason.
+    pub fn undecided(reason: &str) -> Self {
+        Self::Undecided(reason.to_string())
     }
 }
 
-/// What to do about an order.
+/// What to do about a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Answer it; nothing changes.
-    Reply(Reply),
+    Reply(CommandReply),
     /// Acknowledge it once this value was written on top of the one it was judged by.
     Write(Vec<u8>),
 }
 
-fn refuse(kind: RefusalKind, reason: impl ToString) -> Decision {
-    Decision::Reply(Reply::Refused(kind, reason.to_string()))
+fn reject(kind: RejectionKind, reason: impl ToString) -> Decision {
+    Decision::Reply(CommandReply::Rejected(kind, reason.to_string()))
 }
 
-fn leave_unclear(reason: &str) -> Decision {
-    Decision::Reply(Reply::unclear(reason))
+fn leave_undecided(reason: &str) -> Decision {
+    Decision::Reply(CommandReply::undecided(reason))
 }
 
-/// Decides on an order by the register's bytes, which must have been read at a majority.
-pub fn decide(order: &Order, bytes: &[u8], documents: &dyn Documents) -> Decision {
-    match &order.kind {
-        OrderKind::Read => read_configuration(bytes),
-        OrderKind::BeginEvacuation(zone) => decide_evacuation(bytes, zone, true),
-        OrderKind::FinishEvacuation(zone) => decide_evacuation(bytes, zone, false),
-        OrderKind::Replace | OrderKind::Update => decide_configuration(order, bytes, documents),
+/// Decides on a command by the register's bytes, which must have been read at a majority.
+pub fn decide(command: &Command, bytes: &[u8], documents: &dyn Documents) -> Decision {
+    match &command.kind {
+        CommandKind::Read => read_configuration(bytes),
+        CommandKind::BeginEvacuation(zone) => decide_evacuation(bytes, zone, true),
+        CommandKind::FinishEvacuation(zone) => decide_evacuation(bytes, zone, false),
+        CommandKind::Replace | CommandKind::Update => {
+            decide_configuration(command, bytes, documents)
+        }
     }
 }
 
 fn read_configuration(bytes: &[u8]) -> Decision {
-    let Some(configuration) = Configuration::read(bytes) else {
-        return leave_unclear("the configuration in place cannot be read");
+    let Some(configuration) = ConfigurationRecord::read(bytes) else {
+        return leave_undecided("the configuration in place cannot be read");
     };
     if configuration.version == 0 {
-        return refuse(RefusalKind::NotFound, "there is no configuration yet");
+        return reject(RejectionKind::NotFound, "there is no configuration yet");
     }
     match configuration.document() {
-        Some(document) => Decision::Reply(Reply::Document(document)),
-        None => leave_unclear("the configuration in place cannot be unpacked"),
+        Some(document) => Decision::Reply(CommandReply::Document(document)),
+        None => leave_undecided("the configuration in place cannot be unpacked"),
     }
 }
 
-/// An evacuation carries no identity, so an order that is sent again cannot be told from a new one. It is applied by
+/// An evacuation carries no identity, so a command that is sent again cannot be told from a new one. It is applied by
 /// state: what is in force already is acknowledged and nothing is written.
 fn decide_evacuation(bytes: &[u8], zone: &str, is_begin: bool) -> Decision {
     let Some(evacuations) = Evacuations::read(bytes) else {
-        return leave_unclear("the evacuations in place cannot be read");
+        return leave_undecided("the evacuations in place cannot be read");
     };
     if evacuations.is_evacuated(zone) == is_begin {
-        return Decision::Reply(Reply::Acknowledged);
+        return Decision::Reply(CommandReply::Acknowledged);
     }
     write(&evacuations.next(zone, is_begin))
 }
 
-fn decide_configuration(order: &Order, bytes: &[u8], documents: &dyn Documents) -> Decision {
-    let Some(version) = order.version else {
-        return refuse(RefusalKind::Invalid, "the version cannot be read");
+fn decide_configuration(command: &Command, bytes: &[u8], documents: &dyn Documents) -> Decision {
+    let Some(version) = command.version else {
+        return reject(RejectionKind::Invalid, "the version cannot be read");
     };
-    let base = match base_of(order) {
+    let base = match base_of(command) {
         Ok(base) => base,
-        Err(reason) => return refuse(RefusalKind::Invalid, reason),
+        Err(reason) => return reject(RejectionKind::Invalid, reason),
     };
-    // No order of this kind can ever be taken, whatever is in place.
+    // No command of this kind can ever be accepted, whatever is in place.
     if version <= base {
         let reason = format!("version {version} is not above its base {base}");
-        return refuse(RefusalKind::Invalid, reason);
+        return reject(RejectionKind::Invalid, reason);
     }
-    let Some(current) = Configuration::read(bytes) else {
-        return leave_unclear("the configuration in place cannot be read");
+    let Some(current) = ConfigurationRecord::read(bytes) else {
+        return leave_undecided("the configuration in place cannot be read");
     };
-    let digest = OrderDigest::of(&order.kind, base, version, &order.body);
-    match current.taken.look_up(base, version, digest) {
-        Lookup::Taken => Decision::Reply(Reply::Acknowledged),
-        Lookup::Forgotten => leave_unclear("it is too old to be known again"),
-        Lookup::NeverTaken if base < current.version => {
+    let digest = CommandDigest::of(&command.kind, base, version, &command.body);
+    match current.accepted.look_up(base, version, digest) {
+        AcceptanceLookup::Accepted => Decision::Reply(CommandReply::Acknowledged),
+        AcceptanceLookup::Forgotten => leave_undecided("it is too old to be known again"),
+        AcceptanceLookup::NeverAccepted if base < current.version => {
             let reason = format!("version {} is in place", current.version);
-            refuse(RefusalKind::Stale, reason)
+            reject(RejectionKind::Stale, reason)
         }
-        // The base may yet come into force, and a copy of this order be taken elsewhere: no refusal would be final.
-        Lookup::NeverTaken if base > current.version => {
-            leave_unclear("the version it builds on is not in place yet")
+        // The base may yet come into force, and a copy of this command be accepted elsewhere: no rejection would be final.
+        AcceptanceLookup::NeverAccepted if base > current.version => {
+            leave_undecided("the version it builds on is not in place yet")
         }
-        Lookup::NeverTaken => take(order, &current, version, documents),
+        AcceptanceLookup::NeverAccepted => take(command, &current, version, documents),
     }
 }
 
-fn base_of(order: &Order) -> Result<u64, &'static str> {
-    match order.base {
-        BaseVersion::Told(base) => Ok(base),
+fn base_of(command: &Command) -> Result<u64, &'static str> {
+    match command.base {
+        BaseVersion::Given(base) => Ok(base),
         BaseVersion::Missing => Err("it is not told on which version this builds"),
         BaseVersion::Repeated => Err("the version on which this builds is told more than once"),
         BaseVersion::Malformed => Err("the version on which this builds is not a whole number"),
@@ -132,29 +134,29 @@
 }
 
 fn take(
-    order: &Order,
-    current: &Configuration,
+    command: &Command,
+    current: &ConfigurationRecord,
     version: u64,
     documents: &dyn Documents,
 ) -> Decision {
     let Some(old) = current.document() else {
-        return leave_unclear("the configuration in place cannot be unpacked");
+        return leave_undecided("the configuration in place cannot be unpacked");
     };
-    match checked_document(order, &old, documents) {
-        Err(fault) => refuse(RefusalKind::Invalid, fault),
-        Ok(document) => write(&current.next(&order.kind, version, &document, &order.body)),
+    match checked_document(command, &old, documents) {
+        Err(fault) => reject(RejectionKind::Invalid, fault),
+        Ok(document) => write(&current.next(&command.kind, version, &document, &command.body)),
     }
 }
 
 /// The whole new document, which was read and checked.
 fn checked_document(
-    order: &Order,
+    command: &Command,
     old: &[u8],
     documents: &dyn Documents,
 ) -> Result<Vec<u8>, Fault> {
-    let document = match order.kind {
-        OrderKind::Update => documents.change(old, &order.body)?,
-        _ => order.body.clone(),
+    let document = match command.kind {
+        CommandKind::Update => documents.change(old, &command.body)?,
+        _ => command.body.clone(),
     };
     documents.read(&document)?;
     Ok(document)
@@ -163,6 +165,6 @@
 fn write<T: Writable<speedy::LittleEndian>>(value: &T) -> Decision {
     match value.write_to_vec() {
         Ok(bytes) => Decision::Write(bytes),
-        Err(_) => leave_unclear("the new value cannot be written"),
+        Err(_) => leave_undecided("the new value cannot be written"),
     }
 }
--- a/crates/operator_commands/src/execution.rs
+++ b/crates/operator_commands/src/execution.rs
@@ -1,17 +1,17 @@
-//! One order from its arrival to its answer: read at a majority, decide, write with the expected version.
+//! One command from its arrival to its answer: read at a majority, decide, write with the expected version.
 
-use crate::decision::{decide, Decision, Reply};
-use crate::evacuation::Evacuations;
-use crate::order::{Order, OrderKind};
+use crate::command::{Command, CommandKind};
+use crate::decision::{decide, CommandReply, Decision};
+use crate::evacuations::Evacuations;
 use register::{Outcome, Stored};
 use routing::Documents;
 
-/// Times that an order is decided anew because another one was faster.
-pub const ROUNDS_MAX: u32 = 8;
+/// Times that a command is decided anew because another one was faster.
+pub const DECISION_ATTEMPTS_MAX: u32 = 8;
 
 /// What the driver does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ExecutionStep {
     /// Write this value where the register still has the expected version.
     Write {
         /// Expected version of the register.
@@ -19,73 +19,75 @@
         /// The new value.
         bytes: Vec<u8>,
     },
-    /// The order has ended with this answer.
-    Reply(Reply),
+    /// The command has ended with this answer.
+    Reply(CommandReply),
 }
 
-/// An order that is worked on. The driver first reads the order's register at a majority, then feeds each outcome and
+/// A command that is worked on. The driver first reads the command's register at a majority, then feeds each outcome and
 /// does the step that comes back, until that is a reply.
 #[derive(Clone, Debug)]
-pub struct Execution {
-    order: Order,
+pub struct CommandExecution {
+    command: Command,
     rounds: u32,
     has_written: bool,
-    /// Changes of the order's zone when the order was first decided on.
+    /// Changes of the command's zone when the command was first decided on.
     zone_changes: Option<u64>,
 }
 
-impl Execution {
-    /// Begins an order.
-    pub fn new(order: Order) -> Self {
+impl CommandExecution {
+    /// Begins a command.
+    pub fn new(command: Command) -> Self {
         Self {
-            order,
+            command,
             rounds: 0,
             has_written: false,
             zone_changes: None,
         }
     }
 
-    /// The order.
-    pub fn order(&self) -> &Order {
-        &self.order
+    /// The command.
+    pub fn command(&self) -> &Command {
+        &self.command
     }
 
     /// Takes how the read or the write ended.
-    pub fn on_outcome(&mut self, outcome: Outcome, documents: &dyn Documents) -> Step {
+    pub fn on_outcome(&mut self, outcome: Outcome, documents: &dyn Documents) -> ExecutionStep {
         let has_written = std::mem::take(&mut self.has_written);
         let stored = match outcome {
-            Outcome::Settled(_) if has_written => return Step::Reply(Reply::Acknowledged),
+            Outcome::Settled(_) if has_written => {
+                return ExecutionStep::Reply(CommandReply::Acknowledged)
+            }
             Outcome::Settled(stored) | Outcome::Stale(stored) => stored,
-            // A value that was proposed may or may not be chosen later: neither an acknowledgement nor a refusal.
-            _ => return unclear("it is not known whether it was taken; send it again"),
+            // A value that was proposed may or may not be chosen later: neither an acknowledgement nor a rejection.
+            _ => return undecided("it is not known whether it was taken; send it again"),
         };
         self.rounds += 1;
-        if self.rounds > ROUNDS_MAX {
-            return unclear("other changes kept winning; send it again");
+        if self.rounds > DECISION_ATTEMPTS_MAX {
+            return undecided("other changes kept winning; send it again");
         }
         self.step(stored, documents)
     }
 
-    fn step(&mut self, stored: Stored, documents: &dyn Documents) -> Step {
-        match decide(&self.order, &stored.bytes, documents) {
-            Decision::Reply(reply) => Step::Reply(reply),
+    fn step(&mut self, stored: Stored, documents: &dyn Documents) -> ExecutionStep {
+        match decide(&self.command, &stored.bytes, documents) {
+            Decision::Reply(reply) => ExecutionStep::Reply(reply),
             Decision::Write(_) if !self.may_write(&stored) => {
-                unclear("the zone was changed meanwhile; send it again")
+                undecided("the zone was changed meanwhile; send it again")
             }
             Decision::Write(bytes) => {
                 self.has_written = true;
                 let expected = stored.version;
-                Step::Write { expected, bytes }
+                ExecutionStep::Write { expected, bytes }
             }
         }
     }
 
-    /// An evacuation order is applied only to the zone's state that it first met. Otherwise one whose caller was
-    /// answered by another member long ago could undo a newer, acknowledged order of the same zone. A configuration
-    /// order needs no such check: its base pins the one state that it applies to.
+    /// An evacuation command is applied only to the zone's state that it first met. Otherwise one whose caller was
+    /// answered by another member long ago could undo a newer, acknowledged command of the same zone. A configuration
+    /// command needs no such check: its base pins the one state that it applies to.
     fn may_write(&mut self, stored: &Stored) -> bool {
-        let (OrderKind::BeginEvacuation(zone) | OrderKind::FinishEvacuation(zone)) =
-            &self.order.kind
+        let (CommandKind::BeginEvacuation(zone) | CommandKind::FinishEvacuation(zone)) =
+            &self.command.kind
         else {
             return true;
         };
@@ -97,6 +99,6 @@
     }
 }
 
-fn unclear(reason: &str) -> Step {
-    Step::Reply(Reply::unclear(reason))
+fn undecided(reason: &str) -> ExecutionStep {
+    ExecutionStep::Reply(CommandReply::undecided(reason))
 }
--- a/crates/operator_commands/tests/town/documents.rs
+++ b/crates/operator_commands/tests/cluster/documents.rs
@@ -3,14 +3,14 @@
 use routing::{Description, Documents, Fault};
 use serde_json::{json, Map, Value};
 
-/// Item that holds the number of the order that a document came from.
-pub const ORDER: &str = "order";
+/// Item that holds the number of the command that a document came from.
+pub const COMMAND: &str = "command";
 const VERSION: &str = "version";
 const ITEMS: &str = "items";
 const DROPPED: &str = "dropped";
 
 /// Reader of the format.
-pub struct TownDocuments;
+pub struct TestDocuments;
 
 fn parse(bytes: &[u8]) -> Result<Map<String, Value>, Fault> {
     serde_json::from_slice(bytes).map_err(|error| Fault::Unreadable(error.to_string()))
@@ -21,7 +21,7 @@
     items.ok_or_else(|| Fault::Invalid("there are no items".into()))
 }
 
-impl Documents for TownDocuments {
+impl Documents for TestDocuments {
     fn read(&self, document: &[u8]) -> Result<Description, Fault> {
         let mut document = parse(document)?;
         if items_of(&mut document)?.values().any(|value| *value == 0) {
@@ -49,16 +49,16 @@
     }
 }
 
-/// A body that sets the order's number and one more item.
-pub fn body(version: u64, order: u64, item: &str, value: u64) -> Vec<u8> {
-    json!({ VERSION: version, ITEMS: { ORDER: order, item: value } })
+/// A body that sets the command's number and one more item.
+pub fn body(version: u64, command: u64, item: &str, value: u64) -> Vec<u8> {
+    json!({ VERSION: version, ITEMS: { COMMAND: command, item: value } })
         .to_string()
         .into_bytes()
 }
 
 /// A change that drops an item which may not be there.
-pub fn dropping_body(version: u64, order: u64, item: &str) -> Vec<u8> {
-    json!({ VERSION: version, ITEMS: { ORDER: order }, DROPPED: item })
+pub fn dropping_body(version: u64, command: u64, item: &str) -> Vec<u8> {
+    json!({ VERSION: version, ITEMS: { COMMAND: command }, DROPPED: item })
         .to_string()
         .into_bytes()
 }
@@ -68,8 +68,8 @@
     parse(document).ok()?.get(VERSION)?.as_u64()
 }
 
-/// The number of the order that a document came from.
-pub fn order_of(document: &[u8]) -> Option<u64> {
+/// The number of the command that a document came from.
+pub fn command_of(document: &[u8]) -> Option<u64> {
     let mut document = parse(document).ok()?;
-    items_of(&mut document).ok()?.get(ORDER)?.as_u64()
+    items_of(&mut document).ok()?.get(COMMAND)?.as_u64()
 }
--- a/crates/operator_commands/tests/town/faults.rs
+++ b/crates/operator_commands/tests/cluster/faults.rs
@@ -1,11 +1,11 @@
 //! Troubles of members and voters.
 
 use super::members::Member;
-use super::{Town, CONFIGURATION, EVACUATIONS};
+use super::{Cluster, CONFIGURATION, EVACUATIONS};
 use rand::Rng;
 use register::{Acceptor, Held};
 
-impl Town {
+impl Cluster {
     pub fn befall(&mut self) {
         match self.random.random_range(0..400) {
             0..=2 => self.restart_member(),
--- a/crates/operator_commands/tests/town/members.rs
+++ b/crates/operator_commands/tests/cluster/members.rs
@@ -1,8 +1,8 @@
-//! Members: each executes orders over rounds of the register.
+//! Members: each executes commands over rounds of the register.
 
-use super::documents::{version_of, TownDocuments};
-use super::{Copy, Parcel, Town, CONFIGURATION, EVACUATIONS};
-use operator_commands::{Execution, Reply, Step};
+use super::documents::{version_of, TestDocuments};
+use super::{Cluster, Copy, Parcel, CONFIGURATION, EVACUATIONS};
+use operator_commands::{CommandExecution, CommandReply, ExecutionStep};
 use rand::Rng;
 use register::{
     Ballot, Change, Outcome, Proposal, ProposalStep, VoterAsk, VoterMessage, VoterReply,
@@ -14,7 +14,7 @@
 
 pub struct Running {
     copy: Copy,
-    execution: Execution,
+    execution: CommandExecution,
     proposal: Proposal,
     ask: u64,
     began_at: u64,
@@ -48,22 +48,22 @@
     }
 }
 
-fn key_of(execution: &Execution) -> &'static str {
-    if execution.order().is_evacuation() {
+fn key_of(execution: &CommandExecution) -> &'static str {
+    if execution.command().is_evacuation() {
         EVACUATIONS
     } else {
         CONFIGURATION
     }
 }
 
-impl Town {
-    pub fn take_order(&mut self, member: usize, copy: Copy) {
-        let order = self.oracle.order(copy.order).clone();
-        assert!(order.version == version_of(&order.body));
-        self.propose(member, copy, Execution::new(order), Change::Read);
+impl Cluster {
+    pub fn take_command(&mut self, member: usize, copy: Copy) {
+        let command = self.oracle.command(copy.command).clone();
+        assert!(command.version == version_of(&command.body));
+        self.propose(member, copy, CommandExecution::new(command), Change::Read);
     }
 
-    fn propose(&mut self, member: usize, copy: Copy, execution: Execution, change: Change) {
+    fn propose(&mut self, member: usize, copy: Copy, execution: CommandExecution, change: Change) {
         let tag = self.random.random::<u64>() | 1;
         let voters = self.voters.len();
         let ballot = self.members[member].next_ballot(Ballot::default());
@@ -142,13 +142,13 @@
             return;
         };
         let copy = running.copy;
-        match running.execution.on_outcome(outcome, &TownDocuments) {
-            Step::Write { expected, bytes } => {
+        match running.execution.on_outcome(outcome, &TestDocuments) {
+            ExecutionStep::Write { expected, bytes } => {
                 let change = Change::Write { expected, bytes };
                 self.propose(member, copy, running.execution, change);
             }
-            Step::Reply(reply) => {
-                self.oracle.replied(copy.order, &reply);
+            ExecutionStep::Reply(reply) => {
+                self.oracle.replied(copy.command, &reply);
                 self.send(Parcel::Answer { copy, reply });
             }
         }
@@ -168,7 +168,7 @@
     }
 
     /// Reads the configuration at a member, with every message delivered.
-    pub fn read_now(&mut self, member: usize) -> Reply {
+    pub fn read_now(&mut self, member: usize) -> CommandReply {
         let ballot = self.members[member].next_ballot(Ballot {
             counter: 1 << 40,
             proposer: 0,
@@ -195,9 +195,9 @@
                         continue 'asking;
                     }
                     ProposalStep::Done(outcome) => {
-                        let mut execution = Execution::new(super::operators::read_order());
-                        let step = execution.on_outcome(outcome, &TownDocuments);
-                        let Step::Reply(reply) = step else {
+                        let mut execution = CommandExecution::new(super::operators::read_command());
+                        let step = execution.on_outcome(outcome, &TestDocuments);
+                        let ExecutionStep::Reply(reply) = step else {
                             panic!("a read wants to write");
                         };
                         return reply;
--- a/crates/operator_commands/tests/town/mod.rs
+++ b/crates/operator_commands/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
 //! Operators, members and voters in a seeded world whose messages are lost, late and out of order. Voters and rounds are
-//! the product's own; members run the product's own executions of orders.
+//! the product's own; members run the product's own executions of commands.
 
 #![allow(dead_code)]
 
@@ -22,21 +22,21 @@
 const VOTERS: u64 = 3;
 const MEMBERS: usize = 4;
 
-/// One sending of an order to one member.
+/// One sending of a command to one member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Copy {
-    pub order: u64,
+    pub command: u64,
     pub number: u64,
 }
 
 pub enum Parcel {
-    Order {
+    Command {
         member: usize,
         copy: Copy,
     },
     Answer {
         copy: Copy,
-        reply: operator_commands::Reply,
+        reply: operator_commands::CommandReply,
     },
     Ask {
         member: usize,
@@ -59,12 +59,12 @@
     pub steps: usize,
     /// Share of messages that are lost.
     pub loss: f64,
-    /// Orders after which a paused operator goes on, at most.
+    /// Commands after which a paused operator goes on, at most.
     pub longest_pause: u64,
     pub has_faults: bool,
 }
 
-pub struct Town {
+pub struct Cluster {
     pub random: StdRng,
     pub settings: Settings,
     pub set: VoterSet,
@@ -75,12 +75,12 @@
     pub oracle: Oracle,
     pub now: u64,
     pub last_life: u64,
-    pub last_order: u64,
+    pub last_command: u64,
     pub last_copy: u64,
     pub is_ending: bool,
 }
 
-impl Town {
+impl Cluster {
     pub fn new(seed: u64, settings: Settings) -> Self {
         let voters = (0..VOTERS).map(|disk| VoterRef {
             disk,
@@ -107,7 +107,7 @@
             oracle: Oracle::default(),
             now: 0,
             last_life: MEMBERS as u64,
-            last_order: 0,
+            last_command: 0,
             last_copy: 0,
             is_ending: false,
         }
@@ -155,7 +155,7 @@
 
     fn deliver(&mut self, parcel: Parcel) {
         match parcel {
-            Parcel::Order { member, copy } => self.take_order(member, copy),
+            Parcel::Command { member, copy } => self.take_command(member, copy),
             Parcel::Answer { copy, reply } => self.take_answer(copy, &reply),
             Parcel::Ask {
                 member,
--- a/crates/operator_commands/tests/town/operators.rs
+++ b/crates/operator_commands/tests/cluster/operators.rs
@@ -1,23 +1,23 @@
-//! Operators: each has up to eight orders under way and sends each again, unchanged, to any member, until it is
-//! acknowledged or refused.
+//! Operators: each has up to eight commands under way and sends each again, unchanged, to any member, until it is
+//! acknowledged or rejected.
 
 use super::documents::{body, dropping_body, version_of};
-use super::{Copy, Parcel, Town, ZONES};
-use operator_commands::{BaseVersion, Order, OrderKind, Reply};
+use super::{Cluster, Copy, Parcel, ZONES};
+use operator_commands::{BaseVersion, Command, CommandKind, CommandReply};
 use rand::Rng;
 
 const UNDER_WAY_MAX: usize = 8;
-/// Steps of silence after which an order is sent again.
+/// Steps of silence after which a command is sent again.
 const PATIENCE: u64 = 60;
 /// Times that an evacuation is sent at most.
 const EVACUATION_TRIES: u32 = 6;
 
 pub struct Pending {
-    order: u64,
+    command: u64,
     copy: u64,
     sent_at: u64,
     tries: u32,
-    /// Acknowledged orders after which the operator goes on with this one.
+    /// Acknowledged commands after which the operator goes on with this one.
     resumes_at: u64,
 }
 
@@ -32,20 +32,20 @@
     }
 }
 
-pub fn read_order() -> Order {
-    Order {
-        kind: OrderKind::Read,
+pub fn read_command() -> Command {
+    Command {
+        kind: CommandKind::Read,
         base: BaseVersion::Missing,
         version: None,
         body: Vec::new(),
     }
 }
 
-impl Town {
+impl Cluster {
     pub fn tend_operator(&mut self, place: usize) {
         let is_free = self.operators[place].pending.len() < UNDER_WAY_MAX;
         if is_free && !self.is_ending && self.random.random_bool(0.6) {
-            self.begin_order(place);
+            self.begin_command(place);
         }
         let (now, acknowledged) = (self.now, self.oracle.acknowledged_count());
         let is_ending = self.is_ending;
@@ -53,19 +53,19 @@
         for pending in &mut self.operators[place].pending {
             let has_resumed = is_ending || acknowledged >= pending.resumes_at;
             if has_resumed && now >= pending.sent_at + PATIENCE {
-                due.push(pending.order);
+                due.push(pending.command);
             }
         }
-        for order in due {
-            self.send_order(place, order);
+        for command in due {
+            self.send_command(place, command);
         }
     }
 
-    fn begin_order(&mut self, place: usize) {
-        self.last_order += 1;
-        let number = self.last_order;
-        let order = self.draw_order(number);
-        self.oracle.begin(number, order, self.now);
+    fn begin_command(&mut self, place: usize) {
+        self.last_command += 1;
+        let number = self.last_command;
+        let command = self.draw_command(number);
+        self.oracle.begin(number, command, self.now);
         let pauses = self.settings.longest_pause > 0 && self.random.random_bool(0.1);
         let pause = if pauses {
             self.random.random_range(0..=self.settings.longest_pause)
@@ -74,17 +74,17 @@
         };
         let resumes_at = self.oracle.acknowledged_count() + pause;
         let pending = Pending {
-            order: number,
+            command: number,
             copy: 0,
             sent_at: 0,
             tries: 0,
             resumes_at,
         };
         self.operators[place].pending.push(pending);
-        self.send_order(place, number);
+        self.send_command(place, number);
     }
 
-    fn draw_order(&mut self, number: u64) -> Order {
+    fn draw_command(&mut self, number: u64) -> Command {
         if self.random.random_bool(0.15) {
             return self.draw_evacuation();
         }
@@ -100,41 +100,44 @@
         let item = ["one", "two", "three"][self.random.random_range(0..3)];
         let value = u64::from(!self.random.random_bool(0.05));
         let (kind, body) = match self.random.random_range(0..5) {
-            0 => (OrderKind::Update, dropping_body(version, number, item)),
-            1 | 2 if known > 0 => (OrderKind::Update, body(version, number, item, value)),
-            _ => (OrderKind::Replace, body(version, number, item, value)),
+            0 => (CommandKind::Update, dropping_body(version, number, item)),
+            1 | 2 if known > 0 => (CommandKind::Update, body(version, number, item, value)),
+            _ => (CommandKind::Replace, body(version, number, item, value)),
         };
         let version = version_of(&body);
-        Order {
+        Command {
             kind,
-            base: BaseVersion::Told(base),
+            base: BaseVersion::Given(base),
             version,
             body,
         }
     }
 
-    fn draw_evacuation(&mut self) -> Order {
+    fn draw_evacuation(&mut self) -> Command {
         let zone = ZONES[self.random.random_range(0..ZONES.len())].to_string();
         let kind = if self.random.random_bool(0.5) {
-            OrderKind::BeginEvacuation(zone)
+            CommandKind::BeginEvacuation(zone)
         } else {
-            OrderKind::FinishEvacuation(zone)
+            CommandKind::FinishEvacuation(zone)
         };
-        Order {
+        Command {
             kind,
-            ..read_order()
+            ..read_command()
         }
     }
 
-    fn send_order(&mut self, place: usize, order: u64) {
+    fn send_command(&mut self, place: usize, command: u64) {
         self.last_copy += 1;
         let copy = Copy {
-            order,
+            command,
             number: self.last_copy,
         };
-        let is_evacuation = self.oracle.order(order).is_evacuation();
+        let is_evacuation = self.oracle.command(command).is_evacuation();
         let pending = &mut self.operators[place].pending;
-        let Some(at) = pending.iter().position(|pending| pending.order == order) else {
+        let Some(at) = pending
+            .iter()
+            .position(|pending| pending.command == command)
+        else {
             return;
         };
         if is_evacuation && pending[at].tries >= EVACUATION_TRIES {
@@ -150,11 +153,11 @@
             return;
         }
         let member = self.random.random_range(0..self.members.len());
-        self.send(Parcel::Order { member, copy });
+        self.send(Parcel::Command { member, copy });
     }
 
     /// The operator hears the answer to the copy that it waits for; others are lost on closed connections.
-    pub fn take_answer(&mut self, copy: Copy, reply: &Reply) {
+    pub fn take_answer(&mut self, copy: Copy, reply: &CommandReply) {
         let now = self.now;
         for operator in &mut self.operators {
             let mut pending = operator.pending.iter();
@@ -162,12 +165,12 @@
             let Some(at) = waits else {
                 continue;
             };
-            if let Reply::Unclear(_) = reply {
+            if let CommandReply::Undecided(_) = reply {
                 operator.pending[at].sent_at = now.saturating_sub(PATIENCE / 2);
                 continue;
             }
             operator.pending.swap_remove(at);
-            self.oracle.answered(copy.order, reply, now);
+            self.oracle.answered(copy.command, reply, now);
         }
     }
 }
--- a/crates/operator_commands/tests/town/oracle.rs
+++ b/crates/operator_commands/tests/cluster/oracle.rs
@@ -1,15 +1,17 @@
 //! Knows which values were chosen, by looking at all voters, and what was answered; panics where a promise is broken.
 
-use super::documents::{order_of, TownDocuments};
+use super::documents::{command_of, TestDocuments};
 use super::{CONFIGURATION, EVACUATIONS};
-use operator_commands::{BaseVersion, Configuration, Evacuations, Order, OrderKind, Reply};
+use operator_commands::{
+    BaseVersion, Command, CommandKind, CommandReply, ConfigurationRecord, Evacuations,
+};
 use register::{Acceptor, Ballot, Stored};
 use routing::Documents;
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Begun {
-    order: Order,
-    /// Version of the evacuations' register when the order was first sent.
+    command: Command,
+    /// Version of the evacuations' register when the command was first sent.
     evacuations_at: u64,
 }
 
@@ -18,32 +20,32 @@
     /// Voters that accepted a value, by key and ballot.
     accepted: BTreeMap<(&'static str, Ballot), BTreeSet<usize>>,
     begun: BTreeMap<u64, Begun>,
-    /// Order that made each version of the configuration's register.
+    /// Command that made each version of the configuration's register.
     chain: BTreeMap<u64, u64>,
-    configurations: BTreeMap<u64, Configuration>,
+    configurations: BTreeMap<u64, ConfigurationRecord>,
     evacuations: BTreeMap<u64, Evacuations>,
     acknowledged: BTreeSet<u64>,
-    refused: BTreeSet<u64>,
+    rejected: BTreeSet<u64>,
     seen: BTreeMap<(String, u64), (u64, Vec<u8>)>,
-    pub unclear: usize,
+    pub undecided: usize,
     pub acknowledged_again: usize,
     pub stale: usize,
 }
 
 impl Oracle {
-    pub fn begin(&mut self, number: u64, order: Order, _now: u64) {
+    pub fn begin(&mut self, number: u64, command: Command, _now: u64) {
         let evacuations_at = self.evacuations.keys().next_back().copied().unwrap_or(0);
         self.begun.insert(
             number,
             Begun {
-                order,
+                command,
                 evacuations_at,
             },
         );
     }
 
-    pub fn order(&self, number: u64) -> &Order {
-        &self.begun[&number].order
+    pub fn command(&self, number: u64) -> &Command {
+        &self.begun[&number].command
     }
 
     pub fn newest_version(&self) -> u64 {
@@ -91,19 +93,19 @@
             self.evacuations.insert(stored.version, evacuations);
             return;
         }
-        let configuration = Configuration::read(&stored.bytes).unwrap();
+        let configuration = ConfigurationRecord::read(&stored.bytes).unwrap();
         self.note_configuration(stored.version, configuration);
     }
 
-    fn note_configuration(&mut self, at: u64, configuration: Configuration) {
+    fn note_configuration(&mut self, at: u64, configuration: ConfigurationRecord) {
         let document = configuration.document().unwrap();
         assert!(
-            TownDocuments.read(&document).is_ok(),
+            TestDocuments.read(&document).is_ok(),
             "an invalid one is in force"
         );
-        let number = order_of(&document).unwrap();
-        let order = self.order(number);
-        assert_eq!(order.version, Some(configuration.version));
+        let number = command_of(&document).unwrap();
+        let command = self.command(number);
+        assert_eq!(command.version, Some(configuration.version));
         let former = self.configurations.get(&(at - 1));
         let former_version = former.map_or(0, |former| former.version);
         assert!(
@@ -111,65 +113,67 @@
             "a version of the register was skipped"
         );
         assert_eq!(
-            order.base,
-            BaseVersion::Told(former_version),
-            "taken on another base"
+            command.base,
+            BaseVersion::Given(former_version),
+            "accepted on another base"
         );
         assert!(configuration.version > former_version);
-        let is_again = self.chain.values().any(|taken| *taken == number);
-        assert!(!is_again, "order {number} was taken twice");
+        let is_again = self.chain.values().any(|accepted| *accepted == number);
+        assert!(!is_again, "command {number} was accepted twice");
         assert!(
-            !self.refused.contains(&number),
-            "order {number} was refused and is in force"
+            !self.rejected.contains(&number),
+            "command {number} was rejected and is in force"
         );
         self.chain.insert(at, number);
         self.configurations.insert(at, configuration);
     }
 
     fn is_chosen(&self, number: u64) -> bool {
-        self.chain.values().any(|taken| *taken == number)
+        self.chain.values().any(|accepted| *accepted == number)
     }
 
     /// A member answers, whether the operator hears it or not.
-    pub fn replied(&mut self, number: u64, reply: &Reply) {
-        let order = self.order(number).clone();
+    pub fn replied(&mut self, number: u64, reply: &CommandReply) {
+        let command = self.command(number).clone();
         match reply {
-            Reply::Acknowledged if order.is_evacuation() => self.check_evacuation(number, &order),
-            Reply::Acknowledged => {
+            CommandReply::Acknowledged if command.is_evacuation() => {
+                self.check_evacuation(number, &command)
+            }
+            CommandReply::Acknowledged => {
                 assert!(
                     self.is_chosen(number),
-                    "order {number} was acknowledged and is not in force"
+                    "command {number} was acknowledged and is not in force"
                 );
                 self.acknowledged_again += usize::from(!self.acknowledged.insert(number));
                 let same_base = self
                     .acknowledged
                     .iter()
-                    .filter(|other| self.order(**other).base == order.base);
+                    .filter(|other| self.command(**other).base == command.base);
                 assert_eq!(
                     same_base.count(),
                     1,
                     "two were acknowledged on {:?}",
-                    order.base
+                    command.base
                 );
             }
-            Reply::Refused(kind, reason) => {
+            CommandReply::Rejected(kind, reason) => {
                 assert!(
                     !self.is_chosen(number),
-                    "order {number} is in force and is refused: {reason}"
+                    "command {number} is in force and is rejected: {reason}"
                 );
-                self.stale += usize::from(*kind == operator_commands::RefusalKind::Stale);
-                self.refused.insert(number);
+                self.stale += usize::from(*kind == operator_commands::RejectionKind::Stale);
+                self.rejected.insert(number);
             }
-            Reply::Unclear(_) => self.unclear += 1,
-            Reply::Document(_) => {}
+            CommandReply::Undecided(_) => self.undecided += 1,
+            CommandReply::Document(_) => {}
         }
     }
 
-    /// What was acknowledged held at some moment since the order was first sent.
-    fn check_evacuation(&self, number: u64, order: &Order) {
-        let (zone, is_begin) = match &order.kind {
-            OrderKind::BeginEvacuation(zone) => (zone, true),
-            OrderKind::FinishEvacuation(zone) => (zone, false),
+    /// What was acknowledged held at some moment since the command was first sent.
+    fn check_evacuation(&self, number: u64, command: &Command) {
+        let (zone, is_begin) = match &command.kind {
+            CommandKind::BeginEvacuation(zone) => (zone, true),
+            CommandKind::FinishEvacuation(zone) => (zone, false),
             _ => return,
         };
         let since = self.begun[&number].evacuations_at;
@@ -181,36 +185,36 @@
         );
     }
 
-    pub fn answered(&mut self, number: u64, reply: &Reply, _now: u64) {
-        if matches!(reply, Reply::Acknowledged) {
+    pub fn answered(&mut self, number: u64, reply: &CommandReply, _now: u64) {
+        if matches!(reply, CommandReply::Acknowledged) {
             assert!(
-                !self.refused.contains(&number),
-                "order {number} has two answers"
+                !self.rejected.contains(&number),
+                "command {number} has two answers"
             );
         }
     }
 
-    pub fn read_back(&self, reply: &Reply) {
+    pub fn read_back(&self, reply: &CommandReply) {
         let Some(newest) = self.configurations.values().next_back() else {
             return;
         };
-        let Reply::Document(document) = reply else {
+        let CommandReply::Document(document) = reply else {
             panic!("nothing is read back: {reply:?}");
         };
         assert_eq!(*document, newest.document().unwrap());
         let newest_acknowledged = self
             .acknowledged
             .iter()
-            .filter_map(|number| self.order(*number).version);
+            .filter_map(|number| self.command(*number).version);
         assert!(newest.version >= newest_acknowledged.max().unwrap_or(0));
     }
 
     pub fn end(&self) {
-        assert!(self.refused.is_disjoint(&self.acknowledged));
+        assert!(self.rejected.is_disjoint(&self.acknowledged));
         for number in self.chain.values() {
             assert!(
-                !self.refused.contains(number),
-                "order {number} was refused and is in force"
+                !self.rejected.contains(number),
+                "command {number} was rejected and is in force"
             );
         }
     }
--- a/crates/operator_commands/tests/town_runs.rs
+++ b/crates/operator_commands/tests/cluster_runs.rs
@@ -1,32 +1,32 @@
-//! Seeded runs of several operators whose orders are lost, doubled and sent again. What was taken is acknowledged again or
-//! left unclear, what was refused is never in force, and no two changes of one base are acknowledged.
+//! Seeded runs of several operators whose commands are lost, doubled and sent again. What was accepted is acknowledged again or
+//! left undecided, what was rejected is never in force, and no two changes of one base are acknowledged.
 
-mod town;
+mod cluster;
 
-use town::{Settings, Town};
+use cluster::{Cluster, Settings};
 
 #[derive(Default)]
 struct Totals {
     chosen: usize,
     acknowledged_again: usize,
     stale: usize,
-    unclear: usize,
+    undecided: usize,
 }
 
 fn run_all(seeds: std::ops::Range<u64>, settings: impl Fn() -> Settings) -> Totals {
     let mut totals = Totals::default();
     for seed in seeds {
         println!("seed {seed}");
-        let mut town = Town::new(seed, settings());
-        town.run();
-        totals.chosen += town.oracle.chosen_count();
-        totals.acknowledged_again += town.oracle.acknowledged_again;
-        totals.stale += town.oracle.stale;
-        totals.unclear += town.oracle.unclear;
+        let mut cluster = Cluster::new(seed, settings());
+        cluster.run();
+        totals.chosen += cluster.oracle.chosen_count();
+        totals.acknowledged_again += cluster.oracle.acknowledged_again;
+        totals.stale += cluster.oracle.stale;
+        totals.undecided += cluster.oracle.undecided;
     }
     println!(
-        "{} taken, {} acknowledged again, {} stale, {} unclear",
-        totals.chosen, totals.acknowledged_again, totals.stale, totals.unclear
+        "{} accepted, {} acknowledged again, {} stale, {} undecided",
+        totals.chosen, totals.acknowledged_again, totals.stale, totals.undecided
     );
     totals
 }
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_storm_of_changes_with_orders_sent_again_long_after() {
+fn a_storm_of_changes_with_commands_sent_again_long_after() {
     let totals = run_all(1_000..1_004, || Settings {
         operators: 4,
         steps: 12_000,
@@ -52,5 +52,5 @@
         longest_pause: 700,
         has_faults: true,
     });
-    assert!(totals.chosen > 2_000, "{} taken", totals.chosen);
+    assert!(totals.chosen > 2_000, "{} accepted", totals.chosen);
 }
--- a/crates/operator_commands/tests/decisions.rs
+++ b/crates/operator_commands/tests/decisions.rs
@@ -1,193 +1,212 @@
-//! The decision on one order: what is taken, acknowledged again, refused, and left unclear, at all boundaries.
+//! The decision on one command: what is accepted, acknowledged again, rejected, and left undecided, at all boundaries.
 
-#[path = "town/documents.rs"]
+#[path = "cluster/documents.rs"]
 #[allow(dead_code)]
 mod documents;
 
-use documents::{body, dropping_body, version_of, TownDocuments};
+use documents::{body, dropping_body, version_of, TestDocuments};
 use operator_commands::{
-    decide, BaseVersion, Configuration, Decision, Evacuations, Order, OrderKind, RefusalKind,
-    Reply, TAKEN_MAX,
+    decide, BaseVersion, Command, CommandKind, CommandReply, ConfigurationRecord, Decision,
+    Evacuations, RejectionKind, ACCEPTED_COMMANDS_MAX,
 };
 
-fn order(kind: OrderKind, base: u64, body: Vec<u8>) -> Order {
-    Order {
+fn command(kind: CommandKind, base: u64, body: Vec<u8>) -> Command {
+    Command {
         kind,
-        base: BaseVersion::Told(base),
+        base: BaseVersion::Given(base),
         version: version_of(&body),
         body,
     }
 }
 
-fn replace(base: u64, version: u64, number: u64) -> Order {
-    order(OrderKind::Replace, base, body(version, number, "one", 1))
+fn replace(base: u64, version: u64, number: u64) -> Command {
+    command(CommandKind::Replace, base, body(version, number, "one", 1))
 }
 
-fn taken(order: &Order, bytes: &[u8]) -> Vec<u8> {
-    match decide(order, bytes, &TownDocuments) {
+fn accepted(command: &Command, bytes: &[u8]) -> Vec<u8> {
+    match decide(command, bytes, &TestDocuments) {
         Decision::Write(bytes) => bytes,
-        Decision::Reply(reply) => panic!("{order:?} is not taken: {reply:?}"),
+        Decision::Reply(reply) => panic!("{command:?} is not accepted: {reply:?}"),
     }
 }
 
-fn reply(order: &Order, bytes: &[u8]) -> Reply {
-    match decide(order, bytes, &TownDocuments) {
+fn reply(command: &Command, bytes: &[u8]) -> CommandReply {
+    match decide(command, bytes, &TestDocuments) {
         Decision::Reply(reply) => reply,
-        Decision::Write(_) => panic!("{order:?} is taken"),
+        Decision::Write(_) => panic!("{command:?} is accepted"),
     }
 }
 
-fn refusal(order: &Order, bytes: &[u8]) -> RefusalKind {
-    match reply(order, bytes) {
-        Reply::Refused(kind, _) => kind,
-        other => panic!("{order:?} is not refused: {other:?}"),
+fn rejection(command: &Command, bytes: &[u8]) -> RejectionKind {
+    match reply(command, bytes) {
+        CommandReply::Rejected(kind, _) => kind,
+        other => panic!("{command:?} is not rejected: {other:?}"),
     }
 }
 
-fn is_unclear(order: &Order, bytes: &[u8]) -> bool {
-    matches!(reply(order, bytes), Reply::Unclear(_))
+fn is_undecided(command: &Command, bytes: &[u8]) -> bool {
+    matches!(reply(command, bytes), CommandReply::Undecided(_))
 }
 
 /// A register after whole configurations of the versions 1, 2, and so on.
 fn after_changes(count: u64) -> Vec<u8> {
     (1..=count).fold(Vec::new(), |bytes, version| {
-        taken(&replace(version - 1, version, version), &bytes)
+        accepted(&replace(version - 1, version, version), &bytes)
     })
 }
 
 #[test]
-fn a_taken_order_is_acknowledged_again_at_once_and_later() {
+fn an_accepted_command_is_acknowledged_again_at_once_and_later() {
     let first = replace(0, 3, 1);
-    let bytes = taken(&first, &[]);
-    assert_eq!(reply(&first, &bytes), Reply::Acknowledged);
-    let bytes = taken(&replace(3, 8, 2), &bytes);
-    assert_eq!(reply(&first, &bytes), Reply::Acknowledged);
+    let bytes = accepted(&first, &[]);
+    assert_eq!(reply(&first, &bytes), CommandReply::Acknowledged);
+    let bytes = accepted(&replace(3, 8, 2), &bytes);
+    assert_eq!(reply(&first, &bytes), CommandReply::Acknowledged);
 }
 
 #[test]
-fn white_space_around_a_body_does_not_make_another_order() {
+fn white_space_around_a_body_does_not_make_another_command() {
     let first = replace(0, 3, 1);
-    let bytes = taken(&first, &[]);
+    let bytes = accepted(&first, &[]);
     let mut again = first.clone();
     again.body.extend_from_slice(b" \r\n");
     again.body.insert(0, b'\n');
-    assert_eq!(reply(&again, &bytes), Reply::Acknowledged);
+    assert_eq!(reply(&again, &bytes), CommandReply::Acknowledged);
 }
 
 #[test]
-fn another_body_kind_or_base_under_a_taken_number_is_stale() {
-    let bytes = taken(&replace(0, 2, 1), &[]);
+fn another_body_kind_or_base_under_an_accepted_number_is_stale() {
+    let bytes = accepted(&replace(0, 2, 1), &[]);
     let first = replace(2, 5, 1);
-    let bytes = taken(&first, &bytes);
-    assert_eq!(refusal(&replace(2, 5, 9), &bytes), RefusalKind::Stale);
+    let bytes = accepted(&first, &bytes);
+    assert_eq!(rejection(&replace(2, 5, 9), &bytes), RejectionKind::Stale);
     let mut update = first.clone();
-    update.kind = OrderKind::Update;
-    assert_eq!(refusal(&update, &bytes), RefusalKind::Stale);
+    update.kind = CommandKind::Update;
+    assert_eq!(rejection(&update, &bytes), RejectionKind::Stale);
     let mut on_another = first;
-    on_another.base = BaseVersion::Told(1);
-    assert_eq!(refusal(&on_another, &bytes), RefusalKind::Stale);
+    on_another.base = BaseVersion::Given(1);
+    assert_eq!(rejection(&on_another, &bytes), RejectionKind::Stale);
 }
 
 #[test]
 fn of_two_changes_on_one_base_the_second_is_stale_for_good() {
-    let mut bytes = taken(&replace(0, 2, 1), &[]);
+    let mut bytes = accepted(&replace(0, 2, 1), &[]);
     let (winner, loser) = (replace(2, 4, 2), replace(2, 4, 3));
-    bytes = taken(&winner, &bytes);
+    bytes = accepted(&winner, &bytes);
     for version in 5..40 {
-        assert_eq!(refusal(&loser, &bytes), RefusalKind::Stale);
-        assert_eq!(reply(&winner, &bytes), Reply::Acknowledged);
-        bytes = taken(&replace(version - 1, version, version), &bytes);
+        assert_eq!(rejection(&loser, &bytes), RejectionKind::Stale);
+        assert_eq!(reply(&winner, &bytes), CommandReply::Acknowledged);
+        bytes = accepted(&replace(version - 1, version, version), &bytes);
     }
 }
 
 #[test]
-fn the_last_remembered_order_is_acknowledged_and_an_older_one_is_left_unclear() {
-    let bound = TAKEN_MAX as u64;
+fn the_last_remembered_command_is_acknowledged_and_an_older_one_is_left_undecided() {
+    let bound = ACCEPTED_COMMANDS_MAX as u64;
     let bytes = after_changes(bound + 10);
-    assert_eq!(reply(&replace(10, 11, 11), &bytes), Reply::Acknowledged);
-    assert!(is_unclear(&replace(9, 10, 10), &bytes));
-    assert!(is_unclear(&replace(0, 1, 1), &bytes));
-    // A stranger that could have been taken so long ago is left unclear as well.
-    assert!(is_unclear(&replace(4, 7, 700), &bytes));
-    // These cannot have been taken: the version 10 was in force between base and version, or the base is remembered.
-    assert_eq!(refusal(&replace(9, 11, 700), &bytes), RefusalKind::Stale);
-    assert_eq!(refusal(&replace(10, 11, 700), &bytes), RefusalKind::Stale);
     assert_eq!(
-        refusal(&replace(3, bound + 11, 700), &bytes),
-        RefusalKind::Stale
+        reply(&replace(10, 11, 11), &bytes),
+        CommandReply::Acknowledged
+    );
+    assert!(is_undecided(&replace(9, 10, 10), &bytes));
+    assert!(is_undecided(&replace(0, 1, 1), &bytes));
+    // A stranger that could have been accepted so long ago is left undecided as well.
+    assert!(is_undecided(&replace(4, 7, 700), &bytes));
+    // These cannot have been accepted: the version 10 was in force between base and version, or the base is remembered.
+    assert_eq!(
+        rejection(&replace(9, 11, 700), &bytes),
+        RejectionKind::Stale
+    );
+    assert_eq!(
+        rejection(&replace(10, 11, 700), &bytes),
+        RejectionKind::Stale
+    );
+    assert_eq!(
+        rejection(&replace(3, bound + 11, 700), &bytes),
+        RejectionKind::Stale
     );
 }
 
 #[test]
 fn the_memory_stays_within_its_bytes() {
     let few = after_changes(10).len();
-    let many = after_changes(2 * TAKEN_MAX as u64).len();
-    assert!(many < few + TAKEN_MAX * 24 + 64, "{many} bytes after {few}");
-    let bytes = after_changes(2 * TAKEN_MAX as u64);
-    assert_eq!(Configuration::read(&bytes).unwrap().taken.len(), TAKEN_MAX);
+    let many = after_changes(2 * ACCEPTED_COMMANDS_MAX as u64).len();
+    assert!(
+        many < few + ACCEPTED_COMMANDS_MAX * 24 + 64,
+        "{many} bytes after {few}"
+    );
+    let bytes = after_changes(2 * ACCEPTED_COMMANDS_MAX as u64);
+    assert_eq!(
+        ConfigurationRecord::read(&bytes).unwrap().accepted.len(),
+        ACCEPTED_COMMANDS_MAX
+    );
 }
 
 #[test]
-fn an_order_ahead_of_what_is_in_place_is_left_unclear_until_its_base_came() {
-    let bytes = taken(&replace(0, 2, 1), &[]);
+fn an_command_ahead_of_what_is_in_place_is_left_undecided_until_its_base_came() {
+    let bytes = accepted(&replace(0, 2, 1), &[]);
     let (next, ahead) = (replace(2, 4, 2), replace(4, 6, 3));
-    assert!(is_unclear(&ahead, &bytes));
-    let bytes = taken(&next, &bytes);
-    let bytes = taken(&ahead, &bytes);
-    assert_eq!(reply(&ahead, &bytes), Reply::Acknowledged);
+    assert!(is_undecided(&ahead, &bytes));
+    let bytes = accepted(&next, &bytes);
+    let bytes = accepted(&ahead, &bytes);
+    assert_eq!(reply(&ahead, &bytes), CommandReply::Acknowledged);
 }
 
 #[test]
 fn a_version_not_above_its_base_is_invalid_whatever_is_in_place() {
     let bytes = after_changes(5);
     for (base, version) in [(5, 5), (5, 4), (5, 0), (0, 0), (9, 9), (u64::MAX, u64::MAX)] {
-        let kind = refusal(&replace(base, version, 9), &bytes);
-        assert_eq!(kind, RefusalKind::Invalid, "{version} on {base}");
+        let kind = rejection(&replace(base, version, 9), &bytes);
+        assert_eq!(kind, RejectionKind::Invalid, "{version} on {base}");
     }
 }
 
 #[test]
-fn the_largest_version_is_taken_and_nothing_follows_it() {
+fn the_largest_version_is_accepted_and_nothing_follows_it() {
     let largest = replace(2, u64::MAX, 2);
-    let bytes = taken(&largest, &taken(&replace(0, 2, 1), &[]));
-    assert_eq!(reply(&largest, &bytes), Reply::Acknowledged);
-    assert_eq!(refusal(&replace(2, 3, 3), &bytes), RefusalKind::Stale);
+    let bytes = accepted(&largest, &accepted(&replace(0, 2, 1), &[]));
+    assert_eq!(reply(&largest, &bytes), CommandReply::Acknowledged);
+    assert_eq!(rejection(&replace(2, 3, 3), &bytes), RejectionKind::Stale);
     assert_eq!(
-        refusal(&replace(u64::MAX, 3, 3), &bytes),
-        RefusalKind::Invalid
+        rejection(&replace(u64::MAX, 3, 3), &bytes),
+        RejectionKind::Invalid
     );
 }
 
 #[test]
-fn what_cannot_be_valid_is_refused_and_changes_nothing() {
+fn what_cannot_be_valid_is_rejected_and_changes_nothing() {
     let bytes = after_changes(3);
-    let zero = order(OrderKind::Replace, 3, body(4, 4, "one", 0));
-    let cut = Order {
+    let zero = command(CommandKind::Replace, 3, body(4, 4, "one", 0));
+    let cut = Command {
         body: b"{\"version\": 4".to_vec(),
         version: None,
         ..replace(3, 4, 4)
     };
-    let empty = Order {
+    let empty = Command {
         body: Vec::new(),
         version: None,
         ..replace(3, 4, 4)
     };
-    let missing_item = order(OrderKind::Update, 3, dropping_body(4, 4, "nowhere"));
-    for order in [zero, cut, empty, missing_item] {
-        assert_eq!(refusal(&order, &bytes), RefusalKind::Invalid, "{order:?}");
+    let missing_item = command(CommandKind::Update, 3, dropping_body(4, 4, "nowhere"));
+    for command in [zero, cut, empty, missing_item] {
+        assert_eq!(
+            rejection(&command, &bytes),
+            RejectionKind::Invalid,
+            "{command:?}"
+        );
     }
-    let first = order(OrderKind::Update, 0, body(1, 1, "one", 1));
-    assert_eq!(refusal(&first, &[]), RefusalKind::Invalid);
+    let first = command(CommandKind::Update, 0, body(1, 1, "one", 1));
+    assert_eq!(rejection(&first, &[]), RejectionKind::Invalid);
 }
 
 #[test]
 fn a_base_must_be_told_once_in_decimal_digits() {
     let read = |values: &[&[u8]]| BaseVersion::read(values.iter().copied());
-    assert_eq!(read(&[b"7"]), BaseVersion::Told(7));
-    assert_eq!(read(&[b" 7\t"]), BaseVersion::Told(7));
+    assert_eq!(read(&[b"7"]), BaseVersion::Given(7));
+    assert_eq!(read(&[b" 7\t"]), BaseVersion::Given(7));
     assert_eq!(
         read(&[b"18446744073709551615"]),
-        BaseVersion::Told(u64::MAX)
+        BaseVersion::Given(u64::MAX)
     );
     assert_eq!(read(&[]), BaseVersion::Missing);
     assert_eq!(read(&[b"7", b"7"]), BaseVersion::Repeated);
@@ -209,45 +228,45 @@
         BaseVersion::Repeated,
         BaseVersion::Malformed,
     ] {
-        let order = Order {
+        let command = Command {
             base,
             ..replace(0, 3, 1)
         };
-        assert_eq!(refusal(&order, &[]), RefusalKind::Invalid);
+        assert_eq!(rejection(&command, &[]), RejectionKind::Invalid);
     }
 }
 
 #[test]
 fn a_value_that_cannot_be_read_is_never_overwritten() {
-    let evacuation = OrderKind::BeginEvacuation("zone-a".into());
+    let evacuation = CommandKind::BeginEvacuation("zone-a".into());
     let kinds = [
-        OrderKind::Read,
-        OrderKind::Replace,
-        OrderKind::Update,
+        CommandKind::Read,
+        CommandKind::Replace,
+        CommandKind::Update,
         evacuation,
     ];
     for kind in kinds {
-        let order = Order {
+        let command = Command {
             kind,
             ..replace(0, 3, 1)
         };
-        assert!(is_unclear(&order, &[1, 2, 3]), "{order:?}");
+        assert!(is_undecided(&command, &[1, 2, 3]), "{command:?}");
     }
 }
 
 #[test]
 fn an_evacuation_in_force_is_acknowledged_without_a_write() {
-    let evacuation = |kind| Order {
+    let evacuation = |kind| Command {
         kind,
         ..replace(0, 1, 1)
     };
-    let begin = evacuation(OrderKind::BeginEvacuation("zone-a".into()));
-    let finish = evacuation(OrderKind::FinishEvacuation("zone-a".into()));
-    assert_eq!(reply(&finish, &[]), Reply::Acknowledged);
-    let begun = taken(&begin, &[]);
-    assert_eq!(reply(&begin, &begun), Reply::Acknowledged);
-    let finished = taken(&finish, &begun);
-    assert_eq!(reply(&finish, &finished), Reply::Acknowledged);
+    let begin = evacuation(CommandKind::BeginEvacuation("zone-a".into()));
+    let finish = evacuation(CommandKind::FinishEvacuation("zone-a".into()));
+    assert_eq!(reply(&finish, &[]), CommandReply::Acknowledged);
+    let begun = accepted(&begin, &[]);
+    assert_eq!(reply(&begin, &begun), CommandReply::Acknowledged);
+    let finished = accepted(&finish, &begun);
+    assert_eq!(reply(&finish, &finished), CommandReply::Acknowledged);
     let evacuations = Evacuations::read(&finished).unwrap();
     assert!(evacuations.zones.is_empty());
     assert_eq!(evacuations.changes_of("zone-a"), 2);
