--- a/crates/controller/src/scaling.rs
+++ b/crates/controller/src/scaling.rs
@@ -178,7 +178,7 @@
         }
         let mut by_keeper: BTreeMap<String, Vec<protocol::FunctionNews>> = BTreeMap::new();
         for one in news {
-            let keeper = seat_leases::elect(&one.function, &self.scaling.roster, |_| true);
+            let keeper = seat_leases::select_owner(&one.function, &self.scaling.roster, |_| true);
             if let Some(keeper) = keeper {
                 by_keeper.entry(keeper.name.clone()).or_default().push(one);
             }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -91,8 +91,8 @@
 
     /// A whole request: it is bound to a function and bids for a seat.
     fn take(&mut self, line: LineId, request: Request) {
-        let manner = self.options.manner;
-        if (manner.is_readiness)(&request.method, &request.target) {
+        let conventions = self.options.conventions;
+        if (conventions.is_readiness_check)(&request.method, &request.target) {
             self.tell_readiness(line, request.keeps_alive);
             self.note_unread(line);
             return;
@@ -101,7 +101,11 @@
         let path = request.target.split('?').next().unwrap_or("");
         let table = self.control.table();
         let found = table.as_ref().and_then(|table| table.find(host, path));
-        let id = request.headers.get(manner.id).unwrap_or(b"").to_vec();
+        let id = request
+            .headers
+            .get(conventions.request_id)
+            .unwrap_or(b"")
+            .to_vec();
         let Some((_, binding, function)) = found else {
             let status = if table.is_some() { 404 } else { 503 };
             self.answer_own(
@@ -117,7 +121,7 @@
             self.answer_own(line, &id, 400, "the request has no id", &request);
             return;
         }
-        let budget = match request.headers.get_text(manner.budget) {
+        let budget = match request.headers.get_text(conventions.timeout) {
             None => Some(u64::from(binding.timeout_ms)),
             Some(text) => text.trim().parse::<u64>().ok(),
         };
@@ -159,10 +163,10 @@
 
     /// Answers with this daemon's own word, before there is a ticket.
     fn answer_own(&mut self, line: LineId, id: &[u8], status: u16, text: &str, request: &Request) {
-        let manner = self.options.manner;
+        let conventions = self.options.conventions;
         let mut headers: Vec<(&str, &[u8])> = Vec::new();
         if !id.is_empty() {
-            headers.push((manner.id, id));
+            headers.push((conventions.request_id, id));
         }
         let keeps_alive = request.keeps_alive && self.drains_since.is_none();
         let mut out = Vec::new();
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -131,7 +131,7 @@
         log::info!("gateway: closed districts {districts:?}");
         self.control.closures = mark;
         self.control.closed = districts.into_iter().collect();
-        self.keeper.close_districts(self.control.closed.clone());
+        self.keeper.set_evacuated_zones(self.control.closed.clone());
     }
 
     /// The gateways that keep functions; requests that wait at a keeper which is none any more bid anew.
@@ -187,8 +187,8 @@
         }
         let (name, members) = (&self.options.name, self.control.members());
         if self.links.is_due_to_forget(self.now) && !members.is_empty() {
-            self.keeper.forget_others(self.now, |function| {
-                let elected = seat_leases::elect(function, members, |_| true);
+            self.keeper.evict_unowned(self.now, |function| {
+                let elected = seat_leases::select_owner(function, members, |_| true);
                 elected.is_some_and(|member| member.name == *name)
             });
         }
--- a/crates/gateway/src/controllers.rs
+++ b/crates/gateway/src/controllers.rs
@@ -53,7 +53,7 @@
             Message::JobSaid { number, said } => self.jobs.said(now, number, said),
             Message::Runners(news) => {
                 for one in news {
-                    self.keeper.news(now, one);
+                    self.keeper.update_runners(now, one);
                 }
             }
             _ => {}
@@ -72,7 +72,7 @@
             let has_news = controller.description > description || controller.closures > closures;
             controller.line.is_some() && has_news && (controller.is_current || serves)
         });
-        let district = &self.options.district;
+        let district = &self.options.zone;
         let elected = newer.min_by_key(|(_, controller)| {
             (!controller.is_current, controller.district != *district)
         });
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,7 +8,7 @@
 use event_loop::{Event, EventLoop, Hatch, LineId, Timers};
 use http1::RequestReader;
 use jobs::{Ends, Jobs};
-use seat_leases::{Action, Credit, Keeper};
+use seat_leases::{LeaseAction, LeaseOwner, RetryBudget};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -48,13 +48,13 @@
     pub event_loop: EventLoop,
     pub roles: HashMap<LineId, Role>,
     pub tickets: Tickets,
-    pub keeper: Keeper,
+    pub keeper: LeaseOwner,
     pub jobs: Jobs,
     pub ends: Ends,
     pub pool: Pool,
     pub links: Links,
     pub control: Control,
-    pub credits: HashMap<String, Credit>,
+    pub credits: HashMap<String, RetryBudget>,
     /// Milliseconds of a function's answer, the newest weighing most.
     pub paces: HashMap<String, f64>,
     pub timers: Timers<Due>,
@@ -122,24 +122,24 @@
     fn open(options: GatewayOptions) -> Result<Self, GatewayError> {
         let silence = options.silence_ms() as u32;
         let mut event_loop =
-            EventLoop::new(options.lines_max, silence).map_err(GatewayError::System)?;
+            EventLoop::new(options.max_connections, silence).map_err(GatewayError::System)?;
         let mut listen = |address, inbox_max| {
             let hatch = event_loop.listen(address, inbox_max);
             hatch.map_err(|error| GatewayError::Listen(address, error))
         };
-        let public = listen(options.public, CLIENT_INBOX)?;
-        let readiness = listen(options.readiness, 1 << 14)?;
-        listen(options.wire, LINK_INBOX)?;
+        let public = listen(options.client_address, CLIENT_INBOX)?;
+        let readiness = listen(options.readiness_address, 1 << 14)?;
+        listen(options.peer_address, LINK_INBOX)?;
         let links = Links::new(&options);
         let mut gateway = Self {
-            jobs: Jobs::new(links.incarnation(), options.remembered_ms),
+            jobs: Jobs::new(links.incarnation(), options.job_retention_ms),
             ends: Ends::default(),
             links,
             control: Control::default(),
             event_loop,
             roles: HashMap::new(),
             tickets: Tickets::default(),
-            keeper: Keeper::default(),
+            keeper: LeaseOwner::default(),
             pool: Pool::default(),
             credits: HashMap::new(),
             paces: HashMap::new(),
@@ -162,7 +162,7 @@
             return Duration::ZERO;
         }
         let mut next = self.timers.next_at().unwrap_or(self.now + TICK_MS);
-        if let Some(at) = self.keeper.next_at() {
+        if let Some(at) = self.keeper.next_probe_at() {
             next = next.min(at);
         }
         Duration::from_millis(next.saturating_sub(self.now).min(TICK_MS * 4))
@@ -182,7 +182,7 @@
                 Due::Client(line) => self.client_is_late(line),
             }
         }
-        if self.keeper.next_at().is_some_and(|at| at <= self.now) {
+        if self.keeper.next_probe_at().is_some_and(|at| at <= self.now) {
             self.keeper.tick(self.now);
         }
         self.run_actions();
@@ -225,7 +225,7 @@
             Some(Role::Probe { function, runner }) => {
                 let (function, runner) = (function.clone(), runner.clone());
                 self.pool_probe(line, &runner);
-                self.keeper.probed(self.now, &function, &runner, true);
+                self.keeper.record_probe(self.now, &function, &runner, true);
             }
             Some(Role::Runner(_)) => self.runner_connected(line),
             _ => {}
@@ -249,7 +249,8 @@
             Some(Role::Link(_) | Role::Controller(_)) => self.link_ended(line),
             Some(Role::Probe { function, runner }) => {
                 let (function, runner) = (function.clone(), runner.clone());
-                self.keeper.probed(self.now, &function, &runner, false);
+                self.keeper
+                    .record_probe(self.now, &function, &runner, false);
             }
             Some(Role::Readiness(_)) | None => {}
         }
@@ -260,31 +261,52 @@
     /// Does what the keeper wants done; grants to this daemon go straight to their tickets.
     pub fn run_actions(&mut self) {
         loop {
-            let actions = self.keeper.actions();
+            let actions = self.keeper.take_actions();
             if actions.is_empty() && !self.run_job_actions() {
                 return;
             }
             for action in actions {
                 match action {
-                    Action::Grant(gateway, grant) if gateway == self.options.name => {
+                    LeaseAction::Grant {
+                        gateway,
+                        lease: grant,
+                    } if gateway == self.options.name => {
                         self.granted(&gateway, grant);
                     }
-                    Action::Grant(gateway, grant) => {
+                    LeaseAction::Grant {
+                        gateway,
+                        lease: grant,
+                    } => {
                         self.tell(&gateway, &protocol::Message::Grant(grant));
                     }
-                    Action::Refuse(gateway, ticket, after)
-                        if self.jobs.refused(self.now, &gateway, ticket, after) => {}
-                    Action::Refuse(gateway, ticket, after) if gateway == self.options.name => {
+                    LeaseAction::Reject {
+                        gateway,
+                        request: ticket,
+                        retry_after_ms: after,
+                    } if self.jobs.refused(self.now, &gateway, ticket, after) => {}
+                    LeaseAction::Reject {
+                        gateway,
+                        request: ticket,
+                        retry_after_ms: after,
+                    } if gateway == self.options.name => {
                         self.refused(ticket, after);
                     }
-                    Action::Refuse(gateway, ticket, retry_after_ms) => {
+                    LeaseAction::Reject {
+                        gateway,
+                        request: ticket,
+                        retry_after_ms,
+                    } => {
                         let refusal = protocol::Message::Refuse {
                             ticket,
                             retry_after_ms,
                         };
                         self.tell(&gateway, &refusal);
                     }
-                    Action::Probe(function, runner, address) => {
+                    LeaseAction::Probe {
+                        function,
+                        runner,
+                        address,
+                    } => {
                         self.probe(function, runner, &address);
                     }
                 }
@@ -306,7 +328,7 @@
         };
         // Clients learn within two looks, a second apart, that this daemon takes no more; some come all the same.
         let spent = self.now - since;
-        if spent >= self.options.grace_ms / 2 {
+        if spent >= self.options.shutdown_grace_ms / 2 {
             self.event_loop.shut(self.hatches.public);
             self.close_idle_clients();
             let is_done = self.tickets.len() == 0 && self.ends.is_empty() && !self.has_clients();
@@ -314,11 +336,11 @@
                 return true;
             }
         }
-        spent >= self.options.grace_ms * 11 / 12
+        spent >= self.options.shutdown_grace_ms * 11 / 12
     }
 
     fn reload(&mut self) {
-        let Some(controllers) = (self.options.reload)() else {
+        let Some(controllers) = (self.options.reload_controllers)() else {
             return;
         };
         log::info!(
--- a/crates/gateway/src/jobs.rs
+++ b/crates/gateway/src/jobs.rs
@@ -29,7 +29,7 @@
         if bid.job.is_some() {
             self.jobs.arrive(self.now, gateway, district, bid);
         } else {
-            self.keeper.bid(self.now, gateway, district, bid);
+            self.keeper.request_lease(self.now, gateway, district, bid);
         }
     }
 
@@ -47,9 +47,9 @@
         let now = self.now;
         match action {
             JobAction::Seat(gateway, district, bid) => {
-                self.keeper.bid(now, &gateway, &district, bid)
+                self.keeper.request_lease(now, &gateway, &district, bid)
             }
-            JobAction::Withdraw(gateway, ticket) => self.keeper.withdraw(now, &gateway, ticket),
+            JobAction::Withdraw(gateway, ticket) => self.keeper.cancel(now, &gateway, ticket),
             JobAction::Claimed {
                 gateway,
                 ticket,
@@ -82,8 +82,7 @@
                 bytes,
                 tries,
             } => {
-                let Some(controller) = self.links.controller_for(&self.options.district, tries)
-                else {
+                let Some(controller) = self.links.controller_for(&self.options.zone, tries) else {
                     return;
                 };
                 let message = Message::JobAsk {
@@ -197,7 +196,7 @@
         let Some(ticket) = self.tickets.remove(number) else {
             return;
         };
-        let id = self.options.manner.id;
+        let id = self.options.conventions.request_id;
         self.note_refusal(&ticket, status, text);
         self.answer(&ticket, status, &[(id, &ticket.id)], text.as_bytes());
     }
@@ -206,7 +205,7 @@
         let Some(ticket) = self.tickets.remove(number) else {
             return;
         };
-        let id = self.options.manner.id;
+        let id = self.options.conventions.request_id;
         let kept = told.headers.iter();
         let kept = kept.filter(|(name, _)| !name.eq_ignore_ascii_case(id));
         let mut headers: Vec<(&str, &[u8])> = kept
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -19,4 +19,4 @@
 mod tickets;
 
 pub use gateway::run;
-pub use options::{GatewayError, GatewayOptions, Manner};
+pub use options::{GatewayError, GatewayOptions, HttpConventions};
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -62,10 +62,10 @@
         let me = Member {
             name: options.name.clone(),
             incarnation: rand::random(),
-            address: options.wire.to_string(),
-            district: options.district.clone(),
+            address: options.peer_address.to_string(),
+            district: options.zone.clone(),
         };
-        let controllers = options.controllers.iter();
+        let controllers = options.controller_addresses.iter();
         Self {
             me,
             peers: HashMap::new(),
@@ -263,10 +263,11 @@
                     .map_or_else(String::new, |one| one.district.clone());
                 self.take_bid(name, &district, bid);
             }
-            Message::Withdraw(ticket) => self.keeper.withdraw(self.now, name, ticket),
+            Message::Withdraw(ticket) => self.keeper.cancel(self.now, name, ticket),
             Message::Release(release) => self.keeper.release(self.now, name, &release),
             Message::Known { function, runners } => {
-                self.keeper.known(self.now, name, &function, &runners);
+                self.keeper
+                    .adopt_leases(self.now, name, &function, &runners);
             }
             Message::Grant(grant) => self.granted(name, grant),
             Message::Refuse {
@@ -329,7 +330,7 @@
             self.roles.remove(&line);
             self.event_loop.close(line);
         }
-        self.keeper.forget_gateway(self.now, name);
+        self.keeper.remove_gateway(self.now, name);
         self.jobs.forget_gateway(self.now, name);
         self.move_waiting();
     }
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -3,82 +3,82 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// How callers and runners name what goes with requests.
+/// Names by which clients and runners pass a request's metadata over HTTP. The platform sets them.
 #[derive(Clone, Copy, Debug)]
-pub struct Manner {
-    /// Header with a request's own id.
-    pub id: &'static str,
-    /// Header with the milliseconds that are left.
-    pub budget: &'static str,
-    /// Header with a runner's seal.
+pub struct HttpConventions {
+    /// Header with the id that the client gave the request; a response bears the id of its request.
+    pub request_id: &'static str,
+    /// Header with the milliseconds until the request times out.
+    pub timeout: &'static str,
+    /// Header with the runner's seal, by which a response is known to come from a runner.
     pub seal: &'static str,
-    /// Header that names the runner that is meant.
+    /// Header with the id of the runner for which a request is meant.
     pub runner: &'static str,
-    /// Header by which a runner says that it did not run a request.
+    /// Header by which a runner states that it did not run a request.
     pub not_run: &'static str,
-    /// Header with the seconds after which to come back.
+    /// Header with the seconds after which a rejected client may retry.
     pub retry_after: &'static str,
-    /// Whether a method and target ask for readiness.
-    pub is_readiness: fn(&str, &str) -> bool,
+    /// Whether a method and target are a readiness check.
+    pub is_readiness_check: fn(&str, &str) -> bool,
 }
 
-/// What a daemon of the data plane needs to know.
+/// Configuration of one gateway, read once at the start.
 pub struct GatewayOptions {
-    /// Name, its own in the fleet.
+    /// Name of the gateway, unique in the fleet.
     pub name: String,
-    /// District that it stands in.
-    pub district: String,
-    /// Address for clients.
-    pub public: SocketAddr,
-    /// Address that tells whether it is ready.
-    pub readiness: SocketAddr,
-    /// Address for other daemons.
-    pub wire: SocketAddr,
-    /// Addresses of controllers, as far as they are known at the start.
-    pub controllers: Vec<SocketAddr>,
-    /// Names of headers and paths.
-    pub manner: Manner,
-    /// Reader of the operators' documents.
+    /// Zone in which it stands.
+    pub zone: String,
+    /// Address at which it listens for clients.
+    pub client_address: SocketAddr,
+    /// Address at which it listens for readiness checks.
+    pub readiness_address: SocketAddr,
+    /// Address at which it listens for other gateways and for operators' status requests.
+    pub peer_address: SocketAddr,
+    /// Controllers that are known at the start; a controller's heartbeat names the others.
+    pub controller_addresses: Vec<SocketAddr>,
+    /// Names of the HTTP headers that it reads and writes.
+    pub conventions: HttpConventions,
+    /// Parser of the operators' documents.
     pub documents: Box<dyn Documents>,
-    /// Share of first tries that further tries may reach, over all daemons.
-    pub retry_share: f64,
-    /// Further tries allowed beside the share, over all daemons.
+    /// Retries allowed per first attempt, over all gateways.
+    pub retry_ratio: f64,
+    /// Retries allowed beside the ratio, over all gateways.
     pub retry_slack: f64,
-    /// Milliseconds from the order to stop until the process is ended.
-    pub grace_ms: u64,
-    /// Milliseconds within which an acknowledged change holds everywhere.
-    pub change_ms: u64,
-    /// Milliseconds for which a job is remembered, above the time of any request.
-    pub remembered_ms: u64,
-    /// Most open lines.
-    pub lines_max: usize,
-    /// Reads the settings anew where they have changed: addresses of controllers that they name now.
-    pub reload: Box<dyn Fn() -> Option<Vec<SocketAddr>>>,
+    /// Milliseconds from the signal to stop until the process is killed.
+    pub shutdown_grace_ms: u64,
+    /// Milliseconds within which an acknowledged change is in force at every gateway.
+    pub apply_within_ms: u64,
+    /// Milliseconds for which a job's result is retained, longer than any request lasts.
+    pub job_retention_ms: u64,
+    /// Most open connections.
+    pub max_connections: usize,
+    /// Reads the settings again: the controllers that they name now, or none where the file has not changed.
+    pub reload_controllers: Box<dyn Fn() -> Option<Vec<SocketAddr>>>,
 }
 
 impl GatewayOptions {
-    /// Milliseconds between heartbeats to a controller: a tenth of the bound on changes.
+    /// Milliseconds between heartbeats to a controller: a tenth of [`apply_within_ms`](Self::apply_within_ms).
     pub fn heartbeat_ms(&self) -> u64 {
-        self.change_ms / 10
+        self.apply_within_ms / 10
     }
 
-    /// Milliseconds of silence after which another daemon is taken for gone: four heartbeats.
+    /// Milliseconds of silence after which a peer is taken for dead: four heartbeats.
     pub fn silence_ms(&self) -> u64 {
         self.heartbeat_ms() * 4
     }
 
-    /// Milliseconds that a connection to a runner may take: a tenth of the bound on changes.
+    /// Milliseconds within which a connection to a runner must be established: a tenth of [`apply_within_ms`](Self::apply_within_ms).
     pub fn connect_ms(&self) -> u64 {
-        self.change_ms / 10
+        self.apply_within_ms / 10
     }
 }
 
-/// Why the daemon ended with a failure.
+/// Why the gateway could not start.
 #[derive(Debug)]
 pub enum GatewayError {
-    /// An address could not be listened at.
+    /// A listening socket could not be bound.
     Listen(SocketAddr, io::Error),
-    /// The system refused what every daemon needs.
+    /// Signal handlers or the poller could not be set up.
     System(io::Error),
 }
 
--- a/crates/gateway/src/outcomes.rs
+++ b/crates/gateway/src/outcomes.rs
@@ -5,7 +5,7 @@
 use crate::tickets::{Stage, Ticket};
 use http1::{end_to_end, Response};
 use protocol::{JobResult, Outcome};
-use seat_leases::Credit;
+use seat_leases::RetryBudget;
 
 /// Functions whose pace is remembered.
 const PACES_MAX: usize = 65_536;
@@ -31,12 +31,12 @@
         let Some(ticket) = self.tickets.remove(number) else {
             return;
         };
-        let manner = self.options.manner;
+        let conventions = self.options.conventions;
         let after = format!("{:.3}", after_ms.max(RETRY_AFTER_MS) as f64 / 1_000.0);
-        let mut headers: Vec<(&str, &[u8])> = vec![(manner.id, &ticket.id)];
+        let mut headers: Vec<(&str, &[u8])> = vec![(conventions.request_id, &ticket.id)];
         let status = if ticket.may_have_run { 502 } else { 503 };
         if status == 503 {
-            headers.push((manner.retry_after, after.as_bytes()));
+            headers.push((conventions.retry_after, after.as_bytes()));
         }
         let result = if ticket.may_have_run {
             JobResult::Lost
@@ -97,7 +97,7 @@
         let Some(ticket) = self.tickets.remove(number) else {
             return;
         };
-        let id = self.options.manner.id;
+        let id = self.options.conventions.request_id;
         let (result, text) = if ticket.may_have_run {
             (JobResult::Lost, "the runner did not answer in time")
         } else {
@@ -114,7 +114,7 @@
     /// A runner answered this request.
     pub fn answered(&mut self, number: u64, answer: &RunnerAnswer) {
         let response = &answer.response;
-        match judge(response, &self.options.manner) {
+        match judge(response, &self.options.conventions) {
             Verdict::Answered => self.ran(number, response),
             Verdict::TurnedAway => self.not_run(number, answer, Outcome::TurnedAway),
             Verdict::Misdirected => self.not_run(number, answer, Outcome::Gone),
@@ -202,7 +202,7 @@
         let has_credit = self
             .credits
             .get(&ticket.function)
-            .is_some_and(Credit::has_one);
+            .is_some_and(RetryBudget::has_balance);
         if !is_due || !has_credit {
             return;
         }
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -11,7 +11,8 @@
             line.ok()
         });
         let Some(line) = line else {
-            self.keeper.probed(self.now, &function, &runner, false);
+            self.keeper
+                .record_probe(self.now, &function, &runner, false);
             return;
         };
         let wait = self.options.connect_ms();
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -1,7 +1,7 @@
 use crate::gateway::{Due, Gateway};
 use crate::tickets::Stage;
 use protocol::{Bid, Message, Outcome, Release};
-use seat_leases::{elect, Credit};
+use seat_leases::{select_owner, RetryBudget};
 use std::collections::BTreeSet;
 
 /// Milliseconds before a request looks again for a keeper, or for credit.
@@ -16,11 +16,11 @@
         let gateways = self.control.members().len().max(1) as f64;
         // Half of the allowance, so that daemons which start anew do not exceed the whole.
         let cap = (self.options.retry_slack * 0.5 / gateways).max(1.0);
-        let share = self.options.retry_share * 0.75;
+        let share = self.options.retry_ratio * 0.75;
         let credit = self.credits.entry(ticket.function.clone());
-        let credit = credit.or_insert_with(|| Credit::new(share, cap));
-        credit.set_cap(cap);
-        credit.earn();
+        let credit = credit.or_insert_with(|| RetryBudget::new(share, cap));
+        credit.set_capacity(cap);
+        credit.deposit();
     }
 
     /// Who keeps a function, as far as this daemon knows.
@@ -28,7 +28,7 @@
         let suspects = &self.links;
         let now = self.now;
         let passes = |member: &protocol::Member| !suspects.is_suspect(&member.name, now);
-        elect(function, self.control.members(), passes).map(|member| member.name.clone())
+        select_owner(function, self.control.members(), passes).map(|member| member.name.clone())
     }
 
     /// Bids at the function's keeper.
@@ -58,7 +58,7 @@
             bid.job = ticket.job.as_mut().map(|pass| pass.bid(&keeper));
         }
         if keeper == self.options.name {
-            let district = self.options.district.clone();
+            let district = self.options.zone.clone();
             self.take_bid(&keeper, &district, bid);
             return;
         }
@@ -142,7 +142,7 @@
         let lender = lender.clone();
         ticket.stage = Stage::Resting;
         if lender == self.options.name {
-            self.keeper.withdraw(self.now, &lender, number);
+            self.keeper.cancel(self.now, &lender, number);
         } else {
             self.tell(&lender, &Message::Withdraw(number));
         }
@@ -197,7 +197,7 @@
             }
             let function = ticket.function.clone();
             let credit = self.credits.get_mut(&function);
-            if !credit.is_some_and(Credit::spend) {
+            if !credit.is_some_and(RetryBudget::try_withdraw) {
                 return false;
             }
         }
--- a/crates/gateway/src/runner_connection.rs
+++ b/crates/gateway/src/runner_connection.rs
@@ -5,7 +5,7 @@
 //! that are none. So a connection bears one request at a time, an answer is taken only if it bears that request's id, and
 //! a connection on which anything else was ever seen is not used again.
 
-use crate::options::Manner;
+use crate::options::HttpConventions;
 use http1::{Bounds, Response, ResponseReader};
 
 /// Largest body of a runner's answer, in bytes.
@@ -78,11 +78,11 @@
     }
 
     /// Bytes have arrived. What belongs to an answer is taken off the start of the buffer.
-    pub fn received(&mut self, buffer: &mut Vec<u8>, manner: &Manner) -> Reading {
+    pub fn received(&mut self, buffer: &mut Vec<u8>, conventions: &HttpConventions) -> Reading {
         while self.outstanding.is_some() {
             match self.reader.read(buffer, &BOUNDS) {
                 Ok(None) => return Reading::Incomplete,
-                Ok(Some(response)) => match self.take(response, buffer.is_empty(), manner) {
+                Ok(Some(response)) => match self.take(response, buffer.is_empty(), conventions) {
                     Reading::Incomplete => {}
                     reading => return reading,
                 },
@@ -107,17 +107,22 @@
     }
 
     /// Takes one whole answer; `Incomplete` where it belongs to another request.
-    fn take(&mut self, response: Response, is_last: bool, manner: &Manner) -> Reading {
+    fn take(
+        &mut self,
+        response: Response,
+        is_last: bool,
+        conventions: &HttpConventions,
+    ) -> Reading {
         let Some(request) = &self.outstanding else {
             return Reading::Unasked;
         };
-        let has_id = response.headers.get(manner.id).is_some();
-        let mut ids = response.headers.get_all(manner.id);
+        let has_id = response.headers.get(conventions.request_id).is_some();
+        let mut ids = response.headers.get_all(conventions.request_id);
         let is_own = has_id && ids.all(|id| id == request.id.as_slice());
         drop(ids);
         // A refusal may come without an id; behind another request it may be a late one.
         let is_first = self.requests <= 1 && self.strays == 0;
-        let is_refusal = !has_id && says_not_run(&response, manner);
+        let is_refusal = !has_id && says_not_run(&response, conventions);
         let may_be_own = is_refusal && (is_first || !request.is_once);
         if !is_own && !may_be_own {
             return self.pass_over(request.is_head);
@@ -161,15 +166,15 @@
 const UNAVAILABLE: u16 = 503;
 
 /// Judges a runner's own answer.
-pub fn judge(response: &Response, manner: &Manner) -> Verdict {
+pub fn judge(response: &Response, conventions: &HttpConventions) -> Verdict {
     let is_good = (200..300).contains(&response.status);
     if is_good {
-        return judge_success(response, manner);
+        return judge_success(response, conventions);
     }
     if response.status == MISDIRECTED {
         return Verdict::Misdirected;
     }
-    if response.headers.get(manner.not_run).is_some() {
+    if response.headers.get(conventions.not_run).is_some() {
         return Verdict::TurnedAway;
     }
     // These say that nothing ran and nothing will; a runner that does not say so may have run it.
@@ -180,11 +185,11 @@
     Verdict::Answered
 }
 
-fn judge_success(response: &Response, manner: &Manner) -> Verdict {
-    if response.headers.get(manner.not_run).is_some() {
+fn judge_success(response: &Response, conventions: &HttpConventions) -> Verdict {
+    if response.headers.get(conventions.not_run).is_some() {
         return Verdict::Doubtful("the answer says both that it was run and that it was not");
     }
-    match response.headers.get_all(manner.seal).count() {
+    match response.headers.get_all(conventions.seal).count() {
         0 => return Verdict::Doubtful("the answer has no seal"),
         1 => {}
         _ => return Verdict::Doubtful("the answer has several seals"),
@@ -195,9 +200,9 @@
     Verdict::Answered
 }
 
-fn says_not_run(response: &Response, manner: &Manner) -> bool {
+fn says_not_run(response: &Response, conventions: &HttpConventions) -> bool {
     matches!(
-        judge(response, manner),
+        judge(response, conventions),
         Verdict::TurnedAway | Verdict::Misdirected
     )
 }
--- a/crates/gateway/src/runners.rs
+++ b/crates/gateway/src/runners.rs
@@ -158,7 +158,7 @@
     }
 
     fn request_bytes(&mut self, number: u64) -> Vec<u8> {
-        let manner = &self.options.manner;
+        let conventions = &self.options.conventions;
         let Some(ticket) = self.tickets.get(number) else {
             return Vec::new();
         };
@@ -168,11 +168,12 @@
         let request = &ticket.request;
         let left = ticket.ends_at.saturating_sub(self.now).max(1).to_string();
         let kept = end_to_end(&request.headers).filter(|(name, _)| {
-            !name.eq_ignore_ascii_case(manner.budget) && !name.eq_ignore_ascii_case(manner.runner)
+            !name.eq_ignore_ascii_case(conventions.timeout)
+                && !name.eq_ignore_ascii_case(conventions.runner)
         });
         let own: [(&str, &[u8]); 2] = [
-            (manner.budget, left.as_bytes()),
-            (manner.runner, sent.runner.as_bytes()),
+            (conventions.timeout, left.as_bytes()),
+            (conventions.runner, sent.runner.as_bytes()),
         ];
         let mut out = Vec::with_capacity(request.body.len() + 512);
         let headers = kept.chain(own);
@@ -214,7 +215,7 @@
         let Some(inbox) = self.event_loop.inbox(line) else {
             return;
         };
-        let reading = runner.connection.received(inbox, &self.options.manner);
+        let reading = runner.connection.received(inbox, &self.options.conventions);
         self.take_reading(line, reading);
     }
 
@@ -341,7 +342,8 @@
                 let (function, runner) = (function.clone(), runner.clone());
                 self.roles.remove(&line);
                 self.event_loop.close(line);
-                self.keeper.probed(self.now, &function, &runner, false);
+                self.keeper
+                    .record_probe(self.now, &function, &runner, false);
             }
             Some(Role::Runner(runner)) if runner.connection.requests() == 0 => {
                 let Some(number) = runner.ticket else {
--- a/crates/gateway/tests/runner_connection.rs
+++ b/crates/gateway/tests/runner_connection.rs
@@ -4,17 +4,17 @@
 use gateway::runner_connection::{
     judge, Outstanding, Reading, RunnerAnswer, RunnerConnection, Verdict,
 };
-use gateway::Manner;
+use gateway::HttpConventions;
 use http1::write_response;
 
-const MANNER: Manner = Manner {
-    id: "Id",
-    budget: "Left",
+const CONVENTIONS: HttpConventions = HttpConventions {
+    request_id: "Id",
+    timeout: "Left",
     seal: "Seal",
     runner: "Meant",
     not_run: "Not-Run",
     retry_after: "Retry-After",
-    is_readiness: |_, _| false,
+    is_readiness_check: |_, _| false,
 };
 const BODY: &[u8] = b"the whole body";
 const INTERIM: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: </a>\r\n\r\n";
@@ -83,7 +83,7 @@
 impl Peer {
     fn gives(&mut self, bytes: &[u8]) -> Reading {
         self.inbox.extend_from_slice(bytes);
-        self.connection.received(&mut self.inbox, &MANNER)
+        self.connection.received(&mut self.inbox, &CONVENTIONS)
     }
 
     /// Gives the bytes one by one until a request's fate is known: the fate, and how many bytes that took.
@@ -292,7 +292,7 @@
     peer.connection.sends(outstanding("own", Framing::Length));
     let told = whole(peer.gives(&refusal), "new");
     assert!(told.is_certain);
-    assert_eq!(judge(&told.response, &MANNER), Verdict::TurnedAway);
+    assert_eq!(judge(&told.response, &CONVENTIONS), Verdict::TurnedAway);
 
     // On a connection that had another request, it may be that one's.
     peer.connection.sends(outstanding("next", Framing::Length));
@@ -326,7 +326,7 @@
         let headers: Vec<_> = [("Id", "own")].iter().chain(headers).copied().collect();
         judge(
             &whole(peer.gives(&head(status, &headers)), "own").response,
-            &MANNER,
+            &CONVENTIONS,
         )
     };
     let is_doubtful = |verdict: Verdict| matches!(verdict, Verdict::Doubtful(_));
--- a/crates/jobs/tests/town/gateway.rs
+++ b/crates/jobs/tests/town/gateway.rs
@@ -3,7 +3,7 @@
 use jobs::{digest, Ends, Jobs, Pass};
 use protocol::{Bid, FunctionNews, JobResult, Message, Outcome, RunnerNews, RunnerStage};
 use rand::Rng;
-use seat_leases::{elect, Keeper};
+use seat_leases::{select_owner, LeaseOwner};
 use std::collections::BTreeMap;
 
 const SUSPECT_MS: u64 = 1_500;
@@ -32,7 +32,7 @@
     pub life: u64,
     pub is_up: bool,
     pub jobs: Jobs,
-    pub keeper: Keeper,
+    pub keeper: LeaseOwner,
     pub tickets: BTreeMap<u64, Ticket>,
     pub suspects: BTreeMap<String, u64>,
     pub ends: Ends,
@@ -46,7 +46,7 @@
             life: 0,
             is_up: false,
             jobs: Jobs::new(0, 1),
-            keeper: Keeper::default(),
+            keeper: LeaseOwner::default(),
             tickets: BTreeMap::new(),
             suspects: BTreeMap::new(),
             ends: Ends::default(),
@@ -84,7 +84,7 @@
         fresh.life = life;
         fresh.is_up = true;
         fresh.jobs = Jobs::new(life, remembered);
-        fresh.keeper.news(now, runners());
+        fresh.keeper.update_runners(now, runners());
         self.nodes[place] = fresh;
         self.later(300 * MS, Event::Roster);
         self.later(50 * MS, Event::Tick(place, life));
@@ -114,7 +114,7 @@
     pub fn keeper_of(&self, place: usize) -> Option<String> {
         let (node, now) = (&self.nodes[place], self.now_ms());
         let is_suspect = |name: &str| node.suspects.get(name).is_some_and(|until| now < *until);
-        let keeper = elect(FUNCTION, &self.roster, |member| !is_suspect(&member.name));
+        let keeper = select_owner(FUNCTION, &self.roster, |member| !is_suspect(&member.name));
         keeper.map(|member| member.name.clone())
     }
 
@@ -200,7 +200,7 @@
         let end = ticket.pass.end(number, FUNCTION, JobResult::NotRun);
         ticket.pass.void();
         if lender == node.name {
-            node.keeper.withdraw(now, &lender, number);
+            node.keeper.cancel(now, &lender, number);
         } else {
             let peer = self.place_of(&lender).unwrap();
             self.send(place, peer, Message::Withdraw(number));
@@ -233,7 +233,7 @@
         let name = self.nodes[peer].name.clone();
         let node = &mut self.nodes[place];
         node.suspects.insert(name.clone(), now + SUSPECT_MS);
-        node.keeper.forget_gateway(now, &name);
+        node.keeper.remove_gateway(now, &name);
         node.jobs.forget_gateway(now, &name);
         self.move_waiting(place);
     }
--- a/crates/jobs/tests/town/hearing.rs
+++ b/crates/jobs/tests/town/hearing.rs
@@ -2,7 +2,7 @@
 use super::{Event, Told, Town};
 use jobs::JobAction;
 use protocol::{JobResult, JobVerdict, Message};
-use seat_leases::Action;
+use seat_leases::LeaseAction;
 
 impl Town {
     pub fn hear(&mut self, place: usize, from: usize, message: Message) {
@@ -15,7 +15,7 @@
         node.suspects.remove(&name);
         match message {
             Message::Bid(bid) => node.jobs.arrive(now, &name, "", bid),
-            Message::Withdraw(ticket) => node.keeper.withdraw(now, &name, ticket),
+            Message::Withdraw(ticket) => node.keeper.cancel(now, &name, ticket),
             Message::Release(release) => node.keeper.release(now, &name, &release),
             Message::JobEnd(end) => node.jobs.ended(now, &name, end),
             Message::Grant(grant) => self.granted(place, &name, grant),
@@ -39,7 +39,7 @@
     pub fn run_actions(&mut self, place: usize) {
         loop {
             let node = &mut self.nodes[place];
-            let (seats, jobs) = (node.keeper.actions(), node.jobs.actions());
+            let (seats, jobs) = (node.keeper.take_actions(), node.jobs.actions());
             if seats.is_empty() && jobs.is_empty() {
                 return;
             }
@@ -52,14 +52,21 @@
         }
     }
 
-    pub fn seat_action(&mut self, place: usize, action: Action) {
+    pub fn seat_action(&mut self, place: usize, action: LeaseAction) {
         let now = self.now_ms();
         match action {
-            Action::Grant(gateway, grant) => self.deliver(place, &gateway, Message::Grant(grant)),
-            Action::Refuse(gateway, ticket, after) => {
+            LeaseAction::Grant {
+                gateway,
+                lease: grant,
+            } => self.deliver(place, &gateway, Message::Grant(grant)),
+            LeaseAction::Reject {
+                gateway,
+                request: ticket,
+                retry_after_ms: after,
+            } => {
                 self.nodes[place].jobs.refused(now, &gateway, ticket, after);
             }
-            Action::Probe(..) => {}
+            LeaseAction::Probe { .. } => {}
         }
     }
 
@@ -77,9 +84,9 @@
         let node = &mut self.nodes[place];
         match action {
             JobAction::Seat(gateway, district, bid) => {
-                node.keeper.bid(now, &gateway, &district, bid)
+                node.keeper.request_lease(now, &gateway, &district, bid)
             }
-            JobAction::Withdraw(gateway, ticket) => node.keeper.withdraw(now, &gateway, ticket),
+            JobAction::Withdraw(gateway, ticket) => node.keeper.cancel(now, &gateway, ticket),
             JobAction::Claimed {
                 gateway,
                 ticket,
--- a/crates/seat_leases/src/keeper.rs
+++ b/crates/seat_leases/src/lease_owner.rs
@@ -19,45 +19,76 @@
 /// Milliseconds after which a refused request may find a seat, where nothing better is known.
 const RETRY_AFTER_MS: u32 = 250;
 
-/// What the keeper wants done.
+/// What the owner asks its gateway to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Action {
-    /// Lend a seat to a gateway.
-    Grant(String, Grant),
-    /// Tell a gateway that there is no seat for its ticket, and when to come back, in milliseconds.
-    Refuse(String, u64, u32),
-    /// See whether a runner takes connections: function, id, address.
-    Probe(String, String, String),
+pub enum LeaseAction {
+    /// Send a lease to the gateway whose request it is for.
+    Grant {
+        /// Name of the gateway.
+        gateway: String,
+        /// The leased seat.
+        lease: Grant,
+    },
+    /// Tell a gateway that its request gets no seat in time.
+    Reject {
+        /// Name of the gateway.
+        gateway: String,
+        /// The request's number at that gateway.
+        request: u64,
+        /// Milliseconds after which a retry is worthwhile.
+        retry_after_ms: u32,
+    },
+    /// Check whether a starting runner accepts connections.
+    Probe {
+        /// The runner's function.
+        function: String,
+        /// Id of the runner.
+        runner: String,
+        /// Its address.
+        address: String,
+    },
+}
+
+/// How much of one runner's quota is leased.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RunnerUsage {
+    /// Id of the runner.
+    pub id: String,
+    /// Most requests that it may hold at once.
+    pub quota: u32,
+    /// Seats that are leased now.
+    pub in_use: u32,
+    /// Whether it gets new requests.
+    pub is_serving: bool,
 }
 
 /// The keeper of all functions that fell to one gateway. A pure machine: `now` is a steady clock in milliseconds.
 #[derive(Default)]
-pub struct Keeper {
+pub struct LeaseOwner {
     functions: HashMap<String, Seats>,
     tickets: HashMap<(String, u64), String>,
     dirty: BTreeSet<String>,
     awaited: BTreeMap<(String, String), u64>,
     closed: BTreeSet<String>,
-    actions: Vec<Action>,
+    actions: Vec<LeaseAction>,
 }
 
-impl Keeper {
+impl LeaseOwner {
     /// Districts that take no requests.
-    pub fn close_districts(&mut self, closed: BTreeSet<String>) {
+    pub fn set_evacuated_zones(&mut self, closed: BTreeSet<String>) {
         self.closed = closed;
     }
 
     /// What is to be done now.
-    pub fn actions(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<LeaseAction> {
         std::mem::take(&mut self.actions)
     }
 
     /// A gateway's request wants a seat.
-    pub fn bid(&mut self, now: u64, gateway: &str, district: &str, bid: Bid) {
+    pub fn request_lease(&mut self, now: u64, gateway: &str, district: &str, bid: Bid) {
         let is_new = !self.functions.contains_key(&bid.function);
         if is_new && self.functions.len() >= FUNCTIONS_MAX {
-            let refusal = Action::Refuse(gateway.into(), bid.ticket, RETRY_AFTER_MS);
-            self.actions.push(refusal);
+            self.reject(gateway, bid.ticket, RETRY_AFTER_MS);
             return;
         }
         let function = bid.function.clone();
@@ -77,8 +108,7 @@
             seats.is_dirty = true;
             let back = wait.unwrap_or(0.0).max(f64::from(RETRY_AFTER_MS)) as u32;
             let back = blocked.unwrap_or(back);
-            self.actions
-                .push(Action::Refuse(gateway.into(), bid.ticket, back));
+            self.reject(gateway, bid.ticket, back);
             self.dirty.insert(function);
             return;
         }
@@ -95,7 +125,7 @@
     }
 
     /// A gateway's request wants no seat any more.
-    pub fn withdraw(&mut self, now: u64, gateway: &str, ticket: u64) {
+    pub fn cancel(&mut self, now: u64, gateway: &str, ticket: u64) {
         let holder = (gateway.to_string(), ticket);
         let Some(function) = self.tickets.remove(&holder) else {
             return;
@@ -143,7 +173,7 @@
     }
 
     /// A gateway tells which runners of a function it has requests at, to the function's new keeper.
-    pub fn known(
+    pub fn adopt_leases(
         &mut self,
         now: u64,
         gateway: &str,
@@ -165,7 +195,7 @@
     }
 
     /// The scaler tells a function's runners.
-    pub fn news(&mut self, now: u64, news: FunctionNews) {
+    pub fn update_runners(&mut self, now: u64, news: FunctionNews) {
         let function = news.function.clone();
         let seats = self.functions.entry(function.clone()).or_default();
         seats.used_at = seats.used_at.max(now.saturating_sub(FORGET_MS / 2));
@@ -182,7 +212,7 @@
     }
 
     /// A gateway is gone; what it held or wanted is free.
-    pub fn forget_gateway(&mut self, now: u64, gateway: &str) {
+    pub fn remove_gateway(&mut self, now: u64, gateway: &str) {
         let held = self.tickets.iter().filter(|((name, _), _)| name == gateway);
         let functions: BTreeSet<String> = held.map(|(_, function)| function.clone()).collect();
         self.tickets.retain(|(name, _), _| name != gateway);
@@ -197,7 +227,7 @@
     }
 
     /// What came of a probe: whether the runner took the connection.
-    pub fn probed(&mut self, now: u64, function: &str, runner: &str, is_up: bool) {
+    pub fn record_probe(&mut self, now: u64, function: &str, runner: &str, is_up: bool) {
         let Some(seats) = self.functions.get_mut(function) else {
             return;
         };
@@ -258,10 +288,18 @@
     }
 
     /// When there is something to do next, at the latest.
-    pub fn next_at(&self) -> Option<u64> {
+    pub fn next_probe_at(&self) -> Option<u64> {
         self.awaited.values().min().copied()
     }
 
+    fn reject(&mut self, gateway: &str, request: u64, retry_after_ms: u32) {
+        self.actions.push(LeaseAction::Reject {
+            gateway: gateway.into(),
+            request,
+            retry_after_ms,
+        });
+    }
+
     fn probe(&mut self, function: &str, id: &str) {
         let key = (function.to_string(), id.to_string());
         self.awaited.remove(&key);
@@ -277,8 +315,11 @@
         }
         runner.is_probed = true;
         let address = runner.news.address.clone();
-        let action = Action::Probe(function.into(), id.into(), address);
-        self.actions.push(action);
+        self.actions.push(LeaseAction::Probe {
+            function: function.into(),
+            runner: id.into(),
+            address,
+        });
     }
 
     /// Refuses requests whose time is over, and those that nothing can serve in time.
@@ -297,8 +338,11 @@
             seats.given_up += 1;
             seats.is_dirty = true;
             let (gateway, ticket) = waiting.holder;
-            self.actions
-                .push(Action::Refuse(gateway, ticket, retry_after_ms));
+            self.actions.push(LeaseAction::Reject {
+                gateway,
+                request: ticket,
+                retry_after_ms,
+            });
         }
     }
 
@@ -319,7 +363,10 @@
                 address: runner.news.address.clone(),
                 district: runner.news.district.clone(),
             };
-            self.actions.push(Action::Grant(gateway, grant));
+            self.actions.push(LeaseAction::Grant {
+                gateway,
+                lease: grant,
+            });
         }
     }
 
@@ -357,7 +404,7 @@
     }
 
     /// Forgets functions that fell to another gateway and are not used here any more.
-    pub fn forget_others(&mut self, now: u64, is_mine: impl Fn(&str) -> bool) {
+    pub fn evict_unowned(&mut self, now: u64, is_mine: impl Fn(&str) -> bool) {
         self.functions.retain(|name, seats| {
             is_mine(name) || !seats.is_idle() || now < seats.used_at + FORGET_MS
         });
@@ -367,16 +414,21 @@
             .retain(|(name, _), _| functions.contains_key(name));
     }
 
-    /// Runners of a function, for whoever asks: id, quota, in use, whether it serves.
-    pub fn runners(&self, function: &str) -> Vec<(String, u32, u32, bool)> {
+    /// Usage of a function's runners; empty where the function is not known here.
+    pub fn runner_usage(&self, function: &str) -> Vec<RunnerUsage> {
         let Some(seats) = self.functions.get(function) else {
             return Vec::new();
         };
         let runners = seats.runners.iter();
         runners
             .map(|one| {
-                let serves = one.serves() && one.news.stage != RunnerStage::Draining;
-                (one.news.id.clone(), one.news.quota, one.in_use(), serves)
+                let is_serving = one.serves() && one.news.stage != RunnerStage::Draining;
+                RunnerUsage {
+                    id: one.news.id.clone(),
+                    quota: one.news.quota,
+                    in_use: one.in_use(),
+                    is_serving,
+                }
             })
             .collect()
     }
--- a/crates/seat_leases/src/lib.rs
+++ b/crates/seat_leases/src/lib.rs
@@ -2,14 +2,14 @@
 //! never gets more at once than its quota. A pure machine; the gateway that keeps the function runs it.
 #![warn(missing_docs)]
 
-mod credit;
-mod elect;
-mod keeper;
+mod lease_owner;
+mod owner_selection;
 mod refusal_backoff;
+mod retry_budget;
 mod runner;
 mod seats;
 mod start_block;
 
-pub use credit::Credit;
-pub use elect::elect;
-pub use keeper::{Action, Keeper};
+pub use lease_owner::{LeaseAction, LeaseOwner, RunnerUsage};
+pub use owner_selection::select_owner;
+pub use retry_budget::RetryBudget;
--- a/crates/seat_leases/src/elect.rs
+++ b/crates/seat_leases/src/owner_selection.rs
@@ -15,9 +15,9 @@
     hash ^ (hash >> 33)
 }
 
-/// The member that keeps a function: of those that pass, the one that weighs most for it. All daemons with the same
+/// The member that owns a function: of those that pass, the one that weighs most for it. All daemons with the same
 /// roster elect the same one, and where a member goes only its own functions move.
-pub fn elect<'a>(
+pub fn select_owner<'a>(
     function: &str,
     members: &'a [Member],
     passes: impl Fn(&Member) -> bool,
--- a/crates/seat_leases/tests/common/mod.rs
+++ b/crates/seat_leases/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use protocol::{Bid, FunctionNews, Outcome, Release, RunnerNews, RunnerStage};
-use seat_leases::{Action, Keeper};
+use seat_leases::{LeaseAction, LeaseOwner};
 
 pub const FUNCTION: &str = "stamp";
 
@@ -53,23 +53,23 @@
 }
 
 /// A keeper that knows these runners.
-pub fn keeper(runners: &[RunnerNews]) -> Keeper {
-    let mut keeper = Keeper::default();
-    keeper.news(0, news(1, runners));
+pub fn keeper(runners: &[RunnerNews]) -> LeaseOwner {
+    let mut keeper = LeaseOwner::default();
+    keeper.update_runners(0, news(1, runners));
     keeper
 }
 
 /// Tickets and runners of the seats that were lent since the last look.
-pub fn grants(keeper: &mut Keeper) -> Vec<(u64, String)> {
-    let actions = keeper.actions().into_iter();
+pub fn grants(keeper: &mut LeaseOwner) -> Vec<(u64, String)> {
+    let actions = keeper.take_actions().into_iter();
     let lent = actions.filter_map(|action| match action {
-        Action::Grant(_, grant) => Some((grant.ticket, grant.runner)),
-        Action::Refuse(..) | Action::Probe(..) => None,
+        LeaseAction::Grant { lease: grant, .. } => Some((grant.ticket, grant.runner)),
+        LeaseAction::Reject { .. } | LeaseAction::Probe { .. } => None,
     });
     lent.collect()
 }
 
-pub fn tickets(keeper: &mut Keeper) -> Vec<u64> {
+pub fn tickets(keeper: &mut LeaseOwner) -> Vec<u64> {
     grants(keeper)
         .into_iter()
         .map(|(ticket, _)| ticket)
@@ -77,17 +77,21 @@
 }
 
 /// Tickets that were refused since the last look, and when each is to come back.
-pub fn refusals(keeper: &mut Keeper) -> Vec<(u64, u32)> {
-    let actions = keeper.actions().into_iter();
+pub fn refusals(keeper: &mut LeaseOwner) -> Vec<(u64, u32)> {
+    let actions = keeper.take_actions().into_iter();
     let refused = actions.filter_map(|action| match action {
-        Action::Refuse(_, ticket, after) => Some((ticket, after)),
-        Action::Grant(..) | Action::Probe(..) => None,
+        LeaseAction::Reject {
+            request: ticket,
+            retry_after_ms: after,
+            ..
+        } => Some((ticket, after)),
+        LeaseAction::Grant { .. } | LeaseAction::Probe { .. } => None,
     });
     refused.collect()
 }
 
-pub fn in_use(keeper: &Keeper, id: &str) -> Option<u32> {
-    let runners = keeper.runners(FUNCTION);
-    let found = runners.into_iter().find(|one| one.0 == id);
-    found.map(|one| one.2)
+pub fn in_use(keeper: &LeaseOwner, id: &str) -> Option<u32> {
+    let runners = keeper.runner_usage(FUNCTION);
+    let found = runners.into_iter().find(|one| one.id == id);
+    found.map(|one| one.in_use)
 }
--- a/crates/seat_leases/tests/keeper.rs
+++ b/crates/seat_leases/tests/lease_owner.rs
@@ -6,14 +6,14 @@
     avoiding, bid, grants, in_use, keeper, news, refusals, release, runner, tickets, FUNCTION,
 };
 use protocol::{Bid, Outcome, RunnerNews, RunnerStage};
-use seat_leases::{Action, Keeper};
+use seat_leases::{LeaseAction, LeaseOwner};
 use std::collections::BTreeSet;
 
 #[test]
 fn a_runner_gets_no_more_than_its_quota() {
     let mut keeper = keeper(&[runner("a", "north", 2)]);
     for ticket in 1..=4 {
-        keeper.bid(0, "f", "north", bid(ticket, 1));
+        keeper.request_lease(0, "f", "north", bid(ticket, 1));
     }
     assert_eq!(tickets(&mut keeper), [1, 2]);
     keeper.release(1, "f", &release(1, Outcome::Answered, 10));
@@ -23,16 +23,16 @@
 #[test]
 fn a_runner_with_no_quota_gets_nothing() {
     let mut keeper = keeper(&[runner("a", "north", 0)]);
-    keeper.bid(0, "f", "north", bid(1, 1));
+    keeper.request_lease(0, "f", "north", bid(1, 1));
     assert_eq!(tickets(&mut keeper), [0; 0]);
 }
 
 #[test]
 fn the_lower_rank_goes_first_then_who_waits_longer() {
     let mut keeper = keeper(&[runner("a", "north", 1)]);
-    keeper.bid(0, "f", "north", bid(1, 1));
+    keeper.request_lease(0, "f", "north", bid(1, 1));
     for (ticket, rank) in [(2, 2), (3, 1), (4, 1), (5, 0)] {
-        keeper.bid(0, "f", "north", bid(ticket, rank));
+        keeper.request_lease(0, "f", "north", bid(ticket, rank));
     }
     let mut order = Vec::new();
     for _ in 0..5 {
@@ -47,8 +47,8 @@
 #[test]
 fn a_near_runner_is_lent_before_a_far_one() {
     let mut keeper = keeper(&[runner("far", "south", 1), runner("near", "north", 1)]);
-    keeper.bid(0, "f", "north", bid(1, 1));
-    keeper.bid(0, "f", "north", bid(2, 1));
+    keeper.request_lease(0, "f", "north", bid(1, 1));
+    keeper.request_lease(0, "f", "north", bid(2, 1));
     let expected = [(1, "near".to_string()), (2, "far".to_string())];
     assert_eq!(grants(&mut keeper), expected);
 }
@@ -56,11 +56,11 @@
 #[test]
 fn a_request_does_not_go_where_it_was_unless_there_is_no_other() {
     let mut two = keeper(&[runner("a", "north", 4), runner("b", "south", 1)]);
-    two.bid(0, "f", "north", avoiding(1, &["a"]));
-    two.bid(0, "f", "north", avoiding(2, &["a"]));
+    two.request_lease(0, "f", "north", avoiding(1, &["a"]));
+    two.request_lease(0, "f", "north", avoiding(2, &["a"]));
     assert_eq!(grants(&mut two), [(1, "b".to_string())]);
     let mut one = keeper(&[runner("a", "north", 4)]);
-    one.bid(0, "f", "north", avoiding(3, &["a"]));
+    one.request_lease(0, "f", "north", avoiding(3, &["a"]));
     assert_eq!(grants(&mut one), [(3, "a".to_string())]);
 }
 
@@ -68,11 +68,11 @@
 fn a_withdrawn_bid_and_a_withdrawn_seat_are_free() {
     let mut keeper = keeper(&[runner("a", "north", 1)]);
     for ticket in 1..=3 {
-        keeper.bid(0, "f", "north", bid(ticket, 1));
+        keeper.request_lease(0, "f", "north", bid(ticket, 1));
     }
     assert_eq!(tickets(&mut keeper), [1]);
-    keeper.withdraw(1, "f", 2);
-    keeper.withdraw(1, "f", 1);
+    keeper.cancel(1, "f", 2);
+    keeper.cancel(1, "f", 1);
     assert_eq!(tickets(&mut keeper), [3]);
     assert_eq!(in_use(&keeper, "a"), Some(1));
 }
@@ -89,7 +89,7 @@
     ];
     for outcome in outcomes {
         let mut keeper = keeper(&[runner("a", "north", 1)]);
-        keeper.bid(0, "f", "north", bid(1, 1));
+        keeper.request_lease(0, "f", "north", bid(1, 1));
         keeper.release(1, "f", &release(1, outcome, 10));
         assert_eq!(in_use(&keeper, "a"), Some(0), "{outcome:?}");
         // A second release, or one of a gateway that holds nothing, changes nothing.
@@ -102,13 +102,17 @@
 #[test]
 fn what_a_gateway_held_or_wanted_is_free_once_it_is_gone() {
     let mut keeper = keeper(&[runner("a", "north", 1)]);
-    keeper.bid(0, "f", "north", bid(1, 1));
-    keeper.bid(0, "f", "north", bid(2, 1));
-    keeper.bid(0, "g", "north", bid(1, 1));
+    keeper.request_lease(0, "f", "north", bid(1, 1));
+    keeper.request_lease(0, "f", "north", bid(2, 1));
+    keeper.request_lease(0, "g", "north", bid(1, 1));
     assert_eq!(grants(&mut keeper), [(1, "a".to_string())]);
-    keeper.forget_gateway(1, "f");
-    let actions = keeper.actions();
-    let [Action::Grant(gateway, grant)] = &actions[..] else {
+    keeper.remove_gateway(1, "f");
+    let actions = keeper.take_actions();
+    let [LeaseAction::Grant {
+        gateway,
+        lease: grant,
+    }] = &actions[..]
+    else {
         panic!("not one seat was lent: {actions:?}");
     };
     assert_eq!((gateway.as_str(), grant.ticket), ("g", 1));
@@ -118,10 +122,10 @@
 #[test]
 fn a_runner_that_was_full_rests() {
     let mut keeper = keeper(&[runner("a", "north", 2)]);
-    keeper.bid(0, "f", "north", bid(1, 1));
+    keeper.request_lease(0, "f", "north", bid(1, 1));
     assert_eq!(tickets(&mut keeper), [1]);
     keeper.release(10, "f", &release(1, Outcome::TurnedAway, 1));
-    keeper.bid(10, "f", "north", bid(2, 1));
+    keeper.request_lease(10, "f", "north", bid(2, 1));
     assert_eq!(tickets(&mut keeper), [0; 0]);
     keeper.tick(15);
     assert_eq!(tickets(&mut keeper), [0; 0]);
@@ -132,10 +136,10 @@
 #[test]
 fn a_runner_that_is_gone_gets_nothing_more() {
     let mut keeper = keeper(&[runner("a", "north", 2)]);
-    keeper.bid(0, "f", "north", bid(1, 1));
+    keeper.request_lease(0, "f", "north", bid(1, 1));
     assert_eq!(tickets(&mut keeper), [1]);
     keeper.release(1, "f", &release(1, Outcome::Gone, 0));
-    keeper.bid(1, "f", "north", bid(2, 1));
+    keeper.request_lease(1, "f", "north", bid(2, 1));
     keeper.tick(500);
     assert_eq!(tickets(&mut keeper), [0; 0]);
     let reports = keeper.reports(600, true);
@@ -146,11 +150,11 @@
 fn assert_gone_after(outcomes: &[Outcome]) {
     let mut keeper = keeper(&[runner("a", "north", 1)]);
     for (ticket, outcome) in (1..).zip(outcomes) {
-        keeper.bid(0, "f", "north", bid(ticket, 1));
+        keeper.request_lease(0, "f", "north", bid(ticket, 1));
         assert_eq!(tickets(&mut keeper), [ticket], "before {outcome:?}");
         keeper.release(0, "f", &release(ticket, *outcome, 10));
     }
-    keeper.bid(0, "f", "north", bid(9, 1));
+    keeper.request_lease(0, "f", "north", bid(9, 1));
     assert_eq!(tickets(&mut keeper), [0; 0]);
     assert!(keeper.reports(1_000, true)[0].runners[0].is_gone);
 }
@@ -181,28 +185,28 @@
 
 #[test]
 fn older_news_is_dropped() {
-    let mut keeper = Keeper::default();
-    keeper.news(0, news(5, &[runner("new", "north", 1)]));
-    keeper.news(0, news(4, &[runner("old", "north", 9)]));
+    let mut keeper = LeaseOwner::default();
+    keeper.update_runners(0, news(5, &[runner("new", "north", 1)]));
+    keeper.update_runners(0, news(4, &[runner("old", "north", 9)]));
     assert_eq!(in_use(&keeper, "old"), None);
     assert_eq!(in_use(&keeper, "new"), Some(0));
     let mut next_term = news(1, &[runner("next", "north", 1)]);
     next_term.mark = (2, 1);
-    keeper.news(0, next_term);
+    keeper.update_runners(0, next_term);
     assert_eq!(in_use(&keeper, "next"), Some(0));
 }
 
 #[test]
 fn a_draining_runner_gets_nothing_and_is_told_of_until_it_is_empty() {
     let mut keeper = keeper(&[runner("a", "north", 2)]);
-    keeper.bid(0, "f", "north", bid(1, 1));
+    keeper.request_lease(0, "f", "north", bid(1, 1));
     assert_eq!(tickets(&mut keeper), [1]);
     let draining = RunnerNews {
         stage: RunnerStage::Draining,
         ..runner("a", "north", 2)
     };
-    keeper.news(1, news(2, &[draining]));
-    keeper.bid(1, "f", "north", bid(2, 1));
+    keeper.update_runners(1, news(2, &[draining]));
+    keeper.request_lease(1, "f", "north", bid(2, 1));
     keeper.tick(100);
     assert_eq!(tickets(&mut keeper), [0; 0]);
     assert_eq!(keeper.reports(400, true)[0].runners[0].in_use, 1);
@@ -215,33 +219,33 @@
 #[test]
 fn a_runner_that_is_no_longer_told_of_keeps_only_what_it_holds() {
     let mut keeper = keeper(&[runner("a", "north", 2)]);
-    keeper.bid(0, "f", "north", bid(1, 1));
-    keeper.news(1, news(2, &[]));
-    keeper.bid(1, "f", "north", bid(2, 1));
+    keeper.request_lease(0, "f", "north", bid(1, 1));
+    keeper.update_runners(1, news(2, &[]));
+    keeper.request_lease(1, "f", "north", bid(2, 1));
     assert_eq!(tickets(&mut keeper), [1]);
     assert_eq!(in_use(&keeper, "a"), Some(1));
     keeper.release(2, "f", &release(1, Outcome::Answered, 2));
-    keeper.news(3, news(3, &[]));
+    keeper.update_runners(3, news(3, &[]));
     assert_eq!(in_use(&keeper, "a"), None);
 }
 
 #[test]
 fn a_closed_district_gets_nothing_until_it_is_open_again() {
     let mut keeper = keeper(&[runner("a", "north", 1)]);
-    keeper.close_districts(BTreeSet::from(["north".to_string()]));
-    keeper.bid(0, "f", "north", bid(1, 1));
+    keeper.set_evacuated_zones(BTreeSet::from(["north".to_string()]));
+    keeper.request_lease(0, "f", "north", bid(1, 1));
     keeper.tick(50);
     assert_eq!(tickets(&mut keeper), [0; 0]);
-    keeper.close_districts(BTreeSet::new());
+    keeper.set_evacuated_zones(BTreeSet::new());
     keeper.tick(100);
     assert_eq!(tickets(&mut keeper), [1]);
 }
 
 #[test]
 fn a_line_that_is_full_refuses_with_a_time_to_come_back() {
-    let mut keeper = Keeper::default();
+    let mut keeper = LeaseOwner::default();
     for ticket in 0..2_000 {
-        keeper.bid(0, "f", "north", bid(ticket, 1));
+        keeper.request_lease(0, "f", "north", bid(ticket, 1));
     }
     let refused = refusals(&mut keeper);
     assert!(refused.len() >= 1_000, "{} were refused", refused.len());
@@ -252,8 +256,8 @@
 
 #[test]
 fn a_bid_whose_time_is_over_is_refused() {
-    let mut keeper = Keeper::default();
-    keeper.bid(
+    let mut keeper = LeaseOwner::default();
+    keeper.request_lease(
         0,
         "f",
         "north",
@@ -270,19 +274,19 @@
         matches!(refused[..], [(1, after)] if after > 0),
         "{refused:?}"
     );
-    keeper.news(101, news(1, &[runner("a", "north", 1)]));
+    keeper.update_runners(101, news(1, &[runner("a", "north", 1)]));
     assert_eq!(tickets(&mut keeper), [0; 0]);
 }
 
 #[test]
 fn a_hopeless_bid_is_refused_at_once() {
     let mut keeper = keeper(&[runner("a", "north", 1)]);
-    keeper.bid(0, "f", "north", bid(1, 1));
+    keeper.request_lease(0, "f", "north", bid(1, 1));
     keeper.release(0, "f", &release(1, Outcome::Answered, 1_000));
-    keeper.bid(0, "f", "north", bid(2, 1));
-    keeper.bid(0, "f", "north", bid(3, 1));
+    keeper.request_lease(0, "f", "north", bid(2, 1));
+    keeper.request_lease(0, "f", "north", bid(3, 1));
     assert_eq!(tickets(&mut keeper), [1, 2]);
-    keeper.bid(
+    keeper.request_lease(
         0,
         "f",
         "north",
@@ -301,11 +305,11 @@
 #[test]
 fn a_free_seat_is_lent_however_slow_the_last_answer_was() {
     let mut keeper = keeper(&[runner("a", "north", 1)]);
-    keeper.bid(0, "f", "north", bid(1, 1));
+    keeper.request_lease(0, "f", "north", bid(1, 1));
     // A runner is slow after its start, and if nothing is sent to it, nobody learns that it is fast by now.
     keeper.release(3_000, "f", &release(1, Outcome::Answered, 3_000));
     assert_eq!(tickets(&mut keeper), [1]);
-    keeper.bid(
+    keeper.request_lease(
         3_001,
         "f",
         "north",
@@ -325,20 +329,24 @@
         ..runner("a", "north", 2)
     };
     let mut keeper = keeper(&[starting]);
-    keeper.bid(0, "f", "north", bid(1, 1));
-    keeper.bid(0, "f", "north", bid(2, 1));
-    assert_eq!(keeper.actions(), []);
+    keeper.request_lease(0, "f", "north", bid(1, 1));
+    keeper.request_lease(0, "f", "north", bid(2, 1));
+    assert_eq!(keeper.take_actions(), []);
     let mut looks = 0;
     for now in 0..1_200 {
         keeper.tick(now);
-        let actions = keeper.actions();
+        let actions = keeper.take_actions();
         if actions.is_empty() {
             continue;
         }
-        let look = Action::Probe(FUNCTION.into(), "a".into(), "a:1".into());
+        let look = LeaseAction::Probe {
+            function: FUNCTION.into(),
+            runner: "a".into(),
+            address: "a:1".into(),
+        };
         assert_eq!(actions, [look], "at {now}");
         looks += 1;
-        keeper.probed(now, FUNCTION, "a", now >= 1_000);
+        keeper.record_probe(now, FUNCTION, "a", now >= 1_000);
         if now >= 1_000 {
             break;
         }
@@ -352,13 +360,13 @@
 
 #[test]
 fn a_new_keeper_counts_what_gateways_have_at_runners() {
-    let mut keeper = Keeper::default();
+    let mut keeper = LeaseOwner::default();
     let held = vec![("a".into(), "a:1".into(), "north".into(), vec![7, 8])];
-    keeper.known(0, "f", FUNCTION, &held);
+    keeper.adopt_leases(0, "f", FUNCTION, &held);
     assert_eq!(in_use(&keeper, "a"), Some(2));
-    keeper.news(1, news(1, &[runner("a", "north", 3)]));
-    keeper.bid(1, "g", "north", bid(1, 1));
-    keeper.bid(1, "g", "north", bid(2, 1));
+    keeper.update_runners(1, news(1, &[runner("a", "north", 3)]));
+    keeper.request_lease(1, "g", "north", bid(1, 1));
+    keeper.request_lease(1, "g", "north", bid(2, 1));
     assert_eq!(tickets(&mut keeper), [1]);
     keeper.release(2, "f", &release(7, Outcome::Answered, 5));
     assert_eq!(tickets(&mut keeper), [2]);
--- a/crates/seat_leases/tests/oracle.rs
+++ b/crates/seat_leases/tests/oracle.rs
@@ -5,7 +5,7 @@
 use common::{bid, news, release, runner, FUNCTION};
 use fuzzing::seeded;
 use protocol::{Bid, Outcome, RunnerNews, RunnerStage};
-use seat_leases::{Action, Keeper};
+use seat_leases::{LeaseAction, LeaseOwner, RunnerUsage};
 use std::collections::{BTreeMap, BTreeSet};
 
 type Holder = (String, u64);
@@ -17,7 +17,7 @@
 /// What must hold, by what was said to the keeper.
 #[derive(Default)]
 struct Oracle {
-    keeper: Keeper,
+    keeper: LeaseOwner,
     now: u64,
     number: u64,
     told: Vec<RunnerNews>,
@@ -39,7 +39,7 @@
         self.waiting
             .insert((rank, self.number), (holder, avoid.to_vec()));
         self.keeper
-            .bid(self.now, gateway, DISTRICTS[usize::from(rank) % 2], bid);
+            .request_lease(self.now, gateway, DISTRICTS[usize::from(rank) % 2], bid);
     }
 
     fn tell(&mut self, stages: [u8; RUNNERS as usize]) {
@@ -67,7 +67,8 @@
             .cloned()
             .collect();
         self.gone = gone;
-        self.keeper.news(self.now, news(self.number, &self.told));
+        self.keeper
+            .update_runners(self.now, news(self.number, &self.told));
     }
 
     fn end(&mut self, place: usize, outcome: Outcome) {
@@ -95,13 +96,13 @@
         };
         self.waiting.retain(|_, one| one.0 != *holder);
         self.held.remove(holder);
-        self.keeper.withdraw(self.now, &holder.0, holder.1);
+        self.keeper.cancel(self.now, &holder.0, holder.1);
     }
 
     fn forget(&mut self, gateway: &str) {
         self.waiting.retain(|_, one| one.0 .0 != gateway);
         self.held.retain(|holder, _| holder.0 != gateway);
-        self.keeper.forget_gateway(self.now, gateway);
+        self.keeper.remove_gateway(self.now, gateway);
     }
 
     fn act(&mut self, (kind, one, other): (u8, u8, u8)) {
@@ -129,7 +130,7 @@
                 let closed = DISTRICTS.iter().zip([one, other]);
                 let closed = closed.filter(|(_, draw)| draw % 3 == 0);
                 self.closed = closed.map(|(name, _)| name.to_string()).collect();
-                self.keeper.close_districts(self.closed.clone());
+                self.keeper.set_evacuated_zones(self.closed.clone());
             }
             _ => {
                 self.now += u64::from(one);
@@ -139,23 +140,28 @@
     }
 
     fn check(&mut self) {
-        let known = self.keeper.runners(FUNCTION).len();
-        for action in self.keeper.actions() {
+        let known = self.keeper.runner_usage(FUNCTION).len();
+        for action in self.keeper.take_actions() {
             match action {
-                Action::Grant(gateway, grant) => {
-                    self.granted((gateway, grant.ticket), &grant.runner, known)
-                }
-                Action::Refuse(gateway, ticket, after) => {
+                LeaseAction::Grant {
+                    gateway,
+                    lease: grant,
+                } => self.granted((gateway, grant.ticket), &grant.runner, known),
+                LeaseAction::Reject {
+                    gateway,
+                    request: ticket,
+                    retry_after_ms: after,
+                } => {
                     assert!(after > 0, "no time to come back");
                     let holder = (gateway, ticket);
                     let key = self.waiting.iter().find(|(_, one)| one.0 == holder);
                     let key = *key.expect("refused though it did not wait").0;
                     self.waiting.remove(&key);
                 }
-                Action::Probe(..) => panic!("all runners were told of as up"),
+                LeaseAction::Probe { .. } => panic!("all runners were told of as up"),
             }
         }
-        for (id, _, in_use, _) in self.keeper.runners(FUNCTION) {
+        for RunnerUsage { id, in_use, .. } in self.keeper.runner_usage(FUNCTION) {
             let held = self.held.values().filter(|runner| **runner == id).count();
             assert_eq!(in_use as usize, held, "{id}");
         }
@@ -215,13 +221,13 @@
         }
         // All districts are open, and a runner with many seats has come that nobody was at before.
         oracle.closed.clear();
-        oracle.keeper.close_districts(BTreeSet::new());
+        oracle.keeper.set_evacuated_zones(BTreeSet::new());
         oracle.now += 30;
         let fresh = runner("fresh", DISTRICTS[0], 1_000);
         oracle.told.push(fresh);
         oracle.number += 1;
         let told = oracle.told.clone();
-        oracle.keeper.news(oracle.now, news(oracle.number, &told));
+        oracle.keeper.update_runners(oracle.now, news(oracle.number, &told));
         oracle.keeper.tick(oracle.now);
         oracle.check();
         oracle.waiting.is_empty()
--- a/crates/seat_leases/tests/refusing_runners.rs
+++ b/crates/seat_leases/tests/refusing_runners.rs
@@ -7,7 +7,7 @@
 use protocol::{Outcome, RunnerNews};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use seat_leases::Keeper;
+use seat_leases::LeaseOwner;
 use std::collections::BTreeMap;
 
 const CONCURRENCY: u32 = 4;
@@ -27,7 +27,7 @@
 
 struct Town {
     now: u64,
-    keepers: Vec<Keeper>,
+    keepers: Vec<LeaseOwner>,
     in_flight: Vec<InFlight>,
     refused_at: Vec<u64>,
     answered: u64,
@@ -58,7 +58,7 @@
             if self.random.random_bool(arrivals) {
                 self.ticket += 1;
                 let bid = bid(self.ticket, 1);
-                self.keepers[place].bid(self.now, "f", "north", bid);
+                self.keepers[place].request_lease(self.now, "f", "north", bid);
             }
             self.keepers[place].tick(self.now);
             for (ticket, runner) in grants(&mut self.keepers[place]) {
@@ -154,9 +154,9 @@
 }
 
 /// Grants of a keeper that is asked for more than its runner can carry.
-fn lent_at(keeper: &mut Keeper, now: u64, first: u64) -> usize {
+fn lent_at(keeper: &mut LeaseOwner, now: u64, first: u64) -> usize {
     for ticket in first..first + u64::from(CONCURRENCY) {
-        keeper.bid(now, "f", "north", bid(ticket, 1));
+        keeper.request_lease(now, "f", "north", bid(ticket, 1));
     }
     let lent = grants(keeper);
     for (ticket, _) in &lent {
@@ -169,16 +169,16 @@
 fn after_a_refusal_the_window_stays_small_and_grows_by_one_a_second() {
     let mut keeper = keeper(&[runner("a", "north", CONCURRENCY)]);
     for ticket in 1..=3 {
-        keeper.bid(0, "f", "north", bid(ticket, 1));
+        keeper.request_lease(0, "f", "north", bid(ticket, 1));
     }
     assert_eq!(grants(&mut keeper).len(), 3);
     keeper.release(10, "f", &release(3, Outcome::TurnedAway, 1));
     for ticket in 1..=2 {
         keeper.release(20, "f", &release(ticket, Outcome::Answered, 20));
     }
-    keeper.bid(30, "f", "north", bid(10, 1));
-    keeper.bid(30, "f", "north", bid(11, 1));
-    keeper.bid(30, "f", "north", bid(12, 1));
+    keeper.request_lease(30, "f", "north", bid(10, 1));
+    keeper.request_lease(30, "f", "north", bid(11, 1));
+    keeper.request_lease(30, "f", "north", bid(12, 1));
     keeper.tick(100);
     assert_eq!(
         grants(&mut keeper).len(),
@@ -186,12 +186,12 @@
         "as many as it carried beside the refused one"
     );
     for ticket in 10..=12 {
-        keeper.withdraw(200, "f", ticket);
+        keeper.cancel(200, "f", ticket);
     }
     grants(&mut keeper);
     assert_eq!(lent_at(&mut keeper, 1_020, 20), 3);
     for ticket in 20..30 {
-        keeper.withdraw(1_030, "f", ticket);
+        keeper.cancel(1_030, "f", ticket);
     }
     grants(&mut keeper);
     assert_eq!(lent_at(&mut keeper, 2_020, 40), 4);
--- a/crates/seat_leases/tests/credit.rs
+++ b/crates/seat_leases/tests/retry_budget.rs
@@ -2,7 +2,7 @@
 
 use fuzzing::seeded;
 use protocol::Member;
-use seat_leases::{elect, Credit};
+use seat_leases::{select_owner, RetryBudget};
 
 fn members(names: &[u8]) -> Vec<Member> {
     let mut names = names.to_vec();
@@ -17,7 +17,7 @@
 
 fn elected(function: u32, members: &[Member]) -> Option<String> {
     let name = format!("f{function}");
-    elect(&name, members, |_| true).map(|member| member.name.clone())
+    select_owner(&name, members, |_| true).map(|member| member.name.clone())
 }
 
 #[test]
@@ -42,24 +42,24 @@
     let members = members(&[1, 2, 3]);
     for function in 0..100 {
         let name = format!("f{function}");
-        let found = elect(&name, &members, |member| member.name != "edge-2");
+        let found = select_owner(&name, &members, |member| member.name != "edge-2");
         assert!(found.is_some_and(|member| member.name != "edge-2"));
     }
-    assert_eq!(elect("f", &members, |_| false), None);
+    assert_eq!(select_owner("f", &members, |_| false), None);
 }
 
 seeded! {
     fn further_tries_stay_below_the_cap_and_the_share(events: Vec<bool>, cap: u8, share: u8) -> bool {
         let (cap, share) = (1.0 + f64::from(cap % 8), f64::from(share % 100) / 100.0);
-        let mut credit = Credit::new(share, cap);
+        let mut credit = RetryBudget::new(share, cap);
         let taken: Vec<(bool, bool)> = events
             .iter()
             .map(|is_first| {
                 if *is_first {
-                    credit.earn();
+                    credit.deposit();
                     return (true, false);
                 }
-                (false, credit.spend())
+                (false, credit.try_withdraw())
             })
             .collect();
         (0..taken.len()).all(|start| {
@@ -73,11 +73,11 @@
     }
 
     fn a_lower_cap_holds_at_once(earned: u8, cap: u8) -> bool {
-        let mut credit = Credit::new(0.5, 40.0);
-        (0..earned).for_each(|_| credit.earn());
+        let mut credit = RetryBudget::new(0.5, 40.0);
+        (0..earned).for_each(|_| credit.deposit());
         let cap = f64::from(cap % 10);
-        credit.set_cap(cap);
-        let spent = (0..100).filter(|_| credit.spend()).count();
+        credit.set_capacity(cap);
+        let spent = (0..100).filter(|_| credit.try_withdraw()).count();
         spent as f64 <= cap
     }
 
--- a/tests/hollow/src/carrier.rs
+++ b/tests/hollow/src/carrier.rs
@@ -113,7 +113,7 @@
 fn elections() {
     let columns = ["real_gateways", "ns an election"];
     let table = Markdown::head(
-        "Electing a function's keeper (`seat_leases::elect`)",
+        "Electing a function's keeper (`seat_leases::select_owner`)",
         &columns,
     );
     let mut points = Vec::new();
@@ -123,7 +123,7 @@
         let mut at = 0;
         let ns = median_ns(2_000, || {
             at = (at + 1) % names.len();
-            black_box(seat_leases::elect(&names[at], &members, |_| true));
+            black_box(seat_leases::select_owner(&names[at], &members, |_| true));
         });
         points.push((count as f64, ns));
         table.row(&[count as f64, ns]);
--- a/tests/hollow/src/fleet.rs
+++ b/tests/hollow/src/fleet.rs
@@ -8,7 +8,7 @@
 use protocol::{frame, Bid, Frames, Member, Message, Outcome, Release};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use seat_leases::{Action, Keeper};
+use seat_leases::{LeaseAction, LeaseOwner};
 use std::collections::{BTreeMap, HashMap};
 
 const STEP_MS: u64 = 50;
@@ -22,7 +22,7 @@
 
 #[derive(Default)]
 pub(crate) struct Gateway {
-    pub keeper: Keeper,
+    pub keeper: LeaseOwner,
     pub cpu: u64,
     pub in_bytes: u64,
     pub report_bytes: u64,
@@ -113,7 +113,7 @@
     fn elect(&mut self, function: usize) -> usize {
         let name = town::function_name(function);
         let member = timed(&mut self.sums.electing, || {
-            seat_leases::elect(&name, &self.members, |_| true)
+            seat_leases::select_owner(&name, &self.members, |_| true)
         });
         member.map_or(0, |member| self.places[&member.name])
     }
@@ -172,7 +172,7 @@
                     let member = &members[from];
                     match Frames::new(&bytes).read() {
                         Ok(Some(Message::Bid(bid))) => {
-                            keeper.bid(now, &member.name, &member.district, bid);
+                            keeper.request_lease(now, &member.name, &member.district, bid);
                         }
                         Ok(Some(Message::Release(release))) => {
                             keeper.release(now, &member.name, &release);
@@ -181,16 +181,19 @@
                     }
                 }
                 keeper.tick(now);
-                keeper.actions()
+                keeper.take_actions()
             });
             self.run_actions(place, actions);
         }
     }
 
-    fn run_actions(&mut self, keeper: usize, actions: Vec<Action>) {
+    fn run_actions(&mut self, keeper: usize, actions: Vec<LeaseAction>) {
         for action in actions {
             match action {
-                Action::Grant(gateway, grant) => {
+                LeaseAction::Grant {
+                    gateway,
+                    lease: grant,
+                } => {
                     let ends_at = self.now + self.pace_ms.max(1);
                     let held = (self.places[&gateway], keeper, grant.ticket);
                     self.held.entry(ends_at).or_default().push(held);
@@ -198,7 +201,11 @@
                     timed(&mut self.gateways[keeper].cpu, || frame(&message).len());
                     self.sums.count("Grant", &message);
                 }
-                Action::Refuse(_, ticket, retry_after_ms) => {
+                LeaseAction::Reject {
+                    request: ticket,
+                    retry_after_ms,
+                    ..
+                } => {
                     self.sums.refused += 1;
                     let message = Message::Refuse {
                         ticket,
@@ -206,11 +213,13 @@
                     };
                     self.sums.count("Refuse", &message);
                 }
-                Action::Probe(function, runner, _) => {
+                LeaseAction::Probe {
+                    function, runner, ..
+                } => {
                     let now = self.now;
                     let gateway = &mut self.gateways[keeper];
                     timed(&mut gateway.cpu, || {
-                        gateway.keeper.probed(now, &function, &runner, true)
+                        gateway.keeper.record_probe(now, &function, &runner, true)
                     });
                 }
             }
@@ -277,7 +286,7 @@
         let gateway = &mut self.gateways[place];
         timed(&mut gateway.cpu, || {
             news.into_iter()
-                .for_each(|one| gateway.keeper.news(now, one));
+                .for_each(|one| gateway.keeper.update_runners(now, one));
         });
     }
 
@@ -289,7 +298,7 @@
             let orders = launcher.orders();
             let news = launcher.news().into_iter();
             let news = news.map(|one| {
-                let keeper = seat_leases::elect(&one.function, members, |_| true);
+                let keeper = seat_leases::select_owner(&one.function, members, |_| true);
                 (
                     keeper.map_or(String::new(), |keeper| keeper.name.clone()),
                     one,
--- a/tests/hollow/src/keeper.rs
+++ b/tests/hollow/src/keeper.rs
@@ -3,7 +3,7 @@
 use crate::meter::{live, median_ns, tell_fit, timed, Markdown};
 use crate::town;
 use protocol::{frame, Bid, Message, Outcome, Release};
-use seat_leases::{Action, Keeper};
+use seat_leases::{LeaseAction, LeaseOwner};
 use std::hint::black_box;
 
 pub fn run() {
@@ -32,21 +32,21 @@
 }
 
 /// Bids and releases with three quarters of the seats lent; nanoseconds of a call.
-fn call_ns(keeper: &mut Keeper, runners: usize, calls: u64) -> f64 {
+fn call_ns(keeper: &mut LeaseOwner, runners: usize, calls: u64) -> f64 {
     let lent = (runners as u64 * 3 / 4).max(1);
     for ticket in 0..lent {
-        keeper.bid(0, "edge-0001", "north-a", bid(ticket, 0));
+        keeper.request_lease(0, "edge-0001", "north-a", bid(ticket, 0));
     }
     let mut sum = 0;
     let mut granted = 0;
     timed(&mut sum, || {
         for call in 0..calls {
             keeper.release(call, "edge-0001", &release(call));
-            keeper.bid(call, "edge-0001", "north-a", bid(call + lent, 0));
-            let actions = keeper.actions();
+            keeper.request_lease(call, "edge-0001", "north-a", bid(call + lent, 0));
+            let actions = keeper.take_actions();
             granted += actions
                 .iter()
-                .filter(|one| matches!(one, Action::Grant(..)))
+                .filter(|one| matches!(one, LeaseAction::Grant { .. }))
                 .count();
         }
     });
@@ -68,14 +68,14 @@
     let (mut calls, mut reports, mut memory) = (Vec::new(), Vec::new(), Vec::new());
     for runners in [1, 10, 100, 1_000, 8_000] {
         let before = live();
-        let mut keeper = Keeper::default();
-        keeper.news(0, town::news(0, runners, 1));
+        let mut keeper = LeaseOwner::default();
+        keeper.update_runners(0, town::news(0, runners, 1));
         let held = (live() - before) as f64;
         let news = town::news(0, runners, 2);
         let mut ns: Vec<f64> = (0..3)
             .map(|_| {
-                let mut keeper = Keeper::default();
-                keeper.news(0, town::news(0, runners, 1));
+                let mut keeper = LeaseOwner::default();
+                keeper.update_runners(0, town::news(0, runners, 1));
                 call_ns(&mut keeper, runners, 2_000_000 / (runners as u64 + 500))
             })
             .collect();
@@ -88,7 +88,7 @@
             black_box(frame(&Message::Report(report)));
         });
         let news_bytes = frame(&Message::Runners(vec![news.clone()])).len() as f64;
-        let news_ns = median_ns(times, || keeper.news(0, news.clone()));
+        let news_ns = median_ns(times, || keeper.update_runners(0, news.clone()));
         let size = runners as f64;
         calls.push((size, ns[1] / 1e3));
         reports.push((size, bytes));
@@ -119,22 +119,22 @@
     let (mut idle, mut waiting) = (Vec::new(), Vec::new());
     for functions in [36, 200, 2_000, 21_000] {
         let before = live();
-        let mut keeper = Keeper::default();
+        let mut keeper = LeaseOwner::default();
         for function in 0..functions {
             let mut news = town::news(function, 1, 1);
             news.runners[0].id = town::instance_id(function);
-            keeper.news(0, news);
+            keeper.update_runners(0, news);
         }
         let held = (live() - before) as f64 / functions as f64;
         let idle_ns = median_ns(200, || keeper.tick(1));
         for function in (0..functions).step_by(10) {
-            keeper.bid(
+            keeper.request_lease(
                 1,
                 "edge-0001",
                 "north-a",
                 bid(2 * function as u64, function),
             );
-            keeper.bid(
+            keeper.request_lease(
                 1,
                 "edge-0001",
                 "north-a",
@@ -159,16 +159,16 @@
     for tickets in [100, 1_000, 8_000] {
         let mut sums: Vec<u64> = (0..5)
             .map(|_| {
-                let mut keeper = Keeper::default();
+                let mut keeper = LeaseOwner::default();
                 for function in 0..tickets / 10 {
-                    keeper.news(0, town::news(function, 10, 1));
+                    keeper.update_runners(0, town::news(function, 10, 1));
                 }
                 for ticket in 0..tickets {
                     let gateway = town::gateway_name(ticket % 100);
-                    keeper.bid(1, &gateway, "north-a", bid(ticket as u64, ticket / 10));
+                    keeper.request_lease(1, &gateway, "north-a", bid(ticket as u64, ticket / 10));
                 }
                 let mut sum = 0;
-                timed(&mut sum, || keeper.forget_gateway(2, "edge-0001"));
+                timed(&mut sum, || keeper.remove_gateway(2, "edge-0001"));
                 sum
             })
             .collect();
--- a/tests/hollow/src/wire_gateways.rs
+++ b/tests/hollow/src/wire_gateways.rs
@@ -76,7 +76,7 @@
             let mut keepers: HashMap<String, Vec<usize>> = HashMap::new();
             for function in 0..self.instances / EACH {
                 let name = town::function_name(function);
-                if let Some(keeper) = seat_leases::elect(&name, members, |_| true) {
+                if let Some(keeper) = seat_leases::select_owner(&name, members, |_| true) {
                     keepers
                         .entry(keeper.name.clone())
                         .or_default()
