--- /dev/null
+++ b/tests/compatibility/src/families.rs
@@ -0,0 +1,117 @@
+//! Everything that is captured, as today's code encodes it.
+
+use crate::controller_folder::ControllerScenario;
+use crate::core_folder::CoreScenario;
+use crate::fixture::HexFixture;
+use crate::folder::FolderContent;
+use crate::sample::Sample;
+use crate::samples::{consensus, daemons, operator_commands, protocol, register, stored};
+use journal::MemoryFolder;
+use speedy::{LittleEndian, Writable};
+
+/// The values of one kind with their encoded form.
+pub struct Family {
+    /// Name of the fixture file without its ending.
+    pub name: &'static str,
+    /// The encoded values.
+    pub values: HexFixture,
+}
+
+/// A data folder after one stage of its scenario.
+pub struct FolderStage {
+    /// Name of the scenario.
+    pub scenario: &'static str,
+    /// Name of the stage.
+    pub stage: &'static str,
+    /// The folder's files.
+    pub content: FolderContent,
+    /// What the voter held then, encoded.
+    pub state: Vec<u8>,
+}
+
+/// All families of values.
+pub fn families() -> Vec<Family> {
+    vec![
+        family("protocol", &protocol::messages(), Sample::framed),
+        family("consensus", &consensus::messages(), Sample::framed),
+        family("envelopes", &daemons::envelopes(), |sample| {
+            transport::encode(&sample.value).expect("the envelope is within the bound")
+        }),
+        stored_family("voter_records", &register::records()),
+        stored_family("configurations", &operator_commands::configurations()),
+        stored_family("evacuations", &operator_commands::evacuations()),
+        stored_family("jobs", &stored::jobs()),
+        stored_family("role_leases", &stored::role_leases()),
+        stored_family("tenures", &stored::tenures()),
+        stored_family("once_claims", &stored::once_claims()),
+        stored_family("plans", &stored::plans()),
+        folder_states(),
+    ]
+}
+
+fn family<T>(
+    name: &'static str,
+    samples: &[Sample<T>],
+    encode: impl Fn(&Sample<T>) -> Vec<u8>,
+) -> Family {
+    let mut values = HexFixture::default();
+    for sample in samples {
+        values.insert(sample.name, encode(sample));
+    }
+    Family { name, values }
+}
+
+fn stored_family<T: Writable<LittleEndian>>(name: &'static str, samples: &[Sample<T>]) -> Family {
+    family(name, samples, Sample::encoded)
+}
+
+fn folder_states() -> Family {
+    let mut values = HexFixture::default();
+    for stage in folders() {
+        let name = format!("{}/{}", stage.scenario, stage.stage);
+        values.insert(&name, stage.state);
+    }
+    Family {
+        name: "folder_states",
+        values,
+    }
+}
+
+/// All stages of all scenarios. The folder is opened anew between stages, as after a start of the daemon.
+pub fn folders() -> Vec<FolderStage> {
+    let mut stages = controller_stages();
+    stages.extend(core_stages());
+    stages
+}
+
+fn controller_stages() -> Vec<FolderStage> {
+    let mut scenario = ControllerScenario::start();
+    let write = |stage| {
+        scenario.write(stage);
+        let reopened = ControllerScenario::open(scenario.folder().clone());
+        let scenario = std::mem::replace(&mut scenario, reopened);
+        FolderStage {
+            scenario: "controller",
+            stage,
+            content: FolderContent::of(scenario.folder()),
+            state: scenario.state(),
+        }
+    };
+    ControllerScenario::STAGES.into_iter().map(write).collect()
+}
+
+fn core_stages() -> Vec<FolderStage> {
+    let mut scenario = CoreScenario::open(MemoryFolder::default());
+    let write = |stage| {
+        scenario.write(stage);
+        let reopened = CoreScenario::open(scenario.folder().clone());
+        let scenario = std::mem::replace(&mut scenario, reopened);
+        FolderStage {
+            scenario: "core",
+            stage,
+            content: FolderContent::of(scenario.folder()),
+            state: scenario.state(),
+        }
+    };
+    CoreScenario::STAGES.into_iter().map(write).collect()
+}
--- /dev/null
+++ b/tests/compatibility/src/folder.rs
@@ -0,0 +1,92 @@
+//! Whole data folders: their files by name, on the disk as fixtures and in memory under test.
+
+use crate::fixture::fixtures_path;
+use journal::{Folder, MemoryFolder};
+use std::collections::BTreeMap;
+use std::fs;
+use std::io;
+use std::path::{Path, PathBuf};
+
+/// All files of a data folder.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct FolderContent {
+    files: BTreeMap<String, Vec<u8>>,
+}
+
+impl FolderContent {
+    /// Reads a captured folder.
+    ///
+    /// # Panics
+    /// Where it is missing: a fixture is part of the sources.
+    pub fn load(scenario: &str, stage: &str) -> Self {
+        let path = Self::path(scenario, stage);
+        let content = Self::read_directory(&path);
+        content.unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+    }
+
+    /// Where a captured folder lies.
+    pub fn path(scenario: &str, stage: &str) -> PathBuf {
+        fixtures_path().join("folders").join(scenario).join(stage)
+    }
+
+    fn read_directory(path: &Path) -> io::Result<Self> {
+        let mut files = BTreeMap::new();
+        for entry in fs::read_dir(path)? {
+            let entry = entry?;
+            let name = entry.file_name().to_string_lossy().into_owned();
+            files.insert(name, fs::read(entry.path())?);
+        }
+        Ok(Self { files })
+    }
+
+    /// What a folder in memory holds.
+    pub fn of(folder: &MemoryFolder) -> Self {
+        let names = folder.list().expect("a folder in memory can be listed");
+        let files = names.into_iter().map(|name| {
+            let bytes = folder.read(&name).expect("a listed file can be read");
+            (name, bytes)
+        });
+        Self {
+            files: files.collect(),
+        }
+    }
+
+    /// A folder in memory with these files, all synced.
+    pub fn to_memory(&self) -> MemoryFolder {
+        let mut folder = MemoryFolder::default();
+        for (name, bytes) in &self.files {
+            folder.append(name, bytes).expect("memory takes all bytes");
+            folder.sync(name).expect("memory can be synced");
+        }
+        folder.sync_names().expect("memory can be synced");
+        folder
+    }
+
+    /// The files by name.
+    pub fn files(&self) -> &BTreeMap<String, Vec<u8>> {
+        &self.files
+    }
+
+    /// Names of the files that differ from those of another folder, or are in one of the two alone.
+    pub fn differing_files(&self, other: &Self) -> Vec<String> {
+        let names = self.files.keys().chain(other.files.keys());
+        let mut differing: Vec<String> = names
+            .filter(|name| self.files.get(*name) != other.files.get(*name))
+            .cloned()
+            .collect();
+        differing.sort();
+        differing.dedup();
+        differing
+    }
+
+    /// The same folder with the end of one file cut off, as a loss of power leaves it.
+    ///
+    /// # Panics
+    /// Where there is no such file, or it is shorter.
+    pub fn with_torn_end(&self, name: &str, missing: usize) -> Self {
+        let mut torn = self.clone();
+        let bytes = torn.files.get_mut(name).expect("the file is there");
+        bytes.truncate(bytes.len() - missing);
+        torn
+    }
+}
--- /dev/null
+++ b/tests/compatibility/src/samples/consensus.rs
@@ -0,0 +1,155 @@
+//! Messages between controllers.
+
+use crate::sample::{sample, Sample};
+use crate::samples::register::{
+    answers, ballot, questions, register_state, versioned_value, voter_set,
+};
+use consensus::{Ack, ConsensusMessage, CopyPage, HeardHeartbeat, Heartbeat, SetNews};
+use register::{VoterMessage, VoterReply, VoterSet};
+
+/// Every message between controllers.
+pub fn messages() -> Vec<Sample<ConsensusMessage>> {
+    let mut all = liveness();
+    all.extend(rounds());
+    all.extend(membership());
+    all.extend(catching_up());
+    all
+}
+
+fn liveness() -> Vec<Sample<ConsensusMessage>> {
+    let link = ConsensusMessage::Link {
+        address: "10.0.0.1:7000".into(),
+    };
+    let ack = ConsensusMessage::Ack(Ack {
+        disk: 0x0102_0304_0506_0708,
+        mark: (2, 5),
+        term: (2 << 40) | 12,
+        number: 400,
+    });
+    let blank = ConsensusMessage::Heartbeat(Heartbeat::default());
+    vec![
+        sample("link", link),
+        sample("heartbeat", ConsensusMessage::Heartbeat(heartbeat())),
+        sample("heartbeat_blank", blank),
+        sample("ack", ack),
+    ]
+}
+
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
+        disk: 0x0102_0304_0506_0708,
+        life: 0x2122_2324_2526_2728,
+        number: 401,
+        mark: (2, 5),
+        known: (2, 6),
+        settled: vec![(9, 0xfeed), (3, 7), (12, 1), (0, 0)],
+        claim: (2 << 40) | 12,
+        is_free: true,
+        hears: 0b101,
+        spares: 2,
+        is_first_start: false,
+        is_in_contact: true,
+        heard: HeardHeartbeat {
+            life: 0x3132_3334_3536_3738,
+            number: 399,
+        },
+    }
+}
+
+fn rounds() -> Vec<Sample<ConsensusMessage>> {
+    let [peek, promise, accept] = questions().try_into().expect("there are three questions");
+    let [holds, accepted, refused, other_set, aged_out, closed] =
+        answers().try_into().expect("there are six answers");
+    vec![
+        sample("ask_peek", ask(peek.value)),
+        sample("ask_promise", ask(promise.value)),
+        sample("ask_accept", ask(accept.value)),
+        sample("answer_holds", answer(true, holds.value)),
+        sample("answer_accepted", answer(false, accepted.value)),
+        sample("answer_refused", answer(false, refused.value)),
+        sample("answer_other_set", answer(false, other_set.value)),
+        sample("answer_aged_out", answer(false, aged_out.value)),
+        sample("answer_closed", answer(false, closed.value)),
+    ]
+}
+
+fn ask(message: VoterMessage) -> ConsensusMessage {
+    ConsensusMessage::Ask {
+        number: 77,
+        known: (9, 0xfeed_beef_0000_0001),
+        message,
+    }
+}
+
+fn answer(is_known: bool, reply: VoterReply) -> ConsensusMessage {
+    ConsensusMessage::Answer {
+        disk: 0x1112_1314_1516_1718,
+        number: 77,
+        is_known,
+        reply,
+    }
+}
+
+fn membership() -> Vec<Sample<ConsensusMessage>> {
+    let previous = VoterSet {
+        no: 4,
+        ..voter_set()
+    };
+    let after_change = SetNews {
+        set: voter_set(),
+        previous: Some(previous),
+    };
+    let first = SetNews {
+        set: voter_set(),
+        previous: None,
+    };
+    let installed = ConsensusMessage::Installed {
+        disk: u64::MAX,
+        mark: (2, 5),
+    };
+    let confirm = ConsensusMessage::WantInstalled { mark: (2, 5) };
+    vec![
+        sample("request_voter_set", ConsensusMessage::WantSet),
+        sample("voter_set", ConsensusMessage::Set(after_change)),
+        sample("voter_set_first", ConsensusMessage::Set(first)),
+        sample("form", ConsensusMessage::Form(voter_set())),
+        sample("confirm_installed", confirm),
+        sample("installed", installed),
+    ]
+}
+
+fn catching_up() -> Vec<Sample<ConsensusMessage>> {
+    let request_replica = ConsensusMessage::Pull {
+        mark: (2, 5),
+        after: "closures".into(),
+    };
+    let request_value = ConsensusMessage::WantValue {
+        key: "description".into(),
+        version: 9,
+    };
+    let value = ConsensusMessage::Value {
+        key: "description".into(),
+        ballot: ballot(),
+        stored: versioned_value(),
+    };
+    vec![
+        sample("request_replica", request_replica),
+        sample("replica", ConsensusMessage::Copy(replica_page())),
+        sample("request_value", request_value),
+        sample("value", value),
+    ]
+}
+
+fn replica_page() -> CopyPage {
+    CopyPage {
+        disk: 0x1112_1314_1516_1718,
+        mark: (2, 5),
+        floors: (1_700_000_000_000, 1_700_000_000_001),
+        after: "closures".into(),
+        keys: vec![
+            ("description".into(), register_state()),
+            ("job/00ff".into(), register_state()),
+        ],
+        is_last: true,
+    }
+}
--- /dev/null
+++ b/tests/compatibility/src/samples/mod.rs
@@ -0,0 +1,8 @@
+//! Sample values of every message and of every stored value.
+
+pub mod consensus;
+pub mod daemons;
+pub mod operator_commands;
+pub mod protocol;
+pub mod register;
+pub mod stored;
--- /dev/null
+++ b/tests/compatibility/src/samples/protocol.rs
@@ -0,0 +1,323 @@
+//! Messages between gateways and controllers.
+
+use crate::sample::{sample, Sample};
+use protocol::{
+    Bid, FunctionNews, FunctionReport, Grant, JobEnd, JobMark, JobResult, JobVerdict, Member,
+    Message, Outcome, RegisterSaid, Release, RunnerNews, RunnerReport, RunnerStage, StartBlock,
+};
+
+/// Every message between gateways, controllers and operators' tools.
+pub fn messages() -> Vec<Sample<Message>> {
+    let mut all = liveness();
+    all.extend(configuration());
+    all.extend(scaling());
+    all.extend(seats());
+    all.extend(releases());
+    all.extend(job_attempts());
+    all.extend(job_ends());
+    all.extend(job_verdicts());
+    all.extend(job_registers());
+    all
+}
+
+fn gateway() -> Member {
+    Member {
+        name: "gw-1".into(),
+        incarnation: 0x0102_0304_0506_0708,
+        address: "10.0.1.1:7100".into(),
+        district: "north".into(),
+    }
+}
+
+fn other_gateway() -> Member {
+    Member {
+        name: "gw-2".into(),
+        incarnation: u64::MAX,
+        address: "[fd00::2]:7100".into(),
+        district: "".into(),
+    }
+}
+
+fn liveness() -> Vec<Sample<Message>> {
+    let gateway_heartbeat = Message::GatewayHeartbeat {
+        description: 12,
+        closures: 3,
+        roster: ((2 << 40) | 12, 7),
+    };
+    let controller_heartbeat = Message::ControllerHeartbeat {
+        description: 13,
+        closures: 4,
+        term: (2 << 40) | 12,
+        controllers: vec!["10.0.0.1:7000".into(), "10.0.0.2:7000".into()],
+        district: "south".into(),
+        is_current: true,
+    };
+    vec![
+        sample("gateway", Message::Gateway(gateway())),
+        sample("gateway_heartbeat", gateway_heartbeat),
+        sample("controller_heartbeat", controller_heartbeat),
+        sample("request_heartbeat", Message::AskHeartbeat),
+        sample("ping", Message::Ping(0x0102_0304_0506_0708)),
+        sample("pong", Message::Pong(u64::MAX)),
+        sample("status", Message::Status),
+        sample("status_text", Message::StatusText("{\"up\":1}".into())),
+    ]
+}
+
+fn configuration() -> Vec<Sample<Message>> {
+    let ask = Message::Ask {
+        description: 12,
+        closures: 3,
+    };
+    let whole = Message::Description {
+        mark: 13,
+        document: protocol::pack(br#"{"version":13}"#),
+    };
+    let changes = Message::Changes {
+        from: 12,
+        changes: vec![vec![1, 2, 3], Vec::new(), vec![0xff]],
+    };
+    let evacuations = Message::Closures {
+        mark: 4,
+        districts: vec!["north".into(), "east".into()],
+    };
+    let membership = Message::Roster {
+        mark: ((2 << 40) | 12, 8),
+        members: vec![gateway(), other_gateway()],
+    };
+    vec![
+        sample("request_configuration", ask),
+        sample("configuration", whole),
+        sample("configuration_changes", changes),
+        sample("evacuations", evacuations),
+        sample("gateway_membership", membership),
+    ]
+}
+
+fn scaling() -> Vec<Sample<Message>> {
+    let blocked = FunctionNews {
+        function: "resize".into(),
+        mark: ((2 << 40) | 12, 19),
+        runners: Vec::new(),
+        start_block: Some(StartBlock {
+            earliest_ready_ms: Some(4_000),
+            retry_after_ms: 2_500,
+            valid_ms: 3_000,
+        }),
+    };
+    let blocked_for_long = FunctionNews {
+        start_block: Some(StartBlock {
+            earliest_ready_ms: None,
+            ..StartBlock::default()
+        }),
+        ..blocked.clone()
+    };
+    let updates = vec![function_update(), blocked, blocked_for_long];
+    vec![
+        sample("report", Message::Report(vec![function_report()])),
+        sample("report_blank", Message::Report(Vec::new())),
+        sample("runners", Message::Runners(updates)),
+    ]
+}
+
+fn function_report() -> FunctionReport {
+    let runner = RunnerReport {
+        id: "r-17".into(),
+        in_use: 3,
+        answered: 1_000_000_007,
+        took_ms: 0x0000_0009_0000_0001,
+        turned_away: 5,
+        is_up: true,
+        is_gone: false,
+    };
+    let gone = RunnerReport {
+        is_gone: true,
+        ..RunnerReport::default()
+    };
+    FunctionReport {
+        function: "resize".into(),
+        news: 19,
+        arrived: vec![("north".into(), 400), ("".into(), 1)],
+        waiting: 6,
+        given_up: 2,
+        runners: vec![runner, gone],
+    }
+}
+
+fn function_update() -> FunctionNews {
+    let runner = |id: &str, stage, starts_in_ms| RunnerNews {
+        id: id.into(),
+        address: "10.0.2.1:9000".into(),
+        district: "north".into(),
+        quota: 8,
+        stage,
+        starts_in_ms,
+    };
+    FunctionNews {
+        function: "thumbnail".into(),
+        mark: ((2 << 40) | 12, 18),
+        runners: vec![
+            runner("r-17", RunnerStage::Starting, 1_200),
+            runner("r-18", RunnerStage::Serving, 0),
+            runner("r-19", RunnerStage::Draining, 0),
+        ],
+        start_block: None,
+    }
+}
+
+fn seats() -> Vec<Sample<Message>> {
+    let request = Bid {
+        ticket: 0x0000_0001_0000_002a,
+        function: "resize".into(),
+        rank: 2,
+        budget_ms: 750,
+        avoid: vec!["r-17".into(), "r-18".into()],
+        job: Some(job_attempt()),
+    };
+    let plain_request = Bid {
+        job: None,
+        avoid: Vec::new(),
+        ..request.clone()
+    };
+    let lease = Grant {
+        ticket: 42,
+        runner: "r-19".into(),
+        address: "10.0.2.1:9000".into(),
+        district: "north".into(),
+    };
+    let rejection = Message::Refuse {
+        ticket: 42,
+        retry_after_ms: 900,
+    };
+    vec![
+        sample("lease_request", Message::Bid(request)),
+        sample("lease_request_plain", Message::Bid(plain_request)),
+        sample("cancel_request", Message::Withdraw(42)),
+        sample("seat_lease", Message::Grant(lease)),
+        sample("reject", rejection),
+        sample("known", known()),
+    ]
+}
+
+fn known() -> Message {
+    let runner = (
+        "r-19".to_string(),
+        "10.0.2.1:9000".to_string(),
+        "north".to_string(),
+        vec![42, 43, u64::MAX],
+    );
+    let idle = ("r-20".to_string(), String::new(), String::new(), Vec::new());
+    Message::Known {
+        function: "resize".into(),
+        runners: vec![runner, idle],
+    }
+}
+
+fn releases() -> Vec<Sample<Message>> {
+    let release = |outcome| {
+        Message::Release(Release {
+            ticket: 42,
+            outcome,
+            took_ms: 31,
+        })
+    };
+    vec![
+        sample("release_answered", release(Outcome::Answered)),
+        sample("release_unused", release(Outcome::Unused)),
+        sample("release_rejected", release(Outcome::TurnedAway)),
+        sample("release_gone", release(Outcome::Gone)),
+        sample("release_unreached", release(Outcome::Unreached)),
+        sample("release_lost", release(Outcome::Lost)),
+    ]
+}
+
+fn job_attempt() -> JobMark {
+    JobMark {
+        key: "invoice-2041".into(),
+        digest: *b"0123456789abcdef",
+        is_once: true,
+        incarnation: 0x0102_0304_0506_0708,
+        attempt: 3,
+    }
+}
+
+fn job_attempts() -> Vec<Sample<Message>> {
+    let claimed = Message::Claimed {
+        ticket: 42,
+        attempt: 3,
+        version: 2,
+    };
+    let joined = Message::Joined {
+        ticket: 43,
+        attempt: 1,
+    };
+    vec![
+        sample("claimed", claimed),
+        sample("joined", joined),
+        sample("job_persisted", Message::JobKept(42)),
+    ]
+}
+
+fn job_ends() -> Vec<Sample<Message>> {
+    let end = |result| {
+        Message::JobEnd(JobEnd {
+            ticket: 42,
+            function: "resize".into(),
+            mark: job_attempt(),
+            version: 2,
+            result,
+        })
+    };
+    let answer = JobResult::Answer(b"packed answer".to_vec());
+    vec![
+        sample("job_end_answer", end(answer)),
+        sample("job_end_too_large", end(JobResult::TooLarge)),
+        sample("job_end_lost", end(JobResult::Lost)),
+        sample("job_end_not_run", end(JobResult::NotRun)),
+    ]
+}
+
+fn job_verdicts() -> Vec<Sample<Message>> {
+    let verdict = |verdict| Message::JobTold {
+        ticket: 43,
+        attempt: 1,
+        verdict,
+    };
+    let answer = JobVerdict::Answer(b"packed answer".to_vec());
+    vec![
+        sample("job_verdict_answer", verdict(answer)),
+        sample("job_verdict_too_large", verdict(JobVerdict::TooLarge)),
+        sample("job_verdict_may_have_run", verdict(JobVerdict::MayHaveRun)),
+        sample(
+            "job_verdict_other_request",
+            verdict(JobVerdict::OtherRequest),
+        ),
+        sample("job_verdict_not_run", verdict(JobVerdict::NotRun(700))),
+    ]
+}
+
+fn job_registers() -> Vec<Sample<Message>> {
+    let key = "job/000102030405060708090a0b0c0d0e0f".to_string();
+    let read = Message::JobAsk {
+        number: 5,
+        key: key.clone(),
+        expected: None,
+        bytes: Vec::new(),
+    };
+    let write = Message::JobAsk {
+        number: 6,
+        key,
+        expected: Some(2),
+        bytes: b"claim".to_vec(),
+    };
+    let response = |said| Message::JobSaid { number: 6, said };
+    let found = RegisterSaid::Found(2, b"claim".to_vec());
+    vec![
+        sample("job_register_read", read),
+        sample("job_register_write", write),
+        sample("job_register_written", response(RegisterSaid::Written(3))),
+        sample("job_register_found", response(found)),
+        sample("job_register_unreached", response(RegisterSaid::Unreached)),
+        sample("job_register_unsure", response(RegisterSaid::Unsure)),
+    ]
+}
--- /dev/null
+++ b/tests/compatibility/src/samples/stored.rs
@@ -0,0 +1,156 @@
+//! Values of the other registers: jobs, the scaler's lease, and those of the older daemons.
+
+use crate::sample::{sample, Sample};
+use configuration::{PeerRef, Plan, RunnerEntry, RunnerState, Version};
+use consensus::TermHolder;
+use idempotency_keys::Claim as OnceClaim;
+use jobs::{Claim, ClaimState, RunnerId};
+use leader_election::Tenure;
+
+/// A job's register while a request may be running.
+pub fn taken_job() -> Claim {
+    Claim {
+        digest: jobs::digest("POST", "/resize?w=10", b"body"),
+        runner: RunnerId {
+            gateway: "gw-1".into(),
+            incarnation: 0x0102_0304_0506_0708,
+            ticket: 42,
+        },
+        by: (0x1112_1314_1516_1718, 9),
+        state: ClaimState::Taken,
+    }
+}
+
+/// A job's register after its request ended.
+pub fn done_job() -> Claim {
+    Claim {
+        state: ClaimState::Done(Some(b"packed answer".to_vec())),
+        ..taken_job()
+    }
+}
+
+/// Values of jobs' registers.
+pub fn jobs() -> Vec<Sample<Claim>> {
+    let free = Claim {
+        state: ClaimState::Free,
+        ..taken_job()
+    };
+    let too_large = Claim {
+        state: ClaimState::Done(None),
+        ..taken_job()
+    };
+    vec![
+        sample("blank", Claim::default()),
+        sample("free", free),
+        sample("taken", taken_job()),
+        sample("done", done_job()),
+        sample("done_too_large", too_large),
+    ]
+}
+
+/// The lease of the controller that scales.
+pub fn role_lease() -> TermHolder {
+    TermHolder {
+        address: "10.0.0.1:7000".into(),
+        name: "ctl-1".into(),
+        life: 0x2122_2324_2526_2728,
+    }
+}
+
+/// Values of the scaler's register.
+pub fn role_leases() -> Vec<Sample<TermHolder>> {
+    vec![sample("role_lease", role_lease())]
+}
+
+/// A front in one incarnation.
+pub fn peer() -> PeerRef {
+    PeerRef {
+        name: "front-1".into(),
+        incarnation: 0x0102_0304_0506_0708,
+    }
+}
+
+/// Values of the older daemons' election register.
+pub fn tenures() -> Vec<Sample<Tenure>> {
+    let tenure = Tenure {
+        holder: peer(),
+        term: (1 << 40) | 3,
+    };
+    vec![sample("tenure", tenure)]
+}
+
+/// Values of the older daemons' registers for work that runs once.
+pub fn once_claims() -> Vec<Sample<OnceClaim>> {
+    let digest = "0f1e2d3c".to_string();
+    let taken = OnceClaim::Taken {
+        by: peer(),
+        slot: 17,
+        digest: digest.clone(),
+    };
+    let done = OnceClaim::Done {
+        digest: digest.clone(),
+        status: 201,
+        content_type: "text/plain".into(),
+        body: Some(b"made".to_vec()),
+    };
+    let done_too_large = OnceClaim::Done {
+        digest: digest.clone(),
+        status: 200,
+        content_type: String::new(),
+        body: None,
+    };
+    vec![
+        sample("free", OnceClaim::Free),
+        sample("taken", taken),
+        sample("done", done),
+        sample("done_too_large", done_too_large),
+        sample("unknown", OnceClaim::Unknown { digest }),
+    ]
+}
+
+/// A version within an epoch.
+pub fn version() -> Version {
+    Version { era: 2, no: 31 }
+}
+
+/// The older daemons' plan with a runner in each state.
+pub fn plan() -> Plan {
+    let states = [
+        RunnerState::Wanted,
+        RunnerState::Draining,
+        RunnerState::Stopping,
+        RunnerState::Resting,
+    ];
+    Plan {
+        term: (2 << 40) | 3,
+        roster_since: version(),
+        roster: vec!["front-1".into(), "front-2".into()],
+        runners: states.into_iter().map(runner).collect(),
+    }
+}
+
+fn runner(state: RunnerState) -> RunnerEntry {
+    RunnerEntry {
+        id: "r-1".into(),
+        function: "resize".into(),
+        worker: "w-1".into(),
+        district: "north".into(),
+        address: "10.0.2.1:9000".into(),
+        key: vec![1, 2, 3, 4],
+        memory_mb: 256,
+        pace_ms: 40,
+        quota: 8,
+        keeper: peer(),
+        keeper_epoch: 2,
+        keeper_since: version(),
+        state,
+    }
+}
+
+/// Values of the older daemons' plan register.
+pub fn plans() -> Vec<Sample<Plan>> {
+    vec![
+        sample("blank", Plan::default()),
+        sample("all_states", plan()),
+    ]
+}
--- /dev/null
+++ b/tests/compatibility/tests/wire.rs
@@ -0,0 +1,113 @@
+//! Messages keep the bytes that an earlier version sent.
+
+use ::consensus::ConsensusMessage;
+use ::protocol::{take_frames, Frames, Message};
+use compatibility::samples::{consensus, daemons, protocol};
+use compatibility::{families, HexFixture, Sample};
+use speedy::{LittleEndian, Readable};
+use std::collections::BTreeSet;
+
+/// Bytes of a frame before its message.
+const FRAME_HEAD: usize = 4;
+/// Kinds of messages between gateways and controllers at the time of the capture.
+const PROTOCOL_VARIANTS: u32 = 28;
+/// Kinds of messages between controllers at the time of the capture.
+const CONSENSUS_VARIANTS: u32 = 14;
+
+/// The values of the family as today's code encodes them.
+fn encoded_today(name: &str) -> HexFixture {
+    let mut families = families().into_iter();
+    let family = families.find(|family| family.name == name);
+    family.expect("the family exists").values
+}
+
+fn assert_encodes_as_captured(name: &str) {
+    let (captured, today) = (HexFixture::load(name), encoded_today(name));
+    assert_eq!(captured.names(), today.names());
+    for value in captured.names() {
+        assert_eq!(captured.bytes(value), today.bytes(value), "{name}: {value}");
+    }
+}
+
+fn assert_reads_frames<T>(name: &str, samples: Vec<Sample<T>>)
+where
+    T: for<'a> Readable<'a, LittleEndian> + std::fmt::Debug + PartialEq,
+{
+    let captured = HexFixture::load(name);
+    assert_eq!(captured.names().len(), samples.len());
+    for sample in samples {
+        let mut frames = Frames::new(captured.bytes(sample.name));
+        let read = frames.read::<T>().expect("the frame holds a message");
+        assert_eq!(read.as_ref(), Some(&sample.value), "{}", sample.name);
+        assert_eq!(frames.taken(), captured.bytes(sample.name).len());
+    }
+}
+
+/// Discriminants of the captured messages; each message begins with its own in four bytes.
+fn discriminants(name: &str) -> BTreeSet<u32> {
+    let captured = HexFixture::load(name);
+    let discriminant = |value: &str| {
+        let bytes = &captured.bytes(value)[FRAME_HEAD..FRAME_HEAD + 4];
+        u32::from_le_bytes(bytes.try_into().expect("there are four bytes"))
+    };
+    captured.names().into_iter().map(discriminant).collect()
+}
+
+#[test]
+fn gateways_and_controllers_encode_messages_as_captured() {
+    assert_encodes_as_captured("protocol");
+}
+
+#[test]
+fn gateways_and_controllers_read_captured_messages() {
+    assert_reads_frames("protocol", protocol::messages());
+}
+
+#[test]
+fn a_stream_of_captured_messages_is_read_in_its_order() {
+    let captured = HexFixture::load("protocol");
+    let samples = protocol::messages();
+    let bytes = samples.iter().map(|sample| captured.bytes(sample.name));
+    let mut inbox: Vec<u8> = bytes.collect::<Vec<_>>().concat();
+    let (read, fault) = take_frames::<Message>(&mut inbox);
+    let expected: Vec<Message> = samples.into_iter().map(|sample| sample.value).collect();
+    assert_eq!((read, fault, inbox.len()), (expected, None, 0));
+}
+
+#[test]
+fn the_capture_holds_every_kind_of_message_between_gateways_and_controllers() {
+    let all: BTreeSet<u32> = (0..PROTOCOL_VARIANTS).collect();
+    assert_eq!(discriminants("protocol"), all);
+}
+
+#[test]
+fn controllers_encode_messages_as_captured() {
+    assert_encodes_as_captured("consensus");
+}
+
+#[test]
+fn controllers_read_captured_messages() {
+    assert_reads_frames::<ConsensusMessage>("consensus", consensus::messages());
+}
+
+#[test]
+fn the_capture_holds_every_kind_of_message_between_controllers() {
+    let all: BTreeSet<u32> = (0..CONSENSUS_VARIANTS).collect();
+    assert_eq!(discriminants("consensus"), all);
+}
+
+#[test]
+fn older_daemons_encode_envelopes_as_captured() {
+    assert_encodes_as_captured("envelopes");
+}
+
+#[test]
+fn older_daemons_read_captured_envelopes() {
+    let captured = HexFixture::load("envelopes");
+    for sample in daemons::envelopes() {
+        let mut bytes = captured.bytes(sample.name);
+        let read = transport::decode(&mut bytes).expect("the frame holds an envelope");
+        assert_eq!(read, sample.value, "{}", sample.name);
+        assert!(bytes.is_empty(), "{}: the whole frame is read", sample.name);
+    }
+}
