--- a/crates/controller/src/changes.rs
+++ b/crates/controller/src/changes.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::Controller;
 use consensus::{CLOSURES_KEY, DESCRIPTION_KEY};
-use event_loop::LineId;
+use event_loop::ConnectionId;
 use operator_commands::{
     BaseVersion, Command, CommandExecution, CommandKind, CommandReply, ExecutionStep, RejectionKind,
 };
@@ -19,7 +19,7 @@
 
 /// One operator's order that is being worked on.
 struct Change {
-    line: LineId,
+    line: ConnectionId,
     keeps_alive: bool,
     execution: CommandExecution,
     ends_at: u64,
@@ -36,7 +36,7 @@
 impl Changes {
     /// Drops the orders of a caller that has gone, unless they are being written. The caller sends them again
     /// elsewhere, and a copy that is applied late could undo a newer order.
-    pub fn caller_left(&mut self, line: LineId) {
+    pub fn caller_left(&mut self, line: ConnectionId) {
         self.pending
             .retain(|_, change| change.line != line || change.is_writing);
     }
@@ -65,7 +65,7 @@
 impl Controller {
     pub fn begin_change(
         &mut self,
-        line: LineId,
+        line: ConnectionId,
         kind: CommandKind,
         base: BaseVersion,
         body: Vec<u8>,
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -7,7 +7,7 @@
 use crate::recent_changes::RecentChanges;
 use crate::scaling::Scaling;
 use consensus::{Consensus, ConsensusAction, ConsensusOptions, CLOSURES_KEY, DESCRIPTION_KEY};
-use event_loop::{Event, EventLoop, Hatch, LineId};
+use event_loop::{ConnectionId, Event, EventLoop, ListenerId};
 use http1::RequestReader;
 use operator_commands::{ConfigurationRecord, Evacuations};
 use std::collections::HashMap;
@@ -31,7 +31,7 @@
 pub(crate) struct Controller {
     pub options: ControllerOptions,
     pub event_loop: EventLoop,
-    pub roles: HashMap<LineId, Role>,
+    pub roles: HashMap<ConnectionId, Role>,
     pub consensus: Consensus,
     pub disk: Disk,
     pub controllers: ControllerLinks,
@@ -47,7 +47,7 @@
     pub now: u64,
     began: Instant,
     ticked_at: u64,
-    hatches: [Hatch; 3],
+    listeners: [ListenerId; 3],
 }
 
 const TICK_MS: u64 = 50;
@@ -89,7 +89,7 @@
         controller.gateways.flush(&mut controller.event_loop);
         let next = controller.ticked_at + TICK_MS;
         let patience = Duration::from_millis(next.saturating_sub(controller.now).max(1));
-        controller.event_loop.wait(patience, &mut events);
+        controller.event_loop.poll(patience, &mut events);
         controller.now = controller.clock();
         for event in events.drain(..) {
             controller.handle(event);
@@ -109,8 +109,8 @@
         let mut event_loop =
             EventLoop::new(options.connections_max, silence).map_err(ControllerError::System)?;
         let mut listen = |address, inbox_max| {
-            let hatch = event_loop.listen(address, inbox_max);
-            hatch.map_err(|error| ControllerError::Listen(address, error))
+            let listener = event_loop.listen(address, inbox_max);
+            listener.map_err(|error| ControllerError::Listen(address, error))
         };
         let operators = listen(options.operator_address, OPERATOR_INBOX)?;
         let gateways = listen(options.gateway_address, LINK_INBOX)?;
@@ -153,7 +153,7 @@
             now: 0,
             began: Instant::now(),
             ticked_at: 0,
-            hatches: [operators, gateways, consensus_hatch],
+            listeners: [operators, gateways, consensus_hatch],
             options,
         })
     }
@@ -174,11 +174,11 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Opened(hatch, line) => {
-                let [operators, gateways, _] = self.hatches;
-                let role = if hatch == operators {
+            Event::Accepted(listener, line) => {
+                let [operators, gateways, _] = self.listeners;
+                let role = if listener == operators {
                     Role::Operator(Box::default(), false)
-                } else if hatch == gateways {
+                } else if listener == gateways {
                     Role::Gateway(None)
                 } else {
                     Role::Controller(None)
@@ -186,14 +186,14 @@
                 self.roles.insert(line, role);
             }
             Event::Connected(_) => {}
-            Event::Arrived(line) => match self.roles.get(&line) {
+            Event::Readable(line) => match self.roles.get(&line) {
                 Some(Role::Operator(..)) => self.operator_arrived(line),
                 Some(Role::Gateway(_)) => self.gateway_arrived(line),
                 Some(Role::Controller(_)) => self.controller_arrived(line),
                 Some(Role::Platform) => self.platform_arrived(line),
                 None => {}
             },
-            Event::Ended(line, _) => {
+            Event::Closed(line, _) => {
                 match self.roles.remove(&line) {
                     Some(Role::Gateway(Some(name))) => self.gateway_ended(&name, line),
                     Some(Role::Controller(Some(address))) => self.controllers.ended(&address, line),
--- a/crates/controller/src/controllers.rs
+++ b/crates/controller/src/controllers.rs
@@ -1,7 +1,7 @@
 use crate::controller::{Controller, Role};
 use crate::gateways::OUT_KEPT;
 use consensus::ConsensusMessage;
-use event_loop::{EventLoop, LineId};
+use event_loop::{ConnectionId, EventLoop};
 use protocol::{frame, take_frames};
 use speedy::{Readable, Writable};
 use std::collections::HashMap;
@@ -20,7 +20,7 @@
 }
 
 struct ControllerLink {
-    line: LineId,
+    line: ConnectionId,
     out: Vec<u8>,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    pub fn ended(&mut self, address: &str, line: LineId) {
+    pub fn ended(&mut self, address: &str, line: ConnectionId) {
         if self
             .links
             .get(address)
@@ -86,8 +86,8 @@
         }
     }
 
-    pub fn controller_arrived(&mut self, line: LineId) {
-        let Some(inbox) = self.event_loop.inbox(line) else {
+    pub fn controller_arrived(&mut self, line: ConnectionId) {
+        let Some(inbox) = self.event_loop.read_buffer(line) else {
             return;
         };
         let (messages, fault) = take_frames::<ControllerFrame>(inbox);
@@ -103,7 +103,7 @@
         }
     }
 
-    fn hear_controller(&mut self, line: LineId, message: ControllerFrame) {
+    fn hear_controller(&mut self, line: ConnectionId, message: ControllerFrame) {
         match message {
             ControllerFrame::Hello(address) => {
                 self.roles
--- a/crates/controller/src/gateways.rs
+++ b/crates/controller/src/gateways.rs
@@ -1,5 +1,5 @@
 use crate::controller::{Controller, Role};
-use event_loop::{EventLoop, LineId};
+use event_loop::{ConnectionId, EventLoop};
 use protocol::{frame, take_frames, Member, Message};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 pub(crate) struct Gateway {
     pub member: Member,
-    pub line: LineId,
+    pub line: ConnectionId,
     pub heard_at: u64,
     out: Vec<u8>,
 }
@@ -52,8 +52,8 @@
 }
 
 impl Controller {
-    pub fn gateway_arrived(&mut self, line: LineId) {
-        let Some(inbox) = self.event_loop.inbox(line) else {
+    pub fn gateway_arrived(&mut self, line: ConnectionId) {
+        let Some(inbox) = self.event_loop.read_buffer(line) else {
             return;
         };
         let (messages, fault) = take_frames::<Message>(inbox);
@@ -69,7 +69,7 @@
         }
     }
 
-    fn hear_gateway(&mut self, line: LineId, message: Message) {
+    fn hear_gateway(&mut self, line: ConnectionId, message: Message) {
         if let Message::Gateway(member) = message {
             self.gateway_came(line, member);
             return;
@@ -107,7 +107,7 @@
         }
     }
 
-    fn gateway_came(&mut self, line: LineId, member: Member) {
+    fn gateway_came(&mut self, line: ConnectionId, member: Member) {
         let name = member.name.clone();
         self.roles.insert(line, Role::Gateway(Some(name.clone())));
         let gateway = Gateway {
@@ -125,7 +125,7 @@
         self.scaling.tell_roster_to(&name);
     }
 
-    pub fn gateway_ended(&mut self, name: &str, line: LineId) {
+    pub fn gateway_ended(&mut self, name: &str, line: ConnectionId) {
         if self
             .gateways
             .known
--- a/crates/controller/src/operators.rs
+++ b/crates/controller/src/operators.rs
@@ -1,7 +1,7 @@
 use crate::controller::{Controller, Role};
 use crate::options::CommandParseError;
-use event_loop::LineId;
-use http1::{write_response, Bounds, Request};
+use event_loop::ConnectionId;
+use http1::{write_response, MessageLimits, Request};
 use operator_commands::CommandKind;
 use std::net::{IpAddr, SocketAddr};
 
@@ -23,15 +23,15 @@
 }
 
 impl Controller {
-    pub fn operator_arrived(&mut self, line: LineId) {
-        let bounds = Bounds {
+    pub fn operator_arrived(&mut self, line: ConnectionId) {
+        let bounds = MessageLimits {
             header_bytes: HEAD_MAX,
             body_bytes: BODY_MAX,
         };
         let Some(Role::Operator(reader, is_busy)) = self.roles.get_mut(&line) else {
             return;
         };
-        let Some(inbox) = self.event_loop.inbox(line).filter(|_| !*is_busy) else {
+        let Some(inbox) = self.event_loop.read_buffer(line).filter(|_| !*is_busy) else {
             return;
         };
         match reader.read(inbox, &bounds) {
@@ -50,7 +50,7 @@
         }
     }
 
-    fn take_order(&mut self, line: LineId, request: Request) {
+    fn take_order(&mut self, line: ConnectionId, request: Request) {
         let codec = &self.options.operator_codec;
         let parsed = codec.parse_command(&request.method, &request.target);
         let keeps = request.keeps_alive;
@@ -77,7 +77,7 @@
     }
 
     /// Sends an operator on to a controller in contact with a majority, since this one may neither take nor refuse orders.
-    fn send_on(&mut self, line: LineId, target: &str, keeps_alive: bool) {
+    fn send_on(&mut self, line: ConnectionId, target: &str, keeps_alive: bool) {
         let members = self.consensus.members_in_contact(self.now);
         let turn: usize = rand::random::<u32>() as usize;
         let member = members.get(turn % members.len().max(1));
@@ -100,7 +100,7 @@
     }
 
     /// Answers an operator and goes on with what was sent meanwhile.
-    pub fn reply(&mut self, line: LineId, status: u16, body: &[u8], keeps_alive: bool) {
+    pub fn reply(&mut self, line: ConnectionId, status: u16, body: &[u8], keeps_alive: bool) {
         let answer = Answer {
             status,
             body,
@@ -109,7 +109,7 @@
         self.answer(line, &answer, keeps_alive);
     }
 
-    fn answer(&mut self, line: LineId, answer: &Answer<'_>, keeps_alive: bool) {
+    fn answer(&mut self, line: ConnectionId, answer: &Answer<'_>, keeps_alive: bool) {
         let (status, body) = (answer.status, answer.body);
         if !matches!(self.roles.get(&line), Some(Role::Operator(..))) {
             return;
@@ -138,7 +138,7 @@
         );
         self.event_loop.send(line, &out);
         if !keeps_alive {
-            self.event_loop.finish(line);
+            self.event_loop.close_after_flush(line);
             self.roles.remove(&line);
             return;
         }
@@ -146,7 +146,7 @@
             .insert(line, Role::Operator(Box::default(), false));
         let has_more = self
             .event_loop
-            .inbox(line)
+            .read_buffer(line)
             .is_some_and(|inbox| !inbox.is_empty());
         if has_more {
             self.operator_arrived(line);
--- a/crates/controller/src/redirector.rs
+++ b/crates/controller/src/redirector.rs
@@ -4,8 +4,8 @@
 use crate::directory::MemberDirectory;
 use crate::operators::{location_of, RETRY_AFTER};
 use crate::options::{CommandParseError, ControllerError, OperatorCodec, SeedReloader};
-use event_loop::{Event, EventLoop, LineId};
-use http1::{write_response, Bounds, Request, RequestReader};
+use event_loop::{ConnectionId, Event, EventLoop};
+use http1::{write_response, MessageLimits, Request, RequestReader};
 use protocol::{frame, take_frames, Message};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 const OPERATOR_INBOX: usize = 40 << 20;
 const MEMBER_INBOX: usize = 1 << 20;
 const TICK_MS: u64 = 50;
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: MessageLimits = MessageLimits {
     header_bytes: 64 << 10,
     body_bytes: 32 << 20,
 };
@@ -60,8 +60,8 @@
 struct Redirector {
     options: RedirectorOptions,
     event_loop: EventLoop,
-    roles: HashMap<LineId, Role>,
-    links: HashMap<SocketAddr, LineId>,
+    roles: HashMap<ConnectionId, Role>,
+    links: HashMap<SocketAddr, ConnectionId>,
     directory: MemberDirectory,
     began: Instant,
     now: u64,
@@ -90,7 +90,7 @@
             redirector.tick();
         }
         let patience = Duration::from_millis(TICK_MS);
-        redirector.event_loop.wait(patience, &mut events);
+        redirector.event_loop.poll(patience, &mut events);
         redirector.now = redirector.clock();
         for event in events.drain(..) {
             redirector.handle(event);
@@ -171,17 +171,17 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Opened(_, line) => {
+            Event::Accepted(_, line) => {
                 let role = Role::Operator(Box::default());
                 self.roles.insert(line, role);
             }
             Event::Connected(_) => {}
-            Event::Arrived(line) => match self.roles.get(&line) {
+            Event::Readable(line) => match self.roles.get(&line) {
                 Some(Role::Operator(_)) => self.operator_arrived(line),
                 Some(Role::Member(address)) => self.member_arrived(line, *address),
                 None => {}
             },
-            Event::Ended(line, _) => {
+            Event::Closed(line, _) => {
                 if let Some(Role::Member(address)) = self.roles.remove(&line) {
                     self.links.remove(&address);
                     self.directory.on_link_ended(address);
@@ -191,8 +191,8 @@
         }
     }
 
-    fn member_arrived(&mut self, line: LineId, address: SocketAddr) {
-        let Some(inbox) = self.event_loop.inbox(line) else {
+    fn member_arrived(&mut self, line: ConnectionId, address: SocketAddr) {
+        let Some(inbox) = self.event_loop.read_buffer(line) else {
             return;
         };
         let (messages, fault) = take_frames::<Message>(inbox);
@@ -217,11 +217,11 @@
         }
     }
 
-    fn operator_arrived(&mut self, line: LineId) {
+    fn operator_arrived(&mut self, line: ConnectionId) {
         let Some(Role::Operator(reader)) = self.roles.get_mut(&line) else {
             return;
         };
-        let Some(inbox) = self.event_loop.inbox(line) else {
+        let Some(inbox) = self.event_loop.read_buffer(line) else {
             return;
         };
         let mut out = Vec::new();
@@ -242,7 +242,7 @@
             }
         }
         self.event_loop.send(line, &out);
-        self.event_loop.finish(line);
+        self.event_loop.close_after_flush(line);
         self.roles.remove(&line);
     }
 
--- a/crates/controller/src/scaling_calls.rs
+++ b/crates/controller/src/scaling_calls.rs
@@ -1,8 +1,8 @@
 use crate::controller::{Controller, Role};
 use crate::options::PlatformRequest;
 use autoscaler::StartFault;
-use event_loop::LineId;
-use http1::{write_request, Bounds, Response, ResponseReader};
+use event_loop::ConnectionId;
+use http1::{write_request, MessageLimits, Response, ResponseReader};
 use std::collections::{HashMap, VecDeque};
 
 const ANSWER_MAX: usize = 16 << 20;
@@ -32,8 +32,8 @@
 #[derive(Default)]
 pub(crate) struct PlatformCalls {
     waiting: VecDeque<(PlatformRequest, Purpose)>,
-    busy: HashMap<LineId, Busy>,
-    idle: Vec<LineId>,
+    busy: HashMap<ConnectionId, Busy>,
+    idle: Vec<ConnectionId>,
 }
 
 impl Controller {
@@ -98,7 +98,7 @@
     pub fn tend_calls(&mut self) {
         let busy = self.scaling.calls.busy.iter();
         let late = busy.filter(|(_, busy)| busy.ends_at <= self.now);
-        let late: Vec<LineId> = late.map(|(line, _)| *line).collect();
+        let late: Vec<ConnectionId> = late.map(|(line, _)| *line).collect();
         for line in late {
             self.roles.remove(&line);
             self.event_loop.close(line);
@@ -115,7 +115,7 @@
         }
     }
 
-    pub fn platform_ended(&mut self, line: LineId) {
+    pub fn platform_ended(&mut self, line: ConnectionId) {
         self.scaling.calls.idle.retain(|idle| *idle != line);
         if let Some(busy) = self.scaling.calls.busy.remove(&line) {
             self.fail(busy.purpose);
@@ -123,8 +123,8 @@
         }
     }
 
-    pub fn platform_arrived(&mut self, line: LineId) {
-        let bounds = Bounds {
+    pub fn platform_arrived(&mut self, line: ConnectionId) {
+        let bounds = MessageLimits {
             header_bytes: 64 << 10,
             body_bytes: ANSWER_MAX,
         };
@@ -134,7 +134,7 @@
             self.event_loop.close(line);
             return;
         };
-        let Some(inbox) = self.event_loop.inbox(line) else {
+        let Some(inbox) = self.event_loop.read_buffer(line) else {
             return;
         };
         match busy.reader.read(inbox, &bounds) {
--- a/crates/event_loop/src/line.rs
+++ b/crates/event_loop/src/connection.rs
@@ -1,25 +1,25 @@
 use mio::net::TcpStream;
 use std::io::{self, Read, Write};
 
-/// A line of this daemon: its place and how often the place was used before.
+/// A connection of this daemon: its place and how often the place was used before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LineId {
+pub struct ConnectionId {
     pub(crate) place: u32,
     pub(crate) use_no: u32,
 }
 
-/// Why a line ended.
+/// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CloseReason {
     /// It never came to be: nobody is there.
-    Unreached,
+    ConnectFailed,
     /// The peer closed it in order.
-    Closed,
+    PeerClosed,
     /// It broke, or more was sent to it than it may hold.
     Broken,
 }
 
-pub(crate) struct Line {
+pub(crate) struct Connection {
     pub stream: TcpStream,
     pub use_no: u32,
     pub is_connected: bool,
@@ -27,7 +27,7 @@
     pub is_paused: bool,
     pub closes_after_flush: bool,
     pub has_ended: bool,
-    /// Nothing more is written: writing failed, and the line's end is about to be told.
+    /// Nothing more is written: writing failed, and the connection's end is about to be told.
     pub has_failed: bool,
     pub inbox: Vec<u8>,
     pub inbox_max: usize,
@@ -36,25 +36,25 @@
 }
 
 /// What came of reading.
-pub(crate) enum Taken {
+pub(crate) enum ReadOutcome {
     Nothing,
     Bytes,
-    Ended(End),
-    BytesAndEnded(End),
+    Ended(CloseReason),
+    BytesAndEnded(CloseReason),
 }
 
 /// What came of writing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Written {
-    /// All of it was written, or will be as soon as the line takes it.
+pub(crate) enum WriteOutcome {
+    /// All of it was written, or will be as soon as the connection takes it.
     Accepted,
-    /// The line broke, and none of these bytes was taken.
+    /// The connection broke, and none of these bytes was taken.
     Nothing,
-    /// The line broke when some of these bytes had been taken.
+    /// The connection broke when some of these bytes had been taken.
     Broke,
 }
 
-impl Line {
+impl Connection {
     pub fn new(stream: TcpStream, use_no: u32, is_connected: bool, inbox_max: usize) -> Self {
         Self {
             stream,
@@ -72,68 +72,68 @@
         }
     }
 
-    pub fn read(&mut self, scratch: &mut [u8], is_at_end: bool) -> Taken {
+    pub fn read(&mut self, scratch: &mut [u8], is_at_end: bool) -> ReadOutcome {
         let mut has_bytes = false;
         loop {
             if self.inbox.len() >= self.inbox_max {
                 self.is_paused = true;
                 return if has_bytes {
-                    Taken::Bytes
+                    ReadOutcome::Bytes
                 } else {
-                    Taken::Nothing
+                    ReadOutcome::Nothing
                 };
             }
             let end = match self.stream.read(scratch) {
-                Ok(0) => End::Closed,
+                Ok(0) => CloseReason::PeerClosed,
                 Ok(count) => {
                     self.inbox.extend_from_slice(&scratch[..count]);
                     has_bytes = true;
                     if count < scratch.len() && !is_at_end {
-                        return Taken::Bytes;
+                        return ReadOutcome::Bytes;
                     }
                     continue;
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     return if has_bytes {
-                        Taken::Bytes
+                        ReadOutcome::Bytes
                     } else {
-                        Taken::Nothing
+                        ReadOutcome::Nothing
                     };
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
-                Err(_) => End::Broken,
+                Err(_) => CloseReason::Broken,
             };
             return if has_bytes {
-                Taken::BytesAndEnded(end)
+                ReadOutcome::BytesAndEnded(end)
             } else {
-                Taken::Ended(end)
+                ReadOutcome::Ended(end)
             };
         }
     }
 
-    /// Whether an open line has nothing to read and is not ended by its peer, as the system knows it at this moment.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether an open connection has nothing to read and is not ended by its peer, as the system knows it at this moment.
+    pub fn has_nothing_to_read(&self) -> bool {
         let mut byte = [0; 1];
         let peeked = self.stream.peek(&mut byte);
         peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Queues bytes and writes what it can.
-    pub fn write(&mut self, bytes: &[u8]) -> Written {
+    pub fn write(&mut self, bytes: &[u8]) -> WriteOutcome {
         let before = self.outbox.len();
         self.outbox.extend_from_slice(bytes);
         if !self.is_connected || self.flush() {
-            return Written::Accepted;
+            return WriteOutcome::Accepted;
         }
         self.has_failed = true;
         if self.sent > before {
-            Written::Broke
+            WriteOutcome::Broke
         } else {
-            Written::Nothing
+            WriteOutcome::Nothing
         }
     }
 
-    /// Writes what it can; false where the line broke.
+    /// Writes what it can; false where the connection broke.
     pub fn flush(&mut self) -> bool {
         while self.is_writable && self.sent < self.outbox.len() {
             match self.stream.write(&self.outbox[self.sent..]) {
--- a/crates/event_loop/src/event_loop.rs
+++ b/crates/event_loop/src/event_loop.rs
@@ -1,4 +1,4 @@
-use crate::line::{End, Line, LineId, Taken, Written};
+use crate::connection::{CloseReason, Connection, ConnectionId, ReadOutcome, WriteOutcome};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
 use slab::Slab;
@@ -15,51 +15,51 @@
 const ACCEPTS_MAX: usize = 64;
 const OUTBOX_MAX: usize = 24 << 20;
 
-/// Something that happened on a line.
+/// Something that happened on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A peer opened a line at a hatch.
-    Opened(Hatch, LineId),
-    /// A line that this daemon opened came to be.
-    Connected(LineId),
-    /// Bytes lie in the line's inbox.
-    Arrived(LineId),
-    /// The line ended; what had arrived still lies in its inbox until it is closed here.
-    Ended(LineId, End),
+    /// A peer opened a connection at a listener.
+    Accepted(ListenerId, ConnectionId),
+    /// A connection that this daemon opened came to be.
+    Connected(ConnectionId),
+    /// Bytes lie in the connection's inbox.
+    Readable(ConnectionId),
+    /// The connection ended; what had arrived still lies in its inbox until it is closed here.
+    Closed(ConnectionId, CloseReason),
 }
 
-/// A place at which peers open lines (a listening socket).
+/// A place at which peers open connections (a listening socket).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Hatch(usize);
+pub struct ListenerId(usize);
 
-/// All lines of a daemon.
+/// All connections of a daemon.
 pub struct EventLoop {
     poll: Poll,
     ready: Events,
-    lines: Slab<Line>,
+    connections: Slab<Connection>,
     uses: u32,
-    hatches: Vec<Option<(TcpListener, usize)>>,
-    paused: Vec<LineId>,
-    broken: Vec<LineId>,
+    listeners: Vec<Option<(TcpListener, usize)>>,
+    paused: Vec<ConnectionId>,
+    broken: Vec<ConnectionId>,
     scratch: Vec<u8>,
-    lines_max: usize,
+    max_connections: usize,
     silence_ms: u32,
 }
 
 impl EventLoop {
-    /// An event loop with at most so many lines. A line whose peer does not confirm what was sent for
+    /// An event loop with at most so many connections. A connection whose peer does not confirm what was sent for
     /// `silence_ms` breaks.
-    pub fn new(lines_max: usize, silence_ms: u32) -> io::Result<Self> {
+    pub fn new(max_connections: usize, silence_ms: u32) -> io::Result<Self> {
         Ok(Self {
             poll: Poll::new()?,
             ready: Events::with_capacity(EVENTS_MAX),
-            lines: Slab::new(),
+            connections: Slab::new(),
             uses: 0,
-            hatches: Vec::new(),
+            listeners: Vec::new(),
             paused: Vec::new(),
             broken: Vec::new(),
             scratch: vec![0; SCRATCH],
-            lines_max,
+            max_connections,
             silence_ms,
         })
     }
@@ -69,157 +69,164 @@
         Waker::new(self.poll.registry(), WAKER).map(Arc::new)
     }
 
-    /// Lets peers open lines at an address; each may hold `inbox_max` unread bytes.
-    pub fn listen(&mut self, address: SocketAddr, inbox_max: usize) -> io::Result<Hatch> {
+    /// Lets peers open connections at an address; each may hold `inbox_max` unread bytes.
+    pub fn listen(&mut self, address: SocketAddr, inbox_max: usize) -> io::Result<ListenerId> {
         let mut listener = TcpListener::bind(address)?;
-        let token = Token(HATCHES + self.hatches.len());
+        let token = Token(HATCHES + self.listeners.len());
         self.poll
             .registry()
             .register(&mut listener, token, Interest::READABLE)?;
-        self.hatches.push(Some((listener, inbox_max)));
-        Ok(Hatch(self.hatches.len() - 1))
+        self.listeners.push(Some((listener, inbox_max)));
+        Ok(ListenerId(self.listeners.len() - 1))
     }
 
-    /// Lets nobody open lines at a hatch any more.
-    pub fn shut(&mut self, hatch: Hatch) {
-        if let Some(place) = self.hatches.get_mut(hatch.0) {
+    /// Lets nobody open connections at a listener any more.
+    pub fn stop_listening(&mut self, listener: ListenerId) {
+        if let Some(place) = self.listeners.get_mut(listener.0) {
             if let Some((mut listener, _)) = place.take() {
                 let _ = self.poll.registry().deregister(&mut listener);
             }
         }
     }
 
-    /// Begins to open a line.
-    pub fn connect(&mut self, address: SocketAddr, inbox_max: usize) -> io::Result<LineId> {
-        if self.lines.len() >= self.lines_max {
-            return Err(io::Error::other("too many lines"));
+    /// Begins to open a connection.
+    pub fn connect(&mut self, address: SocketAddr, inbox_max: usize) -> io::Result<ConnectionId> {
+        if self.connections.len() >= self.max_connections {
+            return Err(io::Error::other("too many connections"));
         }
         let stream = TcpStream::connect(address)?;
         self.add(stream, false, inbox_max)
     }
 
-    fn add(&mut self, stream: TcpStream, is_up: bool, inbox_max: usize) -> io::Result<LineId> {
+    fn add(
+        &mut self,
+        stream: TcpStream,
+        is_up: bool,
+        inbox_max: usize,
+    ) -> io::Result<ConnectionId> {
         let socket = SockRef::from(&stream);
         let _ = socket.set_tcp_nodelay(true);
         let silence = Duration::from_millis(u64::from(self.silence_ms));
         let _ = socket.set_tcp_user_timeout(Some(silence));
         self.uses = self.uses.wrapping_add(1);
-        let entry = self.lines.vacant_entry();
+        let entry = self.connections.vacant_entry();
         let place = entry.key();
-        let line = entry.insert(Line::new(stream, self.uses, is_up, inbox_max));
+        let connection = entry.insert(Connection::new(stream, self.uses, is_up, inbox_max));
         let interest = Interest::READABLE | Interest::WRITABLE;
-        let registered = self
-            .poll
-            .registry()
-            .register(&mut line.stream, Token(place), interest);
+        let registered =
+            self.poll
+                .registry()
+                .register(&mut connection.stream, Token(place), interest);
         if let Err(error) = registered {
-            self.lines.remove(place);
+            self.connections.remove(place);
             return Err(error);
         }
-        Ok(LineId {
+        Ok(ConnectionId {
             place: place as u32,
             use_no: self.uses,
         })
     }
 
-    /// Lets a line's peer be silent for longer or shorter than others before the line breaks.
-    pub fn allow_silence(&mut self, id: LineId, silence_ms: u64) {
-        if let Some(line) = self.line(id) {
+    /// Lets a connection's peer be silent for longer or shorter than others before the connection breaks.
+    pub fn set_user_timeout(&mut self, id: ConnectionId, silence_ms: u64) {
+        if let Some(connection) = self.connection(id) {
             let silence = Duration::from_millis(silence_ms);
-            let _ = SockRef::from(&line.stream).set_tcp_user_timeout(Some(silence));
+            let _ = SockRef::from(&connection.stream).set_tcp_user_timeout(Some(silence));
         }
     }
 
-    fn line(&mut self, id: LineId) -> Option<&mut Line> {
-        let line = self.lines.get_mut(id.place as usize)?;
-        (line.use_no == id.use_no).then_some(line)
+    fn connection(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+        let connection = self.connections.get_mut(id.place as usize)?;
+        (connection.use_no == id.use_no).then_some(connection)
     }
 
-    /// Bytes that arrived and were not taken yet; none where the line is gone.
-    pub fn inbox(&mut self, id: LineId) -> Option<&mut Vec<u8>> {
-        self.line(id).map(|line| &mut line.inbox)
+    /// Bytes that arrived and were not taken yet; none where the connection is gone.
+    pub fn read_buffer(&mut self, id: ConnectionId) -> Option<&mut Vec<u8>> {
+        self.connection(id).map(|connection| &mut connection.inbox)
     }
 
-    /// Whether the line is there and its peer has not ended it.
-    pub fn is_open(&self, id: LineId) -> bool {
-        let line = self.lines.get(id.place as usize);
-        line.is_some_and(|line| line.use_no == id.use_no && !line.has_ended && !line.has_failed)
+    /// Whether the connection is there and its peer has not ended it.
+    pub fn is_open(&self, id: ConnectionId) -> bool {
+        let connection = self.connections.get(id.place as usize);
+        connection.is_some_and(|connection| {
+            connection.use_no == id.use_no && !connection.has_ended && !connection.has_failed
+        })
     }
 
     /// Bytes that wait to be sent.
-    pub fn backlog(&self, id: LineId) -> usize {
-        let line = self.lines.get(id.place as usize);
-        let line = line.filter(|line| line.use_no == id.use_no);
-        line.map_or(0, Line::waits_to_send)
+    pub fn unsent_bytes(&self, id: ConnectionId) -> usize {
+        let connection = self.connections.get(id.place as usize);
+        let connection = connection.filter(|connection| connection.use_no == id.use_no);
+        connection.map_or(0, Connection::waits_to_send)
     }
 
     /// Lines that are open.
     pub fn len(&self) -> usize {
-        self.lines.len()
+        self.connections.len()
     }
 
-    /// Whether no line is open.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.connections.is_empty()
     }
 
-    /// Whether the system knows of nothing to read on an open line, and of no end of it, at this moment. Events tell the
+    /// Whether the system knows of nothing to read on an open connection, and of no end of it, at this moment. Events tell the
     /// same, but only at the next wait.
-    pub fn is_quiet(&mut self, id: LineId) -> bool {
-        self.line(id)
-            .is_some_and(|line| !line.has_ended && line.is_quiet())
+    pub fn has_nothing_to_read(&mut self, id: ConnectionId) -> bool {
+        self.connection(id)
+            .is_some_and(|connection| !connection.has_ended && connection.has_nothing_to_read())
     }
 
-    /// Sends bytes, now or as soon as the line takes them. A line that holds too much breaks. False where none of them
+    /// Sends bytes, now or as soon as the connection takes them. A connection that holds too much breaks. False where none of them
     /// has left or ever will.
-    pub fn send(&mut self, id: LineId, bytes: &[u8]) -> bool {
-        let Some(line) = self.line(id) else {
+    pub fn send(&mut self, id: ConnectionId, bytes: &[u8]) -> bool {
+        let Some(connection) = self.connection(id) else {
             return false;
         };
-        if line.has_ended || line.has_failed || line.closes_after_flush {
+        if connection.has_ended || connection.has_failed || connection.closes_after_flush {
             return false;
         }
-        if line.waits_to_send() + bytes.len() > OUTBOX_MAX {
-            line.has_failed = true;
+        if connection.waits_to_send() + bytes.len() > OUTBOX_MAX {
+            connection.has_failed = true;
             self.broken.push(id);
             return false;
         }
-        let written = line.write(bytes);
-        if written != Written::Accepted {
+        let written = connection.write(bytes);
+        if written != WriteOutcome::Accepted {
             self.broken.push(id);
         }
-        written != Written::Nothing
+        written != WriteOutcome::Nothing
     }
 
-    /// Closes a line once all that was sent has left.
-    pub fn finish(&mut self, id: LineId) {
-        let Some(line) = self.line(id) else {
+    /// Closes a connection once all that was sent has left.
+    pub fn close_after_flush(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connection(id) else {
             return;
         };
-        if line.waits_to_send() == 0 || line.has_ended {
+        if connection.waits_to_send() == 0 || connection.has_ended {
             self.close(id);
             return;
         }
-        line.closes_after_flush = true;
+        connection.closes_after_flush = true;
     }
 
-    /// Whether a line that is to be closed still has bytes to send.
+    /// Whether a connection that is to be closed still has bytes to send.
     pub fn is_flushing(&self) -> bool {
-        let mut lines = self.lines.iter();
-        lines.any(|(_, line)| line.closes_after_flush && !line.has_ended)
+        let mut connections = self.connections.iter();
+        connections.any(|(_, connection)| connection.closes_after_flush && !connection.has_ended)
     }
 
-    /// Closes a line at once.
-    pub fn close(&mut self, id: LineId) {
-        if self.line(id).is_none() {
+    /// Closes a connection at once.
+    pub fn close(&mut self, id: ConnectionId) {
+        if self.connection(id).is_none() {
             return;
         }
-        let mut line = self.lines.remove(id.place as usize);
-        let _ = self.poll.registry().deregister(&mut line.stream);
+        let mut connection = self.connections.remove(id.place as usize);
+        let _ = self.poll.registry().deregister(&mut connection.stream);
     }
 
     /// Waits until something happens, or for so long, and tells what did.
-    pub fn wait(&mut self, patience: Duration, events: &mut Vec<Event>) {
+    pub fn poll(&mut self, patience: Duration, events: &mut Vec<Event>) {
         events.clear();
         self.tell_broken(events);
         self.read_paused(events);
@@ -249,55 +256,55 @@
 
     fn tell_broken(&mut self, events: &mut Vec<Event>) {
         for id in std::mem::take(&mut self.broken) {
-            let Some(line) = self.line(id) else {
+            let Some(connection) = self.connection(id) else {
                 continue;
             };
-            if !line.has_ended {
-                line.has_ended = true;
-                events.push(Event::Ended(id, End::Broken));
+            if !connection.has_ended {
+                connection.has_ended = true;
+                events.push(Event::Closed(id, CloseReason::Broken));
             }
         }
     }
 
     fn read_paused(&mut self, events: &mut Vec<Event>) {
         for id in std::mem::take(&mut self.paused) {
-            let Some(line) = self.line(id) else {
+            let Some(connection) = self.connection(id) else {
                 continue;
             };
-            if line.inbox.len() >= line.inbox_max {
+            if connection.inbox.len() >= connection.inbox_max {
                 self.paused.push(id);
                 continue;
             }
-            line.is_paused = false;
+            connection.is_paused = false;
             self.read(id, true, events);
         }
     }
 
-    fn read(&mut self, id: LineId, is_at_end: bool, events: &mut Vec<Event>) {
+    fn read(&mut self, id: ConnectionId, is_at_end: bool, events: &mut Vec<Event>) {
         let mut scratch = std::mem::take(&mut self.scratch);
-        if let Some(line) = self.line(id) {
-            line.spare();
-            let taken = if line.is_paused {
-                Taken::Nothing
+        if let Some(connection) = self.connection(id) {
+            connection.spare();
+            let taken = if connection.is_paused {
+                ReadOutcome::Nothing
             } else {
-                line.read(&mut scratch, is_at_end)
+                connection.read(&mut scratch, is_at_end)
             };
-            let is_paused = line.is_paused;
+            let is_paused = connection.is_paused;
             let end = match taken {
-                Taken::Nothing => None,
-                Taken::Bytes => {
-                    events.push(Event::Arrived(id));
+                ReadOutcome::Nothing => None,
+                ReadOutcome::Bytes => {
+                    events.push(Event::Readable(id));
                     None
                 }
-                Taken::Ended(end) => Some(end),
-                Taken::BytesAndEnded(end) => {
-                    events.push(Event::Arrived(id));
+                ReadOutcome::Ended(end) => Some(end),
+                ReadOutcome::BytesAndEnded(end) => {
+                    events.push(Event::Readable(id));
                     Some(end)
                 }
             };
             if let Some(end) = end {
-                line.has_ended = true;
-                events.push(Event::Ended(id, end));
+                connection.has_ended = true;
+                events.push(Event::Closed(id, end));
             }
             if is_paused && !self.paused.contains(&id) {
                 self.paused.push(id);
@@ -308,7 +315,7 @@
 
     fn accept(&mut self, place: usize, events: &mut Vec<Event>) {
         for _ in 0..ACCEPTS_MAX {
-            let Some(Some((listener, inbox_max))) = self.hatches.get(place) else {
+            let Some(Some((listener, inbox_max))) = self.listeners.get(place) else {
                 return;
             };
             let inbox_max = *inbox_max;
@@ -317,15 +324,15 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(_) => continue,
             };
-            if self.lines.len() >= self.lines_max {
+            if self.connections.len() >= self.max_connections {
                 continue;
             }
             if let Ok(id) = self.add(stream, true, inbox_max) {
-                events.push(Event::Opened(Hatch(place), id));
+                events.push(Event::Accepted(ListenerId(place), id));
             }
         }
         // More may wait; an edge is told once only, so the listener is asked for another.
-        if let Some(Some((listener, _))) = self.hatches.get_mut(place) {
+        if let Some(Some((listener, _))) = self.listeners.get_mut(place) {
             let token = Token(HATCHES + place);
             let registry = self.poll.registry();
             let _ = registry.reregister(listener, token, Interest::READABLE);
@@ -339,37 +346,37 @@
         ready: &mio::event::Event,
         events: &mut Vec<Event>,
     ) {
-        let Some(line) = self.lines.get_mut(place) else {
+        let Some(connection) = self.connections.get_mut(place) else {
             return;
         };
-        let id = LineId {
+        let id = ConnectionId {
             place: place as u32,
-            use_no: line.use_no,
+            use_no: connection.use_no,
         };
-        if line.has_ended || line.has_failed {
+        if connection.has_ended || connection.has_failed {
             return;
         }
-        if !line.is_connected {
-            let failed = line.stream.take_error().ok().flatten().is_some();
+        if !connection.is_connected {
+            let failed = connection.stream.take_error().ok().flatten().is_some();
             if failed || ready.is_error() {
-                line.has_ended = true;
-                events.push(Event::Ended(id, End::Unreached));
+                connection.has_ended = true;
+                events.push(Event::Closed(id, CloseReason::ConnectFailed));
                 return;
             }
-            if !ready.is_writable() || line.stream.peer_addr().is_err() {
+            if !ready.is_writable() || connection.stream.peer_addr().is_err() {
                 return;
             }
-            line.is_connected = true;
+            connection.is_connected = true;
             events.push(Event::Connected(id));
         }
         if ready.is_writable() {
-            line.is_writable = true;
-            if !line.flush() {
-                line.has_ended = true;
-                events.push(Event::Ended(id, End::Broken));
+            connection.is_writable = true;
+            if !connection.flush() {
+                connection.has_ended = true;
+                events.push(Event::Closed(id, CloseReason::Broken));
                 return;
             }
-            if line.closes_after_flush && line.waits_to_send() == 0 {
+            if connection.closes_after_flush && connection.waits_to_send() == 0 {
                 self.close(id);
                 return;
             }
--- a/crates/event_loop/src/lib.rs
+++ b/crates/event_loop/src/lib.rs
@@ -1,11 +1,11 @@
 //! Lines (TCP connections) of a daemon on one thread: what arrives, what is sent, and what ended, without ever
-//! waiting for a single line.
+//! waiting for a single connection.
 #![warn(missing_docs)]
 
+mod connection;
 mod event_loop;
-mod line;
 mod timers;
 
-pub use event_loop::{Event, EventLoop, Hatch};
-pub use line::{End, LineId};
+pub use connection::{CloseReason, ConnectionId};
+pub use event_loop::{Event, EventLoop, ListenerId};
 pub use timers::Timers;
--- a/crates/event_loop/src/timers.rs
+++ b/crates/event_loop/src/timers.rs
@@ -17,12 +17,12 @@
 
 impl<T: Ord> Timers<T> {
     /// Notes something for a time.
-    pub fn set(&mut self, at: u64, what: T) {
+    pub fn schedule(&mut self, at: u64, what: T) {
         self.heap.push(Reverse((at, what)));
     }
 
     /// The next thing that is due.
-    pub fn due(&mut self, now: u64) -> Option<T> {
+    pub fn pop_due(&mut self, now: u64) -> Option<T> {
         let Reverse((at, _)) = self.heap.peek()?;
         if *at > now {
             return None;
@@ -31,7 +31,7 @@
     }
 
     /// When the next thing is due.
-    pub fn next_at(&self) -> Option<u64> {
+    pub fn next_deadline(&self) -> Option<u64> {
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
 
--- a/crates/event_loop/tests/lines.rs
+++ b/crates/event_loop/tests/connections.rs
@@ -1,6 +1,6 @@
 //! Lines between this daemon and peers on loopback. Every wait is for a condition, with a bounded number of looks.
 
-use event_loop::{End, Event, EventLoop, Hatch, LineId, Timers};
+use event_loop::{CloseReason, ConnectionId, Event, EventLoop, ListenerId, Timers};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 
     fn look(&mut self, patience: Duration) {
         let mut events = Vec::new();
-        self.event_loop.wait(patience, &mut events);
+        self.event_loop.poll(patience, &mut events);
         self.told.extend(events);
     }
 
@@ -40,23 +40,23 @@
         panic!("{what} did not come: {:?}", self.told);
     }
 
-    fn opened(&mut self) -> (Hatch, LineId) {
+    fn opened(&mut self) -> (ListenerId, ConnectionId) {
         self.until("a line", |daemon| {
             let place = daemon
                 .told
                 .iter()
-                .position(|event| matches!(event, Event::Opened(..)))?;
-            let Event::Opened(hatch, line) = daemon.told.remove(place) else {
+                .position(|event| matches!(event, Event::Accepted(..)))?;
+            let Event::Accepted(listener, line) = daemon.told.remove(place) else {
                 return None;
             };
-            Some((hatch, line))
+            Some((listener, line))
         })
     }
 
-    fn ended(&mut self, line: LineId) -> End {
+    fn ended(&mut self, line: ConnectionId) -> CloseReason {
         self.until("an end", |daemon| {
             daemon.told.iter().find_map(|event| match event {
-                Event::Ended(one, end) if *one == line => Some(*end),
+                Event::Closed(one, end) if *one == line => Some(*end),
                 _ => None,
             })
         })
@@ -66,26 +66,26 @@
         self.told.contains(&event)
     }
 
-    fn holds(&mut self, line: LineId, length: usize) -> Vec<u8> {
+    fn holds(&mut self, line: ConnectionId, length: usize) -> Vec<u8> {
         self.until("bytes", |daemon| {
-            let inbox = daemon.event_loop.inbox(line)?;
+            let inbox = daemon.event_loop.read_buffer(line)?;
             (inbox.len() >= length).then(|| std::mem::take(inbox))
         })
     }
 }
 
 /// A daemon that listens, a peer's socket, and the line between them.
-fn accepted(inbox: usize) -> (Daemon, TcpStream, LineId) {
+fn accepted(inbox: usize) -> (Daemon, TcpStream, ConnectionId) {
     let mut daemon = Daemon::new();
     let address = free_address();
-    let hatch = daemon.event_loop.listen(address, inbox).unwrap();
+    let listener = daemon.event_loop.listen(address, inbox).unwrap();
     let peer = TcpStream::connect(address).unwrap();
     let (at, line) = daemon.opened();
-    assert_eq!(at, hatch);
+    assert_eq!(at, listener);
     (daemon, peer, line)
 }
 
-fn connected(inbox: usize) -> (Daemon, TcpStream, LineId) {
+fn connected(inbox: usize) -> (Daemon, TcpStream, ConnectionId) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut daemon = Daemon::new();
     let address = listener.local_addr().unwrap();
@@ -110,13 +110,13 @@
     let (mut daemon, mut peer, line) = accepted(INBOX);
     peer.write_all(b"ping").unwrap();
     assert_eq!(daemon.holds(line, 4), b"ping");
-    assert!(daemon.has(Event::Arrived(line)));
+    assert!(daemon.has(Event::Readable(line)));
     daemon.event_loop.send(line, b"pong");
     let mut answer = [0; 4];
     peer.read_exact(&mut answer).unwrap();
     assert_eq!(&answer, b"pong");
     drop(peer);
-    assert_eq!(daemon.ended(line), End::Closed);
+    assert_eq!(daemon.ended(line), CloseReason::PeerClosed);
     assert!(!daemon.event_loop.is_open(line));
     daemon.event_loop.close(line);
     assert!(daemon.event_loop.is_empty());
@@ -155,9 +155,9 @@
     let (mut daemon, mut peer, line) = accepted(INBOX);
     let bytes = pattern(8 << 20);
     daemon.event_loop.send(line, &bytes);
-    assert!(daemon.event_loop.backlog(line) > 0);
+    assert!(daemon.event_loop.unsent_bytes(line) > 0);
     assert!(!daemon.event_loop.is_flushing());
-    daemon.event_loop.finish(line);
+    daemon.event_loop.close_after_flush(line);
     assert!(daemon.event_loop.is_flushing());
     let reader = std::thread::spawn(move || {
         let mut all = Vec::new();
@@ -177,7 +177,7 @@
     for _ in 0..4 {
         daemon.event_loop.send(line, &bytes);
     }
-    assert_eq!(daemon.ended(line), End::Broken);
+    assert_eq!(daemon.ended(line), CloseReason::Broken);
 }
 
 #[test]
@@ -201,7 +201,7 @@
     }
     assert!(all == bytes);
     drop(writer.join().unwrap());
-    assert_eq!(daemon.ended(line), End::Closed);
+    assert_eq!(daemon.ended(line), CloseReason::PeerClosed);
 }
 
 #[test]
@@ -224,7 +224,10 @@
         daemon.look(Duration::from_millis(1));
         assert!(sent < 64 << 20, "nothing holds the peer back");
     }
-    let held = daemon.event_loop.inbox(line).map_or(0, |inbox| inbox.len());
+    let held = daemon
+        .event_loop
+        .read_buffer(line)
+        .map_or(0, |inbox| inbox.len());
     assert!(
         held >= bound && held <= bound + (64 << 10),
         "{held} bytes are held"
@@ -235,7 +238,7 @@
 fn nobody_at_an_address_is_told() {
     let mut daemon = Daemon::new();
     let line = daemon.event_loop.connect(free_address(), INBOX).unwrap();
-    assert_eq!(daemon.ended(line), End::Unreached);
+    assert_eq!(daemon.ended(line), CloseReason::ConnectFailed);
     assert!(!daemon.has(Event::Connected(line)));
 }
 
@@ -244,17 +247,17 @@
     let (mut daemon, mut peer, line) = connected(INBOX);
     peer.write_all(b"last words").unwrap();
     peer.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(daemon.ended(line), End::Closed);
+    assert_eq!(daemon.ended(line), CloseReason::PeerClosed);
     let arrived = daemon
         .told
         .iter()
-        .position(|event| *event == Event::Arrived(line));
+        .position(|event| *event == Event::Readable(line));
     let ended = daemon
         .told
         .iter()
-        .position(|event| *event == Event::Ended(line, End::Closed));
+        .position(|event| *event == Event::Closed(line, CloseReason::PeerClosed));
     assert!(arrived.is_some() && arrived < ended, "{:?}", daemon.told);
-    assert_eq!(daemon.event_loop.inbox(line).unwrap(), b"last words");
+    assert_eq!(daemon.event_loop.read_buffer(line).unwrap(), b"last words");
 }
 
 #[test]
@@ -270,12 +273,14 @@
     });
     let mut all = Vec::new();
     daemon.until("the end", |daemon| {
-        if let Some(inbox) = daemon.event_loop.inbox(line) {
+        if let Some(inbox) = daemon.event_loop.read_buffer(line) {
             all.append(inbox);
         }
-        daemon.has(Event::Ended(line, End::Closed)).then_some(())
+        daemon
+            .has(Event::Closed(line, CloseReason::PeerClosed))
+            .then_some(())
     });
-    all.append(daemon.event_loop.inbox(line).unwrap());
+    all.append(daemon.event_loop.read_buffer(line).unwrap());
     assert!(all == bytes, "{} of {} bytes", all.len(), bytes.len());
     drop(writer.join().unwrap());
 }
@@ -288,7 +293,7 @@
     let mut first = [0; 1];
     assert_eq!(peer.peek(&mut first).unwrap(), 1);
     drop(peer);
-    assert_eq!(daemon.ended(line), End::Broken);
+    assert_eq!(daemon.ended(line), CloseReason::Broken);
 }
 
 #[test]
@@ -305,9 +310,9 @@
     let mut peer = listener.accept().unwrap().0;
     // What is meant for the former line touches nothing.
     daemon.event_loop.send(first, b"stale");
-    daemon.event_loop.finish(first);
+    daemon.event_loop.close_after_flush(first);
     daemon.event_loop.close(first);
-    assert!(daemon.event_loop.inbox(first).is_none() && !daemon.event_loop.is_open(first));
+    assert!(daemon.event_loop.read_buffer(first).is_none() && !daemon.event_loop.is_open(first));
     daemon.event_loop.send(second, b"fresh");
     let mut bytes = [0; 5];
     peer.read_exact(&mut bytes).unwrap();
@@ -319,8 +324,8 @@
 fn a_hatch_that_is_shut_takes_nobody() {
     let mut daemon = Daemon::new();
     let address = free_address();
-    let hatch = daemon.event_loop.listen(address, INBOX).unwrap();
-    daemon.event_loop.shut(hatch);
+    let listener = daemon.event_loop.listen(address, INBOX).unwrap();
+    daemon.event_loop.stop_listening(listener);
     assert!(TcpStream::connect(address).is_err());
 }
 
@@ -332,7 +337,7 @@
     let peers: Vec<TcpStream> = (0..50)
         .map(|_| TcpStream::connect(address).unwrap())
         .collect();
-    let lines: std::collections::BTreeSet<LineId> =
+    let lines: std::collections::BTreeSet<ConnectionId> =
         peers.iter().map(|_| daemon.opened().1).collect();
     assert_eq!((lines.len(), daemon.event_loop.len()), (50, 50));
 }
@@ -356,12 +361,12 @@
 fn timers_come_in_their_order_and_not_before_their_time() {
     let mut timers = Timers::default();
     for (at, what) in [(30, 'c'), (10, 'a'), (20, 'b')] {
-        timers.set(at, what);
+        timers.schedule(at, what);
     }
-    assert_eq!(timers.next_at(), Some(10));
-    assert_eq!(timers.due(9), None);
-    assert_eq!(timers.due(20), Some('a'));
-    assert_eq!(timers.due(20), Some('b'));
-    assert_eq!(timers.due(20), None);
+    assert_eq!(timers.next_deadline(), Some(10));
+    assert_eq!(timers.pop_due(9), None);
+    assert_eq!(timers.pop_due(20), Some('a'));
+    assert_eq!(timers.pop_due(20), Some('b'));
+    assert_eq!(timers.pop_due(20), None);
     assert_eq!((timers.len(), timers.is_empty()), (1, false));
 }
--- a/crates/event_loop/tests/sending.rs
+++ b/crates/event_loop/tests/sending.rs
@@ -1,7 +1,7 @@
 //! What is known of a line at the moment when bytes are sent on it. Every wait is for a condition, with a bounded number
 //! of looks.
 
-use event_loop::{End, Event, EventLoop, LineId};
+use event_loop::{CloseReason, ConnectionId, Event, EventLoop};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
@@ -30,24 +30,24 @@
                 return;
             }
             let mut events = Vec::new();
-            self.event_loop.wait(LOOK, &mut events);
+            self.event_loop.poll(LOOK, &mut events);
             self.told.extend(events);
         }
         panic!("{event:?} did not come: {:?}", self.told);
     }
 
     /// Looks, without a wait for events, until the system knows that something came.
-    fn stirs(&mut self, line: LineId) {
+    fn stirs(&mut self, line: ConnectionId) {
         let is_stirred = (0..LOOKS * LOOKS).any(|_| {
             std::thread::yield_now();
-            !self.event_loop.is_quiet(line)
+            !self.event_loop.has_nothing_to_read(line)
         });
         assert!(is_stirred, "nothing came");
     }
 }
 
 /// A line that this daemon opened, and its peer.
-fn joined(daemon: &mut Daemon) -> (LineId, TcpStream) {
+fn joined(daemon: &mut Daemon) -> (ConnectionId, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let line = daemon.event_loop.connect(address, INBOX).unwrap();
@@ -60,10 +60,10 @@
 fn a_line_with_unread_bytes_or_an_end_is_not_quiet_before_events_tell() {
     let mut daemon = Daemon::new();
     let (line, mut peer) = joined(&mut daemon);
-    assert!(daemon.event_loop.is_quiet(line));
+    assert!(daemon.event_loop.has_nothing_to_read(line));
     peer.write_all(b"surplus").unwrap();
     daemon.stirs(line);
-    assert!(daemon.event_loop.inbox(line).unwrap().is_empty());
+    assert!(daemon.event_loop.read_buffer(line).unwrap().is_empty());
 
     let (line, peer) = joined(&mut daemon);
     drop(peer);
@@ -85,7 +85,7 @@
     assert!(!daemon.event_loop.send(line, b"never leaves"));
     assert!(!daemon.event_loop.send(line, b"nor does this"));
     assert!(!daemon.event_loop.is_open(line));
-    daemon.until(Event::Ended(line, End::Broken));
+    daemon.until(Event::Closed(line, CloseReason::Broken));
     assert!(!daemon.event_loop.send(line, b"nor this"));
 
     let (line, _peer) = joined(&mut daemon);
@@ -94,5 +94,5 @@
         daemon.event_loop.send(line, &much),
         "a part of it was taken"
     );
-    assert!(daemon.event_loop.backlog(line) > 0);
+    assert!(daemon.event_loop.unsent_bytes(line) > 0);
 }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -2,8 +2,8 @@
 
 use crate::gateway::{Due, Gateway, Role};
 use crate::tickets::{Stage, Ticket};
-use event_loop::LineId;
-use http1::{write_response, Bounds, Fault, Request, RequestReader, CONTINUE};
+use event_loop::ConnectionId;
+use http1::{write_response, HttpError, MessageLimits, Request, RequestReader, CONTINUE};
 
 /// A client's connection.
 #[derive(Default)]
@@ -21,7 +21,7 @@
 const HELD_MAX_MS: u64 = 120_000;
 
 impl Gateway {
-    pub fn client_opened(&mut self, line: LineId) {
+    pub fn client_opened(&mut self, line: ConnectionId) {
         let client = Client {
             since: self.now,
             is_timed: true,
@@ -30,13 +30,13 @@
         self.roles.insert(line, Role::Client(client));
         let wait = self.control.limits().idle_ms;
         // A client that reads nothing for a while is no daemon that fell silent.
-        self.event_loop.allow_silence(line, wait);
-        self.timers.set(self.now + wait, Due::Client(line));
+        self.event_loop.set_user_timeout(line, wait);
+        self.timers.schedule(self.now + wait, Due::Client(line));
     }
 
-    pub fn client_arrived(&mut self, line: LineId) {
+    pub fn client_arrived(&mut self, line: ConnectionId) {
         let limits = self.control.limits();
-        let bounds = Bounds {
+        let bounds = MessageLimits {
             header_bytes: limits.header_bytes,
             body_bytes: limits.body_bytes,
         };
@@ -46,7 +46,7 @@
         if client.ticket.is_some() {
             return;
         }
-        let Some(inbox) = self.event_loop.inbox(line) else {
+        let Some(inbox) = self.event_loop.read_buffer(line) else {
             return;
         };
         match client.reader.read(inbox, &bounds) {
@@ -61,7 +61,7 @@
                     client.is_arriving = true;
                     client.since = self.now;
                     let wait = limits.header_wait_ms;
-                    self.timers.set(self.now + wait, Due::Client(line));
+                    self.timers.schedule(self.now + wait, Due::Client(line));
                 }
                 if client.reader.expects_continue() && !client.has_continued {
                     client.has_continued = true;
@@ -72,7 +72,7 @@
         }
     }
 
-    fn refuse_bytes(&mut self, line: LineId, fault: &Fault) {
+    fn refuse_bytes(&mut self, line: ConnectionId, fault: &HttpError) {
         log::debug!("gateway: bytes refused: {fault}");
         let mut out = Vec::new();
         let text = fault.to_string();
@@ -85,12 +85,12 @@
             false,
         );
         self.event_loop.send(line, &out);
-        self.event_loop.finish(line);
+        self.event_loop.close_after_flush(line);
         self.roles.remove(&line);
     }
 
     /// A whole request: it is bound to a function and bids for a seat.
-    fn take(&mut self, line: LineId, request: Request) {
+    fn take(&mut self, line: ConnectionId, request: Request) {
         let conventions = self.options.conventions;
         if (conventions.is_readiness_check)(&request.method, &request.target) {
             self.tell_readiness(line, request.keeps_alive);
@@ -156,13 +156,20 @@
         if let Some(Role::Client(client)) = self.roles.get_mut(&line) {
             client.ticket = Some(number);
         }
-        self.timers.set(self.now + held, Due::Ticket(number));
+        self.timers.schedule(self.now + held, Due::Ticket(number));
         self.earn_credit(number);
         self.place_bid(number);
     }
 
     /// Answers with this daemon's own word, before there is a ticket.
-    fn answer_own(&mut self, line: LineId, id: &[u8], status: u16, text: &str, request: &Request) {
+    fn answer_own(
+        &mut self,
+        line: ConnectionId,
+        id: &[u8],
+        status: u16,
+        text: &str,
+        request: &Request,
+    ) {
         let conventions = self.options.conventions;
         let mut headers: Vec<(&str, &[u8])> = Vec::new();
         if !id.is_empty() {
@@ -198,9 +205,9 @@
         self.after_answer(line, keeps_alive);
     }
 
-    fn after_answer(&mut self, line: LineId, keeps_alive: bool) {
+    fn after_answer(&mut self, line: ConnectionId, keeps_alive: bool) {
         if !keeps_alive {
-            self.event_loop.finish(line);
+            self.event_loop.close_after_flush(line);
             self.roles.remove(&line);
             return;
         }
@@ -212,15 +219,15 @@
         if !client.is_timed {
             client.is_timed = true;
             let wait = self.control.limits().idle_ms;
-            self.timers.set(self.now + wait, Due::Client(line));
+            self.timers.schedule(self.now + wait, Due::Client(line));
         }
         self.note_unread(line);
     }
 
     /// A client's next request may have arrived already. It is read in its turn: not from within the answer to the one
     /// before, since a client may send any number of requests at once.
-    fn note_unread(&mut self, line: LineId) {
-        let inbox = self.event_loop.inbox(line);
+    fn note_unread(&mut self, line: ConnectionId) {
+        let inbox = self.event_loop.read_buffer(line);
         if inbox.is_some_and(|inbox| !inbox.is_empty()) {
             self.unread.push(line);
         }
@@ -234,7 +241,7 @@
     }
 
     /// A look whether a client's connection has been idle, or its request arriving, for too long.
-    pub fn client_is_late(&mut self, line: LineId) {
+    pub fn client_is_late(&mut self, line: ConnectionId) {
         let limits = self.control.limits();
         let Some(Role::Client(client)) = self.roles.get_mut(&line) else {
             return;
@@ -251,7 +258,7 @@
         let ends_at = client.since + wait;
         if self.now < ends_at {
             client.is_timed = true;
-            self.timers.set(ends_at, Due::Client(line));
+            self.timers.schedule(ends_at, Due::Client(line));
             return;
         }
         if client.is_arriving {
@@ -266,12 +273,12 @@
             );
             self.event_loop.send(line, &out);
         }
-        self.event_loop.finish(line);
+        self.event_loop.close_after_flush(line);
         self.roles.remove(&line);
     }
 
     /// A client left. What has left for a runner goes on, since it may be once-work; all else is withdrawn.
-    pub fn client_ended(&mut self, line: LineId) {
+    pub fn client_ended(&mut self, line: ConnectionId) {
         let Some(Role::Client(client)) = self.roles.get(&line) else {
             return;
         };
@@ -294,15 +301,15 @@
         self.tickets.remove(number);
     }
 
-    pub fn readiness_arrived(&mut self, line: LineId) {
-        let bounds = Bounds {
+    pub fn readiness_arrived(&mut self, line: ConnectionId) {
+        let bounds = MessageLimits {
             header_bytes: 8 << 10,
             body_bytes: 1 << 10,
         };
         let Some(Role::Readiness(reader)) = self.roles.get_mut(&line) else {
             return;
         };
-        let Some(inbox) = self.event_loop.inbox(line) else {
+        let Some(inbox) = self.event_loop.read_buffer(line) else {
             return;
         };
         match reader.read(inbox, &bounds) {
@@ -314,7 +321,7 @@
         }
     }
 
-    fn tell_readiness(&mut self, line: LineId, keeps_alive: bool) {
+    fn tell_readiness(&mut self, line: ConnectionId, keeps_alive: bool) {
         let is_ready = self.control.is_ready() && self.drains_since.is_none();
         let status = if is_ready { 200 } else { 503 };
         let mut out = Vec::new();
@@ -328,7 +335,7 @@
         );
         self.event_loop.send(line, &out);
         if !keeps_alive {
-            self.event_loop.finish(line);
+            self.event_loop.close_after_flush(line);
             self.roles.remove(&line);
         }
     }
@@ -337,14 +344,14 @@
         let idle = self.roles.iter().filter(|(_, role)| {
             matches!(role, Role::Client(client) if client.ticket.is_none() && !client.is_arriving)
         });
-        let idle: Vec<LineId> = idle.map(|(line, _)| *line).collect();
+        let idle: Vec<ConnectionId> = idle.map(|(line, _)| *line).collect();
         for line in idle {
             let has_more = self
                 .event_loop
-                .inbox(line)
+                .read_buffer(line)
                 .is_some_and(|inbox| !inbox.is_empty());
             if !has_more {
-                self.event_loop.finish(line);
+                self.event_loop.close_after_flush(line);
                 self.roles.remove(&line);
             }
         }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -5,7 +5,7 @@
 use crate::pool::Pool;
 use crate::runners::RunnerLine;
 use crate::tickets::Tickets;
-use event_loop::{Event, EventLoop, Hatch, LineId, Timers};
+use event_loop::{ConnectionId, Event, EventLoop, ListenerId, Timers};
 use http1::RequestReader;
 use jobs::{Ends, Jobs};
 use seat_leases::{LeaseAction, LeaseOwner, RetryBudget};
@@ -36,17 +36,17 @@
     Tick,
     Ticket(u64),
     Rest(u64),
-    Connect(LineId),
+    Connect(ConnectionId),
     /// A request, and how often it had been sent.
     Overdue(u64, u32),
-    Client(LineId),
+    Client(ConnectionId),
 }
 
 /// All state of the daemon, on one thread.
 pub(crate) struct Gateway {
     pub options: GatewayOptions,
     pub event_loop: EventLoop,
-    pub roles: HashMap<LineId, Role>,
+    pub roles: HashMap<ConnectionId, Role>,
     pub tickets: Tickets,
     pub keeper: LeaseOwner,
     pub jobs: Jobs,
@@ -62,15 +62,15 @@
     pub drains_since: Option<u64>,
     pub refusals: u64,
     /// Clients of whom more requests have arrived.
-    pub unread: Vec<LineId>,
+    pub unread: Vec<ConnectionId>,
     reloaded_at: u64,
     began: Instant,
-    hatches: Hatches,
+    listeners: Listeners,
 }
 
-struct Hatches {
-    public: Hatch,
-    readiness: Hatch,
+struct Listeners {
+    public: ListenerId,
+    readiness: ListenerId,
 }
 
 const CLIENT_INBOX: usize = 1 << 20;
@@ -100,7 +100,7 @@
         gateway.read_on();
         gateway.run_actions();
         let patience = gateway.patience();
-        gateway.event_loop.wait(patience, &mut events);
+        gateway.event_loop.poll(patience, &mut events);
         gateway.now = gateway.began.elapsed().as_millis() as u64;
         for event in events.drain(..) {
             gateway.handle(event);
@@ -124,8 +124,8 @@
         let mut event_loop =
             EventLoop::new(options.max_connections, silence).map_err(GatewayError::System)?;
         let mut listen = |address, inbox_max| {
-            let hatch = event_loop.listen(address, inbox_max);
-            hatch.map_err(|error| GatewayError::Listen(address, error))
+            let listener = event_loop.listen(address, inbox_max);
+            listener.map_err(|error| GatewayError::Listen(address, error))
         };
         let public = listen(options.client_address, CLIENT_INBOX)?;
         let readiness = listen(options.readiness_address, 1 << 14)?;
@@ -150,10 +150,10 @@
             unread: Vec::new(),
             reloaded_at: 0,
             began: Instant::now(),
-            hatches: Hatches { public, readiness },
+            listeners: Listeners { public, readiness },
             options,
         };
-        gateway.timers.set(0, Due::Tick);
+        gateway.timers.schedule(0, Due::Tick);
         Ok(gateway)
     }
 
@@ -161,7 +161,7 @@
         if !self.unread.is_empty() {
             return Duration::ZERO;
         }
-        let mut next = self.timers.next_at().unwrap_or(self.now + TICK_MS);
+        let mut next = self.timers.next_deadline().unwrap_or(self.now + TICK_MS);
         if let Some(at) = self.keeper.next_probe_at() {
             next = next.min(at);
         }
@@ -169,10 +169,10 @@
     }
 
     fn see_to_due(&mut self) {
-        while let Some(due) = self.timers.due(self.now) {
+        while let Some(due) = self.timers.pop_due(self.now) {
             match due {
                 Due::Tick => {
-                    self.timers.set(self.now + TICK_MS, Due::Tick);
+                    self.timers.schedule(self.now + TICK_MS, Due::Tick);
                     self.tick();
                 }
                 Due::Ticket(number) => self.ticket_is_over(number),
@@ -206,21 +206,23 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Opened(hatch, line) if hatch == self.hatches.public => self.client_opened(line),
-            Event::Opened(hatch, line) if hatch == self.hatches.readiness => {
+            Event::Accepted(listener, line) if listener == self.listeners.public => {
+                self.client_opened(line)
+            }
+            Event::Accepted(listener, line) if listener == self.listeners.readiness => {
                 let role = Role::Readiness(RequestReader::new());
                 self.roles.insert(line, role);
             }
-            Event::Opened(_, line) => {
+            Event::Accepted(_, line) => {
                 self.roles.insert(line, Role::Link(None));
             }
             Event::Connected(line) => self.connected(line),
-            Event::Arrived(line) => self.arrived(line),
-            Event::Ended(line, end) => self.ended(line, end),
+            Event::Readable(line) => self.arrived(line),
+            Event::Closed(line, end) => self.ended(line, end),
         }
     }
 
-    fn connected(&mut self, line: LineId) {
+    fn connected(&mut self, line: ConnectionId) {
         match self.roles.get(&line) {
             Some(Role::Probe { function, runner }) => {
                 let (function, runner) = (function.clone(), runner.clone());
@@ -232,7 +234,7 @@
         }
     }
 
-    fn arrived(&mut self, line: LineId) {
+    fn arrived(&mut self, line: ConnectionId) {
         match self.roles.get(&line) {
             Some(Role::Client(_)) => self.client_arrived(line),
             Some(Role::Readiness(_)) => self.readiness_arrived(line),
@@ -242,7 +244,7 @@
         }
     }
 
-    fn ended(&mut self, line: LineId, end: event_loop::End) {
+    fn ended(&mut self, line: ConnectionId, end: event_loop::CloseReason) {
         match self.roles.get(&line) {
             Some(Role::Client(_)) => self.client_ended(line),
             Some(Role::Runner(_)) => self.runner_ended(line, end),
@@ -329,7 +331,7 @@
         // Clients learn within two looks, a second apart, that this daemon takes no more; some come all the same.
         let spent = self.now - since;
         if spent >= self.options.shutdown_grace_ms / 2 {
-            self.event_loop.shut(self.hatches.public);
+            self.event_loop.stop_listening(self.listeners.public);
             self.close_idle_clients();
             let is_done = self.tickets.len() == 0 && self.ends.is_empty() && !self.has_clients();
             if is_done && !self.event_loop.is_flushing() {
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -1,6 +1,6 @@
 use crate::gateway::{Gateway, Role};
 use crate::options::GatewayOptions;
-use event_loop::LineId;
+use event_loop::ConnectionId;
 use protocol::{frame, take_frames, Member, Message};
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,7 +15,7 @@
 const KEPT_MAX: usize = 65_536;
 
 struct Link {
-    line: LineId,
+    line: ConnectionId,
     heard_at: u64,
     pinged_at: u64,
     out: Vec<u8>,
@@ -23,7 +23,7 @@
 
 #[derive(Default)]
 pub(crate) struct Controller {
-    pub line: Option<LineId>,
+    pub line: Option<ConnectionId>,
     pub heard_at: u64,
     pub tried_at: u64,
     pub told_at: u64,
@@ -181,7 +181,7 @@
         true
     }
 
-    fn add_link(&mut self, name: &str, line: LineId) {
+    fn add_link(&mut self, name: &str, line: ConnectionId) {
         let link = Link {
             line,
             heard_at: self.now,
@@ -201,8 +201,8 @@
         }
     }
 
-    pub fn link_arrived(&mut self, line: LineId) {
-        let Some(inbox) = self.event_loop.inbox(line) else {
+    pub fn link_arrived(&mut self, line: ConnectionId) {
+        let Some(inbox) = self.event_loop.read_buffer(line) else {
             return;
         };
         let (messages, fault) = take_frames::<Message>(inbox);
@@ -217,7 +217,7 @@
         }
     }
 
-    fn hear(&mut self, line: LineId, message: Message) {
+    fn hear(&mut self, line: ConnectionId, message: Message) {
         match self.roles.get(&line) {
             Some(Role::Controller(address)) => {
                 let address = address.clone();
@@ -232,7 +232,7 @@
         }
     }
 
-    fn hear_stranger(&mut self, line: LineId, message: Message) {
+    fn hear_stranger(&mut self, line: ConnectionId, message: Message) {
         match message {
             Message::Gateway(member) => {
                 self.roles
@@ -320,7 +320,7 @@
         self.links.peers.remove(name);
         let until = self.now + SUSPECT_MS;
         self.links.suspects.insert(name.into(), until);
-        let lines: Vec<LineId> = self
+        let lines: Vec<ConnectionId> = self
             .roles
             .iter()
             .filter(|(_, role)| matches!(role, Role::Link(Some(known)) if known == name))
@@ -335,7 +335,7 @@
         self.move_waiting();
     }
 
-    pub fn link_ended(&mut self, line: LineId) {
+    pub fn link_ended(&mut self, line: ConnectionId) {
         match self.roles.get(&line) {
             Some(Role::Controller(address)) => {
                 if let Some(controller) = self.links.controllers.get_mut(address) {
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,5 +1,5 @@
 use crate::gateway::Role;
-use event_loop::{EventLoop, LineId};
+use event_loop::{ConnectionId, EventLoop};
 use std::collections::HashMap;
 
 /// Most idle lines that are kept.
@@ -8,12 +8,12 @@
 /// Idle connections by runner.
 #[derive(Default)]
 pub(crate) struct Pool {
-    idle: HashMap<String, Vec<LineId>>,
+    idle: HashMap<String, Vec<ConnectionId>>,
     count: usize,
 }
 
 impl Pool {
-    pub fn take(&mut self, runner: &str) -> Option<LineId> {
+    pub fn take(&mut self, runner: &str) -> Option<ConnectionId> {
         let lines = self.idle.get_mut(runner)?;
         let line = lines.pop();
         if lines.is_empty() {
@@ -23,7 +23,7 @@
         line
     }
 
-    pub fn put(&mut self, runner: &str, line: LineId, most: usize) -> bool {
+    pub fn put(&mut self, runner: &str, line: ConnectionId, most: usize) -> bool {
         let lines = self.idle.entry(runner.into()).or_default();
         if lines.len() >= most || self.count >= IDLE_MAX {
             return false;
@@ -33,7 +33,7 @@
         true
     }
 
-    pub fn forget(&mut self, runner: &str, line: LineId) {
+    pub fn forget(&mut self, runner: &str, line: ConnectionId) {
         let Some(lines) = self.idle.get_mut(runner) else {
             return;
         };
@@ -49,7 +49,7 @@
     pub fn expire(
         &mut self,
         event_loop: &mut EventLoop,
-        roles: &mut HashMap<LineId, Role>,
+        roles: &mut HashMap<ConnectionId, Role>,
         now: u64,
     ) {
         let mut count = self.count;
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -1,6 +1,6 @@
 use crate::gateway::{Due, Gateway, Role};
 use crate::runners::{runner_role, IDLE_MS, INBOX_MAX};
-use event_loop::LineId;
+use event_loop::ConnectionId;
 
 impl Gateway {
     /// Opens a line to a runner that is starting, to see whether it is up.
@@ -16,12 +16,12 @@
             return;
         };
         let wait = self.options.connect_ms();
-        self.timers.set(self.now + wait, Due::Connect(line));
+        self.timers.schedule(self.now + wait, Due::Connect(line));
         self.roles.insert(line, Role::Probe { function, runner });
     }
 
     /// The line of a probe that was taken is kept for requests.
-    pub fn pool_probe(&mut self, line: LineId, runner: &str) {
+    pub fn pool_probe(&mut self, line: ConnectionId, runner: &str) {
         let mut role = runner_role(runner);
         if let Role::Runner(runner) = &mut role {
             runner.expires_at = self.now + IDLE_MS;
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -119,7 +119,7 @@
     fn rest(&mut self, number: u64) {
         if let Some(ticket) = self.tickets.get(number) {
             ticket.stage = Stage::Resting;
-            self.timers.set(self.now + REST_MS, Due::Rest(number));
+            self.timers.schedule(self.now + REST_MS, Due::Rest(number));
         }
     }
 
--- a/crates/gateway/src/runner_connection.rs
+++ b/crates/gateway/src/runner_connection.rs
@@ -6,7 +6,7 @@
 //! a connection on which anything else was ever seen is not used again.
 
 use crate::options::HttpConventions;
-use http1::{Bounds, Response, ResponseReader};
+use http1::{MessageLimits, Response, ResponseReader};
 
 /// Largest body of a runner's answer, in bytes.
 pub const ANSWER_MAX: usize = 4 << 20;
@@ -15,7 +15,7 @@
 /// Answers to other requests that are dropped on one connection before it is closed.
 const STRAYS_MAX: u32 = 4;
 
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: MessageLimits = MessageLimits {
     header_bytes: HEAD_MAX,
     body_bytes: ANSWER_MAX,
 };
--- a/crates/gateway/src/runners.rs
+++ b/crates/gateway/src/runners.rs
@@ -5,7 +5,7 @@
     Outstanding, Reading, RunnerAnswer, RunnerConnection, ANSWER_MAX, HEAD_MAX,
 };
 use crate::tickets::{Sent, Stage};
-use event_loop::{End, LineId};
+use event_loop::{CloseReason, ConnectionId};
 use http1::{end_to_end, idle_seconds, write_request};
 use protocol::{Grant, Outcome};
 
@@ -89,17 +89,17 @@
     fn rest_and_bid(&mut self, number: u64) {
         if let Some(ticket) = self.tickets.get(number) {
             ticket.stage = Stage::Resting;
-            self.timers.set(self.now + 20, Due::Rest(number));
+            self.timers.schedule(self.now + 20, Due::Rest(number));
         }
     }
 
     // Nothing may lie unread on a line that is used again: it would be no answer to the next request. For work that may
     // run once the system is asked too, since a line whose runner has ended it would take the request and lose it.
-    fn is_clean(&mut self, line: LineId, is_once: bool) -> bool {
+    fn is_clean(&mut self, line: ConnectionId, is_once: bool) -> bool {
         let has_nothing = |inbox: &mut Vec<u8>| inbox.is_empty();
         let is_clean = self.event_loop.is_open(line)
-            && self.event_loop.inbox(line).is_some_and(has_nothing)
-            && (!is_once || self.event_loop.is_quiet(line));
+            && self.event_loop.read_buffer(line).is_some_and(has_nothing)
+            && (!is_once || self.event_loop.has_nothing_to_read(line));
         if !is_clean {
             self.roles.remove(&line);
             self.event_loop.close(line);
@@ -107,22 +107,22 @@
         is_clean
     }
 
-    fn open_runner(&mut self, grant: &Grant) -> Option<LineId> {
+    fn open_runner(&mut self, grant: &Grant) -> Option<ConnectionId> {
         let address = grant.address.parse().ok()?;
         let line = self.event_loop.connect(address, INBOX_MAX).ok()?;
         self.roles.insert(line, runner_role(&grant.runner));
         let wait = self.options.connect_ms();
-        self.event_loop.allow_silence(line, wait * 2);
-        self.timers.set(self.now + wait, Due::Connect(line));
+        self.event_loop.set_user_timeout(line, wait * 2);
+        self.timers.schedule(self.now + wait, Due::Connect(line));
         Some(line)
     }
 
-    pub fn runner_connected(&mut self, line: LineId) {
+    pub fn runner_connected(&mut self, line: ConnectionId) {
         self.send_to_runner(line);
     }
 
     /// The last step: a request leaves for its runner, where nothing holds it back.
-    pub fn send_to_runner(&mut self, line: LineId) {
+    pub fn send_to_runner(&mut self, line: ConnectionId) {
         let Some(Role::Runner(runner)) = self.roles.get_mut(&line) else {
             return;
         };
@@ -204,15 +204,15 @@
         let pace = pace.unwrap_or(PACE_PRIOR_MS);
         let patience = (pace * OVERDUE_PACES).max(OVERDUE_MIN_MS) as u64;
         let due = Due::Overdue(number, ticket.sends);
-        self.timers.set(self.now + patience, due);
+        self.timers.schedule(self.now + patience, due);
     }
 
     /// Bytes of a runner arrived.
-    pub fn runner_arrived(&mut self, line: LineId) {
+    pub fn runner_arrived(&mut self, line: ConnectionId) {
         let Some(Role::Runner(runner)) = self.roles.get_mut(&line) else {
             return;
         };
-        let Some(inbox) = self.event_loop.inbox(line) else {
+        let Some(inbox) = self.event_loop.read_buffer(line) else {
             return;
         };
         let reading = runner.connection.received(inbox, &self.options.conventions);
@@ -220,7 +220,7 @@
     }
 
     /// A runner's line ended.
-    pub fn runner_ended(&mut self, line: LineId, end: End) {
+    pub fn runner_ended(&mut self, line: ConnectionId, end: CloseReason) {
         let Some(Role::Runner(runner)) = self.roles.get_mut(&line) else {
             return;
         };
@@ -232,12 +232,12 @@
         };
         match reading {
             Reading::Failed(reason) if self.has_left_on(number, line) => self.lost(number, reason),
-            _ => self.runner_failed(number, end == End::Unreached),
+            _ => self.runner_failed(number, end == CloseReason::ConnectFailed),
         }
     }
 
     /// Whether a request has left on this very line.
-    fn has_left_on(&mut self, number: u64, line: LineId) -> bool {
+    fn has_left_on(&mut self, number: u64, line: ConnectionId) -> bool {
         let ticket = self.tickets.get(number);
         let sent = ticket.and_then(|ticket| match &ticket.stage {
             Stage::Sent(sent) => Some(sent),
@@ -247,7 +247,7 @@
     }
 
     /// Does what a line's bytes mean for its request.
-    fn take_reading(&mut self, line: LineId, reading: Reading) {
+    fn take_reading(&mut self, line: ConnectionId, reading: Reading) {
         let Some(Role::Runner(runner)) = self.roles.get_mut(&line) else {
             return;
         };
@@ -278,7 +278,7 @@
     }
 
     /// A line's request is answered: the line is kept for others where nothing speaks against it.
-    fn release_line(&mut self, line: LineId, answer: &RunnerAnswer) {
+    fn release_line(&mut self, line: ConnectionId, answer: &RunnerAnswer) {
         let Some(Role::Runner(runner)) = self.roles.get_mut(&line) else {
             return;
         };
@@ -293,7 +293,7 @@
         let function = ticket.map(|ticket| ticket.function.clone());
         let most = function.map_or(0, |function| self.control.idle_lines(&function));
         // An answer that came before its whole request had left leaves a rest that would look like the next request.
-        let is_sent = self.event_loop.backlog(line) == 0;
+        let is_sent = self.event_loop.unsent_bytes(line) == 0;
         let is_kept = answer.is_reusable
             && is_sent
             && self.event_loop.is_open(line)
@@ -336,7 +336,7 @@
     }
 
     /// The time for a connection to come up is over.
-    pub fn connect_is_over(&mut self, line: LineId) {
+    pub fn connect_is_over(&mut self, line: ConnectionId) {
         match self.roles.get(&line) {
             Some(Role::Probe { function, runner }) => {
                 let (function, runner) = (function.clone(), runner.clone());
@@ -361,7 +361,7 @@
         }
     }
 
-    pub fn drop_runner_line(&mut self, line: LineId, runner: &str) {
+    pub fn drop_runner_line(&mut self, line: ConnectionId, runner: &str) {
         self.pool.forget(runner, line);
         self.roles.remove(&line);
         self.event_loop.close(line);
--- a/crates/gateway/src/tickets.rs
+++ b/crates/gateway/src/tickets.rs
@@ -1,4 +1,4 @@
-use event_loop::LineId;
+use event_loop::ConnectionId;
 use http1::Request;
 use jobs::Pass;
 use slab::Slab;
@@ -24,7 +24,7 @@
     pub runner: String,
     pub address: String,
     pub district: String,
-    pub line: LineId,
+    pub line: ConnectionId,
     pub at: u64,
     pub has_left: bool,
 }
@@ -32,7 +32,7 @@
 /// A request that was read whole and is not answered yet.
 #[derive(Debug)]
 pub(crate) struct Ticket {
-    pub client: Option<LineId>,
+    pub client: Option<ConnectionId>,
     pub request: Request,
     pub id: Vec<u8>,
     pub function: String,
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,5 +1,5 @@
 use crate::head::{is_name, is_value, LineScan};
-use crate::{Bounds, Fault};
+use crate::{HttpError, MessageLimits};
 
 const SIZE_LINE_MAX: usize = 256;
 const SIZE_DIGITS_MAX: usize = 16;
@@ -11,9 +11,9 @@
 }
 
 impl BodyReader {
-    pub(crate) fn of_length(length: usize, bounds: &Bounds) -> Result<Self, Fault> {
+    pub(crate) fn of_length(length: usize, bounds: &MessageLimits) -> Result<Self, HttpError> {
         if length > bounds.body_bytes {
-            return Err(Fault::BodyTooLarge);
+            return Err(HttpError::BodyTooLarge);
         }
         Ok(BodyReader::Length(length))
     }
@@ -26,8 +26,8 @@
         &mut self,
         bytes: &[u8],
         at: &mut usize,
-        bounds: &Bounds,
-    ) -> Result<Option<Vec<u8>>, Fault> {
+        bounds: &MessageLimits,
+    ) -> Result<Option<Vec<u8>>, HttpError> {
         let length = match self {
             BodyReader::Length(length) => *length,
             BodyReader::Chunked(chunks) => return chunks.read(bytes, at, bounds),
@@ -63,8 +63,8 @@
         &mut self,
         bytes: &[u8],
         at: &mut usize,
-        bounds: &Bounds,
-    ) -> Result<Option<Vec<u8>>, Fault> {
+        bounds: &MessageLimits,
+    ) -> Result<Option<Vec<u8>>, HttpError> {
         loop {
             let rest = &bytes[*at..];
             match self.phase {
@@ -90,7 +90,7 @@
                         if rest.is_empty() || rest == b"\r" {
                             return Ok(None);
                         }
-                        return Err(Fault::BadRequest("chunk does not end in CRLF"));
+                        return Err(HttpError::BadRequest("chunk does not end in CRLF"));
                     }
                     *at += 2;
                     self.phase = Phase::Size;
@@ -108,37 +108,37 @@
         }
     }
 
-    fn size_line(&mut self, rest: &[u8]) -> Result<Option<usize>, Fault> {
+    fn size_line(&mut self, rest: &[u8]) -> Result<Option<usize>, HttpError> {
         let within = &rest[..rest.len().min(SIZE_LINE_MAX)];
         let end = self.line.end(within)?;
         if end.is_none() && within.len() == SIZE_LINE_MAX {
-            return Err(Fault::BadRequest("chunk size line is too long"));
+            return Err(HttpError::BadRequest("chunk size line is too long"));
         }
         Ok(end)
     }
 
-    fn after_size(&mut self, line: &[u8], bounds: &Bounds) -> Result<Phase, Fault> {
+    fn after_size(&mut self, line: &[u8], bounds: &MessageLimits) -> Result<Phase, HttpError> {
         let digits = line
             .iter()
             .take_while(|byte| byte.is_ascii_hexdigit())
             .count();
         let (digits, extension) = line.split_at(digits);
         if digits.is_empty() || digits.len() > SIZE_DIGITS_MAX {
-            return Err(Fault::BadRequest("malformed chunk size"));
+            return Err(HttpError::BadRequest("malformed chunk size"));
         }
         if !extension.is_empty() && (extension[0] != b';' || !is_value(extension)) {
-            return Err(Fault::BadRequest("malformed chunk extension"));
+            return Err(HttpError::BadRequest("malformed chunk extension"));
         }
         self.extension_bytes += extension.len();
         if self.extension_bytes > bounds.header_bytes {
-            return Err(Fault::HeadTooLarge);
+            return Err(HttpError::HeadTooLarge);
         }
         let text = std::str::from_utf8(digits).unwrap_or_default();
         let size = u64::from_str_radix(text, 16).ok();
         let size = size.and_then(|size| usize::try_from(size).ok());
-        let size = size.ok_or(Fault::BadRequest("chunk size overflows"))?;
+        let size = size.ok_or(HttpError::BadRequest("chunk size overflows"))?;
         if size > bounds.body_bytes.saturating_sub(self.body.len()) {
-            return Err(Fault::BodyTooLarge);
+            return Err(HttpError::BodyTooLarge);
         }
         if size == 0 {
             return Ok(Phase::Trailers);
@@ -146,7 +146,11 @@
         Ok(Phase::Data(size))
     }
 
-    fn trailer_line(&mut self, rest: &[u8], bounds: &Bounds) -> Result<Option<usize>, Fault> {
+    fn trailer_line(
+        &mut self,
+        rest: &[u8],
+        bounds: &MessageLimits,
+    ) -> Result<Option<usize>, HttpError> {
         let left = bounds
             .header_bytes
             .saturating_sub(self.trailer_bytes)
@@ -154,7 +158,7 @@
         let within = &rest[..rest.len().min(left)];
         let Some(end) = self.line.end(within)? else {
             if within.len() == left {
-                return Err(Fault::HeadTooLarge);
+                return Err(HttpError::HeadTooLarge);
             }
             return Ok(None);
         };
@@ -164,9 +168,9 @@
         self.trailer_bytes += end + 2;
         let line = &rest[..end];
         let colon = line.iter().position(|&byte| byte == b':');
-        let colon = colon.ok_or(Fault::BadRequest("malformed trailer"))?;
+        let colon = colon.ok_or(HttpError::BadRequest("malformed trailer"))?;
         if !is_name(&line[..colon]) || !is_value(&line[colon + 1..]) {
-            return Err(Fault::BadRequest("malformed trailer"));
+            return Err(HttpError::BadRequest("malformed trailer"));
         }
         Ok(Some(end))
     }
--- a/crates/http1/src/fault.rs
+++ b/crates/http1/src/error.rs
@@ -3,7 +3,7 @@
 
 /// Why bytes are no message: for a request, the status that a client is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum HttpError {
     /// The bytes break the protocol (400).
     BadRequest(&'static str),
     /// The head, its trailers or its chunk extensions are over the bound (431).
@@ -11,34 +11,34 @@
     /// The body is over the bound (413).
     BodyTooLarge,
     /// A transfer coding besides `chunked` is asked for (501).
-    NotImplemented,
+    UnsupportedTransferCoding,
     /// The version is neither HTTP/1.0 nor HTTP/1.1 (505).
-    Version,
+    UnsupportedVersion,
 }
 
-impl Fault {
+impl HttpError {
     /// The status that tells a client of this fault.
     pub fn status(&self) -> u16 {
         match self {
-            Fault::BadRequest(_) => 400,
-            Fault::BodyTooLarge => 413,
-            Fault::HeadTooLarge => 431,
-            Fault::NotImplemented => 501,
-            Fault::Version => 505,
+            HttpError::BadRequest(_) => 400,
+            HttpError::BodyTooLarge => 413,
+            HttpError::HeadTooLarge => 431,
+            HttpError::UnsupportedTransferCoding => 501,
+            HttpError::UnsupportedVersion => 505,
         }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for HttpError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Fault::BadRequest(reason) => reason,
-            Fault::HeadTooLarge => "header fields over the bound",
-            Fault::BodyTooLarge => "body over the bound",
-            Fault::NotImplemented => "unknown transfer coding",
-            Fault::Version => "version is neither HTTP/1.0 nor HTTP/1.1",
+            HttpError::BadRequest(reason) => reason,
+            HttpError::HeadTooLarge => "header fields over the bound",
+            HttpError::BodyTooLarge => "body over the bound",
+            HttpError::UnsupportedTransferCoding => "unknown transfer coding",
+            HttpError::UnsupportedVersion => "version is neither HTTP/1.0 nor HTTP/1.1",
         })
     }
 }
 
-impl Error for Fault {}
+impl Error for HttpError {}
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,5 +1,5 @@
-use crate::hops::list;
-use crate::{Bounds, Fault, Headers};
+use crate::hop_by_hop::list;
+use crate::{Headers, HttpError, MessageLimits};
 
 pub(crate) const FIELDS_MAX: usize = 100;
 const KNOWN_CODINGS: [&str; 5] = ["gzip", "x-gzip", "deflate", "compress", "x-compress"];
@@ -10,7 +10,7 @@
 }
 
 impl LineScan {
-    pub(crate) fn end(&mut self, bytes: &[u8]) -> Result<Option<usize>, Fault> {
+    pub(crate) fn end(&mut self, bytes: &[u8]) -> Result<Option<usize>, HttpError> {
         let is_break = |byte: &u8| matches!(byte, b'\r' | b'\n');
         let Some(found) = bytes[self.scanned..].iter().position(is_break) else {
             self.scanned = bytes.len();
@@ -24,7 +24,7 @@
                 self.scanned = 0;
                 Ok(Some(at))
             }
-            _ => Err(Fault::BadRequest("line end is not CRLF")),
+            _ => Err(HttpError::BadRequest("line end is not CRLF")),
         }
     }
 }
@@ -36,7 +36,11 @@
 }
 
 impl HeadScan {
-    pub(crate) fn end(&mut self, bytes: &[u8], bounds: &Bounds) -> Result<Option<usize>, Fault> {
+    pub(crate) fn end(
+        &mut self,
+        bytes: &[u8],
+        bounds: &MessageLimits,
+    ) -> Result<Option<usize>, HttpError> {
         let within = &bytes[..bytes.len().min(bounds.header_bytes)];
         while let Some(length) = self.line.end(&within[self.line_start..])? {
             self.line_start += length + 2;
@@ -45,7 +49,7 @@
             }
         }
         if bytes.len() >= bounds.header_bytes {
-            return Err(Fault::HeadTooLarge);
+            return Err(HttpError::HeadTooLarge);
         }
         Ok(None)
     }
@@ -58,47 +62,47 @@
     Chunked,
 }
 
-pub(crate) fn framing(headers: &Headers, is_http_1_0: bool) -> Result<Framing, Fault> {
+pub(crate) fn framing(headers: &Headers, is_http_1_0: bool) -> Result<Framing, HttpError> {
     let mut lengths = headers.get_all("Content-Length");
     let mut codings = headers.get_all("Transfer-Encoding");
     match (lengths.next(), codings.next()) {
         (None, None) => Ok(Framing::Absent),
-        (Some(_), Some(_)) => Err(Fault::BadRequest("both a length and a transfer coding")),
+        (Some(_), Some(_)) => Err(HttpError::BadRequest("both a length and a transfer coding")),
         (Some(length), None) => {
             if lengths.next().is_some() {
-                return Err(Fault::BadRequest("several lengths"));
+                return Err(HttpError::BadRequest("several lengths"));
             }
             number(length).map(Framing::Length)
         }
         (None, Some(coding)) => {
             if is_http_1_0 {
-                return Err(Fault::BadRequest("transfer coding in HTTP/1.0"));
+                return Err(HttpError::BadRequest("transfer coding in HTTP/1.0"));
             }
             if codings.next().is_some() {
-                return Err(Fault::BadRequest("several transfer codings"));
+                return Err(HttpError::BadRequest("several transfer codings"));
             }
             chunked(coding)
         }
     }
 }
 
-fn number(digits: &[u8]) -> Result<usize, Fault> {
+fn number(digits: &[u8]) -> Result<usize, HttpError> {
     if digits.is_empty() {
-        return Err(Fault::BadRequest("length is not a number"));
+        return Err(HttpError::BadRequest("length is not a number"));
     }
     let mut number = 0usize;
     for digit in digits {
         if !digit.is_ascii_digit() {
-            return Err(Fault::BadRequest("length is not a number"));
+            return Err(HttpError::BadRequest("length is not a number"));
         }
         let grown = number.checked_mul(10);
         let grown = grown.and_then(|grown| grown.checked_add((digit - b'0').into()));
-        number = grown.ok_or(Fault::BadRequest("length overflows"))?;
+        number = grown.ok_or(HttpError::BadRequest("length overflows"))?;
     }
     Ok(number)
 }
 
-fn chunked(value: &[u8]) -> Result<Framing, Fault> {
+fn chunked(value: &[u8]) -> Result<Framing, HttpError> {
     if value.eq_ignore_ascii_case(b"chunked") {
         return Ok(Framing::Chunked);
     }
@@ -111,19 +115,21 @@
         .next()
         .is_some_and(|last| last.eq_ignore_ascii_case(b"chunked"));
     if ends_in_chunked && codings.next().is_none() && list(value).count() > 1 {
-        return Err(Fault::NotImplemented);
+        return Err(HttpError::UnsupportedTransferCoding);
     }
-    Err(Fault::BadRequest("transfer coding is not chunked alone"))
+    Err(HttpError::BadRequest(
+        "transfer coding is not chunked alone",
+    ))
 }
 
-pub(crate) fn fault_of(error: httparse::Error, head: &[u8]) -> Fault {
+pub(crate) fn error_from_httparse(error: httparse::Error, head: &[u8]) -> HttpError {
     match error {
-        httparse::Error::TooManyHeaders => Fault::HeadTooLarge,
-        httparse::Error::Version if names_version(head) => Fault::Version,
-        httparse::Error::HeaderName => Fault::BadRequest("malformed field name"),
-        httparse::Error::HeaderValue => Fault::BadRequest("malformed field value"),
-        httparse::Error::Status => Fault::BadRequest("malformed status"),
-        _ => Fault::BadRequest("malformed first line"),
+        httparse::Error::TooManyHeaders => HttpError::HeadTooLarge,
+        httparse::Error::Version if names_version(head) => HttpError::UnsupportedVersion,
+        httparse::Error::HeaderName => HttpError::BadRequest("malformed field name"),
+        httparse::Error::HeaderValue => HttpError::BadRequest("malformed field value"),
+        httparse::Error::Status => HttpError::BadRequest("malformed status"),
+        _ => HttpError::BadRequest("malformed first line"),
     }
 }
 
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -5,24 +5,24 @@
 #![warn(missing_docs)]
 
 mod body;
-mod fault;
+mod error;
 mod head;
 mod headers;
-mod hops;
+mod hop_by_hop;
 mod request;
 mod response;
-mod writing;
+mod write;
 
-pub use fault::Fault;
+pub use error::HttpError;
 pub use headers::Headers;
-pub use hops::{end_to_end, idle_seconds};
+pub use hop_by_hop::{end_to_end, idle_seconds};
 pub use request::{Request, RequestReader};
 pub use response::{Response, ResponseReader};
-pub use writing::{write_request, write_response, CONTINUE};
+pub use write::{write_request, write_response, CONTINUE};
 
 /// How large a message may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct MessageLimits {
     /// Bytes of a head up to and with its empty line; also those of trailers and, in sum, those of
     /// chunk extensions.
     pub header_bytes: usize,
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -1,9 +1,9 @@
 use std::mem::MaybeUninit;
 
 use crate::body::BodyReader;
-use crate::head::{fault_of, framing, is_token_byte, Framing, HeadScan, FIELDS_MAX};
-use crate::hops::keeps_alive;
-use crate::{Bounds, Fault, Headers};
+use crate::head::{error_from_httparse, framing, is_token_byte, Framing, HeadScan, FIELDS_MAX};
+use crate::hop_by_hop::keeps_alive;
+use crate::{Headers, HttpError, MessageLimits};
 
 /// A request read whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     has_skipped_line: bool,
     pending: Option<(Request, BodyReader)>,
     expects_continue: bool,
-    fault: Option<Fault>,
+    fault: Option<HttpError>,
 }
 
 impl RequestReader {
@@ -45,8 +45,8 @@
     pub fn read(
         &mut self,
         buffer: &mut Vec<u8>,
-        bounds: &Bounds,
-    ) -> Result<Option<Request>, Fault> {
+        bounds: &MessageLimits,
+    ) -> Result<Option<Request>, HttpError> {
         if let Some(fault) = self.fault {
             return Err(fault);
         }
@@ -78,8 +78,8 @@
         &mut self,
         bytes: &[u8],
         at: &mut usize,
-        bounds: &Bounds,
-    ) -> Result<Option<Request>, Fault> {
+        bounds: &MessageLimits,
+    ) -> Result<Option<Request>, HttpError> {
         let (mut request, mut reader) = match self.pending.take() {
             Some(pending) => pending,
             None => {
@@ -103,21 +103,21 @@
         &mut self,
         bytes: &[u8],
         at: &mut usize,
-        bounds: &Bounds,
-    ) -> Result<Option<(Request, BodyReader)>, Fault> {
+        bounds: &MessageLimits,
+    ) -> Result<Option<(Request, BodyReader)>, HttpError> {
         if !self.has_skipped_line && bytes.first() == Some(&b'\r') {
             if bytes == b"\r" {
                 return Ok(None);
             }
             if bytes[1] != b'\n' {
-                return Err(Fault::BadRequest("line end is not CRLF"));
+                return Err(HttpError::BadRequest("line end is not CRLF"));
             }
             self.has_skipped_line = true;
             *at = 2;
         }
         let bytes = &bytes[*at..];
         if bytes.first().is_some_and(|&first| !is_token_byte(first)) {
-            return Err(Fault::BadRequest("malformed first line"));
+            return Err(HttpError::BadRequest("malformed first line"));
         }
         let Some(end) = self.scan.end(bytes, bounds)? else {
             return Ok(None);
@@ -137,17 +137,17 @@
     }
 }
 
-fn parse(head: &[u8]) -> Result<Request, Fault> {
+fn parse(head: &[u8]) -> Result<Request, HttpError> {
     let mut fields = [const { MaybeUninit::uninit() }; FIELDS_MAX];
     let mut parsed = httparse::Request::new(&mut []);
     let status = parsed.parse_with_uninit_headers(head, &mut fields);
-    let status = status.map_err(|error| fault_of(error, head))?;
+    let status = status.map_err(|error| error_from_httparse(error, head))?;
     let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version)
     else {
-        return Err(Fault::BadRequest("malformed first line"));
+        return Err(HttpError::BadRequest("malformed first line"));
     };
     if status != httparse::Status::Complete(head.len()) {
-        return Err(Fault::BadRequest("malformed head"));
+        return Err(HttpError::BadRequest("malformed head"));
     }
     check_target(method, target)?;
     let headers = Headers::of(parsed.headers);
@@ -163,32 +163,32 @@
     })
 }
 
-fn check_target(method: &str, target: &str) -> Result<(), Fault> {
+fn check_target(method: &str, target: &str) -> Result<(), HttpError> {
     let is_path = target.starts_with('/') || (target == "*" && method == "OPTIONS");
     if !is_path {
-        return Err(Fault::BadRequest("target is not a path"));
+        return Err(HttpError::BadRequest("target is not a path"));
     }
     let is_clean = |byte: u8| byte.is_ascii_graphic() && byte != b'#';
     if !target.bytes().all(is_clean) {
-        return Err(Fault::BadRequest("target holds a forbidden byte"));
+        return Err(HttpError::BadRequest("target holds a forbidden byte"));
     }
     Ok(())
 }
 
-fn check_host(headers: &Headers, is_http_1_0: bool) -> Result<(), Fault> {
+fn check_host(headers: &Headers, is_http_1_0: bool) -> Result<(), HttpError> {
     let mut hosts = headers.get_all("Host");
     let Some(host) = hosts.next() else {
         if is_http_1_0 {
             return Ok(());
         }
-        return Err(Fault::BadRequest("host is missing"));
+        return Err(HttpError::BadRequest("host is missing"));
     };
     if hosts.next().is_some() {
-        return Err(Fault::BadRequest("several hosts"));
+        return Err(HttpError::BadRequest("several hosts"));
     }
     let is_clean = |byte: &u8| byte.is_ascii_graphic() && !b"/\\@,?#\"<>".contains(byte);
     if !host.iter().all(is_clean) {
-        return Err(Fault::BadRequest("malformed host"));
+        return Err(HttpError::BadRequest("malformed host"));
     }
     Ok(())
 }
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -1,9 +1,9 @@
 use std::mem::MaybeUninit;
 
 use crate::body::BodyReader;
-use crate::head::{fault_of, framing, Framing, HeadScan, FIELDS_MAX};
-use crate::hops::keeps_alive;
-use crate::{Bounds, Fault, Headers};
+use crate::head::{error_from_httparse, framing, Framing, HeadScan, FIELDS_MAX};
+use crate::hop_by_hop::keeps_alive;
+use crate::{Headers, HttpError, MessageLimits};
 
 const PREFIX: &[u8] = b"HTTP/1.";
 
@@ -28,7 +28,7 @@
     scan: HeadScan,
     interim_bytes: usize,
     pending: Option<(Response, Delimiter)>,
-    fault: Option<Fault>,
+    fault: Option<HttpError>,
 }
 
 #[derive(Debug)]
@@ -50,13 +50,13 @@
     }
 
     /// Takes the next whole answer off the buffer and leaves the bytes behind it; interim answers
-    /// (1xx) are skipped. `None` asks for more bytes, or for [`at_end`](Self::at_end) once the
+    /// (1xx) are skipped. `None` asks for more bytes, or for [`end_of_stream`](Self::end_of_stream) once the
     /// peer has closed.
     pub fn read(
         &mut self,
         buffer: &mut Vec<u8>,
-        bounds: &Bounds,
-    ) -> Result<Option<Response>, Fault> {
+        bounds: &MessageLimits,
+    ) -> Result<Option<Response>, HttpError> {
         if let Some(fault) = self.fault {
             return Err(fault);
         }
@@ -76,7 +76,7 @@
     /// The peer has closed, and all bytes before that have been given to [`read`](Self::read).
     /// Completes an answer that is delimited by the close. `None` means that nothing of an answer
     /// had come; one that is cut short is a fault.
-    pub fn at_end(&mut self, buffer: &mut Vec<u8>) -> Result<Option<Response>, Fault> {
+    pub fn end_of_stream(&mut self, buffer: &mut Vec<u8>) -> Result<Option<Response>, HttpError> {
         if let Some(fault) = self.fault {
             return Err(fault);
         }
@@ -84,10 +84,10 @@
             return Ok(None);
         }
         let Some((mut response, Delimiter::Close { body_bytes })) = self.pending.take() else {
-            return self.fail(Fault::BadRequest("closed within an answer"));
+            return self.fail(HttpError::BadRequest("closed within an answer"));
         };
         if buffer.len() > body_bytes {
-            return self.fail(Fault::BodyTooLarge);
+            return self.fail(HttpError::BodyTooLarge);
         }
         response.body = std::mem::take(buffer);
         *self = Self::new(self.is_head_request);
@@ -99,7 +99,7 @@
         self.pending.is_some() || self.interim_bytes > 0 || !buffer.is_empty()
     }
 
-    fn fail<T>(&mut self, fault: Fault) -> Result<T, Fault> {
+    fn fail<T>(&mut self, fault: HttpError) -> Result<T, HttpError> {
         self.fault = Some(fault);
         Err(fault)
     }
@@ -108,8 +108,8 @@
         &mut self,
         bytes: &[u8],
         at: &mut usize,
-        bounds: &Bounds,
-    ) -> Result<Option<Response>, Fault> {
+        bounds: &MessageLimits,
+    ) -> Result<Option<Response>, HttpError> {
         let (mut response, mut delimiter) = match self.pending.take() {
             Some(pending) => pending,
             None => {
@@ -122,7 +122,7 @@
         let body = match &mut delimiter {
             Delimiter::Framing(reader) => reader.read(bytes, at, bounds)?,
             Delimiter::Close { body_bytes } if bytes.len() - *at > *body_bytes => {
-                return Err(Fault::BodyTooLarge);
+                return Err(HttpError::BodyTooLarge);
             }
             Delimiter::Close { .. } => None,
         };
@@ -139,13 +139,13 @@
         &mut self,
         bytes: &[u8],
         at: &mut usize,
-        bounds: &Bounds,
-    ) -> Result<Option<(Response, Delimiter)>, Fault> {
+        bounds: &MessageLimits,
+    ) -> Result<Option<(Response, Delimiter)>, HttpError> {
         loop {
             let rest = &bytes[*at..];
             let compared = rest.len().min(PREFIX.len());
             if rest[..compared] != PREFIX[..compared] {
-                return Err(Fault::BadRequest("not an answer in HTTP/1"));
+                return Err(HttpError::BadRequest("not an answer in HTTP/1"));
             }
             let Some(end) = self.scan.end(rest, bounds)? else {
                 return Ok(None);
@@ -157,12 +157,12 @@
                 return self.delimit(response, framing, bounds).map(Some);
             }
             if response.status == 101 || framing != Framing::Absent {
-                return Err(Fault::BadRequest("unfit interim answer"));
+                return Err(HttpError::BadRequest("unfit interim answer"));
             }
             self.scan = HeadScan::default();
             self.interim_bytes += end;
             if self.interim_bytes > bounds.header_bytes {
-                return Err(Fault::HeadTooLarge);
+                return Err(HttpError::HeadTooLarge);
             }
         }
     }
@@ -171,8 +171,8 @@
         &self,
         mut response: Response,
         framing: Framing,
-        bounds: &Bounds,
-    ) -> Result<(Response, Delimiter), Fault> {
+        bounds: &MessageLimits,
+    ) -> Result<(Response, Delimiter), HttpError> {
         if self.is_head_request || matches!(response.status, 204 | 304) {
             let is_doubtful =
                 response.status == 204 && !matches!(framing, Framing::Absent | Framing::Length(0));
@@ -192,25 +192,25 @@
     }
 }
 
-fn parse(head: &[u8]) -> Result<(Response, bool), Fault> {
+fn parse(head: &[u8]) -> Result<(Response, bool), HttpError> {
     let mut fields = [const { MaybeUninit::uninit() }; FIELDS_MAX];
     let mut parsed = httparse::Response::new(&mut []);
     let config = httparse::ParserConfig::default();
     let status = config.parse_response_with_uninit_headers(&mut parsed, head, &mut fields);
-    let status = status.map_err(|error| fault_of(error, head))?;
+    let status = status.map_err(|error| error_from_httparse(error, head))?;
     let (Some(code), Some(version)) = (parsed.code, parsed.version) else {
-        return Err(Fault::BadRequest("malformed first line"));
+        return Err(HttpError::BadRequest("malformed first line"));
     };
     if status != httparse::Status::Complete(head.len()) {
-        return Err(Fault::BadRequest("malformed head"));
+        return Err(HttpError::BadRequest("malformed head"));
     }
     if !(100..=599).contains(&code) {
-        return Err(Fault::BadRequest("malformed status"));
+        return Err(HttpError::BadRequest("malformed status"));
     }
     // A first line that was cut short, with the next answer behind it, is neither's.
     let reason = parsed.reason.unwrap_or_default().as_bytes();
     if reason.windows(PREFIX.len()).any(|part| part == PREFIX) {
-        return Err(Fault::BadRequest("an answer within a first line"));
+        return Err(HttpError::BadRequest("an answer within a first line"));
     }
     let headers = Headers::of(parsed.headers);
     let is_http_1_0 = version == 0;
--- a/crates/http1/src/writing.rs
+++ b/crates/http1/src/write.rs
@@ -1,5 +1,5 @@
 use crate::head::{is_name, is_value};
-use crate::hops::is_hop_by_hop;
+use crate::hop_by_hop::is_hop_by_hop;
 
 const HEAD_ESTIMATE: usize = 512;
 
--- a/crates/http1/tests/common/mod.rs
+++ b/crates/http1/tests/common/mod.rs
@@ -1,8 +1,8 @@
 #![allow(dead_code)]
 
-use http1::{Bounds, Fault, Request, RequestReader, Response, ResponseReader};
+use http1::{HttpError, MessageLimits, Request, RequestReader, Response, ResponseReader};
 
-pub const BOUNDS: Bounds = Bounds {
+pub const BOUNDS: MessageLimits = MessageLimits {
     header_bytes: 16 * 1024,
     body_bytes: 64 * 1024,
 };
@@ -37,8 +37,8 @@
 pub fn piecewise<T>(
     whole: &[u8],
     draws: &mut Draws<'_>,
-    mut read: impl FnMut(&mut Vec<u8>) -> Result<Option<T>, Fault>,
-) -> Result<(Option<T>, Vec<u8>), Fault> {
+    mut read: impl FnMut(&mut Vec<u8>) -> Result<Option<T>, HttpError>,
+) -> Result<(Option<T>, Vec<u8>), HttpError> {
     let mut buffer = Vec::new();
     let mut rest = whole;
     while !rest.is_empty() {
@@ -54,11 +54,11 @@
     Ok((None, buffer))
 }
 
-pub fn read_request(bytes: &[u8]) -> Result<Option<Request>, Fault> {
+pub fn read_request(bytes: &[u8]) -> Result<Option<Request>, HttpError> {
     RequestReader::new().read(&mut bytes.to_vec(), &BOUNDS)
 }
 
-pub fn read_response(bytes: &[u8]) -> Result<Option<Response>, Fault> {
+pub fn read_response(bytes: &[u8]) -> Result<Option<Response>, HttpError> {
     ResponseReader::new(false).read(&mut bytes.to_vec(), &BOUNDS)
 }
 
--- a/crates/http1/tests/responses.rs
+++ b/crates/http1/tests/responses.rs
@@ -5,7 +5,7 @@
 
 use common::{chunked, fields, piecewise, read_response, Draws, BOUNDS};
 use fuzzing::seeded;
-use http1::{end_to_end, write_response, Fault, Headers, Response, ResponseReader};
+use http1::{end_to_end, write_response, Headers, HttpError, Response, ResponseReader};
 
 struct Sent {
     response: Response,
@@ -90,7 +90,7 @@
             let Ok((None, mut buffer)) = read else {
                 return false;
             };
-            let ended = reader.at_end(&mut buffer);
+            let ended = reader.end_of_stream(&mut buffer);
             return matches!(ended, Ok(Some(read)) if is_same(&sent.response, &read)) && buffer.is_empty();
         }
         let whole = [&sent.bytes[..], &behind].concat();
@@ -114,7 +114,7 @@
             return false;
         };
         let has_begun = reader.has_begun(&buffer);
-        let ended = reader.at_end(&mut buffer);
+        let ended = reader.end_of_stream(&mut buffer);
         has_begun == (cut > 0) && if cut == 0 { ended == Ok(None) } else { ended.is_err() }
     }
 
@@ -201,7 +201,7 @@
     assert!(fault.is_err());
     let mut proper = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec();
     assert_eq!(reader.read(&mut proper, &BOUNDS), fault);
-    assert_eq!(reader.at_end(&mut proper), fault);
+    assert_eq!(reader.end_of_stream(&mut proper), fault);
 }
 
 #[test]
@@ -211,13 +211,13 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n",
     ];
     for head in heads {
-        assert_eq!(read_response(head), Err(Fault::BodyTooLarge));
+        assert_eq!(read_response(head), Err(HttpError::BodyTooLarge));
     }
     let mut endless = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
     endless.resize(endless.len() + BOUNDS.body_bytes, b'a');
     assert_eq!(read_response(&endless), Ok(None));
     endless.push(b'a');
-    assert_eq!(read_response(&endless), Err(Fault::BodyTooLarge));
+    assert_eq!(read_response(&endless), Err(HttpError::BodyTooLarge));
     let interims = b"HTTP/1.1 103 Early\r\n\r\n".repeat(1000);
-    assert_eq!(read_response(&interims), Err(Fault::HeadTooLarge));
+    assert_eq!(read_response(&interims), Err(HttpError::HeadTooLarge));
 }
--- a/crates/http1/tests/smuggling.rs
+++ b/crates/http1/tests/smuggling.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{piecewise, read_request, Draws, BOUNDS};
-use http1::{Bounds, Fault, RequestReader};
+use http1::{HttpError, MessageLimits, RequestReader};
 
 const CHUNKED: &str = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -154,7 +154,7 @@
 fn heads_are_bounded_exactly() {
     let head = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n";
     let read = |header_bytes, length: usize| {
-        let bounds = Bounds {
+        let bounds = MessageLimits {
             header_bytes,
             body_bytes: 0,
         };
@@ -162,12 +162,15 @@
     };
     assert!(matches!(read(head.len(), head.len()), Ok(Some(_))));
     assert_eq!(read(head.len(), head.len() - 1), Ok(None));
-    assert_eq!(read(head.len() - 1, head.len()), Err(Fault::HeadTooLarge));
+    assert_eq!(
+        read(head.len() - 1, head.len()),
+        Err(HttpError::HeadTooLarge)
+    );
     assert_eq!(
         read(head.len() - 1, head.len() - 1),
-        Err(Fault::HeadTooLarge)
+        Err(HttpError::HeadTooLarge)
     );
-    assert_eq!(read(10, 10), Err(Fault::HeadTooLarge));
+    assert_eq!(read(10, 10), Err(HttpError::HeadTooLarge));
 }
 
 #[test]
@@ -179,7 +182,10 @@
         format!("GET / HTTP/1.1\r\nHost: a\r\n{fields}\r\n")
     };
     assert!(matches!(read_request(head(100).as_bytes()), Ok(Some(_))));
-    assert_eq!(read_request(head(101).as_bytes()), Err(Fault::HeadTooLarge));
+    assert_eq!(
+        read_request(head(101).as_bytes()),
+        Err(HttpError::HeadTooLarge)
+    );
 }
 
 #[test]
@@ -189,16 +195,19 @@
     assert_eq!(read_request(head(most).as_bytes()), Ok(None));
     assert_eq!(
         read_request(head(most + 1).as_bytes()),
-        Err(Fault::BodyTooLarge)
+        Err(HttpError::BodyTooLarge)
     );
     let chunk = |length| format!("{CHUNKED}1\r\na\r\n{length:x}\r\n");
     assert_eq!(read_request(chunk(most - 1).as_bytes()), Ok(None));
     assert_eq!(
         read_request(chunk(most).as_bytes()),
-        Err(Fault::BodyTooLarge)
+        Err(HttpError::BodyTooLarge)
     );
     let greatest = format!("{CHUNKED}ffffffffffffffff\r\n");
-    assert_eq!(read_request(greatest.as_bytes()), Err(Fault::BodyTooLarge));
+    assert_eq!(
+        read_request(greatest.as_bytes()),
+        Err(HttpError::BodyTooLarge)
+    );
 }
 
 #[test]
@@ -207,13 +216,16 @@
         "{CHUNKED}0\r\n{}",
         "X: 1\r\n".repeat(BOUNDS.header_bytes / 6 + 1)
     );
-    assert_eq!(read_request(trailers.as_bytes()), Err(Fault::HeadTooLarge));
+    assert_eq!(
+        read_request(trailers.as_bytes()),
+        Err(HttpError::HeadTooLarge)
+    );
     let line = format!("{CHUNKED}0\r\nX: {}", "a".repeat(BOUNDS.header_bytes));
-    assert_eq!(read_request(line.as_bytes()), Err(Fault::HeadTooLarge));
+    assert_eq!(read_request(line.as_bytes()), Err(HttpError::HeadTooLarge));
     let chunk = format!("1;{}\r\na\r\n", "e".repeat(200));
     let extensions = format!("{CHUNKED}{}", chunk.repeat(BOUNDS.header_bytes / 200 + 1));
     assert_eq!(
         read_request(extensions.as_bytes()),
-        Err(Fault::HeadTooLarge)
+        Err(HttpError::HeadTooLarge)
     );
 }
--- a/tests/hollow/src/carrier.rs
+++ b/tests/hollow/src/carrier.rs
@@ -2,7 +2,7 @@
 
 use crate::meter::{median_ns, tell_fit, Markdown};
 use crate::town;
-use http1::{write_request, write_response, Bounds, RequestReader, ResponseReader};
+use http1::{write_request, write_response, MessageLimits, RequestReader, ResponseReader};
 use protocol::{frame, Bid, Frames, Grant, Message, Outcome, Release};
 use std::hint::black_box;
 
@@ -70,7 +70,7 @@
         Content-Length: 600\r\n\r\n";
     let mut response = response.to_vec();
     response.extend([b'y'; 600]);
-    let bounds = Bounds {
+    let bounds = MessageLimits {
         header_bytes: 16_384,
         body_bytes: 1 << 20,
     };
--- a/tests/hollow/src/wire_gateways.rs
+++ b/tests/hollow/src/wire_gateways.rs
@@ -2,7 +2,7 @@
 
 use crate::town;
 use crate::wire_daemons::CHANGE_MS;
-use event_loop::{Event, EventLoop, LineId};
+use event_loop::{ConnectionId, Event, EventLoop};
 use protocol::{frame, Frames, FunctionReport, Member, Message, RunnerReport};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 #[derive(Default)]
 struct Gateway {
     member: Member,
-    lines: Vec<Option<LineId>>,
+    lines: Vec<Option<ConnectionId>>,
     told_at: u64,
     reported_at: u64,
     asked_until: u64,
@@ -34,7 +34,7 @@
     event_loop: EventLoop,
     controllers: Vec<SocketAddr>,
     gateways: Vec<Gateway>,
-    lines: HashMap<LineId, (usize, usize)>,
+    lines: HashMap<ConnectionId, (usize, usize)>,
     began: Instant,
     /// Bytes that came, and that were sent.
     pub taken: u64,
@@ -147,18 +147,18 @@
             self.tend(now, place);
         }
         let mut events = Vec::new();
-        self.event_loop.wait(Duration::from_millis(10), &mut events);
+        self.event_loop.poll(Duration::from_millis(10), &mut events);
         for event in events {
             match event {
                 Event::Connected(line) => self.connected(line),
-                Event::Arrived(line) => self.arrived(line),
-                Event::Ended(line, _) => {
+                Event::Readable(line) => self.arrived(line),
+                Event::Closed(line, _) => {
                     if let Some((place, controller)) = self.lines.remove(&line) {
                         self.gateways[place].lines[controller] = None;
                     }
                     self.event_loop.close(line);
                 }
-                Event::Opened(..) => {}
+                Event::Accepted(..) => {}
             }
         }
     }
@@ -194,7 +194,7 @@
         }
     }
 
-    fn send(&mut self, line: LineId, message: &Message) {
+    fn send(&mut self, line: ConnectionId, message: &Message) {
         let bytes = frame(message);
         self.sent += bytes.len() as u64;
         self.event_loop.send(line, &bytes);
@@ -237,18 +237,18 @@
         }
     }
 
-    fn connected(&mut self, line: LineId) {
+    fn connected(&mut self, line: ConnectionId) {
         if let Some((place, _)) = self.lines.get(&line).copied() {
             let hello = Message::Gateway(self.gateways[place].member.clone());
             self.send(line, &hello);
         }
     }
 
-    fn arrived(&mut self, line: LineId) {
+    fn arrived(&mut self, line: ConnectionId) {
         let Some((place, controller)) = self.lines.get(&line).copied() else {
             return;
         };
-        let Some(inbox) = self.event_loop.inbox(line) else {
+        let Some(inbox) = self.event_loop.read_buffer(line) else {
             return;
         };
         let bytes = std::mem::take(inbox);
@@ -260,7 +260,7 @@
             self.taken += size;
             self.hear(place, controller, message, size);
         }
-        if let Some(inbox) = self.event_loop.inbox(line) {
+        if let Some(inbox) = self.event_loop.read_buffer(line) {
             *inbox = bytes[before..].to_vec();
         }
     }
