--- a/crates/autoscaler/src/launcher.rs
+++ b/crates/autoscaler/src/autoscaler.rs
@@ -1,5 +1,5 @@
 use crate::function::{Function, PACE_MS};
-use crate::options::Options;
+use crate::options::AutoscalerOptions;
 use crate::ordering::Bucket;
 use crate::placing::{Account, Worker};
 use crate::runner::{Life, Runner};
@@ -10,8 +10,8 @@
 
 /// Decides how many runners exist, where each starts and what each may hold. It has no clock and
 /// no threads, and does nothing itself.
-pub struct Launcher {
-    pub(crate) options: Options,
+pub struct Autoscaler {
+    pub(crate) options: AutoscalerOptions,
     /// When it took up its work.
     pub(crate) began_at: u64,
     pub(crate) now: u64,
@@ -49,12 +49,12 @@
     looked_at: u64,
 }
 
-impl Launcher {
-    /// A launcher that knows nothing yet. Numbers of news grow from term to term, so a keeper's
+impl Autoscaler {
+    /// An autoscaler that knows nothing yet. Numbers of news grow from term to term, so a keeper's
     /// number of an earlier term is never taken for one of this term.
-    pub fn new(options: Options, now: u64) -> Self {
+    pub fn new(options: AutoscalerOptions, now: u64) -> Self {
         Self {
-            bucket: Bucket::new(options.starts_per_s, now),
+            bucket: Bucket::new(options.commands_per_s, now),
             counter: options.term << 32,
             options,
             began_at: now,
--- a/crates/autoscaler/src/deciding.rs
+++ b/crates/autoscaler/src/deciding.rs
@@ -1,5 +1,5 @@
+use crate::autoscaler::Autoscaler;
 use crate::function::Function;
-use crate::launcher::Launcher;
 use crate::runner::{Cause, Life, Runner};
 use scaler::{grow, shrink, Pod};
 
@@ -31,7 +31,7 @@
     }
 }
 
-impl Launcher {
+impl Autoscaler {
     pub(crate) fn runners_of<'a>(
         &'a self,
         function: &'a Function,
@@ -291,7 +291,7 @@
         }
         drop(runners);
         let is_held = self.now < function.held_until;
-        if is_held || self.wanted.len() as f64 >= self.options.starts_per_s.max(8.0) {
+        if is_held || self.wanted.len() as f64 >= self.options.commands_per_s.max(8.0) {
             return;
         }
         self.launch(name, false);
--- a/crates/autoscaler/src/demand.rs
+++ b/crates/autoscaler/src/demand.rs
@@ -14,22 +14,22 @@
     samples: VecDeque<(u64, u64)>,
     sampled_at: u64,
     forecast: Forecast,
-    by_district: BTreeMap<String, f64>,
+    by_zone: BTreeMap<String, f64>,
 }
 
 impl Arrivals {
-    pub fn add(&mut self, now: u64, district: &str, count: u64) {
+    pub fn add(&mut self, now: u64, zone: &str, count: u64) {
         if self.samples.is_empty() {
             self.samples.push_back((now, self.total));
             self.sampled_at = now;
         }
         self.total += count;
-        self.place(district, count);
+        self.place(zone, count);
     }
 
-    /// Calls that came from a district, at no known rate.
-    pub fn place(&mut self, district: &str, count: u64) {
-        *self.by_district.entry(district.to_owned()).or_default() += count as f64;
+    /// Calls that came from a zone, at no known rate.
+    pub fn place(&mut self, zone: &str, count: u64) {
+        *self.by_zone.entry(zone.to_owned()).or_default() += count as f64;
     }
 
     /// Takes a sample when one is due.
@@ -42,11 +42,9 @@
         let measured = self.measured(now);
         for _ in 0..missed {
             self.forecast.observe(measured);
-            self.by_district
-                .values_mut()
-                .for_each(|count| *count *= FADE);
+            self.by_zone.values_mut().for_each(|count| *count *= FADE);
         }
-        self.by_district.retain(|_, count| *count > 0.01);
+        self.by_zone.retain(|_, count| *count > 0.01);
         self.sampled_at = now;
         self.samples.push_back((now, self.total));
         while self.samples.len() > 1 && self.samples[1].0 + WINDOW_MS <= now {
@@ -90,14 +88,14 @@
         self.forecast.rate()
     }
 
-    pub fn by_district(&self) -> &BTreeMap<String, f64> {
-        &self.by_district
+    pub fn by_zone(&self) -> &BTreeMap<String, f64> {
+        &self.by_zone
     }
 
     /// Forgets what led to the present rate; the function sleeps.
     pub fn rest(&mut self) {
         self.samples.clear();
         self.forecast = Forecast::default();
-        self.by_district.clear();
+        self.by_zone.clear();
     }
 }
--- a/crates/autoscaler/src/describing.rs
+++ b/crates/autoscaler/src/describing.rs
@@ -1,5 +1,5 @@
+use crate::autoscaler::Autoscaler;
 use crate::function::{Function, Plan};
-use crate::launcher::Launcher;
 use crate::runner::{Cause, Life};
 use routing::Description;
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,9 +32,9 @@
     names.zip(plans).collect()
 }
 
-impl Launcher {
+impl Autoscaler {
     /// Takes the description in force.
-    pub fn describe(&mut self, now: u64, description: &Description) {
+    pub fn apply_configuration(&mut self, now: u64, description: &Description) {
         self.pass(now);
         self.is_described = true;
         let plans = plans_of(description);
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Takes the districts that are closed: nothing is placed there, and what is there drains.
-    pub fn close_districts(&mut self, now: u64, districts: &BTreeSet<String>) {
+    /// Takes the zones that are closed: nothing is placed there, and what is there drains.
+    pub fn set_evacuated_zones(&mut self, now: u64, zones: &BTreeSet<String>) {
         self.pass(now);
-        if self.closed == *districts {
+        if self.closed == *zones {
             return;
         }
-        log::info!("scaler: closed districts {districts:?}");
-        self.closed = districts.clone();
+        log::info!("scaler: closed zones {zones:?}");
+        self.closed = zones.clone();
         let serials: Vec<u64> = self.runners.keys().copied().collect();
         for serial in serials {
             self.heed_closures(serial);
@@ -71,7 +71,7 @@
         let Some(runner) = self.runners.get(&serial) else {
             return;
         };
-        let is_closed = self.closed.contains(&runner.district);
+        let is_closed = self.closed.contains(&runner.zone);
         match runner.life {
             Life::Wanted { .. } if is_closed => self.withdraw(serial),
             Life::Starting | Life::Serving if is_closed => self.drain(serial, Cause::Closed),
--- a/crates/autoscaler/src/ending.rs
+++ b/crates/autoscaler/src/ending.rs
@@ -1,10 +1,10 @@
+use crate::autoscaler::Autoscaler;
 use crate::function::QUIET_MS;
-use crate::launcher::Launcher;
 use crate::runner::{Cause, Life, Runner};
 
 const SLACK_MS: u64 = 1_000;
 
-impl Launcher {
+impl Autoscaler {
     /// Gives a runner no new requests; it is stopped once it holds none.
     pub(crate) fn drain(&mut self, serial: u64, cause: Cause) {
         let since = self.now;
@@ -43,7 +43,7 @@
             return;
         };
         let worker = self.workers.get(&runner.worker);
-        if !worker.is_some_and(|worker| worker.sight.is_leaving) {
+        if !worker.is_some_and(|worker| worker.listing.is_draining) {
             return;
         }
         let since = self.now;
--- a/crates/autoscaler/src/function.rs
+++ b/crates/autoscaler/src/function.rs
@@ -1,5 +1,5 @@
 use crate::demand::Arrivals;
-use crate::options::Options;
+use crate::options::AutoscalerOptions;
 use crate::start_block::NoRoom;
 use protocol::RunnerReport;
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,11 +28,11 @@
         self.is_described && self.start_ms as f64 * AIM_SLACK > f64::from(self.aim_ms)
     }
 
-    pub fn retention_ms(&self, options: &Options) -> u64 {
+    pub fn retention_ms(&self, options: &AutoscalerOptions) -> u64 {
         (self.start_ms as f64 * options.retention_starts) as u64
     }
 
-    pub fn cooldown_ms(&self, options: &Options) -> u64 {
+    pub fn cooldown_ms(&self, options: &AutoscalerOptions) -> u64 {
         (self.start_ms as f64 * options.cooldown_starts) as u64
     }
 }
@@ -102,7 +102,7 @@
         told.fold(0, u32::saturating_add)
     }
 
-    pub fn is_awake(&self, now: u64, options: &Options) -> bool {
+    pub fn is_awake(&self, now: u64, options: &AutoscalerOptions) -> bool {
         let retention_ms = self.plan.retention_ms(options);
         self.waiting(now) > 0 || self.busy_at.is_some_and(|at| now < at + retention_ms)
     }
--- a/crates/autoscaler/src/lib.rs
+++ b/crates/autoscaler/src/lib.rs
@@ -2,23 +2,25 @@
 //! in; orders to the platform and news for the keepers come out. Nothing is stored.
 #![warn(missing_docs)]
 
+mod autoscaler;
 mod deciding;
 mod demand;
 mod describing;
 mod ending;
 mod function;
-mod launcher;
 mod listing;
+mod listing_types;
 mod options;
 mod ordering;
 mod placing;
 mod reporting;
 mod room;
 mod runner;
-mod sights;
 mod start_block;
 mod telling;
 
-pub use launcher::Launcher;
-pub use options::Options;
-pub use sights::{FunctionNote, Order, RunnerSight, StartFault, WorkerSight};
+pub use autoscaler::Autoscaler;
+pub use listing_types::{
+    FunctionStatus, RunnerCommand, RunnerListing, StartError, StartedRunner, WorkerListing,
+};
+pub use options::AutoscalerOptions;
--- a/crates/autoscaler/src/listing.rs
+++ b/crates/autoscaler/src/listing.rs
@@ -1,32 +1,32 @@
+use crate::autoscaler::Autoscaler;
 use crate::function::{Function, Plan};
-use crate::launcher::Launcher;
+use crate::listing_types::{RunnerListing, WorkerListing};
 use crate::placing::Worker;
 use crate::runner::{Life, Runner};
-use crate::sights::{RunnerSight, WorkerSight};
 use std::collections::{BTreeMap, HashSet};
 
 /// Whether a worker can take more than when it was listed before.
-fn has_more_room(before: &WorkerSight, now: &WorkerSight) -> bool {
-    let is_back = before.is_leaving && !now.is_leaving;
-    is_back || !now.is_leaving && now.free_mb > before.free_mb
+fn has_more_room(before: &WorkerListing, now: &WorkerListing) -> bool {
+    let is_back = before.is_draining && !now.is_draining;
+    is_back || !now.is_draining && now.free_mb > before.free_mb
 }
 
-impl Launcher {
+impl Autoscaler {
     /// Takes the platform's whole list of workers.
-    pub fn see_workers(&mut self, now: u64, sights: Vec<WorkerSight>) {
+    pub fn update_workers(&mut self, now: u64, listings: Vec<WorkerListing>) {
         self.pass(now);
         let is_first = !self.knows_workers;
         self.knows_workers = true;
         let mut before = std::mem::take(&mut self.workers);
         let oldest = self.now.saturating_sub(2 * self.options.list_lag_ms);
         let mut has_gained = false;
-        for sight in sights {
-            let mut worker = before.remove(&sight.name).unwrap_or_default();
-            has_gained |= has_more_room(&worker.sight, &sight);
+        for listing in listings {
+            let mut worker = before.remove(&listing.name).unwrap_or_default();
+            has_gained |= has_more_room(&worker.listing, &listing);
             worker.freed.retain(|(at, _)| *at >= oldest);
             worker.seen_at = self.now;
-            worker.sight = sight;
-            self.workers.insert(worker.sight.name.clone(), worker);
+            worker.listing = listing;
+            self.workers.insert(worker.listing.name.clone(), worker);
         }
         for worker in before.into_values() {
             self.lose_worker(worker);
@@ -34,9 +34,9 @@
         let leaving = self
             .workers
             .values()
-            .filter(|worker| worker.sight.is_leaving);
+            .filter(|worker| worker.listing.is_draining);
         let serials: Vec<u64> = leaving
-            .flat_map(|worker| self.placed_on(&worker.sight.name))
+            .flat_map(|worker| self.placed_on(&worker.listing.name))
             .map(|(serial, _)| serial)
             .collect();
         for serial in serials {
@@ -52,8 +52,8 @@
     /// keepers and the list of runners to tell.
     fn lose_worker(&mut self, worker: Worker) {
         let since = self.now;
-        self.accounts.remove(&worker.sight.name);
-        let placed = self.placed_on(&worker.sight.name);
+        self.accounts.remove(&worker.listing.name);
+        let placed = self.placed_on(&worker.listing.name);
         let placed: Vec<(u64, Life)> = placed.map(|(serial, one)| (serial, one.life)).collect();
         for (serial, life) in placed {
             match life {
@@ -65,16 +65,16 @@
     }
 
     /// Takes the platform's whole list of runners.
-    pub fn see_runners(&mut self, now: u64, sights: Vec<RunnerSight>) {
+    pub fn update_runners(&mut self, now: u64, listings: Vec<RunnerListing>) {
         self.pass(now);
         let is_first = !self.knows_runners;
         self.knows_runners = true;
         self.runners_seen_at = self.now;
-        let listed: HashSet<&str> = sights.iter().map(|sight| sight.id.as_str()).collect();
-        for sight in &sights {
-            match self.ids.get(&sight.id) {
-                Some(&serial) => self.see_known(serial, sight),
-                None => self.see_unknown(sight.clone()),
+        let listed: HashSet<&str> = listings.iter().map(|listing| listing.id.as_str()).collect();
+        for listing in &listings {
+            match self.ids.get(&listing.id) {
+                Some(&serial) => self.see_known(serial, listing),
+                None => self.see_unknown(listing.clone()),
             }
         }
         self.miss_unlisted(&listed);
@@ -100,7 +100,7 @@
         self.settle_due();
     }
 
-    fn see_known(&mut self, serial: u64, sight: &RunnerSight) {
+    fn see_known(&mut self, serial: u64, listing: &RunnerListing) {
         let unlisted_ms = self.options.unlisted_ms();
         let now = self.now;
         let Some(runner) = self.runners.get_mut(&serial) else {
@@ -110,37 +110,37 @@
         runner.missing_since = None;
         let since = now;
         match runner.life {
-            Life::Starting | Life::Serving | Life::Draining { .. } if sight.is_leaving => {
+            Life::Starting | Life::Serving | Life::Draining { .. } if listing.is_terminating => {
                 self.turn(serial, Life::Leaving { since });
             }
             Life::Starting => {
                 runner.is_up = true;
                 self.turn(serial, Life::Serving);
             }
-            Life::Gone { since } if !sight.is_leaving && now >= since + unlisted_ms => {
+            Life::Gone { since } if !listing.is_terminating && now >= since + unlisted_ms => {
                 self.turn(serial, Life::Stopping { not_before: 0 });
             }
             _ => {}
         }
     }
 
-    fn see_unknown(&mut self, sight: RunnerSight) {
-        if let Some(&at) = self.stopped.get(&sight.id) {
+    fn see_unknown(&mut self, listing: RunnerListing) {
+        if let Some(&at) = self.stopped.get(&listing.id) {
             let end_ms = self.options.unlisted_ms() + self.options.drain_ms + self.longest_ms;
-            if sight.is_leaving || self.now < at + end_ms {
+            if listing.is_terminating || self.now < at + end_ms {
                 return;
             }
             // It was to be stopped and is still there.
-            self.stopped.remove(&sight.id);
-            let serial = self.adopt(sight);
+            self.stopped.remove(&listing.id);
+            let serial = self.adopt(listing);
             self.turn(serial, Life::Stopping { not_before: 0 });
             return;
         }
-        let is_leaving = sight.is_leaving;
-        self.replace_unsure(&sight);
-        let serial = self.adopt(sight);
+        let is_terminating = listing.is_terminating;
+        self.replace_unsure(&listing);
+        let serial = self.adopt(listing);
         let since = self.now;
-        if is_leaving {
+        if is_terminating {
             self.turn(serial, Life::Leaving { since });
             return;
         }
@@ -148,10 +148,10 @@
         self.heed_worker(serial);
     }
 
-    fn replace_unsure(&mut self, sight: &RunnerSight) {
-        let mut placed = self.placed_on(&sight.worker);
+    fn replace_unsure(&mut self, listing: &RunnerListing) {
+        let mut placed = self.placed_on(&listing.worker);
         let unsure = placed.find(|(_, runner)| {
-            runner.function == sight.function && matches!(runner.life, Life::Unsure { .. })
+            runner.function == listing.function && matches!(runner.life, Life::Unsure { .. })
         });
         let Some((serial, _)) = unsure else {
             return;
@@ -160,32 +160,32 @@
         self.forget(serial);
     }
 
-    fn adopt(&mut self, sight: RunnerSight) -> u64 {
+    fn adopt(&mut self, listing: RunnerListing) -> u64 {
         let now = self.now;
         let unknown = Plan {
             memory_mb: 0,
             start_ms: 0,
-            concurrency: sight.capacity.max(1),
+            concurrency: listing.capacity.max(1),
             aim_ms: u32::MAX,
             rank: u8::MAX,
             timeout_ms: 0,
             is_described: false,
         };
-        let function = self.functions.entry(sight.function.clone());
+        let function = self.functions.entry(listing.function.clone());
         let function = function.or_insert_with(|| Function::new(unknown));
         function.busy_at = Some(function.busy_at.unwrap_or(0).max(now));
-        let most = sight.capacity.min(function.plan.concurrency).max(1);
+        let most = listing.capacity.min(function.plan.concurrency).max(1);
         let runner = Runner {
-            function: sight.function.clone(),
+            function: listing.function.clone(),
             nonce: String::new(),
-            id: Some(sight.id),
-            address: sight.address,
-            district: sight.district,
-            worker: sight.worker,
+            id: Some(listing.id),
+            address: listing.address,
+            zone: listing.zone,
+            worker: listing.worker,
             memory_mb: function.plan.memory_mb,
             quota: most,
             most,
-            capacity: sight.capacity.max(1),
+            capacity: listing.capacity.max(1),
             life: Life::Serving,
             asked_at: None,
             started_at: now,
@@ -201,8 +201,8 @@
             answers: 0,
         };
         log::info!("scaler: {} has {:?}", runner.function, runner.id);
-        self.changed.insert(sight.function.clone());
-        self.due.insert((function.plan.rank, sight.function));
+        self.changed.insert(listing.function.clone());
+        self.due.insert((function.plan.rank, listing.function));
         self.add_runner(runner)
     }
 
--- a/crates/autoscaler/src/sights.rs
+++ b/crates/autoscaler/src/listing_types.rs
@@ -1,40 +1,49 @@
 /// A worker on the platform's list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct WorkerSight {
+pub struct WorkerListing {
     /// Name.
     pub name: String,
-    /// District that it stands in.
-    pub district: String,
+    /// Zone that it stands in.
+    pub zone: String,
     /// Memory, in megabytes.
     pub memory_mb: u64,
     /// Memory that was free when the list was made.
     pub free_mb: u64,
     /// It is being drained.
-    pub is_leaving: bool,
+    pub is_draining: bool,
 }
 
 /// A runner on the platform's list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RunnerSight {
+pub struct RunnerListing {
     /// Id that the platform gave it.
     pub id: String,
     /// Its function.
     pub function: String,
     /// Address (ip and port).
     pub address: String,
-    /// District of its worker.
-    pub district: String,
+    /// Zone of its worker.
+    pub zone: String,
     /// Worker.
     pub worker: String,
     /// Most requests that it may hold at once.
     pub capacity: u32,
     /// The platform is going to end it.
-    pub is_leaving: bool,
+    pub is_terminating: bool,
 }
 
-/// Why a start order gave no runner.
+/// The runner that a start gave.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StartedRunner {
+    /// Id that the platform gave it.
+    pub id: String,
+    /// Address (ip and port).
+    pub address: String,
+}
+
+/// Why a start gave no runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StartFault {
+pub enum StartError {
     /// The worker has no room, is down, is leaving or is unknown (409).
     NoRoom,
     /// There is no such function (400).
@@ -47,7 +56,7 @@
 
 /// What the platform is to be asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum RunnerCommand {
     /// A runner is to be started.
     Start {
         /// The function.
@@ -64,9 +73,9 @@
     },
 }
 
-/// What the launcher thinks of one function.
+/// What the autoscaler thinks of one function.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct FunctionNote {
+pub struct FunctionStatus {
     /// The function.
     pub function: String,
     /// Requests a second that were measured.
--- a/crates/autoscaler/src/ordering.rs
+++ b/crates/autoscaler/src/ordering.rs
@@ -1,7 +1,7 @@
-use crate::launcher::Launcher;
+use crate::autoscaler::Autoscaler;
+use crate::listing_types::{RunnerCommand, StartError, StartedRunner};
 use crate::placing::Worker;
 use crate::runner::Life;
-use crate::sights::{Order, StartFault};
 
 /// Share of the platform's rate that is used.
 const SHARE: f64 = 0.8;
@@ -41,15 +41,15 @@
     }
 }
 
-impl Launcher {
+impl Autoscaler {
     /// Orders to give now: starts for requests that wait, then stops, then other starts.
-    pub fn orders(&mut self) -> Vec<Order> {
+    pub fn take_commands(&mut self) -> Vec<RunnerCommand> {
         self.bucket.fill(self.now);
-        let mut orders = Vec::new();
-        self.order_starts(0, &mut orders);
-        self.order_stops(&mut orders);
-        self.order_starts(2, &mut orders);
-        orders
+        let mut commands = Vec::new();
+        self.command_starts(0, &mut commands);
+        self.command_stops(&mut commands);
+        self.command_starts(2, &mut commands);
+        commands
     }
 
     /// Puts the starts of a function before those for which nothing waits.
@@ -64,7 +64,7 @@
         }
     }
 
-    fn order_starts(&mut self, class: u8, orders: &mut Vec<Order>) {
+    fn command_starts(&mut self, class: u8, commands: &mut Vec<RunnerCommand>) {
         let first = (class, 0, 0);
         let last = (class, u8::MAX, u64::MAX);
         let queued: Vec<(u8, u8, u64)> = self.wanted.range(first..=last).copied().collect();
@@ -72,11 +72,11 @@
             if !self.bucket.has() {
                 return;
             }
-            self.order_start(place, orders);
+            self.command_start(place, commands);
         }
     }
 
-    fn order_start(&mut self, place: (u8, u8, u64), orders: &mut Vec<Order>) {
+    fn command_start(&mut self, place: (u8, u8, u64), commands: &mut Vec<RunnerCommand>) {
         let serial = place.2;
         let Some(runner) = self.runners.get(&serial) else {
             self.wanted.remove(&place);
@@ -110,17 +110,17 @@
             runner.started_at = self.now;
         }
         runner.life = Life::Asked;
-        let order = Order::Start {
+        let command = RunnerCommand::Start {
             function: name,
             worker: runner.worker.clone(),
             nonce: runner.nonce.clone(),
         };
         self.wanted.remove(&place);
         self.bucket.tokens -= 1.0;
-        orders.push(order);
+        commands.push(command);
     }
 
-    fn order_stops(&mut self, orders: &mut Vec<Order>) {
+    fn command_stops(&mut self, commands: &mut Vec<RunnerCommand>) {
         let serials: Vec<u64> = self.ending.iter().copied().collect();
         for serial in serials {
             if !self.bucket.has() {
@@ -142,18 +142,23 @@
             runner.life = Life::StopAsked;
             self.bucket.tokens -= 1.0;
             log::info!("scaler: {} stops {id}", runner.function);
-            orders.push(Order::Stop { id });
+            commands.push(RunnerCommand::Stop { id });
         }
     }
 
     /// Takes the platform's answer to a start.
-    pub fn started(&mut self, now: u64, nonce: &str, result: Result<(String, String), StartFault>) {
+    pub fn handle_start_result(
+        &mut self,
+        now: u64,
+        nonce: &str,
+        result: Result<StartedRunner, StartError>,
+    ) {
         self.pass(now);
         let Some(&serial) = self.nonces.get(nonce) else {
             return;
         };
         match result {
-            Ok((id, address)) => self.begun(serial, id, address),
+            Ok(started) => self.begun(serial, started.id, started.address),
             Err(fault) => self.not_begun(serial, fault),
         }
     }
@@ -197,7 +202,7 @@
         self.settle_due();
     }
 
-    fn not_begun(&mut self, serial: u64, fault: StartFault) {
+    fn not_begun(&mut self, serial: u64, fault: StartError) {
         let now = self.now;
         let Some(runner) = self.runners.get_mut(&serial) else {
             return;
@@ -207,7 +212,7 @@
         }
         let name = runner.function.clone();
         match fault {
-            StartFault::NoRoom => {
+            StartError::NoRoom => {
                 let until = now + 2 * self.options.list_lag_ms;
                 if let Some(worker) = self.workers.get_mut(&runner.worker) {
                     worker.aside_until = until;
@@ -217,7 +222,7 @@
                 runner.asked_at = None;
                 self.forget(serial);
             }
-            StartFault::Refused => {
+            StartError::Refused => {
                 log::warn!("scaler: {name} is not known to the platform");
                 runner.asked_at = None;
                 self.forget(serial);
@@ -226,7 +231,7 @@
                     function.reason = "start refused";
                 }
             }
-            StartFault::Busy | StartFault::Unanswered => self.start_again(serial),
+            StartError::Busy | StartError::Unanswered => self.start_again(serial),
         }
         self.settle_due();
     }
@@ -250,7 +255,7 @@
     }
 
     /// Takes the platform's answer to a stop: done (or unknown there), or to be tried again.
-    pub fn stopped(&mut self, now: u64, id: &str, done: bool) {
+    pub fn handle_stop_result(&mut self, now: u64, id: &str, done: bool) {
         self.pass(now);
         let Some(&serial) = self.ids.get(id) else {
             return;
--- a/crates/autoscaler/src/placing.rs
+++ b/crates/autoscaler/src/placing.rs
@@ -1,6 +1,6 @@
-use crate::launcher::Launcher;
+use crate::autoscaler::Autoscaler;
+use crate::listing_types::WorkerListing;
 use crate::runner::{Life, Runner};
-use crate::sights::WorkerSight;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 /// A worker, and what became of it since it was listed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Worker {
-    pub sight: WorkerSight,
+    pub listing: WorkerListing,
     pub seen_at: u64,
     pub aside_until: u64,
     /// Times and sizes of memory that was freed.
@@ -33,7 +33,7 @@
 struct Fitness {
     is_elsewhere: bool,
     is_fresh: bool,
-    /// Occupancy in tenths: only workers that are about equal are told apart by the districts.
+    /// Occupancy in tenths: only workers that are about equal are told apart by the zones.
     tenths: u64,
     neighbours: usize,
     occupancy: f64,
@@ -54,14 +54,14 @@
     }
 }
 
-impl Launcher {
+impl Autoscaler {
     pub(crate) fn is_open(&self, worker: &Worker) -> bool {
         !self.is_shut(worker) && self.now >= worker.aside_until
     }
 
-    /// It leaves, or its district is closed.
+    /// It leaves, or its zone is closed.
     pub(crate) fn is_shut(&self, worker: &Worker) -> bool {
-        worker.sight.is_leaving || self.closed.contains(&worker.sight.district)
+        worker.listing.is_draining || self.closed.contains(&worker.listing.zone)
     }
 
     /// Runners that take memory on a worker, as far as is known.
@@ -79,7 +79,7 @@
     pub(crate) fn sum_account(&self, worker: &Worker) -> Account {
         let listed_until = self.listed_until(worker);
         let mut account = Account::default();
-        for (_, runner) in self.placed_on(&worker.sight.name) {
+        for (_, runner) in self.placed_on(&worker.listing.name) {
             account.used_mb += runner.memory_mb;
             let share = f64::from(runner.quota) / f64::from(runner.most.max(1));
             account.busy_mb += runner.memory_mb as f64 * share;
@@ -95,9 +95,9 @@
 
     fn renew_accounts(&mut self) {
         let workers = self.workers.values();
-        let stale = workers.filter(|worker| !self.accounts.contains_key(&worker.sight.name));
+        let stale = workers.filter(|worker| !self.accounts.contains_key(&worker.listing.name));
         let renewed: Vec<(String, Account)> = stale
-            .map(|worker| (worker.sight.name.clone(), self.sum_account(worker)))
+            .map(|worker| (worker.listing.name.clone(), self.sum_account(worker)))
             .collect();
         self.accounts.extend(renewed);
     }
@@ -110,84 +110,79 @@
             late.map(|(_, size)| size).sum()
         };
         let unlisted_mb = account.unasked_mb + sum(&account.asked);
-        let own_mb = worker.sight.memory_mb.saturating_sub(account.used_mb);
-        let listed_mb = (worker.sight.free_mb + sum(&worker.freed)).saturating_sub(unlisted_mb);
+        let own_mb = worker.listing.memory_mb.saturating_sub(account.used_mb);
+        let listed_mb = (worker.listing.free_mb + sum(&worker.freed)).saturating_sub(unlisted_mb);
         own_mb.min(listed_mb)
     }
 
-    /// Runners of a function that count, by district.
+    /// Runners of a function that count, by zone.
     fn spread(&self, name: &str) -> BTreeMap<&str, usize> {
-        let mut districts = BTreeMap::new();
+        let mut zones = BTreeMap::new();
         let Some(function) = self.functions.get(name) else {
-            return districts;
+            return zones;
         };
         for (_, runner) in self.runners_of(function) {
             if runner.counts() {
-                *districts.entry(runner.district.as_str()).or_default() += 1;
+                *zones.entry(runner.zone.as_str()).or_default() += 1;
             }
         }
-        districts
+        zones
     }
 
-    /// District from which most calls come that have no runner there; the emptiest where none calls yet.
-    fn callers_district(&self, name: &str, spread: &BTreeMap<&str, usize>) -> Option<String> {
-        if !self.options.prefers_callers_district {
+    /// Zone from which most calls come that have no runner there; the emptiest where none calls yet.
+    fn callers_zone(&self, name: &str, spread: &BTreeMap<&str, usize>) -> Option<String> {
+        if !self.options.prefers_callers_zone {
             return None;
         }
-        let calls = self.functions.get(name)?.arrivals.by_district().iter();
-        let unserved = calls.filter(|(district, _)| !spread.contains_key(district.as_str()));
+        let calls = self.functions.get(name)?.arrivals.by_zone().iter();
+        let unserved = calls.filter(|(zone, _)| !spread.contains_key(zone.as_str()));
         let most = unserved.max_by(|(one, count), (other, others)| {
             count.total_cmp(others).then_with(|| other.cmp(one))
         });
-        let most = most.map(|(district, _)| district.clone());
-        most.or_else(|| {
-            spread
-                .is_empty()
-                .then(|| self.emptiest_district())
-                .flatten()
-        })
+        let most = most.map(|(zone, _)| zone.clone());
+        most.or_else(|| spread.is_empty().then(|| self.emptiest_zone()).flatten())
     }
 
-    /// District whose runners take the least memory: minimal runners that nobody called yet are spread, so that the
-    /// loss of one worker or district does not take them all.
-    fn emptiest_district(&self) -> Option<String> {
+    /// Zone whose runners take the least memory: minimal runners that nobody called yet are spread, so that the
+    /// loss of one worker or zone does not take them all.
+    fn emptiest_zone(&self) -> Option<String> {
         let mut taken: BTreeMap<&str, u64> = BTreeMap::new();
         for worker in self.workers.values().filter(|worker| self.is_open(worker)) {
-            let placed = self.placed_on(&worker.sight.name);
+            let placed = self.placed_on(&worker.listing.name);
             let memory: u64 = placed.map(|(_, runner)| runner.memory_mb).sum();
-            *taken.entry(worker.sight.district.as_str()).or_default() += memory;
+            *taken.entry(worker.listing.zone.as_str()).or_default() += memory;
         }
         let least = taken.into_iter().min_by_key(|(_, memory)| *memory);
-        least.map(|(district, _)| district.to_owned())
+        least.map(|(zone, _)| zone.to_owned())
     }
 
-    /// The least-occupied used worker, else a fresh one; in the callers' district where there is
+    /// The least-occupied used worker, else a fresh one; in the callers' zone where there is
     /// room and the function has no runner.
     pub(crate) fn place(&mut self, name: &str) -> Option<String> {
         self.renew_accounts();
         let memory_mb = self.functions.get(name)?.plan.memory_mb;
         let spread = self.spread(name);
-        let callers = self.callers_district(name, &spread);
+        let callers = self.callers_zone(name, &spread);
         let mut best: Option<(Fitness, &str)> = None;
         for worker in self.workers.values() {
-            let Some(account) = self.accounts.get(&worker.sight.name) else {
+            let Some(account) = self.accounts.get(&worker.listing.name) else {
                 continue;
             };
             if !self.is_open(worker) || self.free_mb(worker, account) < memory_mb {
                 continue;
             }
-            let district = worker.sight.district.as_str();
-            let occupancy = account.busy_mb / worker.sight.memory_mb.max(1) as f64;
+            let zone = worker.listing.zone.as_str();
+            let occupancy = account.busy_mb / worker.listing.memory_mb.max(1) as f64;
             let fitness = Fitness {
-                is_elsewhere: callers.as_deref().is_some_and(|name| name != district),
-                is_fresh: self.placed_on(&worker.sight.name).next().is_none(),
+                is_elsewhere: callers.as_deref().is_some_and(|name| name != zone),
+                is_fresh: self.placed_on(&worker.listing.name).next().is_none(),
                 tenths: (occupancy * 10.0) as u64,
-                neighbours: spread.get(district).copied().unwrap_or(0),
+                neighbours: spread.get(zone).copied().unwrap_or(0),
                 occupancy,
             };
             let is_better = |(other, _): &(Fitness, &str)| fitness.compare(other).is_lt();
             if best.as_ref().is_none_or(is_better) {
-                best = Some((fitness, &worker.sight.name));
+                best = Some((fitness, &worker.listing.name));
             }
         }
         best.map(|(_, chosen_worker)| chosen_worker.to_owned())
@@ -209,14 +204,14 @@
             return false;
         };
         let plan = &function.plan;
-        let nonce = format!("{}-{}", self.options.own_nonce, self.serials + 1);
+        let nonce = format!("{}-{}", self.options.nonce_prefix, self.serials + 1);
         let rank = plan.rank;
         let runner = Runner {
             function: name.to_owned(),
             nonce,
             id: None,
             address: String::new(),
-            district: worker.sight.district.clone(),
+            zone: worker.listing.zone.clone(),
             worker: chosen_worker,
             memory_mb: plan.memory_mb,
             quota: plan.concurrency,
--- a/crates/autoscaler/src/reporting.rs
+++ b/crates/autoscaler/src/reporting.rs
@@ -1,11 +1,11 @@
+use crate::autoscaler::Autoscaler;
 use crate::function::Keeper;
-use crate::launcher::Launcher;
 use crate::runner::Life;
 use protocol::{FunctionReport, RunnerReport};
 
-impl Launcher {
+impl Autoscaler {
     /// Takes what a keeper tells of a function. Where requests wait it is decided at once.
-    pub fn report(&mut self, now: u64, keeper: &str, report: &FunctionReport) {
+    pub fn handle_report(&mut self, now: u64, keeper: &str, report: &FunctionReport) {
         self.pass(now);
         let name = report.function.as_str();
         if !self.functions.contains_key(name) {
@@ -36,7 +36,7 @@
     }
 
     /// Forgets a keeper that is no more.
-    pub fn forget_keeper(&mut self, keeper: &str) {
+    pub fn remove_owner(&mut self, keeper: &str) {
         for name in self.kept.remove(keeper).unwrap_or_default() {
             if let Some(function) = self.functions.get_mut(&name) {
                 function.keepers.remove(keeper);
@@ -53,8 +53,8 @@
         let known = function.keepers.entry(keeper.to_owned());
         let known = known.or_insert_with(Keeper::default);
         let mut unknown = u64::from(report.waiting);
-        for (district, count) in &report.arrived {
-            let before = known.arrived.insert(district.clone(), *count).unwrap_or(0);
+        for (zone, count) in &report.arrived {
+            let before = known.arrived.insert(zone.clone(), *count).unwrap_or(0);
             let mut come = count.saturating_sub(before);
             if is_new {
                 // What a keeper counted before it was heard first is no rate, but for what waits.
@@ -63,9 +63,9 @@
             }
             if come > 0 && is_new {
                 // They came at some time before: where from is known, how fast is not.
-                function.arrivals.place(district, come);
+                function.arrivals.place(zone, come);
             } else if come > 0 {
-                function.arrivals.add(now, district, come);
+                function.arrivals.add(now, zone, come);
             }
             if come > 0 {
                 function.busy_at = Some(now);
--- a/crates/autoscaler/src/room.rs
+++ b/crates/autoscaler/src/room.rs
@@ -1,9 +1,9 @@
+use crate::autoscaler::Autoscaler;
 use crate::function::Function;
-use crate::launcher::Launcher;
 use crate::runner::{Cause, Life, Runner};
 use std::collections::BTreeMap;
 
-impl Launcher {
+impl Autoscaler {
     /// Drains runners that have been idle the longest, beyond their functions' minimal ones, on
     /// the worker that is the first to have room then.
     pub(crate) fn make_room(&mut self, name: &str) {
--- a/crates/autoscaler/src/runner.rs
+++ b/crates/autoscaler/src/runner.rs
@@ -9,7 +9,7 @@
 pub(crate) enum Cause {
     /// There are more than are needed.
     Surplus,
-    /// Its district is closed.
+    /// Its zone is closed.
     Closed,
     /// Its function is described no more.
     Undescribed,
@@ -46,7 +46,7 @@
     pub nonce: String,
     pub id: Option<String>,
     pub address: String,
-    pub district: String,
+    pub zone: String,
     pub worker: String,
     pub memory_mb: u64,
     pub quota: u32,
--- a/crates/autoscaler/src/start_block.rs
+++ b/crates/autoscaler/src/start_block.rs
@@ -1,7 +1,7 @@
 //! What a keeper is told of a function that has no runner and for which no worker has room.
 
+use crate::autoscaler::Autoscaler;
 use crate::function::Function;
-use crate::launcher::Launcher;
 use crate::placing::{Worker, HELD_MS};
 use crate::runner::{Life, Runner};
 use protocol::StartBlock;
@@ -28,7 +28,7 @@
     memory_mb: u64,
 }
 
-impl Launcher {
+impl Autoscaler {
     /// Judges when a worker may have room for a function whose start found none just now.
     pub(crate) fn judge_room(&mut self, name: &str) {
         let Some(function) = self.functions.get(name) else {
@@ -106,14 +106,16 @@
         let mut spare = self.spare_by_worker(name, function.plan.rank);
         let open = self.workers.values().filter(|worker| !self.is_shut(worker));
         open.filter_map(|worker| {
-            let spare = spare.remove(worker.sight.name.as_str()).unwrap_or_default();
+            let spare = spare
+                .remove(worker.listing.name.as_str())
+                .unwrap_or_default();
             self.room_on(worker, function.plan.memory_mb, spare)
         })
         .min()
     }
 
     fn room_on(&self, worker: &Worker, memory_mb: u64, mut freeing: Vec<Freeing>) -> Option<u64> {
-        let placed = self.placed_on(&worker.sight.name);
+        let placed = self.placed_on(&worker.listing.name);
         let ending = placed.filter(|(_, runner)| !runner.counts());
         freeing.extend(ending.map(|(_, runner)| Freeing {
             at: self.freed_at(runner),
--- a/crates/autoscaler/src/telling.rs
+++ b/crates/autoscaler/src/telling.rs
@@ -1,12 +1,12 @@
+use crate::autoscaler::Autoscaler;
 use crate::function::Function;
-use crate::launcher::Launcher;
+use crate::listing_types::FunctionStatus;
 use crate::runner::{Life, Runner};
-use crate::sights::FunctionNote;
 use protocol::{FunctionNews, RunnerNews, RunnerStage};
 
-impl Launcher {
+impl Autoscaler {
     /// News of the functions whose runners changed since the last call.
-    pub fn news(&mut self) -> Vec<FunctionNews> {
+    pub fn take_updates(&mut self) -> Vec<FunctionNews> {
         if !self.knows_enough() {
             return Vec::new();
         }
@@ -39,7 +39,7 @@
 
     /// News of a function for a keeper that asks. Until the lists were seen once they are empty
     /// with a mark that wins over no other.
-    pub fn news_of(&self, function: &str, now: u64) -> FunctionNews {
+    pub fn update_for(&self, function: &str, now: u64) -> FunctionNews {
         if !self.knows_enough() {
             return FunctionNews {
                 function: function.to_owned(),
@@ -48,14 +48,14 @@
         }
         FunctionNews {
             function: function.to_owned(),
-            mark: self.news_mark(function),
+            mark: self.update_version(function),
             runners: self.runner_news(function, now),
             start_block: self.start_block(function, now),
         }
     }
 
-    /// Mark of what [`Launcher::news_of`] tells of a function; blank until the lists were seen once.
-    pub fn news_mark(&self, function: &str) -> (u64, u64) {
+    /// Mark of what [`Autoscaler::update_for`] tells of a function; blank until the lists were seen once.
+    pub fn update_version(&self, function: &str) -> (u64, u64) {
         if !self.knows_enough() {
             return (0, 0);
         }
@@ -75,15 +75,15 @@
     }
 
     /// What is thought of each function that is not asleep.
-    pub fn notes(&self) -> Vec<FunctionNote> {
+    pub fn function_statuses(&self) -> Vec<FunctionStatus> {
         let names = self.active.iter();
         let notes = names.filter_map(|name| Some(self.note(name, self.functions.get(name)?)));
         notes.collect()
     }
 
-    fn note(&self, name: &str, function: &Function) -> FunctionNote {
+    fn note(&self, name: &str, function: &Function) -> FunctionStatus {
         let load = self.load_of(function);
-        FunctionNote {
+        FunctionStatus {
             function: name.to_owned(),
             measured: load.measured,
             forecast: load.forecast,
@@ -108,7 +108,7 @@
     Some(RunnerNews {
         id: runner.id.clone()?,
         address: runner.address.clone(),
-        district: runner.district.clone(),
+        district: runner.zone.clone(),
         quota: runner.quota,
         stage,
         starts_in_ms: u32::try_from(starts_in_ms).unwrap_or(u32::MAX),
--- a/crates/autoscaler/tests/town/mod.rs
+++ b/crates/autoscaler/tests/cluster/mod.rs
@@ -1,38 +1,40 @@
 //! What the tests share: a small town of workers, functions and one keeper.
 #![allow(dead_code)]
 
-use autoscaler::{Launcher, Options, Order, RunnerSight, WorkerSight};
+use autoscaler::{
+    Autoscaler, AutoscalerOptions, RunnerCommand, RunnerListing, StartedRunner, WorkerListing,
+};
 use protocol::{FunctionNews, FunctionReport, RunnerReport, RunnerStage};
 use routing::{Binding, Description, Function};
 
 pub const KEEPER: &str = "gateway-a/1";
 
-pub fn options() -> Options {
-    Options {
-        starts_per_s: 100.0,
-        ..Options::default()
+pub fn options() -> AutoscalerOptions {
+    AutoscalerOptions {
+        commands_per_s: 100.0,
+        ..AutoscalerOptions::default()
     }
 }
 
-pub fn worker(name: &str, district: &str, memory_mb: u64) -> WorkerSight {
-    WorkerSight {
+pub fn worker(name: &str, zone: &str, memory_mb: u64) -> WorkerListing {
+    WorkerListing {
         name: name.to_owned(),
-        district: district.to_owned(),
+        zone: zone.to_owned(),
         memory_mb,
         free_mb: memory_mb,
-        is_leaving: false,
+        is_draining: false,
     }
 }
 
-pub fn listed(id: &str, function: &str, worker: &str, district: &str) -> RunnerSight {
-    RunnerSight {
+pub fn listed(id: &str, function: &str, worker: &str, zone: &str) -> RunnerListing {
+    RunnerListing {
         id: id.to_owned(),
         function: function.to_owned(),
         address: format!("{id}:8080"),
-        district: district.to_owned(),
+        zone: zone.to_owned(),
         worker: worker.to_owned(),
         capacity: 4,
-        is_leaving: false,
+        is_terminating: false,
     }
 }
 
@@ -76,48 +78,56 @@
     }
 }
 
-/// A launcher that knows these functions, workers and runners.
-pub fn town(
-    options: Options,
+/// An autoscaler that knows these functions, workers and runners.
+pub fn cluster(
+    options: AutoscalerOptions,
     functions: &[(&str, u32)],
-    workers: &[WorkerSight],
-    runners: &[RunnerSight],
-) -> Launcher {
-    let mut launcher = Launcher::new(options, 0);
-    launcher.describe(0, &description(functions));
-    launcher.see_workers(0, workers.to_vec());
-    launcher.see_runners(0, runners.to_vec());
-    launcher.tick(0);
-    launcher
+    workers: &[WorkerListing],
+    runners: &[RunnerListing],
+) -> Autoscaler {
+    let mut autoscaler = Autoscaler::new(options, 0);
+    autoscaler.apply_configuration(0, &description(functions));
+    autoscaler.update_workers(0, workers.to_vec());
+    autoscaler.update_runners(0, runners.to_vec());
+    autoscaler.tick(0);
+    autoscaler
+}
+
+/// The platform's positive answer to a start.
+pub fn started(id: &str, port: u16) -> StartedRunner {
+    StartedRunner {
+        id: id.to_owned(),
+        address: format!("{id}:{port}"),
+    }
 }
 
 /// Nonce, function and worker of each start.
-pub fn starts(orders: &[Order]) -> Vec<(String, String, String)> {
+pub fn starts(orders: &[RunnerCommand]) -> Vec<(String, String, String)> {
     let starts = orders.iter().filter_map(|order| match order {
-        Order::Start {
+        RunnerCommand::Start {
             function,
             worker,
             nonce,
         } => Some((nonce.clone(), function.clone(), worker.clone())),
-        Order::Stop { .. } => None,
+        RunnerCommand::Stop { .. } => None,
     });
     starts.collect()
 }
 
-pub fn stops(orders: &[Order]) -> Vec<String> {
+pub fn stops(orders: &[RunnerCommand]) -> Vec<String> {
     let stops = orders.iter().filter_map(|order| match order {
-        Order::Stop { id } => Some(id.clone()),
-        Order::Start { .. } => None,
+        RunnerCommand::Stop { id } => Some(id.clone()),
+        RunnerCommand::Start { .. } => None,
     });
     stops.collect()
 }
 
 /// Answers every start with runner r-NONCE; gives the orders.
-pub fn serve(launcher: &mut Launcher, now: u64) -> Vec<Order> {
-    let orders = launcher.orders();
+pub fn serve(autoscaler: &mut Autoscaler, now: u64) -> Vec<RunnerCommand> {
+    let orders = autoscaler.take_commands();
     for (nonce, _, _) in starts(&orders) {
         let id = format!("r-{nonce}");
-        launcher.started(now, &nonce, Ok((id.clone(), format!("{id}:8080"))));
+        autoscaler.handle_start_result(now, &nonce, Ok(started(&id, 8080)));
     }
     orders
 }
--- a/crates/autoscaler/tests/random.rs
+++ b/crates/autoscaler/tests/random.rs
@@ -1,11 +1,11 @@
-//! Random events between a launcher, one keeper and a platform, with an oracle over its orders.
+//! Random events between an autoscaler, one keeper and a platform, with an oracle over its orders.
 
-mod town;
+mod cluster;
 
-use autoscaler::{Launcher, Order, StartFault, WorkerSight};
+use autoscaler::{Autoscaler, RunnerCommand, StartError, WorkerListing};
+use cluster::*;
 use protocol::{FunctionReport, RunnerReport, RunnerStage};
 use std::collections::{BTreeMap, BTreeSet};
-use town::*;
 
 const FUNCTIONS: [(&str, u32); 4] = [("f", 9_000), ("g", 500), ("h", 9_000), ("i", 800)];
 const TIMEOUT_MS: u64 = 10_000;
@@ -23,8 +23,8 @@
 struct World {
     now: u64,
     listed_at: u64,
-    launcher: Launcher,
-    workers: Vec<WorkerSight>,
+    autoscaler: Autoscaler,
+    workers: Vec<WorkerListing>,
     closed: BTreeSet<String>,
     runners: BTreeMap<String, Real>,
     /// Nonce, function, worker and id where it was done.
@@ -49,7 +49,7 @@
         Self {
             now: 0,
             listed_at: 0,
-            launcher: town(options(), &FUNCTIONS, &workers, &[]),
+            autoscaler: cluster(options(), &FUNCTIONS, &workers, &[]),
             workers,
             closed: BTreeSet::new(),
             runners: BTreeMap::new(),
@@ -74,11 +74,11 @@
 
     fn list(&mut self) {
         self.listed_at = self.now;
-        let mut sights = self.workers.clone();
-        for sight in &mut sights {
-            sight.free_mb = self.free_mb(&sight.name);
+        let mut listings = self.workers.clone();
+        for listing in &mut listings {
+            listing.free_mb = self.free_mb(&listing.name);
         }
-        self.launcher.see_workers(self.now, sights);
+        self.autoscaler.update_workers(self.now, listings);
         let up = self
             .runners
             .iter()
@@ -90,11 +90,11 @@
                 .iter()
                 .find(|worker| worker.name == runner.worker)
                 .unwrap();
-            let mut sight = listed(id, &runner.function, &runner.worker, &place.district);
-            sight.is_leaving = place.is_leaving;
-            shown.push(sight);
+            let mut listing = listed(id, &runner.function, &runner.worker, &place.zone);
+            listing.is_terminating = place.is_draining;
+            shown.push(listing);
         }
-        self.launcher.see_runners(self.now, shown);
+        self.autoscaler.update_runners(self.now, shown);
     }
 
     fn pass(&mut self, ms: u64) {
@@ -104,7 +104,7 @@
             if self.now >= self.listed_at + 1_000 {
                 self.list();
             }
-            self.launcher.tick(self.now);
+            self.autoscaler.tick(self.now);
         }
     }
 
@@ -142,7 +142,7 @@
                 ..held(id, in_use)
             });
         }
-        self.launcher.report(now, KEEPER, &report);
+        self.autoscaler.handle_report(now, KEEPER, &report);
     }
 
     fn answer_start(&mut self, kind: u8) {
@@ -152,29 +152,29 @@
         let (nonce, function, place) = self.asked.remove(0);
         let has_room = self.free_mb(&place) >= 100;
         if kind == 1 {
-            self.launcher
-                .started(self.now, &nonce, Err(StartFault::Unanswered));
+            self.autoscaler
+                .handle_start_result(self.now, &nonce, Err(StartError::Unanswered));
             return;
         }
         if kind == 2 && !self.done.contains_key(&nonce) || !has_room {
-            self.launcher
-                .started(self.now, &nonce, Err(StartFault::NoRoom));
+            self.autoscaler
+                .handle_start_result(self.now, &nonce, Err(StartError::NoRoom));
             return;
         }
         if kind == 3 {
-            self.launcher
-                .started(self.now, &nonce, Err(StartFault::Busy));
+            self.autoscaler
+                .handle_start_result(self.now, &nonce, Err(StartError::Busy));
             return;
         }
         self.begin(&nonce, &function, &place);
         if kind == 4 {
-            self.launcher
-                .started(self.now, &nonce, Err(StartFault::Unanswered));
+            self.autoscaler
+                .handle_start_result(self.now, &nonce, Err(StartError::Unanswered));
             return;
         }
         let id = self.done[&nonce].clone();
-        self.launcher
-            .started(self.now, &nonce, Ok((id.clone(), format!("{id}:1"))));
+        self.autoscaler
+            .handle_start_result(self.now, &nonce, Ok(started(&id, 1)));
     }
 
     fn begin(&mut self, nonce: &str, function: &str, place: &str) {
@@ -202,11 +202,11 @@
         if done {
             self.runners.remove(&id);
         }
-        self.launcher.stopped(self.now, &id, done);
+        self.autoscaler.handle_stop_result(self.now, &id, done);
     }
 
     fn deliver(&mut self) {
-        for news in self.launcher.news() {
+        for news in self.autoscaler.take_updates() {
             for runner in &news.runners {
                 assert!(runner.quota <= 4, "a quota above the concurrency");
             }
@@ -220,8 +220,8 @@
 
     fn end_worker(&mut self, place: usize) {
         let worker = &mut self.workers[place % 4];
-        worker.is_leaving = !worker.is_leaving;
-        let (name, is_back) = (worker.name.clone(), !worker.is_leaving);
+        worker.is_draining = !worker.is_draining;
+        let (name, is_back) = (worker.name.clone(), !worker.is_draining);
         if is_back {
             self.runners.retain(|_, runner| runner.worker != name);
         }
@@ -229,28 +229,28 @@
     }
 
     fn judge(&mut self) {
-        for order in self.launcher.orders() {
+        for order in self.autoscaler.take_commands() {
             match order {
-                Order::Start {
+                RunnerCommand::Start {
                     function,
                     worker,
                     nonce,
                 } => self.judge_start(function, worker, nonce),
-                Order::Stop { id } => self.judge_stop(id),
+                RunnerCommand::Stop { id } => self.judge_stop(id),
             }
         }
     }
 
     fn judge_start(&mut self, function: String, place: String, nonce: String) {
-        let sight = self
+        let listing = self
             .workers
             .iter()
             .find(|worker| worker.name == place)
             .unwrap();
-        assert!(!sight.is_leaving, "a start on a worker that leaves");
+        assert!(!listing.is_draining, "a start on a worker that leaves");
         assert!(
-            !self.closed.contains(&sight.district),
-            "a start in a closed district"
+            !self.closed.contains(&listing.zone),
+            "a start in a closed zone"
         );
         let is_new = |(other, _, _): &&(String, String, String)| !self.done.contains_key(other);
         let asked = self
@@ -294,11 +294,11 @@
             11 => self.deliver(),
             12 => self.end_worker(place),
             13 => {
-                let district = ["a", "b", "c"][place % 3].to_owned();
-                if !self.closed.remove(&district) {
-                    self.closed.insert(district);
+                let zone = ["a", "b", "c"][place % 3].to_owned();
+                if !self.closed.remove(&zone) {
+                    self.closed.insert(zone);
                 }
-                self.launcher.close_districts(self.now, &self.closed);
+                self.autoscaler.set_evacuated_zones(self.now, &self.closed);
             }
             14 => self.pass(u64::from(one) * 40),
             _ => self.pass(u64::from(one)),
--- a/crates/autoscaler/tests/start_block.rs
+++ b/crates/autoscaler/tests/start_block.rs
@@ -1,51 +1,51 @@
 //! That no worker can take a runner of a function is told to its keeper, and only while it is known.
 
-mod town;
+mod cluster;
 
-use autoscaler::{Launcher, Options, Order, StartFault, WorkerSight};
+use autoscaler::{Autoscaler, AutoscalerOptions, RunnerCommand, StartError, WorkerListing};
+use cluster::*;
 use protocol::{FunctionNews, StartBlock};
-use town::*;
 
-/// A moment by which the lists tell all that was there when the launcher began.
+/// A moment by which the lists tell all that was there when the autoscaler began.
 const LATER: u64 = 5_000;
 
-fn leaving(mut sight: WorkerSight) -> WorkerSight {
-    sight.is_leaving = true;
-    sight
+fn leaving(mut listing: WorkerListing) -> WorkerListing {
+    listing.is_draining = true;
+    listing
 }
 
-fn full(mut sight: WorkerSight) -> WorkerSight {
-    sight.free_mb = 0;
-    sight
+fn full(mut listing: WorkerListing) -> WorkerListing {
+    listing.free_mb = 0;
+    listing
 }
 
-/// A launcher with these workers and no runner, whose lists have settled.
-fn settled(functions: &[(&str, u32)], workers: &[WorkerSight]) -> Launcher {
-    let mut launcher = town(options(), functions, workers, &[]);
-    launcher.orders();
-    launcher.see_runners(LATER, vec![]);
-    launcher.see_workers(LATER, workers.to_vec());
-    launcher.news();
-    launcher
+/// An autoscaler with these workers and no runner, whose lists have settled.
+fn settled(functions: &[(&str, u32)], workers: &[WorkerListing]) -> Autoscaler {
+    let mut autoscaler = cluster(options(), functions, workers, &[]);
+    autoscaler.take_commands();
+    autoscaler.update_runners(LATER, vec![]);
+    autoscaler.update_workers(LATER, workers.to_vec());
+    autoscaler.take_updates();
+    autoscaler
 }
 
-fn call(launcher: &mut Launcher, now: u64, function: &str, arrived: u64) -> Vec<Order> {
-    launcher.report(now, KEEPER, &told(function, arrived, 1));
-    launcher.tick(now);
-    launcher.orders()
+fn call(autoscaler: &mut Autoscaler, now: u64, function: &str, arrived: u64) -> Vec<RunnerCommand> {
+    autoscaler.handle_report(now, KEEPER, &told(function, arrived, 1));
+    autoscaler.tick(now);
+    autoscaler.take_commands()
 }
 
-fn block(launcher: &Launcher, now: u64) -> Option<StartBlock> {
-    launcher.news_of("f", now).start_block
+fn block(autoscaler: &Autoscaler, now: u64) -> Option<StartBlock> {
+    autoscaler.update_for("f", now).start_block
 }
 
 #[test]
 fn where_all_workers_leave_the_keeper_is_told_at_once() {
     let gone = [leaving(worker("w-1", "a", 1_000))];
-    let mut launcher = settled(&[("f", 9_000)], &gone);
-    assert_eq!(block(&launcher, LATER), None, "nobody asked for a runner");
-    assert!(call(&mut launcher, LATER + 10, "f", 1).is_empty());
-    let told: Vec<FunctionNews> = launcher.news();
+    let mut autoscaler = settled(&[("f", 9_000)], &gone);
+    assert_eq!(block(&autoscaler, LATER), None, "nobody asked for a runner");
+    assert!(call(&mut autoscaler, LATER + 10, "f", 1).is_empty());
+    let told: Vec<FunctionNews> = autoscaler.take_updates();
     assert_eq!(told.len(), 1, "it is news");
     let block = told[0].start_block.expect("a statement");
     assert_eq!(block.earliest_ready_ms, None);
@@ -56,66 +56,70 @@
 
 #[test]
 fn a_full_worker_takes_no_runner_whatever_the_own_account_says() {
-    let mut launcher = settled(&[("f", 9_000)], &[full(worker("w-1", "a", 1_000))]);
-    call(&mut launcher, LATER + 10, "f", 1);
-    let told = block(&launcher, LATER + 10).expect("a statement");
+    let mut autoscaler = settled(&[("f", 9_000)], &[full(worker("w-1", "a", 1_000))]);
+    call(&mut autoscaler, LATER + 10, "f", 1);
+    let told = block(&autoscaler, LATER + 10).expect("a statement");
     assert_eq!(told.earliest_ready_ms, None);
 }
 
 #[test]
 fn it_is_repeated_while_it_holds_and_ends_with_its_time() {
-    let mut launcher = settled(&[("f", 9_000)], &[]);
+    let mut autoscaler = settled(&[("f", 9_000)], &[]);
     let mut told_at = Vec::new();
     for now in (LATER + 100..LATER + 5_000).step_by(100) {
-        call(&mut launcher, now, "f", 1 + now / 100);
-        let told = launcher.news();
+        call(&mut autoscaler, now, "f", 1 + now / 100);
+        let told = autoscaler.take_updates();
         if told.iter().any(|news| news.start_block.is_some()) {
             told_at.push(now);
         }
-        assert!(block(&launcher, now).is_some(), "at {now}");
+        assert!(block(&autoscaler, now).is_some(), "at {now}");
     }
     let widest = told_at.windows(2).map(|pair| pair[1] - pair[0]).max();
     assert!(widest.unwrap() <= 1_500, "{told_at:?}");
     let last = *told_at.last().unwrap();
-    assert_eq!(block(&launcher, last + 2_000), None, "nobody repeated it");
+    assert_eq!(block(&autoscaler, last + 2_000), None, "nobody repeated it");
 }
 
 #[test]
-fn a_launcher_whose_lists_may_lack_the_starts_of_an_earlier_term_says_nothing() {
+fn an_autoscaler_whose_lists_may_lack_the_starts_of_an_earlier_term_says_nothing() {
     let term = 7;
-    let mut launcher = Launcher::new(Options { term, ..options() }, 50_000);
-    launcher.describe(50_000, &description(&[("f", 9_000)]));
-    let tell = |launcher: &mut Launcher, now: u64| {
-        launcher.report(now, KEEPER, &told("f", now, 1));
-        launcher.tick(now);
-        launcher.news_of("f", now).start_block
+    let mut autoscaler = Autoscaler::new(AutoscalerOptions { term, ..options() }, 50_000);
+    autoscaler.apply_configuration(50_000, &description(&[("f", 9_000)]));
+    let tell = |autoscaler: &mut Autoscaler, now: u64| {
+        autoscaler.handle_report(now, KEEPER, &told("f", now, 1));
+        autoscaler.tick(now);
+        autoscaler.update_for("f", now).start_block
     };
-    assert_eq!(tell(&mut launcher, 50_100), None, "no list is known");
-    launcher.see_workers(50_200, vec![]);
-    assert_eq!(tell(&mut launcher, 50_200), None, "one list is known");
-    launcher.see_runners(50_300, vec![]);
-    assert_eq!(tell(&mut launcher, 50_400), None, "the lists lag");
-    launcher.see_runners(53_900, vec![]);
-    launcher.see_workers(54_000, vec![]);
-    assert_eq!(tell(&mut launcher, 54_000), None, "the lists lag");
-    launcher.see_runners(54_100, vec![]);
-    launcher.see_workers(54_100, vec![]);
-    assert!(tell(&mut launcher, 55_500).is_some());
+    assert_eq!(tell(&mut autoscaler, 50_100), None, "no list is known");
+    autoscaler.update_workers(50_200, vec![]);
+    assert_eq!(tell(&mut autoscaler, 50_200), None, "one list is known");
+    autoscaler.update_runners(50_300, vec![]);
+    assert_eq!(tell(&mut autoscaler, 50_400), None, "the lists lag");
+    autoscaler.update_runners(53_900, vec![]);
+    autoscaler.update_workers(54_000, vec![]);
+    assert_eq!(tell(&mut autoscaler, 54_000), None, "the lists lag");
+    autoscaler.update_runners(54_100, vec![]);
+    autoscaler.update_workers(54_100, vec![]);
+    assert!(tell(&mut autoscaler, 55_500).is_some());
 }
 
 #[test]
 fn once_there_is_room_it_ends_with_the_start() {
-    let mut launcher = settled(&[("f", 9_000)], &[leaving(worker("w-1", "a", 1_000))]);
-    call(&mut launcher, LATER + 10, "f", 1);
-    launcher.news();
-    assert!(block(&launcher, LATER + 10).is_some());
+    let mut autoscaler = settled(&[("f", 9_000)], &[leaving(worker("w-1", "a", 1_000))]);
+    call(&mut autoscaler, LATER + 10, "f", 1);
+    autoscaler.take_updates();
+    assert!(block(&autoscaler, LATER + 10).is_some());
     let back = vec![
         leaving(worker("w-1", "a", 1_000)),
         worker("w-2", "a", 1_000),
     ];
-    launcher.see_workers(LATER + 300, back);
-    assert_eq!(starts(&launcher.orders()).len(), 1, "it starts at once");
-    let told = launcher.news();
+    autoscaler.update_workers(LATER + 300, back);
+    assert_eq!(
+        starts(&autoscaler.take_commands()).len(),
+        1,
+        "it starts at once"
+    );
+    let told = autoscaler.take_updates();
     assert_eq!(told.len(), 1, "the end is news");
     assert_eq!(told[0].start_block, None);
 }
@@ -125,92 +129,102 @@
     let mut described = description(&[("a-slow", 9_000), ("b-urgent", 9_000)]);
     described.bindings[0].rank = 2;
     described.bindings[1].rank = 1;
-    let mut launcher = Launcher::new(options(), 0);
-    launcher.describe(0, &described);
-    launcher.see_workers(LATER, vec![]);
-    launcher.see_runners(LATER, vec![]);
-    call(&mut launcher, LATER + 10, "a-slow", 1);
-    call(&mut launcher, LATER + 10, "b-urgent", 1);
-    launcher.see_workers(LATER + 300, vec![worker("w-1", "a", 100)]);
-    let begun = starts(&launcher.orders());
+    let mut autoscaler = Autoscaler::new(options(), 0);
+    autoscaler.apply_configuration(0, &described);
+    autoscaler.update_workers(LATER, vec![]);
+    autoscaler.update_runners(LATER, vec![]);
+    call(&mut autoscaler, LATER + 10, "a-slow", 1);
+    call(&mut autoscaler, LATER + 10, "b-urgent", 1);
+    autoscaler.update_workers(LATER + 300, vec![worker("w-1", "a", 100)]);
+    let begun = starts(&autoscaler.take_commands());
     assert_eq!(begun.len(), 1);
     assert_eq!(begun[0].1, "b-urgent");
 }
 
 #[test]
 fn while_a_start_is_ordered_or_unsure_nothing_is_ruled_out() {
-    let mut launcher = settled(&[("f", 9_000)], &[worker("w-1", "a", 1_000)]);
-    let orders = call(&mut launcher, LATER + 10, "f", 1);
+    let mut autoscaler = settled(&[("f", 9_000)], &[worker("w-1", "a", 1_000)]);
+    let orders = call(&mut autoscaler, LATER + 10, "f", 1);
     let nonce = starts(&orders)[0].0.clone();
-    assert_eq!(block(&launcher, LATER + 10), None, "it is ordered");
+    assert_eq!(block(&autoscaler, LATER + 10), None, "it is ordered");
     // No answer came, the worker went: the runner may be there.
-    launcher.started(LATER + 100, &nonce, Err(StartFault::Unanswered));
-    launcher.see_workers(LATER + 200, vec![]);
-    call(&mut launcher, LATER + 300, "f", 2);
-    assert_eq!(block(&launcher, LATER + 300), None, "it may be there");
+    autoscaler.handle_start_result(LATER + 100, &nonce, Err(StartError::Unanswered));
+    autoscaler.update_workers(LATER + 200, vec![]);
+    call(&mut autoscaler, LATER + 300, "f", 2);
+    assert_eq!(block(&autoscaler, LATER + 300), None, "it may be there");
 }
 
 #[test]
 fn a_starting_runner_rules_nothing_out() {
-    let sights = [worker("w-1", "a", 100)];
-    let mut launcher = settled(&[("f", 9_000)], &sights);
-    launcher.report(LATER + 10, KEEPER, &told("f", 1, 1));
-    serve(&mut launcher, LATER + 10);
+    let listings = [worker("w-1", "a", 100)];
+    let mut autoscaler = settled(&[("f", 9_000)], &listings);
+    autoscaler.handle_report(LATER + 10, KEEPER, &told("f", 1, 1));
+    serve(&mut autoscaler, LATER + 10);
     for now in (LATER + 100..LATER + 2_000).step_by(100) {
-        launcher.report(now, KEEPER, &told("f", 100, 100));
-        launcher.tick(now);
-        launcher.news();
-        assert_eq!(block(&launcher, now), None, "at {now}");
+        autoscaler.handle_report(now, KEEPER, &told("f", 100, 100));
+        autoscaler.tick(now);
+        autoscaler.take_updates();
+        assert_eq!(block(&autoscaler, now), None, "at {now}");
     }
 }
 
 #[test]
 fn a_worker_that_found_no_room_may_have_some_later() {
-    let mut launcher = settled(&[("f", 9_000)], &[worker("w-1", "a", 1_000)]);
-    let orders = call(&mut launcher, LATER + 10, "f", 1);
+    let mut autoscaler = settled(&[("f", 9_000)], &[worker("w-1", "a", 1_000)]);
+    let orders = call(&mut autoscaler, LATER + 10, "f", 1);
     let nonce = starts(&orders)[0].0.clone();
-    launcher.started(LATER + 100, &nonce, Err(StartFault::NoRoom));
+    autoscaler.handle_start_result(LATER + 100, &nonce, Err(StartError::NoRoom));
     // The worker is tried again after twice the lag of the lists; a start takes at least half of its usual time.
-    let told = block(&launcher, LATER + 100).expect("a statement");
+    let told = block(&autoscaler, LATER + 100).expect("a statement");
     assert_eq!(told.earliest_ready_ms, Some(4_000 + 500));
-    let orders = call(&mut launcher, LATER + 4_200, "f", 2);
+    let orders = call(&mut autoscaler, LATER + 4_200, "f", 2);
     assert_eq!(starts(&orders).len(), 1, "it is tried again");
-    assert_eq!(block(&launcher, LATER + 4_200), None);
+    assert_eq!(block(&autoscaler, LATER + 4_200), None);
 }
 
 #[test]
 fn memory_that_a_stop_frees_is_waited_for() {
-    let sights = [worker("w-1", "a", 100)];
+    let listings = [worker("w-1", "a", 100)];
     let idle = listed("r-1", "g", "w-1", "a");
     let functions = [("f", 9_000), ("g", 9_000)];
-    let mut launcher = town(options(), &functions, &sights, std::slice::from_ref(&idle));
-    launcher.see_runners(LATER, vec![idle]);
-    launcher.see_workers(LATER, sights.to_vec());
-    launcher.news();
-    call(&mut launcher, LATER + 10, "f", 1);
-    let told = block(&launcher, LATER + 10).expect("a statement");
+    let mut autoscaler = cluster(
+        options(),
+        &functions,
+        &listings,
+        std::slice::from_ref(&idle),
+    );
+    autoscaler.update_runners(LATER, vec![idle]);
+    autoscaler.update_workers(LATER, listings.to_vec());
+    autoscaler.take_updates();
+    call(&mut autoscaler, LATER + 10, "f", 1);
+    let told = block(&autoscaler, LATER + 10).expect("a statement");
     assert_eq!(told.earliest_ready_ms, Some(500), "half of a start");
 }
 
 #[test]
 fn a_runner_that_others_can_soon_do_without_is_waited_for() {
-    let sights = [full(worker("w-1", "a", 100))];
+    let listings = [full(worker("w-1", "a", 100))];
     let busy = listed("r-1", "g", "w-1", "a");
     let functions = [("f", 9_000), ("g", 9_000)];
-    let mut launcher = town(options(), &functions, &sights, std::slice::from_ref(&busy));
-    launcher.see_runners(LATER, vec![busy]);
-    launcher.see_workers(LATER, sights.to_vec());
+    let mut autoscaler = cluster(
+        options(),
+        &functions,
+        &listings,
+        std::slice::from_ref(&busy),
+    );
+    autoscaler.update_runners(LATER, vec![busy]);
+    autoscaler.update_workers(LATER, listings.to_vec());
     let report = |in_use: u32| protocol::FunctionReport {
         runners: vec![held("r-1", in_use)],
         ..told("g", 0, 0)
     };
-    launcher.report(LATER, KEEPER, &report(1));
-    call(&mut launcher, LATER + 10, "f", 1);
-    let told = block(&launcher, LATER + 10).expect("a statement");
+    autoscaler.handle_report(LATER, KEEPER, &report(1));
+    call(&mut autoscaler, LATER + 10, "f", 1);
+    let told = block(&autoscaler, LATER + 10).expect("a statement");
     assert_eq!(told.earliest_ready_ms, None, "it is in use");
-    launcher.report(LATER + 1_100, KEEPER, &report(1));
-    launcher.report(LATER + 1_150, KEEPER, &report(0));
-    call(&mut launcher, LATER + 1_200, "f", 2);
-    let told = block(&launcher, LATER + 1_200).expect("a statement");
+    autoscaler.handle_report(LATER + 1_100, KEEPER, &report(1));
+    autoscaler.handle_report(LATER + 1_150, KEEPER, &report(0));
+    call(&mut autoscaler, LATER + 1_200, "f", 2);
+    let told = block(&autoscaler, LATER + 1_200).expect("a statement");
     assert_eq!(told.earliest_ready_ms, Some(900 + 500));
 }
--- a/crates/controller/src/gateways.rs
+++ b/crates/controller/src/gateways.rs
@@ -220,9 +220,9 @@
 
     /// This daemon's state as JSON text, for operators; with what the scaler thinks of each function that is called.
     pub fn status(&self) -> String {
-        let launcher = self.scaling.launcher.as_ref();
-        let notes = launcher
-            .map(autoscaler::Launcher::notes)
+        let autoscaler = self.scaling.autoscaler.as_ref();
+        let notes = autoscaler
+            .map(autoscaler::Autoscaler::function_statuses)
             .unwrap_or_default();
         let notes = notes
             .iter()
--- a/crates/controller/src/options.rs
+++ b/crates/controller/src/options.rs
@@ -1,4 +1,4 @@
-use autoscaler::{RunnerSight, StartFault, WorkerSight};
+use autoscaler::{RunnerListing, StartError, StartedRunner, WorkerListing};
 use http1::Headers;
 use operator_commands::{BaseVersion, CommandKind};
 use routing::Documents;
@@ -21,7 +21,7 @@
 }
 
 /// What came of a start: the runner's id and address, or why there is none.
-pub type StartResult = Result<(String, String), StartFault>;
+pub type StartResult = Result<StartedRunner, StartError>;
 
 /// Names the writer of a start or stop, so that the platform refuses one whose term is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerPage {
     /// The runners of this page.
-    pub runners: Vec<RunnerSight>,
+    pub runners: Vec<RunnerListing>,
     /// Names the page that follows; none on the last one.
     pub next: Option<String>,
 }
@@ -71,7 +71,7 @@
     /// Asks for the list of workers.
     fn list_workers(&self) -> PlatformRequest;
     /// Reads that list; the error says what is wrong with it.
-    fn read_workers(&self, body: &[u8]) -> Result<Vec<WorkerSight>, String>;
+    fn read_workers(&self, body: &[u8]) -> Result<Vec<WorkerListing>, String>;
     /// Asks for a start. A start that is sent again with the same nonce starts nothing more.
     fn start(
         &self,
--- a/crates/controller/src/scaling.rs
+++ b/crates/controller/src/scaling.rs
@@ -1,7 +1,7 @@
 use crate::controller::Controller;
 use crate::options::FencingToken;
 use crate::scaling_calls::PlatformCalls;
-use autoscaler::{Launcher, Options, Order, RunnerSight};
+use autoscaler::{Autoscaler, AutoscalerOptions, RunnerCommand, RunnerListing};
 use protocol::{frame, FunctionReport, Member, Message};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,9 +9,9 @@
 #[derive(Default)]
 pub(crate) struct Scaling {
     pub term: u64,
-    pub launcher: Option<Launcher>,
+    pub autoscaler: Option<Autoscaler>,
     pub calls: PlatformCalls,
-    pub pages: Vec<RunnerSight>,
+    pub pages: Vec<RunnerListing>,
     pub listed_at: u64,
     pub is_listing: bool,
     pub workers_at: u64,
@@ -30,8 +30,8 @@
     }
 
     pub fn forget_gateway(&mut self, name: &str) {
-        if let Some(launcher) = self.launcher.as_mut() {
-            launcher.forget_keeper(name);
+        if let Some(autoscaler) = self.autoscaler.as_mut() {
+            autoscaler.remove_owner(name);
         }
     }
 }
@@ -41,26 +41,26 @@
     pub fn tend_scaling(&mut self) {
         let term = self.consensus.term(self.now);
         let Some(term) = term else {
-            if self.scaling.launcher.is_some() {
+            if self.scaling.autoscaler.is_some() {
                 log::info!("scaler: laid down, term {} is over", self.scaling.term);
                 self.lay_down();
             }
             return;
         };
-        if term != self.scaling.term || self.scaling.launcher.is_none() {
+        if term != self.scaling.term || self.scaling.autoscaler.is_none() {
             self.take_up(term);
         }
         self.tend_roster();
         self.tend_lists();
-        if let Some(launcher) = self.scaling.launcher.as_mut() {
-            launcher.tick(self.now);
+        if let Some(autoscaler) = self.scaling.autoscaler.as_mut() {
+            autoscaler.tick(self.now);
         }
         self.carry_out();
         self.tend_calls();
     }
 
     fn lay_down(&mut self) {
-        self.scaling.launcher = None;
+        self.scaling.autoscaler = None;
         self.scaling.pages.clear();
         self.scaling.is_listing = false;
         self.scaling.stopping.clear();
@@ -69,16 +69,16 @@
 
     fn take_up(&mut self, term: u64) {
         self.lay_down();
-        let options = Options {
+        let options = AutoscalerOptions {
             list_lag_ms: self.options.list_lag_ms,
             drain_ms: self.options.drain_ms,
-            starts_per_s: self.options.starts_per_second,
-            own_nonce: format!("{term:x}"),
+            commands_per_s: self.options.starts_per_second,
+            nonce_prefix: format!("{term:x}"),
             term,
-            ..Options::default()
+            ..AutoscalerOptions::default()
         };
         self.scaling.term = term;
-        self.scaling.launcher = Some(Launcher::new(options, self.now));
+        self.scaling.autoscaler = Some(Autoscaler::new(options, self.now));
         self.scaling.roster.clear();
         self.scaling.roster_no = 0;
         self.scaling.listed_at = 0;
@@ -91,13 +91,13 @@
 
     /// The description is another one than before.
     pub fn describe_scaling(&mut self) {
-        let Some(launcher) = self.scaling.launcher.as_mut() else {
+        let Some(autoscaler) = self.scaling.autoscaler.as_mut() else {
             return;
         };
         if self.kept.version > 0 {
             let documents = self.options.operator_codec.documents();
             match documents.read(&self.kept.document().unwrap_or_default()) {
-                Ok(description) => launcher.describe(self.now, &description),
+                Ok(description) => autoscaler.apply_configuration(self.now, &description),
                 Err(fault) => log::error!("scaler: the description cannot be read: {fault}"),
             }
         }
@@ -105,9 +105,9 @@
 
     /// The closed districts may be others than before.
     pub fn close_scaling(&mut self) {
-        if let Some(launcher) = self.scaling.launcher.as_mut() {
+        if let Some(autoscaler) = self.scaling.autoscaler.as_mut() {
             let closed = self.closures.zones.iter().cloned().collect();
-            launcher.close_districts(self.now, &closed);
+            autoscaler.set_evacuated_zones(self.now, &closed);
         }
         self.carry_out();
     }
@@ -144,7 +144,7 @@
             .get(name)
             .map(|one| one.member.incarnation);
         let incarnation = format!("{:x}", incarnation.unwrap_or(0));
-        let Some(launcher) = self.scaling.launcher.as_mut() else {
+        let Some(autoscaler) = self.scaling.autoscaler.as_mut() else {
             return;
         };
         // Counters begin anew with each life of a keeper.
@@ -153,28 +153,28 @@
             .keepers
             .insert(name.into(), incarnation.clone());
         if known.is_some_and(|known| known != incarnation) {
-            launcher.forget_keeper(name);
+            autoscaler.remove_owner(name);
         }
         for report in reports {
-            launcher.report(self.now, name, report);
-            let (term, number) = launcher.news_mark(&report.function);
+            autoscaler.handle_report(self.now, name, report);
+            let (term, number) = autoscaler.update_version(&report.function);
             if term > 0 && number != report.news {
-                let news = launcher.news_of(&report.function, self.now);
+                let news = autoscaler.update_for(&report.function, self.now);
                 self.gateways.tell(name, &Message::Runners(vec![news]));
             }
         }
         self.carry_out();
     }
 
-    /// Gives the launcher's orders to the platform and its news to the keepers.
+    /// Gives the autoscaler's commands to the platform and its news to the keepers.
     pub fn carry_out(&mut self) {
-        let Some(launcher) = self.scaling.launcher.as_mut() else {
+        let Some(autoscaler) = self.scaling.autoscaler.as_mut() else {
             return;
         };
-        let orders = launcher.orders();
-        let news = launcher.news();
-        for order in orders {
-            self.give(order);
+        let commands = autoscaler.take_commands();
+        let news = autoscaler.take_updates();
+        for command in commands {
+            self.give(command);
         }
         let mut by_keeper: BTreeMap<String, Vec<protocol::FunctionNews>> = BTreeMap::new();
         for one in news {
@@ -188,15 +188,15 @@
         }
     }
 
-    fn give(&mut self, order: Order) {
+    fn give(&mut self, command: RunnerCommand) {
         let name = self.options.name.clone();
         let fence = FencingToken {
             holder: &name,
             term: self.scaling.term,
         };
         let codec = &self.options.platform_codec;
-        match order {
-            Order::Start {
+        match command {
+            RunnerCommand::Start {
                 function,
                 worker,
                 nonce,
@@ -204,7 +204,7 @@
                 let call = codec.start(&function, &worker, &nonce, fence);
                 self.call_platform(call, crate::scaling_calls::Purpose::Start(nonce));
             }
-            Order::Stop { id } => {
+            RunnerCommand::Stop { id } => {
                 let call = codec.stop(&id, fence);
                 self.call_platform(call, crate::scaling_calls::Purpose::Stop(id));
             }
--- a/crates/controller/src/scaling_calls.rs
+++ b/crates/controller/src/scaling_calls.rs
@@ -1,6 +1,6 @@
 use crate::controller::{Controller, Role};
 use crate::options::PlatformRequest;
-use autoscaler::StartFault;
+use autoscaler::StartError;
 use event_loop::ConnectionId;
 use http1::{write_request, MessageLimits, Response, ResponseReader};
 use std::collections::{HashMap, VecDeque};
@@ -164,13 +164,13 @@
 
     fn take_answer(&mut self, purpose: Purpose, response: &Response) {
         let codec = &self.options.platform_codec;
-        let Some(launcher) = self.scaling.launcher.as_mut() else {
+        let Some(autoscaler) = self.scaling.autoscaler.as_mut() else {
             return;
         };
         match purpose {
             Purpose::Workers if response.status == 200 => {
                 match codec.read_workers(&response.body) {
-                    Ok(workers) => launcher.see_workers(self.now, workers),
+                    Ok(workers) => autoscaler.update_workers(self.now, workers),
                     Err(reason) => log::warn!("scaler: the list of workers: {reason}"),
                 }
             }
@@ -180,11 +180,11 @@
                 if let Err(fault) = &reply {
                     log::info!("scaler: start {nonce} gave no runner: {fault:?}");
                 }
-                launcher.started(self.now, &nonce, reply);
+                autoscaler.handle_start_result(self.now, &nonce, reply);
             }
             Purpose::Stop(id) => {
                 let is_done = codec.is_stopped(response.status);
-                launcher.stopped(self.now, &id, is_done);
+                autoscaler.handle_stop_result(self.now, &id, is_done);
             }
             purpose => self.fail(purpose),
         }
@@ -208,13 +208,13 @@
         }
         self.scaling.is_listing = false;
         let runners = std::mem::take(&mut self.scaling.pages);
-        if let Some(launcher) = self.scaling.launcher.as_mut() {
-            launcher.see_runners(self.now, runners);
+        if let Some(autoscaler) = self.scaling.autoscaler.as_mut() {
+            autoscaler.update_runners(self.now, runners);
         }
     }
 
     fn fail(&mut self, purpose: Purpose) {
-        let Some(launcher) = self.scaling.launcher.as_mut() else {
+        let Some(autoscaler) = self.scaling.autoscaler.as_mut() else {
             return;
         };
         match purpose {
@@ -224,9 +224,9 @@
                 self.scaling.pages.clear();
             }
             Purpose::Start(nonce) => {
-                launcher.started(self.now, &nonce, Err(StartFault::Unanswered));
+                autoscaler.handle_start_result(self.now, &nonce, Err(StartError::Unanswered));
             }
-            Purpose::Stop(id) => launcher.stopped(self.now, &id, false),
+            Purpose::Stop(id) => autoscaler.handle_stop_result(self.now, &id, false),
         }
     }
 }
--- a/tests/hollow/src/fleet.rs
+++ b/tests/hollow/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::meter::{cpu_ns, timed};
 use crate::scaler;
 use crate::town::{self, Mix};
-use autoscaler::{Launcher, Order, RunnerSight};
+use autoscaler::{Autoscaler, RunnerCommand, RunnerListing, StartedRunner};
 use protocol::{frame, Bid, Frames, Member, Message, Outcome, Release};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -63,8 +63,8 @@
     members: Vec<Member>,
     places: HashMap<String, usize>,
     pub gateways: Vec<Gateway>,
-    pub launcher: Launcher,
-    pub listed: BTreeMap<String, RunnerSight>,
+    pub autoscaler: Autoscaler,
+    pub listed: BTreeMap<String, RunnerListing>,
     born: usize,
     tickets: u64,
     held: BTreeMap<u64, Vec<(usize, usize, u64)>>,
@@ -82,15 +82,15 @@
         for function in 0..mix.hot {
             let share = instances as f64 * mix.rate(function) / calls;
             for _ in 0..(share.round() as usize).max(1) {
-                let sight = town::sight(born, function, &workers);
-                listed.insert(sight.id.clone(), sight);
+                let listing = town::listing(born, function, &workers);
+                listed.insert(listing.id.clone(), listing);
                 born += 1;
             }
         }
-        let mut launcher = Launcher::new(scaler::options(), 0);
-        launcher.describe(0, &town::description(functions));
-        launcher.see_workers(0, workers);
-        launcher.see_runners(0, listed.values().cloned().collect());
+        let mut autoscaler = Autoscaler::new(scaler::options(), 0);
+        autoscaler.apply_configuration(0, &town::description(functions));
+        autoscaler.update_workers(0, workers);
+        autoscaler.update_runners(0, listed.values().cloned().collect());
         Self {
             now: 0,
             random: StdRng::seed_from_u64(7),
@@ -101,7 +101,7 @@
             gateways: (0..gateways).map(|_| Gateway::default()).collect(),
             members,
             mix,
-            launcher,
+            autoscaler,
             listed,
             born,
             tickets: 0,
@@ -254,7 +254,7 @@
 
     fn take_reports(&mut self, place: usize, name: &str, bytes: &[u8]) {
         let now = self.now;
-        let launcher = &mut self.launcher;
+        let autoscaler = &mut self.autoscaler;
         let news = timed(&mut self.sums.reporting, || {
             let mut told = Vec::new();
             let read: Option<Message> = Frames::new(bytes).read().ok().flatten();
@@ -262,10 +262,10 @@
                 return told;
             };
             for report in &reports {
-                launcher.report(now, name, report);
-                let (term, number) = launcher.news_mark(&report.function);
+                autoscaler.handle_report(now, name, report);
+                let (term, number) = autoscaler.update_version(&report.function);
                 if term > 0 && number != report.news {
-                    told.push(launcher.news_of(&report.function, now));
+                    told.push(autoscaler.update_for(&report.function, now));
                 }
             }
             told
@@ -290,13 +290,13 @@
         });
     }
 
-    /// The platform does orders at once; keepers hear news.
+    /// The platform does commands at once; keepers hear news.
     fn carry_out(&mut self) {
-        let launcher = &mut self.launcher;
+        let autoscaler = &mut self.autoscaler;
         let members = &self.members;
-        let (orders, news) = timed(&mut self.sums.carrying_out, || {
-            let orders = launcher.orders();
-            let news = launcher.news().into_iter();
+        let (commands, news) = timed(&mut self.sums.carrying_out, || {
+            let commands = autoscaler.take_commands();
+            let news = autoscaler.take_updates().into_iter();
             let news = news.map(|one| {
                 let keeper = seat_leases::select_owner(&one.function, members, |_| true);
                 (
@@ -304,10 +304,10 @@
                     one,
                 )
             });
-            (orders, news.collect::<Vec<_>>())
+            (commands, news.collect::<Vec<_>>())
         });
-        for order in orders {
-            self.obey(order);
+        for command in commands {
+            self.obey(command);
         }
         for (keeper, one) in news {
             if let Some(place) = self.places.get(&keeper).copied() {
@@ -316,10 +316,10 @@
         }
     }
 
-    fn obey(&mut self, order: Order) {
+    fn obey(&mut self, command: RunnerCommand) {
         let now = self.now;
-        match order {
-            Order::Start {
+        match command {
+            RunnerCommand::Start {
                 function,
                 worker,
                 nonce,
@@ -327,22 +327,23 @@
                 self.sums.starts += 1;
                 let (id, address) = (town::instance_id(self.born), town::address(self.born));
                 self.born += 1;
-                let sight = RunnerSight {
+                let listing = RunnerListing {
                     id: id.clone(),
                     function,
                     address: address.clone(),
-                    district: town::zone(self.born).to_string(),
+                    zone: town::zone(self.born).to_string(),
                     worker,
                     capacity: 1,
-                    is_leaving: false,
+                    is_terminating: false,
                 };
-                self.listed.insert(id.clone(), sight);
-                self.launcher.started(now, &nonce, Ok((id, address)));
+                self.listed.insert(id.clone(), listing);
+                self.autoscaler
+                    .handle_start_result(now, &nonce, Ok(StartedRunner { id, address }));
             }
-            Order::Stop { id } => {
+            RunnerCommand::Stop { id } => {
                 self.sums.stops += 1;
                 self.listed.remove(&id);
-                self.launcher.stopped(now, &id, true);
+                self.autoscaler.handle_stop_result(now, &id, true);
             }
         }
     }
@@ -353,15 +354,17 @@
         self.keep();
         self.report(false);
         let before = cpu_ns();
-        self.launcher.tick(self.now);
+        self.autoscaler.tick(self.now);
         let spent = cpu_ns() - before;
         self.sums.ticking += spent;
         self.sums.longest_tick = self.sums.longest_tick.max(spent);
         self.carry_out();
         if self.now.is_multiple_of(LIST_MS) {
-            let sights: Vec<RunnerSight> = self.listed.values().cloned().collect();
-            let (now, launcher) = (self.now, &mut self.launcher);
-            timed(&mut self.sums.listing, || launcher.see_runners(now, sights));
+            let listings: Vec<RunnerListing> = self.listed.values().cloned().collect();
+            let (now, autoscaler) = (self.now, &mut self.autoscaler);
+            timed(&mut self.sums.listing, || {
+                autoscaler.update_runners(now, listings)
+            });
         }
     }
 }
--- a/tests/hollow/src/fleet_tables.rs
+++ b/tests/hollow/src/fleet_tables.rs
@@ -65,7 +65,7 @@
         sums.refused as f64 / seconds
     );
     let before = live();
-    drop(town.launcher);
+    drop(town.autoscaler);
     let scaler = (before - live()) as f64 / 1e6;
     let before = live();
     drop(town.gateways);
--- a/tests/hollow/src/scaler.rs
+++ b/tests/hollow/src/scaler.rs
@@ -2,7 +2,7 @@
 
 use crate::meter::{live, tell_fit, timed, Markdown};
 use crate::town;
-use autoscaler::{Launcher, Options, Order, RunnerSight};
+use autoscaler::{Autoscaler, AutoscalerOptions, RunnerCommand, RunnerListing};
 use protocol::{FunctionReport, RunnerReport};
 
 const ROUNDS: u64 = 5;
@@ -15,10 +15,10 @@
 }
 
 /// Options of a site that starts as much as the design size asks for.
-pub fn options() -> Options {
-    Options {
-        starts_per_s: 1_000.0,
-        ..Options::default()
+pub fn options() -> AutoscalerOptions {
+    AutoscalerOptions {
+        commands_per_s: 1_000.0,
+        ..AutoscalerOptions::default()
     }
 }
 
@@ -46,24 +46,25 @@
 }
 
 struct Site {
-    launcher: Launcher,
-    sights: Vec<RunnerSight>,
+    autoscaler: Autoscaler,
+    listings: Vec<RunnerListing>,
     each: usize,
 }
 
 fn site(functions: usize, active: usize, instances: usize) -> Site {
-    let mut launcher = Launcher::new(options(), 0);
-    launcher.describe(0, &town::description(functions));
+    let mut autoscaler = Autoscaler::new(options(), 0);
+    autoscaler.apply_configuration(0, &town::description(functions));
     let workers = town::workers(instances);
     let each = (instances / active).max(1);
-    let sights = (0..instances).map(|place| town::sight(place, place / each % functions, &workers));
-    let sights: Vec<RunnerSight> = sights.collect();
-    launcher.see_workers(0, workers);
-    launcher.see_runners(0, sights.clone());
-    launcher.news();
+    let listings =
+        (0..instances).map(|place| town::listing(place, place / each % functions, &workers));
+    let listings: Vec<RunnerListing> = listings.collect();
+    autoscaler.update_workers(0, workers);
+    autoscaler.update_runners(0, listings.clone());
+    autoscaler.take_updates();
     Site {
-        launcher,
-        sights,
+        autoscaler,
+        listings,
         each,
     }
 }
@@ -75,7 +76,7 @@
         "ms a tick with the look (250 ms)",
         "ms a list of instances",
         "us an instance reported",
-        "us an order to start",
+        "us a command to start",
         "MB",
     ];
     let table = Markdown::head(
@@ -95,17 +96,17 @@
                 let places = function * site.each..(function + 1) * site.each;
                 let report = report(function, places, round);
                 timed(&mut told, || {
-                    site.launcher.report(now, "edge-0001", &report)
+                    site.autoscaler.handle_report(now, "edge-0001", &report)
                 });
             }
-            timed(&mut look, || site.launcher.tick(now));
+            timed(&mut look, || site.autoscaler.tick(now));
             now += 50;
-            timed(&mut plain, || site.launcher.tick(now));
-            let sights = site.sights.clone();
-            timed(&mut list, || site.launcher.see_runners(now, sights));
-            site.launcher.news();
+            timed(&mut plain, || site.autoscaler.tick(now));
+            let listings = site.listings.clone();
+            timed(&mut list, || site.autoscaler.update_runners(now, listings));
+            site.autoscaler.take_updates();
         }
-        let place = start_ns(&mut site.launcher, now);
+        let place = start_ns(&mut site.autoscaler, now);
         let size = instances as f64;
         let of = |sum: u64| sum as f64 / ROUNDS as f64;
         let told = of(told) / 1e3 / size;
@@ -135,7 +136,7 @@
 
 /// Rare functions without an instance are called one after the other: the middle one's time until its start is
 /// ordered.
-fn start_ns(launcher: &mut Launcher, now: u64) -> f64 {
+fn start_ns(autoscaler: &mut Autoscaler, now: u64) -> f64 {
     let mut spent: Vec<u64> = (0..STARTS)
         .map(|start| {
             let asked = FunctionReport {
@@ -145,14 +146,14 @@
                 ..FunctionReport::default()
             };
             let mut sum = 0;
-            let orders = timed(&mut sum, || {
-                launcher.report(now + start as u64, "edge-0002", &asked);
-                launcher.orders()
+            let commands = timed(&mut sum, || {
+                autoscaler.handle_report(now + start as u64, "edge-0002", &asked);
+                autoscaler.take_commands()
             });
-            let is_start = |order: &Order| matches!(order, Order::Start { .. });
+            let is_start = |command: &RunnerCommand| matches!(command, RunnerCommand::Start { .. });
             assert!(
-                orders.iter().any(is_start),
-                "a start is ordered: {orders:?}"
+                commands.iter().any(is_start),
+                "a start is commanded: {commands:?}"
             );
             sum
         })
@@ -172,15 +173,17 @@
     for functions in [200, 2_000, 21_000] {
         let description = town::description(functions);
         let before = live();
-        let mut launcher = Launcher::new(options(), 0);
-        launcher.describe(0, &description);
+        let mut autoscaler = Autoscaler::new(options(), 0);
+        autoscaler.apply_configuration(0, &description);
         let held = (live() - before) as f64 / 1e6;
-        launcher.see_workers(0, town::workers(500));
-        launcher.see_runners(0, Vec::new());
+        autoscaler.update_workers(0, town::workers(500));
+        autoscaler.update_runners(0, Vec::new());
         let (mut again, mut look) = (0, 0);
         for round in 1..=ROUNDS {
-            timed(&mut again, || launcher.describe(round * 250, &description));
-            timed(&mut look, || launcher.tick(round * 250));
+            timed(&mut again, || {
+                autoscaler.apply_configuration(round * 250, &description)
+            });
+            timed(&mut look, || autoscaler.tick(round * 250));
         }
         let of = |sum: u64| sum as f64 / ROUNDS as f64 / 1e6;
         table.row(&[functions as f64, of(again), held, of(look)]);
@@ -196,8 +199,8 @@
     let mut points = Vec::new();
     for instances in [500, 5_000, 20_000, 61_000] {
         let workers = town::workers(instances);
-        let sights = (0..instances).map(|place| town::sight(place, place / 10, &workers));
-        let body = town::list_body(&sights.collect::<Vec<_>>());
+        let listings = (0..instances).map(|place| town::listing(place, place / 10, &workers));
+        let body = town::list_body(&listings.collect::<Vec<_>>());
         let mut sum = 0;
         for _ in 0..ROUNDS {
             let _ = timed(&mut sum, || platform::read_list(&body));
--- a/tests/hollow/src/town.rs
+++ b/tests/hollow/src/town.rs
@@ -1,6 +1,6 @@
 //! The made-up town of daemons, functions and instances that all measurements use.
 
-use autoscaler::{RunnerSight, WorkerSight};
+use autoscaler::{RunnerListing, WorkerListing};
 use protocol::{FunctionNews, Member, RunnerNews, RunnerStage};
 use routing::{Binding, Description, Function};
 
@@ -97,39 +97,39 @@
     document.to_string().into_bytes()
 }
 
-pub fn workers(instances: usize) -> Vec<WorkerSight> {
+pub fn workers(instances: usize) -> Vec<WorkerListing> {
     let count = (instances / 100).max(5) + 5;
-    let worker = |place| WorkerSight {
+    let worker = |place| WorkerListing {
         name: format!("worker-{place:04}"),
-        district: zone(place).to_string(),
+        zone: zone(place).to_string(),
         memory_mb: 150 * MEMORY_MB,
         free_mb: 50 * MEMORY_MB,
-        is_leaving: false,
+        is_draining: false,
     };
     (0..count).map(worker).collect()
 }
 
 /// An instance of a function, on a worker of its zone.
-pub fn sight(place: usize, function: usize, workers: &[WorkerSight]) -> RunnerSight {
+pub fn listing(place: usize, function: usize, workers: &[WorkerListing]) -> RunnerListing {
     let worker = &workers[place % workers.len()];
-    RunnerSight {
+    RunnerListing {
         id: instance_id(place),
         function: function_name(function),
         address: address(place),
-        district: worker.district.clone(),
+        zone: worker.zone.clone(),
         worker: worker.name.clone(),
         capacity: 1,
-        is_leaving: false,
+        is_terminating: false,
     }
 }
 
 /// The platform's list as it sends it.
-pub fn list_body(sights: &[RunnerSight]) -> Vec<u8> {
-    let listed: Vec<serde_json::Value> = sights
+pub fn list_body(listings: &[RunnerListing]) -> Vec<u8> {
+    let listed: Vec<serde_json::Value> = listings
         .iter()
         .map(|one| {
             serde_json::json!({ "id": one.id, "service": one.function, "address": one.address,
-                "zone": one.district, "version": "v1", "capacity": one.capacity,
+                "zone": one.zone, "version": "v1", "capacity": one.capacity,
                 "state": "ready", "cold_left_ms": 0, "worker_id": one.worker })
         })
         .collect();
--- a/tests/hollow/src/wire_daemons.rs
+++ b/tests/hollow/src/wire_daemons.rs
@@ -233,12 +233,12 @@
 /// Answers lists of workers and instances; takes no other call.
 fn serve_platform(instances: usize) {
     let workers = town::workers(instances);
-    let sights = (0..instances).map(|place| town::sight(place, place / 10, &workers));
-    let list = Arc::new(town::list_body(&sights.collect::<Vec<_>>()));
+    let listings = (0..instances).map(|place| town::listing(place, place / 10, &workers));
+    let list = Arc::new(town::list_body(&listings.collect::<Vec<_>>()));
     let workers: Vec<serde_json::Value> = workers
         .iter()
         .map(|one| {
-            serde_json::json!({ "name": one.name, "zone": one.district, "state": "ready",
+            serde_json::json!({ "name": one.name, "zone": one.zone, "state": "ready",
                 "memory_mb": one.memory_mb, "free_memory_mb": one.free_mb })
         })
         .collect();
