--- a/crates/consensus/src/action.rs
+++ b/crates/consensus/src/action.rs
@@ -14,17 +14,17 @@
     /// Whether the whole system starts for the first time.
     pub is_first_start: bool,
     /// Random id made with the disk.
-    pub disk: u64,
+    pub disk_id: u64,
     /// Time after the last heartbeat of a holder at which its duty is vacant.
     pub lease_ms: u64,
     /// Time between heartbeats.
-    pub heartbeat_ms: u64,
+    pub heartbeat_interval_ms: u64,
     /// Silence after which a newcomer may take a member's place.
-    pub patience_ms: u64,
+    pub replacement_timeout_ms: u64,
     /// Seed of all random numbers; no two lives of any controller may share one.
     pub seed: u64,
     /// Number of voters up to which newcomers are added to the set.
-    pub voters_wanted: usize,
+    pub target_voter_count: usize,
 }
 
 /// What the daemon does for its consensus machine.
@@ -40,24 +40,24 @@
     /// Give this to the disk's thread, in the order of the actions.
     Disk(DiskWork),
     /// A read or write has ended.
-    Done {
+    RequestCompleted {
         /// Token that it was asked with.
         token: u64,
         /// How it ended.
         outcome: Outcome,
     },
     /// A newer value is known to be settled.
-    News {
+    ValueCommitted {
         /// Key of the register.
         key: String,
         /// Version of the value.
         version: u64,
     },
     /// This controller holds the scaling duty from now on.
-    DutyWon {
+    RoleAcquired {
         /// Number that fences all that the holder does.
         term: u64,
     },
     /// This controller holds the scaling duty no more.
-    DutyLost,
+    RoleLost,
 }
--- a/crates/consensus/src/asking.rs
+++ b/crates/consensus/src/asking.rs
@@ -1,7 +1,7 @@
 use crate::action::ConsensusAction;
-use crate::consensus::{Consensus, DUTY_KEY, KEYS};
+use crate::consensus::{Consensus, REQUIRED_KEYS, SCALER_ROLE_KEY};
 use crate::disk::DiskWork;
-use crate::duty::is_duty_round;
+use crate::duty::is_role_round;
 use crate::job::{Job, Purpose};
 use crate::message::ConsensusMessage;
 use rand::Rng;
@@ -57,14 +57,14 @@
     /// Whether a caller's change had better wait until this controller has the value that is on its way to it.
     fn is_early(&self, now: u64, purpose: &Purpose, key: &str) -> bool {
         let is_client = matches!(purpose, Purpose::Client(_));
-        is_client && KEYS.contains(&key) && self.awaits_value(now, key)
+        is_client && REQUIRED_KEYS.contains(&key) && self.awaits_value(now, key)
     }
 
     pub(crate) fn next_ballot(&mut self, above: Ballot) -> Ballot {
         self.counter = self.counter.max(above.counter) + 1;
         Ballot {
             counter: self.counter,
-            proposer: self.life,
+            proposer: self.incarnation,
         }
     }
 
@@ -101,11 +101,11 @@
         for voter in missing {
             let message = message.clone();
             let to = self.locate(&voter);
-            if voter.disk == self.options.disk {
+            if voter.disk == self.options.disk_id {
                 self.take_ask(now, &to, number, known, message);
                 continue;
             }
-            let message = ConsensusMessage::Ask {
+            let message = ConsensusMessage::VoterRequest {
                 number,
                 known,
                 message,
@@ -124,9 +124,9 @@
         message: VoterMessage,
     ) {
         let is_promise = matches!(message.ask, VoterAsk::Promise { .. });
-        let is_duty_round = is_duty_round(&message.ask);
+        let is_role_round = is_role_round(&message.ask);
         let lease = self.options.lease_ms;
-        if is_duty_round && is_promise && !self.duty.may_promise(now, from, lease) {
+        if is_role_round && is_promise && !self.duty.may_promise(now, from, lease) {
             if from != self.options.address {
                 let reply = VoterReply::Closed {
                     reason: "the duty is not vacant".into(),
@@ -135,19 +135,20 @@
             }
             return;
         }
-        self.duty_rounds += usize::from(is_duty_round);
+        self.duty_rounds += usize::from(is_role_round);
         let to = from.to_string();
-        self.actions.push(ConsensusAction::Disk(DiskWork::Ask {
-            to,
-            number,
-            known,
-            message,
-        }));
+        self.actions
+            .push(ConsensusAction::Disk(DiskWork::VoterRequest {
+                to,
+                number,
+                known,
+                message,
+            }));
     }
 
     pub(crate) fn answer(&mut self, to: &str, number: u64, is_known: bool, reply: VoterReply) {
-        let message = ConsensusMessage::Answer {
-            disk: self.options.disk,
+        let message = ConsensusMessage::VoterResponse {
+            disk: self.options.disk_id,
             number,
             is_known,
             reply,
@@ -200,7 +201,7 @@
             return self.learn_set(now, set);
         }
         if set.era != 0 && set.mark() < self.set.mark() && from != self.options.address {
-            self.send(from, ConsensusMessage::Set(self.set_news()));
+            self.send(from, ConsensusMessage::VoterSet(self.set_news()));
         }
     }
 
@@ -247,7 +248,8 @@
     fn on_outcome(&mut self, now: u64, purpose: Purpose, key: &str, outcome: Outcome) {
         match purpose {
             Purpose::Client(token) => {
-                self.actions.push(ConsensusAction::Done { token, outcome });
+                self.actions
+                    .push(ConsensusAction::RequestCompleted { token, outcome });
             }
             Purpose::Settle(key) => {
                 if let Outcome::Settled(_) = outcome {
@@ -262,7 +264,7 @@
                 }
             }
             Purpose::Duty => {
-                debug_assert_eq!(key, DUTY_KEY);
+                debug_assert_eq!(key, SCALER_ROLE_KEY);
                 self.on_contended(now, outcome);
             }
         }
--- a/crates/consensus/src/catching_up.rs
+++ b/crates/consensus/src/catching_up.rs
@@ -1,8 +1,8 @@
 //! How a controller learns the settled values that it missed, and how its own voter comes to hold them.
 
 use crate::action::ConsensusAction;
-use crate::consensus::{Consensus, DUTY_KEY, KEPT};
-use crate::disk::{DiskWork, HeldValue};
+use crate::consensus::{Consensus, REPLICATED_KEYS, SCALER_ROLE_KEY};
+use crate::disk::{DiskWork, RegisterSnapshot};
 use crate::job::Value;
 use crate::message::ConsensusMessage;
 use rand::Rng;
@@ -55,7 +55,7 @@
 
     /// Another controller says which values are settled.
     pub(crate) fn on_settled_marks(&mut self, now: u64, from: &str, marks: &[(u64, u64)]) {
-        for (key, mark) in KEPT.iter().zip(marks) {
+        for (key, mark) in REPLICATED_KEYS.iter().zip(marks) {
             let wanted = self.wants.get(*key).map_or(0, |want| want.mark.0);
             if mark.0 <= self.settled_mark(key).0 || mark.0 < wanted {
                 continue;
@@ -92,7 +92,7 @@
             want.ask_at = now + want.pause;
             want.pause = (2 * want.pause).min(WANT_AGAIN_MAX);
             let (to, version) = (want.from.clone(), want.mark.0);
-            self.send(&to, ConsensusMessage::WantValue { key, version });
+            self.send(&to, ConsensusMessage::RequestValue { key, version });
         }
     }
 
@@ -125,7 +125,7 @@
             accepted: ballot,
             stored,
         };
-        let work = DiskWork::Mend(key.to_string(), held);
+        let work = DiskWork::Repair(key.to_string(), held);
         self.actions.push(ConsensusAction::Disk(work));
     }
 
@@ -150,7 +150,7 @@
         let lacking: Vec<(String, u64)> = self
             .settled
             .iter()
-            .filter(|(key, _)| KEPT.contains(&key.as_str()))
+            .filter(|(key, _)| REPLICATED_KEYS.contains(&key.as_str()))
             .filter(|(key, value)| self.is_behind(key, &value.brief()))
             .map(|(key, value)| (key.clone(), value.version))
             .collect();
@@ -159,7 +159,10 @@
         }
         for (key, version) in lacking {
             let place = self.random.random_range(0..fresh.len());
-            self.send(&fresh[place], ConsensusMessage::WantValue { key, version });
+            self.send(
+                &fresh[place],
+                ConsensusMessage::RequestValue { key, version },
+            );
         }
     }
 
@@ -195,14 +198,15 @@
                 self.learn_set(now, &set);
             }
         }
-        if key == DUTY_KEY {
+        if key == SCALER_ROLE_KEY {
             self.on_term_holder(now, version, &bytes);
         }
-        self.actions.push(ConsensusAction::News { key, version });
+        self.actions
+            .push(ConsensusAction::ValueCommitted { key, version });
     }
 }
 
-fn own_value(held: &HeldValue) -> Option<Value> {
+fn own_value(held: &RegisterSnapshot) -> Option<Value> {
     let bytes = held.bytes.clone()?;
     Some(Value {
         version: held.version,
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -1,7 +1,7 @@
 use crate::action::{ConsensusAction, ConsensusOptions};
 use crate::catching_up::{Want, VALUE_PATIENCE_MS};
 use crate::contact::ContactLease;
-use crate::disk::{DiskDone, DiskWork, HeldSummary, HeldValue};
+use crate::disk::{DiskCompletion, DiskWork, RegisterSnapshot, VoterSnapshot};
 use crate::duty::Duty;
 use crate::installing::Pulled;
 use crate::job::{Job, Purpose, Value};
@@ -16,15 +16,20 @@
 use voter::Joining;
 
 /// Key of the description's register.
-pub const DESCRIPTION_KEY: &str = "description";
+pub const CONFIGURATION_KEY: &str = "description";
 /// Key of the closed districts' register.
-pub const CLOSURES_KEY: &str = "closures";
+pub const EVACUATIONS_KEY: &str = "closures";
 /// Key of the duty's register.
-pub const DUTY_KEY: &str = "duty";
+pub const SCALER_ROLE_KEY: &str = "duty";
 /// Keys that are read at a majority before a controller is settled.
-pub const KEYS: [&str; 2] = [DESCRIPTION_KEY, CLOSURES_KEY];
+pub const REQUIRED_KEYS: [&str; 2] = [CONFIGURATION_KEY, EVACUATIONS_KEY];
 /// Keys whose settled values all controllers keep up.
-pub(crate) const KEPT: [&str; 4] = [DESCRIPTION_KEY, CLOSURES_KEY, DUTY_KEY, VOTERS_KEY];
+pub(crate) const REPLICATED_KEYS: [&str; 4] = [
+    CONFIGURATION_KEY,
+    EVACUATIONS_KEY,
+    SCALER_ROLE_KEY,
+    VOTERS_KEY,
+];
 const CHANGES_MAX: usize = 64;
 const VALUE_MAX: usize = 4 << 20;
 
@@ -33,14 +38,14 @@
 pub struct Consensus {
     pub(crate) options: ConsensusOptions,
     pub(crate) random: StdRng,
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) actions: Vec<ConsensusAction>,
     /// The newest set that is known to be settled.
     pub(crate) set: VoterSet,
     /// The set that this controller's own voter is in.
     pub(crate) own_set: VoterSet,
     pub(crate) is_open: bool,
-    pub(crate) held: BTreeMap<String, HeldValue>,
+    pub(crate) held: BTreeMap<String, RegisterSnapshot>,
     pub(crate) settled: BTreeMap<String, Value>,
     pub(crate) unread: BTreeSet<&'static str>,
     pub(crate) settle_at: u64,
@@ -80,23 +85,23 @@
 }
 
 impl Consensus {
-    /// Begins a life, from what the disk holds.
-    pub fn new(options: ConsensusOptions, now: u64, held: HeldSummary) -> Self {
+    /// Begins a incarnation, from what the disk holds.
+    pub fn new(options: ConsensusOptions, now: u64, held: VoterSnapshot) -> Self {
         let mut random = StdRng::seed_from_u64(options.seed);
         let values = held.values.into_iter();
-        let values: BTreeMap<String, HeldValue> =
+        let values: BTreeMap<String, RegisterSnapshot> =
             values.map(|value| (value.key.clone(), value)).collect();
         let counter = values.values().map(|value| value.promised.counter).max();
-        let duty = Duty::restored(now, held.set.era, values.get(DUTY_KEY));
+        let duty = Duty::restored(now, held.set.era, values.get(SCALER_ROLE_KEY));
         let mut consensus = Self {
-            life: random.random::<u64>() | 1,
+            incarnation: random.random::<u64>() | 1,
             actions: Vec::new(),
             set: held.set.clone(),
             own_set: held.set,
             is_open: held.is_open,
             held: values,
             settled: BTreeMap::new(),
-            unread: KEYS.into_iter().collect(),
+            unread: REQUIRED_KEYS.into_iter().collect(),
             settle_at: now,
             read_begun: BTreeMap::new(),
             contact_since: now,
@@ -143,37 +148,37 @@
         match message {
             ConsensusMessage::Link { .. } => {}
             ConsensusMessage::Heartbeat(heartbeat) => self.on_heartbeat(now, from, heartbeat),
-            ConsensusMessage::Ack(ack) => self.on_ack(now, ack),
-            ConsensusMessage::Ask {
+            ConsensusMessage::RoleLeaseAck(ack) => self.on_ack(now, ack),
+            ConsensusMessage::VoterRequest {
                 number,
                 known,
                 message,
             } => self.take_ask(now, from, number, known, message),
-            ConsensusMessage::Answer {
+            ConsensusMessage::VoterResponse {
                 disk,
                 number,
                 is_known,
                 reply,
             } => self.on_answer(now, from, disk, number, is_known, reply),
-            ConsensusMessage::WantSet if self.set.era > 0 => {
-                self.send(from, ConsensusMessage::Set(self.set_news()));
+            ConsensusMessage::RequestVoterSet if self.set.era > 0 => {
+                self.send(from, ConsensusMessage::VoterSet(self.set_news()));
             }
-            ConsensusMessage::WantSet => {}
-            ConsensusMessage::Set(news) => self.on_set_news(now, news),
-            ConsensusMessage::Form(set) => self.on_form(&set),
-            ConsensusMessage::WantInstalled { mark } => {
+            ConsensusMessage::RequestVoterSet => {}
+            ConsensusMessage::VoterSet(news) => self.on_set_news(now, news),
+            ConsensusMessage::FormVoterSet(set) => self.on_form(&set),
+            ConsensusMessage::ConfirmInstalled { mark } => {
                 let to = from.to_string();
                 let work = DiskWork::ConfirmInstalled { to, mark };
                 self.actions.push(ConsensusAction::Disk(work));
             }
             ConsensusMessage::Installed { disk, mark } => self.on_installed(disk, mark),
-            ConsensusMessage::Pull { mark, after } => {
+            ConsensusMessage::RequestReplica { mark, after } => {
                 let to = from.to_string();
-                let work = DiskWork::Pull { to, mark, after };
+                let work = DiskWork::ReadReplica { to, mark, after };
                 self.actions.push(ConsensusAction::Disk(work));
             }
-            ConsensusMessage::Copy(page) => self.on_copy(now, page),
-            ConsensusMessage::WantValue { key, version } => {
+            ConsensusMessage::Replica(page) => self.on_copy(now, page),
+            ConsensusMessage::RequestValue { key, version } => {
                 self.on_want_value(from, key, version);
             }
             ConsensusMessage::Value {
@@ -186,31 +191,31 @@
     }
 
     /// Takes what the disk's thread has done.
-    pub fn on_disk(&mut self, now: u64, done: DiskDone) {
+    pub fn on_disk(&mut self, now: u64, done: DiskCompletion) {
         self.expire(now);
         match done {
-            DiskDone::Held(summary) => self.on_held(now, summary),
-            DiskDone::SetDone => self.set_works = self.set_works.saturating_sub(1),
-            DiskDone::Installed { to, mark } => {
-                let disk = self.options.disk;
+            DiskCompletion::VoterState(summary) => self.on_held(now, summary),
+            DiskCompletion::SetWorkEnded => self.set_works = self.set_works.saturating_sub(1),
+            DiskCompletion::InstallationConfirmed { to, mark } => {
+                let disk = self.options.disk_id;
                 self.send(&to, ConsensusMessage::Installed { disk, mark });
             }
-            DiskDone::BegunAnew(identity) => self.on_begun_anew(now, identity),
-            DiskDone::Copy { to, mut page } => {
-                page.disk = self.options.disk;
-                self.send(&to, ConsensusMessage::Copy(page));
+            DiskCompletion::ResetEnded(identity) => self.on_begun_anew(now, identity),
+            DiskCompletion::ReplicaPage { to, mut page } => {
+                page.disk = self.options.disk_id;
+                self.send(&to, ConsensusMessage::Replica(page));
             }
-            DiskDone::Reply {
+            DiskCompletion::VoterResponse {
                 to,
                 number,
                 is_known,
-                is_duty_round,
+                is_role_round,
                 reply,
             } => {
-                let is_over = usize::from(is_duty_round);
+                let is_over = usize::from(is_role_round);
                 self.duty_rounds = self.duty_rounds.saturating_sub(is_over);
                 if to == self.options.address {
-                    self.on_answer(now, &to, self.options.disk, number, is_known, reply);
+                    self.on_answer(now, &to, self.options.disk_id, number, is_known, reply);
                 } else {
                     self.answer(&to, number, is_known, reply);
                 }
@@ -219,7 +224,7 @@
         self.tend(now);
     }
 
-    fn on_held(&mut self, now: u64, summary: HeldSummary) {
+    fn on_held(&mut self, now: u64, summary: VoterSnapshot) {
         if summary.is_open && !self.is_open {
             // A claim that this voter backed before its disk failed may still be held.
             let lease_end = now + self.options.lease_ms;
@@ -244,7 +249,7 @@
         self.tend_wants(now);
     }
 
-    /// Lets time pass. It is called every 50 ms or so, and at [`Consensus::due`].
+    /// Lets time pass. It is called every 50 ms or so, and at [`Consensus::next_deadline`].
     pub fn tick(&mut self, now: u64) {
         self.expire(now);
         self.tend_settling(now);
@@ -263,7 +268,7 @@
     }
 
     /// When a change that has paused goes on, where that is soon.
-    pub fn due(&self) -> Option<u64> {
+    pub fn next_deadline(&self) -> Option<u64> {
         let paused = self.jobs.values().filter_map(|job| job.paused);
         let paused = paused.map(|(at, _)| at);
         paused.chain(self.duty.contend_at).min()
@@ -298,7 +303,9 @@
         let known = self.settled.get(key);
         if let Some(newer) = known.filter(|known| known.version > expected) {
             let outcome = Outcome::Stale(newer.stored());
-            return self.actions.push(ConsensusAction::Done { token, outcome });
+            return self
+                .actions
+                .push(ConsensusAction::RequestCompleted { token, outcome });
         }
         self.change(now, token, key, Change::Write { expected, bytes });
     }
@@ -313,22 +320,23 @@
 
     fn refuse(&mut self, token: u64, reason: &str) {
         let outcome = Outcome::Unreached(reason.into());
-        self.actions.push(ConsensusAction::Done { token, outcome });
+        self.actions
+            .push(ConsensusAction::RequestCompleted { token, outcome });
     }
 
     /// Takes out what the daemon has to do, in its order.
-    pub fn actions(&mut self) -> Vec<ConsensusAction> {
+    pub fn take_actions(&mut self) -> Vec<ConsensusAction> {
         std::mem::take(&mut self.actions)
     }
 
     /// The newest value of a key that is known to be settled, with its version.
-    pub fn settled(&self, key: &str) -> Option<(u64, &Arc<Vec<u8>>)> {
+    pub fn committed(&self, key: &str) -> Option<(u64, &Arc<Vec<u8>>)> {
         let value = self.settled.get(key)?;
         Some((value.version, &value.bytes))
     }
 
     /// The term under which this controller holds the scaling duty at this moment.
-    pub fn term(&self, now: u64) -> Option<u64> {
+    pub fn role_term(&self, now: u64) -> Option<u64> {
         let claim = self.duty.claim.as_ref();
         claim
             .filter(|claim| now < claim.held_until)
@@ -336,7 +344,7 @@
     }
 
     /// Addresses of this controller and all others that are known.
-    pub fn controllers(&self) -> Vec<String> {
+    pub fn known_controllers(&self) -> Vec<String> {
         let voters = self.set.voters.iter().map(|voter| voter.address.clone());
         let heard = self
             .peers
@@ -348,18 +356,18 @@
         all.into_iter().collect()
     }
 
-    /// Whether all keys were read at a majority in this life.
-    pub fn is_settled(&self) -> bool {
+    /// Whether all keys were read at a majority in this incarnation.
+    pub fn has_read_required_keys(&self) -> bool {
         self.unread.is_empty()
     }
 
     /// The newest set of voters that is known.
-    pub fn set(&self) -> &VoterSet {
+    pub fn voter_set(&self) -> &VoterSet {
         &self.set
     }
 
     /// What this controller is about, in a few words.
-    pub fn reason(&self) -> String {
+    pub fn status(&self) -> String {
         let mark = self.set.mark();
         match self.unread.first() {
             _ if !self.is_open => "the disk is not to be trusted".into(),
@@ -380,7 +388,7 @@
     /// Whether the newest set names this controller's disk.
     pub(crate) fn is_named(&self) -> bool {
         let mut voters = self.set.voters.iter();
-        voters.any(|voter| voter.disk == self.options.disk)
+        voters.any(|voter| voter.disk == self.options.disk_id)
     }
 
     /// Whether this controller's voter counts.
--- a/crates/consensus/src/contact.rs
+++ b/crates/consensus/src/contact.rs
@@ -21,7 +21,7 @@
 /// clock. It needs both directions of a link, and nothing that arrives late or twice makes it longer.
 #[derive(Clone, Debug)]
 pub struct ContactLease {
-    span_ms: u64,
+    duration_ms: u64,
     sent: VecDeque<SentHeartbeat>,
     /// By the id of the voter's disk.
     acknowledged: BTreeMap<u64, u64>,
@@ -29,22 +29,22 @@
 
 impl ContactLease {
     /// No contact yet. The lease lasts four fifths of the span, counted from a heartbeat's sending.
-    pub fn new(span_ms: u64) -> Self {
+    pub fn new(duration_ms: u64) -> Self {
         Self {
-            span_ms: span_ms * COUNTED_FIFTHS / 5,
+            duration_ms: duration_ms * COUNTED_FIFTHS / 5,
             sent: VecDeque::new(),
             acknowledged: BTreeMap::new(),
         }
     }
 
     /// Time for which the lease lasts from a heartbeat's sending.
-    pub fn span_ms(&self) -> u64 {
-        self.span_ms
+    pub fn duration_ms(&self) -> u64 {
+        self.duration_ms
     }
 
-    /// A heartbeat leaves now. The numbers of a life ascend.
-    pub fn sending(&mut self, now: u64, number: u64) {
-        let span = self.span_ms;
+    /// A heartbeat leaves now. The numbers of a incarnation ascend.
+    pub fn record_sent(&mut self, now: u64, number: u64) {
+        let span = self.duration_ms;
         self.sent.retain(|heartbeat| now < heartbeat.sent_at + span);
         self.acknowledged.retain(|_, sent_at| now < *sent_at + span);
         if self.sent.len() >= SENT_MAX {
@@ -55,7 +55,7 @@
     }
 
     /// A controller has heard a heartbeat of this one. A number that was never sent, or long ago, says nothing.
-    pub fn acknowledged(&mut self, disk: u64, number: u64) {
+    pub fn record_acknowledgement(&mut self, disk: u64, number: u64) {
         let sent = self
             .sent
             .iter()
@@ -74,14 +74,15 @@
         }
         let in_contact = set.voters.iter().filter(|voter| {
             let sent_at = self.acknowledged.get(&voter.disk);
-            voter.disk == own_disk || sent_at.is_some_and(|sent_at| now < sent_at + self.span_ms)
+            voter.disk == own_disk
+                || sent_at.is_some_and(|sent_at| now < sent_at + self.duration_ms)
         });
         in_contact.count() >= set.majority()
     }
 
     /// Since when a majority has been in contact: the sending of the oldest heartbeat on which the lease rests. A
     /// voter on this controller's own disk counts at any time.
-    pub fn since(&self, set: &VoterSet, own_disk: u64) -> Option<u64> {
+    pub fn held_since(&self, set: &VoterSet, own_disk: u64) -> Option<u64> {
         let mut times: Vec<u64> = Vec::new();
         for voter in &set.voters {
             if voter.disk == own_disk {
--- a/crates/consensus/src/contending.rs
+++ b/crates/consensus/src/contending.rs
@@ -1,6 +1,6 @@
 use crate::action::ConsensusAction;
-use crate::consensus::{Consensus, DUTY_KEY};
-use crate::duty::{term_of, Claim, TermHolder};
+use crate::consensus::{Consensus, SCALER_ROLE_KEY};
+use crate::duty::{term_of, Claim, RoleHolder};
 use crate::job::Purpose;
 use rand::Rng;
 use register::{Change, Outcome};
@@ -34,7 +34,7 @@
                 "consensus: this controller gave up the duty, term {}",
                 claim.term
             );
-            self.actions.push(ConsensusAction::DutyLost);
+            self.actions.push(ConsensusAction::RoleLost);
         }
     }
 
@@ -54,17 +54,17 @@
     }
 
     /// Whether this controller's voter has accepted a claim's value and has promised nothing since.
-    pub(crate) fn backs(&self, holder: &str, life: u64, term: u64) -> bool {
+    pub(crate) fn backs(&self, holder: &str, incarnation: u64, term: u64) -> bool {
         if self.duty_rounds > 0 || self.set_works > 0 || !self.is_voting() {
             return false;
         }
-        let Some(held) = self.held.get(DUTY_KEY) else {
+        let Some(held) = self.held.get(SCALER_ROLE_KEY) else {
             return false;
         };
         let bytes = held.bytes.as_ref().map_or(&[][..], |bytes| bytes);
-        let term_holder = TermHolder::read_from_buffer(bytes).unwrap_or_default();
+        let term_holder = RoleHolder::read_from_buffer(bytes).unwrap_or_default();
         let is_firm = held.promised == held.accepted;
-        let is_holder = term_holder.address == holder && term_holder.life == life;
+        let is_holder = term_holder.address == holder && term_holder.incarnation == incarnation;
         is_firm && is_holder && term_of(self.own_set.era, held.version) == term
     }
 
@@ -74,11 +74,11 @@
             return;
         };
         let is_current = self.own_set.mark() == self.set.mark();
-        let is_backed = is_current && self.backs(&self.options.address, self.life, term);
+        let is_backed = is_current && self.backs(&self.options.address, self.incarnation, term);
         let (number, lease, disk) = (
             self.heartbeat_number,
             self.options.lease_ms,
-            self.options.disk,
+            self.options.disk_id,
         );
         if let Some(claim) = self.duty.claim.as_mut() {
             claim.sending(now, number);
@@ -97,7 +97,7 @@
             self.wants_heartbeat |= is_free;
         }
         let is_vacant = is_free
-            && self.is_settled()
+            && self.has_read_required_keys()
             && !self.duty.is_resigned
             && now >= self.duty.quiet_until
             && !self.jobs.values().any(|job| job.purpose == Purpose::Duty)
@@ -107,7 +107,7 @@
             return;
         }
         let mut voters = self.set.voters.iter();
-        let place = voters.position(|voter| voter.disk == self.options.disk);
+        let place = voters.position(|voter| voter.disk == self.options.disk_id);
         let pause = place.unwrap_or(0) as u64 * STAGGER_MS + self.random.random_range(0..20);
         let at = *self.duty.contend_at.get_or_insert(now + pause);
         if now >= at {
@@ -121,24 +121,26 @@
         let voters = self.set.voters.iter();
         let consenting = voters.filter(|voter| {
             let mut fresh = self.fresh(now).map(|(_, heartbeat)| heartbeat);
-            voter.disk == self.options.disk
+            voter.disk == self.options.disk_id
                 || fresh.any(|heartbeat| {
-                    heartbeat.disk == voter.disk && heartbeat.is_free && heartbeat.mark == mark
+                    heartbeat.disk == voter.disk
+                        && heartbeat.grants_role
+                        && heartbeat.own_set == mark
                 })
         });
         consenting.count() >= self.set.majority()
     }
 
     fn contend(&mut self, now: u64) {
-        let term_holder = TermHolder {
+        let term_holder = RoleHolder {
             address: self.options.address.clone(),
             name: self.options.name.clone(),
-            life: self.life,
+            incarnation: self.incarnation,
         };
-        let expected = self.settled_mark(DUTY_KEY).0;
+        let expected = self.settled_mark(SCALER_ROLE_KEY).0;
         let bytes = term_holder.write_to_vec().unwrap_or_default();
         let change = Change::Write { expected, bytes };
-        self.propose(now, Purpose::Duty, DUTY_KEY, change);
+        self.propose(now, Purpose::Duty, SCALER_ROLE_KEY, change);
     }
 
     pub(crate) fn on_contended(&mut self, now: u64, outcome: Outcome) {
@@ -147,7 +149,7 @@
             self.duty.quiet_until = self.duty.quiet_until.max(now + pause);
             return;
         };
-        let is_newest = stored.version == self.settled_mark(DUTY_KEY).0;
+        let is_newest = stored.version == self.settled_mark(SCALER_ROLE_KEY).0;
         if is_newest && !self.duty.is_resigned {
             self.duty.claim = Some(Claim::new(now, self.set.era, stored.version));
             self.wants_heartbeat = true;
@@ -161,7 +163,7 @@
         if claim.is_some_and(|claim| claim.version < version) {
             self.drop_claim(now);
         }
-        let term_holder = TermHolder::read_from_buffer(bytes).unwrap_or_default();
+        let term_holder = RoleHolder::read_from_buffer(bytes).unwrap_or_default();
         if term_holder.address != self.options.address {
             let pause = self.options.lease_ms / 2;
             self.duty.quiet_until = self.duty.quiet_until.max(now + pause);
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -1,8 +1,8 @@
 //! Work for the thread that has the disk, and what comes of it.
 
-use crate::consensus::KEPT;
-use crate::duty::is_duty_round;
-use crate::message::CopyPage;
+use crate::consensus::REPLICATED_KEYS;
+use crate::duty::is_role_round;
+use crate::message::ReplicaPage;
 use register::{Ballot, Held, VoterAsk, VoterMessage, VoterReply, VoterSet};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiskWork {
     /// Ask the voter.
-    Ask {
+    VoterRequest {
         /// Address of the controller that asks.
         to: String,
         /// Number of the question.
@@ -28,15 +28,15 @@
         message: VoterMessage,
     },
     /// Take the first set.
-    Form(VoterSet),
+    FormSet(VoterSet),
     /// Take the set that follows.
-    Adopt(VoterSet),
+    AdoptSet(VoterSet),
     /// Take a set with all that its other members hold, into an empty voter.
     Install(Installation),
     /// Take a newer value from another copy.
-    Mend(String, Held),
+    Repair(String, Held),
     /// Let one span pass for which jobs are remembered.
-    TurnJobs,
+    RotateJobWindow,
     /// Say so where the voter is in the set of this mark, or in a later one.
     ConfirmInstalled {
         /// Address of the controller that asks.
@@ -45,9 +45,9 @@
         mark: (u64, u64),
     },
     /// Give up all that is held and begin as an empty voter under this identity.
-    BeginAnew(u64),
+    Reset(u64),
     /// Tell part of what is held.
-    Pull {
+    ReadReplica {
         /// Address of the controller that asks.
         to: String,
         /// Mark of the set that it must be held under.
@@ -62,46 +62,49 @@
     pub fn size(&self) -> usize {
         let held = |key: &String, held: &Held| key.len() + held.stored.bytes.len() + KEY_OVERHEAD;
         match self {
-            Self::Ask { message, .. } => match &message.ask {
+            Self::VoterRequest { message, .. } => match &message.ask {
                 VoterAsk::Accept { key, stored, .. } => {
                     key.len() + stored.bytes.len() + KEY_OVERHEAD
                 }
                 VoterAsk::Peek { key } | VoterAsk::Promise { key, .. } => key.len() + KEY_OVERHEAD,
             },
             Self::Install(given) => given.keys.iter().map(|(key, value)| held(key, value)).sum(),
-            Self::Mend(key, value) => held(key, value),
-            Self::Form(_)
-            | Self::Adopt(_)
-            | Self::TurnJobs
+            Self::Repair(key, value) => held(key, value),
+            Self::FormSet(_)
+            | Self::AdoptSet(_)
+            | Self::RotateJobWindow
             | Self::ConfirmInstalled { .. }
-            | Self::BeginAnew(_)
-            | Self::Pull { .. } => KEY_OVERHEAD,
+            | Self::Reset(_)
+            | Self::ReadReplica { .. } => KEY_OVERHEAD,
         }
     }
 
     /// What is said of work that was never given to the disk, since too much waits for it already. It is no
     /// other than a question whose answer got lost, or work on the set that comes again.
-    pub fn refused(self) -> Option<DiskDone> {
+    pub fn refused(self) -> Option<DiskCompletion> {
         match self {
-            Self::Ask {
+            Self::VoterRequest {
                 to,
                 number,
                 message,
                 ..
-            } => Some(DiskDone::Reply {
+            } => Some(DiskCompletion::VoterResponse {
                 to,
                 number,
                 is_known: false,
-                is_duty_round: is_duty_round(&message.ask),
+                is_role_round: is_role_round(&message.ask),
                 reply: VoterReply::Closed {
                     reason: "too much waits for the disk".into(),
                 },
             }),
-            Self::Form(_) | Self::Adopt(_) | Self::Install(_) => Some(DiskDone::SetDone),
-            Self::BeginAnew(_) => Some(DiskDone::BegunAnew(None)),
-            Self::Mend(..) | Self::TurnJobs | Self::ConfirmInstalled { .. } | Self::Pull { .. } => {
-                None
+            Self::FormSet(_) | Self::AdoptSet(_) | Self::Install(_) => {
+                Some(DiskCompletion::SetWorkEnded)
             }
+            Self::Reset(_) => Some(DiskCompletion::ResetEnded(None)),
+            Self::Repair(..)
+            | Self::RotateJobWindow
+            | Self::ConfirmInstalled { .. }
+            | Self::ReadReplica { .. } => None,
         }
     }
 }
@@ -119,11 +122,11 @@
 
 /// What came of the disk's work. Give it to the consensus in this order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum DiskDone {
+pub enum DiskCompletion {
     /// What the voter holds now, of the keys that were touched.
-    Held(HeldSummary),
+    VoterState(VoterSnapshot),
     /// A reply to a question.
-    Reply {
+    VoterResponse {
         /// Address of the controller that asked.
         to: String,
         /// Number of the question.
@@ -131,14 +134,14 @@
         /// Whether the value is left out.
         is_known: bool,
         /// Whether the question was a round over the duty.
-        is_duty_round: bool,
+        is_role_round: bool,
         /// The reply.
         reply: VoterReply,
     },
-    /// Work on the set is over; what came of it is in [`DiskDone::Held`].
-    SetDone,
+    /// Work on the set is over; what came of it is in [`DiskCompletion::VoterState`].
+    SetWorkEnded,
     /// The voter is durably in the set of this mark, or in a later one.
-    Installed {
+    InstallationConfirmed {
         /// Address of the controller that asked.
         to: String,
         /// Mark of the set that was asked about.
@@ -146,30 +149,30 @@
     },
     /// The voter began anew under this identity; none where the disk failed and nothing is known to
     /// have changed.
-    BegunAnew(Option<u64>),
+    ResetEnded(Option<u64>),
     /// Part of what is held.
-    Copy {
+    ReplicaPage {
         /// Address of the controller that asked.
         to: String,
         /// The part.
-        page: CopyPage,
+        page: ReplicaPage,
     },
 }
 
 /// What a voter holds, as its consensus machine knows it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct HeldSummary {
+pub struct VoterSnapshot {
     /// The voter's set; era 0 where it is empty.
     pub set: VoterSet,
     /// Whether the disk can be trusted.
     pub is_open: bool,
     /// Values of the keys that controllers keep up.
-    pub values: Vec<HeldValue>,
+    pub values: Vec<RegisterSnapshot>,
 }
 
 /// What a voter holds for one key.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct HeldValue {
+pub struct RegisterSnapshot {
     /// Key of the register.
     pub key: String,
     /// Highest ballot promised.
@@ -184,19 +187,19 @@
     pub bytes: Option<Arc<Vec<u8>>>,
 }
 
-impl HeldSummary {
+impl VoterSnapshot {
     /// All that a voter holds, when it was just opened. After its disk had failed and was opened again,
-    /// the consensus machine is told by [`DiskDone::Held`].
+    /// the consensus machine is told by [`DiskCompletion::VoterState`].
     pub fn of(voter: &Voter) -> Self {
-        let keys = KEPT.iter().map(|key| (*key, true));
-        Self::told(voter, keys)
+        let keys = REPLICATED_KEYS.iter().map(|key| (*key, true));
+        Self::of_keys(voter, keys)
     }
 
-    fn told<'a>(voter: &Voter, keys: impl Iterator<Item = (&'a str, bool)>) -> Self {
+    fn of_keys<'a>(voter: &Voter, keys: impl Iterator<Item = (&'a str, bool)>) -> Self {
         let held = voter.held();
         let values = keys.map(|(key, has_bytes)| {
             let held = held.held(key).cloned().unwrap_or_default();
-            HeldValue {
+            RegisterSnapshot {
                 key: key.to_string(),
                 promised: held.promised,
                 accepted: held.accepted,
@@ -223,45 +226,53 @@
         let held = voter.held().held(key);
         held.map(|held| (held.promised, held.accepted))
     };
-    let kept = KEPT.iter();
+    let kept = REPLICATED_KEYS.iter();
     kept.map(|key| (*key, of(key).unwrap_or_default()))
         .collect()
 }
 
 /// Does a batch of work on a disk, in its order, with as few syncs as that allows.
-pub fn perform_on(disk: &mut VoterDisk, batch: Vec<DiskWork>) -> Vec<DiskDone> {
+pub fn execute_batch_on_disk(disk: &mut VoterDisk, batch: Vec<DiskWork>) -> Vec<DiskCompletion> {
     let mut dones = Vec::new();
     let mut waiting = Vec::new();
     for work in batch {
-        let DiskWork::BeginAnew(identity) = work else {
+        let DiskWork::Reset(identity) = work else {
             waiting.push(work);
             continue;
         };
-        dones.extend(perform(disk.voter_mut(), std::mem::take(&mut waiting)));
+        dones.extend(execute_batch(
+            disk.voter_mut(),
+            std::mem::take(&mut waiting),
+        ));
         let begun = disk.begin_anew(identity);
         if let Err(report) = &begun {
             log::error!("consensus: the disk could not be emptied: {report:#}");
         }
-        dones.push(DiskDone::BegunAnew(begun.ok().map(|()| identity)));
+        dones.push(DiskCompletion::ResetEnded(begun.ok().map(|()| identity)));
     }
     if !waiting.is_empty() {
-        dones.extend(perform(disk.voter_mut(), waiting));
+        dones.extend(execute_batch(disk.voter_mut(), waiting));
     }
     dones
 }
 
 /// Does a batch of work with one sync. What is given back is safe on the disk.
-pub fn perform(voter: &mut Voter, batch: Vec<DiskWork>) -> Vec<DiskDone> {
+pub fn execute_batch(voter: &mut Voter, batch: Vec<DiskWork>) -> Vec<DiskCompletion> {
     let before = all_accepted(voter);
-    let mut dones: Vec<DiskDone> = batch
+    let mut dones: Vec<DiskCompletion> = batch
         .into_iter()
         .filter_map(|work| take(voter, work))
         .collect();
     let is_synced = voter.sync();
     if !is_synced {
-        dones.retain(|done| !matches!(done, DiskDone::Copy { .. } | DiskDone::Installed { .. }));
+        dones.retain(|done| {
+            !matches!(
+                done,
+                DiskCompletion::ReplicaPage { .. } | DiskCompletion::InstallationConfirmed { .. }
+            )
+        });
         for done in &mut dones {
-            if let DiskDone::Reply {
+            if let DiskCompletion::VoterResponse {
                 reply, is_known, ..
             } = done
             {
@@ -275,57 +286,60 @@
         .iter()
         .filter(|(key, old)| after.get(*key) != Some(old));
     let touched = touched.map(|(key, old)| (*key, accepted(voter, key) != old.1));
-    dones.insert(0, DiskDone::Held(HeldSummary::told(voter, touched)));
+    dones.insert(
+        0,
+        DiskCompletion::VoterState(VoterSnapshot::of_keys(voter, touched)),
+    );
     dones
 }
 
-fn take(voter: &mut Voter, work: DiskWork) -> Option<DiskDone> {
+fn take(voter: &mut Voter, work: DiskWork) -> Option<DiskCompletion> {
     match work {
-        DiskWork::Ask {
+        DiskWork::VoterRequest {
             to,
             number,
             known,
             message,
         } => {
-            let is_duty_round = is_duty_round(&message.ask);
+            let is_role_round = is_role_round(&message.ask);
             let mut reply = voter.ask(message);
             let is_known = leave_out(&mut reply, known);
-            return Some(DiskDone::Reply {
+            return Some(DiskCompletion::VoterResponse {
                 to,
                 number,
                 is_known,
-                is_duty_round,
+                is_role_round,
                 reply,
             });
         }
-        DiskWork::Form(set) => voter.form(set, 0),
-        DiskWork::Adopt(set) => voter.adopt(set),
+        DiskWork::FormSet(set) => voter.form(set, 0),
+        DiskWork::AdoptSet(set) => voter.adopt(set),
         DiskWork::Install(given) => voter.install(Installing {
             set: given.set,
             floors: given.floors,
             keys: given.keys,
         }),
-        DiskWork::Mend(key, held) => {
+        DiskWork::Repair(key, held) => {
             voter.mend(vec![(key, held)]);
             return None;
         }
-        DiskWork::TurnJobs => {
+        DiskWork::RotateJobWindow => {
             voter.turn_jobs();
             return None;
         }
         DiskWork::ConfirmInstalled { to, mark } => {
             let own = voter.held().set().mark();
             let is_installed = voter.is_open() && own.0 == mark.0 && own >= mark && mark.0 > 0;
-            return is_installed.then_some(DiskDone::Installed { to, mark });
+            return is_installed.then_some(DiskCompletion::InstallationConfirmed { to, mark });
         }
-        // It needs the whole disk: see `perform_on`.
-        DiskWork::BeginAnew(_) => return Some(DiskDone::BegunAnew(None)),
-        DiskWork::Pull { to, mark, after } => {
+        // It needs the whole disk: see `execute_batch_on_disk`.
+        DiskWork::Reset(_) => return Some(DiskCompletion::ResetEnded(None)),
+        DiskWork::ReadReplica { to, mark, after } => {
             let page = page(voter, mark, after)?;
-            return Some(DiskDone::Copy { to, page });
+            return Some(DiskCompletion::ReplicaPage { to, page });
         }
     }
-    Some(DiskDone::SetDone)
+    Some(DiskCompletion::SetWorkEnded)
 }
 
 fn leave_out(reply: &mut VoterReply, known: (u64, u64)) -> bool {
@@ -339,7 +353,7 @@
     is_known
 }
 
-fn page(voter: &Voter, mark: (u64, u64), after: String) -> Option<CopyPage> {
+fn page(voter: &Voter, mark: (u64, u64), after: String) -> Option<ReplicaPage> {
     let held = voter.held();
     if !voter.is_open() || held.set().mark() != mark || mark.0 == 0 {
         return None;
@@ -355,7 +369,7 @@
         }
         keys.push((key.clone(), value.clone()));
     }
-    Some(CopyPage {
+    Some(ReplicaPage {
         disk: 0,
         mark,
         floors: held.floors(),
--- a/crates/consensus/src/duty.rs
+++ b/crates/consensus/src/duty.rs
@@ -1,5 +1,5 @@
-use crate::consensus::DUTY_KEY;
-use crate::disk::{key_of, HeldValue};
+use crate::consensus::SCALER_ROLE_KEY;
+use crate::disk::{key_of, RegisterSnapshot};
 use register::{VoterAsk, VoterSet};
 use speedy::{Readable, Writable};
 use std::collections::{BTreeMap, VecDeque};
@@ -9,18 +9,18 @@
 
 /// What the duty's register holds.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
-pub struct TermHolder {
+pub struct RoleHolder {
     /// Address of the holder.
     pub address: String,
     /// Name of the holder.
     pub name: String,
-    /// Random id of the holder's life.
-    pub life: u64,
+    /// Random id of the holder's incarnation.
+    pub incarnation: u64,
 }
 
 /// Whether a question promises or accepts something about the duty.
-pub(crate) fn is_duty_round(ask: &VoterAsk) -> bool {
-    key_of(ask) == DUTY_KEY && !matches!(ask, VoterAsk::Peek { .. })
+pub(crate) fn is_role_round(ask: &VoterAsk) -> bool {
+    key_of(ask) == SCALER_ROLE_KEY && !matches!(ask, VoterAsk::Peek { .. })
 }
 
 /// Number that fences a holder: the version at which it won, under the voters' era.
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Grant {
     pub holder: String,
-    pub life: u64,
+    pub incarnation: u64,
     pub number: u64,
     pub term: u64,
     pub received: u64,
@@ -111,15 +111,15 @@
 
 impl Duty {
     /// As it is after a start, from what the voter holds.
-    pub fn restored(now: u64, era: u64, held: Option<&HeldValue>) -> Self {
+    pub fn restored(now: u64, era: u64, held: Option<&RegisterSnapshot>) -> Self {
         let Some(held) = held.filter(|held| held.version > 0) else {
             return Self::default();
         };
         let bytes = held.bytes.as_ref().map_or(&[][..], |bytes| bytes);
-        let term_holder = TermHolder::read_from_buffer(bytes).unwrap_or_default();
+        let term_holder = RoleHolder::read_from_buffer(bytes).unwrap_or_default();
         let grant = Grant {
             holder: term_holder.address,
-            life: term_holder.life,
+            incarnation: term_holder.incarnation,
             number: 0,
             term: term_of(era, held.version),
             received: now,
@@ -152,9 +152,9 @@
     }
 
     /// A controller said that it does not hold: it has dropped its claim for good, if it ever had one.
-    pub fn on_no_claim(&mut self, from: &str, life: u64, number: u64) {
+    pub fn on_no_claim(&mut self, from: &str, incarnation: u64, number: u64) {
         let is_over = self.grant.as_ref().is_some_and(|grant| {
-            grant.holder == from && grant.life == life && grant.number < number
+            grant.holder == from && grant.incarnation == incarnation && grant.number < number
         });
         if is_over {
             self.grant = None;
--- a/crates/consensus/src/heartbeats.rs
+++ b/crates/consensus/src/heartbeats.rs
@@ -1,7 +1,7 @@
 use crate::action::ConsensusAction;
-use crate::consensus::{Consensus, DUTY_KEY, KEPT};
+use crate::consensus::{Consensus, REPLICATED_KEYS, SCALER_ROLE_KEY};
 use crate::duty::{term_of, Grant};
-use crate::message::{Ack, ConsensusMessage, HeardHeartbeat, Heartbeat};
+use crate::message::{ConsensusMessage, Heartbeat, HeartbeatAck, RoleLeaseAck};
 use crate::peer::Peer;
 use register::VoterRef;
 use std::collections::BTreeSet;
@@ -50,7 +50,7 @@
 
     /// Time for which a heartbeat counts as a sign of life.
     pub(crate) fn fresh_ms(&self) -> u64 {
-        (3 * self.options.heartbeat_ms).max(600)
+        (3 * self.options.heartbeat_interval_ms).max(600)
     }
 
     /// Whether a controller was heard lately.
@@ -61,7 +61,7 @@
 
     /// Address of a member: where its disk was heard last, else what the set says.
     pub(crate) fn locate(&self, voter: &VoterRef) -> String {
-        if voter.disk == self.options.disk {
+        if voter.disk == self.options.disk_id {
             return self.options.address.clone();
         }
         let mut heard: Vec<(u64, &String)> = Vec::new();
@@ -95,14 +95,14 @@
         self.wants_heartbeat = false;
         self.heartbeat_sent_at = Some(now);
         let pause = match self.set.era {
-            0 => FIRST_HEARTBEAT_MS.min(self.options.heartbeat_ms),
-            _ => self.options.heartbeat_ms,
+            0 => FIRST_HEARTBEAT_MS.min(self.options.heartbeat_interval_ms),
+            _ => self.options.heartbeat_interval_ms,
         };
         if now >= self.next_heartbeat_at || has_news {
             self.next_heartbeat_at = now + pause;
         }
         self.heartbeat_number += 1;
-        self.contact.sending(now, self.heartbeat_number);
+        self.contact.record_sent(now, self.heartbeat_number);
         self.back_own_claim(now);
         let heartbeat = self.heartbeat(now);
         for to in self.audience(now) {
@@ -111,8 +111,8 @@
                 peer.told_at = Some(now);
             }
             let heartbeat = Heartbeat {
-                is_free: self.may_grant(now, &to),
-                heard: self.heard_from(&to),
+                grants_role: self.may_grant(now, &to),
+                acknowledged: self.heard_from(&to),
                 ..heartbeat.clone()
             };
             self.send(&to, ConsensusMessage::Heartbeat(heartbeat));
@@ -145,26 +145,29 @@
             .map(|(_, heartbeat)| heartbeat.disk)
             .collect();
         let members = self.set.voters.iter().map(|voter| voter.disk);
-        let mut hears = 0;
+        let mut reachable_members = 0;
         for (place, disk) in members.clone().enumerate().take(64) {
-            let is_heard = disk == self.options.disk || fresh.contains(&disk);
-            hears |= u64::from(is_heard) << place;
+            let is_heard = disk == self.options.disk_id || fresh.contains(&disk);
+            reachable_members |= u64::from(is_heard) << place;
         }
         let members: BTreeSet<u64> = members.collect();
         Heartbeat {
-            disk: self.options.disk,
-            life: self.life,
+            disk: self.options.disk_id,
+            incarnation: self.incarnation,
             number: self.heartbeat_number,
-            mark: self.own_set.mark(),
-            known: self.set.mark(),
-            settled: KEPT.iter().map(|key| self.settled_mark(key)).collect(),
-            claim: self.duty.claim.as_ref().map_or(0, |claim| claim.term),
-            is_free: false,
-            hears,
-            spares: fresh.difference(&members).count().min(255) as u8,
+            own_set: self.own_set.mark(),
+            known_set: self.set.mark(),
+            committed: REPLICATED_KEYS
+                .iter()
+                .map(|key| self.settled_mark(key))
+                .collect(),
+            role_term: self.duty.claim.as_ref().map_or(0, |claim| claim.term),
+            grants_role: false,
+            reachable_members,
+            spare_controllers: fresh.difference(&members).count().min(255) as u8,
             is_first_start: self.options.is_first_start,
             is_in_contact: self.is_in_contact(now),
-            heard: HeardHeartbeat::default(),
+            acknowledged: HeartbeatAck::default(),
         }
     }
 
@@ -172,13 +175,13 @@
         let Some(peer) = self.peers.get_mut(from) else {
             return;
         };
-        let is_new = peer.heartbeat.life != heartbeat.life;
-        let is_of_former_life = peer.former_life == Some(heartbeat.life);
-        if is_of_former_life || (!is_new && heartbeat.number <= peer.heartbeat.number) {
+        let is_new = peer.heartbeat.incarnation != heartbeat.incarnation;
+        let is_of_former_incarnation = peer.former_incarnation == Some(heartbeat.incarnation);
+        if is_of_former_incarnation || (!is_new && heartbeat.number <= peer.heartbeat.number) {
             return;
         }
         if is_new && peer.heard_at.is_some() {
-            peer.former_life = Some(peer.heartbeat.life);
+            peer.former_incarnation = Some(peer.heartbeat.incarnation);
         }
         peer.heard_at = Some(now);
         peer.heartbeat = heartbeat.clone();
@@ -186,64 +189,64 @@
         self.compare_sets(from, &heartbeat);
         self.on_acknowledgement(&heartbeat);
         self.on_claim(now, from, &heartbeat);
-        let same_era = heartbeat.known.0 == self.set.era;
+        let same_era = heartbeat.known_set.0 == self.set.era;
         if same_era && self.set.era > 0 {
-            self.on_settled_marks(now, from, &heartbeat.settled);
+            self.on_settled_marks(now, from, &heartbeat.committed);
         }
     }
 
     /// Whichever of two controllers knows the older set is told the newer one.
     fn compare_sets(&mut self, from: &str, heartbeat: &Heartbeat) {
-        if heartbeat.known > self.set.mark() {
-            return self.send(from, ConsensusMessage::WantSet);
+        if heartbeat.known_set > self.set.mark() {
+            return self.send(from, ConsensusMessage::RequestVoterSet);
         }
-        if heartbeat.known < self.set.mark() && heartbeat.known.0 > 0 {
-            self.send(from, ConsensusMessage::Set(self.set_news()));
+        if heartbeat.known_set < self.set.mark() && heartbeat.known_set.0 > 0 {
+            self.send(from, ConsensusMessage::VoterSet(self.set_news()));
         }
-        if heartbeat.mark.0 > 0 || self.set.era == 0 {
+        if heartbeat.own_set.0 > 0 || self.set.era == 0 {
             return;
         }
         // A member that is named by its disk and still empty missed the founding.
         let mut voters = self.set.voters.iter();
         let is_named = voters.any(|voter| voter.disk == heartbeat.disk);
         if is_named && self.set.no == 1 && self.own_set == self.set {
-            self.send(from, ConsensusMessage::Form(self.set.clone()));
-        } else if heartbeat.known.0 == 0 {
-            self.send(from, ConsensusMessage::Set(self.set_news()));
+            self.send(from, ConsensusMessage::FormVoterSet(self.set.clone()));
+        } else if heartbeat.known_set.0 == 0 {
+            self.send(from, ConsensusMessage::VoterSet(self.set_news()));
         }
     }
 
     fn on_claim(&mut self, now: u64, from: &str, heartbeat: &Heartbeat) {
-        if heartbeat.claim == 0 {
+        if heartbeat.role_term == 0 {
             return self
                 .duty
-                .on_no_claim(from, heartbeat.life, heartbeat.number);
+                .on_no_claim(from, heartbeat.incarnation, heartbeat.number);
         }
-        let known = term_of(self.set.era, self.settled_mark(DUTY_KEY).0);
-        if heartbeat.claim < known {
+        let known = term_of(self.set.era, self.settled_mark(SCALER_ROLE_KEY).0);
+        if heartbeat.role_term < known {
             return;
         }
         let grant = Grant {
             holder: from.to_string(),
-            life: heartbeat.life,
+            incarnation: heartbeat.incarnation,
             number: heartbeat.number,
-            term: heartbeat.claim,
+            term: heartbeat.role_term,
             received: now,
         };
         self.duty.on_claim(now, grant, self.options.lease_ms);
-        if !self.backs(from, heartbeat.life, heartbeat.claim) {
+        if !self.backs(from, heartbeat.incarnation, heartbeat.role_term) {
             return;
         }
-        let ack = Ack {
-            disk: self.options.disk,
+        let ack = RoleLeaseAck {
+            disk: self.options.disk_id,
             mark: self.own_set.mark(),
-            term: heartbeat.claim,
+            term: heartbeat.role_term,
             number: heartbeat.number,
         };
-        self.send(from, ConsensusMessage::Ack(ack));
+        self.send(from, ConsensusMessage::RoleLeaseAck(ack));
     }
 
-    pub(crate) fn on_ack(&mut self, now: u64, ack: Ack) {
+    pub(crate) fn on_ack(&mut self, now: u64, ack: RoleLeaseAck) {
         let mark = self.set.mark();
         let Some(claim) = self.duty.claim.as_mut() else {
             return;
@@ -266,7 +269,7 @@
                 claim.term
             );
             let term = claim.term;
-            self.actions.push(ConsensusAction::DutyWon { term });
+            self.actions.push(ConsensusAction::RoleAcquired { term });
         }
     }
 }
--- a/crates/consensus/src/installing.rs
+++ b/crates/consensus/src/installing.rs
@@ -1,12 +1,12 @@
-use crate::consensus::{Consensus, DUTY_KEY};
+use crate::consensus::{Consensus, SCALER_ROLE_KEY};
 use crate::disk::{DiskWork, Installation};
-use crate::message::{ConsensusMessage, CopyPage};
+use crate::message::{ConsensusMessage, ReplicaPage};
 use register::{merged, Held, VoterRef, VoterSet};
 
 /// Time after which a part of a copy is asked for again the first time; it doubles with each time.
 const PULL_AGAIN: u64 = 250;
 /// Time of silence after which nothing is taken to be on its way from a member. Behind a slow line a sign of
-/// life may wait for a part that is on its way.
+/// incarnation may wait for a part that is on its way.
 const SOURCE_SILENT_MS: u64 = 2_000;
 /// How often it doubles.
 const PULL_DOUBLINGS: u32 = 4;
@@ -40,8 +40,8 @@
                 sources.push(voter.clone());
             }
         }
-        let own = &self.options;
-        sources.retain(|voter| voter.disk != own.disk);
+        let own_disk = self.options.disk_id;
+        sources.retain(|voter| voter.disk != own_disk);
         sources
     }
 
@@ -74,13 +74,13 @@
         let mark = self.set.mark();
         let to = self.locate(from);
         if to != self.options.address {
-            self.send(&to, ConsensusMessage::Pull { mark, after });
+            self.send(&to, ConsensusMessage::RequestReplica { mark, after });
         }
     }
 
     /// Takes a part of a member's copy. Each part may be of its own time, as long as the member was
     /// in the set by then.
-    pub(crate) fn on_copy(&mut self, now: u64, page: CopyPage) {
+    pub(crate) fn on_copy(&mut self, now: u64, page: ReplicaPage) {
         let mut sources = self.sources().into_iter();
         let source = sources.find(|source| source.disk == page.disk);
         let is_wanted = self.own_set.era == 0 && self.set_works == 0 && self.is_named();
@@ -135,7 +135,7 @@
         // No member of an old set backs a claim any more that a majority of it had backed, since one of
         // them gave its copy here. What they had backed must be over before this controller's voter promises.
         let mut held = keys.iter();
-        if held.any(|(key, held)| key == DUTY_KEY && held.stored.version > 0) {
+        if held.any(|(key, held)| key == SCALER_ROLE_KEY && held.stored.version > 0) {
             self.duty.closed_until = now + self.options.lease_ms;
         }
         let set = self.set.clone();
--- a/crates/consensus/src/leaving.rs
+++ b/crates/consensus/src/leaving.rs
@@ -1,6 +1,6 @@
-//! How a controller whose place another took leaves the set and becomes a newcomer, within its life.
+//! How a controller whose place another took leaves the set and becomes a newcomer, within its incarnation.
 
-use crate::consensus::{Consensus, KEYS};
+use crate::consensus::{Consensus, REQUIRED_KEYS};
 use crate::disk::DiskWork;
 use crate::message::ConsensusMessage;
 use rand::Rng;
@@ -14,9 +14,9 @@
 
 /// Where a controller stands with the set of voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Membership {
+pub enum MembershipState {
     /// No set is known yet.
-    Founding,
+    Bootstrapping,
     /// The voter is empty and has no place in the newest set.
     Joining,
     /// The newest set names the voter's disk, and the voter is still empty.
@@ -26,7 +26,7 @@
     /// The newest set names the voter's disk no more. It keeps its copy until the set is installed.
     Leaving,
     /// The disk is being emptied.
-    BeginningAnew,
+    Resetting,
 }
 
 /// How far a controller is with leaving.
@@ -41,14 +41,14 @@
 
 impl Consensus {
     /// Where this controller stands with the set of voters.
-    pub fn membership(&self) -> Membership {
+    pub fn membership_state(&self) -> MembershipState {
         match (self.own_set.era > 0, self.is_named()) {
-            _ if self.is_beginning_anew() => Membership::BeginningAnew,
-            _ if self.set.era == 0 => Membership::Founding,
-            (true, true) => Membership::Voting,
-            (true, false) => Membership::Leaving,
-            (false, true) => Membership::Installing,
-            (false, false) => Membership::Joining,
+            _ if self.is_beginning_anew() => MembershipState::Resetting,
+            _ if self.set.era == 0 => MembershipState::Bootstrapping,
+            (true, true) => MembershipState::Voting,
+            (true, false) => MembershipState::Leaving,
+            (false, true) => MembershipState::Installing,
+            (false, false) => MembershipState::Joining,
         }
     }
 
@@ -82,7 +82,7 @@
         for voter in self.set.voters.clone() {
             let to = self.locate(&voter);
             if to != self.options.address {
-                self.send(&to, ConsensusMessage::WantInstalled { mark });
+                self.send(&to, ConsensusMessage::ConfirmInstalled { mark });
             }
         }
     }
@@ -109,7 +109,7 @@
             .fresh(now)
             .any(|(_, heartbeat)| missing.contains(&heartbeat.disk));
         let spans = if is_heard { INSTALL_SPANS } else { 1 };
-        let is_long_ago = now >= departure.since + spans * self.options.patience_ms;
+        let is_long_ago = now >= departure.since + spans * self.options.replacement_timeout_ms;
         installed >= self.set.majority() && (missing.is_empty() || is_long_ago)
     }
 
@@ -121,7 +121,7 @@
             departure.is_beginning_anew = true;
         }
         let identity = self.random.random();
-        self.work_on_set(DiskWork::BeginAnew(identity));
+        self.work_on_set(DiskWork::Reset(identity));
     }
 
     /// The disk was emptied: this controller is another one from now on, which has voted for nothing. What it
@@ -133,13 +133,13 @@
             return;
         };
         self.drop_claim(now);
-        self.options.disk = identity;
+        self.options.disk_id = identity;
         self.options.is_first_start = false;
-        self.life = self.random.random::<u64>() | 1;
+        self.incarnation = self.random.random::<u64>() | 1;
         self.own_set = VoterSet::default();
         self.is_open = true;
         self.held.clear();
-        self.unread = KEYS.into_iter().collect();
+        self.unread = REQUIRED_KEYS.into_iter().collect();
         self.read_begun.clear();
         self.settle_at = now;
         self.joining = voter::Joining::default();
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -20,9 +20,16 @@
 mod serving;
 
 pub use action::{ConsensusAction, ConsensusOptions};
-pub use consensus::{Consensus, CLOSURES_KEY, DESCRIPTION_KEY, DUTY_KEY, KEYS};
+pub use consensus::{
+    Consensus, CONFIGURATION_KEY, EVACUATIONS_KEY, REQUIRED_KEYS, SCALER_ROLE_KEY,
+};
 pub use contact::ContactLease;
-pub use disk::{perform, perform_on, DiskDone, DiskWork, HeldSummary, HeldValue, Installation};
-pub use duty::TermHolder;
-pub use leaving::Membership;
-pub use message::{Ack, ConsensusMessage, CopyPage, HeardHeartbeat, Heartbeat, SetNews};
+pub use disk::{
+    execute_batch, execute_batch_on_disk, DiskCompletion, DiskWork, Installation, RegisterSnapshot,
+    VoterSnapshot,
+};
+pub use duty::RoleHolder;
+pub use leaving::MembershipState;
+pub use message::{
+    ConsensusMessage, Heartbeat, HeartbeatAck, ReplicaPage, RoleLeaseAck, VoterSetUpdate,
+};
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -2,8 +2,8 @@
 use crate::consensus::Consensus;
 use crate::disk::DiskWork;
 use crate::job::{Job, Purpose};
-use crate::leaving::Membership;
-use crate::message::{ConsensusMessage, Heartbeat, SetNews};
+use crate::leaving::MembershipState;
+use crate::message::{ConsensusMessage, Heartbeat, VoterSetUpdate};
 use register::{grown, relocated, Change, VoterRef, VoterSet, VOTERS_KEY};
 use speedy::Writable;
 use std::collections::BTreeSet;
@@ -43,7 +43,7 @@
         if !self.is_open || own.era == 0 || own.era != set.era || own.no >= set.no {
             return;
         }
-        self.work_on_set(DiskWork::Adopt(self.set.clone()));
+        self.work_on_set(DiskWork::AdoptSet(self.set.clone()));
     }
 
     pub(crate) fn work_on_set(&mut self, work: DiskWork) {
@@ -54,11 +54,11 @@
     /// Takes the first set, where it names this disk and the voter is empty.
     pub(crate) fn on_form(&mut self, set: &VoterSet) {
         let mut voters = set.voters.iter();
-        let is_named = voters.any(|voter| voter.disk == self.options.disk);
+        let is_named = voters.any(|voter| voter.disk == self.options.disk_id);
         let is_empty = self.own_set.era == 0 && self.set_works == 0;
         let is_current = set.mark() >= self.set.mark();
         if is_named && is_empty && is_current && set.no == 1 {
-            self.work_on_set(DiskWork::Form(set.clone()));
+            self.work_on_set(DiskWork::FormSet(set.clone()));
         }
     }
 
@@ -68,25 +68,25 @@
             return;
         }
         self.tend_adopting();
-        match self.membership() {
-            Membership::Founding => self.found(),
-            Membership::Joining => self.tend_place(now),
-            Membership::Installing => self.tend_installing(now),
-            Membership::Voting => self.tend_relocating(now),
-            Membership::BeginningAnew => {}
-            Membership::Leaving => self.tend_leaving(now),
+        match self.membership_state() {
+            MembershipState::Bootstrapping => self.found(),
+            MembershipState::Joining => self.tend_place(now),
+            MembershipState::Installing => self.tend_installing(now),
+            MembershipState::Voting => self.tend_relocating(now),
+            MembershipState::Resetting => {}
+            MembershipState::Leaving => self.tend_leaving(now),
         }
     }
 
     /// The newest set, and the one before it where that is known.
-    pub(crate) fn set_news(&self) -> SetNews {
-        SetNews {
+    pub(crate) fn set_news(&self) -> VoterSetUpdate {
+        VoterSetUpdate {
             set: self.set.clone(),
             previous: self.previous.clone(),
         }
     }
 
-    pub(crate) fn on_set_news(&mut self, now: u64, news: SetNews) {
+    pub(crate) fn on_set_news(&mut self, now: u64, news: VoterSetUpdate) {
         self.learn_set(now, &news.set);
         if news.set.mark() != self.set.mark() || self.previous.is_some() {
             return;
@@ -112,7 +112,7 @@
             return;
         };
         log::info!("consensus: forms the first set of {} voters", voters.len());
-        self.work_on_set(DiskWork::Form(VoterSet {
+        self.work_on_set(DiskWork::FormSet(VoterSet {
             era: 1,
             no: 1,
             voters,
@@ -122,14 +122,17 @@
     fn founder(&self, seed: &str) -> Option<VoterRef> {
         let address = seed.to_string();
         if address == self.options.address {
-            let disk = self.options.disk;
+            let disk = self.options.disk_id;
             return Some(VoterRef { disk, address });
         }
         let peer = self.peers.get(seed)?;
         let Heartbeat {
-            disk, mark, known, ..
+            disk,
+            own_set,
+            known_set,
+            ..
         } = peer.heartbeat;
-        let is_blank = mark.0 == 0 && known.0 == 0;
+        let is_blank = own_set.0 == 0 && known_set.0 == 0;
         let is_founder = peer.heard_at.is_some() && is_blank && peer.heartbeat.is_first_start;
         is_founder.then_some(VoterRef { disk, address })
     }
@@ -144,7 +147,7 @@
             .collect();
         let voting = fresh
             .iter()
-            .filter(|heartbeat| is_member(heartbeat.disk) && heartbeat.mark == mark);
+            .filter(|heartbeat| is_member(heartbeat.disk) && heartbeat.own_set == mark);
         let voting: Vec<&Heartbeat> = voting.collect();
         if voting.len() < self.set.majority() {
             // Silence is only told apart from a cut of its own by a controller that hears a majority.
@@ -155,21 +158,21 @@
             return;
         }
         let me = VoterRef {
-            disk: self.options.disk,
+            disk: self.options.disk_id,
             address: self.options.address.clone(),
         };
         let mut answering: BTreeSet<u64> = fresh.iter().map(|heartbeat| heartbeat.disk).collect();
         for (place, voter) in self.set.voters.iter().enumerate().take(64) {
             let is_heard = voting
                 .iter()
-                .any(|heartbeat| heartbeat.hears >> place & 1 == 1);
+                .any(|heartbeat| heartbeat.reachable_members >> place & 1 == 1);
             if is_heard && voter.address != me.address {
                 answering.insert(voter.disk);
             }
         }
         let answering: Vec<u64> = answering.into_iter().collect();
         let expected = self.set.no - 1;
-        let (set, patience) = (self.set.clone(), self.options.patience_ms);
+        let (set, patience) = (self.set.clone(), self.options.replacement_timeout_ms);
         let settled = (expected, &set);
         let step = self
             .joining
@@ -203,7 +206,7 @@
 
     /// Tells the set where this member is reached, after its disk was moved to another address.
     fn tend_relocating(&mut self, now: u64) {
-        let (disk, address) = (self.options.disk, self.options.address.clone());
+        let (disk, address) = (self.options.disk_id, self.options.address.clone());
         let Some(next) = relocated(&self.set, disk, &address) else {
             return;
         };
@@ -222,13 +225,13 @@
         let mark = self.set.mark();
         let members: Vec<u64> = self.set.voters.iter().map(|voter| voter.disk).collect();
         let is_pending =
-            |heartbeat: &Heartbeat| members.contains(&heartbeat.disk) && heartbeat.mark != mark;
+            |heartbeat: &Heartbeat| members.contains(&heartbeat.disk) && heartbeat.own_set != mark;
         if !self.fresh(now).any(|(_, heartbeat)| is_pending(heartbeat)) {
             self.pending_since = None;
             return false;
         }
         let since = *self.pending_since.get_or_insert(now);
-        now < since + self.options.patience_ms
+        now < since + self.options.replacement_timeout_ms
     }
 
     /// An odd set grows only where another newcomer follows: an even one tolerates no more losses.
@@ -236,11 +239,11 @@
         let count = self.set.voters.len();
         let spares = voting
             .iter()
-            .map(|heartbeat| heartbeat.spares)
+            .map(|heartbeat| heartbeat.spare_controllers)
             .max()
             .unwrap_or(0);
         let is_worth_it = count.is_multiple_of(2) || count == 1 || spares >= 2;
-        count < self.options.voters_wanted && voting.len() == count && is_worth_it
+        count < self.options.target_voter_count && voting.len() == count && is_worth_it
     }
 
     /// Tells all members of the newest set.
@@ -249,7 +252,7 @@
         for voter in voters {
             let to = self.locate(&voter);
             if to != self.options.address {
-                let message = ConsensusMessage::Set(self.set_news());
+                let message = ConsensusMessage::VoterSet(self.set_news());
                 self.send(&to, message);
             }
         }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -12,9 +12,9 @@
     /// A controller lives, and knows this.
     Heartbeat(Heartbeat),
     /// A member's voter backs the claim of a heartbeat.
-    Ack(Ack),
+    RoleLeaseAck(RoleLeaseAck),
     /// A question to a voter.
-    Ask {
+    VoterRequest {
         /// Number that the answer bears.
         number: u64,
         /// Version and tag of a value that the asker has, which need not travel.
@@ -23,7 +23,7 @@
         message: VoterMessage,
     },
     /// A voter's answer.
-    Answer {
+    VoterResponse {
         /// Identity of the disk that the answer was given from.
         disk: u64,
         /// Number of the question.
@@ -34,13 +34,13 @@
         reply: VoterReply,
     },
     /// Tell the newest set.
-    WantSet,
+    RequestVoterSet,
     /// The newest set that is known to be settled.
-    Set(SetNews),
+    VoterSet(VoterSetUpdate),
     /// The first set, to a member that is still empty.
-    Form(VoterSet),
+    FormVoterSet(VoterSet),
     /// Say so once the set of this mark, or a later one, is durable at the receiver's voter.
-    WantInstalled {
+    ConfirmInstalled {
         /// Mark of the set.
         mark: (u64, u64),
     },
@@ -52,16 +52,16 @@
         mark: (u64, u64),
     },
     /// Tell what is held after a key, under the set of this mark.
-    Pull {
+    RequestReplica {
         /// Mark of the set.
         mark: (u64, u64),
         /// The last key that is known; empty at the beginning.
         after: String,
     },
     /// Part of what a member holds.
-    Copy(CopyPage),
+    Replica(ReplicaPage),
     /// Tell the settled value of a key, if it is not older than this version.
-    WantValue {
+    RequestValue {
         /// Key of the register.
         key: String,
         /// Version that is known to be settled.
@@ -80,7 +80,7 @@
 
 /// The newest set that a controller knows to be settled.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub struct SetNews {
+pub struct VoterSetUpdate {
     /// The set.
     pub set: VoterSet,
     /// The set before it, where that is known. Copies of a majority of its members are enough for a
@@ -93,44 +93,44 @@
 pub struct Heartbeat {
     /// Id of the controller's disk.
     pub disk: u64,
-    /// Random id of the controller's life.
-    pub life: u64,
-    /// Counted up with each heartbeat of a life.
+    /// Random id of the controller's incarnation.
+    pub incarnation: u64,
+    /// Counted up with each heartbeat of a incarnation.
     pub number: u64,
     /// Mark of the set that the controller's voter is in; era 0 where it is empty.
-    pub mark: (u64, u64),
+    pub own_set: (u64, u64),
     /// Mark of the newest set that the controller knows.
-    pub known: (u64, u64),
+    pub known_set: (u64, u64),
     /// Version and tag of the settled values of all keys that are kept up, in their order.
-    pub settled: Vec<(u64, u64)>,
+    pub committed: Vec<(u64, u64)>,
     /// Term under which the controller holds the duty or has just won it; 0 for none.
-    pub claim: u64,
+    pub role_term: u64,
     /// Whether the controller's voter would let the receiver have the duty.
-    pub is_free: bool,
+    pub grants_role: bool,
     /// Places of the set whose members the controller hears, one bit for each.
-    pub hears: u64,
+    pub reachable_members: u64,
     /// Controllers outside the set that the controller hears.
-    pub spares: u8,
+    pub spare_controllers: u8,
     /// Whether the controller takes this for the first start of the whole system.
     pub is_first_start: bool,
     /// Whether the controller is in contact with a majority.
     pub is_in_contact: bool,
     /// The newest heartbeat that the controller has heard from the receiver.
-    pub heard: HeardHeartbeat,
+    pub acknowledged: HeartbeatAck,
 }
 
 /// Acknowledges a heartbeat: the newest one that its receiver has heard from the sender.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Readable, Writable)]
-pub struct HeardHeartbeat {
-    /// Random id of the sender's life; 0 where nothing was heard.
-    pub life: u64,
-    /// Number of the heartbeat within that life.
+pub struct HeartbeatAck {
+    /// Random id of the sender's incarnation; 0 where nothing was heard.
+    pub incarnation: u64,
+    /// Number of the heartbeat within that incarnation.
     pub number: u64,
 }
 
 /// A member's word that its voter backs a claim.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub struct Ack {
+pub struct RoleLeaseAck {
     /// Id of the member's disk.
     pub disk: u64,
     /// Mark of the set that the member's voter is in.
@@ -143,7 +143,7 @@
 
 /// Part of what a member holds, in the order of keys.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub struct CopyPage {
+pub struct ReplicaPage {
     /// Id of the member's disk.
     pub disk: u64,
     /// Mark of the set that the member is in.
--- a/crates/consensus/src/peer.rs
+++ b/crates/consensus/src/peer.rs
@@ -1,21 +1,21 @@
-use crate::message::{HeardHeartbeat, Heartbeat};
+use crate::message::{Heartbeat, HeartbeatAck};
 
 /// Another controller, as its newest heartbeat told it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Peer {
     pub heard_at: Option<u64>,
     pub heartbeat: Heartbeat,
-    /// The life before the present one; its messages may still be on the way.
-    pub former_life: Option<u64>,
+    /// The incarnation before the present one; its messages may still be on the way.
+    pub former_incarnation: Option<u64>,
     /// When this controller last sent it a heartbeat.
     pub told_at: Option<u64>,
 }
 
 impl Peer {
     /// The newest heartbeat, as it is acknowledged.
-    pub fn heard(&self) -> HeardHeartbeat {
-        HeardHeartbeat {
-            life: self.heartbeat.life,
+    pub fn heard(&self) -> HeartbeatAck {
+        HeartbeatAck {
+            incarnation: self.heartbeat.incarnation,
             number: self.heartbeat.number,
         }
     }
--- a/crates/consensus/tests/bad_messages.rs
+++ b/crates/consensus/tests/bad_messages.rs
@@ -3,18 +3,23 @@
 #[allow(dead_code)]
 mod world;
 
-use consensus::{Consensus, ConsensusMessage, CLOSURES_KEY, DESCRIPTION_KEY, DUTY_KEY};
+use consensus::{Consensus, ConsensusMessage, CONFIGURATION_KEY, EVACUATIONS_KEY, SCALER_ROLE_KEY};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use register::VOTERS_KEY;
 use speedy::{Readable, Writable};
 use world::World;
 
-const KEYS: [&str; 4] = [DESCRIPTION_KEY, CLOSURES_KEY, DUTY_KEY, VOTERS_KEY];
+const REQUIRED_KEYS: [&str; 4] = [
+    CONFIGURATION_KEY,
+    EVACUATIONS_KEY,
+    SCALER_ROLE_KEY,
+    VOTERS_KEY,
+];
 
 fn settled(consensus: &Consensus) -> Vec<u64> {
-    let version = |key: &&str| consensus.settled(key).map_or(0, |(version, _)| version);
-    KEYS.iter().map(version).collect()
+    let version = |key: &&str| consensus.committed(key).map_or(0, |(version, _)| version);
+    REQUIRED_KEYS.iter().map(version).collect()
 }
 
 /// Changes some bytes of a message, or cuts it.
@@ -78,34 +83,37 @@
             let Some(message) = garbled(message, &mut random) else {
                 continue;
             };
-            let before = (settled(&consensus), consensus.set().mark());
+            let before = (settled(&consensus), consensus.voter_set().mark());
             fed += 1;
             consensus.on_message(local, from, message);
             local += random.random_range(0..40);
             consensus.tick(local);
             let works = consensus
-                .actions()
+                .take_actions()
                 .into_iter()
                 .filter_map(|action| match action {
                     consensus::ConsensusAction::Disk(work) => Some(work),
                     _ => None,
                 });
             let promised = voter.voter().held().clone();
-            for done in consensus::perform_on(&mut voter, works.collect()) {
+            for done in consensus::execute_batch_on_disk(&mut voter, works.collect()) {
                 consensus.on_disk(local, done);
             }
-            let after = (settled(&consensus), consensus.set().mark());
+            let after = (settled(&consensus), consensus.voter_set().mark());
             let mut versions = before.0.iter().zip(&after.0);
             assert!(versions.all(|(old, new)| old <= new), "a value moved back");
             assert!(before.1 <= after.1, "the set moved back");
             for (key, held) in promised
                 .after("")
-                .filter(|(key, _)| KEYS.contains(&key.as_str()))
+                .filter(|(key, _)| REQUIRED_KEYS.contains(&key.as_str()))
             {
                 let now = voter.voter().held().held(key).unwrap();
                 assert!(now.promised >= held.promised && now.accepted >= held.accepted);
             }
-            assert!(consensus.controllers().len() <= 80, "addresses are bounded");
+            assert!(
+                consensus.known_controllers().len() <= 80,
+                "addresses are bounded"
+            );
         }
     }
     println!("{fed} garbled messages");
--- a/crates/consensus/tests/catching_up.rs
+++ b/crates/consensus/tests/catching_up.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)]
 mod world;
 
-use consensus::{CLOSURES_KEY, DESCRIPTION_KEY};
+use consensus::{CONFIGURATION_KEY, EVACUATIONS_KEY};
 use rand::Rng;
 use world::World;
 
@@ -25,13 +25,13 @@
 
 fn known(world: &World, place: usize) -> u64 {
     let consensus = world.nodes[place].consensus.as_ref();
-    let settled = consensus.and_then(|consensus| consensus.settled(DESCRIPTION_KEY));
+    let settled = consensus.and_then(|consensus| consensus.committed(CONFIGURATION_KEY));
     settled.map_or(0, |(version, _)| version)
 }
 
 fn voter_version(world: &World, place: usize) -> u64 {
     let voter = world.nodes[place].voter.as_ref();
-    let held = voter.and_then(|voter| voter.voter().held().held(DESCRIPTION_KEY));
+    let held = voter.and_then(|voter| voter.voter().held().held(CONFIGURATION_KEY));
     held.map_or(0, |held| held.stored.version)
 }
 
@@ -54,7 +54,7 @@
 
 fn write_all(world: &mut World) {
     for number in 0..CHANGES {
-        write(world, DESCRIPTION_KEY, VALUE_BYTES);
+        write(world, CONFIGURATION_KEY, VALUE_BYTES);
         if number % 4 == 0 {
             write(world, &format!("job/{number}"), 600);
         }
@@ -64,13 +64,13 @@
 /// Reads at a controller whenever it can answer; the oracle cries where an answer is older than what was acknowledged.
 fn read_while_it_returns(world: &mut World, span: u64) -> Option<u64> {
     let began = world.now;
-    let newest = world.oracle.newest(DESCRIPTION_KEY);
+    let newest = world.oracle.newest(CONFIGURATION_KEY);
     let mut caught_up = None;
     let mut read_at = began;
     while world.now < began + span {
         if world.now >= read_at {
             read_at += READ_MS;
-            for key in [DESCRIPTION_KEY, "job/0", "job/1996"] {
+            for key in [CONFIGURATION_KEY, "job/0", "job/1996"] {
                 world.change(2, key, false);
             }
         }
@@ -87,7 +87,7 @@
 
 fn returned_after_thousands_of_changes(seed: u64) -> World {
     let mut world = started(seed);
-    write(&mut world, DESCRIPTION_KEY, VALUE_BYTES);
+    write(&mut world, CONFIGURATION_KEY, VALUE_BYTES);
     world.run(500);
     world.kill(2);
     write_all(&mut world);
@@ -100,10 +100,10 @@
 #[test]
 fn a_member_that_missed_thousands_of_changes_is_sent_the_newest_value_alone() {
     let mut world = returned_after_thousands_of_changes(1);
-    let newest = world.oracle.newest(DESCRIPTION_KEY);
+    let newest = world.oracle.newest(CONFIGURATION_KEY);
     let is_whole = |world: &World| {
         let consensus = world.nodes[2].consensus.as_ref().unwrap();
-        consensus.is_settled() && voter_version(world, 2) == newest
+        consensus.has_read_required_keys() && voter_version(world, 2) == newest
     };
     let took = world.until(5_000, is_whole);
     world.run(5_000);
@@ -137,7 +137,7 @@
     let received = world.received.get(&2).copied().unwrap_or(0);
     world.slow_lines.insert(2, 0);
     world.boot(2);
-    let newest = world.oracle.newest(DESCRIPTION_KEY);
+    let newest = world.oracle.newest(CONFIGURATION_KEY);
     let took = world.until(30_000, |world| voter_version(world, 2) == newest);
     let bytes = world.received[&2] - received;
     let voter = world.nodes[0].voter.as_ref().unwrap();
@@ -158,17 +158,17 @@
 fn a_member_keeps_up_with_a_storm_that_it_only_hears_of() {
     for seed in 0..10 {
         let mut world = started(seed);
-        write(&mut world, CLOSURES_KEY, 10);
+        write(&mut world, EVACUATIONS_KEY, 10);
         world.cuts.insert((0, 2));
         world.cuts.insert((2, 0));
         let mut lag = 0;
         for _ in 0..250 {
-            let expected = world.oracle.newest(DESCRIPTION_KEY);
-            ask_to_write(&mut world, 0, DESCRIPTION_KEY, expected, 2_000);
+            let expected = world.oracle.newest(CONFIGURATION_KEY);
+            ask_to_write(&mut world, 0, CONFIGURATION_KEY, expected, 2_000);
             world.run(STORM_MS);
-            lag = lag.max(world.oracle.newest(DESCRIPTION_KEY) - known(&world, 2));
+            lag = lag.max(world.oracle.newest(CONFIGURATION_KEY) - known(&world, 2));
         }
-        let newest = world.oracle.newest(DESCRIPTION_KEY);
+        let newest = world.oracle.newest(CONFIGURATION_KEY);
         assert!(newest > 150, "seed {seed}: {newest} changes");
         assert!(lag <= 12, "seed {seed}: it was {lag} changes behind");
     }
--- a/crates/consensus/tests/contact.rs
+++ b/crates/consensus/tests/contact.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)]
 mod world;
 
-use consensus::{ContactLease, CLOSURES_KEY, DESCRIPTION_KEY};
+use consensus::{ContactLease, CONFIGURATION_KEY, EVACUATIONS_KEY};
 use rand::Rng;
 use register::{VoterRef, VoterSet};
 use std::collections::VecDeque;
@@ -33,10 +33,10 @@
 fn contact_is_counted_from_the_sending_of_the_acknowledged_heartbeat() {
     let set = set_of(&[OWN, 2, 3]);
     let mut lease = ContactLease::new(SPAN);
-    lease.sending(100, 1);
+    lease.record_sent(100, 1);
     assert!(!lease.is_held(100, &set, OWN), "nobody acknowledged");
     // The acknowledgement is on its way for long; the lease is as short as if it had come at once.
-    lease.acknowledged(2, 1);
+    lease.record_acknowledgement(2, 1);
     assert!(lease.is_held(100 + LASTS - 1, &set, OWN));
     assert!(!lease.is_held(100 + LASTS, &set, OWN));
 }
@@ -46,10 +46,10 @@
     let set = set_of(&[OWN, 2, 3]);
     let mut lease = ContactLease::new(SPAN);
     for number in 1..=100 {
-        lease.sending(number * 100, number);
+        lease.record_sent(number * 100, number);
         // From the tenth on nothing of this controller arrives, but it goes on hearing the others.
-        lease.acknowledged(2, number.min(10));
-        lease.acknowledged(3, number.min(10));
+        lease.record_acknowledgement(2, number.min(10));
+        lease.record_acknowledgement(3, number.min(10));
         let now = number * 100;
         assert_eq!(lease.is_held(now, &set, OWN), now < 1_000 + LASTS, "{now}");
     }
@@ -59,24 +59,24 @@
 fn late_doubled_and_made_up_acknowledgements_prolong_nothing() {
     let set = set_of(&[OWN, 2, 3]);
     let mut lease = ContactLease::new(SPAN);
-    lease.sending(0, 1);
-    lease.sending(300, 2);
-    lease.acknowledged(2, 2);
+    lease.record_sent(0, 1);
+    lease.record_sent(300, 2);
+    lease.record_acknowledgement(2, 2);
     for number in [1, 2, 1, 0, 3, u64::MAX] {
-        lease.acknowledged(2, number);
+        lease.record_acknowledgement(2, number);
     }
     assert!(lease.is_held(300 + LASTS - 1, &set, OWN));
     assert!(!lease.is_held(300 + LASTS, &set, OWN));
-    lease.sending(5_000, 4);
-    lease.acknowledged(2, 2);
+    lease.record_sent(5_000, 4);
+    lease.record_acknowledgement(2, 2);
     assert!(!lease.is_held(5_000, &set, OWN), "a number from long ago");
 }
 
 #[test]
 fn another_set_counts_its_own_voters_only() {
     let mut lease = ContactLease::new(SPAN);
-    lease.sending(0, 1);
-    lease.acknowledged(2, 1);
+    lease.record_sent(0, 1);
+    lease.record_acknowledgement(2, 1);
     assert!(lease.is_held(1, &set_of(&[OWN, 2, 3]), OWN));
     assert!(
         !lease.is_held(1, &set_of(&[OWN, 3, 4]), OWN),
@@ -87,7 +87,7 @@
         !lease.is_held(1, &set_of(&[2, 3, 4]), OWN),
         "it is no voter itself"
     );
-    lease.acknowledged(4, 1);
+    lease.record_acknowledgement(4, 1);
     assert!(
         lease.is_held(1, &set_of(&[2, 3, 4]), OWN),
         "a spare controller"
@@ -101,11 +101,11 @@
     let set = set_of(&[OWN, 2, 3]);
     let mut lease = ContactLease::new(u64::MAX / 8);
     for number in 0..100_000 {
-        lease.sending(number, number);
+        lease.record_sent(number, number);
     }
-    lease.acknowledged(2, 99_000);
+    lease.record_acknowledgement(2, 99_000);
     assert!(!lease.is_held(100_000, &set, OWN), "forgotten");
-    lease.acknowledged(2, 99_990);
+    lease.record_acknowledgement(2, 99_990);
     assert!(lease.is_held(100_000, &set, OWN));
 }
 
@@ -114,7 +114,7 @@
     since: VecDeque<(u64, [u64; 2])>,
 }
 
-const KEYS: [&str; 2] = [DESCRIPTION_KEY, CLOSURES_KEY];
+const REQUIRED_KEYS: [&str; 2] = [CONFIGURATION_KEY, EVACUATIONS_KEY];
 
 impl Settled {
     fn new() -> Self {
@@ -124,7 +124,7 @@
     }
 
     fn note(&mut self, world: &World) {
-        let newest = KEYS.map(|key| world.oracle.newest(key));
+        let newest = REQUIRED_KEYS.map(|key| world.oracle.newest(key));
         self.since.push_back((world.now, newest));
         while self.since.len() > 1 && self.since[1].0 + LEASE + SPREAD <= world.now {
             self.since.pop_front();
@@ -138,7 +138,7 @@
             if !node.is_current(world.now) {
                 continue;
             }
-            for (key, floor) in KEYS.iter().zip(floor) {
+            for (key, floor) in REQUIRED_KEYS.iter().zip(floor) {
                 let known = node.settled(key);
                 assert!(
                     known >= floor,
--- a/crates/consensus/tests/copies.rs
+++ b/crates/consensus/tests/copies.rs
@@ -3,7 +3,7 @@
 #[allow(dead_code)]
 mod world;
 
-use consensus::{ConsensusAction, DESCRIPTION_KEY};
+use consensus::{ConsensusAction, CONFIGURATION_KEY};
 use journal::Mishap;
 use rand::Rng;
 use register::Outcome;
@@ -19,16 +19,16 @@
 fn known(world: &World, place: usize) -> u64 {
     let consensus = world.nodes[place].consensus.as_ref().unwrap();
     consensus
-        .settled(DESCRIPTION_KEY)
+        .committed(CONFIGURATION_KEY)
         .map_or(0, |(version, _)| version)
 }
 
 fn write(world: &mut World, place: usize) {
-    let newest = world.oracle.newest(DESCRIPTION_KEY);
+    let newest = world.oracle.newest(CONFIGURATION_KEY);
     for _ in 0..10 {
-        world.change(place, DESCRIPTION_KEY, true);
+        world.change(place, CONFIGURATION_KEY, true);
         world.run(150);
-        if world.oracle.newest(DESCRIPTION_KEY) > newest {
+        if world.oracle.newest(CONFIGURATION_KEY) > newest {
             return;
         }
     }
@@ -51,7 +51,7 @@
         world.part(0, 1);
         world.run(1_000);
         for place in [1, 2] {
-            world.change(place, DESCRIPTION_KEY, false);
+            world.change(place, CONFIGURATION_KEY, false);
         }
         world.run(2_000);
         world.cuts.clear();
@@ -68,10 +68,12 @@
         let mut world = started(seed, 4);
         let before = world.bytes;
         let bytes = vec![7; 1 << 20];
-        let token = world.oracle.ask(DESCRIPTION_KEY, Some((0, bytes.clone())));
+        let token = world
+            .oracle
+            .ask(CONFIGURATION_KEY, Some((0, bytes.clone())));
         let local = world.nodes[0].clock(world.now);
         let consensus = world.nodes[0].consensus.as_mut().unwrap();
-        consensus.write(local, token, DESCRIPTION_KEY, 0, bytes);
+        consensus.write(local, token, CONFIGURATION_KEY, 0, bytes);
         world.drain(0);
         world.run(150);
         assert_eq!(world.oracle.writes, 1, "seed {seed}");
@@ -93,10 +95,12 @@
     for seed in 0..10 {
         let mut world = started(seed, 3);
         let bytes = vec![7; 1 << 20];
-        let token = world.oracle.ask(DESCRIPTION_KEY, Some((0, bytes.clone())));
+        let token = world
+            .oracle
+            .ask(CONFIGURATION_KEY, Some((0, bytes.clone())));
         let local = world.nodes[1].clock(world.now);
         let consensus = world.nodes[1].consensus.as_mut().unwrap();
-        consensus.write(local, token, DESCRIPTION_KEY, 0, bytes);
+        consensus.write(local, token, CONFIGURATION_KEY, 0, bytes);
         world.drain(1);
         world.run(500);
         for place in 0..3 {
@@ -118,7 +122,7 @@
 
 fn voter_version(world: &World, place: usize) -> u64 {
     let voter = world.nodes[place].voter.as_ref().unwrap();
-    let held = voter.voter().held().held(DESCRIPTION_KEY);
+    let held = voter.voter().held().held(CONFIGURATION_KEY);
     held.map_or(0, |held| held.stored.version)
 }
 
@@ -131,7 +135,7 @@
     world.cuts.clear();
     world.run(1_000);
     let voter = world.nodes[2].voter.as_ref().unwrap().voter();
-    let held = voter.held().held(DESCRIPTION_KEY).unwrap();
+    let held = voter.held().held(CONFIGURATION_KEY).unwrap();
     assert_eq!(held.stored.version, 1);
 }
 
@@ -144,7 +148,7 @@
         world.part(1, 2);
         write(&mut world, 0);
         let stored = world.nodes[0].consensus.as_ref().unwrap();
-        let (version, bytes) = stored.settled(DESCRIPTION_KEY).unwrap();
+        let (version, bytes) = stored.committed(CONFIGURATION_KEY).unwrap();
         let told = register::Stored {
             version,
             tag: 1,
@@ -152,7 +156,7 @@
         };
         // It comes from a controller that is no voter, and so without the ballot under which it was accepted.
         let message = consensus::ConsensusMessage::Value {
-            key: DESCRIPTION_KEY.into(),
+            key: CONFIGURATION_KEY.into(),
             ballot: register::Ballot::default(),
             stored: told,
         };
@@ -175,17 +179,25 @@
     let local = world.nodes[0].clock(world.now);
     let consensus = world.nodes[0].consensus.as_mut().unwrap();
     for token in 0..65 {
-        consensus.read(local, token, DESCRIPTION_KEY);
+        consensus.read(local, token, CONFIGURATION_KEY);
     }
     let done = |action: ConsensusAction| match action {
-        ConsensusAction::Done { token, outcome } => Some((token, outcome)),
+        ConsensusAction::RequestCompleted { token, outcome } => Some((token, outcome)),
         _ => None,
     };
-    let ended: Vec<(u64, Outcome)> = consensus.actions().into_iter().filter_map(done).collect();
+    let ended: Vec<(u64, Outcome)> = consensus
+        .take_actions()
+        .into_iter()
+        .filter_map(done)
+        .collect();
     let refused = Outcome::Unreached("too many changes at once".into());
     assert_eq!(ended, vec![(64, refused)]);
     consensus.tick(local + 1_600);
-    let ended: Vec<(u64, Outcome)> = consensus.actions().into_iter().filter_map(done).collect();
+    let ended: Vec<(u64, Outcome)> = consensus
+        .take_actions()
+        .into_iter()
+        .filter_map(done)
+        .collect();
     assert_eq!(ended.len(), 64);
 }
 
@@ -207,7 +219,7 @@
         "it kept its state"
     );
     assert_eq!(known(&world, 2), 1);
-    let controllers = node.consensus.as_ref().unwrap().controllers();
+    let controllers = node.consensus.as_ref().unwrap().known_controllers();
     assert_eq!(controllers, ["at-0", "at-1", "at-2", "at-3"]);
 }
 
@@ -222,5 +234,5 @@
     world.kill(1);
     write(&mut world, 0);
     write(&mut world, 2);
-    assert_eq!(world.oracle.newest(DESCRIPTION_KEY), 3);
+    assert_eq!(world.oracle.newest(CONFIGURATION_KEY), 3);
 }
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -4,8 +4,8 @@
 mod world;
 
 use consensus::{
-    perform_on, ConsensusAction, ConsensusMessage, DiskDone, DiskWork, Heartbeat, Membership,
-    SetNews,
+    execute_batch_on_disk, ConsensusAction, ConsensusMessage, DiskCompletion, DiskWork, Heartbeat,
+    MembershipState, VoterSetUpdate,
 };
 use journal::{Folder, MemoryFolder, Mishap};
 use register::{replaced, VoterRef, VoterSet};
@@ -39,8 +39,9 @@
     DiskWork::ConfirmInstalled { to, mark }
 }
 
-fn is_confirmed(dones: &[DiskDone]) -> bool {
-    let is_installed = |done: &DiskDone| matches!(done, DiskDone::Installed { .. });
+fn is_confirmed(dones: &[DiskCompletion]) -> bool {
+    let is_installed =
+        |done: &DiskCompletion| matches!(done, DiskCompletion::InstallationConfirmed { .. });
     dones.iter().any(is_installed)
 }
 
@@ -48,27 +49,45 @@
 fn a_set_is_confirmed_once_it_is_synced_and_not_before() {
     let folder = MemoryFolder::default();
     let mut disk = opened(&folder);
-    assert!(!is_confirmed(&perform_on(&mut disk, vec![confirm(FIRST)])));
-    let form = DiskWork::Form(set(1));
-    assert!(is_confirmed(&perform_on(
+    assert!(!is_confirmed(&execute_batch_on_disk(
+        &mut disk,
+        vec![confirm(FIRST)]
+    )));
+    let form = DiskWork::FormSet(set(1));
+    assert!(is_confirmed(&execute_batch_on_disk(
         &mut disk,
         vec![form, confirm(FIRST)]
     )));
-    assert!(!is_confirmed(&perform_on(&mut disk, vec![confirm(SECOND)])));
-    assert!(!is_confirmed(&perform_on(&mut disk, vec![confirm((2, 1))])));
+    assert!(!is_confirmed(&execute_batch_on_disk(
+        &mut disk,
+        vec![confirm(SECOND)]
+    )));
+    assert!(!is_confirmed(&execute_batch_on_disk(
+        &mut disk,
+        vec![confirm((2, 1))]
+    )));
     folder.suffer(Mishap::Full);
-    let adopt = DiskWork::Adopt(set(2));
-    assert!(!is_confirmed(&perform_on(
+    let adopt = DiskWork::AdoptSet(set(2));
+    assert!(!is_confirmed(&execute_batch_on_disk(
         &mut disk,
         vec![adopt, confirm(SECOND)]
     )));
     folder.suffer(Mishap::Room);
     disk.reopen().unwrap();
-    assert!(!is_confirmed(&perform_on(&mut disk, vec![confirm(SECOND)])));
-    let adopt = DiskWork::Adopt(set(2));
-    perform_on(&mut disk, vec![adopt]);
-    assert!(is_confirmed(&perform_on(&mut disk, vec![confirm(FIRST)])));
-    assert!(is_confirmed(&perform_on(&mut disk, vec![confirm(SECOND)])));
+    assert!(!is_confirmed(&execute_batch_on_disk(
+        &mut disk,
+        vec![confirm(SECOND)]
+    )));
+    let adopt = DiskWork::AdoptSet(set(2));
+    execute_batch_on_disk(&mut disk, vec![adopt]);
+    assert!(is_confirmed(&execute_batch_on_disk(
+        &mut disk,
+        vec![confirm(FIRST)]
+    )));
+    assert!(is_confirmed(&execute_batch_on_disk(
+        &mut disk,
+        vec![confirm(SECOND)]
+    )));
 }
 
 #[test]
@@ -83,30 +102,32 @@
         address: "at-9".into(),
     };
     let next = replaced(&world.newest_set(), world.nodes[2].disk, newcomer).unwrap();
-    let news = SetNews {
+    let news = VoterSetUpdate {
         set: next,
         previous: None,
     };
     let local = world.nodes[0].clock(world.now);
     let consensus = world.nodes[0].consensus.as_mut().unwrap();
-    consensus.on_message(local, "at-1", ConsensusMessage::Set(news));
+    consensus.on_message(local, "at-1", ConsensusMessage::VoterSet(news));
     world.drain(0);
     world.run(500);
     let local = world.nodes[0].clock(world.now) + 500;
     let consensus = world.nodes[0].consensus.as_mut().unwrap();
-    assert_eq!(consensus.set().mark(), SECOND);
+    assert_eq!(consensus.voter_set().mark(), SECOND);
     consensus.tick(local);
     let heartbeats: Vec<Heartbeat> = consensus
-        .actions()
+        .take_actions()
         .into_iter()
         .filter_map(heartbeat)
         .collect();
     assert!(!heartbeats.is_empty());
     assert!(
-        heartbeats.iter().all(|heartbeat| heartbeat.mark == FIRST),
+        heartbeats
+            .iter()
+            .all(|heartbeat| heartbeat.own_set == FIRST),
         "{heartbeats:?}"
     );
-    assert_eq!(consensus.membership(), Membership::Voting);
+    assert_eq!(consensus.membership_state(), MembershipState::Voting);
 }
 
 fn heartbeat(action: ConsensusAction) -> Option<Heartbeat> {
@@ -123,17 +144,26 @@
 fn a_copy_is_given_under_the_set_that_it_is_asked_for_and_under_no_other() {
     let folder = MemoryFolder::default();
     let mut disk = opened(&folder);
-    let pull = |mark| DiskWork::Pull {
+    let pull = |mark| DiskWork::ReadReplica {
         to: "at-3".into(),
         mark,
         after: String::new(),
     };
-    let is_given = |dones: &[DiskDone]| {
-        let is_copy = |done: &DiskDone| matches!(done, DiskDone::Copy { .. });
+    let is_given = |dones: &[DiskCompletion]| {
+        let is_copy = |done: &DiskCompletion| matches!(done, DiskCompletion::ReplicaPage { .. });
         dones.iter().any(is_copy)
     };
-    assert!(!is_given(&perform_on(&mut disk, vec![pull((0, 0))])));
-    perform_on(&mut disk, vec![DiskWork::Form(set(1))]);
-    assert!(!is_given(&perform_on(&mut disk, vec![pull(SECOND)])));
-    assert!(is_given(&perform_on(&mut disk, vec![pull(FIRST)])));
+    assert!(!is_given(&execute_batch_on_disk(
+        &mut disk,
+        vec![pull((0, 0))]
+    )));
+    execute_batch_on_disk(&mut disk, vec![DiskWork::FormSet(set(1))]);
+    assert!(!is_given(&execute_batch_on_disk(
+        &mut disk,
+        vec![pull(SECOND)]
+    )));
+    assert!(is_given(&execute_batch_on_disk(
+        &mut disk,
+        vec![pull(FIRST)]
+    )));
 }
--- a/crates/consensus/tests/duty.rs
+++ b/crates/consensus/tests/duty.rs
@@ -67,7 +67,7 @@
         let local = world.nodes[holder].clock(world.now);
         let consensus = world.nodes[holder].consensus.as_mut().unwrap();
         consensus.resign(local);
-        assert_eq!(consensus.term(local), None);
+        assert_eq!(consensus.role_term(local), None);
         world.drain(holder);
         let took = world.until(3_000, |world| world.holder().is_some());
         assert!(took.is_some_and(|took| took < 300), "seed {seed}: {took:?}");
--- a/crates/consensus/tests/granting.rs
+++ b/crates/consensus/tests/granting.rs
@@ -2,7 +2,7 @@
 
 use consensus::{
     Consensus, ConsensusAction, ConsensusMessage, ConsensusOptions, DiskWork, Heartbeat,
-    HeldSummary, HeldValue, TermHolder, DUTY_KEY,
+    RegisterSnapshot, RoleHolder, VoterSnapshot, SCALER_ROLE_KEY,
 };
 use register::{Ballot, VoterAsk, VoterMessage, VoterRef, VoterReply, VoterSet};
 use speedy::Writable;
@@ -13,7 +13,7 @@
 const MEMBER: &str = "member";
 const HOLDER: &str = "holder";
 const OTHER: &str = "other";
-const HOLDER_LIFE: u64 = 7;
+const HOLDER_INCARNATION: u64 = 7;
 /// The first version of the register under the first era.
 const TERM: u64 = (1 << 40) | 1;
 
@@ -39,17 +39,17 @@
 
 /// A member that is started with the holder's value accepted under the first ballot.
 fn started(promised: Ballot) -> Consensus {
-    let term_holder = TermHolder {
+    let term_holder = RoleHolder {
         address: HOLDER.into(),
         name: HOLDER.into(),
-        life: HOLDER_LIFE,
+        incarnation: HOLDER_INCARNATION,
     };
     let bytes = term_holder.write_to_vec().expect("it can be written");
-    let held = HeldSummary {
+    let held = VoterSnapshot {
         set: set(),
         is_open: true,
-        values: vec![HeldValue {
-            key: DUTY_KEY.into(),
+        values: vec![RegisterSnapshot {
+            key: SCALER_ROLE_KEY.into(),
             promised,
             accepted: ballot(1),
             version: 1,
@@ -62,12 +62,12 @@
         address: MEMBER.into(),
         seeds: vec![MEMBER.into(), HOLDER.into(), OTHER.into()],
         is_first_start: false,
-        disk: 1,
+        disk_id: 1,
         lease_ms: LEASE_MS,
-        heartbeat_ms: 200,
-        patience_ms: 2_000,
+        heartbeat_interval_ms: 200,
+        replacement_timeout_ms: 2_000,
         seed: 1,
-        voters_wanted: 3,
+        target_voter_count: 3,
     };
     Consensus::new(options, STARTED_AT, held)
 }
@@ -76,11 +76,11 @@
 fn holders_claim() -> ConsensusMessage {
     ConsensusMessage::Heartbeat(Heartbeat {
         disk: 2,
-        life: HOLDER_LIFE,
+        incarnation: HOLDER_INCARNATION,
         number: 1,
-        mark: (1, 1),
-        known: (1, 1),
-        claim: TERM,
+        own_set: (1, 1),
+        known_set: (1, 1),
+        role_term: TERM,
         ..Heartbeat::default()
     })
 }
@@ -88,9 +88,9 @@
 /// Whether the member backs the holder's claim when it hears of it.
 fn backs_claim(consensus: &mut Consensus) -> bool {
     consensus.on_message(STARTED_AT, HOLDER, holders_claim());
-    let mut actions = consensus.actions().into_iter();
+    let mut actions = consensus.take_actions().into_iter();
     actions.any(|action| {
-        matches!(action, ConsensusAction::Send { to, message: ConsensusMessage::Ack(ack) }
+        matches!(action, ConsensusAction::Send { to, message: ConsensusMessage::RoleLeaseAck(ack) }
             if to == HOLDER && ack.term == TERM)
     })
 }
@@ -98,22 +98,22 @@
 /// Whether the member's voter is asked for a promise that another controller wants at a time; if not, it is refused.
 fn passes_promise_on(consensus: &mut Consensus, now: u64) -> bool {
     let ask = VoterAsk::Promise {
-        key: DUTY_KEY.into(),
+        key: SCALER_ROLE_KEY.into(),
         ballot: ballot(9),
     };
-    let message = ConsensusMessage::Ask {
+    let message = ConsensusMessage::VoterRequest {
         number: 1,
         known: (0, 0),
         message: VoterMessage { mark: (1, 1), ask },
     };
     consensus.on_message(now, OTHER, message);
-    let actions = consensus.actions();
+    let actions = consensus.take_actions();
     let is_refused = actions.iter().any(|action| {
-        matches!(action, ConsensusAction::Send { to, message: ConsensusMessage::Answer { reply, .. } }
+        matches!(action, ConsensusAction::Send { to, message: ConsensusMessage::VoterResponse { reply, .. } }
             if to == OTHER && matches!(reply, VoterReply::Closed { .. }))
     });
     let is_passed_on = actions.iter().any(
-        |action| matches!(action, ConsensusAction::Disk(DiskWork::Ask { to, .. }) if to == OTHER),
+        |action| matches!(action, ConsensusAction::Disk(DiskWork::VoterRequest { to, .. }) if to == OTHER),
     );
     assert_ne!(is_refused, is_passed_on);
     is_passed_on
@@ -138,7 +138,7 @@
     let mut consensus = started(ballot(1));
     let late = STARTED_AT + 400;
     consensus.on_message(late, HOLDER, holders_claim());
-    consensus.actions();
+    consensus.take_actions();
     assert!(!passes_promise_on(&mut consensus, late + LEASE_MS - 1));
     assert!(passes_promise_on(&mut consensus, late + LEASE_MS));
 }
--- a/crates/consensus/tests/identities.rs
+++ b/crates/consensus/tests/identities.rs
@@ -1,9 +1,9 @@
-//! Messages of a controller's former identity or life that are still on the way count for nothing.
+//! Messages of a controller's former identity or incarnation that are still on the way count for nothing.
 
 #[allow(dead_code)]
 mod world;
 
-use consensus::{Consensus, ConsensusAction, ConsensusMessage, Heartbeat, DESCRIPTION_KEY};
+use consensus::{Consensus, ConsensusAction, ConsensusMessage, Heartbeat, CONFIGURATION_KEY};
 use register::{Ballot, Stored, VoterAsk, VoterReply};
 use world::World;
 
@@ -15,7 +15,7 @@
 }
 
 fn sent(consensus: &mut Consensus) -> Vec<ConsensusMessage> {
-    let actions = consensus.actions().into_iter();
+    let actions = consensus.take_actions().into_iter();
     let sent = actions.filter_map(|action| match action {
         ConsensusAction::Send { message, .. } => Some(message),
         _ => None,
@@ -24,7 +24,7 @@
 }
 
 fn is_accept(message: &ConsensusMessage) -> bool {
-    let ConsensusMessage::Ask { message, .. } = message else {
+    let ConsensusMessage::VoterRequest { message, .. } = message else {
         return false;
     };
     matches!(message.ask, VoterAsk::Accept { .. })
@@ -36,15 +36,15 @@
     let local = world.nodes[0].clock(world.now);
     let disks: Vec<u64> = world.nodes.iter().map(|node| node.disk).collect();
     let consensus = world.nodes[0].consensus.as_mut().unwrap();
-    consensus.actions();
-    consensus.write(local, 9_999, DESCRIPTION_KEY, 0, vec![1]);
+    consensus.take_actions();
+    consensus.write(local, 9_999, CONFIGURATION_KEY, 0, vec![1]);
     let asks = sent(consensus);
     let number = asks.iter().find_map(|message| match message {
-        ConsensusMessage::Ask { number, .. } => Some(*number),
+        ConsensusMessage::VoterRequest { number, .. } => Some(*number),
         _ => None,
     });
     let number = number.expect("nothing was asked");
-    let answer = |disk| ConsensusMessage::Answer {
+    let answer = |disk| ConsensusMessage::VoterResponse {
         disk,
         number,
         is_known: false,
@@ -74,20 +74,20 @@
     let mut world = started();
     let local = world.nodes[0].clock(world.now);
     let consensus = world.nodes[0].consensus.as_mut().unwrap();
-    let heartbeat = |life, number, known| {
+    let heartbeat = |incarnation, number, known| {
         ConsensusMessage::Heartbeat(Heartbeat {
             disk: 77,
-            life,
+            incarnation,
             number,
-            known,
+            known_set: known,
             ..Heartbeat::default()
         })
     };
     consensus.on_message(local, "at-9", heartbeat(5, 100, (1, 1)));
     consensus.on_message(local, "at-9", heartbeat(6, 1, (1, 1)));
-    consensus.actions();
+    consensus.take_actions();
     consensus.on_message(local, "at-9", heartbeat(5, 101, (1, 2)));
-    let wants_set = |message: &ConsensusMessage| *message == ConsensusMessage::WantSet;
+    let wants_set = |message: &ConsensusMessage| *message == ConsensusMessage::RequestVoterSet;
     assert!(!sent(consensus).iter().any(wants_set));
     consensus.on_message(local, "at-9", heartbeat(6, 2, (1, 2)));
     assert!(sent(consensus).iter().any(wants_set));
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)]
 mod world;
 
-use consensus::Membership;
+use consensus::MembershipState;
 use journal::Mishap;
 use world::{World, PATIENCE};
 
@@ -17,8 +17,12 @@
     world
 }
 
-fn membership(world: &World, place: usize) -> Membership {
-    world.nodes[place].consensus.as_ref().unwrap().membership()
+fn membership(world: &World, place: usize) -> MembershipState {
+    world.nodes[place]
+        .consensus
+        .as_ref()
+        .unwrap()
+        .membership_state()
 }
 
 /// Settles a value that members 0 and 2 alone hold, cuts 2 off, and lets a newcomer take its place by
@@ -53,7 +57,7 @@
         world.run(4 * PATIENCE);
         let kept = world.nodes[2].voter_set().map(|set| set.mark());
         assert_eq!(kept, Some((1, 2)), "seed {seed}: its copy is gone");
-        assert_eq!(membership(&world, 2), Membership::Leaving);
+        assert_eq!(membership(&world, 2), MembershipState::Leaving);
         world.rejoin(newcomer);
         let took = world.until(3_000, |world| world.nodes[newcomer].mark() >= (1, 2));
         assert!(took.is_some(), "seed {seed}: the newcomer installs nothing");
@@ -147,12 +151,14 @@
         let set = world.newest_set();
         assert_eq!((set.no, set.voters.len()), (2, 3), "seed {seed}");
         let voting = newcomers.map(|place| membership(&world, place));
-        assert!(voting.contains(&Membership::Voting) && voting.contains(&Membership::Joining));
+        assert!(
+            voting.contains(&MembershipState::Voting) && voting.contains(&MembershipState::Joining)
+        );
         world.lose(1);
         world.run(3 * PATIENCE);
         assert_eq!(world.newest_set().no, 3, "seed {seed}");
         for newcomer in newcomers {
-            assert_eq!(membership(&world, newcomer), Membership::Voting);
+            assert_eq!(membership(&world, newcomer), MembershipState::Voting);
             world.must_read(newcomer);
         }
         world.must_write(0);
@@ -214,22 +220,29 @@
     for seed in SEEDS {
         let mut world = started(seed);
         world.must_write(0);
-        let (life, disk) = (world.nodes[2].life, world.nodes[2].disk);
+        let (incarnation, disk) = (world.nodes[2].incarnation, world.nodes[2].disk);
         world.isolate(2);
         let newcomer = world.add_newcomer();
         world.part(2, newcomer);
         world.until(3 * PATIENCE, |world| world.nodes[newcomer].mark() == (1, 2));
         world.rejoin(2);
         world.run(3_000);
-        assert_eq!(world.nodes[2].life, life, "seed {seed}: its process ended");
+        assert_eq!(
+            world.nodes[2].incarnation, incarnation,
+            "seed {seed}: its process ended"
+        );
         assert_ne!(
             world.nodes[2].disk, disk,
             "seed {seed}: it kept its identity"
         );
-        assert_eq!(membership(&world, 2), Membership::Joining);
+        assert_eq!(membership(&world, 2), MembershipState::Joining);
         world.lose(0);
         world.run(3 * PATIENCE);
-        assert_eq!(membership(&world, 2), Membership::Voting, "seed {seed}");
+        assert_eq!(
+            membership(&world, 2),
+            MembershipState::Voting,
+            "seed {seed}"
+        );
         world.lose(1);
         world.must_read(2);
         world.must_write(newcomer);
@@ -255,7 +268,11 @@
         world.bring_back(1);
         world.run(4_000);
         assert_ne!(world.nodes[2].disk, disk, "seed {seed}");
-        assert_eq!(membership(&world, 2), Membership::Joining, "seed {seed}");
+        assert_eq!(
+            membership(&world, 2),
+            MembershipState::Joining,
+            "seed {seed}"
+        );
         world.must_read(2);
         world.must_read(1);
     }
@@ -268,7 +285,7 @@
         world.must_write(0);
         let moved = world.move_disk(2);
         world.run(1_000);
-        assert_eq!(membership(&world, moved), Membership::Voting);
+        assert_eq!(membership(&world, moved), MembershipState::Voting);
         let voters = world.newest_set().voters;
         assert_eq!(voters[2].address, format!("at-{moved}"), "seed {seed}");
         assert_eq!(voters[2].disk, world.nodes[moved].disk, "seed {seed}");
@@ -344,7 +361,11 @@
         world.nodes[newcomer].folder.suffer(Mishap::Full);
         world.cuts.clear();
         world.run(2 * PATIENCE);
-        assert_eq!(membership(&world, 2), Membership::Leaving, "seed {seed}");
+        assert_eq!(
+            membership(&world, 2),
+            MembershipState::Leaving,
+            "seed {seed}"
+        );
         world.lose(0);
         world.nodes[newcomer].folder.suffer(Mishap::Room);
         world.reopen(newcomer);
--- a/crates/consensus/tests/membership_seeds.rs
+++ b/crates/consensus/tests/membership_seeds.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)]
 mod world;
 
-use consensus::{CLOSURES_KEY, DESCRIPTION_KEY};
+use consensus::{CONFIGURATION_KEY, EVACUATIONS_KEY};
 use rand::Rng;
 use world::{Event, World};
 
@@ -102,7 +102,7 @@
         if world.nodes[place].consensus.is_none() || world.is_lost(place) {
             continue;
         }
-        for key in [DESCRIPTION_KEY, CLOSURES_KEY] {
+        for key in [CONFIGURATION_KEY, EVACUATIONS_KEY] {
             let reads = world.oracle.reads;
             world.change(place, key, false);
             world.run(400);
--- a/crates/consensus/tests/seeds.rs
+++ b/crates/consensus/tests/seeds.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)]
 mod world;
 
-use consensus::{CLOSURES_KEY, DESCRIPTION_KEY};
+use consensus::{CONFIGURATION_KEY, EVACUATIONS_KEY};
 use rand::Rng;
 use world::World;
 
@@ -50,11 +50,11 @@
     world.is_writing = false;
     world.run(2_000);
     for place in 0..world.nodes.len() {
-        for key in [DESCRIPTION_KEY, CLOSURES_KEY] {
+        for key in [CONFIGURATION_KEY, EVACUATIONS_KEY] {
             let Some(consensus) = world.nodes[place].consensus.as_ref() else {
                 continue;
             };
-            let known = consensus.settled(key).map_or(0, |(version, _)| version);
+            let known = consensus.committed(key).map_or(0, |(version, _)| version);
             let newest = world.oracle.newest(key);
             assert!(
                 known >= newest,
--- a/crates/consensus/tests/world/client.rs
+++ b/crates/consensus/tests/world/client.rs
@@ -1,5 +1,5 @@
 use super::{Event, World};
-use consensus::{CLOSURES_KEY, DESCRIPTION_KEY};
+use consensus::{CONFIGURATION_KEY, EVACUATIONS_KEY};
 use rand::Rng;
 
 impl World {
@@ -11,9 +11,9 @@
             return;
         }
         let key = if self.random.random_bool(0.5) {
-            DESCRIPTION_KEY
+            CONFIGURATION_KEY
         } else {
-            CLOSURES_KEY
+            EVACUATIONS_KEY
         };
         let is_write = self.random.random_bool(0.6);
         self.change(place, key, is_write);
@@ -25,7 +25,7 @@
             return;
         };
         if is_write {
-            let expected = consensus.settled(key).map_or(0, |(version, _)| version);
+            let expected = consensus.committed(key).map_or(0, |(version, _)| version);
             let bytes = self.random.random::<u64>().to_le_bytes().to_vec();
             let token = self.oracle.ask(key, Some((expected, bytes.clone())));
             consensus.write(local, token, key, expected, bytes);
--- a/crates/consensus/tests/world/faults.rs
+++ b/crates/consensus/tests/world/faults.rs
@@ -19,7 +19,7 @@
     pub fn is_whole(&self) -> bool {
         let sets = self.nodes.iter().filter_map(|node| node.consensus.as_ref());
         let newest = sets
-            .map(|consensus| consensus.set())
+            .map(|consensus| consensus.voter_set())
             .max_by_key(|set| set.mark());
         let Some(newest) = newest.filter(|set| set.era > 0) else {
             return false;
--- a/crates/consensus/tests/world/machines.rs
+++ b/crates/consensus/tests/world/machines.rs
@@ -1,7 +1,7 @@
 //! Machines that come and go, and what is seen of the sets of voters on the way.
 
 use super::{Event, World};
-use consensus::{ConsensusMessage, DESCRIPTION_KEY};
+use consensus::{ConsensusMessage, CONFIGURATION_KEY};
 use register::{VoterAsk, VoterSet, VOTERS_KEY};
 
 impl World {
@@ -63,7 +63,7 @@
     /// The newest set that any controller knows.
     pub fn newest_set(&self) -> VoterSet {
         let consensus = self.nodes.iter().filter_map(|node| node.consensus.as_ref());
-        let sets = consensus.map(|consensus| consensus.set().clone());
+        let sets = consensus.map(|consensus| consensus.voter_set().clone());
         sets.max_by_key(VoterSet::mark).unwrap_or_default()
     }
 
@@ -71,7 +71,7 @@
     pub fn describe(&self) -> String {
         let mut text = format!("{:?}", self.newest_set());
         for node in &self.nodes {
-            let reason = node.consensus.as_ref().map(|consensus| consensus.reason());
+            let reason = node.consensus.as_ref().map(|consensus| consensus.status());
             let reason = reason.unwrap_or_else(|| format!("down, gone {}", node.is_gone));
             let line = format!(
                 "\n{} disk {} {:?}: {reason}",
@@ -86,11 +86,11 @@
 
     /// Writes the next version at one controller, and fails where that is not acknowledged in time.
     pub fn must_write(&mut self, place: usize) {
-        let newest = self.oracle.newest(DESCRIPTION_KEY);
+        let newest = self.oracle.newest(CONFIGURATION_KEY);
         for _ in 0..20 {
-            self.change(place, DESCRIPTION_KEY, true);
+            self.change(place, CONFIGURATION_KEY, true);
             self.run(200);
-            if self.oracle.newest(DESCRIPTION_KEY) > newest {
+            if self.oracle.newest(CONFIGURATION_KEY) > newest {
                 return;
             }
         }
@@ -101,7 +101,7 @@
     pub fn must_read(&mut self, place: usize) {
         for _ in 0..20 {
             let reads = self.oracle.reads;
-            self.change(place, DESCRIPTION_KEY, false);
+            self.change(place, CONFIGURATION_KEY, false);
             self.run(200);
             if self.oracle.reads > reads {
                 return;
@@ -111,7 +111,7 @@
     }
 
     pub fn note_proposal(&mut self, from: usize, message: &ConsensusMessage) {
-        let ConsensusMessage::Ask { message, .. } = message else {
+        let ConsensusMessage::VoterRequest { message, .. } = message else {
             return;
         };
         if matches!(&message.ask, VoterAsk::Promise { key, .. } if key == VOTERS_KEY) {
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -139,41 +139,43 @@
             Event::Boot(place) => self.boot(place),
             Event::Thaw(place) => self.thaw(place),
             Event::Client(place) => self.client(place),
-            Event::Tick(place, life) => self.tick(place, life),
-            Event::Disk(place, life) => self.disk(place, life),
+            Event::Tick(place, incarnation) => self.tick(place, incarnation),
+            Event::Disk(place, incarnation) => self.disk(place, incarnation),
             Event::Deliver(place, from, message) => self.deliver(place, from, message),
         }
     }
 
-    fn tick(&mut self, place: usize, life: u64) {
+    fn tick(&mut self, place: usize, incarnation: u64) {
         let now = self.now;
         let node = &mut self.nodes[place];
-        if node.life != life || node.consensus.is_none() {
+        if node.incarnation != incarnation || node.consensus.is_none() {
             return;
         }
         if node.is_frozen {
-            node.frozen.push(Event::Tick(place, life));
+            node.frozen.push(Event::Tick(place, incarnation));
             return;
         }
         let local = node.clock(now);
         let mut pause = TICK;
         if let Some(consensus) = node.consensus.as_mut() {
             consensus.tick(local);
-            let due = consensus.due().map(|at| at.saturating_sub(local).max(1));
+            let due = consensus
+                .next_deadline()
+                .map(|at| at.saturating_sub(local).max(1));
             pause = pause.min(due.unwrap_or(pause));
         }
         self.drain(place);
-        self.later(pause, Event::Tick(place, life));
+        self.later(pause, Event::Tick(place, incarnation));
     }
 
-    fn disk(&mut self, place: usize, life: u64) {
+    fn disk(&mut self, place: usize, incarnation: u64) {
         let now = self.now;
         let node = &mut self.nodes[place];
-        if node.life != life || node.consensus.is_none() {
+        if node.incarnation != incarnation || node.consensus.is_none() {
             return;
         }
         if node.is_frozen {
-            node.frozen.push(Event::Disk(place, life));
+            node.frozen.push(Event::Disk(place, incarnation));
             return;
         }
         node.perform(now);
@@ -199,33 +201,35 @@
         let Some(consensus) = self.nodes[place].consensus.as_mut() else {
             return;
         };
-        for action in consensus.actions() {
+        for action in consensus.take_actions() {
             match action {
                 ConsensusAction::Send { to, message } => self.send(place, &to, message),
                 ConsensusAction::Disk(work) => {
                     self.nodes[place].works.push(work);
                     if self.nodes[place].works.len() == 1 {
-                        let (delay, life) =
-                            (self.random.random_range(1..6), self.nodes[place].life);
-                        self.later(delay, Event::Disk(place, life));
+                        let (delay, incarnation) = (
+                            self.random.random_range(1..6),
+                            self.nodes[place].incarnation,
+                        );
+                        self.later(delay, Event::Disk(place, incarnation));
                     }
                 }
-                ConsensusAction::Done { token, outcome } => {
+                ConsensusAction::RequestCompleted { token, outcome } => {
                     self.oracle.done(self.now, token, &outcome);
                 }
-                ConsensusAction::News { key, version } => {
+                ConsensusAction::ValueCommitted { key, version } => {
                     let settled = self.nodes[place].consensus.as_ref();
-                    let settled = settled.and_then(|consensus| consensus.settled(&key));
+                    let settled = settled.and_then(|consensus| consensus.committed(&key));
                     if let Some((newest, bytes)) = settled {
                         assert!(newest >= version);
                         self.oracle.settled(&key, newest, bytes);
                     }
                 }
-                ConsensusAction::DutyWon { term } => {
+                ConsensusAction::RoleAcquired { term } => {
                     self.oracle
-                        .won(self.now, term, place, self.nodes[place].life);
+                        .won(self.now, term, place, self.nodes[place].incarnation);
                 }
-                ConsensusAction::DutyLost => {}
+                ConsensusAction::RoleLost => {}
             }
         }
     }
@@ -278,7 +282,7 @@
         }
     }
 
-    /// Tells a controller something again that it was told at any time before, perhaps in an earlier life.
+    /// Tells a controller something again that it was told at any time before, perhaps in an earlier incarnation.
     pub fn replay(&mut self) {
         let past = self.past.iter().flatten();
         let count = past.count();
--- a/crates/consensus/tests/world/node.rs
+++ b/crates/consensus/tests/world/node.rs
@@ -1,6 +1,8 @@
 use super::{World, HEARTBEAT, LEASE, PATIENCE};
 use crate::world::Event;
-use consensus::{perform_on, Consensus, ConsensusOptions, DiskDone, DiskWork, HeldSummary};
+use consensus::{
+    execute_batch_on_disk, Consensus, ConsensusOptions, DiskCompletion, DiskWork, VoterSnapshot,
+};
 use journal::{Folder, MemoryFolder};
 use rand::rngs::StdRng;
 use rand::Rng;
@@ -14,7 +16,7 @@
     pub seeds: Vec<String>,
     pub is_first_start: bool,
     pub disk: u64,
-    pub life: u64,
+    pub incarnation: u64,
     pub folder: MemoryFolder,
     pub consensus: Option<Consensus>,
     pub voter: Option<VoterDisk>,
@@ -38,7 +40,7 @@
             seeds,
             is_first_start,
             disk: random.random(),
-            life: 0,
+            incarnation: 0,
             folder: MemoryFolder::default(),
             consensus: None,
             voter: None,
@@ -57,7 +59,7 @@
 
     /// The term under which the controller holds the duty, as it would say at this moment.
     pub fn term(&self, now: u64) -> Option<u64> {
-        self.consensus.as_ref()?.term(self.clock(now))
+        self.consensus.as_ref()?.role_term(self.clock(now))
     }
 
     /// Whether the controller would pass for current at this moment.
@@ -69,7 +71,7 @@
     /// The newest version of a key that the controller knows to be settled.
     pub fn settled(&self, key: &str) -> u64 {
         let consensus = self.consensus.as_ref();
-        let settled = consensus.and_then(|consensus| consensus.settled(key));
+        let settled = consensus.and_then(|consensus| consensus.committed(key));
         settled.map_or(0, |(version, _)| version)
     }
 
@@ -80,7 +82,7 @@
         let (Some(voter), Some(consensus)) = (self.voter.as_mut(), self.consensus.as_mut()) else {
             return;
         };
-        for done in perform_on(voter, works) {
+        for done in execute_batch_on_disk(voter, works) {
             consensus.on_disk(local, done);
         }
         voter.voter_mut().compact();
@@ -117,29 +119,29 @@
         let (now, seed) = (self.now, self.random.random());
         let wanted = self.wanted;
         let node = &mut self.nodes[place];
-        node.life += 1;
+        node.incarnation += 1;
         let voter = node.open_disk(node.disk);
         let options = ConsensusOptions {
             name: node.address.clone(),
             address: node.address.clone(),
             seeds: node.seeds.clone(),
             is_first_start: node.is_first_start,
-            disk: node.disk,
+            disk_id: node.disk,
             lease_ms: LEASE,
-            heartbeat_ms: HEARTBEAT,
-            patience_ms: PATIENCE,
+            heartbeat_interval_ms: HEARTBEAT,
+            replacement_timeout_ms: PATIENCE,
             seed,
-            voters_wanted: wanted,
+            target_voter_count: wanted,
         };
         let local = node.clock(now);
         node.consensus = Some(Consensus::new(
             options,
             local,
-            HeldSummary::of(voter.voter()),
+            VoterSnapshot::of(voter.voter()),
         ));
         node.voter = Some(voter);
-        let life = node.life;
-        self.later(0, Event::Tick(place, life));
+        let incarnation = node.incarnation;
+        self.later(0, Event::Tick(place, incarnation));
     }
 
     /// Opens a disk anew that had failed.
@@ -147,10 +149,10 @@
         let node = &mut self.nodes[place];
         let disk = node.voter.as_mut().unwrap();
         disk.reopen().unwrap();
-        let held = HeldSummary::of(disk.voter());
+        let held = VoterSnapshot::of(disk.voter());
         let local = node.clock(self.now);
         if let Some(consensus) = node.consensus.as_mut() {
-            consensus.on_disk(local, DiskDone::Held(held));
+            consensus.on_disk(local, DiskCompletion::VoterState(held));
         }
         self.drain(place);
     }
@@ -161,7 +163,7 @@
         let node = &mut self.nodes[place];
         let works = std::mem::take(&mut node.works);
         if let Some(voter) = node.voter.as_mut().filter(|_| is_done) {
-            perform_on(voter, works);
+            execute_batch_on_disk(voter, works);
         }
         node.consensus = None;
         node.voter = None;
--- a/crates/consensus/tests/world/oracle.rs
+++ b/crates/consensus/tests/world/oracle.rs
@@ -99,11 +99,11 @@
         *newest = (*newest).max(stored.version);
     }
 
-    pub fn won(&mut self, now: u64, term: u64, place: usize, life: u64) {
-        let holder = *self.terms.entry(term).or_insert((place, life));
+    pub fn won(&mut self, now: u64, term: u64, place: usize, incarnation: u64) {
+        let holder = *self.terms.entry(term).or_insert((place, incarnation));
         assert_eq!(
             holder,
-            (place, life),
+            (place, incarnation),
             "two holders won term {term} at {now}"
         );
         let newest = self.terms.keys().next_back().copied();
--- a/crates/controller/src/changes.rs
+++ b/crates/controller/src/changes.rs
@@ -1,7 +1,7 @@
 //! Operators' orders that are being worked on: connections and time-outs round the pure executions of `orders`.
 
 use crate::controller::Controller;
-use consensus::{CLOSURES_KEY, DESCRIPTION_KEY};
+use consensus::{CONFIGURATION_KEY, EVACUATIONS_KEY};
 use event_loop::ConnectionId;
 use operator_commands::{
     BaseVersion, Command, CommandExecution, CommandKind, CommandReply, ExecutionStep, RejectionKind,
@@ -44,9 +44,9 @@
 
 fn key_of(order: &Command) -> &'static str {
     if order.is_evacuation() {
-        CLOSURES_KEY
+        EVACUATIONS_KEY
     } else {
-        DESCRIPTION_KEY
+        CONFIGURATION_KEY
     }
 }
 
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -6,7 +6,7 @@
 use crate::options::{ControllerError, ControllerOptions};
 use crate::recent_changes::RecentChanges;
 use crate::scaling::Scaling;
-use consensus::{Consensus, ConsensusAction, ConsensusOptions, CLOSURES_KEY, DESCRIPTION_KEY};
+use consensus::{Consensus, ConsensusAction, ConsensusOptions, CONFIGURATION_KEY, EVACUATIONS_KEY};
 use event_loop::{ConnectionId, Event, EventLoop, ListenerId};
 use http1::RequestReader;
 use operator_commands::{ConfigurationRecord, Evacuations};
@@ -116,19 +116,19 @@
         let gateways = listen(options.gateway_address, LINK_INBOX)?;
         let consensus_hatch = listen(options.consensus_address, LINK_INBOX)?;
         let voter_disk = disk::open(&options.data_dir).map_err(ControllerError::Data)?;
-        let held = consensus::HeldSummary::of(voter_disk.voter());
+        let held = consensus::VoterSnapshot::of(voter_disk.voter());
         let consensus = Consensus::new(
             ConsensusOptions {
                 name: options.name.clone(),
                 address: options.consensus_address.to_string(),
                 seeds: options.seeds.iter().map(ToString::to_string).collect(),
                 is_first_start: options.is_first_start,
-                disk: voter_disk.identity(),
+                disk_id: voter_disk.identity(),
                 lease_ms: options.lease_ms(),
-                heartbeat_ms: options.heartbeat_ms(),
-                patience_ms: options.resync_ms * 3 / 5,
+                heartbeat_interval_ms: options.heartbeat_ms(),
+                replacement_timeout_ms: options.resync_ms * 3 / 5,
                 seed: rand::random(),
-                voters_wanted: options.voters_wanted,
+                target_voter_count: options.voters_wanted,
             },
             0,
             held,
@@ -216,13 +216,13 @@
             seeds.len()
         );
         let seeds = seeds.iter().map(ToString::to_string).collect();
-        self.consensus.learn_seeds(seeds);
+        self.consensus.update_seeds(seeds);
     }
 
     /// Does what the consensus machine wants done.
     fn act(&mut self) {
         loop {
-            let actions = self.consensus.actions();
+            let actions = self.consensus.take_actions();
             if actions.is_empty() {
                 return;
             }
@@ -230,16 +230,16 @@
                 match action {
                     ConsensusAction::Send { to, message } => self.send_controller(&to, message),
                     ConsensusAction::Disk(work) => self.disk.ask(work),
-                    ConsensusAction::Done { token, outcome } => {
+                    ConsensusAction::RequestCompleted { token, outcome } => {
                         if !self.job_done(token, &outcome) {
                             self.change_done(token, outcome);
                         }
                     }
-                    ConsensusAction::News { .. } => {}
-                    ConsensusAction::DutyWon { term } => {
+                    ConsensusAction::ValueCommitted { .. } => {}
+                    ConsensusAction::RoleAcquired { term } => {
                         log::info!("controller: scales under term {term}");
                     }
-                    ConsensusAction::DutyLost => log::info!("controller: scales no more"),
+                    ConsensusAction::RoleLost => log::info!("controller: scales no more"),
                 }
             }
             self.take_settled();
@@ -250,7 +250,7 @@
     fn take_settled(&mut self) {
         let mut has_news = false;
         let mut is_described = false;
-        if let Some((version, bytes)) = self.consensus.settled(DESCRIPTION_KEY) {
+        if let Some((version, bytes)) = self.consensus.committed(CONFIGURATION_KEY) {
             if version > self.kept_at {
                 if let Some(kept) = ConfigurationRecord::read(bytes) {
                     self.steps.note(version, &kept);
@@ -263,7 +263,7 @@
                 }
             }
         }
-        if let Some((version, bytes)) = self.consensus.settled(CLOSURES_KEY) {
+        if let Some((version, bytes)) = self.consensus.committed(EVACUATIONS_KEY) {
             if version > self.closures_at {
                 if let Some(closures) = Evacuations::read(bytes) {
                     self.closures = closures;
--- a/crates/controller/src/disk.rs
+++ b/crates/controller/src/disk.rs
@@ -1,6 +1,6 @@
 //! The thread that owns the voter's disk.
 
-use consensus::{perform_on, DiskDone, DiskWork, HeldSummary};
+use consensus::{execute_batch_on_disk, DiskCompletion, DiskWork, VoterSnapshot};
 use crossbeam::channel::{unbounded, Receiver, RecvTimeoutError, Sender};
 use journal::{DiskFolder, Folder};
 use mio::Waker;
@@ -21,17 +21,17 @@
 /// The thread that waits for the disk, so that nothing else does.
 pub(crate) struct Disk {
     work: Sender<DiskWork>,
-    done: Receiver<DiskDone>,
+    done: Receiver<DiskCompletion>,
     /// Bytes of work that waits.
     waiting: Arc<AtomicUsize>,
-    refused: Vec<DiskDone>,
+    refused: Vec<DiskCompletion>,
 }
 
 /// What the thread works with.
 struct Worker {
     disk: VoterDisk,
     work: Receiver<DiskWork>,
-    results: Sender<DiskDone>,
+    results: Sender<DiskCompletion>,
     waiting: Arc<AtomicUsize>,
     waker: Arc<Waker>,
 }
@@ -80,7 +80,7 @@
         let _ = self.work.send(work);
     }
 
-    pub fn done(&mut self) -> Vec<DiskDone> {
+    pub fn done(&mut self) -> Vec<DiskCompletion> {
         let refused = self.refused.drain(..);
         refused.chain(self.done.try_iter()).collect()
     }
@@ -111,8 +111,8 @@
             return;
         }
         log::warn!("controller: the disk works again, and all was written anew");
-        let held = HeldSummary::of(self.disk.voter());
-        let _ = self.results.send(DiskDone::Held(held));
+        let held = VoterSnapshot::of(self.disk.voter());
+        let _ = self.results.send(DiskCompletion::VoterState(held));
         let _ = self.waker.wake();
     }
 
@@ -120,7 +120,7 @@
         let rest = self.work.try_iter().take(BATCH_MAX);
         let batch: Vec<DiskWork> = std::iter::once(first).chain(rest).collect();
         let size = batch.iter().map(DiskWork::size).sum();
-        for done in perform_on(&mut self.disk, batch) {
+        for done in execute_batch_on_disk(&mut self.disk, batch) {
             let _ = self.results.send(done);
         }
         self.waiting.fetch_sub(size, Ordering::Relaxed);
--- a/crates/controller/src/gateways.rs
+++ b/crates/controller/src/gateways.rs
@@ -166,7 +166,7 @@
 
     fn controller_heartbeat(&self) -> Message {
         let port = self.options.gateway_port;
-        let controllers = self.consensus.controllers();
+        let controllers = self.consensus.known_controllers();
         let controllers = controllers.iter().filter_map(|address| {
             let address: SocketAddr = address.parse().ok()?;
             Some(SocketAddr::new(address.ip(), port).to_string())
@@ -174,7 +174,7 @@
         Message::ControllerHeartbeat {
             description: self.kept_at,
             closures: self.closures_at,
-            term: self.consensus.term(self.now).unwrap_or(0),
+            term: self.consensus.role_term(self.now).unwrap_or(0),
             controllers: controllers.collect(),
             district: self.options.zone.clone(),
             is_current: self.consensus.is_current(self.now),
@@ -240,9 +240,9 @@
         serde_json::json!({
             "name": self.options.name, "version": self.kept.version,
             "marks": [self.kept_at, self.closures_at],
-            "term": self.consensus.term(self.now).unwrap_or(0),
-            "consensus": self.consensus.reason(),
-            "controllers": self.consensus.controllers(), "current": self.consensus.is_current(self.now),
+            "term": self.consensus.role_term(self.now).unwrap_or(0),
+            "consensus": self.consensus.status(),
+            "controllers": self.consensus.known_controllers(), "current": self.consensus.is_current(self.now),
             "gateways": self.gateways.known.len(), "closed": self.closures.zones,
             "functions": functions,
         })
--- a/crates/controller/src/jobs.rs
+++ b/crates/controller/src/jobs.rs
@@ -89,6 +89,6 @@
             return;
         }
         self.jobs.turned_at = self.now;
-        self.disk.ask(DiskWork::TurnJobs);
+        self.disk.ask(DiskWork::RotateJobWindow);
     }
 }
--- a/crates/controller/src/operators.rs
+++ b/crates/controller/src/operators.rs
@@ -78,7 +78,7 @@
 
     /// Sends an operator on to a controller in contact with a majority, since this one may neither take nor refuse orders.
     fn send_on(&mut self, line: ConnectionId, target: &str, keeps_alive: bool) {
-        let members = self.consensus.members_in_contact(self.now);
+        let members = self.consensus.peers_in_contact(self.now);
         let turn: usize = rand::random::<u32>() as usize;
         let member = members.get(turn % members.len().max(1));
         let port = self.options.operator_address.port();
--- a/crates/controller/src/scaling.rs
+++ b/crates/controller/src/scaling.rs
@@ -39,7 +39,7 @@
 impl Controller {
     /// Takes up or lays down the duty, and does what it asks for.
     pub fn tend_scaling(&mut self) {
-        let term = self.consensus.term(self.now);
+        let term = self.consensus.role_term(self.now);
         let Some(term) = term else {
             if self.scaling.autoscaler.is_some() {
                 log::info!("scaler: laid down, term {} is over", self.scaling.term);
--- a/tests/compatibility/src/controller_folder.rs
+++ b/tests/compatibility/src/controller_folder.rs
@@ -3,7 +3,7 @@
 use crate::samples::operator_commands::{replaced_configuration, two_zones, updated_configuration};
 use crate::samples::register::voter;
 use crate::samples::stored::{done_job, role_lease, taken_job};
-use consensus::{perform_on, DiskWork, Installation};
+use consensus::{execute_batch_on_disk, DiskWork, Installation};
 use journal::{Folder, MemoryFolder};
 use register::{Ballot, Held, Stored, VoterAsk, VoterMessage, VoterSet};
 use speedy::Writable;
@@ -79,7 +79,7 @@
     /// Where there is no such stage.
     pub fn write(&mut self, stage: &str) {
         match stage {
-            "founded" => self.perform(vec![DiskWork::Form(first_set())]),
+            "founded" => self.perform(vec![DiskWork::FormSet(first_set())]),
             "configured" => self.perform_each(configuration_rounds()),
             "jobs" => self.perform_each(job_rounds()),
             "membership_changed" => self.perform(membership_change()),
@@ -98,7 +98,7 @@
     }
 
     fn perform(&mut self, batch: Vec<DiskWork>) {
-        perform_on(&mut self.disk, batch);
+        execute_batch_on_disk(&mut self.disk, batch);
     }
 
     fn perform_each(&mut self, works: Vec<DiskWork>) {
@@ -145,7 +145,7 @@
 }
 
 fn ask(set: &VoterSet, ask: VoterAsk) -> DiskWork {
-    DiskWork::Ask {
+    DiskWork::VoterRequest {
         to: "10.0.0.2:7000".into(),
         number: 1,
         known: (0, 0),
@@ -204,7 +204,7 @@
     vec![
         promise(&set, "voters", 9),
         accept(&set, "voters", 9, stored(1, &second_set())),
-        DiskWork::Adopt(second_set()),
+        DiskWork::AdoptSet(second_set()),
         promise(&second_set(), "voters", 10),
     ]
 }
@@ -221,12 +221,12 @@
         accept(&set, &key, counter, stored(1, &taken_job()))
     };
     vec![
-        DiskWork::TurnJobs,
+        DiskWork::RotateJobWindow,
         claim("invoice-2044", 11),
-        DiskWork::TurnJobs,
-        DiskWork::TurnJobs,
+        DiskWork::RotateJobWindow,
+        DiskWork::RotateJobWindow,
         claim("invoice-2045", 13),
-        DiskWork::Mend("duty".into(), newer),
+        DiskWork::Repair("duty".into(), newer),
     ]
 }
 
@@ -252,8 +252,5 @@
         floors: (0, 0),
         keys: vec![("description".into(), held)],
     };
-    vec![
-        DiskWork::BeginAnew(DISK_ANEW),
-        DiskWork::Install(installation),
-    ]
+    vec![DiskWork::Reset(DISK_ANEW), DiskWork::Install(installation)]
 }
--- a/tests/compatibility/src/samples/consensus.rs
+++ b/tests/compatibility/src/samples/consensus.rs
@@ -4,7 +4,9 @@
 use crate::samples::register::{
     answers, ballot, questions, register_state, versioned_value, voter_set,
 };
-use consensus::{Ack, ConsensusMessage, CopyPage, HeardHeartbeat, Heartbeat, SetNews};
+use consensus::{
+    ConsensusMessage, Heartbeat, HeartbeatAck, ReplicaPage, RoleLeaseAck, VoterSetUpdate,
+};
 use register::{VoterMessage, VoterReply, VoterSet};
 
 /// Every message between controllers.
@@ -20,7 +22,7 @@
     let link = ConsensusMessage::Link {
         address: "10.0.0.1:7000".into(),
     };
-    let ack = ConsensusMessage::Ack(Ack {
+    let ack = ConsensusMessage::RoleLeaseAck(RoleLeaseAck {
         disk: 0x0102_0304_0506_0708,
         mark: (2, 5),
         term: (2 << 40) | 12,
@@ -38,19 +40,19 @@
 fn heartbeat() -> Heartbeat {
     Heartbeat {
         disk: 0x0102_0304_0506_0708,
-        life: 0x2122_2324_2526_2728,
+        incarnation: 0x2122_2324_2526_2728,
         number: 401,
-        mark: (2, 5),
-        known: (2, 6),
-        settled: vec![(9, 0xfeed), (3, 7), (12, 1), (0, 0)],
-        claim: (2 << 40) | 12,
-        is_free: true,
-        hears: 0b101,
-        spares: 2,
+        own_set: (2, 5),
+        known_set: (2, 6),
+        committed: vec![(9, 0xfeed), (3, 7), (12, 1), (0, 0)],
+        role_term: (2 << 40) | 12,
+        grants_role: true,
+        reachable_members: 0b101,
+        spare_controllers: 2,
         is_first_start: false,
         is_in_contact: true,
-        heard: HeardHeartbeat {
-            life: 0x3132_3334_3536_3738,
+        acknowledged: HeartbeatAck {
+            incarnation: 0x3132_3334_3536_3738,
             number: 399,
         },
     }
@@ -74,7 +76,7 @@
 }
 
 fn ask(message: VoterMessage) -> ConsensusMessage {
-    ConsensusMessage::Ask {
+    ConsensusMessage::VoterRequest {
         number: 77,
         known: (9, 0xfeed_beef_0000_0001),
         message,
@@ -82,7 +84,7 @@
 }
 
 fn answer(is_known: bool, reply: VoterReply) -> ConsensusMessage {
-    ConsensusMessage::Answer {
+    ConsensusMessage::VoterResponse {
         disk: 0x1112_1314_1516_1718,
         number: 77,
         is_known,
@@ -95,11 +97,11 @@
         no: 4,
         ..voter_set()
     };
-    let after_change = SetNews {
+    let after_change = VoterSetUpdate {
         set: voter_set(),
         previous: Some(previous),
     };
-    let first = SetNews {
+    let first = VoterSetUpdate {
         set: voter_set(),
         previous: None,
     };
@@ -107,23 +109,23 @@
         disk: u64::MAX,
         mark: (2, 5),
     };
-    let confirm = ConsensusMessage::WantInstalled { mark: (2, 5) };
+    let confirm = ConsensusMessage::ConfirmInstalled { mark: (2, 5) };
     vec![
-        sample("request_voter_set", ConsensusMessage::WantSet),
-        sample("voter_set", ConsensusMessage::Set(after_change)),
-        sample("voter_set_first", ConsensusMessage::Set(first)),
-        sample("form", ConsensusMessage::Form(voter_set())),
+        sample("request_voter_set", ConsensusMessage::RequestVoterSet),
+        sample("voter_set", ConsensusMessage::VoterSet(after_change)),
+        sample("voter_set_first", ConsensusMessage::VoterSet(first)),
+        sample("form", ConsensusMessage::FormVoterSet(voter_set())),
         sample("confirm_installed", confirm),
         sample("installed", installed),
     ]
 }
 
 fn catching_up() -> Vec<Sample<ConsensusMessage>> {
-    let request_replica = ConsensusMessage::Pull {
+    let request_replica = ConsensusMessage::RequestReplica {
         mark: (2, 5),
         after: "closures".into(),
     };
-    let request_value = ConsensusMessage::WantValue {
+    let request_value = ConsensusMessage::RequestValue {
         key: "description".into(),
         version: 9,
     };
@@ -134,14 +136,14 @@
     };
     vec![
         sample("request_replica", request_replica),
-        sample("replica", ConsensusMessage::Copy(replica_page())),
+        sample("replica", ConsensusMessage::Replica(replica_page())),
         sample("request_value", request_value),
         sample("value", value),
     ]
 }
 
-fn replica_page() -> CopyPage {
-    CopyPage {
+fn replica_page() -> ReplicaPage {
+    ReplicaPage {
         disk: 0x1112_1314_1516_1718,
         mark: (2, 5),
         floors: (1_700_000_000_000, 1_700_000_000_001),
--- a/tests/compatibility/src/samples/stored.rs
+++ b/tests/compatibility/src/samples/stored.rs
@@ -2,7 +2,7 @@
 
 use crate::sample::{sample, Sample};
 use configuration::{PeerRef, Plan, RunnerEntry, RunnerState, Version};
-use consensus::TermHolder;
+use consensus::RoleHolder;
 use idempotency_keys::Claim as OnceClaim;
 use jobs::{Claim, ClaimState, RunnerId};
 use leader_election::Tenure;
@@ -49,16 +49,16 @@
 }
 
 /// The lease of the controller that scales.
-pub fn role_lease() -> TermHolder {
-    TermHolder {
+pub fn role_lease() -> RoleHolder {
+    RoleHolder {
         address: "10.0.0.1:7000".into(),
         name: "ctl-1".into(),
-        life: 0x2122_2324_2526_2728,
+        incarnation: 0x2122_2324_2526_2728,
     }
 }
 
 /// Values of the scaler's register.
-pub fn role_leases() -> Vec<Sample<TermHolder>> {
+pub fn role_leases() -> Vec<Sample<RoleHolder>> {
     vec![sample("role_lease", role_lease())]
 }
 
--- a/tests/hollow/src/controllers.rs
+++ b/tests/hollow/src/controllers.rs
@@ -2,8 +2,8 @@
 
 use crate::meter::{timed, Markdown};
 use consensus::{
-    perform, Consensus, ConsensusAction, ConsensusMessage, ConsensusOptions, DiskWork, HeldSummary,
-    DESCRIPTION_KEY,
+    execute_batch, Consensus, ConsensusAction, ConsensusMessage, ConsensusOptions, DiskWork,
+    VoterSnapshot, CONFIGURATION_KEY,
 };
 use journal::MemoryFolder;
 use protocol::frame;
@@ -45,15 +45,15 @@
                 address: address(place),
                 seeds: (0..count).map(address).collect(),
                 is_first_start: true,
-                disk: 1_000 + place as u64,
+                disk_id: 1_000 + place as u64,
                 lease_ms: LEASE_MS,
-                heartbeat_ms: HEARTBEAT_MS,
-                patience_ms: 2_000,
+                heartbeat_interval_ms: HEARTBEAT_MS,
+                replacement_timeout_ms: 2_000,
                 seed: place as u64,
-                voters_wanted: 5,
+                target_voter_count: 5,
             };
             Controller {
-                consensus: Consensus::new(options, 0, HeldSummary::of(&voter)),
+                consensus: Consensus::new(options, 0, VoterSnapshot::of(&voter)),
                 voter,
                 works: Vec::new(),
                 cpu: 0,
@@ -92,7 +92,7 @@
             let controller = &mut self.controllers[place];
             let works = std::mem::take(&mut controller.works);
             if !works.is_empty() {
-                for done in perform(&mut controller.voter, works) {
+                for done in execute_batch(&mut controller.voter, works) {
                     timed(&mut controller.cpu, || {
                         controller.consensus.on_disk(self.now, done)
                     });
@@ -105,7 +105,7 @@
     fn drain(&mut self, from: usize) {
         let now = self.now;
         let controller = &mut self.controllers[from];
-        for action in controller.consensus.actions() {
+        for action in controller.consensus.take_actions() {
             match action {
                 ConsensusAction::Send { to, message } => {
                     let bytes = timed(&mut controller.cpu, || frame(&message).len() as u64);
@@ -118,7 +118,7 @@
                     self.ways.push_back((now + WAY_MS, from, to, message));
                 }
                 ConsensusAction::Disk(work) => controller.works.push(work),
-                ConsensusAction::Done { token, outcome } => {
+                ConsensusAction::RequestCompleted { token, outcome } => {
                     controller.done = Some((token, outcome))
                 }
                 _ => {}
@@ -137,7 +137,7 @@
     }
 
     fn holder(&self) -> usize {
-        let holds = |controller: &Controller| controller.consensus.term(self.now).is_some();
+        let holds = |controller: &Controller| controller.consensus.role_term(self.now).is_some();
         self.controllers
             .iter()
             .position(holds)
@@ -149,7 +149,7 @@
         let began = self.now;
         let version = self.controllers[place]
             .consensus
-            .settled(DESCRIPTION_KEY)
+            .committed(CONFIGURATION_KEY)
             .map_or(0, |one| one.0);
         // Of bytes that no deflating makes smaller.
         let bytes = (0..size).map(|at| (at * 31 % 251) as u8).collect();
@@ -157,7 +157,7 @@
         controller.done = None;
         controller
             .consensus
-            .write(self.now, 1, DESCRIPTION_KEY, version, bytes);
+            .write(self.now, 1, CONFIGURATION_KEY, version, bytes);
         self.drain(place);
         while self.controllers[place].done.is_none() {
             self.step();
--- a/tests/model/src/consensus/invariants.rs
+++ b/tests/model/src/consensus/invariants.rs
@@ -1,7 +1,7 @@
 //! What must hold in every state, and what must be reached at all for that to mean something.
 
 use super::system::System;
-use consensus::DESCRIPTION_KEY;
+use consensus::CONFIGURATION_KEY;
 use register::VoterSet;
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
 fn copies(system: &System) -> BTreeMap<u64, Copy> {
     let mut copies = BTreeMap::new();
     for node in &system.nodes {
-        let held = node.held().held(DESCRIPTION_KEY);
+        let held = node.held().held(CONFIGURATION_KEY);
         let stored = held.map(|held| held.stored.clone()).unwrap_or_default();
         let copy = Copy {
             mark: node.held().set().mark(),
@@ -44,7 +44,7 @@
 
 /// Every majority of the newest set whose members all vote in it holds what was acknowledged.
 pub fn check(system: &System) -> Result<(), String> {
-    let version = system.history.acknowledged(DESCRIPTION_KEY);
+    let version = system.history.acknowledged(CONFIGURATION_KEY);
     if version == 0 {
         return Ok(());
     }
@@ -72,7 +72,7 @@
         let same = voting
             .iter()
             .filter(|other| other.version == copy.version && other.bytes == copy.bytes);
-        let told = system.history.settled(DESCRIPTION_KEY, copy.version);
+        let told = system.history.settled(CONFIGURATION_KEY, copy.version);
         let differs = told.is_some_and(|bytes| *bytes != copy.bytes);
         if same.count() >= set.majority() && differs {
             return Err(format!("a majority holds another version {}", copy.version));
--- a/tests/model/src/consensus/mod.rs
+++ b/tests/model/src/consensus/mod.rs
@@ -2,7 +2,7 @@
 //! faults.
 //!
 //! What runs is the product's own code: `consensus::Consensus` (registers, membership, installing, catching up, the lease on the
-//! scaling duty), `consensus::perform` over `voter::Voter` and `journal`. The model adds the network, the clock, crashes
+//! scaling duty), `consensus::execute_batch` over `voter::Voter` and `journal`. The model adds the network, the clock, crashes
 //! that lose what was not synced, and callers.
 //!
 //! A step of the exploration is one round of [`STEP_MS`], at whose beginning a fault may come. Reductions:
--- a/tests/model/src/consensus/node.rs
+++ b/tests/model/src/consensus/node.rs
@@ -1,6 +1,8 @@
 use super::{HEARTBEAT_MS, LEASE_MS, PATIENCE_MS};
 use crate::fingerprint::Fingerprinter;
-use consensus::{perform_on, Consensus, ConsensusAction, ConsensusOptions, DiskWork, HeldSummary};
+use consensus::{
+    execute_batch_on_disk, Consensus, ConsensusAction, ConsensusOptions, DiskWork, VoterSnapshot,
+};
 use journal::{Folder, MemoryFolder, Mishap};
 use register::Acceptor;
 use speedy::Writable;
@@ -103,18 +105,18 @@
         self.folder = self.folder.copy();
         let disk = open(&self.folder, self.identity);
         self.identity = disk.identity();
-        let held = HeldSummary::of(disk.voter());
+        let held = VoterSnapshot::of(disk.voter());
         let options = ConsensusOptions {
             name: address(self.place),
             address: address(self.place),
             seeds: seeds.to_vec(),
             is_first_start: self.is_first_start,
-            disk: self.disk(),
+            disk_id: self.disk(),
             lease_ms: LEASE_MS,
-            heartbeat_ms: HEARTBEAT_MS,
-            patience_ms: PATIENCE_MS,
+            heartbeat_interval_ms: HEARTBEAT_MS,
+            replacement_timeout_ms: PATIENCE_MS,
             seed: self.place as u64 * SEED_STRIDE + self.lives,
-            voters_wanted,
+            target_voter_count: voters_wanted,
         };
         self.consensus = Some(Consensus::new(options, now, held));
     }
@@ -147,7 +149,7 @@
             *folder = folder.copy();
             open(folder, identity)
         });
-        for done in perform_on(disk, work) {
+        for done in execute_batch_on_disk(disk, work) {
             consensus.on_disk(now, done);
         }
         self.identity = disk.identity();
@@ -156,12 +158,12 @@
     /// What the consensus wants done.
     pub fn take_actions(&mut self) -> Vec<ConsensusAction> {
         let consensus = self.consensus.as_mut();
-        consensus.map(Consensus::actions).unwrap_or_default()
+        consensus.map(Consensus::take_actions).unwrap_or_default()
     }
 
     /// The term under which the controller holds the scaling duty.
     pub fn term(&self, now: u64) -> Option<u64> {
-        self.consensus.as_ref()?.term(now)
+        self.consensus.as_ref()?.role_term(now)
     }
 
     /// Hash of all that decides the machine's future but for the position of its random generator.
--- a/tests/model/src/consensus/system.rs
+++ b/tests/model/src/consensus/system.rs
@@ -3,7 +3,7 @@
 use super::node::{address, place_of, Node};
 use super::STEP_MS;
 use crate::fingerprint::Fingerprinter;
-use consensus::{ConsensusAction, ConsensusMessage, DESCRIPTION_KEY};
+use consensus::{ConsensusAction, ConsensusMessage, CONFIGURATION_KEY};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -198,23 +198,23 @@
             let Some(consensus) = self.nodes[place].consensus.as_ref() else {
                 continue;
             };
-            if self.is_frozen(place) || consensus.set().era == 0 {
+            if self.is_frozen(place) || consensus.voter_set().era == 0 {
                 continue;
             }
             if place >= 2 {
-                let token = self.history.begin(DESCRIPTION_KEY, None);
+                let token = self.history.begin(CONFIGURATION_KEY, None);
                 if let Some(consensus) = self.node(place).consensus.as_mut() {
-                    consensus.read(now, token, DESCRIPTION_KEY);
+                    consensus.read(now, token, CONFIGURATION_KEY);
                 }
                 continue;
             }
-            let settled = consensus.settled(DESCRIPTION_KEY);
+            let settled = consensus.committed(CONFIGURATION_KEY);
             let expected = settled.map_or(0, |(version, _)| version);
             let bytes = vec![round as u8, place as u8];
             let write = Some((expected, bytes.clone()));
-            let token = self.history.begin(DESCRIPTION_KEY, write);
+            let token = self.history.begin(CONFIGURATION_KEY, write);
             if let Some(consensus) = self.node(place).consensus.as_mut() {
-                consensus.write(now, token, DESCRIPTION_KEY, expected, bytes);
+                consensus.write(now, token, CONFIGURATION_KEY, expected, bytes);
             }
         }
         for place in 0..self.nodes.len() {
@@ -307,12 +307,14 @@
                 match action {
                     ConsensusAction::Send { to, message } => self.send(place, &to, message),
                     ConsensusAction::Disk(one) => work.push(one),
-                    ConsensusAction::Done { token, outcome } => {
+                    ConsensusAction::RequestCompleted { token, outcome } => {
                         self.history.end(token, &outcome)?
                     }
-                    ConsensusAction::News { key, version } => self.learn(place, &key, version)?,
-                    ConsensusAction::DutyWon { term } => self.note_term(place, term)?,
-                    ConsensusAction::DutyLost => {}
+                    ConsensusAction::ValueCommitted { key, version } => {
+                        self.learn(place, &key, version)?
+                    }
+                    ConsensusAction::RoleAcquired { term } => self.note_term(place, term)?,
+                    ConsensusAction::RoleLost => {}
                 }
             }
             if !work.is_empty() {
@@ -330,7 +332,7 @@
 
     fn learn(&mut self, place: usize, key: &str, version: u64) -> Result<(), String> {
         let consensus = self.nodes[place].consensus.as_ref();
-        let settled = consensus.and_then(|consensus| consensus.settled(key));
+        let settled = consensus.and_then(|consensus| consensus.committed(key));
         let Some((newest, bytes)) = settled else {
             return Ok(());
         };
--- a/tests/model/src/registers/disk.rs
+++ b/tests/model/src/registers/disk.rs
@@ -1,5 +1,5 @@
 use crate::fingerprint::Fingerprinter;
-use consensus::{perform, CopyPage, DiskDone, DiskWork};
+use consensus::{execute_batch, DiskCompletion, DiskWork, ReplicaPage};
 use journal::{MemoryFolder, Mishap};
 use register::{Acceptor, VoterMessage, VoterReply};
 use speedy::Writable;
@@ -37,17 +37,17 @@
     }
 
     /// Does work and gives what came of it.
-    pub fn work(&mut self, work: DiskWork) -> Vec<DiskDone> {
+    pub fn work(&mut self, work: DiskWork) -> Vec<DiskCompletion> {
         self.folder = self.folder.copy();
         let mut voter = open(&self.folder);
-        let dones = perform(&mut voter, vec![work]);
+        let dones = execute_batch(&mut voter, vec![work]);
         self.note(&voter);
         dones
     }
 
     /// The voter's answer to a question.
     pub fn ask(&mut self, message: VoterMessage) -> Option<VoterReply> {
-        let work = DiskWork::Ask {
+        let work = DiskWork::VoterRequest {
             to: String::new(),
             number: 0,
             known: (0, 0),
@@ -55,21 +55,21 @@
         };
         let mut dones = self.work(work).into_iter();
         dones.find_map(|done| match done {
-            DiskDone::Reply { reply, .. } => Some(reply),
+            DiskCompletion::VoterResponse { reply, .. } => Some(reply),
             _ => None,
         })
     }
 
     /// A copy of what is held under a set.
-    pub fn copy(&mut self, mark: (u64, u64)) -> Option<CopyPage> {
-        let work = DiskWork::Pull {
+    pub fn copy(&mut self, mark: (u64, u64)) -> Option<ReplicaPage> {
+        let work = DiskWork::ReadReplica {
             to: String::new(),
             mark,
             after: String::new(),
         };
         let mut dones = self.work(work).into_iter();
         dones.find_map(|done| match done {
-            DiskDone::Copy { page, .. } => Some(page),
+            DiskCompletion::ReplicaPage { page, .. } => Some(page),
             _ => None,
         })
     }
--- a/tests/model/src/registers/exploration.rs
+++ b/tests/model/src/registers/exploration.rs
@@ -74,7 +74,7 @@
         let mut disks = BTreeMap::new();
         for disk in 1..=MEMBERS {
             let mut voter = VoterDisk::empty();
-            voter.work(DiskWork::Form(first_set()));
+            voter.work(DiskWork::FormSet(first_set()));
             disks.insert(disk, voter);
         }
         if self.has_newcomer {
@@ -137,7 +137,7 @@
             Step::Handle(place, disk) => next.handle(*place, *disk),
             Step::Answer(place) => next.answer(*place)?,
             Step::Adopt(disk) => {
-                let work = DiskWork::Adopt(next.set.clone());
+                let work = DiskWork::AdoptSet(next.set.clone());
                 next.disks.get_mut(disk).map(|voter| voter.work(work));
             }
             Step::Copy(disk) => {
--- a/tests/model/src/registers/mod.rs
+++ b/tests/model/src/registers/mod.rs
@@ -1,7 +1,7 @@
 //! Model of the registers and of a change of the voters' set: every order of single messages.
 //!
 //! What runs is the product's own code: `register` (`Proposal`, `Acceptor`, `replaced`, `merged`), `voter::Voter` over
-//! `journal`, and `consensus::perform`. The model adds callers that drive proposals, the network, crashes, and a newcomer
+//! `journal`, and `consensus::execute_batch`. The model adds callers that drive proposals, the network, crashes, and a newcomer
 //! that asks for copies and installs them once a majority of the set's other members gave theirs.
 //!
 //! Reductions, none of which hides a state from the invariants:
--- a/tests/model/src/registers/state.rs
+++ b/tests/model/src/registers/state.rs
@@ -1,7 +1,7 @@
 use super::disk::VoterDisk;
 use super::exploration::Step;
 use super::proposer::{Proposer, Question};
-use consensus::{CopyPage, DiskWork, Installation};
+use consensus::{DiskWork, Installation, ReplicaPage};
 use register::{merged, Change, Outcome, VoterMessage, VoterRef, VoterReply, VoterSet, VOTERS_KEY};
 use speedy::Readable;
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,7 +32,7 @@
     pub(super) answers: Vec<(usize, u64, VoterReply)>,
     /// The newest set that is settled.
     pub(super) set: VoterSet,
-    pub(super) copies: BTreeMap<u64, CopyPage>,
+    pub(super) copies: BTreeMap<u64, ReplicaPage>,
     pub(super) settled: BTreeMap<u64, Vec<u8>>,
     pub(super) acknowledged: u64,
 }
