--- a/tests/mutations/src/error.rs
+++ b/tests/mutations/src/error.rs
@@ -19,6 +19,15 @@
         /// How often the text is found.
         found: usize,
     },
+    /// An entry names a package or a test target that is not in the workspace.
+    NoSuchTests {
+        /// Name of the entry.
+        entry: String,
+        /// The arguments of `cargo test` that name it.
+        tests: String,
+    },
+    /// A source file belongs to no package of the workspace.
+    NoPackage(std::path::PathBuf),
     /// A range of entries on the command line cannot be read.
     Range(String),
 }
@@ -32,6 +41,13 @@
                 formatter,
                 "{entry}: its text is found {found} times in the sources, not once"
             ),
+            Self::NoSuchTests { entry, tests } => write!(
+                formatter,
+                "{entry}: `{tests}` names no tests of the workspace"
+            ),
+            Self::NoPackage(file) => {
+                write!(formatter, "{} belongs to no package", file.display())
+            }
             Self::Range(text) => write!(formatter, "`{text}` is no number and no range"),
         }
     }
--- a/tests/mutations/src/main.rs
+++ b/tests/mutations/src/main.rs
@@ -1,24 +1,30 @@
 //! Command line of the mutation tests; `.ci/mutations` calls it.
 
 use clap::Parser;
-use mutations::{load_entries, CargoRunner, Entry, MutationError, ScratchTree, Verdict};
+use mutations::{
+    is_good, load_entries, table, verdict_text, Campaign, CargoOptions, Entry, MutationError,
+    Trial, TrialResult, Workspace,
+};
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// Removes one safety mechanism after the other from a scratch copy and shows which tests notice.
 #[derive(Parser)]
-struct Options {
+struct MutationArguments {
     /// Numbers of the entries to run, such as `3` or `10-19`; all of them by default.
     entries: Vec<String>,
-    /// Only check that each entry still applies to the sources.
-    #[arg(long)]
+    /// Only check that each entry still applies to the sources, and that the tests that it names are there.
+    #[arg(long, conflicts_with = "compile")]
     check: bool,
+    /// Only compile the package of each mutated file.
+    #[arg(long)]
+    compile: bool,
     /// Root of the workspace.
     #[arg(long, default_value = ".")]
     root: PathBuf,
-    /// Folder of the scratch copy and its builds.
+    /// Folder of the scratch copies and their builds.
     #[arg(long, default_value = "target/mutations")]
     scratch: PathBuf,
     /// Command put before cargo.
@@ -26,7 +32,13 @@
     prefix: String,
     /// Seconds in which the tests of one run must end.
     #[arg(long, default_value_t = 240)]
-    limit: u64,
+    timeout: u64,
+    /// Entries that are tried at once.
+    #[arg(long, default_value_t = 3)]
+    workers: usize,
+    /// Compilers that one build may run at once.
+    #[arg(long, default_value_t = 4)]
+    build_jobs: usize,
 }
 
 fn parse_range(text: &str) -> Result<RangeInclusive<u32>, MutationError> {
@@ -37,74 +49,68 @@
     Ok(first..=last)
 }
 
-fn chosen(options: &Options) -> Result<Vec<Entry>, MutationError> {
-    let ranges = options.entries.iter().map(|text| parse_range(text));
+fn chosen(arguments: &MutationArguments) -> Result<Vec<Entry>, MutationError> {
+    let ranges = arguments.entries.iter().map(|text| parse_range(text));
     let ranges: Vec<RangeInclusive<u32>> = ranges.collect::<Result<_, _>>()?;
-    let mut entries = load_entries(&options.root)?;
+    let mut entries = load_entries(&arguments.root)?;
     entries.retain(|entry| {
         ranges.is_empty() || ranges.iter().any(|range| range.contains(&entry.number))
     });
     Ok(entries)
 }
 
-fn check(options: &Options, entries: &[Entry]) -> bool {
-    let mut applies = true;
+/// Checks that entries apply and that their tests are there; nothing is built.
+fn check(arguments: &MutationArguments, entries: &[Entry]) -> Result<bool, MutationError> {
+    let workspace = Workspace::read(&arguments.root)?;
+    let mut is_valid = true;
     for entry in entries {
-        if let Err(error) = entry.check(&options.root) {
+        let checks = [entry.check(&arguments.root), workspace.check_tests(entry)];
+        for error in checks.into_iter().filter_map(Result::err) {
             println!("{error}");
-            applies = false;
+            is_valid = false;
         }
     }
     println!("{} mutations checked", entries.len());
-    applies
+    Ok(is_valid)
 }
 
-fn describe(verdict: &Verdict) -> String {
-    match verdict {
-        Verdict::Caught(tests) => format!("caught by {}", tests.join(", ")),
-        Verdict::TimedOut => "TIMED OUT, not decided".into(),
-        Verdict::Missed => "MISSED".into(),
-        Verdict::DoesNotBuild => "DOES NOT BUILD".into(),
-    }
+fn print_result(result: &TrialResult) {
+    let (name, seconds) = (&result.entry.name, result.took.as_secs());
+    println!("{name}: {} [{seconds} s]", verdict_text(&result.verdict));
 }
 
-fn run(options: &Options, entries: &[Entry]) -> Result<bool, MutationError> {
-    let scratch = options.root.canonicalize()?.join(&options.scratch);
-    let tree = ScratchTree::new(&options.root, &scratch.join("tree"));
-    let runner = CargoRunner {
-        target: scratch.join("target"),
-        prefix: options
-            .prefix
-            .split_whitespace()
-            .map(str::to_string)
-            .collect(),
-        limit: Duration::from_secs(options.limit),
+/// Tries entries and prints a table.
+fn run(arguments: &MutationArguments, entries: Vec<Entry>) -> Result<bool, MutationError> {
+    let root = arguments.root.canonicalize()?;
+    let prefix = arguments.prefix.split_whitespace();
+    let campaign = Campaign {
+        scratch: root.join(&arguments.scratch),
+        root,
+        workers: arguments.workers,
+        trial: if arguments.compile {
+            Trial::Compile
+        } else {
+            Trial::Test
+        },
+        cargo: CargoOptions {
+            prefix: prefix.map(str::to_string).collect(),
+            timeout: Duration::from_secs(arguments.timeout),
+            build_jobs: arguments.build_jobs,
+        },
     };
-    let mut caught = 0;
-    for entry in entries {
-        let begun = Instant::now();
-        tree.apply(entry)?;
-        let verdict = runner.run(tree.path(), entry)?;
-        caught += usize::from(matches!(verdict, Verdict::Caught(_)));
-        let (removes, seconds) = (&entry.removes, begun.elapsed().as_secs());
-        println!(
-            "{} ({removes}): {} [{seconds} s]",
-            entry.name,
-            describe(&verdict)
-        );
-    }
-    println!("{} mutations tried, {caught} caught", entries.len());
-    Ok(caught == entries.len())
+    let results = campaign.run(entries, print_result)?;
+    println!("\n{}", table(&results));
+    Ok(results.iter().all(|result| is_good(&result.verdict)))
 }
 
 fn main() -> ExitCode {
-    let options = Options::parse();
-    let entries = chosen(&options);
-    let outcome = entries.and_then(|entries| {
-        if options.check {
-            return Ok(check(&options, &entries));
+    let arguments = MutationArguments::parse();
+    let outcome = chosen(&arguments).and_then(|entries| {
+        if arguments.check {
+            check(&arguments, &entries)
+        } else {
+            run(&arguments, entries)
         }
-        run(&options, &entries)
     });
     match outcome {
         Ok(true) => ExitCode::SUCCESS,
--- a/tests/mutations/src/tree.rs
+++ b/tests/mutations/src/tree.rs
@@ -65,7 +65,7 @@
 }
 
 /// All files under a folder, by their path from there, without those that no build needs.
-fn files_under(root: &Path) -> Result<Vec<PathBuf>, MutationError> {
+pub(crate) fn files_under(root: &Path) -> Result<Vec<PathBuf>, MutationError> {
     let mut files = Vec::new();
     let mut folders = vec![PathBuf::new()];
     while let Some(folder) = folders.pop() {
--- a/tests/mutations/tests/entries.rs
+++ b/tests/mutations/tests/entries.rs
@@ -1,6 +1,6 @@
-//! Every mutation still applies to the sources, and there are enough of them.
+//! Every mutation still applies to the sources and names tests that are there, and there are enough of them.
 
-use mutations::load_entries;
+use mutations::{load_entries, Workspace};
 use std::path::Path;
 
 const ENTRIES_MIN: usize = 25;
@@ -17,3 +17,16 @@
         .collect();
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
+
+#[test]
+fn every_mutation_names_tests_of_the_workspace() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let entries = load_entries(&root).expect("the entries can be read");
+    let workspace = Workspace::read(&root).expect("the manifests can be read");
+    let failures: Vec<String> = entries
+        .iter()
+        .filter_map(|entry| workspace.check_tests(entry).err())
+        .map(|error| error.to_string())
+        .collect();
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
+}
