--- a/crates/autoscaler/src/describing.rs
+++ b/crates/autoscaler/src/describing.rs
@@ -1,10 +1,10 @@
 use crate::autoscaler::Autoscaler;
 use crate::function::{Function, Plan};
 use crate::runner::{Cause, Life};
-use routing::Description;
+use routing::RoutingConfiguration;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn plans_of(description: &Description) -> BTreeMap<String, Plan> {
+fn plans_of(description: &RoutingConfiguration) -> BTreeMap<String, Plan> {
     let mut plans: Vec<Plan> = Vec::with_capacity(description.functions.len());
     for function in &description.functions {
         plans.push(Plan {
@@ -18,11 +18,11 @@
         });
     }
     for binding in &description.bindings {
-        let Some(plan) = plans.get_mut(binding.function) else {
+        let Some(plan) = plans.get_mut(binding.function_index) else {
             continue;
         };
-        plan.aim_ms = plan.aim_ms.min(binding.aim_ms);
-        plan.rank = plan.rank.min(binding.rank);
+        plan.aim_ms = plan.aim_ms.min(binding.latency_target_ms);
+        plan.rank = plan.rank.min(binding.priority);
         plan.timeout_ms = plan.timeout_ms.max(u64::from(binding.timeout_ms));
     }
     let names = description
@@ -34,7 +34,7 @@
 
 impl Autoscaler {
     /// Takes the description in force.
-    pub fn apply_configuration(&mut self, now: u64, description: &Description) {
+    pub fn apply_configuration(&mut self, now: u64, description: &RoutingConfiguration) {
         self.pass(now);
         self.is_described = true;
         let plans = plans_of(description);
--- a/crates/autoscaler/src/reporting.rs
+++ b/crates/autoscaler/src/reporting.rs
@@ -25,7 +25,7 @@
         };
         let known = function.keepers.entry(keeper.to_owned()).or_default();
         known.heard_at = self.now;
-        known.news = report.news;
+        known.news = report.update_number;
         known.waiting = report.waiting;
         let runners = report.runners.iter();
         known.runners = runners.map(|one| (one.id.clone(), one.clone())).collect();
@@ -53,7 +53,7 @@
         let known = function.keepers.entry(keeper.to_owned());
         let known = known.or_insert_with(Keeper::default);
         let mut unknown = u64::from(report.waiting);
-        for (zone, count) in &report.arrived {
+        for (zone, count) in &report.arrivals {
             let before = known.arrived.insert(zone.clone(), *count).unwrap_or(0);
             let mut come = count.saturating_sub(before);
             if is_new {
@@ -87,9 +87,10 @@
         let function = self.functions.get(name);
         let known = function.and_then(|function| function.keepers.get(keeper));
         let known = known.and_then(|known| known.runners.get(&report.id));
-        let (answered, took_ms) = known.map_or((0, 0), |one| (one.answered, one.took_ms));
-        let answers = report.answered.saturating_sub(answered);
-        runner.learn(answers, report.took_ms.saturating_sub(took_ms));
+        let (answered, took_ms) =
+            known.map_or((0, 0), |one| (one.succeeded, one.total_duration_ms));
+        let answers = report.succeeded.saturating_sub(answered);
+        runner.learn(answers, report.total_duration_ms.saturating_sub(took_ms));
         if answers > 0 || report.in_use > 0 {
             runner.used_at = now;
         }
--- a/crates/autoscaler/src/telling.rs
+++ b/crates/autoscaler/src/telling.rs
@@ -2,11 +2,11 @@
 use crate::function::Function;
 use crate::listing_types::FunctionStatus;
 use crate::runner::{Life, Runner};
-use protocol::{FunctionNews, RunnerNews, RunnerStage};
+use protocol::{FunctionUpdate, RunnerStage, RunnerUpdate};
 
 impl Autoscaler {
     /// News of the functions whose runners changed since the last call.
-    pub fn take_updates(&mut self) -> Vec<FunctionNews> {
+    pub fn take_updates(&mut self) -> Vec<FunctionUpdate> {
         if !self.knows_enough() {
             return Vec::new();
         }
@@ -14,7 +14,7 @@
         changed.iter().map(|name| self.next_news(name)).collect()
     }
 
-    fn next_news(&mut self, name: &str) -> FunctionNews {
+    fn next_news(&mut self, name: &str) -> FunctionUpdate {
         self.counter += 1;
         let counter = self.counter;
         if let Some(function) = self.functions.get_mut(name) {
@@ -29,9 +29,9 @@
                 }
             }
         }
-        FunctionNews {
+        FunctionUpdate {
             function: name.to_owned(),
-            mark: (self.options.term, counter),
+            version: (self.options.term, counter),
             runners: self.runner_news(name, self.now),
             start_block: self.start_block(name, self.now),
         }
@@ -39,16 +39,16 @@
 
     /// News of a function for a keeper that asks. Until the lists were seen once they are empty
     /// with a mark that wins over no other.
-    pub fn update_for(&self, function: &str, now: u64) -> FunctionNews {
+    pub fn update_for(&self, function: &str, now: u64) -> FunctionUpdate {
         if !self.knows_enough() {
-            return FunctionNews {
+            return FunctionUpdate {
                 function: function.to_owned(),
-                ..FunctionNews::default()
+                ..FunctionUpdate::default()
             };
         }
-        FunctionNews {
+        FunctionUpdate {
             function: function.to_owned(),
-            mark: self.update_version(function),
+            version: self.update_version(function),
             runners: self.runner_news(function, now),
             start_block: self.start_block(function, now),
         }
@@ -65,7 +65,7 @@
         (self.options.term, counter)
     }
 
-    fn runner_news(&self, name: &str, now: u64) -> Vec<RunnerNews> {
+    fn runner_news(&self, name: &str, now: u64) -> Vec<RunnerUpdate> {
         let Some(function) = self.functions.get(name) else {
             return Vec::new();
         };
@@ -98,17 +98,17 @@
     }
 }
 
-fn tell(function: &Function, runner: &Runner, now: u64) -> Option<RunnerNews> {
+fn tell(function: &Function, runner: &Runner, now: u64) -> Option<RunnerUpdate> {
     let stage = runner.stage()?;
     let passed_ms = now.saturating_sub(runner.started_at);
     let starts_in_ms = match stage {
         RunnerStage::Starting => function.plan.start_ms.saturating_sub(passed_ms),
         _ => 0,
     };
-    Some(RunnerNews {
+    Some(RunnerUpdate {
         id: runner.id.clone()?,
         address: runner.address.clone(),
-        district: runner.zone.clone(),
+        zone: runner.zone.clone(),
         quota: runner.quota,
         stage,
         starts_in_ms: u32::try_from(starts_in_ms).unwrap_or(u32::MAX),
--- a/crates/autoscaler/tests/cluster/mod.rs
+++ b/crates/autoscaler/tests/cluster/mod.rs
@@ -4,8 +4,8 @@
 use autoscaler::{
     Autoscaler, AutoscalerOptions, RunnerCommand, RunnerListing, StartedRunner, WorkerListing,
 };
-use protocol::{FunctionNews, FunctionReport, RunnerReport, RunnerStage};
-use routing::{Binding, Description, Function};
+use protocol::{FunctionReport, FunctionUpdate, RunnerReport, RunnerStage};
+use routing::{Binding, Function, RoutingConfiguration};
 
 pub const KEEPER: &str = "gateway-a/1";
 
@@ -39,8 +39,8 @@
 }
 
 /// Functions with a start of one second, a concurrency of four and an aim.
-pub fn description(functions: &[(&str, u32)]) -> Description {
-    let mut described = Description::default();
+pub fn description(functions: &[(&str, u32)]) -> RoutingConfiguration {
+    let mut described = RoutingConfiguration::default();
     for (place, (name, aim_ms)) in functions.iter().enumerate() {
         described.functions.push(Function {
             name: (*name).to_owned(),
@@ -51,9 +51,9 @@
         });
         described.bindings.push(Binding {
             name: format!("to-{name}"),
-            function: place,
+            function_index: place,
             timeout_ms: 10_000,
-            aim_ms: *aim_ms,
+            latency_target_ms: *aim_ms,
             ..Binding::default()
         });
     }
@@ -63,7 +63,7 @@
 pub fn told(function: &str, arrived: u64, waiting: u32) -> FunctionReport {
     FunctionReport {
         function: function.to_owned(),
-        arrived: vec![("a".to_owned(), arrived)],
+        arrivals: vec![("a".to_owned(), arrived)],
         waiting,
         ..FunctionReport::default()
     }
@@ -132,11 +132,11 @@
     orders
 }
 
-pub fn stage(news: &FunctionNews, id: &str) -> Option<RunnerStage> {
+pub fn stage(news: &FunctionUpdate, id: &str) -> Option<RunnerStage> {
     let runner = news.runners.iter().find(|runner| runner.id == id);
     runner.map(|runner| runner.stage)
 }
 
-pub fn quotas(news: &FunctionNews) -> Vec<u32> {
+pub fn quotas(news: &FunctionUpdate) -> Vec<u32> {
     news.runners.iter().map(|runner| runner.quota).collect()
 }
--- a/crates/autoscaler/tests/decisions.rs
+++ b/crates/autoscaler/tests/decisions.rs
@@ -91,7 +91,7 @@
     let mut autoscaler = cluster(options(), &[("f", 500)], &workers(), &runners);
     autoscaler.take_updates();
     let report = |news: u64, in_use: u32| FunctionReport {
-        news,
+        update_number: news,
         runners: ids.map(|id| held(id, in_use)).to_vec(),
         ..told("f", 0, 0)
     };
@@ -115,16 +115,16 @@
     let news = said.remove(0);
     assert_eq!(stage(&news, "r-1"), Some(RunnerStage::Serving));
     assert_eq!(stage(&news, "r-3"), Some(RunnerStage::Draining));
-    autoscaler.handle_report(now, KEEPER, &report(news.mark.1 - 1, 0));
+    autoscaler.handle_report(now, KEEPER, &report(news.version.1 - 1, 0));
     autoscaler.tick(now + 50);
     assert!(
         autoscaler.take_commands().is_empty(),
         "the keeper does not know yet"
     );
-    autoscaler.handle_report(now + 100, KEEPER, &report(news.mark.1, 1));
+    autoscaler.handle_report(now + 100, KEEPER, &report(news.version.1, 1));
     autoscaler.tick(now + 150);
     assert!(autoscaler.take_commands().is_empty(), "it holds requests");
-    autoscaler.handle_report(now + 200, KEEPER, &report(news.mark.1, 0));
+    autoscaler.handle_report(now + 200, KEEPER, &report(news.version.1, 0));
     autoscaler.tick(now + 250);
     assert_eq!(stops(&autoscaler.take_commands()), ["r-2", "r-3"]);
     autoscaler.handle_stop_result(now + 300, "r-2", true);
@@ -180,7 +180,7 @@
     let mut stopped_at = 0;
     for now in (1_300..6_000).step_by(100) {
         let idle = FunctionReport {
-            news: mark,
+            update_number: mark,
             runners: vec![held(&id, 0)],
             ..told("f", 1, 0)
         };
@@ -189,7 +189,7 @@
         mark = autoscaler
             .take_updates()
             .last()
-            .map_or(mark, |news| news.mark.1);
+            .map_or(mark, |news| news.version.1);
         if stops(&autoscaler.take_commands()) == [id.as_str()] {
             stopped_at = now;
             break;
--- a/crates/autoscaler/tests/random.rs
+++ b/crates/autoscaler/tests/random.rs
@@ -112,7 +112,7 @@
         let name = FUNCTIONS[place % 4].0;
         self.arrived += u64::from(waiting);
         let mut report = told(name, self.arrived, waiting);
-        report.news = self.held.get(name).copied().unwrap_or(0);
+        report.update_number = self.held.get(name).copied().unwrap_or(0);
         let open = self.open.get(name).cloned().unwrap_or_default();
         let own = self.runners.iter_mut();
         let own = own.filter(|(_, runner)| runner.function == name);
@@ -210,7 +210,7 @@
             for runner in &news.runners {
                 assert!(runner.quota <= 4, "a quota above the concurrency");
             }
-            self.held.insert(news.function.clone(), news.mark.1);
+            self.held.insert(news.function.clone(), news.version.1);
             let open = news.runners.into_iter();
             let open = open.filter(|runner| runner.stage != RunnerStage::Draining);
             let open = open.map(|runner| runner.id).collect();
--- a/crates/autoscaler/tests/start_block.rs
+++ b/crates/autoscaler/tests/start_block.rs
@@ -4,7 +4,7 @@
 
 use autoscaler::{Autoscaler, AutoscalerOptions, RunnerCommand, StartError, WorkerListing};
 use cluster::*;
-use protocol::{FunctionNews, StartBlock};
+use protocol::{FunctionUpdate, StartBlock};
 
 /// A moment by which the lists tell all that was there when the autoscaler began.
 const LATER: u64 = 5_000;
@@ -45,7 +45,7 @@
     let mut autoscaler = settled(&[("f", 9_000)], &gone);
     assert_eq!(block(&autoscaler, LATER), None, "nobody asked for a runner");
     assert!(call(&mut autoscaler, LATER + 10, "f", 1).is_empty());
-    let told: Vec<FunctionNews> = autoscaler.take_updates();
+    let told: Vec<FunctionUpdate> = autoscaler.take_updates();
     assert_eq!(told.len(), 1, "it is news");
     let block = told[0].start_block.expect("a statement");
     assert_eq!(block.earliest_ready_ms, None);
@@ -127,8 +127,8 @@
 #[test]
 fn the_most_urgent_function_is_the_first_to_get_the_room_that_comes() {
     let mut described = description(&[("a-slow", 9_000), ("b-urgent", 9_000)]);
-    described.bindings[0].rank = 2;
-    described.bindings[1].rank = 1;
+    described.bindings[0].priority = 2;
+    described.bindings[1].priority = 1;
     let mut autoscaler = Autoscaler::new(options(), 0);
     autoscaler.apply_configuration(0, &described);
     autoscaler.update_workers(LATER, vec![]);
--- a/crates/controller/src/gateways.rs
+++ b/crates/controller/src/gateways.rs
@@ -70,16 +70,16 @@
     }
 
     fn hear_gateway(&mut self, line: ConnectionId, message: Message) {
-        if let Message::Gateway(member) = message {
+        if let Message::GatewayHello(member) = message {
             self.gateway_came(line, member);
             return;
         }
-        if let Message::Status = message {
-            let text = Message::StatusText(self.status());
+        if let Message::RequestStatus = message {
+            let text = Message::Status(self.status());
             self.event_loop.send(line, &frame(&text));
             return;
         }
-        if let Message::AskHeartbeat = message {
+        if let Message::RequestHeartbeat = message {
             let heartbeat = frame(&self.controller_heartbeat());
             self.event_loop.send(line, &heartbeat);
             return;
@@ -92,17 +92,17 @@
             gateway.heard_at = self.now;
         }
         match message {
-            Message::Ask {
-                description,
-                closures,
+            Message::RequestConfiguration {
+                configuration_version: description,
+                evacuations_version: closures,
             } => self.answer_ask(&name, description, closures),
-            Message::JobAsk {
+            Message::JobRegisterRequest {
                 number,
                 key,
-                expected,
-                bytes,
+                expected_version: expected,
+                value: bytes,
             } => self.ask_job(&name, number, &key, expected, bytes),
-            Message::Report(reports) => self.take_reports(&name, &reports),
+            Message::FunctionReports(reports) => self.take_reports(&name, &reports),
             _ => {}
         }
     }
@@ -145,20 +145,20 @@
                 let size: usize = changes.iter().map(Vec::len).sum();
                 size < self.kept.packed.len()
             });
-            let whole = || Message::Description {
-                mark: self.kept_at,
+            let whole = || Message::Configuration {
+                version: self.kept_at,
                 document: self.kept.packed.clone(),
             };
-            let message = steps.map_or_else(whole, |changes| Message::Changes {
-                from: description,
+            let message = steps.map_or_else(whole, |changes| Message::ConfigurationChanges {
+                base_version: description,
                 changes,
             });
             self.gateways.tell(name, &message);
         }
         if self.closures_at > closures {
-            let message = Message::Closures {
-                mark: self.closures_at,
-                districts: self.closures.zones.clone(),
+            let message = Message::EvacuatedZones {
+                version: self.closures_at,
+                zones: self.closures.zones.clone(),
             };
             self.gateways.tell(name, &message);
         }
@@ -172,11 +172,11 @@
             Some(SocketAddr::new(address.ip(), port).to_string())
         });
         Message::ControllerHeartbeat {
-            description: self.kept_at,
-            closures: self.closures_at,
+            configuration_version: self.kept_at,
+            evacuations_version: self.closures_at,
             term: self.consensus.role_term(self.now).unwrap_or(0),
             controllers: controllers.collect(),
-            district: self.options.zone.clone(),
+            zone: self.options.zone.clone(),
             is_current: self.consensus.is_current(self.now),
         }
     }
--- a/crates/controller/src/jobs.rs
+++ b/crates/controller/src/jobs.rs
@@ -1,6 +1,6 @@
 use crate::controller::Controller;
 use consensus::DiskWork;
-use protocol::{Message, RegisterSaid};
+use protocol::{Message, RegisterResponse};
 use register::{is_job, Outcome};
 use std::collections::HashMap;
 
@@ -25,14 +25,14 @@
     is_write: bool,
 }
 
-fn said_of(outcome: &Outcome, is_write: bool) -> RegisterSaid {
+fn said_of(outcome: &Outcome, is_write: bool) -> RegisterResponse {
     match outcome {
-        Outcome::Settled(stored) if is_write => RegisterSaid::Written(stored.version),
+        Outcome::Settled(stored) if is_write => RegisterResponse::Written(stored.version),
         Outcome::Settled(stored) | Outcome::Stale(stored) => {
-            RegisterSaid::Found(stored.version, stored.bytes.clone())
+            RegisterResponse::Found(stored.version, stored.bytes.clone())
         }
-        Outcome::Undecided => RegisterSaid::Unsure,
-        _ => RegisterSaid::Unreached,
+        Outcome::Undecided => RegisterResponse::Indeterminate,
+        _ => RegisterResponse::Unavailable,
     }
 }
 
@@ -51,9 +51,14 @@
             return;
         }
         if self.jobs.pending.len() >= ASKS_MAX {
-            let said = RegisterSaid::Unreached;
-            self.gateways
-                .tell(gateway, &Message::JobSaid { number, said });
+            let said = RegisterResponse::Unavailable;
+            self.gateways.tell(
+                gateway,
+                &Message::JobRegisterResponse {
+                    number,
+                    response: said,
+                },
+            );
             return;
         }
         self.jobs.last += 1;
@@ -75,9 +80,9 @@
         let Some(asked) = self.jobs.pending.remove(&token) else {
             return token >= TOKENS;
         };
-        let message = Message::JobSaid {
+        let message = Message::JobRegisterResponse {
             number: asked.number,
-            said: said_of(outcome, asked.is_write),
+            response: said_of(outcome, asked.is_write),
         };
         self.gateways.tell(&asked.gateway, &message);
         true
--- a/crates/controller/src/options.rs
+++ b/crates/controller/src/options.rs
@@ -1,7 +1,7 @@
 use autoscaler::{RunnerListing, StartError, StartedRunner, WorkerListing};
 use http1::Headers;
 use operator_commands::{BaseVersion, CommandKind};
-use routing::Documents;
+use routing::ConfigurationFormat;
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
 /// The forms of the operators' API. It translates and decides nothing.
 pub trait OperatorCodec {
     /// Reader of the operators' documents.
-    fn documents(&self) -> &dyn Documents;
+    fn documents(&self) -> &dyn ConfigurationFormat;
     /// The operator's version that a document bears.
     fn version_of(&self, document: &[u8]) -> Option<u64>;
     /// What a request asks for, by its method and target.
--- a/crates/controller/src/redirector.rs
+++ b/crates/controller/src/redirector.rs
@@ -165,7 +165,8 @@
             self.links.insert(address, line);
         }
         if let Some(line) = self.links.get(&address) {
-            self.event_loop.send(*line, &frame(&Message::AskHeartbeat));
+            self.event_loop
+                .send(*line, &frame(&Message::RequestHeartbeat));
         }
     }
 
--- a/crates/controller/src/scaling.rs
+++ b/crates/controller/src/scaling.rs
@@ -96,7 +96,7 @@
         };
         if self.kept.version > 0 {
             let documents = self.options.operator_codec.documents();
-            match documents.read(&self.kept.document().unwrap_or_default()) {
+            match documents.parse(&self.kept.document().unwrap_or_default()) {
                 Ok(description) => autoscaler.apply_configuration(self.now, &description),
                 Err(fault) => log::error!("scaler: the description cannot be read: {fault}"),
             }
@@ -127,8 +127,8 @@
         if self.scaling.roster_no == 0 || self.scaling.untold.is_empty() {
             return;
         }
-        let roster = frame(&Message::Roster {
-            mark: (self.scaling.term, self.scaling.roster_no),
+        let roster = frame(&Message::GatewayMembership {
+            version: (self.scaling.term, self.scaling.roster_no),
             members: self.scaling.roster.clone(),
         });
         for name in std::mem::take(&mut self.scaling.untold) {
@@ -158,9 +158,10 @@
         for report in reports {
             autoscaler.handle_report(self.now, name, report);
             let (term, number) = autoscaler.update_version(&report.function);
-            if term > 0 && number != report.news {
+            if term > 0 && number != report.update_number {
                 let news = autoscaler.update_for(&report.function, self.now);
-                self.gateways.tell(name, &Message::Runners(vec![news]));
+                self.gateways
+                    .tell(name, &Message::FunctionUpdates(vec![news]));
             }
         }
         self.carry_out();
@@ -176,7 +177,7 @@
         for command in commands {
             self.give(command);
         }
-        let mut by_keeper: BTreeMap<String, Vec<protocol::FunctionNews>> = BTreeMap::new();
+        let mut by_keeper: BTreeMap<String, Vec<protocol::FunctionUpdate>> = BTreeMap::new();
         for one in news {
             let keeper = seat_leases::select_owner(&one.function, &self.scaling.roster, |_| true);
             if let Some(keeper) = keeper {
@@ -184,7 +185,7 @@
             }
         }
         for (name, news) in by_keeper {
-            self.gateways.tell(&name, &Message::Runners(news));
+            self.gateways.tell(&name, &Message::FunctionUpdates(news));
         }
     }
 
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -28,7 +28,7 @@
             ..Client::default()
         };
         self.roles.insert(line, Role::Client(client));
-        let wait = self.control.limits().idle_ms;
+        let wait = self.control.limits().idle_timeout_ms;
         // A client that reads nothing for a while is no daemon that fell silent.
         self.event_loop.set_user_timeout(line, wait);
         self.timers.schedule(self.now + wait, Due::Client(line));
@@ -60,7 +60,7 @@
                 if has_begun && !client.is_arriving {
                     client.is_arriving = true;
                     client.since = self.now;
-                    let wait = limits.header_wait_ms;
+                    let wait = limits.header_timeout_ms;
                     self.timers.schedule(self.now + wait, Due::Client(line));
                 }
                 if client.reader.expects_continue() && !client.has_continued {
@@ -129,7 +129,7 @@
             self.answer_own(line, &id, 400, "the time left is not a number", &request);
             return;
         };
-        let Ok(job) = self.pass_of(&request, binding.is_once) else {
+        let Ok(job) = self.pass_of(&request, binding.at_most_once) else {
             let text = "the idempotency key is not up to 200 visible ASCII characters, told once";
             self.answer_own(line, &id, 400, text, &request);
             return;
@@ -139,9 +139,9 @@
             client: Some(line),
             id,
             function: function.name.clone(),
-            is_once: binding.is_once,
-            rank: binding.rank,
-            tries: binding.tries.max(1),
+            is_once: binding.at_most_once,
+            rank: binding.priority,
+            tries: binding.max_attempts.max(1),
             sends: 0,
             unreached: 0,
             may_have_run: false,
@@ -218,7 +218,7 @@
         client.since = self.now;
         if !client.is_timed {
             client.is_timed = true;
-            let wait = self.control.limits().idle_ms;
+            let wait = self.control.limits().idle_timeout_ms;
             self.timers.schedule(self.now + wait, Due::Client(line));
         }
         self.note_unread(line);
@@ -251,9 +251,9 @@
             return;
         }
         let wait = if client.is_arriving {
-            limits.header_wait_ms
+            limits.header_timeout_ms
         } else {
-            limits.idle_ms
+            limits.idle_timeout_ms
         };
         let ends_at = client.since + wait;
         if self.now < ends_at {
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,6 +1,6 @@
 use crate::gateway::Gateway;
 use protocol::{unpack, Member, Message};
-use routing::{Description, Limits, Table};
+use routing::{Limits, RoutingConfiguration, RoutingTable};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 #[derive(Default)]
 pub(crate) struct Control {
     description: u64,
-    table: Option<Arc<Table>>,
+    table: Option<Arc<RoutingTable>>,
     /// Changes could not be applied, so the whole description is asked for.
     pub wants_whole: bool,
     closures: u64,
@@ -23,13 +23,15 @@
 }
 
 impl Control {
-    pub fn table(&self) -> Option<Arc<Table>> {
+    pub fn table(&self) -> Option<Arc<RoutingTable>> {
         self.table.clone()
     }
 
     pub fn limits(&self) -> Limits {
         let table = self.table.as_ref();
-        table.map_or_else(Limits::default, |table| table.description().limits.clone())
+        table.map_or_else(Limits::default, |table| {
+            table.configuration().limits.clone()
+        })
     }
 
     pub fn marks(&self) -> (u64, u64) {
@@ -58,7 +60,7 @@
         let table = self.table.as_ref();
         let known = table.and_then(|table| {
             let index = table.function_index(function)?;
-            table.description().functions.get(index)
+            table.configuration().functions.get(index)
         });
         let most = known.map_or(1, |known| known.connections as usize);
         (most * 3 / 4 / self.members.len().max(1)).clamp(1, IDLE_EACH_MAX)
@@ -67,7 +69,7 @@
     /// Version of the operator's description in force.
     pub fn version(&self) -> u64 {
         let table = self.table.as_ref();
-        table.map_or(0, |table| table.description().version)
+        table.map_or(0, |table| table.configuration().version)
     }
 }
 
@@ -82,7 +84,7 @@
             log::error!("gateway: description {mark} cannot be unpacked");
             return;
         };
-        match self.options.documents.read(&document) {
+        match self.options.documents.parse(&document) {
             Ok(description) => self.put_in_force(mark, description),
             Err(fault) => log::error!("gateway: description {mark} is refused: {fault}"),
         }
@@ -98,11 +100,11 @@
         else {
             return;
         };
-        let mut description = table.description().as_ref().clone();
+        let mut description = table.configuration().as_ref().clone();
         for packed in changes {
             let change = unpack(packed, DOCUMENT_MAX);
             let next = change.and_then(|change| {
-                let amended = self.options.documents.amend(&description, &change);
+                let amended = self.options.documents.apply_change(&description, &change);
                 amended.ok()
             });
             let Some(next) = next else {
@@ -115,9 +117,9 @@
         self.put_in_force(from + changes.len() as u64, description);
     }
 
-    fn put_in_force(&mut self, mark: u64, description: Description) {
+    fn put_in_force(&mut self, mark: u64, description: RoutingConfiguration) {
         log::info!("gateway: description {} in force", description.version);
-        let table = Table::new(Arc::new(description));
+        let table = RoutingTable::new(Arc::new(description));
         self.control.table = Some(Arc::new(table));
         self.control.description = mark;
         self.control.wants_whole = false;
@@ -183,7 +185,7 @@
         };
         let reports = self.keeper.reports(self.now, is_new);
         if !reports.is_empty() || is_new {
-            self.tell_controller(&controller, &Message::Report(reports));
+            self.tell_controller(&controller, &Message::FunctionReports(reports));
         }
         let (name, members) = (&self.options.name, self.control.members());
         if self.links.is_due_to_forget(self.now) && !members.is_empty() {
--- a/crates/gateway/src/controllers.rs
+++ b/crates/gateway/src/controllers.rs
@@ -20,11 +20,11 @@
         let is_trusted = controller.is_current || self.control.is_ready();
         match message {
             Message::ControllerHeartbeat {
-                description,
-                closures,
+                configuration_version: description,
+                evacuations_version: closures,
                 term,
                 controllers,
-                district,
+                zone: district,
                 is_current,
             } => {
                 controller.description = description;
@@ -35,23 +35,40 @@
                 self.links.learn_controllers(controllers.into_iter());
                 self.ask_for_news();
             }
-            Message::Description { .. } | Message::Changes { .. } | Message::Closures { .. }
+            Message::Configuration { .. }
+            | Message::ConfigurationChanges { .. }
+            | Message::EvacuatedZones { .. }
                 if !is_trusted =>
             {
                 log::info!("gateway: {address} is out of contact; its configuration is not taken");
             }
-            Message::Description { mark, document } => {
+            Message::Configuration {
+                version: mark,
+                document,
+            } => {
                 self.take_description(mark, &document);
                 self.ask_for_news();
             }
-            Message::Changes { from, changes } => {
+            Message::ConfigurationChanges {
+                base_version: from,
+                changes,
+            } => {
                 self.take_changes(from, &changes);
                 self.ask_for_news();
             }
-            Message::Closures { mark, districts } => self.take_closures(mark, districts),
-            Message::Roster { mark, members } => self.take_roster(mark, members),
-            Message::JobSaid { number, said } => self.jobs.said(now, number, said),
-            Message::Runners(news) => {
+            Message::EvacuatedZones {
+                version: mark,
+                zones: districts,
+            } => self.take_closures(mark, districts),
+            Message::GatewayMembership {
+                version: mark,
+                members,
+            } => self.take_roster(mark, members),
+            Message::JobRegisterResponse {
+                number,
+                response: said,
+            } => self.jobs.said(now, number, said),
+            Message::FunctionUpdates(news) => {
                 for one in news {
                     self.keeper.update_runners(now, one);
                 }
@@ -86,9 +103,9 @@
         } else {
             description
         };
-        let ask = Message::Ask {
-            description: known,
-            closures,
+        let ask = Message::RequestConfiguration {
+            configuration_version: known,
+            evacuations_version: closures,
         };
         self.tell_controller(&address, &ask);
     }
@@ -112,9 +129,9 @@
                 } else if now >= controller.told_at + heartbeat {
                     controller.told_at = now;
                     let message = Message::GatewayHeartbeat {
-                        description,
-                        closures,
-                        roster,
+                        configuration_version: description,
+                        evacuations_version: closures,
+                        membership_version: roster,
                     };
                     self.event_loop.send(line, &frame(&message));
                 }
@@ -139,7 +156,7 @@
             controller.heard_at = now;
             controller.told_at = now;
             self.roles.insert(line, Role::Controller(address));
-            let hello = frame(&Message::Gateway(self.links.me.clone()));
+            let hello = frame(&Message::GatewayHello(self.links.me.clone()));
             self.event_loop.send(line, &hello);
         }
         self.ask_for_news();
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -279,7 +279,7 @@
                         gateway,
                         lease: grant,
                     } => {
-                        self.tell(&gateway, &protocol::Message::Grant(grant));
+                        self.tell(&gateway, &protocol::Message::SeatLease(grant));
                     }
                     LeaseAction::Reject {
                         gateway,
@@ -298,8 +298,8 @@
                         request: ticket,
                         retry_after_ms,
                     } => {
-                        let refusal = protocol::Message::Refuse {
-                            ticket,
+                        let refusal = protocol::Message::Reject {
+                            request_id: ticket,
                             retry_after_ms,
                         };
                         self.tell(&gateway, &refusal);
--- a/crates/gateway/src/jobs.rs
+++ b/crates/gateway/src/jobs.rs
@@ -3,7 +3,7 @@
 use crate::tickets::{Stage, Ticket};
 use http1::{Request, Response};
 use jobs::{digest, is_key, JobAction, Pass};
-use protocol::{Bid, JobEnd, JobResult, JobVerdict, Message, Outcome};
+use protocol::{JobCompletion, JobResult, JobVerdict, LeaseOutcome, LeaseRequest, Message};
 
 /// Header by which a caller names the job that its request asks for.
 const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
@@ -25,7 +25,7 @@
     }
 
     /// A bid comes in, from a gateway that may be this one. Bids without a job go straight for a seat.
-    pub fn take_bid(&mut self, gateway: &str, district: &str, bid: Bid) {
+    pub fn take_bid(&mut self, gateway: &str, district: &str, bid: LeaseRequest) {
         if bid.job.is_some() {
             self.jobs.arrive(self.now, gateway, district, bid);
         } else {
@@ -56,25 +56,33 @@
                 attempt,
                 version,
             } => {
-                let message = Message::Claimed {
-                    ticket,
+                let message = Message::JobClaimed {
+                    request_id: ticket,
                     attempt,
-                    version,
+                    register_version: version,
                 };
                 self.deliver(&gateway, message);
             }
             JobAction::Joined(gateway, ticket, attempt) => {
-                self.deliver(&gateway, Message::Joined { ticket, attempt });
+                self.deliver(
+                    &gateway,
+                    Message::JobJoined {
+                        request_id: ticket,
+                        attempt,
+                    },
+                );
             }
             JobAction::Tell(gateway, ticket, attempt, verdict) => {
-                let message = Message::JobTold {
-                    ticket,
+                let message = Message::JobVerdict {
+                    request_id: ticket,
                     attempt,
                     verdict,
                 };
                 self.deliver(&gateway, message);
             }
-            JobAction::Kept(gateway, ticket) => self.deliver(&gateway, Message::JobKept(ticket)),
+            JobAction::Kept(gateway, ticket) => {
+                self.deliver(&gateway, Message::JobPersisted(ticket))
+            }
             JobAction::Ask {
                 number,
                 key,
@@ -85,11 +93,11 @@
                 let Some(controller) = self.links.controller_for(&self.options.zone, tries) else {
                     return;
                 };
-                let message = Message::JobAsk {
+                let message = Message::JobRegisterRequest {
                     number,
                     key,
-                    expected,
-                    bytes,
+                    expected_version: expected,
+                    value: bytes,
                 };
                 self.tell_controller(&controller, &message);
             }
@@ -108,12 +116,12 @@
     /// Word about a job from another gateway, or from the keeper here.
     pub fn hear_job(&mut self, name: &str, message: Message) {
         match message {
-            Message::JobEnd(end) => self.jobs.ended(self.now, name, end),
-            Message::JobKept(ticket) => self.ends.kept(ticket),
-            Message::Claimed {
-                ticket,
+            Message::JobCompletion(end) => self.jobs.ended(self.now, name, end),
+            Message::JobPersisted(ticket) => self.ends.kept(ticket),
+            Message::JobClaimed {
+                request_id: ticket,
                 attempt,
-                version,
+                register_version: version,
             } => {
                 let Some(pass) = self.meant(name, ticket, attempt) else {
                     return;
@@ -128,7 +136,10 @@
                     self.send_to_runner(line);
                 }
             }
-            Message::Joined { ticket, attempt } => {
+            Message::JobJoined {
+                request_id: ticket,
+                attempt,
+            } => {
                 let Some(pass) = self.meant(name, ticket, attempt) else {
                     return;
                 };
@@ -142,8 +153,8 @@
                     };
                 }
             }
-            Message::JobTold {
-                ticket,
+            Message::JobVerdict {
+                request_id: ticket,
                 attempt,
                 verdict,
             } if self.meant(name, ticket, attempt).is_some() => {
@@ -173,7 +184,7 @@
         let (line, lender, runner) = (sent.line, sent.lender.clone(), sent.runner.clone());
         let function = ticket.function.clone();
         self.drop_runner_line(line, &runner);
-        self.give_back(&lender, &function, number, Outcome::Unused, 0);
+        self.give_back(&lender, &function, number, LeaseOutcome::Unused, 0);
     }
 
     /// The keeper tells what came of the job.
@@ -234,8 +245,8 @@
         }
     }
 
-    fn tell_end(&mut self, name: &str, end: JobEnd) {
-        self.deliver(name, Message::JobEnd(end));
+    fn tell_end(&mut self, name: &str, end: JobCompletion) {
+        self.deliver(name, Message::JobCompletion(end));
     }
 
     /// A runner answered the request of a job.
@@ -244,7 +255,7 @@
             return;
         };
         // Work that may run twice is run anew after a failure.
-        if !pass.mark().is_once && response.status >= 500 {
+        if !pass.mark().at_most_once && response.status >= 500 {
             return self.end_job(number, ticket, JobResult::Lost);
         }
         let packed = pack(response).filter(|packed| packed.len() <= TOLD_MAX);
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -63,7 +63,7 @@
             name: options.name.clone(),
             incarnation: rand::random(),
             address: options.peer_address.to_string(),
-            district: options.zone.clone(),
+            zone: options.zone.clone(),
         };
         let controllers = options.controller_addresses.iter();
         Self {
@@ -175,7 +175,7 @@
             return false;
         };
         self.roles.insert(line, Role::Link(Some(name.into())));
-        let hello = frame(&Message::Gateway(self.links.me.clone()));
+        let hello = frame(&Message::GatewayHello(self.links.me.clone()));
         self.event_loop.send(line, &hello);
         self.add_link(name, line);
         true
@@ -234,15 +234,15 @@
 
     fn hear_stranger(&mut self, line: ConnectionId, message: Message) {
         match message {
-            Message::Gateway(member) => {
+            Message::GatewayHello(member) => {
                 self.roles
                     .insert(line, Role::Link(Some(member.name.clone())));
                 if !self.links.peers.contains_key(&member.name) {
                     self.add_link(&member.name, line);
                 }
             }
-            Message::Status => {
-                let text = Message::StatusText(self.status());
+            Message::RequestStatus => {
+                let text = Message::Status(self.status());
                 self.event_loop.send(line, &frame(&text));
             }
             _ => {}
@@ -255,23 +255,23 @@
             link.heard_at = self.now;
         }
         match message {
-            Message::Bid(bid) => {
+            Message::LeaseRequest(bid) => {
                 let members = self.control.members().iter();
                 let district = members
                     .clone()
                     .find(|one| one.name == name)
-                    .map_or_else(String::new, |one| one.district.clone());
+                    .map_or_else(String::new, |one| one.zone.clone());
                 self.take_bid(name, &district, bid);
             }
-            Message::Withdraw(ticket) => self.keeper.cancel(self.now, name, ticket),
-            Message::Release(release) => self.keeper.release(self.now, name, &release),
-            Message::Known { function, runners } => {
+            Message::CancelRequest(ticket) => self.keeper.cancel(self.now, name, ticket),
+            Message::LeaseRelease(release) => self.keeper.release(self.now, name, &release),
+            Message::LeasesInUse { function, runners } => {
                 self.keeper
                     .adopt_leases(self.now, name, &function, &runners);
             }
-            Message::Grant(grant) => self.granted(name, grant),
-            Message::Refuse {
-                ticket,
+            Message::SeatLease(grant) => self.granted(name, grant),
+            Message::Reject {
+                request_id: ticket,
                 retry_after_ms,
             } => self.refused(ticket, retry_after_ms),
             Message::Ping(number) => self.tell(name, &Message::Pong(number)),
--- a/crates/gateway/src/outcomes.rs
+++ b/crates/gateway/src/outcomes.rs
@@ -4,7 +4,7 @@
 use crate::runner_connection::{judge, RunnerAnswer, Verdict};
 use crate::tickets::{Stage, Ticket};
 use http1::{end_to_end, Response};
-use protocol::{JobResult, Outcome};
+use protocol::{JobResult, LeaseOutcome};
 use seat_leases::RetryBudget;
 
 /// Functions whose pace is remembered.
@@ -72,11 +72,11 @@
             let function = ticket.function.clone();
             ticket.may_have_run |= has_left;
             let outcome = if has_left {
-                Outcome::Lost
+                LeaseOutcome::Lost
             } else if ticket.is_gated() {
-                Outcome::Unused
+                LeaseOutcome::Unused
             } else {
-                Outcome::Unreached
+                LeaseOutcome::Unreachable
             };
             self.drop_runner_line(line, &runner);
             self.give_back(&lender, &function, number, outcome, 0);
@@ -116,14 +116,14 @@
         let response = &answer.response;
         match judge(response, &self.options.conventions) {
             Verdict::Answered => self.ran(number, response),
-            Verdict::TurnedAway => self.not_run(number, answer, Outcome::TurnedAway),
-            Verdict::Misdirected => self.not_run(number, answer, Outcome::Gone),
+            Verdict::TurnedAway => self.not_run(number, answer, LeaseOutcome::Rejected),
+            Verdict::Misdirected => self.not_run(number, answer, LeaseOutcome::Gone),
             Verdict::Doubtful(reason) => self.lost(number, reason),
         }
     }
 
     /// A runner says that it did not run a request.
-    fn not_run(&mut self, number: u64, answer: &RunnerAnswer, outcome: Outcome) {
+    fn not_run(&mut self, number: u64, answer: &RunnerAnswer, outcome: LeaseOutcome) {
         let now = self.now;
         let Some(ticket) = self.tickets.get(number) else {
             return;
@@ -157,7 +157,7 @@
         let function = ticket.function.clone();
         ticket.may_have_run = true;
         self.learn_pace(&function, took);
-        self.give_back(&lender, &function, number, Outcome::Answered, took);
+        self.give_back(&lender, &function, number, LeaseOutcome::Succeeded, took);
         if response.status >= 500 && self.fails_over(number, runner) {
             return;
         }
@@ -226,7 +226,7 @@
         if !ticket.avoid.contains(&runner) {
             ticket.avoid.push(runner);
         }
-        self.give_back(&lender, &function, number, Outcome::Lost, 0);
+        self.give_back(&lender, &function, number, LeaseOutcome::Lost, 0);
         if !self.try_again(number, true) {
             self.give_up(number, RETRY_AFTER_MS, reason);
         }
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -1,6 +1,6 @@
 use crate::gateway::{Due, Gateway};
 use crate::tickets::Stage;
-use protocol::{Bid, Message, Outcome, Release};
+use protocol::{LeaseOutcome, LeaseRelease, LeaseRequest, Message};
 use seat_leases::{select_owner, RetryBudget};
 use std::collections::BTreeSet;
 
@@ -37,12 +37,12 @@
             return;
         };
         let function = ticket.function.clone();
-        let mut bid = Bid {
-            ticket: number,
+        let mut bid = LeaseRequest {
+            request_id: number,
             function: function.clone(),
-            rank: ticket.rank,
-            budget_ms: ticket.ends_at.saturating_sub(self.now) as u32,
-            avoid: ticket.avoid.clone(),
+            priority: ticket.rank,
+            timeout_ms: ticket.ends_at.saturating_sub(self.now) as u32,
+            excluded_runners: ticket.avoid.clone(),
             job: None,
         };
         let Some(keeper) = self.keeper_of(&function) else {
@@ -63,7 +63,7 @@
             return;
         }
         self.introduce(&keeper, &function);
-        self.tell(&keeper, &Message::Bid(bid));
+        self.tell(&keeper, &Message::LeaseRequest(bid));
     }
 
     /// Tells a function's new keeper what this daemon has at its runners.
@@ -73,7 +73,7 @@
         }
         let runners = self.runners_in_use(function);
         if !runners.is_empty() {
-            let known = Message::Known {
+            let known = Message::LeasesInUse {
                 function: function.into(),
                 runners,
             };
@@ -144,7 +144,7 @@
         if lender == self.options.name {
             self.keeper.cancel(self.now, &lender, number);
         } else {
-            self.tell(&lender, &Message::Withdraw(number));
+            self.tell(&lender, &Message::CancelRequest(number));
         }
         self.void_bid(&lender, number);
     }
@@ -155,13 +155,13 @@
         lender: &str,
         function: &str,
         number: u64,
-        outcome: Outcome,
+        outcome: LeaseOutcome,
         took_ms: u64,
     ) {
-        let release = Release {
-            ticket: number,
+        let release = LeaseRelease {
+            request_id: number,
             outcome,
-            took_ms: took_ms as u32,
+            duration_ms: took_ms as u32,
         };
         let keeper = self.keeper_of(function);
         let other = keeper.filter(|keeper| keeper != lender);
@@ -171,11 +171,11 @@
     }
 
     /// Gives a seat back at one keeper, which may be this daemon.
-    pub fn release_at(&mut self, keeper: &str, release: &Release) {
+    pub fn release_at(&mut self, keeper: &str, release: &LeaseRelease) {
         if keeper == self.options.name {
             self.keeper.release(self.now, keeper, release);
         } else if self.links.has_link(keeper) {
-            self.tell(keeper, &Message::Release(release.clone()));
+            self.tell(keeper, &Message::LeaseRelease(release.clone()));
         }
     }
 
--- a/crates/gateway/src/runners.rs
+++ b/crates/gateway/src/runners.rs
@@ -7,7 +7,7 @@
 use crate::tickets::{Sent, Stage};
 use event_loop::{CloseReason, ConnectionId};
 use http1::{end_to_end, idle_seconds, write_request};
-use protocol::{Grant, Outcome};
+use protocol::{LeaseOutcome, SeatLease};
 
 /// Most bytes of a runner that wait to be read.
 pub(crate) const INBOX_MAX: usize = ANSWER_MAX + HEAD_MAX;
@@ -32,9 +32,9 @@
 
 impl Gateway {
     /// A seat was lent: the request goes to its runner.
-    pub fn granted(&mut self, lender: &str, grant: Grant) {
-        let number = grant.ticket;
-        let closed = self.control.is_closed(&grant.district);
+    pub fn granted(&mut self, lender: &str, grant: SeatLease) {
+        let number = grant.request_id;
+        let closed = self.control.is_closed(&grant.zone);
         let waits = self.tickets.get(number).is_some_and(|ticket| {
             let is_meant = matches!(&ticket.stage,
                 Stage::Waiting { lender: asked, .. } if asked == lender);
@@ -63,7 +63,7 @@
                 lender: lender.into(),
                 runner: grant.runner,
                 address: grant.address,
-                district: grant.district,
+                district: grant.zone,
                 line,
                 at: now,
                 has_left: false,
@@ -78,10 +78,10 @@
     }
 
     fn unused(&mut self, lender: &str, number: u64) {
-        let release = protocol::Release {
-            ticket: number,
-            outcome: Outcome::Unused,
-            took_ms: 0,
+        let release = protocol::LeaseRelease {
+            request_id: number,
+            outcome: LeaseOutcome::Unused,
+            duration_ms: 0,
         };
         self.release_at(lender, &release);
     }
@@ -107,7 +107,7 @@
         is_clean
     }
 
-    fn open_runner(&mut self, grant: &Grant) -> Option<ConnectionId> {
+    fn open_runner(&mut self, grant: &SeatLease) -> Option<ConnectionId> {
         let address = grant.address.parse().ok()?;
         let line = self.event_loop.connect(address, INBOX_MAX).ok()?;
         self.roles.insert(line, runner_role(&grant.runner));
@@ -323,11 +323,11 @@
         ticket.unreached += 1;
         ticket.avoid.push(runner);
         let outcome = if was_ready {
-            Outcome::Unused
+            LeaseOutcome::Unused
         } else if nobody_there {
-            Outcome::Gone
+            LeaseOutcome::Gone
         } else {
-            Outcome::Unreached
+            LeaseOutcome::Unreachable
         };
         self.give_back(&lender, &function, number, outcome, 0);
         if !self.try_again(number, false) {
--- a/crates/hallkeel/src/fleet.rs
+++ b/crates/hallkeel/src/fleet.rs
@@ -42,7 +42,8 @@
     let told = |error: std::io::Error| error.to_string();
     let mut line = TcpStream::connect_timeout(address, PATIENCE).map_err(told)?;
     line.set_read_timeout(Some(PATIENCE)).map_err(told)?;
-    line.write_all(&frame(&Message::Status)).map_err(told)?;
+    line.write_all(&frame(&Message::RequestStatus))
+        .map_err(told)?;
     let mut bytes = Vec::new();
     let mut part = [0; 16 << 10];
     loop {
@@ -53,7 +54,7 @@
         bytes.extend_from_slice(&part[..count]);
         match Frames::new(&bytes).read::<Message>() {
             Ok(None) => {}
-            Ok(Some(Message::StatusText(text))) => {
+            Ok(Some(Message::Status(text))) => {
                 return serde_json::from_str(&text).map_err(|error| error.to_string());
             }
             Ok(Some(_)) => return Err("it answers something else".to_string()),
--- a/crates/jobs/src/action.rs
+++ b/crates/jobs/src/action.rs
@@ -1,10 +1,10 @@
-use protocol::{Bid, JobVerdict};
+use protocol::{JobVerdict, LeaseRequest};
 
 /// What the keeper of jobs wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobAction {
     /// Put a copy's bid in for a seat: gateway, district, bid.
-    Seat(String, String, Bid),
+    Seat(String, String, LeaseRequest),
     /// Take a copy's bid back: gateway, ticket.
     Withdraw(String, u64),
     /// Tell a gateway that its request has the claim and may leave.
--- a/crates/jobs/src/ending.rs
+++ b/crates/jobs/src/ending.rs
@@ -2,26 +2,26 @@
 use crate::job::{Copy, Debt, Job, State};
 use crate::jobs::{answer, Jobs, Purpose};
 use crate::JobAction;
-use protocol::{JobEnd, JobResult, JobVerdict};
+use protocol::{JobCompletion, JobResult, JobVerdict};
 use std::collections::BTreeSet;
 
 impl Jobs {
     /// A gateway tells how a request of a job ended.
-    pub fn ended(&mut self, now: u64, gateway: &str, end: JobEnd) {
-        let name = register_key(&end.function, &end.mark.key);
+    pub fn ended(&mut self, now: u64, gateway: &str, end: JobCompletion) {
+        let name = register_key(&end.function, &end.attempt.key);
         let id = RunnerId {
             gateway: gateway.into(),
-            incarnation: end.mark.incarnation,
-            ticket: end.ticket,
+            incarnation: end.attempt.incarnation,
+            ticket: end.request_id,
         };
         let has_run = end.result != JobResult::NotRun;
         let known = self.take_out(&name);
         let Some(mut job) = known.or_else(|| {
             let job = has_run.then(|| self.begin(now, &name))??;
             Some(Job {
-                digest: end.mark.digest,
-                is_once: end.mark.is_once,
-                version: end.version,
+                digest: end.attempt.digest,
+                is_once: end.attempt.at_most_once,
+                version: end.register_version,
                 state: State::Elsewhere {
                     runner: id.clone(),
                     since: now,
@@ -34,11 +34,11 @@
             return;
         };
         job.touched = now;
-        let attempt = end.mark.attempt;
+        let attempt = end.attempt.number;
         let is_copy = |copy: &Copy| copy.id == id && copy.attempt <= attempt;
         job.copies.retain(|copy| !is_copy(copy));
         // It ran under a claim that this keeper has not heard of yet.
-        let is_newer = has_run && end.version > job.version;
+        let is_newer = has_run && end.register_version > job.version;
         let is_runner = match &job.state {
             State::Claiming { runner, .. } | State::Running { runner, .. } if is_copy(runner) => {
                 true
@@ -53,7 +53,7 @@
             // Told again, since its answer is not known to be kept.
             State::Answered { debt: None, .. } if has_run && job.is_once => {
                 self.actions
-                    .push(JobAction::Kept(gateway.into(), end.ticket));
+                    .push(JobAction::Kept(gateway.into(), end.request_id));
                 false
             }
             State::Lost => matches!(end.result, JobResult::Answer(_) | JobResult::TooLarge),
@@ -68,7 +68,7 @@
                     job.copies.insert(0, runner);
                 }
             }
-            job.version = job.version.max(end.version);
+            job.version = job.version.max(end.register_version);
             self.runner_ended(now, &name, &mut job, id, end.result);
         }
         self.put(&name, job);
--- a/crates/jobs/src/ends.rs
+++ b/crates/jobs/src/ends.rs
@@ -1,4 +1,4 @@
-use protocol::{JobEnd, JobResult};
+use protocol::{JobCompletion, JobResult};
 use std::collections::BTreeMap;
 
 /// Milliseconds after which an end is told again.
@@ -11,16 +11,16 @@
 /// Answers of once-work that are not known to be on the controllers' disks yet; they are told until they are.
 #[derive(Default)]
 pub struct Ends {
-    owed: BTreeMap<u64, (JobEnd, u64, u64)>,
+    owed: BTreeMap<u64, (JobCompletion, u64, u64)>,
 }
 
 impl Ends {
     /// Notes an end that was just told.
-    pub fn note(&mut self, now: u64, end: &JobEnd) {
+    pub fn note(&mut self, now: u64, end: &JobCompletion) {
         let is_answer = matches!(end.result, JobResult::Answer(_) | JobResult::TooLarge);
-        if end.mark.is_once && is_answer && self.owed.len() < ENDS_MAX {
+        if end.attempt.at_most_once && is_answer && self.owed.len() < ENDS_MAX {
             let owed = (end.clone(), now + AGAIN_MS, now + TELL_MS);
-            self.owed.insert(end.ticket, owed);
+            self.owed.insert(end.request_id, owed);
         }
     }
 
@@ -30,7 +30,7 @@
     }
 
     /// Ends that are to be told again.
-    pub fn due(&mut self, now: u64) -> Vec<JobEnd> {
+    pub fn due(&mut self, now: u64) -> Vec<JobCompletion> {
         self.owed.retain(|_, (_, _, until)| now < *until);
         let owed = self.owed.values_mut();
         let due = owed.filter(|(_, at, _)| *at <= now);
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -1,5 +1,5 @@
 use crate::claim::RunnerId;
-use protocol::{Bid, JobMark};
+use protocol::{JobAttempt, LeaseRequest};
 
 /// Most of a copy's time that goes into claiming its job, in milliseconds; half of it where that is less.
 const CLAIM_MAX_MS: u64 = 2_000;
@@ -14,22 +14,28 @@
     pub id: RunnerId,
     pub attempt: u32,
     pub district: String,
-    pub bid: Bid,
+    pub bid: LeaseRequest,
     pub ends_at: u64,
     /// Until when it waits for the claim.
     pub claims_until: u64,
 }
 
 impl Copy {
-    pub fn new(now: u64, gateway: &str, district: &str, bid: Bid, mark: &JobMark) -> Self {
-        let budget = u64::from(bid.budget_ms);
+    pub fn new(
+        now: u64,
+        gateway: &str,
+        district: &str,
+        bid: LeaseRequest,
+        mark: &JobAttempt,
+    ) -> Self {
+        let budget = u64::from(bid.timeout_ms);
         Self {
             id: RunnerId {
                 gateway: gateway.into(),
                 incarnation: mark.incarnation,
-                ticket: bid.ticket,
+                ticket: bid.request_id,
             },
-            attempt: mark.attempt,
+            attempt: mark.number,
             district: district.into(),
             ends_at: now + budget,
             claims_until: now + (budget / 2).min(CLAIM_MAX_MS),
@@ -38,9 +44,9 @@
     }
 
     /// Its bid, with the time that is left.
-    pub fn bid_now(&self, now: u64) -> Bid {
-        Bid {
-            budget_ms: self.ends_at.saturating_sub(now) as u32,
+    pub fn bid_now(&self, now: u64) -> LeaseRequest {
+        LeaseRequest {
+            timeout_ms: self.ends_at.saturating_sub(now) as u32,
             ..self.bid.clone()
         }
     }
--- a/crates/jobs/src/jobs.rs
+++ b/crates/jobs/src/jobs.rs
@@ -1,7 +1,7 @@
 use crate::action::JobAction;
 use crate::claim::{register_key, Claim, ClaimState};
 use crate::job::{Copy, Debt, Job, State};
-use protocol::{Bid, JobVerdict};
+use protocol::{JobVerdict, LeaseRequest};
 use speedy::Writable;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -76,7 +76,7 @@
     }
 
     /// A gateway's request of a job wants to run. A bid without a mark is not for this machine.
-    pub fn arrive(&mut self, now: u64, gateway: &str, district: &str, bid: Bid) {
+    pub fn arrive(&mut self, now: u64, gateway: &str, district: &str, bid: LeaseRequest) {
         let Some(mark) = bid.job.clone() else {
             return;
         };
@@ -89,7 +89,7 @@
         job.copies.retain(|known| known.id != copy.id);
         if matches!(job.state, State::Idle) && job.copies.is_empty() {
             job.digest = mark.digest;
-            job.is_once = mark.is_once;
+            job.is_once = mark.at_most_once;
         }
         if job.digest == mark.digest {
             self.admit(now, &name, &mut job, copy);
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -1,10 +1,10 @@
-use protocol::{JobEnd, JobMark, JobResult};
+use protocol::{JobAttempt, JobCompletion, JobResult};
 
 /// A gateway's part in the job of one of its requests: whether the request may leave for a runner. Each bid takes
 /// back all that was told about an earlier one.
 #[derive(Clone, Debug)]
 pub struct Pass {
-    mark: JobMark,
+    mark: JobAttempt,
     keeper: String,
     version: u64,
     is_joined: bool,
@@ -15,12 +15,12 @@
 impl Pass {
     /// The pass of a request that has not bid yet.
     pub fn new(key: String, digest: [u8; 16], is_once: bool, incarnation: u64) -> Self {
-        let mark = JobMark {
+        let mark = JobAttempt {
             key,
             digest,
-            is_once,
+            at_most_once: is_once,
             incarnation,
-            attempt: 0,
+            number: 0,
         };
         Self {
             mark,
@@ -32,7 +32,7 @@
     }
 
     /// The request bids at a keeper.
-    pub fn bid(&mut self, keeper: &str) -> JobMark {
+    pub fn bid(&mut self, keeper: &str) -> JobAttempt {
         self.void();
         self.keeper = keeper.into();
         self.mark.clone()
@@ -40,7 +40,7 @@
 
     /// The request takes its bid back.
     pub fn void(&mut self) {
-        self.mark.attempt += 1;
+        self.mark.number += 1;
         self.version = 0;
         self.is_joined = false;
         self.is_ready = false;
@@ -48,7 +48,7 @@
 
     /// Whether word from a keeper is about the bid that stands.
     pub fn is_meant(&self, keeper: &str, attempt: u32) -> bool {
-        self.keeper == keeper && self.mark.attempt == attempt
+        self.keeper == keeper && self.mark.number == attempt
     }
 
     /// The keeper says that the request has the claim.
@@ -66,7 +66,7 @@
 
     /// Whether the request may leave for a runner.
     pub fn may_leave(&self) -> bool {
-        !self.mark.is_once || self.version > 0
+        !self.mark.at_most_once || self.version > 0
     }
 
     /// Whether a copy of it may have run, for all that is known here.
@@ -75,17 +75,17 @@
     }
 
     /// Life of the gateway and number of the bid.
-    pub fn mark(&self) -> &JobMark {
+    pub fn mark(&self) -> &JobAttempt {
         &self.mark
     }
 
     /// What the keeper is told at the end of the request, or of its bid.
-    pub fn end(&self, ticket: u64, function: &str, result: JobResult) -> JobEnd {
-        JobEnd {
-            ticket,
+    pub fn end(&self, ticket: u64, function: &str, result: JobResult) -> JobCompletion {
+        JobCompletion {
+            request_id: ticket,
             function: function.into(),
-            mark: self.mark.clone(),
-            version: self.version,
+            attempt: self.mark.clone(),
+            register_version: self.version,
             result,
         }
     }
--- a/crates/jobs/src/saying.rs
+++ b/crates/jobs/src/saying.rs
@@ -1,7 +1,7 @@
 use crate::claim::{Claim, ClaimState};
 use crate::job::{pause, Copy, Job, State};
 use crate::jobs::{answer, Jobs, Purpose, RETRY_AFTER_MS};
-use protocol::{JobVerdict, RegisterSaid};
+use protocol::{JobVerdict, RegisterResponse};
 use speedy::Readable;
 
 /// Milliseconds between looks at the register of a job that others wait for.
@@ -18,7 +18,7 @@
 
 impl Jobs {
     /// A controller's answer to a question.
-    pub fn said(&mut self, now: u64, number: u64, said: RegisterSaid) {
+    pub fn said(&mut self, now: u64, number: u64, said: RegisterResponse) {
         let Some((name, purpose, _)) = self.asks.remove(&number) else {
             return;
         };
@@ -30,7 +30,7 @@
             Purpose::Free => self.free_said(now, &name, &mut job, said),
             Purpose::Keep => self.keep_said(now, &name, &mut job, said),
             Purpose::Look(is_gone) => {
-                if let RegisterSaid::Found(version, bytes) = said {
+                if let RegisterResponse::Found(version, bytes) = said {
                     self.looked(now, &name, &mut job, is_gone, version, read(&bytes));
                 }
             }
@@ -38,16 +38,16 @@
         self.put(&name, job);
     }
 
-    fn claim_said(&mut self, now: u64, name: &str, job: &mut Job, no: u64, said: RegisterSaid) {
+    fn claim_said(&mut self, now: u64, name: &str, job: &mut Job, no: u64, said: RegisterResponse) {
         let wanted = match &job.state {
             State::Claiming { claim, .. } => *claim,
             _ => return,
         };
         match said {
-            RegisterSaid::Written(version) if no == wanted => {
+            RegisterResponse::Written(version) if no == wanted => {
                 self.claimed(now, name, job, version);
             }
-            RegisterSaid::Found(version, bytes) if no == wanted => {
+            RegisterResponse::Found(version, bytes) if no == wanted => {
                 self.found(now, name, job, version, read(&bytes));
             }
             // Asked again by and by.
@@ -117,13 +117,13 @@
         }
     }
 
-    fn free_said(&mut self, now: u64, name: &str, job: &mut Job, said: RegisterSaid) {
+    fn free_said(&mut self, now: u64, name: &str, job: &mut Job, said: RegisterResponse) {
         if job.unfreed.is_none() || !matches!(job.state, State::Idle) {
             return;
         }
         let (version, value) = match said {
-            RegisterSaid::Written(version) => (version, Claim::default()),
-            RegisterSaid::Found(version, bytes) => (version, read(&bytes)),
+            RegisterResponse::Written(version) => (version, Claim::default()),
+            RegisterResponse::Found(version, bytes) => (version, read(&bytes)),
             _ => return,
         };
         let is_void = value.by.0 == self.life && job.issued.contains(&value.by.1);
@@ -163,7 +163,7 @@
         };
     }
 
-    fn keep_said(&mut self, now: u64, name: &str, job: &mut Job, said: RegisterSaid) {
+    fn keep_said(&mut self, now: u64, name: &str, job: &mut Job, said: RegisterResponse) {
         let State::Answered {
             debt: Some((id, _)),
             ..
@@ -173,11 +173,11 @@
         };
         let id = id.clone();
         let is_kept = match said {
-            RegisterSaid::Written(version) => {
+            RegisterResponse::Written(version) => {
                 job.version = version;
                 true
             }
-            RegisterSaid::Found(version, bytes) => {
+            RegisterResponse::Found(version, bytes) => {
                 let value = read(&bytes);
                 let is_same = value.runner == id && value.state == ClaimState::Taken;
                 let is_forgotten = value.state == ClaimState::Free && version == 0;
--- a/crates/jobs/tests/machine.rs
+++ b/crates/jobs/tests/machine.rs
@@ -2,35 +2,35 @@
 
 use fuzzing::seeded;
 use jobs::{digest, is_key, register_key, Claim, ClaimState, JobAction, Jobs, RunnerId};
-use protocol::{Bid, JobEnd, JobMark, JobResult, JobVerdict, RegisterSaid};
+use protocol::{JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseRequest, RegisterResponse};
 use speedy::{Readable, Writable};
 
-fn bid(ticket: u64, key: &str, is_once: bool) -> Bid {
-    Bid {
-        ticket,
+fn bid(ticket: u64, key: &str, is_once: bool) -> LeaseRequest {
+    LeaseRequest {
+        request_id: ticket,
         function: "sign".into(),
-        budget_ms: 4_000,
+        timeout_ms: 4_000,
         job: Some(mark(key, is_once)),
-        ..Bid::default()
+        ..LeaseRequest::default()
     }
 }
 
-fn mark(key: &str, is_once: bool) -> JobMark {
-    JobMark {
+fn mark(key: &str, is_once: bool) -> JobAttempt {
+    JobAttempt {
         key: key.into(),
         digest: digest("POST", "/sign", b"build"),
-        is_once,
+        at_most_once: is_once,
         incarnation: 7,
-        attempt: 1,
+        number: 1,
     }
 }
 
-fn end(ticket: u64, key: &str, is_once: bool, result: JobResult) -> JobEnd {
-    JobEnd {
-        ticket,
+fn end(ticket: u64, key: &str, is_once: bool, result: JobResult) -> JobCompletion {
+    JobCompletion {
+        request_id: ticket,
         function: "sign".into(),
-        mark: mark(key, is_once),
-        version: u64::from(is_once),
+        attempt: mark(key, is_once),
+        register_version: u64::from(is_once),
         result,
     }
 }
@@ -75,7 +75,7 @@
     let (number, expected, claim) = ask_of(&actions).unwrap();
     assert_eq!((expected, claim.state), (Some(0), ClaimState::Taken));
     assert!(may_leave(&actions).is_empty());
-    jobs.said(3, number, RegisterSaid::Written(1));
+    jobs.said(3, number, RegisterResponse::Written(1));
     assert_eq!(may_leave(&jobs.actions()), [4]);
 }
 
@@ -94,7 +94,7 @@
     jobs.ended(5, "g1", end(4, "k", false, JobResult::Lost));
     let actions = jobs.actions();
     assert!(
-        matches!(&actions[0], JobAction::Seat(gateway, _, bid) if gateway == "g2" && bid.ticket == 9)
+        matches!(&actions[0], JobAction::Seat(gateway, _, bid) if gateway == "g2" && bid.request_id == 9)
     );
     jobs.ended(9, "g2", end(9, "k", false, JobResult::Answer(vec![1])));
     jobs.arrive(10, "g3", "a", bid(2, "k", false));
@@ -117,7 +117,7 @@
         by: (9, 9),
         state: ClaimState::Done(Some(vec![5])),
     };
-    let found = RegisterSaid::Found(2, done.write_to_vec().unwrap());
+    let found = RegisterResponse::Found(2, done.write_to_vec().unwrap());
     jobs.said(2, number, found);
     let told = verdicts(&jobs.actions());
     assert_eq!(told, [(4, JobVerdict::Answer(vec![5]))]);
@@ -157,7 +157,7 @@
     let mut jobs = Jobs::new(1, 600_000);
     jobs.arrive(0, "g1", "a", bid(1, "running", true));
     let (number, _, _) = ask_of(&jobs.actions()).unwrap();
-    jobs.said(0, number, RegisterSaid::Written(1));
+    jobs.said(0, number, RegisterResponse::Written(1));
     for ticket in 2..60_000 {
         let key = format!("k{ticket}");
         let is_once = ticket % 2 == 0;
@@ -197,9 +197,9 @@
                 3 if !asks.is_empty() => {
                     let number = asks.remove(usize::from(one) % asks.len());
                     let said = match other % 4 {
-                        0 | 1 => RegisterSaid::Written(u64::from(one)),
-                        2 => RegisterSaid::Unreached,
-                        _ => RegisterSaid::Found(u64::from(one), vec![other; 3]),
+                        0 | 1 => RegisterResponse::Written(u64::from(one)),
+                        2 => RegisterResponse::Unavailable,
+                        _ => RegisterResponse::Found(u64::from(one), vec![other; 3]),
                     };
                     jobs.said(now, number, said);
                 }
--- a/crates/jobs/tests/town/controllers.rs
+++ b/crates/jobs/tests/town/controllers.rs
@@ -1,5 +1,5 @@
 use super::{Event, Town, MS};
-use protocol::{Message, RegisterSaid};
+use protocol::{Message, RegisterResponse};
 use rand::Rng;
 use register::{
     Acceptor, Ballot, Change, Outcome, Proposal, ProposalStep, Record, VoterAsk, VoterMessage,
@@ -57,24 +57,24 @@
     }
 }
 
-fn said_of(outcome: Outcome, is_write: bool) -> RegisterSaid {
+fn said_of(outcome: Outcome, is_write: bool) -> RegisterResponse {
     match outcome {
-        Outcome::Settled(stored) if is_write => RegisterSaid::Written(stored.version),
+        Outcome::Settled(stored) if is_write => RegisterResponse::Written(stored.version),
         Outcome::Settled(stored) | Outcome::Stale(stored) => {
-            RegisterSaid::Found(stored.version, stored.bytes)
+            RegisterResponse::Found(stored.version, stored.bytes)
         }
-        Outcome::Undecided => RegisterSaid::Unsure,
-        _ => RegisterSaid::Unreached,
+        Outcome::Undecided => RegisterResponse::Indeterminate,
+        _ => RegisterResponse::Unavailable,
     }
 }
 
 impl Town {
     pub fn controller_asked(&mut self, place: usize, from: (usize, u64), message: Message) {
-        let Message::JobAsk {
+        let Message::JobRegisterRequest {
             number,
             key,
-            expected,
-            bytes,
+            expected_version: expected,
+            value: bytes,
         } = message
         else {
             return;
--- a/crates/jobs/tests/town/gateway.rs
+++ b/crates/jobs/tests/town/gateway.rs
@@ -1,7 +1,9 @@
 use super::oracle::is_once;
 use super::{Event, Told, Town, FUNCTION, MS};
 use jobs::{digest, Ends, Jobs, Pass};
-use protocol::{Bid, FunctionNews, JobResult, Message, Outcome, RunnerNews, RunnerStage};
+use protocol::{
+    FunctionUpdate, JobResult, LeaseOutcome, LeaseRequest, Message, RunnerStage, RunnerUpdate,
+};
 use rand::Rng;
 use seat_leases::{select_owner, LeaseOwner};
 use std::collections::BTreeMap;
@@ -55,18 +57,18 @@
     }
 }
 
-fn runners() -> FunctionNews {
-    let runner = |place: usize| RunnerNews {
+fn runners() -> FunctionUpdate {
+    let runner = |place: usize| RunnerUpdate {
         id: format!("r{place}"),
         address: format!("r{place}"),
-        district: String::new(),
+        zone: String::new(),
         quota: 4,
         stage: RunnerStage::Serving,
         starts_in_ms: 0,
     };
-    FunctionNews {
+    FunctionUpdate {
         function: FUNCTION.into(),
-        mark: (1, 1),
+        version: (1, 1),
         runners: (0..3).map(runner).collect(),
         start_block: None,
     }
@@ -161,12 +163,12 @@
             return;
         };
         ticket.stage = Stage::Waiting(keeper.clone());
-        let bid = Bid {
-            ticket: number,
+        let bid = LeaseRequest {
+            request_id: number,
             function: FUNCTION.into(),
-            rank: 0,
-            budget_ms: ticket.ends_at.saturating_sub(now) as u32,
-            avoid: Vec::new(),
+            priority: 0,
+            timeout_ms: ticket.ends_at.saturating_sub(now) as u32,
+            excluded_runners: Vec::new(),
             job: Some(ticket.pass.bid(&keeper)),
         };
         if keeper == node.name {
@@ -174,7 +176,7 @@
             return self.run_actions(place);
         }
         let peer = self.place_of(&keeper).unwrap();
-        self.send(place, peer, Message::Bid(bid));
+        self.send(place, peer, Message::LeaseRequest(bid));
     }
 
     pub fn rested(&mut self, place: usize, life: u64, number: u64) {
@@ -203,7 +205,7 @@
             node.keeper.cancel(now, &lender, number);
         } else {
             let peer = self.place_of(&lender).unwrap();
-            self.send(place, peer, Message::Withdraw(number));
+            self.send(place, peer, Message::CancelRequest(number));
         }
         self.tell_end(place, &lender, end);
     }
@@ -241,7 +243,7 @@
     pub fn withdraw_seat(&mut self, place: usize, number: u64) {
         let ticket = &self.nodes[place].tickets[&number];
         if let Stage::Sent(lender, false, _) = ticket.stage.clone() {
-            self.release(place, &lender, number, Outcome::Unused);
+            self.release(place, &lender, number, LeaseOutcome::Unused);
         }
     }
 
@@ -251,7 +253,7 @@
             return;
         };
         if let Stage::Sent(lender, true, _) = ticket.stage.clone() {
-            self.release(place, &lender, number, Outcome::Lost);
+            self.release(place, &lender, number, LeaseOutcome::Lost);
             return self.finish(place, number, Told::MayHaveRun, JobResult::Lost);
         }
         let is_unsure = ticket.may_have_run || ticket.pass.is_unsure();
--- a/crates/jobs/tests/town/hearing.rs
+++ b/crates/jobs/tests/town/hearing.rs
@@ -14,23 +14,26 @@
         let node = &mut self.nodes[place];
         node.suspects.remove(&name);
         match message {
-            Message::Bid(bid) => node.jobs.arrive(now, &name, "", bid),
-            Message::Withdraw(ticket) => node.keeper.cancel(now, &name, ticket),
-            Message::Release(release) => node.keeper.release(now, &name, &release),
-            Message::JobEnd(end) => node.jobs.ended(now, &name, end),
-            Message::Grant(grant) => self.granted(place, &name, grant),
-            Message::Claimed {
-                ticket,
+            Message::LeaseRequest(bid) => node.jobs.arrive(now, &name, "", bid),
+            Message::CancelRequest(ticket) => node.keeper.cancel(now, &name, ticket),
+            Message::LeaseRelease(release) => node.keeper.release(now, &name, &release),
+            Message::JobCompletion(end) => node.jobs.ended(now, &name, end),
+            Message::SeatLease(grant) => self.granted(place, &name, grant),
+            Message::JobClaimed {
+                request_id: ticket,
                 attempt,
-                version,
+                register_version: version,
             } => self.claimed(place, &name, ticket, attempt, version),
-            Message::Joined { ticket, attempt } => self.joined(place, &name, ticket, attempt),
-            Message::JobTold {
-                ticket,
+            Message::JobJoined {
+                request_id: ticket,
+                attempt,
+            } => self.joined(place, &name, ticket, attempt),
+            Message::JobVerdict {
+                request_id: ticket,
                 attempt,
                 verdict,
             } => self.told(place, &name, ticket, attempt, verdict),
-            Message::JobKept(ticket) => node.ends.kept(ticket),
+            Message::JobPersisted(ticket) => node.ends.kept(ticket),
             _ => {}
         }
         self.run_actions(place);
@@ -58,7 +61,7 @@
             LeaseAction::Grant {
                 gateway,
                 lease: grant,
-            } => self.deliver(place, &gateway, Message::Grant(grant)),
+            } => self.deliver(place, &gateway, Message::SeatLease(grant)),
             LeaseAction::Reject {
                 gateway,
                 request: ticket,
@@ -93,26 +96,33 @@
                 attempt,
                 version,
             } => {
-                let message = Message::Claimed {
-                    ticket,
+                let message = Message::JobClaimed {
+                    request_id: ticket,
                     attempt,
-                    version,
+                    register_version: version,
                 };
                 self.deliver(place, &gateway, message);
             }
             JobAction::Joined(gateway, ticket, attempt) => {
-                self.deliver(place, &gateway, Message::Joined { ticket, attempt });
+                self.deliver(
+                    place,
+                    &gateway,
+                    Message::JobJoined {
+                        request_id: ticket,
+                        attempt,
+                    },
+                );
             }
             JobAction::Tell(gateway, ticket, attempt, verdict) => {
-                let message = Message::JobTold {
-                    ticket,
+                let message = Message::JobVerdict {
+                    request_id: ticket,
                     attempt,
                     verdict,
                 };
                 self.deliver(place, &gateway, message);
             }
             JobAction::Kept(gateway, ticket) => {
-                self.deliver(place, &gateway, Message::JobKept(ticket));
+                self.deliver(place, &gateway, Message::JobPersisted(ticket));
             }
             JobAction::Ask {
                 number,
@@ -124,11 +134,11 @@
                 let from = (place, node.life);
                 let controller = (place + tries as usize) % self.controllers.len();
                 let way = self.hop();
-                let message = Message::JobAsk {
+                let message = Message::JobRegisterRequest {
                     number,
                     key,
-                    expected,
-                    bytes,
+                    expected_version: expected,
+                    value: bytes,
                 };
                 self.later(way, Event::ControllerAsk(controller, from, message));
             }
--- a/crates/jobs/tests/town/mod.rs
+++ b/crates/jobs/tests/town/mod.rs
@@ -11,7 +11,7 @@
 pub use oracle::{Oracle, Told};
 
 use controllers::Controller;
-use protocol::{JobEnd, Member, Message, RegisterSaid};
+use protocol::{JobCompletion, Member, Message, RegisterResponse};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use register::{VoterMessage, VoterReply};
@@ -28,7 +28,7 @@
     Hear(usize, u64, usize, Message),
     LinkEnded(usize, u64, usize),
     ControllerAsk(usize, (usize, u64), Message),
-    ControllerSaid(usize, u64, u64, RegisterSaid),
+    ControllerSaid(usize, u64, u64, RegisterResponse),
     VoterAsk(usize, usize, u64, (u64, u64), VoterMessage),
     VoterReply(usize, u64, (u64, u64), usize, VoterReply),
     Again(usize, u64, u64, u64),
@@ -243,13 +243,13 @@
         }
     }
 
-    pub fn tell_end(&mut self, place: usize, to: &str, end: JobEnd) {
+    pub fn tell_end(&mut self, place: usize, to: &str, end: JobCompletion) {
         if to == self.nodes[place].name {
             let now = self.now_ms();
             self.nodes[place].jobs.ended(now, to, end);
             self.run_actions(place);
         } else if let Some(peer) = self.place_of(to) {
-            self.send(place, peer, Message::JobEnd(end));
+            self.send(place, peer, Message::JobCompletion(end));
         }
     }
 
--- a/crates/jobs/tests/town/sending.rs
+++ b/crates/jobs/tests/town/sending.rs
@@ -1,13 +1,13 @@
 use super::gateway::Stage;
 use super::{Event, Reply, Told, Town, FUNCTION, MS};
-use protocol::{Grant, JobResult, Message, Outcome, Release};
+use protocol::{JobResult, LeaseOutcome, LeaseRelease, Message, SeatLease};
 use rand::Rng;
 
 const SENDS_MAX: u32 = 3;
 
 impl Town {
-    pub fn granted(&mut self, place: usize, lender: &str, grant: Grant) {
-        let number = grant.ticket;
+    pub fn granted(&mut self, place: usize, lender: &str, grant: SeatLease) {
+        let number = grant.request_id;
         let way = self.hop();
         let node = &mut self.nodes[place];
         let ticket = node.tickets.get_mut(&number);
@@ -15,24 +15,24 @@
             .as_ref()
             .is_some_and(|ticket| ticket.stage == Stage::Waiting(lender.into()));
         let Some(ticket) = ticket.filter(|_| is_waiting) else {
-            return self.release(place, lender, number, Outcome::Unused);
+            return self.release(place, lender, number, LeaseOutcome::Unused);
         };
         ticket.stage = Stage::Sent(lender.into(), false, 0);
-        let (life, attempt) = (node.life, ticket.pass.mark().attempt);
+        let (life, attempt) = (node.life, ticket.pass.mark().number);
         self.later(way, Event::Line(place, life, number, attempt));
     }
 
-    pub fn release(&mut self, place: usize, lender: &str, ticket: u64, outcome: Outcome) {
+    pub fn release(&mut self, place: usize, lender: &str, ticket: u64, outcome: LeaseOutcome) {
         let now = self.now_ms();
-        let release = Release {
-            ticket,
+        let release = LeaseRelease {
+            request_id: ticket,
             outcome,
-            took_ms: 20,
+            duration_ms: 20,
         };
         if lender == self.nodes[place].name {
             self.nodes[place].keeper.release(now, lender, &release);
         } else if let Some(peer) = self.place_of(lender) {
-            self.send(place, peer, Message::Release(release));
+            self.send(place, peer, Message::LeaseRelease(release));
         }
     }
 
@@ -45,7 +45,7 @@
         let Some(ticket) = node.tickets.get_mut(&number) else {
             return;
         };
-        let is_same = ticket.pass.mark().attempt == attempt;
+        let is_same = ticket.pass.mark().number == attempt;
         if let Stage::Sent(_, false, opened) = &mut ticket.stage {
             if is_same {
                 *opened = now;
@@ -73,7 +73,7 @@
         ticket.sends += 1;
         let (from, send, waited) = ((place, node.life), ticket.sends, now - *opened);
         let asked = ticket.asked;
-        if ticket.pass.mark().is_once {
+        if ticket.pass.mark().at_most_once {
             self.oracle.waits.push(waited);
         }
         self.later(way, Event::Run(asked, from, number, send));
@@ -113,22 +113,22 @@
         if ticket.sends != send {
             return;
         }
-        let is_once = ticket.pass.mark().is_once;
+        let is_once = ticket.pass.mark().at_most_once;
         match reply {
             Reply::Answer(answer) => {
-                self.release(place, &lender, number, Outcome::Answered);
+                self.release(place, &lender, number, LeaseOutcome::Succeeded);
                 let result = JobResult::Answer(answer.clone());
                 self.finish(place, number, Told::Answer(answer), result);
             }
             Reply::TurnedAway => {
-                self.release(place, &lender, number, Outcome::TurnedAway);
+                self.release(place, &lender, number, LeaseOutcome::Rejected);
                 if !self.try_again(place, number) {
                     self.finish(place, number, Told::NotRun, JobResult::NotRun);
                 }
             }
             Reply::BrokeOff => {
                 ticket.may_have_run = true;
-                self.release(place, &lender, number, Outcome::Lost);
+                self.release(place, &lender, number, LeaseOutcome::Lost);
                 if is_once || !self.try_again(place, number) {
                     self.finish(place, number, Told::MayHaveRun, JobResult::Lost);
                 }
--- a/crates/jobs/tests/words.rs
+++ b/crates/jobs/tests/words.rs
@@ -1,7 +1,7 @@
 //! Word that comes late, or about an earlier bid, changes nothing; word that must come comes.
 
 use jobs::{digest, Claim, Ends, JobAction, Jobs, Pass};
-use protocol::{Bid, JobEnd, JobMark, JobResult, JobVerdict, RegisterSaid};
+use protocol::{JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseRequest, RegisterResponse};
 use speedy::Readable;
 
 const KEY: &str = "k";
@@ -10,13 +10,13 @@
     Pass::new(KEY.into(), digest("POST", "/sign", b"build"), true, 7)
 }
 
-fn bid(ticket: u64, mark: JobMark) -> Bid {
-    Bid {
-        ticket,
+fn bid(ticket: u64, mark: JobAttempt) -> LeaseRequest {
+    LeaseRequest {
+        request_id: ticket,
         function: "sign".into(),
-        budget_ms: 4_000,
+        timeout_ms: 4_000,
         job: Some(mark),
-        ..Bid::default()
+        ..LeaseRequest::default()
     }
 }
 
@@ -34,13 +34,13 @@
     let mut jobs = Jobs::new(1, 10_000);
     jobs.arrive(0, "g1", "a", bid(4, pass.bid("k1")));
     let (number, claim) = asked(&jobs.actions());
-    jobs.said(1, number, RegisterSaid::Written(1));
+    jobs.said(1, number, RegisterResponse::Written(1));
     pass.claimed(1);
     jobs.actions();
     (jobs, claim)
 }
 
-fn end(pass: &Pass, result: JobResult) -> JobEnd {
+fn end(pass: &Pass, result: JobResult) -> JobCompletion {
     pass.end(4, "sign", result)
 }
 
@@ -51,7 +51,7 @@
     let old = end(&pass, JobResult::NotRun);
     jobs.arrive(5, "g1", "a", bid(4, pass.bid("k1")));
     let (number, _) = asked(&jobs.actions());
-    jobs.said(6, number, RegisterSaid::Written(2));
+    jobs.said(6, number, RegisterResponse::Written(2));
     jobs.arrive(7, "g2", "a", bid(9, self::pass().bid("k1")));
     jobs.actions();
     jobs.ended(8, "g1", old);
@@ -86,7 +86,7 @@
     assert!(jobs.is_empty());
     jobs.arrive(30_001, "g2", "a", bid(9, self::pass().bid("k1")));
     let (number, _) = asked(&jobs.actions());
-    jobs.said(30_002, number, RegisterSaid::Found(1, claim));
+    jobs.said(30_002, number, RegisterResponse::Found(1, claim));
     let actions = jobs.actions();
     let joins =
         |action: &JobAction| matches!(action, JobAction::Joined(gateway, 9, _) if gateway == "g2");
@@ -111,7 +111,7 @@
                     number, expected, ..
                 } => {
                     assert_eq!(expected, None, "it is only looked at");
-                    jobs.said(now, number, RegisterSaid::Found(1, claim.clone()));
+                    jobs.said(now, number, RegisterResponse::Found(1, claim.clone()));
                 }
                 JobAction::Tell(_, ticket, _, verdict) => told.push((now, ticket, verdict)),
                 _ => {}
@@ -128,11 +128,11 @@
 fn a_gateway_takes_word_about_the_bid_that_stands_alone() {
     let mut pass = pass();
     assert!(!pass.may_leave() && pass.is_unsure());
-    let first = pass.bid("k1").attempt;
+    let first = pass.bid("k1").number;
     assert!(pass.is_meant("k1", first) && !pass.is_meant("k2", first));
     pass.claimed(3);
     assert!(pass.may_leave() && !pass.is_unsure());
-    let second = pass.bid("k1").attempt;
+    let second = pass.bid("k1").number;
     assert!(!pass.is_meant("k1", first) && pass.is_meant("k1", second));
     assert!(
         !pass.may_leave(),
@@ -169,7 +169,7 @@
     let (number, bytes) = asked(&other.actions());
     let kept = Claim::read_from_buffer(&bytes).unwrap();
     assert_eq!(kept.runner, Claim::read_from_buffer(&claim).unwrap().runner);
-    other.said(11, number, RegisterSaid::Written(2));
+    other.said(11, number, RegisterResponse::Written(2));
     assert_eq!(other.actions(), [JobAction::Kept("g1".into(), 4)]);
     other.ended(12, "g1", answer);
     assert_eq!(other.actions(), [JobAction::Kept("g1".into(), 4)]);
--- a/crates/operator_commands/src/decision.rs
+++ b/crates/operator_commands/src/decision.rs
@@ -4,7 +4,7 @@
 use crate::command::{BaseVersion, Command, CommandKind};
 use crate::configuration::ConfigurationRecord;
 use crate::evacuations::Evacuations;
-use routing::{Documents, Fault};
+use routing::{ConfigurationError, ConfigurationFormat};
 use speedy::Writable;
 
 /// Why a command is rejected. A rejection is final: no copy of a rejected command is ever accepted.
@@ -56,7 +56,7 @@
 }
 
 /// Decides on a command by the register's bytes, which must have been read at a majority.
-pub fn decide(command: &Command, bytes: &[u8], documents: &dyn Documents) -> Decision {
+pub fn decide(command: &Command, bytes: &[u8], documents: &dyn ConfigurationFormat) -> Decision {
     match &command.kind {
         CommandKind::Read => read_configuration(bytes),
         CommandKind::BeginEvacuation(zone) => decide_evacuation(bytes, zone, true),
@@ -92,7 +92,11 @@
     write(&evacuations.next(zone, is_begin))
 }
 
-fn decide_configuration(command: &Command, bytes: &[u8], documents: &dyn Documents) -> Decision {
+fn decide_configuration(
+    command: &Command,
+    bytes: &[u8],
+    documents: &dyn ConfigurationFormat,
+) -> Decision {
     let Some(version) = command.version else {
         return reject(RejectionKind::Invalid, "the version cannot be read");
     };
@@ -137,7 +141,7 @@
     command: &Command,
     current: &ConfigurationRecord,
     version: u64,
-    documents: &dyn Documents,
+    documents: &dyn ConfigurationFormat,
 ) -> Decision {
     let Some(old) = current.document() else {
         return leave_undecided("the configuration in place cannot be unpacked");
@@ -152,13 +156,13 @@
 fn checked_document(
     command: &Command,
     old: &[u8],
-    documents: &dyn Documents,
-) -> Result<Vec<u8>, Fault> {
+    documents: &dyn ConfigurationFormat,
+) -> Result<Vec<u8>, ConfigurationError> {
     let document = match command.kind {
-        CommandKind::Update => documents.change(old, &command.body)?,
+        CommandKind::Update => documents.merge_change(old, &command.body)?,
         _ => command.body.clone(),
     };
-    documents.read(&document)?;
+    documents.parse(&document)?;
     Ok(document)
 }
 
--- a/crates/operator_commands/src/execution.rs
+++ b/crates/operator_commands/src/execution.rs
@@ -4,7 +4,7 @@
 use crate::decision::{decide, CommandReply, Decision};
 use crate::evacuations::Evacuations;
 use register::{Outcome, Stored};
-use routing::Documents;
+use routing::ConfigurationFormat;
 
 /// Times that a command is decided anew because another one was faster.
 pub const DECISION_ATTEMPTS_MAX: u32 = 8;
@@ -51,7 +51,11 @@
     }
 
     /// Takes how the read or the write ended.
-    pub fn on_outcome(&mut self, outcome: Outcome, documents: &dyn Documents) -> ExecutionStep {
+    pub fn on_outcome(
+        &mut self,
+        outcome: Outcome,
+        documents: &dyn ConfigurationFormat,
+    ) -> ExecutionStep {
         let has_written = std::mem::take(&mut self.has_written);
         let stored = match outcome {
             Outcome::Settled(_) if has_written => {
@@ -68,7 +72,7 @@
         self.step(stored, documents)
     }
 
-    fn step(&mut self, stored: Stored, documents: &dyn Documents) -> ExecutionStep {
+    fn step(&mut self, stored: Stored, documents: &dyn ConfigurationFormat) -> ExecutionStep {
         match decide(&self.command, &stored.bytes, documents) {
             Decision::Reply(reply) => ExecutionStep::Reply(reply),
             Decision::Write(_) if !self.may_write(&stored) => {
--- a/crates/operator_commands/tests/cluster/documents.rs
+++ b/crates/operator_commands/tests/cluster/documents.rs
@@ -1,6 +1,6 @@
 //! A small document format: named numbers, of which none may be zero.
 
-use routing::{Description, Documents, Fault};
+use routing::{ConfigurationError, ConfigurationFormat, RoutingConfiguration};
 use serde_json::{json, Map, Value};
 
 /// Item that holds the number of the command that a document came from.
@@ -12,36 +12,42 @@
 /// Reader of the format.
 pub struct TestDocuments;
 
-fn parse(bytes: &[u8]) -> Result<Map<String, Value>, Fault> {
-    serde_json::from_slice(bytes).map_err(|error| Fault::Unreadable(error.to_string()))
+fn parse(bytes: &[u8]) -> Result<Map<String, Value>, ConfigurationError> {
+    serde_json::from_slice(bytes).map_err(|error| ConfigurationError::Unreadable(error.to_string()))
 }
 
-fn items_of(document: &mut Map<String, Value>) -> Result<&mut Map<String, Value>, Fault> {
+fn items_of(
+    document: &mut Map<String, Value>,
+) -> Result<&mut Map<String, Value>, ConfigurationError> {
     let items = document.get_mut(ITEMS).and_then(Value::as_object_mut);
-    items.ok_or_else(|| Fault::Invalid("there are no items".into()))
+    items.ok_or_else(|| ConfigurationError::Invalid("there are no items".into()))
 }
 
-impl Documents for TestDocuments {
-    fn read(&self, document: &[u8]) -> Result<Description, Fault> {
+impl ConfigurationFormat for TestDocuments {
+    fn parse(&self, document: &[u8]) -> Result<RoutingConfiguration, ConfigurationError> {
         let mut document = parse(document)?;
         if items_of(&mut document)?.values().any(|value| *value == 0) {
-            return Err(Fault::Invalid("an item is zero".into()));
+            return Err(ConfigurationError::Invalid("an item is zero".into()));
         }
-        Ok(Description::default())
+        Ok(RoutingConfiguration::default())
     }
 
-    fn amend(&self, _: &Description, change: &[u8]) -> Result<Description, Fault> {
-        self.read(change)
+    fn apply_change(
+        &self,
+        _: &RoutingConfiguration,
+        change: &[u8],
+    ) -> Result<RoutingConfiguration, ConfigurationError> {
+        self.parse(change)
     }
 
-    fn change(&self, document: &[u8], change: &[u8]) -> Result<Vec<u8>, Fault> {
+    fn merge_change(&self, document: &[u8], change: &[u8]) -> Result<Vec<u8>, ConfigurationError> {
         let mut document = parse(document)?;
         let mut change = parse(change)?;
         let items = items_of(&mut document)?;
         items.append(items_of(&mut change)?);
         if let Some(dropped) = change.get(DROPPED).and_then(Value::as_str) {
             if items.remove(dropped).is_none() {
-                return Err(Fault::Invalid("there is no such item".into()));
+                return Err(ConfigurationError::Invalid("there is no such item".into()));
             }
         }
         document.insert(VERSION.into(), change[VERSION].clone());
--- a/crates/operator_commands/tests/cluster/oracle.rs
+++ b/crates/operator_commands/tests/cluster/oracle.rs
@@ -6,7 +6,7 @@
     BaseVersion, Command, CommandKind, CommandReply, ConfigurationRecord, Evacuations,
 };
 use register::{Acceptor, Ballot, Stored};
-use routing::Documents;
+use routing::ConfigurationFormat;
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Begun {
@@ -100,7 +100,7 @@
     fn note_configuration(&mut self, at: u64, configuration: ConfigurationRecord) {
         let document = configuration.document().unwrap();
         assert!(
-            TestDocuments.read(&document).is_ok(),
+            TestDocuments.parse(&document).is_ok(),
             "an invalid one is in force"
         );
         let number = command_of(&document).unwrap();
--- a/crates/protocol/src/functions.rs
+++ b/crates/protocol/src/functions.rs
@@ -6,13 +6,13 @@
     /// The function.
     pub function: String,
     /// Number of the news that the keeper holds for it; 0 where it holds none.
-    pub news: u64,
+    pub update_number: u64,
     /// Requests that came in, by the district of the gateway that took them.
-    pub arrived: Vec<(String, u64)>,
+    pub arrivals: Vec<(String, u64)>,
     /// Requests that wait for a seat now.
     pub waiting: u32,
     /// Requests that were given up for want of a seat.
-    pub given_up: u64,
+    pub abandoned: u64,
     /// What is known of each runner.
     pub runners: Vec<RunnerReport>,
 }
@@ -25,11 +25,11 @@
     /// Requests that it holds now.
     pub in_use: u32,
     /// Good answers that it gave.
-    pub answered: u64,
+    pub succeeded: u64,
     /// Milliseconds that these answers took, summed.
-    pub took_ms: u64,
+    pub total_duration_ms: u64,
     /// Requests that it turned away as over its concurrency.
-    pub turned_away: u64,
+    pub rejected: u64,
     /// It was reached at least once.
     pub is_up: bool,
     /// It cannot be reached any more, or another runner has its address.
@@ -38,13 +38,13 @@
 
 /// All runners of one function, as the scaler wants them.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
-pub struct FunctionNews {
+pub struct FunctionUpdate {
     /// The function.
     pub function: String,
     /// Term of the scaler and number of the news within it; a higher pair wins.
-    pub mark: (u64, u64),
+    pub version: (u64, u64),
     /// Its runners.
-    pub runners: Vec<RunnerNews>,
+    pub runners: Vec<RunnerUpdate>,
     /// Set while no worker has room for a runner of it and it has none.
     pub start_block: Option<StartBlock>,
 }
@@ -63,13 +63,13 @@
 
 /// One runner as the scaler wants it.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
-pub struct RunnerNews {
+pub struct RunnerUpdate {
     /// Id that the platform gave it.
     pub id: String,
     /// Address (ip and port).
     pub address: String,
     /// District of its worker.
-    pub district: String,
+    pub zone: String,
     /// Requests that it may hold at once, never above its function's concurrency.
     pub quota: u32,
     /// Where it is in its life.
--- a/crates/protocol/src/jobs.rs
+++ b/crates/protocol/src/jobs.rs
@@ -2,17 +2,17 @@
 
 /// The job of which a request is a copy, as its gateway marks it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct JobMark {
+pub struct JobAttempt {
     /// The caller's key.
     pub key: String,
     /// Digest of the request's method, target and body.
     pub digest: [u8; 16],
     /// It may run once at most.
-    pub is_once: bool,
+    pub at_most_once: bool,
     /// Random number of the gateway's life.
     pub incarnation: u64,
     /// Number of the bid among those of its ticket. A later bid takes all word of an earlier one back.
-    pub attempt: u32,
+    pub number: u32,
 }
 
 /// How a request of a job ended at its gateway.
@@ -30,15 +30,15 @@
 
 /// The end of a request of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct JobEnd {
+pub struct JobCompletion {
     /// The request's ticket.
-    pub ticket: u64,
+    pub request_id: u64,
     /// The function.
     pub function: String,
     /// Its mark, with the bid that ended.
-    pub mark: JobMark,
+    pub attempt: JobAttempt,
     /// Version of the register that bore its claim; 0 where it had none.
-    pub version: u64,
+    pub register_version: u64,
     /// How it ended.
     pub result: JobResult,
 }
@@ -60,13 +60,13 @@
 
 /// A controller's answer about a register.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub enum RegisterSaid {
+pub enum RegisterResponse {
     /// The value was written and is settled, at this version.
     Written(u64),
     /// This version and value were found.
     Found(u64, Vec<u8>),
     /// Nothing was written and nothing is known.
-    Unreached,
+    Unavailable,
     /// It is not known whether the value was written.
-    Unsure,
+    Indeterminate,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -9,8 +9,8 @@
 
 pub use frame::{frame, take_frames, FrameError, Frames, FRAME_MAX};
 pub use functions::{
-    FunctionNews, FunctionReport, RunnerNews, RunnerReport, RunnerStage, StartBlock,
+    FunctionReport, FunctionUpdate, RunnerReport, RunnerStage, RunnerUpdate, StartBlock,
 };
-pub use jobs::{JobEnd, JobMark, JobResult, JobVerdict, RegisterSaid};
-pub use message::{Bid, Grant, Member, Message, Outcome, Release};
+pub use jobs::{JobAttempt, JobCompletion, JobResult, JobVerdict, RegisterResponse};
+pub use message::{LeaseOutcome, LeaseRelease, LeaseRequest, Member, Message, SeatLease};
 pub use packing::{pack, unpack};
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -1,5 +1,5 @@
-use crate::functions::{FunctionNews, FunctionReport};
-use crate::jobs::{JobEnd, JobMark, JobVerdict, RegisterSaid};
+use crate::functions::{FunctionReport, FunctionUpdate};
+use crate::jobs::{JobAttempt, JobCompletion, JobVerdict, RegisterResponse};
 use speedy::{Readable, Writable};
 
 /// A daemon of the data plane on the roster.
@@ -12,155 +12,155 @@
     /// Address at which other daemons reach it.
     pub address: String,
     /// District that it stands in.
-    pub district: String,
+    pub zone: String,
 }
 
 /// A request that waits for a seat at one of its function's runners.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
-pub struct Bid {
+pub struct LeaseRequest {
     /// Number that the bidding gateway gave it, of its own in that gateway's life.
-    pub ticket: u64,
+    pub request_id: u64,
     /// The function.
     pub function: String,
     /// Rank; 0 goes first.
-    pub rank: u8,
+    pub priority: u8,
     /// Milliseconds within which a seat is still of use.
-    pub budget_ms: u32,
+    pub timeout_ms: u32,
     /// Runners that this request was at already.
-    pub avoid: Vec<String>,
+    pub excluded_runners: Vec<String>,
     /// The job of which it may be one of several copies, where its caller named one.
-    pub job: Option<JobMark>,
+    pub job: Option<JobAttempt>,
 }
 
 /// A seat that was lent for one request.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
-pub struct Grant {
+pub struct SeatLease {
     /// The bid's ticket.
-    pub ticket: u64,
+    pub request_id: u64,
     /// Id of the runner.
     pub runner: String,
     /// Its address.
     pub address: String,
     /// District of its worker.
-    pub district: String,
+    pub zone: String,
 }
 
 /// How the use of a seat ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub enum Outcome {
+pub enum LeaseOutcome {
     /// The runner answered well.
     #[default]
-    Answered,
+    Succeeded,
     /// The seat was not used.
     Unused,
     /// The runner was full and did not run it.
-    TurnedAway,
+    Rejected,
     /// Nobody is at the runner's address, or another runner is.
     Gone,
     /// The runner could not be reached in time.
-    Unreached,
+    Unreachable,
     /// The runner may have run it, and no good answer came.
     Lost,
 }
 
 /// A seat that is given back.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
-pub struct Release {
+pub struct LeaseRelease {
     /// The bid's ticket.
-    pub ticket: u64,
+    pub request_id: u64,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: LeaseOutcome,
     /// Milliseconds that the runner took.
-    pub took_ms: u32,
+    pub duration_ms: u32,
 }
 
 /// Everything that daemons say to one another outside the consensus of controllers.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum Message {
     /// A gateway tells who it is, first on every link.
-    Gateway(Member),
+    GatewayHello(Member),
     /// A gateway's heartbeat to a controller: versions of description and closures that it holds, and of the roster.
     GatewayHeartbeat {
         /// Mark of the description in force.
-        description: u64,
+        configuration_version: u64,
         /// Mark of the closed districts in force.
-        closures: u64,
+        evacuations_version: u64,
         /// Term and number of the roster.
-        roster: (u64, u64),
+        membership_version: (u64, u64),
     },
     /// A controller's heartbeat to a gateway.
     ControllerHeartbeat {
         /// Newest settled mark of the description.
-        description: u64,
+        configuration_version: u64,
         /// Newest settled mark of the closed districts.
-        closures: u64,
+        evacuations_version: u64,
         /// Term under which it scales; 0 where it does not.
         term: u64,
         /// Addresses of all controllers that it knows.
         controllers: Vec<String>,
         /// District that it stands in.
-        district: String,
+        zone: String,
         /// Whether it is in contact with a majority of voters, so that what it tells may be taken for the newest.
         is_current: bool,
     },
     /// A daemon that is no gateway asks a controller for its heartbeat.
-    AskHeartbeat,
+    RequestHeartbeat,
     /// A gateway asks for what is newer than what it holds.
-    Ask {
+    RequestConfiguration {
         /// Mark of the description in force.
-        description: u64,
+        configuration_version: u64,
         /// Mark of the closed districts in force.
-        closures: u64,
+        evacuations_version: u64,
     },
     /// A settled description, compressed.
-    Description {
+    Configuration {
         /// Its mark; a higher one wins.
-        mark: u64,
+        version: u64,
         /// The operator's document, deflated.
         document: Vec<u8>,
     },
     /// Settled changes of a description, for who has the one on which the first builds.
-    Changes {
+    ConfigurationChanges {
         /// Mark of the description on which the first change builds; each change adds one.
-        from: u64,
+        base_version: u64,
         /// The operator's changes, each deflated, the oldest first.
         changes: Vec<Vec<u8>>,
     },
     /// Settled closed districts.
-    Closures {
+    EvacuatedZones {
         /// Their mark; a higher one wins.
-        mark: u64,
+        version: u64,
         /// Names of the districts that take no requests.
-        districts: Vec<String>,
+        zones: Vec<String>,
     },
     /// The gateways that keep functions, from the controller that scales.
-    Roster {
+    GatewayMembership {
         /// Term of the scaler and number of the roster within it; a higher pair wins.
-        mark: (u64, u64),
+        version: (u64, u64),
         /// The gateways.
         members: Vec<Member>,
     },
     /// A keeper tells the scaler about functions.
-    Report(Vec<FunctionReport>),
+    FunctionReports(Vec<FunctionReport>),
     /// The scaler tells a keeper the runners of functions.
-    Runners(Vec<FunctionNews>),
+    FunctionUpdates(Vec<FunctionUpdate>),
     /// A gateway bids for a seat at the function's keeper.
-    Bid(Bid),
+    LeaseRequest(LeaseRequest),
     /// A gateway takes a bid back; a seat that was lent for it is free.
-    Withdraw(u64),
+    CancelRequest(u64),
     /// The keeper lends a seat.
-    Grant(Grant),
+    SeatLease(SeatLease),
     /// The keeper has no seat for a bid and will have none in time.
-    Refuse {
+    Reject {
         /// The bid's ticket.
-        ticket: u64,
+        request_id: u64,
         /// Milliseconds after which it pays to come back.
         retry_after_ms: u32,
     },
     /// A gateway gives seats back.
-    Release(Release),
+    LeaseRelease(LeaseRelease),
     /// A gateway tells a function's new keeper which runners it has requests at.
-    Known {
+    LeasesInUse {
         /// The function.
         function: String,
         /// Runner, address, district, and tickets in flight there.
@@ -171,54 +171,54 @@
     /// The answer to a ping.
     Pong(u64),
     /// An operator's tool asks for a daemon's state.
-    Status,
+    RequestStatus,
     /// A daemon's state as JSON text.
-    StatusText(String),
+    Status(String),
     /// The keeper tells a gateway that its request has the claim on its job, and may leave for a runner.
-    Claimed {
+    JobClaimed {
         /// The bid's ticket.
-        ticket: u64,
+        request_id: u64,
         /// Number of the bid.
         attempt: u32,
         /// Version of the register that bears the claim.
-        version: u64,
+        register_version: u64,
     },
     /// The keeper tells a gateway that its request is a copy of one that may be running, and waits for its answer.
-    Joined {
+    JobJoined {
         /// The bid's ticket.
-        ticket: u64,
+        request_id: u64,
         /// Number of the bid.
         attempt: u32,
     },
     /// The keeper tells a gateway what came of the job.
-    JobTold {
+    JobVerdict {
         /// The bid's ticket.
-        ticket: u64,
+        request_id: u64,
         /// Number of the bid.
         attempt: u32,
         /// What came of it.
         verdict: JobVerdict,
     },
     /// A gateway tells the keeper how a request of a job ended.
-    JobEnd(JobEnd),
+    JobCompletion(JobCompletion),
     /// The keeper tells a gateway that the answer to its ticket's job is on the disks of a majority of controllers.
-    JobKept(u64),
+    JobPersisted(u64),
     /// A gateway asks a controller to read or write a job's register.
-    JobAsk {
+    JobRegisterRequest {
         /// Number that the answer bears.
         number: u64,
         /// Key of the register.
         key: String,
         /// Version that the register must have to be written; none to read it.
-        expected: Option<u64>,
+        expected_version: Option<u64>,
         /// The new value.
-        bytes: Vec<u8>,
+        value: Vec<u8>,
     },
     /// A controller's answer.
-    JobSaid {
+    JobRegisterResponse {
         /// Number of the question.
         number: u64,
         /// The answer.
-        said: RegisterSaid,
+        response: RegisterResponse,
     },
 }
--- a/crates/protocol/tests/drawn/mod.rs
+++ b/crates/protocol/tests/drawn/mod.rs
@@ -1,8 +1,9 @@
 //! Messages of every kind, drawn at random.
 
 use protocol::{
-    Bid, FunctionNews, FunctionReport, Grant, JobEnd, JobMark, JobResult, JobVerdict, Member,
-    Message, Outcome, RegisterSaid, Release, RunnerNews, RunnerReport, RunnerStage, StartBlock,
+    FunctionReport, FunctionUpdate, JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseOutcome,
+    LeaseRelease, LeaseRequest, Member, Message, RegisterResponse, RunnerReport, RunnerStage,
+    RunnerUpdate, SeatLease, StartBlock,
 };
 use quickcheck::{Arbitrary, Gen};
 
@@ -32,42 +33,42 @@
         name: any(gen),
         incarnation: any(gen),
         address: any(gen),
-        district: any(gen),
+        zone: any(gen),
     }
 }
 
 fn report(gen: &mut Gen) -> FunctionReport {
     FunctionReport {
         function: any(gen),
-        news: any(gen),
-        arrived: any(gen),
+        update_number: any(gen),
+        arrivals: any(gen),
         waiting: any(gen),
-        given_up: any(gen),
+        abandoned: any(gen),
         runners: some(gen, |gen| RunnerReport {
             id: any(gen),
             in_use: any(gen),
-            answered: any(gen),
-            took_ms: any(gen),
-            turned_away: any(gen),
+            succeeded: any(gen),
+            total_duration_ms: any(gen),
+            rejected: any(gen),
             is_up: any(gen),
             is_gone: any(gen),
         }),
     }
 }
 
-fn news(gen: &mut Gen) -> FunctionNews {
+fn news(gen: &mut Gen) -> FunctionUpdate {
     let stages = [
         RunnerStage::Starting,
         RunnerStage::Serving,
         RunnerStage::Draining,
     ];
-    FunctionNews {
+    FunctionUpdate {
         function: any(gen),
-        mark: any(gen),
-        runners: some(gen, |gen| RunnerNews {
+        version: any(gen),
+        runners: some(gen, |gen| RunnerUpdate {
             id: any(gen),
             address: any(gen),
-            district: any(gen),
+            zone: any(gen),
             quota: any(gen),
             stage: *gen.choose(&stages).unwrap(),
             starts_in_ms: any(gen),
@@ -80,27 +81,27 @@
     }
 }
 
-fn outcome(gen: &mut Gen) -> Outcome {
+fn outcome(gen: &mut Gen) -> LeaseOutcome {
     let outcomes = [
-        Outcome::Answered,
-        Outcome::Unused,
-        Outcome::TurnedAway,
-        Outcome::Gone,
-        Outcome::Unreached,
-        Outcome::Lost,
+        LeaseOutcome::Succeeded,
+        LeaseOutcome::Unused,
+        LeaseOutcome::Rejected,
+        LeaseOutcome::Gone,
+        LeaseOutcome::Unreachable,
+        LeaseOutcome::Lost,
     ];
     *gen.choose(&outcomes).unwrap()
 }
 
-fn mark(gen: &mut Gen) -> JobMark {
+fn mark(gen: &mut Gen) -> JobAttempt {
     let mut digest = [0; 16];
     digest.fill_with(|| any(gen));
-    JobMark {
+    JobAttempt {
         key: any(gen),
         digest,
-        is_once: any(gen),
+        at_most_once: any(gen),
         incarnation: any(gen),
-        attempt: any(gen),
+        number: any(gen),
     }
 }
 
@@ -125,150 +126,150 @@
     gen.choose(&results).unwrap().clone()
 }
 
-fn said(gen: &mut Gen) -> RegisterSaid {
+fn said(gen: &mut Gen) -> RegisterResponse {
     let saids = [
-        RegisterSaid::Written(any(gen)),
-        RegisterSaid::Found(any(gen), any(gen)),
-        RegisterSaid::Unreached,
-        RegisterSaid::Unsure,
+        RegisterResponse::Written(any(gen)),
+        RegisterResponse::Found(any(gen), any(gen)),
+        RegisterResponse::Unavailable,
+        RegisterResponse::Indeterminate,
     ];
     gen.choose(&saids).unwrap().clone()
 }
 
 pub fn message(kind: u8, gen: &mut Gen) -> Message {
     match kind {
-        0 => Message::Gateway(member(gen)),
+        0 => Message::GatewayHello(member(gen)),
         1 => Message::GatewayHeartbeat {
-            description: any(gen),
-            closures: any(gen),
-            roster: any(gen),
+            configuration_version: any(gen),
+            evacuations_version: any(gen),
+            membership_version: any(gen),
         },
         2 => Message::ControllerHeartbeat {
-            description: any(gen),
-            closures: any(gen),
+            configuration_version: any(gen),
+            evacuations_version: any(gen),
             term: any(gen),
             controllers: any(gen),
-            district: any(gen),
+            zone: any(gen),
             is_current: any(gen),
         },
-        3 => Message::Ask {
-            description: any(gen),
-            closures: any(gen),
+        3 => Message::RequestConfiguration {
+            configuration_version: any(gen),
+            evacuations_version: any(gen),
         },
-        4 => Message::Description {
-            mark: any(gen),
+        4 => Message::Configuration {
+            version: any(gen),
             document: any(gen),
         },
-        5 => Message::Closures {
-            mark: any(gen),
-            districts: any(gen),
+        5 => Message::EvacuatedZones {
+            version: any(gen),
+            zones: any(gen),
         },
-        6 => Message::Roster {
-            mark: any(gen),
+        6 => Message::GatewayMembership {
+            version: any(gen),
             members: some(gen, member),
         },
-        7 => Message::Report(some(gen, report)),
-        8 => Message::Runners(some(gen, news)),
-        9 => Message::Bid(Bid {
-            ticket: any(gen),
+        7 => Message::FunctionReports(some(gen, report)),
+        8 => Message::FunctionUpdates(some(gen, news)),
+        9 => Message::LeaseRequest(LeaseRequest {
+            request_id: any(gen),
             function: any(gen),
-            rank: any(gen),
-            budget_ms: any(gen),
-            avoid: any(gen),
+            priority: any(gen),
+            timeout_ms: any(gen),
+            excluded_runners: any(gen),
             job: bool::arbitrary(gen).then(|| mark(gen)),
         }),
-        10 => Message::Withdraw(any(gen)),
-        11 => Message::Grant(Grant {
-            ticket: any(gen),
+        10 => Message::CancelRequest(any(gen)),
+        11 => Message::SeatLease(SeatLease {
+            request_id: any(gen),
             runner: any(gen),
             address: any(gen),
-            district: any(gen),
+            zone: any(gen),
         }),
-        12 => Message::Refuse {
-            ticket: any(gen),
+        12 => Message::Reject {
+            request_id: any(gen),
             retry_after_ms: any(gen),
         },
-        13 => Message::Release(Release {
-            ticket: any(gen),
+        13 => Message::LeaseRelease(LeaseRelease {
+            request_id: any(gen),
             outcome: outcome(gen),
-            took_ms: any(gen),
+            duration_ms: any(gen),
         }),
-        14 => Message::Known {
+        14 => Message::LeasesInUse {
             function: any(gen),
             runners: some(gen, |gen| (any(gen), any(gen), any(gen), any(gen))),
         },
         15 => Message::Ping(any(gen)),
-        16 => Message::Status,
-        17 => Message::Changes {
-            from: any(gen),
+        16 => Message::RequestStatus,
+        17 => Message::ConfigurationChanges {
+            base_version: any(gen),
             changes: any(gen),
         },
-        19 => Message::Claimed {
-            ticket: any(gen),
+        19 => Message::JobClaimed {
+            request_id: any(gen),
             attempt: any(gen),
-            version: any(gen),
+            register_version: any(gen),
         },
-        20 => Message::Joined {
-            ticket: any(gen),
+        20 => Message::JobJoined {
+            request_id: any(gen),
             attempt: any(gen),
         },
-        21 => Message::JobTold {
-            ticket: any(gen),
+        21 => Message::JobVerdict {
+            request_id: any(gen),
             attempt: any(gen),
             verdict: verdict(gen),
         },
-        22 => Message::JobEnd(JobEnd {
-            ticket: any(gen),
+        22 => Message::JobCompletion(JobCompletion {
+            request_id: any(gen),
             function: any(gen),
-            mark: mark(gen),
-            version: any(gen),
+            attempt: mark(gen),
+            register_version: any(gen),
             result: result(gen),
         }),
-        23 => Message::JobKept(any(gen)),
-        24 => Message::JobAsk {
+        23 => Message::JobPersisted(any(gen)),
+        24 => Message::JobRegisterRequest {
             number: any(gen),
             key: any(gen),
-            expected: any(gen),
-            bytes: any(gen),
+            expected_version: any(gen),
+            value: any(gen),
         },
-        25 => Message::JobSaid {
+        25 => Message::JobRegisterResponse {
             number: any(gen),
-            said: said(gen),
+            response: said(gen),
         },
-        26 => Message::AskHeartbeat,
-        _ => Message::StatusText(any(gen)),
+        26 => Message::RequestHeartbeat,
+        _ => Message::Status(any(gen)),
     }
 }
 
 /// The place of a message's kind below [`KINDS`]; a new kind of message breaks the build of the tests here.
 pub fn kind_of(message: &Message) -> u8 {
     match message {
-        Message::Gateway(_) => 0,
+        Message::GatewayHello(_) => 0,
         Message::GatewayHeartbeat { .. } => 1,
         Message::ControllerHeartbeat { .. } => 2,
-        Message::Ask { .. } => 3,
-        Message::Description { .. } => 4,
-        Message::Closures { .. } => 5,
-        Message::Roster { .. } => 6,
-        Message::Report(_) => 7,
-        Message::Runners(_) => 8,
-        Message::Bid(_) => 9,
-        Message::Withdraw(_) => 10,
-        Message::Grant(_) => 11,
-        Message::Refuse { .. } => 12,
-        Message::Release(_) => 13,
-        Message::Known { .. } => 14,
+        Message::RequestConfiguration { .. } => 3,
+        Message::Configuration { .. } => 4,
+        Message::EvacuatedZones { .. } => 5,
+        Message::GatewayMembership { .. } => 6,
+        Message::FunctionReports(_) => 7,
+        Message::FunctionUpdates(_) => 8,
+        Message::LeaseRequest(_) => 9,
+        Message::CancelRequest(_) => 10,
+        Message::SeatLease(_) => 11,
+        Message::Reject { .. } => 12,
+        Message::LeaseRelease(_) => 13,
+        Message::LeasesInUse { .. } => 14,
         Message::Ping(_) | Message::Pong(_) => 15,
-        Message::Status => 16,
-        Message::Changes { .. } => 17,
-        Message::StatusText(_) => 18,
-        Message::Claimed { .. } => 19,
-        Message::Joined { .. } => 20,
-        Message::JobTold { .. } => 21,
-        Message::JobEnd(_) => 22,
-        Message::JobKept(_) => 23,
-        Message::JobAsk { .. } => 24,
-        Message::JobSaid { .. } => 25,
-        Message::AskHeartbeat => 26,
+        Message::RequestStatus => 16,
+        Message::ConfigurationChanges { .. } => 17,
+        Message::Status(_) => 18,
+        Message::JobClaimed { .. } => 19,
+        Message::JobJoined { .. } => 20,
+        Message::JobVerdict { .. } => 21,
+        Message::JobCompletion(_) => 22,
+        Message::JobPersisted(_) => 23,
+        Message::JobRegisterRequest { .. } => 24,
+        Message::JobRegisterResponse { .. } => 25,
+        Message::RequestHeartbeat => 26,
     }
 }
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -48,12 +48,12 @@
 
 #[test]
 fn a_bid_without_a_job_says_so_in_one_byte() {
-    let bid = protocol::Bid {
-        ticket: 7,
+    let bid = protocol::LeaseRequest {
+        request_id: 7,
         function: "sign".into(),
-        ..protocol::Bid::default()
+        ..protocol::LeaseRequest::default()
     };
-    let bytes = frame(&Message::Bid(bid));
+    let bytes = frame(&Message::LeaseRequest(bid));
     // Length, kind, ticket, function, rank, budget, no runners to avoid, no job.
     assert_eq!(bytes.len(), 4 + 4 + 8 + (4 + 4) + 1 + 4 + 4 + 1);
     assert_eq!(bytes.last(), Some(&0));
@@ -93,7 +93,7 @@
 #[test]
 fn a_count_beyond_the_frame_takes_no_memory() {
     // A list that says it holds four thousand million items, in a frame of a few bytes.
-    let mut bytes = frame(&Message::Report(Vec::new()));
+    let mut bytes = frame(&Message::FunctionReports(Vec::new()));
     let count = bytes.len() - 4;
     bytes[count..].copy_from_slice(&u32::MAX.to_le_bytes());
     assert_eq!(
--- a/crates/routing/src/description.rs
+++ b/crates/routing/src/configuration.rs
@@ -2,7 +2,7 @@
 
 /// One whole description of what is served. It is taken entire or refused entire.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Description {
+pub struct RoutingConfiguration {
     /// The operator's own version, which only rises.
     pub version: u64,
     /// Bindings (routes).
@@ -22,20 +22,20 @@
     pub host: String,
     /// Prefix, with a slash at both ends.
     pub prefix: String,
-    /// Place in [`Description::functions`].
-    pub function: usize,
+    /// Place in [`RoutingConfiguration::functions`].
+    pub function_index: usize,
     /// A request may run once at most.
-    pub is_once: bool,
+    pub at_most_once: bool,
     /// Longest time that a request is held, in milliseconds.
     pub timeout_ms: u32,
     /// Time within which an answer is worth most, in milliseconds.
-    pub aim_ms: u32,
+    pub latency_target_ms: u32,
     /// Rank; 0 goes first.
-    pub rank: u8,
+    pub priority: u8,
     /// Most runners that one request may be sent to.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Regions that its requests must not leave; empty where any will do.
-    pub homes: Vec<String>,
+    pub allowed_regions: Vec<String>,
 }
 
 /// One function: what a runner of it needs and may carry.
@@ -54,9 +54,9 @@
     /// Path that tells whether a runner is well, where it has one.
     pub health_path: Option<String>,
     /// Milliseconds for which a runner stays cold after its start.
-    pub cold_ms: u64,
+    pub warm_up_ms: u64,
     /// Requests a second that a cold runner bears; 0 where it is not told.
-    pub cold_per_s: f64,
+    pub warm_up_requests_per_s: f64,
 }
 
 /// What a client may send, and how long it may take.
@@ -67,9 +67,9 @@
     /// Most bytes of a request's body.
     pub body_bytes: usize,
     /// Milliseconds that a whole request may take to arrive.
-    pub header_wait_ms: u64,
+    pub header_timeout_ms: u64,
     /// Milliseconds that a connection may stay idle.
-    pub idle_ms: u64,
+    pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
@@ -77,22 +77,22 @@
         Self {
             header_bytes: 16_384,
             body_bytes: 1 << 20,
-            header_wait_ms: 3_000,
-            idle_ms: 15_000,
+            header_timeout_ms: 3_000,
+            idle_timeout_ms: 15_000,
         }
     }
 }
 
 /// Why a document is refused.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fault {
+pub enum ConfigurationError {
     /// It cannot be read whole.
     Unreadable(String),
     /// It can be read, and says something that may not be.
     Invalid(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigurationError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreadable(reason) => write!(formatter, "it cannot be read: {reason}"),
@@ -101,15 +101,19 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ConfigurationError {}
 
 /// Port to the form in which operators write descriptions.
-pub trait Documents {
+pub trait ConfigurationFormat {
     /// Reads and checks a whole document.
-    fn read(&self, document: &[u8]) -> Result<Description, Fault>;
+    fn parse(&self, document: &[u8]) -> Result<RoutingConfiguration, ConfigurationError>;
     /// Applies a change of named items to a description that was read before; the same as reading the whole new
     /// document, and cheaper.
-    fn amend(&self, base: &Description, change: &[u8]) -> Result<Description, Fault>;
+    fn apply_change(
+        &self,
+        base: &RoutingConfiguration,
+        change: &[u8],
+    ) -> Result<RoutingConfiguration, ConfigurationError>;
     /// Applies a change of named items to a document; gives the whole new document.
-    fn change(&self, document: &[u8], change: &[u8]) -> Result<Vec<u8>, Fault>;
+    fn merge_change(&self, document: &[u8], change: &[u8]) -> Result<Vec<u8>, ConfigurationError>;
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -2,12 +2,12 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use crate::description::{Binding, Description, Function};
+use crate::configuration::{Binding, Function, RoutingConfiguration};
 
-/// Lookup of bindings by host and path in one description.
+/// Lookup of bindings by host and path in one configuration.
 #[derive(Clone, Debug)]
-pub struct Table {
-    description: Arc<Description>,
+pub struct RoutingTable {
+    configuration: Arc<RoutingConfiguration>,
     hosts: HashMap<Box<str>, Prefixes>,
     functions: HashMap<Box<str>, usize>,
 }
@@ -18,11 +18,11 @@
     longest: usize,
 }
 
-impl Table {
+impl RoutingTable {
     /// Builds the lookup. Of two bindings with one host and prefix, the first counts.
-    pub fn new(description: Arc<Description>) -> Self {
+    pub fn new(configuration: Arc<RoutingConfiguration>) -> Self {
         let mut hosts: HashMap<Box<str>, Prefixes> = HashMap::new();
-        for (index, binding) in description.bindings.iter().enumerate() {
+        for (index, binding) in configuration.bindings.iter().enumerate() {
             let host = plain_host(&binding.host);
             if !hosts.contains_key(host.as_ref()) {
                 hosts.insert(host.as_ref().into(), Prefixes::default());
@@ -34,14 +34,14 @@
             let place = prefixes.bindings.entry(binding.prefix.as_str().into());
             place.or_insert(index);
         }
-        let mut functions = HashMap::with_capacity(description.functions.len());
-        for (index, function) in description.functions.iter().enumerate() {
+        let mut functions = HashMap::with_capacity(configuration.functions.len());
+        for (index, function) in configuration.functions.iter().enumerate() {
             functions
                 .entry(function.name.as_str().into())
                 .or_insert(index);
         }
         Self {
-            description,
+            configuration,
             hosts,
             functions,
         }
@@ -52,19 +52,19 @@
     pub fn find(&self, host: &str, path: &str) -> Option<(usize, &Binding, &Function)> {
         let prefixes = self.hosts.get(plain_host(host).as_ref())?;
         let index = prefixes.longest_of(path)?;
-        let binding = self.description.bindings.get(index)?;
-        let function = self.description.functions.get(binding.function)?;
+        let binding = self.configuration.bindings.get(index)?;
+        let function = self.configuration.functions.get(binding.function_index)?;
         Some((index, binding, function))
     }
 
-    /// Place of a function in the description.
+    /// Place of a function in the configuration.
     pub fn function_index(&self, name: &str) -> Option<usize> {
         self.functions.get(name).copied()
     }
 
-    /// The description that the lookup was built from.
-    pub fn description(&self) -> &Arc<Description> {
-        &self.description
+    /// The configuration that the lookup was built from.
+    pub fn configuration(&self) -> &Arc<RoutingConfiguration> {
+        &self.configuration
     }
 }
 
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -3,33 +3,33 @@
 use std::sync::Arc;
 
 use fuzzing::seeded;
-use routing::{Binding, Description, Function, Table};
+use routing::{Binding, Function, RoutingConfiguration, RoutingTable};
 
-fn table_of(bindings: &[(&str, &str)]) -> Table {
+fn table_of(bindings: &[(&str, &str)]) -> RoutingTable {
     let bindings = bindings.iter().map(|(host, prefix)| Binding {
         host: (*host).into(),
         prefix: (*prefix).into(),
         ..Binding::default()
     });
-    Table::new(Arc::new(Description {
+    RoutingTable::new(Arc::new(RoutingConfiguration {
         bindings: bindings.collect(),
         functions: vec![Function {
             name: "stamp".into(),
             ..Function::default()
         }],
-        ..Description::default()
+        ..RoutingConfiguration::default()
     }))
 }
 
-fn place(table: &Table, host: &str, path: &str) -> Option<usize> {
+fn place(table: &RoutingTable, host: &str, path: &str) -> Option<usize> {
     table.find(host, path).map(|(index, _, _)| index)
 }
 
-fn naive(table: &Table, host: &str, target: &str) -> Option<usize> {
+fn naive(table: &RoutingTable, host: &str, target: &str) -> Option<usize> {
     let path = target.split('?').next()?;
     let host = host.split(':').next()?.to_lowercase();
     let mut best: Option<(usize, usize)> = None;
-    for (index, binding) in table.description().bindings.iter().enumerate() {
+    for (index, binding) in table.configuration().bindings.iter().enumerate() {
         let is_longer = best.is_none_or(|(length, _)| binding.prefix.len() > length);
         if binding.host == host && path.starts_with(&binding.prefix) && is_longer {
             best = Some((binding.prefix.len(), index));
@@ -85,12 +85,12 @@
     let binding = Binding {
         host: "one.example".into(),
         prefix: "/".into(),
-        function: 3,
+        function_index: 3,
         ..Binding::default()
     };
-    let table = Table::new(Arc::new(Description {
+    let table = RoutingTable::new(Arc::new(RoutingConfiguration {
         bindings: vec![binding],
-        ..Description::default()
+        ..RoutingConfiguration::default()
     }));
     assert_eq!(place(&table, "one.example", "/"), None);
 }
--- a/crates/seat_leases/src/lease_owner.rs
+++ b/crates/seat_leases/src/lease_owner.rs
@@ -1,5 +1,8 @@
 use crate::seats::Seats;
-use protocol::{Bid, FunctionNews, FunctionReport, Grant, Outcome, Release, RunnerStage};
+use protocol::{
+    FunctionReport, FunctionUpdate, LeaseOutcome, LeaseRelease, LeaseRequest, RunnerStage,
+    SeatLease,
+};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Most requests that wait for one function.
@@ -27,7 +30,7 @@
         /// Name of the gateway.
         gateway: String,
         /// The leased seat.
-        lease: Grant,
+        lease: SeatLease,
     },
     /// Tell a gateway that its request gets no seat in time.
     Reject {
@@ -85,34 +88,34 @@
     }
 
     /// A gateway's request wants a seat.
-    pub fn request_lease(&mut self, now: u64, gateway: &str, district: &str, bid: Bid) {
+    pub fn request_lease(&mut self, now: u64, gateway: &str, district: &str, bid: LeaseRequest) {
         let is_new = !self.functions.contains_key(&bid.function);
         if is_new && self.functions.len() >= FUNCTIONS_MAX {
-            self.reject(gateway, bid.ticket, RETRY_AFTER_MS);
+            self.reject(gateway, bid.request_id, RETRY_AFTER_MS);
             return;
         }
         let function = bid.function.clone();
         let seats = self.functions.entry(function.clone()).or_default();
         seats.used_at = now;
-        if bid.avoid.is_empty() {
+        if bid.excluded_runners.is_empty() {
             *seats.arrived.entry(district.into()).or_insert(0) += 1;
         }
-        let ahead = seats.ahead_of(bid.rank);
+        let ahead = seats.ahead_of(bid.priority);
         let wait = seats.expected_wait(now, ahead);
         // Where a seat is free there is nothing to wait for, and only who is sent there shows its pace.
-        let is_hopeless = wait.is_some_and(|wait| wait > f64::from(bid.budget_ms) * 0.9)
-            && !seats.has_free(now, &self.closed, &bid.avoid);
-        let blocked = seats.hopeless_until(now, now + u64::from(bid.budget_ms));
+        let is_hopeless = wait.is_some_and(|wait| wait > f64::from(bid.timeout_ms) * 0.9)
+            && !seats.has_free(now, &self.closed, &bid.excluded_runners);
+        let blocked = seats.hopeless_until(now, now + u64::from(bid.timeout_ms));
         if is_hopeless || blocked.is_some() || seats.waiting.len() >= WAITING_MAX {
             seats.given_up += 1;
             seats.is_dirty = true;
             let back = wait.unwrap_or(0.0).max(f64::from(RETRY_AFTER_MS)) as u32;
             let back = blocked.unwrap_or(back);
-            self.reject(gateway, bid.ticket, back);
+            self.reject(gateway, bid.request_id, back);
             self.dirty.insert(function);
             return;
         }
-        let holder = (gateway.to_string(), bid.ticket);
+        let holder = (gateway.to_string(), bid.request_id);
         self.tickets.insert(holder.clone(), function.clone());
         seats.add(now, holder, district, bid);
         seats.is_dirty = true;
@@ -139,8 +142,8 @@
     }
 
     /// A gateway gives a seat back.
-    pub fn release(&mut self, now: u64, gateway: &str, release: &Release) {
-        let holder = (gateway.to_string(), release.ticket);
+    pub fn release(&mut self, now: u64, gateway: &str, release: &LeaseRelease) {
+        let holder = (gateway.to_string(), release.request_id);
         let Some(function) = self.tickets.remove(&holder) else {
             return;
         };
@@ -151,21 +154,23 @@
         seats.is_dirty = true;
         if let Some(runner) = seats.free(&holder) {
             match release.outcome {
-                Outcome::Answered => {
+                LeaseOutcome::Succeeded => {
                     runner.is_up = true;
-                    runner.learn(release.took_ms);
+                    runner.learn(release.duration_ms);
                 }
-                Outcome::TurnedAway => {
+                LeaseOutcome::Rejected => {
                     runner.turned_away(now);
                     seats.heed_refusals(now);
                 }
-                Outcome::Gone => {
+                LeaseOutcome::Gone => {
                     runner.is_gone = true;
                     seats.is_urgent = true;
                 }
                 // A runner that loses one answer after the other is as good as gone.
-                Outcome::Unreached | Outcome::Lost => seats.is_urgent |= runner.missed(),
-                Outcome::Unused => {}
+                LeaseOutcome::Unreachable | LeaseOutcome::Lost => {
+                    seats.is_urgent |= runner.missed()
+                }
+                LeaseOutcome::Unused => {}
             }
         }
         self.dirty.insert(function.clone());
@@ -195,7 +200,7 @@
     }
 
     /// The scaler tells a function's runners.
-    pub fn update_runners(&mut self, now: u64, news: FunctionNews) {
+    pub fn update_runners(&mut self, now: u64, news: FunctionUpdate) {
         let function = news.function.clone();
         let seats = self.functions.entry(function.clone()).or_default();
         seats.used_at = seats.used_at.max(now.saturating_sub(FORGET_MS / 2));
@@ -357,11 +362,11 @@
             let runner = &mut seats.runners[place];
             runner.holders.insert(waiting.holder.clone(), now);
             let (gateway, ticket) = waiting.holder;
-            let grant = Grant {
-                ticket,
+            let grant = SeatLease {
+                request_id: ticket,
                 runner: runner.news.id.clone(),
                 address: runner.news.address.clone(),
-                district: runner.news.district.clone(),
+                zone: runner.news.zone.clone(),
             };
             self.actions.push(LeaseAction::Grant {
                 gateway,
--- a/crates/seat_leases/src/runner.rs
+++ b/crates/seat_leases/src/runner.rs
@@ -1,5 +1,5 @@
 use crate::refusal_backoff::RefusalBackoff;
-use protocol::{RunnerNews, RunnerReport, RunnerStage};
+use protocol::{RunnerReport, RunnerStage, RunnerUpdate};
 use std::collections::BTreeMap;
 
 /// Answers over which a runner's pace is taken; the newest weigh most.
@@ -13,7 +13,7 @@
 /// One runner as its keeper knows it.
 #[derive(Debug)]
 pub(crate) struct Runner {
-    pub news: RunnerNews,
+    pub news: RunnerUpdate,
     pub is_up: bool,
     pub is_gone: bool,
     pub holders: BTreeMap<Holder, u64>,
@@ -31,7 +31,7 @@
 }
 
 impl Runner {
-    pub fn new(news: RunnerNews, now: u64) -> Self {
+    pub fn new(news: RunnerUpdate, now: u64) -> Self {
         let is_up = news.stage != RunnerStage::Starting;
         // Starts spread around their average, so the first look is somewhat before it.
         let probe_at = now + u64::from(news.starts_in_ms) * 6 / 10;
@@ -107,9 +107,9 @@
         RunnerReport {
             id: self.news.id.clone(),
             in_use: self.in_use(),
-            answered: self.answered,
-            took_ms: self.took_ms,
-            turned_away: self.turned_away,
+            succeeded: self.answered,
+            total_duration_ms: self.took_ms,
+            rejected: self.turned_away,
             is_up: self.is_up,
             is_gone: self.is_gone,
         }
--- a/crates/seat_leases/src/seats.rs
+++ b/crates/seat_leases/src/seats.rs
@@ -1,6 +1,6 @@
 use crate::runner::{Holder, Runner};
 use crate::start_block::HeldBlock;
-use protocol::{Bid, FunctionNews, FunctionReport, RunnerNews, RunnerStage};
+use protocol::{FunctionReport, FunctionUpdate, LeaseRequest, RunnerStage, RunnerUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Runners of one function that refuse within a second where another keeper must be lending their seats too.
@@ -35,11 +35,11 @@
 }
 
 impl Seats {
-    pub fn take_news(&mut self, now: u64, news: FunctionNews) {
-        if news.mark < self.mark {
+    pub fn take_news(&mut self, now: u64, news: FunctionUpdate) {
+        if news.version < self.mark {
             return;
         }
-        self.mark = news.mark;
+        self.mark = news.version;
         self.start_block = news.start_block.map(|told| HeldBlock::new(now, told));
         let mut known: BTreeMap<String, Runner> = std::mem::take(&mut self.runners)
             .into_iter()
@@ -71,10 +71,10 @@
         if let Some(place) = self.runners.iter().position(|one| one.news.id == id) {
             return &mut self.runners[place];
         }
-        let news = RunnerNews {
+        let news = RunnerUpdate {
             id: id.into(),
             address: address.into(),
-            district: district.into(),
+            zone: district.into(),
             quota: 1,
             stage: RunnerStage::Serving,
             starts_in_ms: 0,
@@ -84,15 +84,15 @@
         &mut self.runners[last]
     }
 
-    pub fn add(&mut self, now: u64, holder: Holder, district: &str, bid: Bid) {
+    pub fn add(&mut self, now: u64, holder: Holder, district: &str, bid: LeaseRequest) {
         self.order += 1;
         let waiting = Waiting {
             holder,
             district: district.into(),
-            avoid: bid.avoid,
-            ends_at: now + u64::from(bid.budget_ms),
+            avoid: bid.excluded_runners,
+            ends_at: now + u64::from(bid.timeout_ms),
         };
-        self.waiting.insert((bid.rank, self.order), waiting);
+        self.waiting.insert((bid.priority, self.order), waiting);
     }
 
     pub fn withdraw(&mut self, holder: &Holder) {
@@ -156,7 +156,7 @@
     fn free_places(&self, now: u64, closed: &BTreeSet<String>) -> Vec<usize> {
         let is_free = |place: &usize| {
             let runner = &self.runners[*place];
-            runner.has_seat(now) && !closed.contains(&runner.news.district)
+            runner.has_seat(now) && !closed.contains(&runner.news.zone)
         };
         (0..self.runners.len()).filter(is_free).collect()
     }
@@ -180,7 +180,7 @@
             prior
         };
         let fullness = f64::from(runner.in_use()) / f64::from(runner.news.quota.max(1));
-        let way = if runner.news.district == district {
+        let way = if runner.news.zone == district {
             0.0
         } else {
             prior * 0.5
@@ -226,10 +226,10 @@
     pub fn report(&self, function: &str) -> FunctionReport {
         FunctionReport {
             function: function.into(),
-            news: self.mark.1,
-            arrived: self.arrived.clone().into_iter().collect(),
+            update_number: self.mark.1,
+            arrivals: self.arrived.clone().into_iter().collect(),
             waiting: self.waiting.len() as u32,
-            given_up: self.given_up,
+            abandoned: self.given_up,
             runners: self.runners.iter().map(Runner::report).collect(),
         }
     }
--- a/crates/seat_leases/tests/common/mod.rs
+++ b/crates/seat_leases/tests/common/mod.rs
@@ -1,59 +1,61 @@
 //! Bids, news and what the keeper did, in few words.
 #![allow(dead_code)]
 
-use protocol::{Bid, FunctionNews, Outcome, Release, RunnerNews, RunnerStage};
+use protocol::{
+    FunctionUpdate, LeaseOutcome, LeaseRelease, LeaseRequest, RunnerStage, RunnerUpdate,
+};
 use seat_leases::{LeaseAction, LeaseOwner};
 
 pub const FUNCTION: &str = "stamp";
 
-pub fn bid(ticket: u64, rank: u8) -> Bid {
-    Bid {
-        ticket,
+pub fn bid(ticket: u64, rank: u8) -> LeaseRequest {
+    LeaseRequest {
+        request_id: ticket,
         function: FUNCTION.into(),
-        rank,
-        budget_ms: 5_000,
-        avoid: Vec::new(),
+        priority: rank,
+        timeout_ms: 5_000,
+        excluded_runners: Vec::new(),
         job: None,
     }
 }
 
-pub fn avoiding(ticket: u64, runners: &[&str]) -> Bid {
-    Bid {
-        avoid: runners.iter().map(|id| id.to_string()).collect(),
+pub fn avoiding(ticket: u64, runners: &[&str]) -> LeaseRequest {
+    LeaseRequest {
+        excluded_runners: runners.iter().map(|id| id.to_string()).collect(),
         ..bid(ticket, 1)
     }
 }
 
-pub fn runner(id: &str, district: &str, quota: u32) -> RunnerNews {
-    RunnerNews {
+pub fn runner(id: &str, district: &str, quota: u32) -> RunnerUpdate {
+    RunnerUpdate {
         id: id.into(),
         address: format!("{id}:1"),
-        district: district.into(),
+        zone: district.into(),
         quota,
         stage: RunnerStage::Serving,
         starts_in_ms: 0,
     }
 }
 
-pub fn news(number: u64, runners: &[RunnerNews]) -> FunctionNews {
-    FunctionNews {
+pub fn news(number: u64, runners: &[RunnerUpdate]) -> FunctionUpdate {
+    FunctionUpdate {
         function: FUNCTION.into(),
-        mark: (1, number),
+        version: (1, number),
         runners: runners.to_vec(),
         start_block: None,
     }
 }
 
-pub fn release(ticket: u64, outcome: Outcome, took_ms: u32) -> Release {
-    Release {
-        ticket,
+pub fn release(ticket: u64, outcome: LeaseOutcome, took_ms: u32) -> LeaseRelease {
+    LeaseRelease {
+        request_id: ticket,
         outcome,
-        took_ms,
+        duration_ms: took_ms,
     }
 }
 
 /// A keeper that knows these runners.
-pub fn keeper(runners: &[RunnerNews]) -> LeaseOwner {
+pub fn keeper(runners: &[RunnerUpdate]) -> LeaseOwner {
     let mut keeper = LeaseOwner::default();
     keeper.update_runners(0, news(1, runners));
     keeper
@@ -63,7 +65,7 @@
 pub fn grants(keeper: &mut LeaseOwner) -> Vec<(u64, String)> {
     let actions = keeper.take_actions().into_iter();
     let lent = actions.filter_map(|action| match action {
-        LeaseAction::Grant { lease: grant, .. } => Some((grant.ticket, grant.runner)),
+        LeaseAction::Grant { lease: grant, .. } => Some((grant.request_id, grant.runner)),
         LeaseAction::Reject { .. } | LeaseAction::Probe { .. } => None,
     });
     lent.collect()
--- a/crates/seat_leases/tests/lease_owner.rs
+++ b/crates/seat_leases/tests/lease_owner.rs
@@ -5,7 +5,7 @@
 use common::{
     avoiding, bid, grants, in_use, keeper, news, refusals, release, runner, tickets, FUNCTION,
 };
-use protocol::{Bid, Outcome, RunnerNews, RunnerStage};
+use protocol::{LeaseOutcome, LeaseRequest, RunnerStage, RunnerUpdate};
 use seat_leases::{LeaseAction, LeaseOwner};
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
         keeper.request_lease(0, "f", "north", bid(ticket, 1));
     }
     assert_eq!(tickets(&mut keeper), [1, 2]);
-    keeper.release(1, "f", &release(1, Outcome::Answered, 10));
+    keeper.release(1, "f", &release(1, LeaseOutcome::Succeeded, 10));
     assert_eq!(tickets(&mut keeper), [3]);
 }
 
@@ -39,7 +39,7 @@
         let lent = tickets(&mut keeper);
         assert_eq!(lent.len(), 1);
         order.push(lent[0]);
-        keeper.release(1, "f", &release(lent[0], Outcome::Answered, 10));
+        keeper.release(1, "f", &release(lent[0], LeaseOutcome::Succeeded, 10));
     }
     assert_eq!(order, [1, 5, 3, 4, 2]);
 }
@@ -80,12 +80,12 @@
 #[test]
 fn every_outcome_frees_the_seat() {
     let outcomes = [
-        Outcome::Answered,
-        Outcome::Unused,
-        Outcome::TurnedAway,
-        Outcome::Gone,
-        Outcome::Unreached,
-        Outcome::Lost,
+        LeaseOutcome::Succeeded,
+        LeaseOutcome::Unused,
+        LeaseOutcome::Rejected,
+        LeaseOutcome::Gone,
+        LeaseOutcome::Unreachable,
+        LeaseOutcome::Lost,
     ];
     for outcome in outcomes {
         let mut keeper = keeper(&[runner("a", "north", 1)]);
@@ -115,7 +115,7 @@
     else {
         panic!("not one seat was lent: {actions:?}");
     };
-    assert_eq!((gateway.as_str(), grant.ticket), ("g", 1));
+    assert_eq!((gateway.as_str(), grant.request_id), ("g", 1));
     assert_eq!(in_use(&keeper, "a"), Some(1));
 }
 
@@ -124,7 +124,7 @@
     let mut keeper = keeper(&[runner("a", "north", 2)]);
     keeper.request_lease(0, "f", "north", bid(1, 1));
     assert_eq!(tickets(&mut keeper), [1]);
-    keeper.release(10, "f", &release(1, Outcome::TurnedAway, 1));
+    keeper.release(10, "f", &release(1, LeaseOutcome::Rejected, 1));
     keeper.request_lease(10, "f", "north", bid(2, 1));
     assert_eq!(tickets(&mut keeper), [0; 0]);
     keeper.tick(15);
@@ -138,7 +138,7 @@
     let mut keeper = keeper(&[runner("a", "north", 2)]);
     keeper.request_lease(0, "f", "north", bid(1, 1));
     assert_eq!(tickets(&mut keeper), [1]);
-    keeper.release(1, "f", &release(1, Outcome::Gone, 0));
+    keeper.release(1, "f", &release(1, LeaseOutcome::Gone, 0));
     keeper.request_lease(1, "f", "north", bid(2, 1));
     keeper.tick(500);
     assert_eq!(tickets(&mut keeper), [0; 0]);
@@ -147,7 +147,7 @@
 }
 
 /// A runner of one seat, used with one outcome after the other, is gone after the last and not before.
-fn assert_gone_after(outcomes: &[Outcome]) {
+fn assert_gone_after(outcomes: &[LeaseOutcome]) {
     let mut keeper = keeper(&[runner("a", "north", 1)]);
     for (ticket, outcome) in (1..).zip(outcomes) {
         keeper.request_lease(0, "f", "north", bid(ticket, 1));
@@ -162,24 +162,24 @@
 #[test]
 fn three_misses_in_a_row_mean_gone_and_an_answer_between_them_does_not() {
     assert_gone_after(&[
-        Outcome::Unreached,
-        Outcome::Unreached,
-        Outcome::Answered,
-        Outcome::Unreached,
-        Outcome::Unreached,
-        Outcome::Unreached,
+        LeaseOutcome::Unreachable,
+        LeaseOutcome::Unreachable,
+        LeaseOutcome::Succeeded,
+        LeaseOutcome::Unreachable,
+        LeaseOutcome::Unreachable,
+        LeaseOutcome::Unreachable,
     ]);
 }
 
 #[test]
 fn a_runner_that_loses_three_answers_in_a_row_gets_no_more() {
     assert_gone_after(&[
-        Outcome::Lost,
-        Outcome::Lost,
-        Outcome::Answered,
-        Outcome::Lost,
-        Outcome::Unreached,
-        Outcome::Lost,
+        LeaseOutcome::Lost,
+        LeaseOutcome::Lost,
+        LeaseOutcome::Succeeded,
+        LeaseOutcome::Lost,
+        LeaseOutcome::Unreachable,
+        LeaseOutcome::Lost,
     ]);
 }
 
@@ -191,7 +191,7 @@
     assert_eq!(in_use(&keeper, "old"), None);
     assert_eq!(in_use(&keeper, "new"), Some(0));
     let mut next_term = news(1, &[runner("next", "north", 1)]);
-    next_term.mark = (2, 1);
+    next_term.version = (2, 1);
     keeper.update_runners(0, next_term);
     assert_eq!(in_use(&keeper, "next"), Some(0));
 }
@@ -201,7 +201,7 @@
     let mut keeper = keeper(&[runner("a", "north", 2)]);
     keeper.request_lease(0, "f", "north", bid(1, 1));
     assert_eq!(tickets(&mut keeper), [1]);
-    let draining = RunnerNews {
+    let draining = RunnerUpdate {
         stage: RunnerStage::Draining,
         ..runner("a", "north", 2)
     };
@@ -210,7 +210,7 @@
     keeper.tick(100);
     assert_eq!(tickets(&mut keeper), [0; 0]);
     assert_eq!(keeper.reports(400, true)[0].runners[0].in_use, 1);
-    keeper.release(401, "f", &release(1, Outcome::Answered, 400));
+    keeper.release(401, "f", &release(1, LeaseOutcome::Succeeded, 400));
     let reports = keeper.reports(700, false);
     assert_eq!(reports[0].runners[0].in_use, 0);
     assert_eq!(tickets(&mut keeper), [0; 0]);
@@ -224,7 +224,7 @@
     keeper.request_lease(1, "f", "north", bid(2, 1));
     assert_eq!(tickets(&mut keeper), [1]);
     assert_eq!(in_use(&keeper, "a"), Some(1));
-    keeper.release(2, "f", &release(1, Outcome::Answered, 2));
+    keeper.release(2, "f", &release(1, LeaseOutcome::Succeeded, 2));
     keeper.update_runners(3, news(3, &[]));
     assert_eq!(in_use(&keeper, "a"), None);
 }
@@ -261,8 +261,8 @@
         0,
         "f",
         "north",
-        Bid {
-            budget_ms: 100,
+        LeaseRequest {
+            timeout_ms: 100,
             ..bid(1, 1)
         },
     );
@@ -282,7 +282,7 @@
 fn a_hopeless_bid_is_refused_at_once() {
     let mut keeper = keeper(&[runner("a", "north", 1)]);
     keeper.request_lease(0, "f", "north", bid(1, 1));
-    keeper.release(0, "f", &release(1, Outcome::Answered, 1_000));
+    keeper.release(0, "f", &release(1, LeaseOutcome::Succeeded, 1_000));
     keeper.request_lease(0, "f", "north", bid(2, 1));
     keeper.request_lease(0, "f", "north", bid(3, 1));
     assert_eq!(tickets(&mut keeper), [1, 2]);
@@ -290,8 +290,8 @@
         0,
         "f",
         "north",
-        Bid {
-            budget_ms: 500,
+        LeaseRequest {
+            timeout_ms: 500,
             ..bid(4, 1)
         },
     );
@@ -307,14 +307,14 @@
     let mut keeper = keeper(&[runner("a", "north", 1)]);
     keeper.request_lease(0, "f", "north", bid(1, 1));
     // A runner is slow after its start, and if nothing is sent to it, nobody learns that it is fast by now.
-    keeper.release(3_000, "f", &release(1, Outcome::Answered, 3_000));
+    keeper.release(3_000, "f", &release(1, LeaseOutcome::Succeeded, 3_000));
     assert_eq!(tickets(&mut keeper), [1]);
     keeper.request_lease(
         3_001,
         "f",
         "north",
-        Bid {
-            budget_ms: 2_000,
+        LeaseRequest {
+            timeout_ms: 2_000,
             ..bid(2, 1)
         },
     );
@@ -323,7 +323,7 @@
 
 #[test]
 fn a_starting_runner_is_looked_for_and_serves_once_it_takes_a_connection() {
-    let starting = RunnerNews {
+    let starting = RunnerUpdate {
         stage: RunnerStage::Starting,
         starts_in_ms: 1_000,
         ..runner("a", "north", 2)
@@ -368,6 +368,6 @@
     keeper.request_lease(1, "g", "north", bid(1, 1));
     keeper.request_lease(1, "g", "north", bid(2, 1));
     assert_eq!(tickets(&mut keeper), [1]);
-    keeper.release(2, "f", &release(7, Outcome::Answered, 5));
+    keeper.release(2, "f", &release(7, LeaseOutcome::Succeeded, 5));
     assert_eq!(tickets(&mut keeper), [2]);
 }
--- a/crates/seat_leases/tests/oracle.rs
+++ b/crates/seat_leases/tests/oracle.rs
@@ -4,7 +4,7 @@
 
 use common::{bid, news, release, runner, FUNCTION};
 use fuzzing::seeded;
-use protocol::{Bid, Outcome, RunnerNews, RunnerStage};
+use protocol::{LeaseOutcome, LeaseRequest, RunnerStage, RunnerUpdate};
 use seat_leases::{LeaseAction, LeaseOwner, RunnerUsage};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,7 +20,7 @@
     keeper: LeaseOwner,
     now: u64,
     number: u64,
-    told: Vec<RunnerNews>,
+    told: Vec<RunnerUpdate>,
     gone: BTreeSet<String>,
     closed: BTreeSet<String>,
     waiting: BTreeMap<(u8, u64), (Holder, Vec<String>)>,
@@ -30,9 +30,9 @@
 impl Oracle {
     fn bid(&mut self, gateway: &str, rank: u8, budget_ms: u32, avoid: &[String]) {
         self.number += 1;
-        let bid = Bid {
-            budget_ms,
-            avoid: avoid.to_vec(),
+        let bid = LeaseRequest {
+            timeout_ms: budget_ms,
+            excluded_runners: avoid.to_vec(),
             ..bid(self.number, rank)
         };
         let holder = (gateway.to_string(), self.number);
@@ -53,7 +53,7 @@
                     1 => RunnerStage::Draining,
                     _ => RunnerStage::Serving,
                 };
-                RunnerNews { stage, ..news }
+                RunnerUpdate { stage, ..news }
             })
             .collect();
         // One that is told of no more, and holds nothing, is new when it comes back.
@@ -71,7 +71,7 @@
             .update_runners(self.now, news(self.number, &self.told));
     }
 
-    fn end(&mut self, place: usize, outcome: Outcome) {
+    fn end(&mut self, place: usize, outcome: LeaseOutcome) {
         let Some(holder) = self
             .held
             .keys()
@@ -81,7 +81,7 @@
             return;
         };
         let id = self.held.remove(&holder).unwrap();
-        if outcome == Outcome::Gone {
+        if outcome == LeaseOutcome::Gone {
             self.gone.insert(id);
         }
         let release = release(holder.1, outcome, 20);
@@ -113,13 +113,13 @@
                 let avoid = &avoid[..usize::from(other % 5 == 0)];
                 self.bid(gateway, one % 3, 50 + u32::from(other) * 20, avoid);
             }
-            5..=6 => self.end(usize::from(one), Outcome::Answered),
+            5..=6 => self.end(usize::from(one), LeaseOutcome::Succeeded),
             7 => {
                 let outcomes = [
-                    Outcome::TurnedAway,
-                    Outcome::Gone,
-                    Outcome::Lost,
-                    Outcome::Unused,
+                    LeaseOutcome::Rejected,
+                    LeaseOutcome::Gone,
+                    LeaseOutcome::Lost,
+                    LeaseOutcome::Unused,
                 ];
                 self.end(usize::from(one), outcomes[usize::from(other) % 4]);
             }
@@ -146,7 +146,7 @@
                 LeaseAction::Grant {
                     gateway,
                     lease: grant,
-                } => self.granted((gateway, grant.ticket), &grant.runner, known),
+                } => self.granted((gateway, grant.request_id), &grant.runner, known),
                 LeaseAction::Reject {
                     gateway,
                     request: ticket,
@@ -173,7 +173,7 @@
         assert_ne!(news.stage, RunnerStage::Draining, "{id} leaves");
         assert!(!self.gone.contains(id), "{id} is gone");
         assert!(
-            !self.closed.contains(&news.district),
+            !self.closed.contains(&news.zone),
             "{id} is in a closed district"
         );
         let held = self.held.values().filter(|runner| *runner == id).count();
--- a/crates/seat_leases/tests/refusing_runners.rs
+++ b/crates/seat_leases/tests/refusing_runners.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{bid, grants, keeper, release, runner};
-use protocol::{Outcome, RunnerNews};
+use protocol::{LeaseOutcome, RunnerUpdate};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use seat_leases::LeaseOwner;
@@ -22,7 +22,7 @@
     ticket: u64,
     runner: String,
     ends_at: u64,
-    outcome: Outcome,
+    outcome: LeaseOutcome,
 }
 
 struct Town {
@@ -37,7 +37,7 @@
 
 impl Town {
     fn new(seed: u64, keepers: usize) -> Self {
-        let runners: Vec<RunnerNews> = (0..RUNNERS)
+        let runners: Vec<RunnerUpdate> = (0..RUNNERS)
             .map(|place| runner(&format!("r{place}"), "north", CONCURRENCY))
             .collect();
         Self {
@@ -69,14 +69,15 @@
 
     fn send(&mut self, keeper: usize, ticket: u64, runner: String) {
         let runs = self.in_flight.iter();
-        let runs = runs.filter(|one| one.runner == runner && one.outcome == Outcome::Answered);
+        let runs =
+            runs.filter(|one| one.runner == runner && one.outcome == LeaseOutcome::Succeeded);
         let is_full = runs.count() >= CONCURRENCY as usize;
         let (outcome, takes) = if is_full {
             self.refused_at.push(self.now);
-            (Outcome::TurnedAway, STEP_MS)
+            (LeaseOutcome::Rejected, STEP_MS)
         } else {
             (
-                Outcome::Answered,
+                LeaseOutcome::Succeeded,
                 self.random.random_range(WORK_MS / 2..WORK_MS * 2),
             )
         };
@@ -96,7 +97,7 @@
             .partition(|one: &InFlight| one.ends_at <= now);
         self.in_flight = rest;
         for one in due {
-            self.answered += u64::from(one.outcome == Outcome::Answered);
+            self.answered += u64::from(one.outcome == LeaseOutcome::Succeeded);
             let release = release(one.ticket, one.outcome, WORK_MS as u32);
             self.keepers[one.keeper].release(now, "f", &release);
         }
@@ -160,7 +161,7 @@
     }
     let lent = grants(keeper);
     for (ticket, _) in &lent {
-        keeper.release(now, "f", &release(*ticket, Outcome::Unused, 0));
+        keeper.release(now, "f", &release(*ticket, LeaseOutcome::Unused, 0));
     }
     lent.len()
 }
@@ -172,9 +173,9 @@
         keeper.request_lease(0, "f", "north", bid(ticket, 1));
     }
     assert_eq!(grants(&mut keeper).len(), 3);
-    keeper.release(10, "f", &release(3, Outcome::TurnedAway, 1));
+    keeper.release(10, "f", &release(3, LeaseOutcome::Rejected, 1));
     for ticket in 1..=2 {
-        keeper.release(20, "f", &release(ticket, Outcome::Answered, 20));
+        keeper.release(20, "f", &release(ticket, LeaseOutcome::Succeeded, 20));
     }
     keeper.request_lease(30, "f", "north", bid(10, 1));
     keeper.request_lease(30, "f", "north", bid(11, 1));
--- a/crates/seat_leases/tests/start_block.rs
+++ b/crates/seat_leases/tests/start_block.rs
@@ -3,14 +3,18 @@
 mod common;
 
 use common::{bid, grants, keeper, news, refusals, release, runner, FUNCTION};
-use protocol::{Bid, FunctionNews, Outcome, RunnerNews, RunnerStage, StartBlock};
+use protocol::{FunctionUpdate, LeaseOutcome, LeaseRequest, RunnerStage, RunnerUpdate, StartBlock};
 use seat_leases::LeaseOwner;
 
 const RETRY_AFTER_MS: u32 = 2_400;
 const VALID_MS: u32 = 2_000;
 
-fn blocked(number: u64, earliest_ready_ms: Option<u32>, runners: &[RunnerNews]) -> FunctionNews {
-    FunctionNews {
+fn blocked(
+    number: u64,
+    earliest_ready_ms: Option<u32>,
+    runners: &[RunnerUpdate],
+) -> FunctionUpdate {
+    FunctionUpdate {
         start_block: Some(StartBlock {
             earliest_ready_ms,
             retry_after_ms: RETRY_AFTER_MS,
@@ -20,9 +24,9 @@
     }
 }
 
-fn short(ticket: u64, budget_ms: u32) -> Bid {
-    Bid {
-        budget_ms,
+fn short(ticket: u64, budget_ms: u32) -> LeaseRequest {
+    LeaseRequest {
+        timeout_ms: budget_ms,
         ..bid(ticket, 1)
     }
 }
@@ -37,7 +41,7 @@
     let expected = [(2, RETRY_AFTER_MS), (1, RETRY_AFTER_MS)];
     assert_eq!(refusals(&mut keeper), expected);
     let report = keeper.reports(1_000, true).remove(0);
-    assert_eq!((report.waiting, report.given_up), (0, 2));
+    assert_eq!((report.waiting, report.abandoned), (0, 2));
 }
 
 #[test]
@@ -47,7 +51,7 @@
     keeper.request_lease(400, "f", "north", bid(1, 1));
     assert_eq!(refusals(&mut keeper), [(1, RETRY_AFTER_MS - 400)]);
     let report = keeper.reports(1_000, true).remove(0);
-    assert_eq!(report.arrived, [("north".to_string(), 1)]);
+    assert_eq!(report.arrivals, [("north".to_string(), 1)]);
 }
 
 #[test]
@@ -92,8 +96,8 @@
 fn a_later_term_that_knows_nothing_yet_does_not_repeat_it() {
     let mut keeper = LeaseOwner::default();
     keeper.update_runners(0, blocked(9, None, &[]));
-    let later = FunctionNews {
-        mark: (2, 1),
+    let later = FunctionUpdate {
+        version: (2, 1),
         ..news(1, &[])
     };
     keeper.update_runners(100, later);
@@ -115,7 +119,7 @@
 
 #[test]
 fn a_starting_runner_keeps_hope() {
-    let starting = RunnerNews {
+    let starting = RunnerUpdate {
         stage: RunnerStage::Starting,
         starts_in_ms: 1_000,
         ..runner("a", "north", 2)
@@ -138,20 +142,20 @@
     keeper.request_lease(0, "f", "north", bid(1, 1));
     keeper.request_lease(0, "f", "north", bid(2, 1));
     assert_eq!(grants(&mut keeper), [(1, "a".to_string())]);
-    keeper.release(100, "f", &release(1, Outcome::TurnedAway, 5));
+    keeper.release(100, "f", &release(1, LeaseOutcome::Rejected, 5));
     keeper.request_lease(101, "f", "north", bid(3, 1));
     keeper.tick(110);
     assert_eq!(refusals(&mut keeper), [], "the runner only rests");
     keeper.tick(200);
     assert_eq!(grants(&mut keeper), [(2, "a".to_string())]);
-    keeper.release(300, "f", &release(2, Outcome::Gone, 5));
+    keeper.release(300, "f", &release(2, LeaseOutcome::Gone, 5));
     keeper.tick(310);
     assert_eq!(refusals(&mut keeper), [(3, RETRY_AFTER_MS - 310)]);
 }
 
 #[test]
 fn runners_that_only_drain_give_no_hope() {
-    let draining = RunnerNews {
+    let draining = RunnerUpdate {
         stage: RunnerStage::Draining,
         ..runner("a", "north", 1)
     };
--- a/tests/compatibility/src/samples/protocol.rs
+++ b/tests/compatibility/src/samples/protocol.rs
@@ -2,8 +2,9 @@
 
 use crate::sample::{sample, Sample};
 use protocol::{
-    Bid, FunctionNews, FunctionReport, Grant, JobEnd, JobMark, JobResult, JobVerdict, Member,
-    Message, Outcome, RegisterSaid, Release, RunnerNews, RunnerReport, RunnerStage, StartBlock,
+    FunctionReport, FunctionUpdate, JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseOutcome,
+    LeaseRelease, LeaseRequest, Member, Message, RegisterResponse, RunnerReport, RunnerStage,
+    RunnerUpdate, SeatLease, StartBlock,
 };
 
 /// Every message between gateways, controllers and operators' tools.
@@ -25,7 +26,7 @@
         name: "gw-1".into(),
         incarnation: 0x0102_0304_0506_0708,
         address: "10.0.1.1:7100".into(),
-        district: "north".into(),
+        zone: "north".into(),
     }
 }
 
@@ -34,55 +35,55 @@
         name: "gw-2".into(),
         incarnation: u64::MAX,
         address: "[fd00::2]:7100".into(),
-        district: "".into(),
+        zone: "".into(),
     }
 }
 
 fn liveness() -> Vec<Sample<Message>> {
     let gateway_heartbeat = Message::GatewayHeartbeat {
-        description: 12,
-        closures: 3,
-        roster: ((2 << 40) | 12, 7),
+        configuration_version: 12,
+        evacuations_version: 3,
+        membership_version: ((2 << 40) | 12, 7),
     };
     let controller_heartbeat = Message::ControllerHeartbeat {
-        description: 13,
-        closures: 4,
+        configuration_version: 13,
+        evacuations_version: 4,
         term: (2 << 40) | 12,
         controllers: vec!["10.0.0.1:7000".into(), "10.0.0.2:7000".into()],
-        district: "south".into(),
+        zone: "south".into(),
         is_current: true,
     };
     vec![
-        sample("gateway", Message::Gateway(gateway())),
+        sample("gateway", Message::GatewayHello(gateway())),
         sample("gateway_heartbeat", gateway_heartbeat),
         sample("controller_heartbeat", controller_heartbeat),
-        sample("request_heartbeat", Message::AskHeartbeat),
+        sample("request_heartbeat", Message::RequestHeartbeat),
         sample("ping", Message::Ping(0x0102_0304_0506_0708)),
         sample("pong", Message::Pong(u64::MAX)),
-        sample("status", Message::Status),
-        sample("status_text", Message::StatusText("{\"up\":1}".into())),
+        sample("status", Message::RequestStatus),
+        sample("status_text", Message::Status("{\"up\":1}".into())),
     ]
 }
 
 fn configuration() -> Vec<Sample<Message>> {
-    let ask = Message::Ask {
-        description: 12,
-        closures: 3,
+    let ask = Message::RequestConfiguration {
+        configuration_version: 12,
+        evacuations_version: 3,
     };
-    let whole = Message::Description {
-        mark: 13,
+    let whole = Message::Configuration {
+        version: 13,
         document: protocol::pack(br#"{"version":13}"#),
     };
-    let changes = Message::Changes {
-        from: 12,
+    let changes = Message::ConfigurationChanges {
+        base_version: 12,
         changes: vec![vec![1, 2, 3], Vec::new(), vec![0xff]],
     };
-    let evacuations = Message::Closures {
-        mark: 4,
-        districts: vec!["north".into(), "east".into()],
+    let evacuations = Message::EvacuatedZones {
+        version: 4,
+        zones: vec!["north".into(), "east".into()],
     };
-    let membership = Message::Roster {
-        mark: ((2 << 40) | 12, 8),
+    let membership = Message::GatewayMembership {
+        version: ((2 << 40) | 12, 8),
         members: vec![gateway(), other_gateway()],
     };
     vec![
@@ -95,9 +96,9 @@
 }
 
 fn scaling() -> Vec<Sample<Message>> {
-    let blocked = FunctionNews {
+    let blocked = FunctionUpdate {
         function: "resize".into(),
-        mark: ((2 << 40) | 12, 19),
+        version: ((2 << 40) | 12, 19),
         runners: Vec::new(),
         start_block: Some(StartBlock {
             earliest_ready_ms: Some(4_000),
@@ -105,7 +106,7 @@
             valid_ms: 3_000,
         }),
     };
-    let blocked_for_long = FunctionNews {
+    let blocked_for_long = FunctionUpdate {
         start_block: Some(StartBlock {
             earliest_ready_ms: None,
             ..StartBlock::default()
@@ -114,9 +115,9 @@
     };
     let updates = vec![function_update(), blocked, blocked_for_long];
     vec![
-        sample("report", Message::Report(vec![function_report()])),
-        sample("report_blank", Message::Report(Vec::new())),
-        sample("runners", Message::Runners(updates)),
+        sample("report", Message::FunctionReports(vec![function_report()])),
+        sample("report_blank", Message::FunctionReports(Vec::new())),
+        sample("runners", Message::FunctionUpdates(updates)),
     ]
 }
 
@@ -124,9 +125,9 @@
     let runner = RunnerReport {
         id: "r-17".into(),
         in_use: 3,
-        answered: 1_000_000_007,
-        took_ms: 0x0000_0009_0000_0001,
-        turned_away: 5,
+        succeeded: 1_000_000_007,
+        total_duration_ms: 0x0000_0009_0000_0001,
+        rejected: 5,
         is_up: true,
         is_gone: false,
     };
@@ -136,26 +137,26 @@
     };
     FunctionReport {
         function: "resize".into(),
-        news: 19,
-        arrived: vec![("north".into(), 400), ("".into(), 1)],
+        update_number: 19,
+        arrivals: vec![("north".into(), 400), ("".into(), 1)],
         waiting: 6,
-        given_up: 2,
+        abandoned: 2,
         runners: vec![runner, gone],
     }
 }
 
-fn function_update() -> FunctionNews {
-    let runner = |id: &str, stage, starts_in_ms| RunnerNews {
+fn function_update() -> FunctionUpdate {
+    let runner = |id: &str, stage, starts_in_ms| RunnerUpdate {
         id: id.into(),
         address: "10.0.2.1:9000".into(),
-        district: "north".into(),
+        zone: "north".into(),
         quota: 8,
         stage,
         starts_in_ms,
     };
-    FunctionNews {
+    FunctionUpdate {
         function: "thumbnail".into(),
-        mark: ((2 << 40) | 12, 18),
+        version: ((2 << 40) | 12, 18),
         runners: vec![
             runner("r-17", RunnerStage::Starting, 1_200),
             runner("r-18", RunnerStage::Serving, 0),
@@ -166,34 +167,34 @@
 }
 
 fn seats() -> Vec<Sample<Message>> {
-    let request = Bid {
-        ticket: 0x0000_0001_0000_002a,
+    let request = LeaseRequest {
+        request_id: 0x0000_0001_0000_002a,
         function: "resize".into(),
-        rank: 2,
-        budget_ms: 750,
-        avoid: vec!["r-17".into(), "r-18".into()],
+        priority: 2,
+        timeout_ms: 750,
+        excluded_runners: vec!["r-17".into(), "r-18".into()],
         job: Some(job_attempt()),
     };
-    let plain_request = Bid {
+    let plain_request = LeaseRequest {
         job: None,
-        avoid: Vec::new(),
+        excluded_runners: Vec::new(),
         ..request.clone()
     };
-    let lease = Grant {
-        ticket: 42,
+    let lease = SeatLease {
+        request_id: 42,
         runner: "r-19".into(),
         address: "10.0.2.1:9000".into(),
-        district: "north".into(),
+        zone: "north".into(),
     };
-    let rejection = Message::Refuse {
-        ticket: 42,
+    let rejection = Message::Reject {
+        request_id: 42,
         retry_after_ms: 900,
     };
     vec![
-        sample("lease_request", Message::Bid(request)),
-        sample("lease_request_plain", Message::Bid(plain_request)),
-        sample("cancel_request", Message::Withdraw(42)),
-        sample("seat_lease", Message::Grant(lease)),
+        sample("lease_request", Message::LeaseRequest(request)),
+        sample("lease_request_plain", Message::LeaseRequest(plain_request)),
+        sample("cancel_request", Message::CancelRequest(42)),
+        sample("seat_lease", Message::SeatLease(lease)),
         sample("reject", rejection),
         sample("known", known()),
     ]
@@ -207,7 +208,7 @@
         vec![42, 43, u64::MAX],
     );
     let idle = ("r-20".to_string(), String::new(), String::new(), Vec::new());
-    Message::Known {
+    Message::LeasesInUse {
         function: "resize".into(),
         runners: vec![runner, idle],
     }
@@ -215,56 +216,56 @@
 
 fn releases() -> Vec<Sample<Message>> {
     let release = |outcome| {
-        Message::Release(Release {
-            ticket: 42,
+        Message::LeaseRelease(LeaseRelease {
+            request_id: 42,
             outcome,
-            took_ms: 31,
+            duration_ms: 31,
         })
     };
     vec![
-        sample("release_answered", release(Outcome::Answered)),
-        sample("release_unused", release(Outcome::Unused)),
-        sample("release_rejected", release(Outcome::TurnedAway)),
-        sample("release_gone", release(Outcome::Gone)),
-        sample("release_unreached", release(Outcome::Unreached)),
-        sample("release_lost", release(Outcome::Lost)),
+        sample("release_answered", release(LeaseOutcome::Succeeded)),
+        sample("release_unused", release(LeaseOutcome::Unused)),
+        sample("release_rejected", release(LeaseOutcome::Rejected)),
+        sample("release_gone", release(LeaseOutcome::Gone)),
+        sample("release_unreached", release(LeaseOutcome::Unreachable)),
+        sample("release_lost", release(LeaseOutcome::Lost)),
     ]
 }
 
-fn job_attempt() -> JobMark {
-    JobMark {
+fn job_attempt() -> JobAttempt {
+    JobAttempt {
         key: "invoice-2041".into(),
         digest: *b"0123456789abcdef",
-        is_once: true,
+        at_most_once: true,
         incarnation: 0x0102_0304_0506_0708,
-        attempt: 3,
+        number: 3,
     }
 }
 
 fn job_attempts() -> Vec<Sample<Message>> {
-    let claimed = Message::Claimed {
-        ticket: 42,
+    let claimed = Message::JobClaimed {
+        request_id: 42,
         attempt: 3,
-        version: 2,
+        register_version: 2,
     };
-    let joined = Message::Joined {
-        ticket: 43,
+    let joined = Message::JobJoined {
+        request_id: 43,
         attempt: 1,
     };
     vec![
         sample("claimed", claimed),
         sample("joined", joined),
-        sample("job_persisted", Message::JobKept(42)),
+        sample("job_persisted", Message::JobPersisted(42)),
     ]
 }
 
 fn job_ends() -> Vec<Sample<Message>> {
     let end = |result| {
-        Message::JobEnd(JobEnd {
-            ticket: 42,
+        Message::JobCompletion(JobCompletion {
+            request_id: 42,
             function: "resize".into(),
-            mark: job_attempt(),
-            version: 2,
+            attempt: job_attempt(),
+            register_version: 2,
             result,
         })
     };
@@ -278,8 +279,8 @@
 }
 
 fn job_verdicts() -> Vec<Sample<Message>> {
-    let verdict = |verdict| Message::JobTold {
-        ticket: 43,
+    let verdict = |verdict| Message::JobVerdict {
+        request_id: 43,
         attempt: 1,
         verdict,
     };
@@ -298,26 +299,38 @@
 
 fn job_registers() -> Vec<Sample<Message>> {
     let key = "job/000102030405060708090a0b0c0d0e0f".to_string();
-    let read = Message::JobAsk {
+    let read = Message::JobRegisterRequest {
         number: 5,
         key: key.clone(),
-        expected: None,
-        bytes: Vec::new(),
+        expected_version: None,
+        value: Vec::new(),
     };
-    let write = Message::JobAsk {
+    let write = Message::JobRegisterRequest {
         number: 6,
         key,
-        expected: Some(2),
-        bytes: b"claim".to_vec(),
+        expected_version: Some(2),
+        value: b"claim".to_vec(),
+    };
+    let response = |said| Message::JobRegisterResponse {
+        number: 6,
+        response: said,
     };
-    let response = |said| Message::JobSaid { number: 6, said };
-    let found = RegisterSaid::Found(2, b"claim".to_vec());
+    let found = RegisterResponse::Found(2, b"claim".to_vec());
     vec![
         sample("job_register_read", read),
         sample("job_register_write", write),
-        sample("job_register_written", response(RegisterSaid::Written(3))),
+        sample(
+            "job_register_written",
+            response(RegisterResponse::Written(3)),
+        ),
         sample("job_register_found", response(found)),
-        sample("job_register_unreached", response(RegisterSaid::Unreached)),
-        sample("job_register_unsure", response(RegisterSaid::Unsure)),
+        sample(
+            "job_register_unreached",
+            response(RegisterResponse::Unavailable),
+        ),
+        sample(
+            "job_register_unsure",
+            response(RegisterResponse::Indeterminate),
+        ),
     ]
 }
--- a/tests/hollow/src/carrier.rs
+++ b/tests/hollow/src/carrier.rs
@@ -3,7 +3,7 @@
 use crate::meter::{median_ns, tell_fit, Markdown};
 use crate::town;
 use http1::{write_request, write_response, MessageLimits, RequestReader, ResponseReader};
-use protocol::{frame, Bid, Frames, Grant, Message, Outcome, Release};
+use protocol::{frame, Frames, LeaseOutcome, LeaseRelease, LeaseRequest, Message, SeatLease};
 use std::hint::black_box;
 
 const TIMES: u32 = 20_000;
@@ -16,30 +16,30 @@
 }
 
 fn bid() -> Message {
-    Message::Bid(Bid {
-        ticket: 77 << 32,
+    Message::LeaseRequest(LeaseRequest {
+        request_id: 77 << 32,
         function: town::function_name(7),
-        rank: 1,
-        budget_ms: 6_000,
-        avoid: Vec::new(),
+        priority: 1,
+        timeout_ms: 6_000,
+        excluded_runners: Vec::new(),
         job: None,
     })
 }
 
 fn grant() -> Message {
-    Message::Grant(Grant {
-        ticket: 77 << 32,
+    Message::SeatLease(SeatLease {
+        request_id: 77 << 32,
         runner: town::instance_id(7),
         address: town::address(7),
-        district: town::zone(7).to_string(),
+        zone: town::zone(7).to_string(),
     })
 }
 
 fn release() -> Message {
-    Message::Release(Release {
-        ticket: 77 << 32,
-        outcome: Outcome::Answered,
-        took_ms: 60,
+    Message::LeaseRelease(LeaseRelease {
+        request_id: 77 << 32,
+        outcome: LeaseOutcome::Succeeded,
+        duration_ms: 60,
     })
 }
 
@@ -141,8 +141,8 @@
     let table = Markdown::head("The roster", &columns);
     let mut points = Vec::new();
     for count in [10, 50, 150, 590] {
-        let message = Message::Roster {
-            mark: (7, 7),
+        let message = Message::GatewayMembership {
+            version: (7, 7),
             members: town::members(count),
         };
         let bytes = frame(&message);
--- a/tests/hollow/src/configuration.rs
+++ b/tests/hollow/src/configuration.rs
@@ -6,7 +6,7 @@
 use flate2::write::DeflateEncoder;
 use flate2::Compression;
 use platform::PlatformDocuments;
-use routing::{Documents, Table};
+use routing::{ConfigurationFormat, RoutingTable};
 use std::io::{Read, Write};
 use std::sync::Arc;
 
@@ -64,22 +64,24 @@
         for _ in 0..ROUNDS {
             let before = live();
             let text = timed(&mut unpacking, || unpack(&packed));
-            let read = timed(&mut reading, || documents.read(&text));
+            let read = timed(&mut reading, || documents.parse(&text));
             let description = Arc::new(read.expect("it is a good one"));
-            let built = timed(&mut tabling, || Table::new(description));
+            let built = timed(&mut tabling, || RoutingTable::new(description));
             most = most.max((live() - before) as f64 / 1e6);
             drop(text);
             held = (live() - before) as f64 / 1e6;
             timed(&mut amending, || {
-                let base = built.description().as_ref().clone();
-                let next = documents.amend(&base, &change).expect("it can be amended");
-                Table::new(Arc::new(next))
+                let base = built.configuration().as_ref().clone();
+                let next = documents
+                    .apply_change(&base, &change)
+                    .expect("it can be amended");
+                RoutingTable::new(Arc::new(next))
             });
             drop(built);
             timed(&mut judging, || {
-                let whole = documents.change(&unpack(&packed), &change);
+                let whole = documents.merge_change(&unpack(&packed), &change);
                 let whole = whole.expect("it can be changed");
-                assert!(documents.read(&whole).is_ok());
+                assert!(documents.parse(&whole).is_ok());
                 pack(&whole)
             });
         }
--- a/tests/hollow/src/fleet.rs
+++ b/tests/hollow/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::scaler;
 use crate::town::{self, Mix};
 use autoscaler::{Autoscaler, RunnerCommand, RunnerListing, StartedRunner};
-use protocol::{frame, Bid, Frames, Member, Message, Outcome, Release};
+use protocol::{frame, Frames, LeaseOutcome, LeaseRelease, LeaseRequest, Member, Message};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use seat_leases::{LeaseAction, LeaseOwner};
@@ -126,10 +126,10 @@
             .flatten()
         {
             let took_ms = self.pace_ms as u32;
-            let message = Message::Release(Release {
-                ticket,
-                outcome: Outcome::Answered,
-                took_ms,
+            let message = Message::LeaseRelease(LeaseRelease {
+                request_id: ticket,
+                outcome: LeaseOutcome::Succeeded,
+                duration_ms: took_ms,
             });
             self.gateways[keeper].in_bytes += self.sums.count("Release", &message);
             self.gateways[keeper].inbox.push((carrier, message));
@@ -141,12 +141,12 @@
             let carrier = self.random.random_range(0..self.gateways.len());
             let keeper = self.elect(function);
             self.tickets += 1;
-            let message = Message::Bid(Bid {
-                ticket: self.tickets,
+            let message = Message::LeaseRequest(LeaseRequest {
+                request_id: self.tickets,
                 function: town::function_name(function),
-                rank: 1,
-                budget_ms: 6_000,
-                avoid: Vec::new(),
+                priority: 1,
+                timeout_ms: 6_000,
+                excluded_runners: Vec::new(),
                 job: None,
             });
             self.gateways[keeper].in_bytes += self.sums.count("Bid", &message);
@@ -171,10 +171,10 @@
                 for (from, bytes) in inbox {
                     let member = &members[from];
                     match Frames::new(&bytes).read() {
-                        Ok(Some(Message::Bid(bid))) => {
-                            keeper.request_lease(now, &member.name, &member.district, bid);
+                        Ok(Some(Message::LeaseRequest(bid))) => {
+                            keeper.request_lease(now, &member.name, &member.zone, bid);
                         }
-                        Ok(Some(Message::Release(release))) => {
+                        Ok(Some(Message::LeaseRelease(release))) => {
                             keeper.release(now, &member.name, &release);
                         }
                         _ => {}
@@ -195,9 +195,9 @@
                     lease: grant,
                 } => {
                     let ends_at = self.now + self.pace_ms.max(1);
-                    let held = (self.places[&gateway], keeper, grant.ticket);
+                    let held = (self.places[&gateway], keeper, grant.request_id);
                     self.held.entry(ends_at).or_default().push(held);
-                    let message = Message::Grant(grant);
+                    let message = Message::SeatLease(grant);
                     timed(&mut self.gateways[keeper].cpu, || frame(&message).len());
                     self.sums.count("Grant", &message);
                 }
@@ -207,8 +207,8 @@
                     ..
                 } => {
                     self.sums.refused += 1;
-                    let message = Message::Refuse {
-                        ticket,
+                    let message = Message::Reject {
+                        request_id: ticket,
                         retry_after_ms,
                     };
                     self.sums.count("Refuse", &message);
@@ -233,9 +233,9 @@
             let keeper = &mut gateway.keeper;
             let (reports, bytes) = timed(&mut gateway.cpu, || {
                 let reports = keeper.reports(now, is_all);
-                let message = Message::Report(reports);
+                let message = Message::FunctionReports(reports);
                 let bytes = frame(&message);
-                let Message::Report(reports) = message else {
+                let Message::FunctionReports(reports) = message else {
                     return (Vec::new(), bytes);
                 };
                 (reports, bytes)
@@ -258,13 +258,13 @@
         let news = timed(&mut self.sums.reporting, || {
             let mut told = Vec::new();
             let read: Option<Message> = Frames::new(bytes).read().ok().flatten();
-            let Some(Message::Report(reports)) = read else {
+            let Some(Message::FunctionReports(reports)) = read else {
                 return told;
             };
             for report in &reports {
                 autoscaler.handle_report(now, name, report);
                 let (term, number) = autoscaler.update_version(&report.function);
-                if term > 0 && number != report.news {
+                if term > 0 && number != report.update_number {
                     told.push(autoscaler.update_for(&report.function, now));
                 }
             }
@@ -276,10 +276,10 @@
         self.carry_out();
     }
 
-    fn tell(&mut self, place: usize, news: protocol::FunctionNews) {
-        let message = Message::Runners(vec![news]);
+    fn tell(&mut self, place: usize, news: protocol::FunctionUpdate) {
+        let message = Message::FunctionUpdates(vec![news]);
         self.sums.count("Runners", &message);
-        let Message::Runners(news) = message else {
+        let Message::FunctionUpdates(news) = message else {
             return;
         };
         let now = self.now;
--- a/tests/hollow/src/keeper.rs
+++ b/tests/hollow/src/keeper.rs
@@ -2,7 +2,7 @@
 
 use crate::meter::{live, median_ns, tell_fit, timed, Markdown};
 use crate::town;
-use protocol::{frame, Bid, Message, Outcome, Release};
+use protocol::{frame, LeaseOutcome, LeaseRelease, LeaseRequest, Message};
 use seat_leases::{LeaseAction, LeaseOwner};
 use std::hint::black_box;
 
@@ -12,22 +12,22 @@
     by_tickets();
 }
 
-fn bid(ticket: u64, function: usize) -> Bid {
-    Bid {
-        ticket,
+fn bid(ticket: u64, function: usize) -> LeaseRequest {
+    LeaseRequest {
+        request_id: ticket,
         function: town::function_name(function),
-        rank: 1,
-        budget_ms: 6_000,
-        avoid: Vec::new(),
+        priority: 1,
+        timeout_ms: 6_000,
+        excluded_runners: Vec::new(),
         job: None,
     }
 }
 
-fn release(ticket: u64) -> Release {
-    Release {
-        ticket,
-        outcome: Outcome::Answered,
-        took_ms: 60,
+fn release(ticket: u64) -> LeaseRelease {
+    LeaseRelease {
+        request_id: ticket,
+        outcome: LeaseOutcome::Succeeded,
+        duration_ms: 60,
     }
 }
 
@@ -81,13 +81,13 @@
             .collect();
         ns.sort_by(f64::total_cmp);
         let report = keeper.reports(1_000_000, true);
-        let bytes = frame(&Message::Report(report)).len() as f64;
+        let bytes = frame(&Message::FunctionReports(report)).len() as f64;
         let times = 20_000 / (runners as u32 + 10) + 1;
         let report_ns = median_ns(times, || {
             let report = keeper.reports(1_000_000, true);
-            black_box(frame(&Message::Report(report)));
+            black_box(frame(&Message::FunctionReports(report)));
         });
-        let news_bytes = frame(&Message::Runners(vec![news.clone()])).len() as f64;
+        let news_bytes = frame(&Message::FunctionUpdates(vec![news.clone()])).len() as f64;
         let news_ns = median_ns(times, || keeper.update_runners(0, news.clone()));
         let size = runners as f64;
         calls.push((size, ns[1] / 1e3));
--- a/tests/hollow/src/scaler.rs
+++ b/tests/hollow/src/scaler.rs
@@ -26,9 +26,9 @@
     let runner = |place| RunnerReport {
         id: town::instance_id(place),
         in_use: 1,
-        answered: round * 2,
-        took_ms: round * 120,
-        turned_away: 0,
+        succeeded: round * 2,
+        total_duration_ms: round * 120,
+        rejected: 0,
         is_up: true,
         is_gone: false,
     };
@@ -37,10 +37,10 @@
     let share = |zone: &&str| ((*zone).to_string(), arrived / 5);
     FunctionReport {
         function: town::function_name(function),
-        news: 1 << 32,
-        arrived: town::ZONES.iter().map(share).collect(),
+        update_number: 1 << 32,
+        arrivals: town::ZONES.iter().map(share).collect(),
         waiting: 0,
-        given_up: 0,
+        abandoned: 0,
         runners,
     }
 }
@@ -141,7 +141,7 @@
         .map(|start| {
             let asked = FunctionReport {
                 function: town::function_name(20_000 + start),
-                arrived: vec![("north-a".to_string(), 1)],
+                arrivals: vec![("north-a".to_string(), 1)],
                 waiting: 1,
                 ..FunctionReport::default()
             };
--- a/tests/hollow/src/town.rs
+++ b/tests/hollow/src/town.rs
@@ -1,8 +1,8 @@
 //! The made-up town of daemons, functions and instances that all measurements use.
 
 use autoscaler::{RunnerListing, WorkerListing};
-use protocol::{FunctionNews, Member, RunnerNews, RunnerStage};
-use routing::{Binding, Description, Function};
+use protocol::{FunctionUpdate, Member, RunnerStage, RunnerUpdate};
+use routing::{Binding, Function, RoutingConfiguration};
 
 /// Zones of the site.
 pub const ZONES: [&str; 5] = ["north-a", "north-b", "north-c", "south-a", "south-b"];
@@ -41,24 +41,24 @@
         name: gateway_name(place),
         incarnation: 0x1234_5678_9abc_0000 + place as u64,
         address: address(place),
-        district: zone(place).to_string(),
+        zone: zone(place).to_string(),
     };
     (0..count).map(member).collect()
 }
 
 /// A description of so many functions with a binding each.
-pub fn description(functions: usize) -> Description {
+pub fn description(functions: usize) -> RoutingConfiguration {
     let binding = |place: usize| Binding {
         name: format!("route-{place:05}"),
         host: format!("shop-{:04}.example.com", place / 10),
         prefix: format!("/v1/{}/", function_name(place)),
-        function: place,
-        is_once: place.is_multiple_of(2),
+        function_index: place,
+        at_most_once: place.is_multiple_of(2),
         timeout_ms: 6_000,
-        aim_ms: 1_300,
-        rank: (place % 3) as u8,
-        tries: 3,
-        homes: Vec::new(),
+        latency_target_ms: 1_300,
+        priority: (place % 3) as u8,
+        max_attempts: 3,
+        allowed_regions: Vec::new(),
     };
     let function = |place| Function {
         name: function_name(place),
@@ -68,11 +68,11 @@
         connections: 64,
         ..Function::default()
     };
-    Description {
+    RoutingConfiguration {
         version: 1,
         bindings: (0..functions).map(binding).collect(),
         functions: (0..functions).map(function).collect(),
-        ..Description::default()
+        ..RoutingConfiguration::default()
     }
 }
 
@@ -81,9 +81,9 @@
     let whole = description(functions);
     let routes = whole.bindings.iter().map(|one| {
         serde_json::json!({ "name": one.name, "host": one.host, "path_prefix": one.prefix,
-            "route_kind": if one.is_once { "unsafe" } else { "safe" },
-            "timeout_ms": one.timeout_ms, "target_ms": one.aim_ms, "priority": one.rank,
-            "service": whole.functions[one.function].name, "tries": one.tries })
+            "route_kind": if one.at_most_once { "unsafe" } else { "safe" },
+            "timeout_ms": one.timeout_ms, "target_ms": one.latency_target_ms, "priority": one.priority,
+            "service": whole.functions[one.function_index].name, "tries": one.max_attempts })
     });
     let services = whole.functions.iter().map(|one| {
         serde_json::json!({ "name": one.name, "memory_mb": one.memory_mb,
@@ -138,18 +138,18 @@
 }
 
 /// News of a function with so many serving runners.
-pub fn news(function: usize, runners: usize, mark: u64) -> FunctionNews {
-    let runner = |place: usize| RunnerNews {
+pub fn news(function: usize, runners: usize, mark: u64) -> FunctionUpdate {
+    let runner = |place: usize| RunnerUpdate {
         id: instance_id(place),
         address: address(place),
-        district: zone(place).to_string(),
+        zone: zone(place).to_string(),
         quota: 1,
         stage: RunnerStage::Serving,
         starts_in_ms: 0,
     };
-    FunctionNews {
+    FunctionUpdate {
         function: function_name(function),
-        mark: (1, mark),
+        version: (1, mark),
         runners: (0..runners).map(runner).collect(),
         start_block: None,
     }
--- a/tests/hollow/src/wire_gateways.rs
+++ b/tests/hollow/src/wire_gateways.rs
@@ -178,9 +178,9 @@
         for controller in 0..self.controllers.len() {
             let gateway = &self.gateways[place];
             let heartbeat = Message::GatewayHeartbeat {
-                description: gateway.description,
-                closures: 0,
-                roster: gateway.roster,
+                configuration_version: gateway.description,
+                evacuations_version: 0,
+                membership_version: gateway.roster,
             };
             match gateway.lines[controller] {
                 Some(line) => self.send(line, &heartbeat),
@@ -213,8 +213,8 @@
         let runner = |id: &String| RunnerReport {
             id: id.clone(),
             in_use: 1,
-            answered: now / 100,
-            took_ms: now * 6 / 10,
+            succeeded: now / 100,
+            total_duration_ms: now * 6 / 10,
             is_up: true,
             ..RunnerReport::default()
         };
@@ -223,15 +223,15 @@
             .iter()
             .map(|(function, (news, runners))| FunctionReport {
                 function: function.clone(),
-                news: *news,
-                arrived: vec![(
-                    gateway.member.district.clone(),
+                update_number: *news,
+                arrivals: vec![(
+                    gateway.member.zone.clone(),
                     now / 100 * runners.len() as u64,
                 )],
                 runners: runners.iter().map(runner).collect(),
                 ..FunctionReport::default()
             });
-        let message = Message::Report(reports.collect());
+        let message = Message::FunctionReports(reports.collect());
         if let Some(line) = self.gateways[place].lines[controller] {
             self.send(line, &message);
         }
@@ -239,7 +239,7 @@
 
     fn connected(&mut self, line: ConnectionId) {
         if let Some((place, _)) = self.lines.get(&line).copied() {
-            let hello = Message::Gateway(self.gateways[place].member.clone());
+            let hello = Message::GatewayHello(self.gateways[place].member.clone());
             self.send(line, &hello);
         }
     }
@@ -271,7 +271,9 @@
         let mut ask = None;
         let kind = match message {
             Message::ControllerHeartbeat {
-                description, term, ..
+                configuration_version: description,
+                term,
+                ..
             } => {
                 self.newest = self.newest.max(description);
                 if term > gateway.scaler.map_or(0, |(known, _)| known) {
@@ -283,7 +285,7 @@
                 }
                 "ControllerHeartbeat"
             }
-            Message::Description { mark, .. } => {
+            Message::Configuration { version: mark, .. } => {
                 if mark > gateway.description {
                     gateway.description = mark;
                     gateway.orders += 1;
@@ -291,7 +293,10 @@
                 gateway.asked_until = 0;
                 "Description"
             }
-            Message::Changes { from, changes } => {
+            Message::ConfigurationChanges {
+                base_version: from,
+                changes,
+            } => {
                 if from == gateway.description {
                     gateway.description += changes.len() as u64;
                     gateway.orders += changes.len() as u64;
@@ -299,17 +304,20 @@
                 gateway.asked_until = 0;
                 "Changes"
             }
-            Message::Roster { mark, members } => {
+            Message::GatewayMembership {
+                version: mark,
+                members,
+            } => {
                 gateway.roster = mark.max(gateway.roster);
                 self.keep(place, mark, &members);
                 "Roster"
             }
-            Message::Runners(news) => {
+            Message::FunctionUpdates(news) => {
                 for one in news {
                     let ids = one.runners.into_iter().map(|runner| runner.id);
                     gateway
                         .kept
-                        .insert(one.function, (one.mark.1, ids.collect()));
+                        .insert(one.function, (one.version.1, ids.collect()));
                 }
                 "Runners"
             }
@@ -318,9 +326,9 @@
         let seen = self.kinds.entry(kind).or_default();
         *seen = (seen.0 + 1, seen.1 + size);
         if let Some(line) = ask {
-            let message = Message::Ask {
-                description: self.gateways[place].description,
-                closures: 0,
+            let message = Message::RequestConfiguration {
+                configuration_version: self.gateways[place].description,
+                evacuations_version: 0,
             };
             self.send(line, &message);
         }
