--- a/crates/event_loop/src/connection.rs
+++ b/crates/event_loop/src/connection.rs
@@ -1,168 +1,252 @@
+//! One TCP connection: its socket, the bytes read and not yet taken, and the bytes queued and not yet written.
+
 use mio::net::TcpStream;
+use socket2::SockRef;
 use std::io::{self, Read, Write};
+use std::time::Duration;
+
+/// Most bytes of an empty buffer that are kept allocated, so that an idle connection costs little memory.
+const MAX_IDLE_BUFFER_BYTES: usize = 4 << 10;
+
+/// Most bytes that may be queued on one connection. More than this means that the peer does not read.
+const MAX_UNSENT_BYTES: usize = 24 << 20;
 
-/// A connection of this daemon: its place and how often the place was used before.
+/// A connection of this daemon. A slot is used again after a close, so the id also counts the uses: an id that was kept
+/// too long names no connection rather than another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId {
-    pub(crate) place: u32,
-    pub(crate) use_no: u32,
+    pub(crate) slot: u32,
+    pub(crate) generation: u32,
 }
 
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It never came to be: nobody is there.
+    /// It was never established, so none of the queued bytes has left.
     ConnectFailed,
-    /// The peer closed it in order.
+    /// The peer closed its side in order (FIN).
     PeerClosed,
-    /// It broke, or more was sent to it than it may hold.
+    /// It was reset or timed out, or more was queued than it may hold.
     Broken,
 }
 
+/// A socket with its buffers. The event loop owns it and is the only one to change it.
 pub(crate) struct Connection {
     pub stream: TcpStream,
-    pub use_no: u32,
-    pub is_connected: bool,
-    pub is_writable: bool,
-    pub is_paused: bool,
-    pub closes_after_flush: bool,
-    pub has_ended: bool,
-    /// Nothing more is written: writing failed, and the connection's end is about to be told.
-    pub has_failed: bool,
-    pub inbox: Vec<u8>,
-    pub inbox_max: usize,
-    pub outbox: Vec<u8>,
-    pub sent: usize,
+    pub generation: u32,
+    state: State,
+    is_writable: bool,
+    /// Reading stopped because the read buffer is full; the loop reads on once the owner has taken bytes.
+    pub is_read_paused: bool,
+    closes_after_flush: bool,
+    pub read_buffer: Vec<u8>,
+    read_limit: usize,
+    write_buffer: Vec<u8>,
+    /// Bytes at the front of the write buffer that were written already.
+    written: usize,
+}
+
+/// Where a connection is between its opening and its end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum State {
+    Connecting,
+    Established,
+    /// Writing failed, or too much was queued: nothing more is written, and the end is about to be reported.
+    Failed,
+    /// The end was reported.
+    Closed,
 }
 
-/// What came of reading.
-pub(crate) enum ReadOutcome {
-    Nothing,
-    Bytes,
-    Ended(CloseReason),
-    BytesAndEnded(CloseReason),
+/// What came of reading a socket until it had no more or the read buffer was full.
+pub(crate) struct ReadOutcome {
+    pub has_bytes: bool,
+    pub closed: Option<CloseReason>,
 }
 
-/// What came of writing.
+/// What became of bytes that were to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteOutcome {
-    /// All of it was written, or will be as soon as the connection takes it.
+    /// All were written, or will be as soon as the socket takes them.
     Accepted,
-    /// The connection broke, and none of these bytes was taken.
-    Nothing,
-    /// The connection broke when some of these bytes had been taken.
-    Broke,
+    /// The connection broke before any of them was written.
+    NothingWritten,
+    /// The connection broke when some of them had been written.
+    PartlyWritten,
+}
+
+/// How far the opening of a connection has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ConnectProgress {
+    Pending,
+    Established,
+    Failed,
 }
 
 impl Connection {
-    pub fn new(stream: TcpStream, use_no: u32, is_connected: bool, inbox_max: usize) -> Self {
+    pub fn new(stream: TcpStream, generation: u32, is_accepted: bool, read_limit: usize) -> Self {
         Self {
             stream,
-            use_no,
-            is_connected,
-            is_writable: is_connected,
-            is_paused: false,
+            generation,
+            state: if is_accepted {
+                State::Established
+            } else {
+                State::Connecting
+            },
+            is_writable: is_accepted,
+            is_read_paused: false,
             closes_after_flush: false,
-            has_ended: false,
-            has_failed: false,
-            inbox: Vec::new(),
-            inbox_max,
-            outbox: Vec::new(),
-            sent: 0,
+            read_buffer: Vec::new(),
+            read_limit,
+            write_buffer: Vec::new(),
+            written: 0,
         }
     }
 
-    pub fn read(&mut self, scratch: &mut [u8], is_at_end: bool) -> ReadOutcome {
+    /// Sets how long sent bytes may stay unacknowledged before the system breaks the connection (`TCP_USER_TIMEOUT`).
+    pub fn set_user_timeout(&self, timeout: Duration) {
+        // A system without the option keeps its own time-out, so a failure changes nothing that is promised.
+        let _ = SockRef::from(&self.stream).set_tcp_user_timeout(Some(timeout));
+    }
+
+    pub fn is_connecting(&self) -> bool {
+        self.state == State::Connecting
+    }
+
+    /// Whether the connection can still carry bytes, now or once it is established.
+    pub fn is_open(&self) -> bool {
+        matches!(self.state, State::Connecting | State::Established)
+    }
+
+    /// Whether its end was reported.
+    pub fn is_closed(&self) -> bool {
+        self.state == State::Closed
+    }
+
+    pub fn mark_closed(&mut self) {
+        self.state = State::Closed;
+    }
+
+    pub fn close_after_flush(&mut self) {
+        self.closes_after_flush = true;
+    }
+
+    /// Whether it is to be closed as soon as all queued bytes have been written.
+    pub fn is_closing(&self) -> bool {
+        self.closes_after_flush
+    }
+
+    /// Whether more may be queued.
+    pub fn takes_bytes(&self) -> bool {
+        self.is_open() && !self.closes_after_flush
+    }
+
+    pub fn is_read_buffer_full(&self) -> bool {
+        self.read_buffer.len() >= self.read_limit
+    }
+
+    /// Bytes that are queued and not yet written.
+    pub fn unsent_bytes(&self) -> usize {
+        self.write_buffer.len() - self.written
+    }
+
+    /// Looks, after an event for a connection that is being opened, what came of it.
+    pub fn check_connect(&mut self, ready: &mio::event::Event) -> ConnectProgress {
+        let has_error = self.stream.take_error().ok().flatten().is_some();
+        if has_error || ready.is_error() {
+            return ConnectProgress::Failed;
+        }
+        if !ready.is_writable() || self.stream.peer_addr().is_err() {
+            return ConnectProgress::Pending;
+        }
+        self.state = State::Established;
+        ConnectProgress::Established
+    }
+
+    /// Reads until the socket has no more or the read buffer is full. Unless `reads_to_end` is set, a read that does not
+    /// fill `scratch` counts as the last one: the next bytes raise another event, but an end that was reported already
+    /// would not.
+    pub fn read(&mut self, scratch: &mut [u8], reads_to_end: bool) -> ReadOutcome {
         let mut has_bytes = false;
-        loop {
-            if self.inbox.len() >= self.inbox_max {
-                self.is_paused = true;
-                return if has_bytes {
-                    ReadOutcome::Bytes
-                } else {
-                    ReadOutcome::Nothing
-                };
+        let closed = loop {
+            if self.is_read_buffer_full() {
+                self.is_read_paused = true;
+                break None;
             }
-            let end = match self.stream.read(scratch) {
-                Ok(0) => CloseReason::PeerClosed,
+            match self.stream.read(scratch) {
+                Ok(0) => break Some(CloseReason::PeerClosed),
                 Ok(count) => {
-                    self.inbox.extend_from_slice(&scratch[..count]);
+                    self.read_buffer.extend_from_slice(&scratch[..count]);
                     has_bytes = true;
-                    if count < scratch.len() && !is_at_end {
-                        return ReadOutcome::Bytes;
+                    if count < scratch.len() && !reads_to_end {
+                        break None;
                     }
-                    continue;
-                }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    return if has_bytes {
-                        ReadOutcome::Bytes
-                    } else {
-                        ReadOutcome::Nothing
-                    };
                 }
-                Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
-                Err(_) => CloseReason::Broken,
-            };
-            return if has_bytes {
-                ReadOutcome::BytesAndEnded(end)
-            } else {
-                ReadOutcome::Ended(end)
-            };
-        }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => break None,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => break Some(CloseReason::Broken),
+            }
+        };
+        ReadOutcome { has_bytes, closed }
     }
 
-    /// Whether an open connection has nothing to read and is not ended by its peer, as the system knows it at this moment.
+    /// Whether the system holds no bytes and no end for an open connection at this moment.
     pub fn has_nothing_to_read(&self) -> bool {
         let mut byte = [0; 1];
         let peeked = self.stream.peek(&mut byte);
         peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Queues bytes and writes what it can.
+    /// Queues bytes and writes as many as the socket takes.
     pub fn write(&mut self, bytes: &[u8]) -> WriteOutcome {
-        let before = self.outbox.len();
-        self.outbox.extend_from_slice(bytes);
-        if !self.is_connected || self.flush() {
+        if self.unsent_bytes() + bytes.len() > MAX_UNSENT_BYTES {
+            self.state = State::Failed;
+            return WriteOutcome::NothingWritten;
+        }
+        let queued_before = self.write_buffer.len();
+        self.write_buffer.extend_from_slice(bytes);
+        if self.is_connecting() || self.flush() {
             return WriteOutcome::Accepted;
         }
-        self.has_failed = true;
-        if self.sent > before {
-            WriteOutcome::Broke
-        } else {
-            WriteOutcome::Nothing
+        self.state = State::Failed;
+        if self.written > queued_before {
+            return WriteOutcome::PartlyWritten;
         }
+        WriteOutcome::NothingWritten
+    }
+
+    /// Writes on after the socket became writable; false where the connection broke.
+    pub fn flush_writable(&mut self) -> bool {
+        self.is_writable = true;
+        self.flush()
     }
 
-    /// Writes what it can; false where the connection broke.
-    pub fn flush(&mut self) -> bool {
-        while self.is_writable && self.sent < self.outbox.len() {
-            match self.stream.write(&self.outbox[self.sent..]) {
-                Ok(count) => self.sent += count,
+    fn flush(&mut self) -> bool {
+        while self.is_writable && self.written < self.write_buffer.len() {
+            match self.stream.write(&self.write_buffer[self.written..]) {
+                Ok(count) => self.written += count,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.is_writable = false,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return false,
             }
         }
-        if self.sent == self.outbox.len() {
-            self.outbox.clear();
-            self.sent = 0;
-            if self.outbox.capacity() > KEPT_MAX {
-                self.outbox = Vec::new();
-            }
+        if self.written == self.write_buffer.len() {
+            self.write_buffer.clear();
+            self.written = 0;
+            release_idle_memory(&mut self.write_buffer);
         }
         true
     }
 
-    pub fn waits_to_send(&self) -> usize {
-        self.outbox.len() - self.sent
-    }
-
-    pub fn spare(&mut self) {
-        if self.inbox.is_empty() && self.inbox.capacity() > KEPT_MAX {
-            self.inbox = Vec::new();
+    /// Gives back the memory of a read buffer that the owner has emptied.
+    pub fn release_read_memory(&mut self) {
+        if self.read_buffer.is_empty() {
+            release_idle_memory(&mut self.read_buffer);
         }
     }
 }
 
-/// Most bytes of an empty buffer that are kept for the next use.
-const KEPT_MAX: usize = 4 << 10;
+fn release_idle_memory(empty: &mut Vec<u8>) {
+    if empty.capacity() > MAX_IDLE_BUFFER_BYTES {
+        *empty = Vec::new();
+    }
+}
--- /dev/null
+++ b/crates/event_loop/src/event.rs
@@ -0,0 +1,17 @@
+//! What the event loop reports to its owner.
+
+use crate::connection::{CloseReason, ConnectionId};
+use crate::listeners::ListenerId;
+
+/// Something that happened on a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Event {
+    /// A peer opened a connection to a listener.
+    Accepted(ListenerId, ConnectionId),
+    /// A connection that this daemon opened is established.
+    Connected(ConnectionId),
+    /// Bytes were added to the connection's read buffer.
+    Readable(ConnectionId),
+    /// The connection ended. Its read buffer stays until the owner closes it.
+    Closed(ConnectionId, CloseReason),
+}
--- a/crates/event_loop/src/event_loop.rs
+++ b/crates/event_loop/src/event_loop.rs
@@ -1,5 +1,6 @@
-use crate::connection::{CloseReason, Connection, ConnectionId, ReadOutcome, WriteOutcome};
-use mio::net::{TcpListener, TcpStream};
+//! The loop that owns the sockets, waits for readiness and turns it into events.
+
+use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token, Waker};
 use slab::Slab;
 use socket2::SockRef;
@@ -8,381 +9,374 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const WAKER: Token = Token(usize::MAX);
-const HATCHES: usize = usize::MAX / 2;
-const EVENTS_MAX: usize = 256;
-const SCRATCH: usize = 64 << 10;
-const ACCEPTS_MAX: usize = 64;
-const OUTBOX_MAX: usize = 24 << 20;
-
-/// Something that happened on a connection.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event {
-    /// A peer opened a connection at a listener.
-    Accepted(ListenerId, ConnectionId),
-    /// A connection that this daemon opened came to be.
-    Connected(ConnectionId),
-    /// Bytes lie in the connection's inbox.
-    Readable(ConnectionId),
-    /// The connection ended; what had arrived still lies in its inbox until it is closed here.
-    Closed(ConnectionId, CloseReason),
-}
+use crate::connection::{CloseReason, ConnectProgress, Connection, ConnectionId, WriteOutcome};
+use crate::event::Event;
+use crate::listeners::{ListenerId, Listeners};
+
+/// The token of the waker; it names neither a connection nor a listener.
+const WAKER_TOKEN: Token = Token(usize::MAX);
+
+/// Most readiness events that one poll takes from the system; the rest comes with the next.
+const MAX_EVENTS_PER_POLL: usize = 256;
+
+/// Bytes that one read takes from a socket. A read buffer exceeds its limit by less than this.
+const READ_CHUNK_BYTES: usize = 64 << 10;
 
-/// A place at which peers open connections (a listening socket).
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ListenerId(usize);
+/// Most connections that are accepted in a row, so that a storm of them doesn't hold up the established ones.
+const MAX_ACCEPTS_PER_EVENT: usize = 64;
 
-/// All connections of a daemon.
+/// All connections of a daemon, and the one place at which it waits.
 pub struct EventLoop {
     poll: Poll,
-    ready: Events,
+    readiness: Events,
     connections: Slab<Connection>,
-    uses: u32,
-    listeners: Vec<Option<(TcpListener, usize)>>,
-    paused: Vec<ConnectionId>,
+    last_generation: u32,
+    listeners: Listeners,
+    /// Connections that stopped reading because their read buffer was full.
+    read_paused: Vec<ConnectionId>,
+    /// Connections that broke while bytes were sent, whose end is still to be reported.
     broken: Vec<ConnectionId>,
     scratch: Vec<u8>,
     max_connections: usize,
-    silence_ms: u32,
+    user_timeout: Duration,
 }
 
 impl EventLoop {
-    /// An event loop with at most so many connections. A connection whose peer does not confirm what was sent for
-    /// `silence_ms` breaks.
-    pub fn new(max_connections: usize, silence_ms: u32) -> io::Result<Self> {
+    /// An event loop with at most so many connections. A connection whose peer leaves sent bytes unacknowledged for
+    /// `user_timeout_ms` milliseconds breaks.
+    ///
+    /// # Errors
+    /// The system gives no poll instance.
+    pub fn new(max_connections: usize, user_timeout_ms: u32) -> io::Result<Self> {
         Ok(Self {
             poll: Poll::new()?,
-            ready: Events::with_capacity(EVENTS_MAX),
+            readiness: Events::with_capacity(MAX_EVENTS_PER_POLL),
             connections: Slab::new(),
-            uses: 0,
-            listeners: Vec::new(),
-            paused: Vec::new(),
+            last_generation: 0,
+            listeners: Listeners::default(),
+            read_paused: Vec::new(),
             broken: Vec::new(),
-            scratch: vec![0; SCRATCH],
+            scratch: vec![0; READ_CHUNK_BYTES],
             max_connections,
-            silence_ms,
+            user_timeout: Duration::from_millis(u64::from(user_timeout_ms)),
         })
     }
 
-    /// Something by which another thread ends a wait.
+    /// A handle by which another thread ends a [`poll`](Self::poll) early. At most one may exist.
+    ///
+    /// # Errors
+    /// The system gives no event descriptor.
     pub fn waker(&self) -> io::Result<Arc<Waker>> {
-        Waker::new(self.poll.registry(), WAKER).map(Arc::new)
+        Waker::new(self.poll.registry(), WAKER_TOKEN).map(Arc::new)
     }
 
-    /// Lets peers open connections at an address; each may hold `inbox_max` unread bytes.
-    pub fn listen(&mut self, address: SocketAddr, inbox_max: usize) -> io::Result<ListenerId> {
-        let mut listener = TcpListener::bind(address)?;
-        let token = Token(HATCHES + self.listeners.len());
-        self.poll
-            .registry()
-            .register(&mut listener, token, Interest::READABLE)?;
-        self.listeners.push(Some((listener, inbox_max)));
-        Ok(ListenerId(self.listeners.len() - 1))
+    /// Accepts connections at an address. Each stops reading at `read_limit` bytes that the owner has not taken.
+    ///
+    /// # Errors
+    /// The address can't be bound.
+    pub fn listen(&mut self, address: SocketAddr, read_limit: usize) -> io::Result<ListenerId> {
+        let registry = self.poll.registry();
+        self.listeners.open(registry, address, read_limit)
     }
 
-    /// Lets nobody open connections at a listener any more.
+    /// Closes a listener; connections that were accepted stay.
     pub fn stop_listening(&mut self, listener: ListenerId) {
-        if let Some(place) = self.listeners.get_mut(listener.0) {
-            if let Some((mut listener, _)) = place.take() {
-                let _ = self.poll.registry().deregister(&mut listener);
-            }
-        }
+        self.listeners.close(self.poll.registry(), listener);
     }
 
-    /// Begins to open a connection.
-    pub fn connect(&mut self, address: SocketAddr, inbox_max: usize) -> io::Result<ConnectionId> {
+    /// Begins to open a connection. Bytes may be sent at once: they are queued until it is established.
+    ///
+    /// # Errors
+    /// There are as many connections as there may be, or the system refuses the socket. That nobody listens at the address
+    /// is an [`Event::Closed`] later.
+    pub fn connect(&mut self, address: SocketAddr, read_limit: usize) -> io::Result<ConnectionId> {
         if self.connections.len() >= self.max_connections {
             return Err(io::Error::other("too many connections"));
         }
         let stream = TcpStream::connect(address)?;
-        self.add(stream, false, inbox_max)
+        self.add(stream, false, read_limit)
     }
 
     fn add(
         &mut self,
         stream: TcpStream,
-        is_up: bool,
-        inbox_max: usize,
+        is_accepted: bool,
+        read_limit: usize,
     ) -> io::Result<ConnectionId> {
-        let socket = SockRef::from(&stream);
-        let _ = socket.set_tcp_nodelay(true);
-        let silence = Duration::from_millis(u64::from(self.silence_ms));
-        let _ = socket.set_tcp_user_timeout(Some(silence));
-        self.uses = self.uses.wrapping_add(1);
+        // Without the option small messages are merely delayed, so a failure is no reason to give the connection up.
+        let _ = SockRef::from(&stream).set_tcp_nodelay(true);
+        self.last_generation = self.last_generation.wrapping_add(1);
+        let generation = self.last_generation;
         let entry = self.connections.vacant_entry();
-        let place = entry.key();
-        let connection = entry.insert(Connection::new(stream, self.uses, is_up, inbox_max));
+        let slot = entry.key();
+        let connection = entry.insert(Connection::new(stream, generation, is_accepted, read_limit));
+        connection.set_user_timeout(self.user_timeout);
         let interest = Interest::READABLE | Interest::WRITABLE;
-        let registered =
-            self.poll
-                .registry()
-                .register(&mut connection.stream, Token(place), interest);
-        if let Err(error) = registered {
-            self.connections.remove(place);
+        let registry = self.poll.registry();
+        if let Err(error) = registry.register(&mut connection.stream, Token(slot), interest) {
+            self.connections.remove(slot);
             return Err(error);
         }
-        Ok(ConnectionId {
-            place: place as u32,
-            use_no: self.uses,
-        })
+        Ok(id_of(slot, generation))
     }
 
-    /// Lets a connection's peer be silent for longer or shorter than others before the connection breaks.
-    pub fn set_user_timeout(&mut self, id: ConnectionId, silence_ms: u64) {
+    /// Gives one connection another user time-out (milliseconds) than the event loop's.
+    pub fn set_user_timeout(&mut self, id: ConnectionId, timeout_ms: u64) {
         if let Some(connection) = self.connection(id) {
-            let silence = Duration::from_millis(silence_ms);
-            let _ = SockRef::from(&connection.stream).set_tcp_user_timeout(Some(silence));
+            connection.set_user_timeout(Duration::from_millis(timeout_ms));
         }
     }
 
-    fn connection(&mut self, id: ConnectionId) -> Option<&mut Connection> {
-        let connection = self.connections.get_mut(id.place as usize)?;
-        (connection.use_no == id.use_no).then_some(connection)
-    }
-
-    /// Bytes that arrived and were not taken yet; none where the connection is gone.
+    /// Bytes that arrived and were not taken yet; `None` where the connection is gone. The owner drains what it takes.
     pub fn read_buffer(&mut self, id: ConnectionId) -> Option<&mut Vec<u8>> {
-        self.connection(id).map(|connection| &mut connection.inbox)
+        self.connection_mut(id)
+            .map(|connection| &mut connection.read_buffer)
     }
 
-    /// Whether the connection is there and its peer has not ended it.
+    /// Whether the connection is there, established or not, and no end of it is known.
     pub fn is_open(&self, id: ConnectionId) -> bool {
-        let connection = self.connections.get(id.place as usize);
-        connection.is_some_and(|connection| {
-            connection.use_no == id.use_no && !connection.has_ended && !connection.has_failed
-        })
+        self.connection(id).is_some_and(Connection::is_open)
     }
 
-    /// Bytes that wait to be sent.
+    /// Bytes that are queued and not yet written to the socket.
     pub fn unsent_bytes(&self, id: ConnectionId) -> usize {
-        let connection = self.connections.get(id.place as usize);
-        let connection = connection.filter(|connection| connection.use_no == id.use_no);
-        connection.map_or(0, Connection::waits_to_send)
+        self.connection(id).map_or(0, Connection::unsent_bytes)
     }
 
-    /// Lines that are open.
+    /// How many connections there are, ended ones that the owner has not closed included.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether no connection is open.
+    /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Whether the system knows of nothing to read on an open connection, and of no end of it, at this moment. Events tell the
-    /// same, but only at the next wait.
-    pub fn has_nothing_to_read(&mut self, id: ConnectionId) -> bool {
+    /// Whether the system holds neither bytes nor an end for an open connection at this moment. Events report the same,
+    /// but only at the next poll: too late for a request that must not be sent on a connection that its peer has closed.
+    pub fn has_nothing_to_read(&self, id: ConnectionId) -> bool {
         self.connection(id)
-            .is_some_and(|connection| !connection.has_ended && connection.has_nothing_to_read())
+            .is_some_and(|connection| !connection.is_closed() && connection.has_nothing_to_read())
     }
 
-    /// Sends bytes, now or as soon as the connection takes them. A connection that holds too much breaks. False where none of them
-    /// has left or ever will.
+    /// Queues bytes and writes what the socket takes now. A connection that would hold too many queued bytes breaks. The
+    /// result is false where none of the bytes has left or ever will.
     pub fn send(&mut self, id: ConnectionId, bytes: &[u8]) -> bool {
-        let Some(connection) = self.connection(id) else {
+        let Some(connection) = self.connection_mut(id).filter(|one| one.takes_bytes()) else {
             return false;
         };
-        if connection.has_ended || connection.has_failed || connection.closes_after_flush {
-            return false;
-        }
-        if connection.waits_to_send() + bytes.len() > OUTBOX_MAX {
-            connection.has_failed = true;
-            self.broken.push(id);
-            return false;
-        }
-        let written = connection.write(bytes);
-        if written != WriteOutcome::Accepted {
+        let outcome = connection.write(bytes);
+        if outcome != WriteOutcome::Accepted {
             self.broken.push(id);
         }
-        written != WriteOutcome::Nothing
+        outcome != WriteOutcome::NothingWritten
     }
 
-    /// Closes a connection once all that was sent has left.
+    /// Closes a connection once all queued bytes have been written.
     pub fn close_after_flush(&mut self, id: ConnectionId) {
-        let Some(connection) = self.connection(id) else {
+        let Some(connection) = self.connection_mut(id) else {
             return;
         };
-        if connection.waits_to_send() == 0 || connection.has_ended {
+        if connection.unsent_bytes() == 0 || connection.is_closed() {
             self.close(id);
             return;
         }
-        connection.closes_after_flush = true;
+        connection.close_after_flush();
     }
 
-    /// Whether a connection that is to be closed still has bytes to send.
+    /// Whether a connection that is to be closed still has bytes to write.
     pub fn is_flushing(&self) -> bool {
         let mut connections = self.connections.iter();
-        connections.any(|(_, connection)| connection.closes_after_flush && !connection.has_ended)
+        connections.any(|(_, connection)| connection.is_closing() && !connection.is_closed())
     }
 
-    /// Closes a connection at once.
+    /// Closes a connection at once; queued bytes are lost. No further event names it.
     pub fn close(&mut self, id: ConnectionId) {
         if self.connection(id).is_none() {
             return;
         }
-        let mut connection = self.connections.remove(id.place as usize);
+        let mut connection = self.connections.remove(id.slot as usize);
+        // The socket is dropped here, which takes it out of the poll in any case.
         let _ = self.poll.registry().deregister(&mut connection.stream);
     }
 
-    /// Waits until something happens, or for so long, and tells what did.
-    pub fn poll(&mut self, patience: Duration, events: &mut Vec<Event>) {
+    /// Waits at most `timeout` for something to happen and puts what did in `events`, in place of what they held.
+    pub fn poll(&mut self, timeout: Duration, events: &mut Vec<Event>) {
         events.clear();
-        self.tell_broken(events);
-        self.read_paused(events);
-        let patience = if events.is_empty() {
-            patience
+        self.report_broken(events);
+        self.resume_reading(events);
+        let timeout = if events.is_empty() {
+            timeout
         } else {
             Duration::ZERO
         };
-        if self.poll.poll(&mut self.ready, Some(patience)).is_err() {
+        // An interrupted poll is no event; the caller polls again.
+        if self.poll.poll(&mut self.readiness, Some(timeout)).is_err() {
             return;
         }
-        let ready = std::mem::replace(&mut self.ready, Events::with_capacity(0));
-        for one in &ready {
-            let token = one.token();
-            if token == WAKER {
-                continue;
-            }
-            if token.0 >= HATCHES {
-                self.accept(token.0 - HATCHES, events);
-                continue;
-            }
-            self.attend(token.0, one.is_readable() || one.is_error(), one, events);
+        let readiness = std::mem::replace(&mut self.readiness, Events::with_capacity(0));
+        for ready in &readiness {
+            self.dispatch(ready, events);
         }
-        self.ready = ready;
-        self.tell_broken(events);
+        self.readiness = readiness;
+        self.report_broken(events);
     }
 
-    fn tell_broken(&mut self, events: &mut Vec<Event>) {
+    fn dispatch(&mut self, ready: &mio::event::Event, events: &mut Vec<Event>) {
+        let token = ready.token();
+        if token == WAKER_TOKEN {
+            return;
+        }
+        match ListenerId::of(token) {
+            Some(listener) => self.accept(listener, events),
+            None => self.handle_ready_connection(token.0, ready, events),
+        }
+    }
+
+    fn report_broken(&mut self, events: &mut Vec<Event>) {
         for id in std::mem::take(&mut self.broken) {
-            let Some(connection) = self.connection(id) else {
+            let Some(connection) = self.connection_mut(id) else {
                 continue;
             };
-            if !connection.has_ended {
-                connection.has_ended = true;
+            if !connection.is_closed() {
+                connection.mark_closed();
                 events.push(Event::Closed(id, CloseReason::Broken));
             }
         }
     }
 
-    fn read_paused(&mut self, events: &mut Vec<Event>) {
-        for id in std::mem::take(&mut self.paused) {
-            let Some(connection) = self.connection(id) else {
+    fn resume_reading(&mut self, events: &mut Vec<Event>) {
+        for id in std::mem::take(&mut self.read_paused) {
+            let Some(connection) = self.connection_mut(id) else {
                 continue;
             };
-            if connection.inbox.len() >= connection.inbox_max {
-                self.paused.push(id);
+            if connection.is_read_buffer_full() {
+                self.read_paused.push(id);
                 continue;
             }
-            connection.is_paused = false;
+            connection.is_read_paused = false;
             self.read(id, true, events);
         }
     }
 
-    fn read(&mut self, id: ConnectionId, is_at_end: bool, events: &mut Vec<Event>) {
-        let mut scratch = std::mem::take(&mut self.scratch);
-        if let Some(connection) = self.connection(id) {
-            connection.spare();
-            let taken = if connection.is_paused {
-                ReadOutcome::Nothing
-            } else {
-                connection.read(&mut scratch, is_at_end)
-            };
-            let is_paused = connection.is_paused;
-            let end = match taken {
-                ReadOutcome::Nothing => None,
-                ReadOutcome::Bytes => {
-                    events.push(Event::Readable(id));
-                    None
-                }
-                ReadOutcome::Ended(end) => Some(end),
-                ReadOutcome::BytesAndEnded(end) => {
-                    events.push(Event::Readable(id));
-                    Some(end)
-                }
-            };
-            if let Some(end) = end {
-                connection.has_ended = true;
-                events.push(Event::Closed(id, end));
-            }
-            if is_paused && !self.paused.contains(&id) {
-                self.paused.push(id);
-            }
-        }
-        self.scratch = scratch;
-    }
-
-    fn accept(&mut self, place: usize, events: &mut Vec<Event>) {
-        for _ in 0..ACCEPTS_MAX {
-            let Some(Some((listener, inbox_max))) = self.listeners.get(place) else {
+    fn accept(&mut self, listener: ListenerId, events: &mut Vec<Event>) {
+        for _ in 0..MAX_ACCEPTS_PER_EVENT {
+            let Some(accepted) = self.listeners.accept(listener) else {
                 return;
             };
-            let inbox_max = *inbox_max;
-            let stream = match listener.accept() {
-                Ok((stream, _)) => stream,
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                Err(_) => continue,
+            // An error concerns the one connection, which its peer has given up.
+            let Ok((stream, read_limit)) = accepted else {
+                continue;
             };
             if self.connections.len() >= self.max_connections {
                 continue;
             }
-            if let Ok(id) = self.add(stream, true, inbox_max) {
-                events.push(Event::Accepted(ListenerId(place), id));
+            if let Ok(id) = self.add(stream, true, read_limit) {
+                events.push(Event::Accepted(listener, id));
             }
         }
-        // More may wait; an edge is told once only, so the listener is asked for another.
-        if let Some(Some((listener, _))) = self.listeners.get_mut(place) {
-            let token = Token(HATCHES + place);
-            let registry = self.poll.registry();
-            let _ = registry.reregister(listener, token, Interest::READABLE);
-        }
+        self.listeners.rearm(self.poll.registry(), listener);
     }
 
-    fn attend(
+    fn handle_ready_connection(
         &mut self,
-        place: usize,
-        is_readable: bool,
+        slot: usize,
         ready: &mio::event::Event,
         events: &mut Vec<Event>,
     ) {
-        let Some(connection) = self.connections.get_mut(place) else {
+        let Some(connection) = self.connections.get_mut(slot) else {
             return;
         };
-        let id = ConnectionId {
-            place: place as u32,
-            use_no: connection.use_no,
-        };
-        if connection.has_ended || connection.has_failed {
+        let id = id_of(slot, connection.generation);
+        if !connection.is_open() {
             return;
         }
-        if !connection.is_connected {
-            let failed = connection.stream.take_error().ok().flatten().is_some();
-            if failed || ready.is_error() {
-                connection.has_ended = true;
-                events.push(Event::Closed(id, CloseReason::ConnectFailed));
-                return;
-            }
-            if !ready.is_writable() || connection.stream.peer_addr().is_err() {
-                return;
+        if connection.is_connecting() {
+            match connection.check_connect(ready) {
+                ConnectProgress::Pending => return,
+                ConnectProgress::Established => events.push(Event::Connected(id)),
+                ConnectProgress::Failed => {
+                    connection.mark_closed();
+                    events.push(Event::Closed(id, CloseReason::ConnectFailed));
+                    return;
+                }
             }
-            connection.is_connected = true;
-            events.push(Event::Connected(id));
         }
-        if ready.is_writable() {
-            connection.is_writable = true;
-            if !connection.flush() {
-                connection.has_ended = true;
-                events.push(Event::Closed(id, CloseReason::Broken));
-                return;
-            }
-            if connection.closes_after_flush && connection.waits_to_send() == 0 {
-                self.close(id);
-                return;
-            }
+        if ready.is_writable() && !self.flush(id, events) {
+            return;
         }
-        if is_readable {
+        if ready.is_readable() || ready.is_error() {
             self.read(id, ready.is_read_closed() || ready.is_error(), events);
         }
     }
+
+    /// Writes queued bytes; false where the connection ended by it.
+    fn flush(&mut self, id: ConnectionId, events: &mut Vec<Event>) -> bool {
+        let Some(connection) = self.connection_mut(id) else {
+            return false;
+        };
+        if !connection.flush_writable() {
+            connection.mark_closed();
+            events.push(Event::Closed(id, CloseReason::Broken));
+            return false;
+        }
+        if connection.is_closing() && connection.unsent_bytes() == 0 {
+            self.close(id);
+            return false;
+        }
+        true
+    }
+
+    fn read(&mut self, id: ConnectionId, reads_to_end: bool, events: &mut Vec<Event>) {
+        let mut scratch = std::mem::take(&mut self.scratch);
+        let is_read_paused = self.read_into(id, &mut scratch, reads_to_end, events);
+        self.scratch = scratch;
+        if is_read_paused && !self.read_paused.contains(&id) {
+            self.read_paused.push(id);
+        }
+    }
+
+    /// Reads what the connection's buffer takes; true where reading is paused because the buffer is full.
+    fn read_into(
+        &mut self,
+        id: ConnectionId,
+        scratch: &mut [u8],
+        reads_to_end: bool,
+        events: &mut Vec<Event>,
+    ) -> bool {
+        let Some(connection) = self.connection_mut(id) else {
+            return false;
+        };
+        connection.release_read_memory();
+        if connection.is_read_paused {
+            return true;
+        }
+        let outcome = connection.read(scratch, reads_to_end);
+        if outcome.has_bytes {
+            events.push(Event::Readable(id));
+        }
+        if let Some(reason) = outcome.closed {
+            connection.mark_closed();
+            events.push(Event::Closed(id, reason));
+        }
+        connection.is_read_paused
+    }
+
+    fn connection(&self, id: ConnectionId) -> Option<&Connection> {
+        let connection = self.connections.get(id.slot as usize)?;
+        (connection.generation == id.generation).then_some(connection)
+    }
+
+    fn connection_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+        let connection = self.connections.get_mut(id.slot as usize)?;
+        (connection.generation == id.generation).then_some(connection)
+    }
+}
+
+fn id_of(slot: usize, generation: u32) -> ConnectionId {
+    ConnectionId {
+        slot: slot as u32,
+        generation,
+    }
 }
--- a/crates/event_loop/src/timers.rs
+++ b/crates/event_loop/src/timers.rs
@@ -1,10 +1,19 @@
+//! The deadlines of one thread.
+
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What is to be done at some time. Times are milliseconds of a steady clock.
+/// Items that become due at some time, earliest first; of one time, the smallest item first. Times are milliseconds of a
+/// monotonic clock that the caller reads. A timer can't be cancelled: the caller ignores one that no longer applies.
 #[derive(Debug)]
 pub struct Timers<T: Ord> {
-    heap: BinaryHeap<Reverse<(u64, T)>>,
+    heap: BinaryHeap<Reverse<Timer<T>>>,
+}
+
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Timer<T> {
+    due_at: u64,
+    item: T,
 }
 
 impl<T: Ord> Default for Timers<T> {
@@ -16,31 +25,31 @@
 }
 
 impl<T: Ord> Timers<T> {
-    /// Notes something for a time.
-    pub fn schedule(&mut self, at: u64, what: T) {
-        self.heap.push(Reverse((at, what)));
+    /// Makes an item due at a time.
+    pub fn schedule(&mut self, due_at: u64, item: T) {
+        self.heap.push(Reverse(Timer { due_at, item }));
     }
 
-    /// The next thing that is due.
+    /// Takes the earliest item that is due.
     pub fn pop_due(&mut self, now: u64) -> Option<T> {
-        let Reverse((at, _)) = self.heap.peek()?;
-        if *at > now {
+        let Reverse(earliest) = self.heap.peek()?;
+        if earliest.due_at > now {
             return None;
         }
-        self.heap.pop().map(|Reverse((_, what))| what)
+        self.heap.pop().map(|Reverse(timer)| timer.item)
     }
 
-    /// When the next thing is due.
+    /// When the earliest item is due.
     pub fn next_deadline(&self) -> Option<u64> {
-        self.heap.peek().map(|Reverse((at, _))| *at)
+        self.heap.peek().map(|Reverse(timer)| timer.due_at)
     }
 
-    /// How many are noted.
+    /// How many items are scheduled.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Whether none is noted.
+    /// Whether no item is scheduled.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,59 +1,76 @@
+//! The body of a message: of a known length, or in chunks.
+
 use crate::head::{is_name, is_value, LineScan};
 use crate::{HttpError, MessageLimits};
 
-const SIZE_LINE_MAX: usize = 256;
-const SIZE_DIGITS_MAX: usize = 16;
+const LINE_END: &[u8] = b"\r\n";
+
+/// Most bytes of a chunk's first line, its extension included, so that a peer can't have the line buffered for ever.
+const MAX_SIZE_LINE_BYTES: usize = 256;
+
+/// Most hexadecimal digits of a chunk size: those of 64 bits. Leading zeros count, since some readers cut long numbers.
+const MAX_SIZE_DIGITS: usize = 16;
 
+/// Reads one body off the bytes behind a head.
 #[derive(Debug)]
 pub(crate) enum BodyReader {
+    /// A body of so many bytes, which are left in the caller's buffer until all have arrived.
     Length(usize),
+    /// A body in chunks, which are taken off the caller's buffer as they arrive.
     Chunked(ChunkReader),
 }
 
 impl BodyReader {
-    pub(crate) fn of_length(length: usize, bounds: &MessageLimits) -> Result<Self, HttpError> {
-        if length > bounds.body_bytes {
+    pub(crate) fn with_length(length: usize, limits: &MessageLimits) -> Result<Self, HttpError> {
+        if length > limits.body_bytes {
             return Err(HttpError::BodyTooLarge);
         }
         Ok(BodyReader::Length(length))
     }
 
-    pub(crate) fn of_chunks() -> Self {
+    pub(crate) fn chunked() -> Self {
         BodyReader::Chunked(ChunkReader::default())
     }
 
+    /// Reads on from `position` and moves it behind what is done with; the whole body once its end was found.
     pub(crate) fn read(
         &mut self,
         bytes: &[u8],
-        at: &mut usize,
-        bounds: &MessageLimits,
+        position: &mut usize,
+        limits: &MessageLimits,
     ) -> Result<Option<Vec<u8>>, HttpError> {
         let length = match self {
             BodyReader::Length(length) => *length,
-            BodyReader::Chunked(chunks) => return chunks.read(bytes, at, bounds),
+            BodyReader::Chunked(chunks) => return chunks.read(bytes, position, limits),
         };
-        let Some(body) = bytes[*at..].get(..length) else {
+        let Some(body) = bytes[*position..].get(..length) else {
             return Ok(None);
         };
-        *at += length;
+        *position += length;
         Ok(Some(body.to_vec()))
     }
 }
 
+/// A body in chunks (RFC 9112, 7.1) and where its reading stands.
 #[derive(Debug, Default)]
 pub(crate) struct ChunkReader {
     body: Vec<u8>,
     phase: Phase,
     line: LineScan,
+    /// Bytes of all chunk extensions so far.
     extension_bytes: usize,
+    /// Bytes of all trailer lines so far.
     trailer_bytes: usize,
 }
 
+/// What the next bytes of a chunked body are.
 #[derive(Clone, Copy, Debug, Default)]
 enum Phase {
     #[default]
     Size,
+    /// So many more bytes of a chunk.
     Data(usize),
+    /// The line end behind a chunk.
     DataEnd,
     Trailers,
 }
@@ -62,82 +79,99 @@
     fn read(
         &mut self,
         bytes: &[u8],
-        at: &mut usize,
-        bounds: &MessageLimits,
+        position: &mut usize,
+        limits: &MessageLimits,
     ) -> Result<Option<Vec<u8>>, HttpError> {
         loop {
-            let rest = &bytes[*at..];
-            match self.phase {
-                Phase::Size => {
-                    let Some(end) = self.size_line(rest)? else {
-                        return Ok(None);
-                    };
-                    self.phase = self.after_size(&rest[..end], bounds)?;
-                    *at += end + 2;
-                }
-                Phase::Data(left) => {
-                    let taken = left.min(rest.len());
-                    self.body.extend_from_slice(&rest[..taken]);
-                    *at += taken;
-                    if taken < left {
-                        self.phase = Phase::Data(left - taken);
-                        return Ok(None);
-                    }
-                    self.phase = Phase::DataEnd;
-                }
-                Phase::DataEnd => {
-                    if !rest.starts_with(b"\r\n") {
-                        if rest.is_empty() || rest == b"\r" {
-                            return Ok(None);
-                        }
-                        return Err(HttpError::BadRequest("chunk does not end in CRLF"));
-                    }
-                    *at += 2;
-                    self.phase = Phase::Size;
-                }
-                Phase::Trailers => {
-                    let Some(end) = self.trailer_line(rest, bounds)? else {
-                        return Ok(None);
-                    };
-                    *at += end + 2;
-                    if end == 0 {
+            let rest = &bytes[*position..];
+            let step = match self.phase {
+                Phase::Size => self.read_size(rest, limits)?,
+                Phase::Data(_) if rest.is_empty() => None,
+                Phase::Data(missing) => Some(self.read_data(rest, missing)),
+                Phase::DataEnd => self.read_data_end(rest)?,
+                Phase::Trailers => match self.trailer_line(rest, limits)? {
+                    Some(0) => {
+                        *position += LINE_END.len();
                         return Ok(Some(std::mem::take(&mut self.body)));
                     }
-                }
-            }
+                    line => line.map(|length| length + LINE_END.len()),
+                },
+            };
+            let Some(length) = step else {
+                return Ok(None);
+            };
+            *position += length;
+        }
+    }
+
+    /// The length of a size line with its end, if it has arrived whole.
+    fn read_size(
+        &mut self,
+        rest: &[u8],
+        limits: &MessageLimits,
+    ) -> Result<Option<usize>, HttpError> {
+        let Some(end) = self.size_line(rest)? else {
+            return Ok(None);
+        };
+        self.phase = self.after_size(&rest[..end], limits)?;
+        Ok(Some(end + LINE_END.len()))
+    }
+
+    /// Takes the bytes of the chunk that have arrived, and gives their number.
+    fn read_data(&mut self, rest: &[u8], missing: usize) -> usize {
+        let length = missing.min(rest.len());
+        self.body.extend_from_slice(&rest[..length]);
+        self.phase = if length < missing {
+            Phase::Data(missing - length)
+        } else {
+            Phase::DataEnd
+        };
+        length
+    }
+
+    fn read_data_end(&mut self, rest: &[u8]) -> Result<Option<usize>, HttpError> {
+        if rest.starts_with(LINE_END) {
+            self.phase = Phase::Size;
+            return Ok(Some(LINE_END.len()));
+        }
+        if rest.is_empty() || rest == b"\r" {
+            return Ok(None);
         }
+        Err(HttpError::Malformed("chunk does not end in CRLF"))
     }
 
+    /// The length of a size line without its end, if it has arrived whole.
     fn size_line(&mut self, rest: &[u8]) -> Result<Option<usize>, HttpError> {
-        let within = &rest[..rest.len().min(SIZE_LINE_MAX)];
+        let within = &rest[..rest.len().min(MAX_SIZE_LINE_BYTES)];
         let end = self.line.end(within)?;
-        if end.is_none() && within.len() == SIZE_LINE_MAX {
-            return Err(HttpError::BadRequest("chunk size line is too long"));
+        if end.is_none() && within.len() == MAX_SIZE_LINE_BYTES {
+            return Err(HttpError::Malformed("chunk size line is too long"));
         }
         Ok(end)
     }
 
-    fn after_size(&mut self, line: &[u8], bounds: &MessageLimits) -> Result<Phase, HttpError> {
+    /// What follows a size line.
+    fn after_size(&mut self, line: &[u8], limits: &MessageLimits) -> Result<Phase, HttpError> {
         let digits = line
             .iter()
             .take_while(|byte| byte.is_ascii_hexdigit())
             .count();
         let (digits, extension) = line.split_at(digits);
-        if digits.is_empty() || digits.len() > SIZE_DIGITS_MAX {
-            return Err(HttpError::BadRequest("malformed chunk size"));
+        if digits.is_empty() || digits.len() > MAX_SIZE_DIGITS {
+            return Err(HttpError::Malformed("malformed chunk size"));
         }
         if !extension.is_empty() && (extension[0] != b';' || !is_value(extension)) {
-            return Err(HttpError::BadRequest("malformed chunk extension"));
+            return Err(HttpError::Malformed("malformed chunk extension"));
         }
         self.extension_bytes += extension.len();
-        if self.extension_bytes > bounds.header_bytes {
+        if self.extension_bytes > limits.header_bytes {
             return Err(HttpError::HeadTooLarge);
         }
         let text = std::str::from_utf8(digits).unwrap_or_default();
         let size = u64::from_str_radix(text, 16).ok();
         let size = size.and_then(|size| usize::try_from(size).ok());
-        let size = size.ok_or(HttpError::BadRequest("chunk size overflows"))?;
-        if size > bounds.body_bytes.saturating_sub(self.body.len()) {
+        let size = size.ok_or(HttpError::Malformed("chunk size overflows"))?;
+        if size > limits.body_bytes.saturating_sub(self.body.len()) {
             return Err(HttpError::BodyTooLarge);
         }
         if size == 0 {
@@ -146,12 +180,13 @@
         Ok(Phase::Data(size))
     }
 
+    /// The length of a trailer line without its end, if it has arrived whole; 0 is the line that ends the body.
     fn trailer_line(
         &mut self,
         rest: &[u8],
-        bounds: &MessageLimits,
+        limits: &MessageLimits,
     ) -> Result<Option<usize>, HttpError> {
-        let left = bounds
+        let left = limits
             .header_bytes
             .saturating_sub(self.trailer_bytes)
             .max(2);
@@ -168,9 +203,9 @@
         self.trailer_bytes += end + 2;
         let line = &rest[..end];
         let colon = line.iter().position(|&byte| byte == b':');
-        let colon = colon.ok_or(HttpError::BadRequest("malformed trailer"))?;
+        let colon = colon.ok_or(HttpError::Malformed("malformed trailer"))?;
         if !is_name(&line[..colon]) || !is_value(&line[colon + 1..]) {
-            return Err(HttpError::BadRequest("malformed trailer"));
+            return Err(HttpError::Malformed("malformed trailer"));
         }
         Ok(Some(end))
     }
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -1,11 +1,13 @@
+//! Why bytes are not a message.
+
 use std::error::Error;
 use std::fmt;
 
-/// Why bytes are no message: for a request, the status that a client is told.
+/// Why bytes are not a message. For a request, `status` is what the client gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpError {
     /// The bytes break the protocol (400).
-    BadRequest(&'static str),
+    Malformed(&'static str),
     /// The head, its trailers or its chunk extensions are over the bound (431).
     HeadTooLarge,
     /// The body is over the bound (413).
@@ -17,10 +19,10 @@
 }
 
 impl HttpError {
-    /// The status that tells a client of this fault.
+    /// The status code (400 to 505) that answers a request with this error.
     pub fn status(&self) -> u16 {
         match self {
-            HttpError::BadRequest(_) => 400,
+            HttpError::Malformed(_) => 400,
             HttpError::BodyTooLarge => 413,
             HttpError::HeadTooLarge => 431,
             HttpError::UnsupportedTransferCoding => 501,
@@ -32,7 +34,7 @@
 impl fmt::Display for HttpError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            HttpError::BadRequest(reason) => reason,
+            HttpError::Malformed(reason) => reason,
             HttpError::HeadTooLarge => "header fields over the bound",
             HttpError::BodyTooLarge => "body over the bound",
             HttpError::UnsupportedTransferCoding => "unknown transfer coding",
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,15 +1,22 @@
-use crate::hop_by_hop::list;
+//! The head of a message: where it ends, how it says that its body is framed, and what its parts may hold.
+
+use crate::hop_by_hop::list_elements;
 use crate::{Headers, HttpError, MessageLimits};
 
-pub(crate) const FIELDS_MAX: usize = 100;
+/// Most header fields of one message; the parser's table stands on the stack.
+pub(crate) const MAX_FIELDS: usize = 100;
+/// Registered transfer codings besides `chunked`. A message that names one is understood and refused as not implemented;
+/// any other word is an error of the sender.
 const KNOWN_CODINGS: [&str; 5] = ["gzip", "x-gzip", "deflate", "compress", "x-compress"];
 
+/// Looks for the end of one line in bytes that arrive in pieces, without looking at a byte twice.
 #[derive(Debug, Default)]
 pub(crate) struct LineScan {
     scanned: usize,
 }
 
 impl LineScan {
+    /// The length of the line without its CRLF, if it has arrived whole. `bytes` begins at the line's start each time.
     pub(crate) fn end(&mut self, bytes: &[u8]) -> Result<Option<usize>, HttpError> {
         let is_break = |byte: &u8| matches!(byte, b'\r' | b'\n');
         let Some(found) = bytes[self.scanned..].iter().position(is_break) else {
@@ -24,11 +31,12 @@
                 self.scanned = 0;
                 Ok(Some(at))
             }
-            _ => Err(HttpError::BadRequest("line end is not CRLF")),
+            _ => Err(HttpError::Malformed("line end is not CRLF")),
         }
     }
 }
 
+/// Looks for the empty line that ends a head.
 #[derive(Debug, Default)]
 pub(crate) struct HeadScan {
     line: LineScan,
@@ -39,22 +47,23 @@
     pub(crate) fn end(
         &mut self,
         bytes: &[u8],
-        bounds: &MessageLimits,
+        limits: &MessageLimits,
     ) -> Result<Option<usize>, HttpError> {
-        let within = &bytes[..bytes.len().min(bounds.header_bytes)];
+        let within = &bytes[..bytes.len().min(limits.header_bytes)];
         while let Some(length) = self.line.end(&within[self.line_start..])? {
             self.line_start += length + 2;
             if length == 0 {
                 return Ok(Some(self.line_start));
             }
         }
-        if bytes.len() >= bounds.header_bytes {
+        if bytes.len() >= limits.header_bytes {
             return Err(HttpError::HeadTooLarge);
         }
         Ok(None)
     }
 }
 
+/// How a head says that its body is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
     Absent,
@@ -62,47 +71,48 @@
     Chunked,
 }
 
+/// Reads the framing. Whatever two readers could understand in different ways is an error (request smuggling).
 pub(crate) fn framing(headers: &Headers, is_http_1_0: bool) -> Result<Framing, HttpError> {
     let mut lengths = headers.get_all("Content-Length");
     let mut codings = headers.get_all("Transfer-Encoding");
     match (lengths.next(), codings.next()) {
         (None, None) => Ok(Framing::Absent),
-        (Some(_), Some(_)) => Err(HttpError::BadRequest("both a length and a transfer coding")),
+        (Some(_), Some(_)) => Err(HttpError::Malformed("both a length and a transfer coding")),
         (Some(length), None) => {
             if lengths.next().is_some() {
-                return Err(HttpError::BadRequest("several lengths"));
+                return Err(HttpError::Malformed("several lengths"));
             }
-            number(length).map(Framing::Length)
+            content_length(length).map(Framing::Length)
         }
         (None, Some(coding)) => {
             if is_http_1_0 {
-                return Err(HttpError::BadRequest("transfer coding in HTTP/1.0"));
+                return Err(HttpError::Malformed("transfer coding in HTTP/1.0"));
             }
             if codings.next().is_some() {
-                return Err(HttpError::BadRequest("several transfer codings"));
+                return Err(HttpError::Malformed("several transfer codings"));
             }
-            chunked(coding)
+            chunked_alone(coding)
         }
     }
 }
 
-fn number(digits: &[u8]) -> Result<usize, HttpError> {
+fn content_length(digits: &[u8]) -> Result<usize, HttpError> {
     if digits.is_empty() {
-        return Err(HttpError::BadRequest("length is not a number"));
+        return Err(HttpError::Malformed("length is not a number"));
     }
     let mut number = 0usize;
     for digit in digits {
         if !digit.is_ascii_digit() {
-            return Err(HttpError::BadRequest("length is not a number"));
+            return Err(HttpError::Malformed("length is not a number"));
         }
         let grown = number.checked_mul(10);
         let grown = grown.and_then(|grown| grown.checked_add((digit - b'0').into()));
-        number = grown.ok_or(HttpError::BadRequest("length overflows"))?;
+        number = grown.ok_or(HttpError::Malformed("length overflows"))?;
     }
     Ok(number)
 }
 
-fn chunked(value: &[u8]) -> Result<Framing, HttpError> {
+fn chunked_alone(value: &[u8]) -> Result<Framing, HttpError> {
     if value.eq_ignore_ascii_case(b"chunked") {
         return Ok(Framing::Chunked);
     }
@@ -110,26 +120,25 @@
         let mut known = KNOWN_CODINGS.iter();
         known.any(|known| known.as_bytes().eq_ignore_ascii_case(coding))
     };
-    let mut codings = list(value).skip_while(|coding| is_known(coding));
+    let mut codings = list_elements(value).skip_while(|coding| is_known(coding));
     let ends_in_chunked = codings
         .next()
         .is_some_and(|last| last.eq_ignore_ascii_case(b"chunked"));
-    if ends_in_chunked && codings.next().is_none() && list(value).count() > 1 {
+    if ends_in_chunked && codings.next().is_none() && list_elements(value).count() > 1 {
         return Err(HttpError::UnsupportedTransferCoding);
     }
-    Err(HttpError::BadRequest(
-        "transfer coding is not chunked alone",
-    ))
+    Err(HttpError::Malformed("transfer coding is not chunked alone"))
 }
 
+/// Says why the parser refused a head.
 pub(crate) fn error_from_httparse(error: httparse::Error, head: &[u8]) -> HttpError {
     match error {
         httparse::Error::TooManyHeaders => HttpError::HeadTooLarge,
         httparse::Error::Version if names_version(head) => HttpError::UnsupportedVersion,
-        httparse::Error::HeaderName => HttpError::BadRequest("malformed field name"),
-        httparse::Error::HeaderValue => HttpError::BadRequest("malformed field value"),
-        httparse::Error::Status => HttpError::BadRequest("malformed status"),
-        _ => HttpError::BadRequest("malformed first line"),
+        httparse::Error::HeaderName => HttpError::Malformed("malformed field name"),
+        httparse::Error::HeaderValue => HttpError::Malformed("malformed field value"),
+        httparse::Error::Status => HttpError::Malformed("malformed status"),
+        _ => HttpError::Malformed("malformed first line"),
     }
 }
 
@@ -148,14 +157,17 @@
     major.is_ascii_digit() && minor.is_ascii_digit()
 }
 
+/// Whether a byte may stand in a token (RFC 9110, 5.6.2).
 pub(crate) fn is_token_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
 
+/// Whether a header field may have this name.
 pub(crate) fn is_name(name: &[u8]) -> bool {
     !name.is_empty() && name.iter().all(|&byte| is_token_byte(byte))
 }
 
+/// Whether a header field may have this value: no control byte but the tab.
 pub(crate) fn is_value(value: &[u8]) -> bool {
     value
         .iter()
--- a/crates/http1/src/headers.rs
+++ b/crates/http1/src/headers.rs
@@ -1,3 +1,5 @@
+//! The header fields of a message.
+
 use std::ops::Range;
 
 /// Header fields in the order of their arrival. All names share one allocation, as do all values.
@@ -20,7 +22,8 @@
         Self::default()
     }
 
-    pub(crate) fn of(parsed: &[httparse::Header<'_>]) -> Self {
+    /// Copies the parser's fields.
+    pub(crate) fn from_parsed(parsed: &[httparse::Header<'_>]) -> Self {
         let mut headers = Self {
             names: String::with_capacity(parsed.iter().map(|field| field.name.len()).sum()),
             values: Vec::with_capacity(parsed.iter().map(|field| field.value.len()).sum()),
--- a/crates/http1/src/hop_by_hop.rs
+++ b/crates/http1/src/hop_by_hop.rs
@@ -1,5 +1,8 @@
+//! Which header fields concern one connection alone, and what they say about it (RFC 9110, 7.6.1).
+
 use crate::Headers;
 
+/// Fields that are never passed along, in the spelling of their specification.
 const HOP_BY_HOP: [&str; 11] = [
     "Connection",
     "Content-Length",
@@ -14,25 +17,30 @@
     "Upgrade",
 ];
 
+/// Whether a field is never passed along, whatever `Connection` names.
 pub(crate) fn is_hop_by_hop(name: &str) -> bool {
     HOP_BY_HOP.iter().any(|hop| hop.eq_ignore_ascii_case(name))
 }
 
+/// Whether the `Connection` fields name this option, in any case.
 pub(crate) fn has_option(headers: &Headers, wanted: &str) -> bool {
     options(headers).any(|option| option.eq_ignore_ascii_case(wanted.as_bytes()))
 }
 
+/// What the `Connection` fields name: `close`, `keep-alive`, and fields of this connection.
 fn options(headers: &Headers) -> impl Iterator<Item = &[u8]> {
-    headers.get_all("Connection").flat_map(list)
+    headers.get_all("Connection").flat_map(list_elements)
 }
 
-pub(crate) fn list(value: &[u8]) -> impl Iterator<Item = &[u8]> {
+/// The elements of a comma-separated field value; empty ones are skipped.
+pub(crate) fn list_elements(value: &[u8]) -> impl Iterator<Item = &[u8]> {
     value
         .split(|&byte| byte == b',')
         .map(<[u8]>::trim_ascii)
         .filter(|item| !item.is_empty())
 }
 
+/// Whether the connection takes another message behind this one.
 pub(crate) fn keeps_alive(headers: &Headers, is_http_1_0: bool) -> bool {
     if has_option(headers, "close") {
         return false;
@@ -55,11 +63,11 @@
     })
 }
 
-/// The seconds after which the peer closes an idle connection, as told by `Keep-Alive`.
+/// The seconds after which the peer closes an idle connection, where its `Keep-Alive` field gives them.
 pub fn idle_seconds(headers: &Headers) -> Option<u64> {
     headers
         .get_all("Keep-Alive")
-        .flat_map(list)
+        .flat_map(list_elements)
         .find_map(|parameter| {
             let (name, value) = std::str::from_utf8(parameter).ok()?.split_once('=')?;
             if !name.trim().eq_ignore_ascii_case("timeout") {
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -11,6 +11,7 @@
 mod hop_by_hop;
 mod request;
 mod response;
+mod status;
 mod write;
 
 pub use error::HttpError;
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -1,11 +1,13 @@
+//! Reading requests.
+
 use std::mem::MaybeUninit;
 
 use crate::body::BodyReader;
-use crate::head::{error_from_httparse, framing, is_token_byte, Framing, HeadScan, FIELDS_MAX};
+use crate::head::{error_from_httparse, framing, is_token_byte, Framing, HeadScan, MAX_FIELDS};
 use crate::hop_by_hop::keeps_alive;
 use crate::{Headers, HttpError, MessageLimits};
 
-/// A request read whole.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// The method in the case in which it was sent.
@@ -16,22 +18,23 @@
     pub headers: Headers,
     /// The body without its framing; trailers are dropped.
     pub body: Vec<u8>,
-    /// Whether the client takes further answers on the connection.
+    /// Whether the client takes further responses on the connection.
     pub keeps_alive: bool,
     /// Whether the client speaks HTTP/1.0.
     pub is_http_1_0: bool,
 }
 
 /// Reads requests off the start of a buffer, one after the other. It keeps what it has read of a
-/// partial request, so each connection has one reader and one buffer. After a fault it gives the
-/// same fault forever.
+/// partial request, so each connection has one reader and one buffer. After an error it gives the
+/// same error for ever, since nobody can tell where the next request begins.
 #[derive(Debug, Default)]
 pub struct RequestReader {
     scan: HeadScan,
+    /// One empty line before a request is tolerated (RFC 9112, 2.2).
     has_skipped_line: bool,
     pending: Option<(Request, BodyReader)>,
     expects_continue: bool,
-    fault: Option<HttpError>,
+    error: Option<HttpError>,
 }
 
 impl RequestReader {
@@ -45,20 +48,20 @@
     pub fn read(
         &mut self,
         buffer: &mut Vec<u8>,
-        bounds: &MessageLimits,
+        limits: &MessageLimits,
     ) -> Result<Option<Request>, HttpError> {
-        if let Some(fault) = self.fault {
-            return Err(fault);
+        if let Some(error) = self.error {
+            return Err(error);
         }
-        let mut at = 0;
-        match self.advance(buffer, &mut at, bounds) {
+        let mut position = 0;
+        match self.advance(buffer, &mut position, limits) {
             Ok(request) => {
-                buffer.drain(..at);
+                buffer.drain(..position);
                 Ok(request)
             }
-            Err(fault) => {
-                self.fault = Some(fault);
-                Err(fault)
+            Err(error) => {
+                self.error = Some(error);
+                Err(error)
             }
         }
     }
@@ -77,20 +80,20 @@
     fn advance(
         &mut self,
         bytes: &[u8],
-        at: &mut usize,
-        bounds: &MessageLimits,
+        position: &mut usize,
+        limits: &MessageLimits,
     ) -> Result<Option<Request>, HttpError> {
         let (mut request, mut reader) = match self.pending.take() {
             Some(pending) => pending,
             None => {
-                let Some(begun) = self.begin(bytes, at, bounds)? else {
+                let Some(begun) = self.begin(bytes, position, limits)? else {
                     return Ok(None);
                 };
                 begun
             }
         };
-        self.expects_continue &= *at == bytes.len();
-        let Some(body) = reader.read(bytes, at, bounds)? else {
+        self.expects_continue &= *position == bytes.len();
+        let Some(body) = reader.read(bytes, position, limits)? else {
             self.pending = Some((request, reader));
             return Ok(None);
         };
@@ -102,32 +105,32 @@
     fn begin(
         &mut self,
         bytes: &[u8],
-        at: &mut usize,
-        bounds: &MessageLimits,
+        position: &mut usize,
+        limits: &MessageLimits,
     ) -> Result<Option<(Request, BodyReader)>, HttpError> {
         if !self.has_skipped_line && bytes.first() == Some(&b'\r') {
             if bytes == b"\r" {
                 return Ok(None);
             }
             if bytes[1] != b'\n' {
-                return Err(HttpError::BadRequest("line end is not CRLF"));
+                return Err(HttpError::Malformed("line end is not CRLF"));
             }
             self.has_skipped_line = true;
-            *at = 2;
+            *position = 2;
         }
-        let bytes = &bytes[*at..];
+        let bytes = &bytes[*position..];
         if bytes.first().is_some_and(|&first| !is_token_byte(first)) {
-            return Err(HttpError::BadRequest("malformed first line"));
+            return Err(HttpError::Malformed("malformed first line"));
         }
-        let Some(end) = self.scan.end(bytes, bounds)? else {
+        let Some(end) = self.scan.end(bytes, limits)? else {
             return Ok(None);
         };
         let request = parse(&bytes[..end])?;
-        *at += end;
+        *position += end;
         let reader = match framing(&request.headers, request.is_http_1_0)? {
             Framing::Absent => BodyReader::Length(0),
-            Framing::Length(length) => BodyReader::of_length(length, bounds)?,
-            Framing::Chunked => BodyReader::of_chunks(),
+            Framing::Length(length) => BodyReader::with_length(length, limits)?,
+            Framing::Chunked => BodyReader::chunked(),
         };
         let expects = request.headers.get("Expect");
         self.expects_continue = !request.is_http_1_0
@@ -138,19 +141,19 @@
 }
 
 fn parse(head: &[u8]) -> Result<Request, HttpError> {
-    let mut fields = [const { MaybeUninit::uninit() }; FIELDS_MAX];
+    let mut fields = [const { MaybeUninit::uninit() }; MAX_FIELDS];
     let mut parsed = httparse::Request::new(&mut []);
     let status = parsed.parse_with_uninit_headers(head, &mut fields);
     let status = status.map_err(|error| error_from_httparse(error, head))?;
     let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version)
     else {
-        return Err(HttpError::BadRequest("malformed first line"));
+        return Err(HttpError::Malformed("malformed first line"));
     };
     if status != httparse::Status::Complete(head.len()) {
-        return Err(HttpError::BadRequest("malformed head"));
+        return Err(HttpError::Malformed("malformed head"));
     }
     check_target(method, target)?;
-    let headers = Headers::of(parsed.headers);
+    let headers = Headers::from_parsed(parsed.headers);
     let is_http_1_0 = version == 0;
     check_host(&headers, is_http_1_0)?;
     Ok(Request {
@@ -166,11 +169,11 @@
 fn check_target(method: &str, target: &str) -> Result<(), HttpError> {
     let is_path = target.starts_with('/') || (target == "*" && method == "OPTIONS");
     if !is_path {
-        return Err(HttpError::BadRequest("target is not a path"));
+        return Err(HttpError::Malformed("target is not a path"));
     }
     let is_clean = |byte: u8| byte.is_ascii_graphic() && byte != b'#';
     if !target.bytes().all(is_clean) {
-        return Err(HttpError::BadRequest("target holds a forbidden byte"));
+        return Err(HttpError::Malformed("target holds a forbidden byte"));
     }
     Ok(())
 }
@@ -181,14 +184,14 @@
         if is_http_1_0 {
             return Ok(());
         }
-        return Err(HttpError::BadRequest("host is missing"));
+        return Err(HttpError::Malformed("host is missing"));
     };
     if hosts.next().is_some() {
-        return Err(HttpError::BadRequest("several hosts"));
+        return Err(HttpError::Malformed("several hosts"));
     }
     let is_clean = |byte: &u8| byte.is_ascii_graphic() && !b"/\\@,?#\"<>".contains(byte);
     if !host.iter().all(is_clean) {
-        return Err(HttpError::BadRequest("malformed host"));
+        return Err(HttpError::Malformed("malformed host"));
     }
     Ok(())
 }
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -1,13 +1,16 @@
+//! Reading responses.
+
 use std::mem::MaybeUninit;
 
 use crate::body::BodyReader;
-use crate::head::{error_from_httparse, framing, Framing, HeadScan, FIELDS_MAX};
+use crate::head::{error_from_httparse, framing, Framing, HeadScan, MAX_FIELDS};
 use crate::hop_by_hop::keeps_alive;
 use crate::{Headers, HttpError, MessageLimits};
 
-const PREFIX: &[u8] = b"HTTP/1.";
+/// What every response begins with, whatever the minor version.
+const VERSION_PREFIX: &[u8] = b"HTTP/1.";
 
-/// An answer read whole.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// From 200 to 599.
@@ -20,71 +23,75 @@
     pub keeps_alive: bool,
 }
 
-/// Reads answers off the start of a buffer. Like the reader of requests it keeps what it has read
-/// of a partial answer, and gives the same fault forever after one.
+/// Reads responses off the start of a buffer. Like the reader of requests it keeps what it has read
+/// of a partial response, and gives the same error forever after one.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
     is_head_request: bool,
     scan: HeadScan,
+    /// Bytes of the interim responses (1xx) before the one that is read.
     interim_bytes: usize,
     pending: Option<(Response, Delimiter)>,
-    fault: Option<HttpError>,
+    error: Option<HttpError>,
 }
 
+/// What ends the body of a response.
 #[derive(Debug)]
 enum Delimiter {
+    /// Its framing.
     Framing(BodyReader),
+    /// The close of the connection; at most so many bytes may come before it.
     Close { body_bytes: usize },
 }
 
 impl ResponseReader {
-    /// A reader for the answer to one request; answers to HEAD have no body.
+    /// A reader for the response to one request; responses to HEAD have no body.
     pub fn new(is_head_request: bool) -> Self {
         Self {
             is_head_request,
             scan: HeadScan::default(),
             interim_bytes: 0,
             pending: None,
-            fault: None,
+            error: None,
         }
     }
 
-    /// Takes the next whole answer off the buffer and leaves the bytes behind it; interim answers
+    /// Takes the next whole response off the buffer and leaves the bytes behind it; interim responses
     /// (1xx) are skipped. `None` asks for more bytes, or for [`end_of_stream`](Self::end_of_stream) once the
     /// peer has closed.
     pub fn read(
         &mut self,
         buffer: &mut Vec<u8>,
-        bounds: &MessageLimits,
+        limits: &MessageLimits,
     ) -> Result<Option<Response>, HttpError> {
-        if let Some(fault) = self.fault {
-            return Err(fault);
+        if let Some(error) = self.error {
+            return Err(error);
         }
-        let mut at = 0;
-        match self.advance(buffer, &mut at, bounds) {
+        let mut position = 0;
+        match self.advance(buffer, &mut position, limits) {
             Ok(response) => {
-                buffer.drain(..at);
+                buffer.drain(..position);
                 Ok(response)
             }
-            Err(fault) => {
-                self.fault = Some(fault);
-                Err(fault)
+            Err(error) => {
+                self.error = Some(error);
+                Err(error)
             }
         }
     }
 
     /// The peer has closed, and all bytes before that have been given to [`read`](Self::read).
-    /// Completes an answer that is delimited by the close. `None` means that nothing of an answer
-    /// had come; one that is cut short is a fault.
+    /// Completes a response that is delimited by the close. `None` means that nothing of a response
+    /// had come; one that is cut short is an error.
     pub fn end_of_stream(&mut self, buffer: &mut Vec<u8>) -> Result<Option<Response>, HttpError> {
-        if let Some(fault) = self.fault {
-            return Err(fault);
+        if let Some(error) = self.error {
+            return Err(error);
         }
         if !self.has_begun(buffer) {
             return Ok(None);
         }
         let Some((mut response, Delimiter::Close { body_bytes })) = self.pending.take() else {
-            return self.fail(HttpError::BadRequest("closed within an answer"));
+            return self.fail(HttpError::Malformed("closed within a response"));
         };
         if buffer.len() > body_bytes {
             return self.fail(HttpError::BodyTooLarge);
@@ -94,34 +101,34 @@
         Ok(Some(response))
     }
 
-    /// Whether an answer has begun to arrive of which the rest is missing.
+    /// Whether a response has begun to arrive of which the rest is missing.
     pub fn has_begun(&self, buffer: &[u8]) -> bool {
         self.pending.is_some() || self.interim_bytes > 0 || !buffer.is_empty()
     }
 
-    fn fail<T>(&mut self, fault: HttpError) -> Result<T, HttpError> {
-        self.fault = Some(fault);
-        Err(fault)
+    fn fail<T>(&mut self, error: HttpError) -> Result<T, HttpError> {
+        self.error = Some(error);
+        Err(error)
     }
 
     fn advance(
         &mut self,
         bytes: &[u8],
-        at: &mut usize,
-        bounds: &MessageLimits,
+        position: &mut usize,
+        limits: &MessageLimits,
     ) -> Result<Option<Response>, HttpError> {
         let (mut response, mut delimiter) = match self.pending.take() {
             Some(pending) => pending,
             None => {
-                let Some(begun) = self.begin(bytes, at, bounds)? else {
+                let Some(begun) = self.begin(bytes, position, limits)? else {
                     return Ok(None);
                 };
                 begun
             }
         };
         let body = match &mut delimiter {
-            Delimiter::Framing(reader) => reader.read(bytes, at, bounds)?,
-            Delimiter::Close { body_bytes } if bytes.len() - *at > *body_bytes => {
+            Delimiter::Framing(reader) => reader.read(bytes, position, limits)?,
+            Delimiter::Close { body_bytes } if bytes.len() - *position > *body_bytes => {
                 return Err(HttpError::BodyTooLarge);
             }
             Delimiter::Close { .. } => None,
@@ -138,30 +145,30 @@
     fn begin(
         &mut self,
         bytes: &[u8],
-        at: &mut usize,
-        bounds: &MessageLimits,
+        position: &mut usize,
+        limits: &MessageLimits,
     ) -> Result<Option<(Response, Delimiter)>, HttpError> {
         loop {
-            let rest = &bytes[*at..];
-            let compared = rest.len().min(PREFIX.len());
-            if rest[..compared] != PREFIX[..compared] {
-                return Err(HttpError::BadRequest("not an answer in HTTP/1"));
+            let rest = &bytes[*position..];
+            let compared = rest.len().min(VERSION_PREFIX.len());
+            if rest[..compared] != VERSION_PREFIX[..compared] {
+                return Err(HttpError::Malformed("not a response in HTTP/1"));
             }
-            let Some(end) = self.scan.end(rest, bounds)? else {
+            let Some(end) = self.scan.end(rest, limits)? else {
                 return Ok(None);
             };
             let (response, is_http_1_0) = parse(&rest[..end])?;
             let framing = framing(&response.headers, is_http_1_0)?;
-            *at += end;
+            *position += end;
             if response.status >= 200 {
-                return self.delimit(response, framing, bounds).map(Some);
+                return self.delimit(response, framing, limits).map(Some);
             }
             if response.status == 101 || framing != Framing::Absent {
-                return Err(HttpError::BadRequest("unfit interim answer"));
+                return Err(HttpError::Malformed("unfit interim response"));
             }
             self.scan = HeadScan::default();
             self.interim_bytes += end;
-            if self.interim_bytes > bounds.header_bytes {
+            if self.interim_bytes > limits.header_bytes {
                 return Err(HttpError::HeadTooLarge);
             }
         }
@@ -171,7 +178,7 @@
         &self,
         mut response: Response,
         framing: Framing,
-        bounds: &MessageLimits,
+        limits: &MessageLimits,
     ) -> Result<(Response, Delimiter), HttpError> {
         if self.is_head_request || matches!(response.status, 204 | 304) {
             let is_doubtful =
@@ -180,11 +187,11 @@
             return Ok((response, Delimiter::Framing(BodyReader::Length(0))));
         }
         let reader = match framing {
-            Framing::Length(length) => BodyReader::of_length(length, bounds)?,
-            Framing::Chunked => BodyReader::of_chunks(),
+            Framing::Length(length) => BodyReader::with_length(length, limits)?,
+            Framing::Chunked => BodyReader::chunked(),
             Framing::Absent => {
                 response.keeps_alive = false;
-                let body_bytes = bounds.body_bytes;
+                let body_bytes = limits.body_bytes;
                 return Ok((response, Delimiter::Close { body_bytes }));
             }
         };
@@ -193,26 +200,29 @@
 }
 
 fn parse(head: &[u8]) -> Result<(Response, bool), HttpError> {
-    let mut fields = [const { MaybeUninit::uninit() }; FIELDS_MAX];
+    let mut fields = [const { MaybeUninit::uninit() }; MAX_FIELDS];
     let mut parsed = httparse::Response::new(&mut []);
     let config = httparse::ParserConfig::default();
     let status = config.parse_response_with_uninit_headers(&mut parsed, head, &mut fields);
     let status = status.map_err(|error| error_from_httparse(error, head))?;
     let (Some(code), Some(version)) = (parsed.code, parsed.version) else {
-        return Err(HttpError::BadRequest("malformed first line"));
+        return Err(HttpError::Malformed("malformed first line"));
     };
     if status != httparse::Status::Complete(head.len()) {
-        return Err(HttpError::BadRequest("malformed head"));
+        return Err(HttpError::Malformed("malformed head"));
     }
     if !(100..=599).contains(&code) {
-        return Err(HttpError::BadRequest("malformed status"));
+        return Err(HttpError::Malformed("malformed status"));
     }
-    // A first line that was cut short, with the next answer behind it, is neither's.
+    // A status line that was cut short has the next response behind it: its reason belongs to neither.
     let reason = parsed.reason.unwrap_or_default().as_bytes();
-    if reason.windows(PREFIX.len()).any(|part| part == PREFIX) {
-        return Err(HttpError::BadRequest("an answer within a first line"));
+    if reason
+        .windows(VERSION_PREFIX.len())
+        .any(|part| part == VERSION_PREFIX)
+    {
+        return Err(HttpError::Malformed("a response within a first line"));
     }
-    let headers = Headers::of(parsed.headers);
+    let headers = Headers::from_parsed(parsed.headers);
     let is_http_1_0 = version == 0;
     let response = Response {
         status: code,
--- a/crates/http1/src/write.rs
+++ b/crates/http1/src/write.rs
@@ -1,9 +1,13 @@
+//! Writing messages.
+
 use crate::head::{is_name, is_value};
 use crate::hop_by_hop::is_hop_by_hop;
+use crate::status::reason;
 
-const HEAD_ESTIMATE: usize = 512;
+/// Bytes reserved for a head, so that most messages are written without a second allocation.
+const TYPICAL_HEAD_BYTES: usize = 512;
 
-/// What a client that expects it is sent before its body.
+/// The interim response for a client that expects one before it sends its body.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// Appends a request. Framing is written anew and hop-by-hop fields are left out (`Keep-Alive`
@@ -16,7 +20,7 @@
     headers: impl Iterator<Item = (&'a str, &'a [u8])>,
     body: &[u8],
 ) {
-    out.reserve(HEAD_ESTIMATE + body.len());
+    out.reserve(TYPICAL_HEAD_BYTES + body.len());
     out.extend_from_slice(method.as_bytes());
     out.push(b' ');
     out.extend_from_slice(target.as_bytes());
@@ -35,7 +39,7 @@
     out.extend_from_slice(body);
 }
 
-/// Appends an answer. Fields are treated as in [`write_request`]. The length is written unless the
+/// Appends a response. Fields are treated as in [`write_request`]. The length is written unless the
 /// status has no body (1xx, 204, 304); for HEAD it is that of the body given, which stays unsent,
 /// and is left out if the body is empty, because then it is not known.
 pub fn write_response<'a>(
@@ -48,7 +52,7 @@
 ) {
     let has_body = status >= 200 && status != 204 && status != 304;
     let is_sent = has_body && !is_head;
-    out.reserve(HEAD_ESTIMATE + if is_sent { body.len() } else { 0 });
+    out.reserve(TYPICAL_HEAD_BYTES + if is_sent { body.len() } else { 0 });
     out.extend_from_slice(b"HTTP/1.1 ");
     write_number(out, status.into());
     out.push(b' ');
@@ -100,55 +104,3 @@
     }
     out.extend_from_slice(&digits[start..]);
 }
-
-fn reason(status: u16) -> &'static str {
-    match status {
-        100 => "Continue",
-        200 => "OK",
-        201 => "Created",
-        202 => "Accepted",
-        203 => "Non-Authoritative Information",
-        204 => "No Content",
-        205 => "Reset Content",
-        206 => "Partial Content",
-        300 => "Multiple Choices",
-        301 => "Moved Permanently",
-        302 => "Found",
-        303 => "See Other",
-        304 => "Not Modified",
-        307 => "Temporary Redirect",
-        308 => "Permanent Redirect",
-        400 => "Bad Request",
-        401 => "Unauthorized",
-        402 => "Payment Required",
-        403 => "Forbidden",
-        404 => "Not Found",
-        405 => "Method Not Allowed",
-        406 => "Not Acceptable",
-        407 => "Proxy Authentication Required",
-        408 => "Request Timeout",
-        409 => "Conflict",
-        410 => "Gone",
-        411 => "Length Required",
-        412 => "Precondition Failed",
-        413 => "Content Too Large",
-        414 => "URI Too Long",
-        415 => "Unsupported Media Type",
-        416 => "Range Not Satisfiable",
-        417 => "Expectation Failed",
-        421 => "Misdirected Request",
-        422 => "Unprocessable Content",
-        425 => "Too Early",
-        426 => "Upgrade Required",
-        428 => "Precondition Required",
-        429 => "Too Many Requests",
-        431 => "Request Header Fields Too Large",
-        500 => "Internal Server Error",
-        501 => "Not Implemented",
-        502 => "Bad Gateway",
-        503 => "Service Unavailable",
-        504 => "Gateway Timeout",
-        505 => "HTTP Version Not Supported",
-        _ => "",
-    }
-}
--- a/crates/http1/tests/common/mod.rs
+++ b/crates/http1/tests/common/mod.rs
@@ -1,8 +1,9 @@
+//! Drawn messages, and readers with the limits that all tests share.
 #![allow(dead_code)]
 
 use http1::{HttpError, MessageLimits, Request, RequestReader, Response, ResponseReader};
 
-pub const BOUNDS: MessageLimits = MessageLimits {
+pub const LIMITS: MessageLimits = MessageLimits {
     header_bytes: 16 * 1024,
     body_bytes: 64 * 1024,
 };
@@ -55,11 +56,11 @@
 }
 
 pub fn read_request(bytes: &[u8]) -> Result<Option<Request>, HttpError> {
-    RequestReader::new().read(&mut bytes.to_vec(), &BOUNDS)
+    RequestReader::new().read(&mut bytes.to_vec(), &LIMITS)
 }
 
 pub fn read_response(bytes: &[u8]) -> Result<Option<Response>, HttpError> {
-    ResponseReader::new(false).read(&mut bytes.to_vec(), &BOUNDS)
+    ResponseReader::new(false).read(&mut bytes.to_vec(), &LIMITS)
 }
 
 pub fn chunked(body: &[u8], draws: &mut Draws<'_>) -> Vec<u8> {
--- a/crates/http1/tests/fields.rs
+++ b/crates/http1/tests/fields.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::BOUNDS;
+use common::LIMITS;
 use http1::{
     end_to_end, idle_seconds, write_request, write_response, Headers, RequestReader, ResponseReader,
 };
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn names_are_found_in_any_case() {
+fn field_names_match_in_any_case() {
     let headers = headers(&[("A", "1"), ("b", "2"), ("a", "3")]);
     assert_eq!(headers.get("a"), Some(&b"1"[..]));
     assert_eq!(headers.get_text("B"), Some("2"));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn only_end_to_end_fields_are_passed_along() {
+fn only_end_to_end_fields_are_forwarded() {
     let headers = headers(&[
         ("Host", "a"),
         ("connection", "Secret, keep-alive"),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn idle_times_are_read() {
+fn keep_alive_timeouts_are_parsed() {
     let idle = |value| idle_seconds(&headers(&[("Keep-Alive", value)]));
     assert_eq!(idle("timeout=5"), Some(5));
     assert_eq!(idle("max=9, Timeout = \"12\""), Some(12));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn written_messages_carry_no_foreign_framing() {
+fn written_messages_have_their_own_framing_alone() {
     let headers = headers(&[
         ("Host", "a"),
         ("Content-Length", "9"),
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn answers_without_a_body_have_none() {
+fn responses_without_a_body_are_written_without_one() {
     let written = |status, body: &[u8], is_head| {
         let mut out = Vec::new();
         write_response(&mut out, status, Headers::new().iter(), body, true, is_head);
@@ -113,27 +113,27 @@
 }
 
 #[test]
-fn a_client_that_expects_it_is_told_to_continue() {
+fn expect_continue_is_reported_until_body_bytes_arrive() {
     let mut reader = RequestReader::new();
     let mut buffer =
         b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-Continue\r\nContent-Length: 2\r\n\r\n".to_vec();
     assert!(!reader.expects_continue());
-    assert_eq!(reader.read(&mut buffer, &BOUNDS), Ok(None));
+    assert_eq!(reader.read(&mut buffer, &LIMITS), Ok(None));
     assert!(reader.expects_continue() && reader.has_begun(&buffer));
     buffer.push(b'a');
-    assert_eq!(reader.read(&mut buffer, &BOUNDS), Ok(None));
+    assert_eq!(reader.read(&mut buffer, &LIMITS), Ok(None));
     assert!(!reader.expects_continue());
     buffer.push(b'b');
-    let read = reader.read(&mut buffer, &BOUNDS);
+    let read = reader.read(&mut buffer, &LIMITS);
     assert!(matches!(read, Ok(Some(request)) if request.body == b"ab"));
     assert!(!reader.has_begun(&buffer));
 }
 
 #[test]
-fn only_http_1_1_keeps_alive_unasked() {
+fn only_http_1_1_keeps_alive_by_default() {
     let keeps = |head: &str| {
         let mut buffer = format!("{head}Content-Length: 0\r\n\r\n").into_bytes();
-        let read = ResponseReader::new(false).read(&mut buffer, &BOUNDS);
+        let read = ResponseReader::new(false).read(&mut buffer, &LIMITS);
         read.ok().flatten().map(|response| response.keeps_alive)
     };
     assert_eq!(keeps("HTTP/1.1 200 OK\r\n"), Some(true));
--- a/crates/http1/tests/requests.rs
+++ b/crates/http1/tests/requests.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{chunked, fields, piecewise, read_request, Draws, BOUNDS};
+use common::{chunked, fields, piecewise, read_request, Draws, LIMITS};
 use fuzzing::seeded;
 use http1::{end_to_end, write_request, Request, RequestReader};
 
@@ -45,16 +45,9 @@
     } else if !body.is_empty() || draws.below(2) == 0 {
         fields.push(("content-length".into(), body.len().to_string().into()));
     }
-    let mut bytes = draws.one_of(&["", "", "\r\n"]).as_bytes().to_vec();
     let version = if is_http_1_0 { "1.0" } else { "1.1" };
-    bytes.extend_from_slice(format!("{method} {target} HTTP/{version}\r\n").as_bytes());
-    for (name, value) in &fields {
-        bytes.extend_from_slice(name.as_bytes());
-        bytes.extend_from_slice(draws.one_of(&[":", ": ", ":\t "]).as_bytes());
-        bytes.extend_from_slice(value);
-        bytes.extend_from_slice(draws.one_of(&["\r\n", " \r\n"]).as_bytes());
-    }
-    bytes.extend_from_slice(b"\r\n");
+    let first_line = format!("{method} {target} HTTP/{version}\r\n");
+    let mut bytes = written_head(&first_line, &fields, draws);
     bytes.extend_from_slice(&framed);
     Sent {
         method,
@@ -67,6 +60,20 @@
     }
 }
 
+/// A head with drawn white space, and sometimes an empty line before it.
+fn written_head(first_line: &str, fields: &[(String, Vec<u8>)], draws: &mut Draws<'_>) -> Vec<u8> {
+    let mut bytes = draws.one_of(&["", "", "\r\n"]).as_bytes().to_vec();
+    bytes.extend_from_slice(first_line.as_bytes());
+    for (name, value) in fields {
+        bytes.extend_from_slice(name.as_bytes());
+        bytes.extend_from_slice(draws.one_of(&[":", ": ", ":\t "]).as_bytes());
+        bytes.extend_from_slice(value);
+        bytes.extend_from_slice(draws.one_of(&["\r\n", " \r\n"]).as_bytes());
+    }
+    bytes.extend_from_slice(b"\r\n");
+    bytes
+}
+
 fn is_same(sent: &Sent, read: &Request) -> bool {
     let fields: Vec<_> = read
         .headers
@@ -83,7 +90,7 @@
 
 fn reads_back(request: &Request, written: &[u8]) -> bool {
     let mut buffer = written.to_vec();
-    let Ok(Some(again)) = RequestReader::new().read(&mut buffer, &BOUNDS) else {
+    let Ok(Some(again)) = RequestReader::new().read(&mut buffer, &LIMITS) else {
         return false;
     };
     let fields_of = |request: &Request| {
@@ -116,7 +123,7 @@
 fn reads_back_all(bytes: &[u8]) -> bool {
     let mut buffer = bytes.to_vec();
     let mut reader = RequestReader::new();
-    while let Ok(Some(request)) = reader.read(&mut buffer, &BOUNDS) {
+    while let Ok(Some(request)) = reader.read(&mut buffer, &LIMITS) {
         if !reads_back(&request, &write(&request)) {
             return false;
         }
@@ -125,54 +132,54 @@
 }
 
 seeded! {
-    fn a_request_reads_the_same_in_any_pieces(body: Vec<u8>, draws: Vec<u8>, behind: Vec<u8>) -> bool {
+    fn a_request_parses_the_same_in_any_pieces(body: Vec<u8>, draws: Vec<u8>, behind: Vec<u8>) -> bool {
         let mut draws = Draws::new(&draws);
         let sent = send(&body, &mut draws);
         let mut whole = sent.bytes.clone();
         whole.extend_from_slice(&behind);
         let mut reader = RequestReader::new();
-        let read = piecewise(&whole, &mut draws, |buffer| reader.read(buffer, &BOUNDS));
+        let read = piecewise(&whole, &mut draws, |buffer| reader.read(buffer, &LIMITS));
         let Ok((Some(request), rest)) = read else {
             return false;
         };
         is_same(&sent, &request) && rest == behind
     }
 
-    fn requests_in_a_row_come_out_one_by_one(first: Vec<u8>, second: Vec<u8>, draws: Vec<u8>) -> bool {
+    fn pipelined_requests_are_read_one_by_one(first: Vec<u8>, second: Vec<u8>, draws: Vec<u8>) -> bool {
         let mut draws = Draws::new(&draws);
         let sent = [send(&first, &mut draws), send(&second, &mut draws)];
         let mut buffer = [sent[0].bytes.clone(), sent[1].bytes.clone()].concat();
         let mut reader = RequestReader::new();
         sent.iter().all(|sent| {
-            let request = reader.read(&mut buffer, &BOUNDS);
+            let request = reader.read(&mut buffer, &LIMITS);
             matches!(request, Ok(Some(request)) if is_same(sent, &request))
         }) && buffer.is_empty() && !reader.has_begun(&buffer)
     }
 
-    fn a_part_of_a_request_is_none(body: Vec<u8>, draws: Vec<u8>) -> bool {
+    fn a_partial_request_is_not_returned(body: Vec<u8>, draws: Vec<u8>) -> bool {
         let mut draws = Draws::new(&draws);
         let sent = send(&body, &mut draws);
         let cut = draws.below(sent.bytes.len());
         let mut reader = RequestReader::new();
         let mut buffer = sent.bytes[..cut].to_vec();
-        let is_none = matches!(reader.read(&mut buffer, &BOUNDS), Ok(None));
+        let is_none = matches!(reader.read(&mut buffer, &LIMITS), Ok(None));
         is_none && reader.has_begun(&buffer) == (sent.bytes[..cut].trim_ascii() != b"")
     }
 
-    fn a_written_request_reads_the_same(body: Vec<u8>, draws: Vec<u8>) -> bool {
+    fn a_written_request_parses_back(body: Vec<u8>, draws: Vec<u8>) -> bool {
         let sent = send(&body, &mut Draws::new(&draws));
         let request = read_request(&sent.bytes);
         matches!(request, Ok(Some(request)) if reads_back(&request, &write(&request)))
     }
 
-    fn arbitrary_bytes_read_as_they_are_written(bytes: Vec<u8>) -> bool {
+    fn whatever_parses_is_written_so_that_it_parses_back(bytes: Vec<u8>) -> bool {
         let headed = [b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", &bytes[..]].concat();
         let field = [b"GET / HTTP/1.1\r\nHost: a\r\n", &bytes[..], b"\r\n\r\n"].concat();
         let target = [b"GET /", &bytes[..], b" HTTP/1.1\r\nHost: a\r\n\r\n"].concat();
         [bytes, headed, field, target].iter().all(|bytes| reads_back_all(bytes))
     }
 
-    fn damaged_requests_read_as_they_are_written(body: Vec<u8>, draws: Vec<u8>, damage: Vec<(u16, u8)>) -> bool {
+    fn damaged_requests_that_parse_parse_back(body: Vec<u8>, draws: Vec<u8>, damage: Vec<(u16, u8)>) -> bool {
         let mut bytes = send(&body, &mut Draws::new(&draws)).bytes;
         for (place, byte) in damage.into_iter().take(3) {
             let place = usize::from(place) % bytes.len();
@@ -186,14 +193,14 @@
         reads_back_all(&bytes)
     }
 
-    fn pieces_change_no_verdict(bytes: Vec<u8>, body: Vec<u8>, draws: Vec<u8>, place: u16) -> bool {
+    fn pieces_do_not_change_the_result(bytes: Vec<u8>, body: Vec<u8>, draws: Vec<u8>, place: u16) -> bool {
         let mut draws = Draws::new(&draws);
         let mut whole = send(&body, &mut draws).bytes;
         let place = usize::from(place) % whole.len();
         whole.splice(place..place, bytes.into_iter().take(2));
         let at_once = read_request(&whole);
         let mut reader = RequestReader::new();
-        let read = piecewise(&whole, &mut draws, |buffer| reader.read(buffer, &BOUNDS));
+        let read = piecewise(&whole, &mut draws, |buffer| reader.read(buffer, &LIMITS));
         match (at_once, read) {
             (Ok(at_once), Ok((in_pieces, _))) => at_once == in_pieces,
             (Err(_), Err(_)) => true,
--- a/crates/http1/tests/responses.rs
+++ b/crates/http1/tests/responses.rs
@@ -1,9 +1,9 @@
-//! Answers under fuzzing: whole ones read back the same however they are cut, and one that is cut
+//! Responses under fuzzing: whole ones read back the same however they are cut, and one that is cut
 //! short never looks complete.
 
 mod common;
 
-use common::{chunked, fields, piecewise, read_response, Draws, BOUNDS};
+use common::{chunked, fields, piecewise, read_response, Draws, LIMITS};
 use fuzzing::seeded;
 use http1::{end_to_end, write_response, Headers, HttpError, Response, ResponseReader};
 
@@ -14,6 +14,7 @@
     bytes: Vec<u8>,
 }
 
+/// A drawn response and how a peer might write it.
 fn send(body: &[u8], draws: &mut Draws<'_>) -> Sent {
     let status = [200, 204, 304, 404, 500, 503, 599][draws.below(7)];
     let is_head = draws.below(4) == 0;
@@ -41,6 +42,32 @@
             keeps_alive &= !has_body;
         }
     }
+    let (headers, mut bytes) = written_head(status, &fields, draws);
+    let body = if has_body { body } else { &[] };
+    bytes.extend_from_slice(if has_body { &framed } else { &[] });
+    Sent {
+        response: response(status, headers, body, keeps_alive),
+        is_head,
+        ends_at_close,
+        bytes,
+    }
+}
+
+fn response(status: u16, headers: Headers, body: &[u8], keeps_alive: bool) -> Response {
+    Response {
+        status,
+        headers,
+        body: body.to_vec(),
+        keeps_alive,
+    }
+}
+
+/// A head behind some interim responses.
+fn written_head(
+    status: u16,
+    fields: &[(String, Vec<u8>)],
+    draws: &mut Draws<'_>,
+) -> (Headers, Vec<u8>) {
     let mut bytes = Vec::new();
     for _ in 0..draws.below(3) {
         bytes.extend_from_slice(b"HTTP/1.1 103 Early\r\nLink: a\r\n\r\n");
@@ -48,26 +75,12 @@
     let reason = draws.one_of(&[" OK", " Not Good", " ", ""]);
     bytes.extend_from_slice(format!("HTTP/1.1 {status}{reason}\r\n").as_bytes());
     let mut headers = Headers::new();
-    for (name, value) in &fields {
+    for (name, value) in fields {
         headers.push(name, value);
         bytes.extend_from_slice(&[name.as_bytes(), b": ", value, b"\r\n"].concat());
     }
     bytes.extend_from_slice(b"\r\n");
-    if has_body {
-        bytes.extend_from_slice(&framed);
-    }
-    let body = if has_body { body.to_vec() } else { Vec::new() };
-    Sent {
-        response: Response {
-            status,
-            headers,
-            body,
-            keeps_alive,
-        },
-        is_head,
-        ends_at_close,
-        bytes,
-    }
+    (headers, bytes)
 }
 
 fn texts(headers: &Headers) -> Vec<(&str, &[u8])> {
@@ -81,12 +94,12 @@
 }
 
 seeded! {
-    fn an_answer_reads_the_same_in_any_pieces(body: Vec<u8>, draws: Vec<u8>, behind: Vec<u8>) -> bool {
+    fn a_response_parses_the_same_in_any_pieces(body: Vec<u8>, draws: Vec<u8>, behind: Vec<u8>) -> bool {
         let mut draws = Draws::new(&draws);
         let sent = send(&body, &mut draws);
         let mut reader = ResponseReader::new(sent.is_head);
         if sent.ends_at_close {
-            let read = piecewise(&sent.bytes, &mut draws, |buffer| reader.read(buffer, &BOUNDS));
+            let read = piecewise(&sent.bytes, &mut draws, |buffer| reader.read(buffer, &LIMITS));
             let Ok((None, mut buffer)) = read else {
                 return false;
             };
@@ -94,14 +107,14 @@
             return matches!(ended, Ok(Some(read)) if is_same(&sent.response, &read)) && buffer.is_empty();
         }
         let whole = [&sent.bytes[..], &behind].concat();
-        let read = piecewise(&whole, &mut draws, |buffer| reader.read(buffer, &BOUNDS));
+        let read = piecewise(&whole, &mut draws, |buffer| reader.read(buffer, &LIMITS));
         let Ok((Some(read), rest)) = read else {
             return false;
         };
         is_same(&sent.response, &read) && rest == behind
     }
 
-    fn an_answer_cut_short_is_a_fault(body: Vec<u8>, draws: Vec<u8>) -> bool {
+    fn a_truncated_response_is_an_error(body: Vec<u8>, draws: Vec<u8>) -> bool {
         let mut draws = Draws::new(&draws);
         let sent = send(&body, &mut draws);
         if sent.ends_at_close {
@@ -109,7 +122,7 @@
         }
         let cut = draws.below(sent.bytes.len());
         let mut reader = ResponseReader::new(sent.is_head);
-        let read = piecewise(&sent.bytes[..cut], &mut draws, |buffer| reader.read(buffer, &BOUNDS));
+        let read = piecewise(&sent.bytes[..cut], &mut draws, |buffer| reader.read(buffer, &LIMITS));
         let Ok((None, mut buffer)) = read else {
             return false;
         };
@@ -118,13 +131,13 @@
         has_begun == (cut > 0) && if cut == 0 { ended == Ok(None) } else { ended.is_err() }
     }
 
-    fn a_written_answer_reads_the_same(body: Vec<u8>, draws: Vec<u8>, keeps_alive: bool) -> bool {
+    fn a_written_response_parses_back(body: Vec<u8>, draws: Vec<u8>, keeps_alive: bool) -> bool {
         let sent = send(&body, &mut Draws::new(&draws));
         let (response, is_head) = (&sent.response, sent.is_head);
         let mut buffer = Vec::new();
         let fields = end_to_end(&response.headers);
         write_response(&mut buffer, response.status, fields, &response.body, keeps_alive, is_head);
-        let Ok(Some(read)) = ResponseReader::new(is_head).read(&mut buffer, &BOUNDS) else {
+        let Ok(Some(read)) = ResponseReader::new(is_head).read(&mut buffer, &LIMITS) else {
             return false;
         };
         buffer.is_empty()
@@ -132,18 +145,18 @@
             && end_to_end(&read.headers).eq(end_to_end(&response.headers))
     }
 
-    fn arbitrary_bytes_read_as_they_are_written(bytes: Vec<u8>, is_head: bool) -> bool {
+    fn whatever_parses_is_written_so_that_it_parses_back(bytes: Vec<u8>, is_head: bool) -> bool {
         let field = [b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n", &bytes[..], b"\r\n\r\n"].concat();
         let chunks = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", &bytes[..]].concat();
         let line = [b"HTTP/1.", &bytes[..], b"\r\n\r\n"].concat();
         [bytes, field, chunks, line].iter().all(|bytes| {
             let mut buffer = bytes.clone();
-            let Ok(Some(first)) = ResponseReader::new(is_head).read(&mut buffer, &BOUNDS) else {
+            let Ok(Some(first)) = ResponseReader::new(is_head).read(&mut buffer, &LIMITS) else {
                 return true;
             };
             let mut out = Vec::new();
             write_response(&mut out, first.status, end_to_end(&first.headers), &first.body, true, is_head);
-            let again = ResponseReader::new(is_head).read(&mut out, &BOUNDS);
+            let again = ResponseReader::new(is_head).read(&mut out, &LIMITS);
             matches!(again, Ok(Some(again)) if out.is_empty()
                 && (first.status, &first.body) == (again.status, &again.body)
                 && end_to_end(&first.headers).eq(end_to_end(&again.headers)))
@@ -152,7 +165,7 @@
 }
 
 #[test]
-fn broken_answers_are_refused() {
+fn malformed_responses_are_rejected() {
     let heads: [&[u8]; 29] = [
         b"\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
         b"garbage",
@@ -195,17 +208,17 @@
 }
 
 #[test]
-fn a_fault_stays() {
+fn an_error_is_permanent() {
     let mut reader = ResponseReader::new(false);
-    let fault = reader.read(&mut b"SSH-2.0".to_vec(), &BOUNDS);
-    assert!(fault.is_err());
+    let error = reader.read(&mut b"SSH-2.0".to_vec(), &LIMITS);
+    assert!(error.is_err());
     let mut proper = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec();
-    assert_eq!(reader.read(&mut proper, &BOUNDS), fault);
-    assert_eq!(reader.end_of_stream(&mut proper), fault);
+    assert_eq!(reader.read(&mut proper, &LIMITS), error);
+    assert_eq!(reader.end_of_stream(&mut proper), error);
 }
 
 #[test]
-fn bodies_over_the_bound_are_refused() {
+fn bodies_over_the_limit_are_rejected() {
     let heads: [&[u8]; 2] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n",
@@ -214,7 +227,7 @@
         assert_eq!(read_response(head), Err(HttpError::BodyTooLarge));
     }
     let mut endless = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
-    endless.resize(endless.len() + BOUNDS.body_bytes, b'a');
+    endless.resize(endless.len() + LIMITS.body_bytes, b'a');
     assert_eq!(read_response(&endless), Ok(None));
     endless.push(b'a');
     assert_eq!(read_response(&endless), Err(HttpError::BodyTooLarge));
--- a/crates/http1/tests/smuggling.rs
+++ b/crates/http1/tests/smuggling.rs
@@ -1,27 +1,14 @@
-//! Requests on whose end two parties could disagree are refused, as are those over a bound.
+//! Requests on whose end two parties could disagree are rejected, as are those over a limit.
 
 mod common;
 
-use common::{piecewise, read_request, Draws, BOUNDS};
+use common::{piecewise, read_request, Draws, LIMITS};
 use http1::{HttpError, MessageLimits, RequestReader};
 
 const CHUNKED: &str = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-fn status_of(bytes: &[u8]) -> Option<u16> {
-    let at_once = read_request(bytes).map_err(|fault| fault.status());
-    let mut reader = RequestReader::new();
-    let in_pieces = piecewise(bytes, &mut Draws::new(&[0]), |buffer| {
-        reader.read(buffer, &BOUNDS)
-    });
-    let in_pieces = in_pieces.map_err(|fault| fault.status());
-    let text = String::from_utf8_lossy(bytes);
-    assert_eq!(at_once.as_ref().err(), in_pieces.as_ref().err(), "{text:?}");
-    at_once.err()
-}
-
-#[test]
-fn ambiguous_heads_are_refused() {
-    let heads: [&[u8]; 52] = [
+/// Heads of which two readers could see the end, the framing or the target differently.
+const AMBIGUOUS_HEADS: [&[u8]; 52] = [
         b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 0\r\n\r\n0\r\n\r\n",
         b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
@@ -75,7 +62,22 @@
         b"GET  / HTTP/1.1\r\nHost: a\r\n\r\n",
         b"GET /\r\n\r\n",
     ];
-    for head in heads {
+
+fn status_of(bytes: &[u8]) -> Option<u16> {
+    let at_once = read_request(bytes).map_err(|error| error.status());
+    let mut reader = RequestReader::new();
+    let in_pieces = piecewise(bytes, &mut Draws::new(&[0]), |buffer| {
+        reader.read(buffer, &LIMITS)
+    });
+    let in_pieces = in_pieces.map_err(|error| error.status());
+    let text = String::from_utf8_lossy(bytes);
+    assert_eq!(at_once.as_ref().err(), in_pieces.as_ref().err(), "{text:?}");
+    at_once.err()
+}
+
+#[test]
+fn ambiguous_heads_are_rejected() {
+    for head in AMBIGUOUS_HEADS {
         assert_eq!(
             status_of(head),
             Some(400),
@@ -86,7 +88,7 @@
 }
 
 #[test]
-fn ambiguous_first_bytes_are_refused() {
+fn ambiguous_first_bytes_are_rejected() {
     let starts: [&[u8]; 8] = [
         b"\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n",
         b"\nGET / HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -108,7 +110,7 @@
 }
 
 #[test]
-fn ambiguous_chunks_are_refused() {
+fn ambiguous_chunks_are_rejected() {
     let chunks: [&str; 22] = [
         "\r\n",
         "x\r\n",
@@ -151,14 +153,14 @@
 }
 
 #[test]
-fn heads_are_bounded_exactly() {
+fn the_head_limit_is_exact() {
     let head = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n";
     let read = |header_bytes, length: usize| {
-        let bounds = MessageLimits {
+        let limits = MessageLimits {
             header_bytes,
             body_bytes: 0,
         };
-        RequestReader::new().read(&mut head[..length].to_vec(), &bounds)
+        RequestReader::new().read(&mut head[..length].to_vec(), &limits)
     };
     assert!(matches!(read(head.len(), head.len()), Ok(Some(_))));
     assert_eq!(read(head.len(), head.len() - 1), Ok(None));
@@ -174,7 +176,7 @@
 }
 
 #[test]
-fn fields_are_bounded_in_number() {
+fn the_number_of_fields_is_limited() {
     let head = |count: usize| {
         let fields: String = (1..count)
             .map(|number| format!("F{number}: v\r\n"))
@@ -189,8 +191,8 @@
 }
 
 #[test]
-fn bodies_are_bounded_as_soon_as_known() {
-    let most = BOUNDS.body_bytes;
+fn a_body_over_the_limit_is_rejected_as_soon_as_its_size_is_known() {
+    let most = LIMITS.body_bytes;
     let head = |length| format!("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n");
     assert_eq!(read_request(head(most).as_bytes()), Ok(None));
     assert_eq!(
@@ -211,19 +213,19 @@
 }
 
 #[test]
-fn trailers_and_extensions_are_bounded() {
+fn trailers_and_chunk_extensions_are_limited() {
     let trailers = format!(
         "{CHUNKED}0\r\n{}",
-        "X: 1\r\n".repeat(BOUNDS.header_bytes / 6 + 1)
+        "X: 1\r\n".repeat(LIMITS.header_bytes / 6 + 1)
     );
     assert_eq!(
         read_request(trailers.as_bytes()),
         Err(HttpError::HeadTooLarge)
     );
-    let line = format!("{CHUNKED}0\r\nX: {}", "a".repeat(BOUNDS.header_bytes));
+    let line = format!("{CHUNKED}0\r\nX: {}", "a".repeat(LIMITS.header_bytes));
     assert_eq!(read_request(line.as_bytes()), Err(HttpError::HeadTooLarge));
     let chunk = format!("1;{}\r\na\r\n", "e".repeat(200));
-    let extensions = format!("{CHUNKED}{}", chunk.repeat(BOUNDS.header_bytes / 200 + 1));
+    let extensions = format!("{CHUNKED}{}", chunk.repeat(LIMITS.header_bytes / 200 + 1));
     assert_eq!(
         read_request(extensions.as_bytes()),
         Err(HttpError::HeadTooLarge)
