--- /dev/null
+++ b/crates/gateway/src/applied_configuration.rs
@@ -0,0 +1,190 @@
+//! What the control plane has put in force here. Each kind of update bears a version, and an older one than that in
+//! force is dropped.
+
+use protocol::{unpack, Member};
+use routing::{ConfigurationFormat, Limits, RoutingConfiguration, RoutingTable};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+/// Most bytes of a configuration, unpacked.
+const DOCUMENT_MAX: u64 = 64 << 20;
+/// Most idle connections to one runner.
+const IDLE_PER_RUNNER_MAX: usize = 8;
+
+/// Versions of the committed documents that a daemon holds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) struct ConfigurationVersions {
+    pub configuration: u64,
+    pub evacuations: u64,
+}
+
+impl ConfigurationVersions {
+    /// Whether one of these is newer than what is held.
+    pub fn has_newer_than(self, held: Self) -> bool {
+        self.configuration > held.configuration || self.evacuations > held.evacuations
+    }
+}
+
+/// Configuration, evacuated zones and membership in force.
+#[derive(Default)]
+pub(crate) struct AppliedConfiguration {
+    versions: ConfigurationVersions,
+    table: Option<Arc<RoutingTable>>,
+    needs_whole: bool,
+    evacuated_zones: BTreeSet<String>,
+    membership_version: (u64, u64),
+    members: Vec<Member>,
+}
+
+impl AppliedConfiguration {
+    /// The routing table; none before the first configuration.
+    pub fn table(&self) -> Option<Arc<RoutingTable>> {
+        self.table.clone()
+    }
+
+    /// Limits on clients' requests and connections.
+    pub fn limits(&self) -> Limits {
+        let table = self.table.as_ref();
+        table.map_or_else(Limits::default, |table| {
+            table.configuration().limits.clone()
+        })
+    }
+
+    /// Versions in force.
+    pub fn versions(&self) -> ConfigurationVersions {
+        self.versions
+    }
+
+    /// Version of the configuration on which changes can build; 0 where the whole is needed.
+    pub fn base_version(&self) -> u64 {
+        if self.needs_whole {
+            0
+        } else {
+            self.versions.configuration
+        }
+    }
+
+    /// The operators' number of the configuration in force.
+    pub fn operator_version(&self) -> u64 {
+        let table = self.table.as_ref();
+        table.map_or(0, |table| table.configuration().version)
+    }
+
+    /// Version of the membership in force.
+    pub fn membership_version(&self) -> (u64, u64) {
+        self.membership_version
+    }
+
+    /// The gateways that own functions.
+    pub fn members(&self) -> &[Member] {
+        &self.members
+    }
+
+    /// The member with this name.
+    pub fn member(&self, name: &str) -> Option<&Member> {
+        self.members.iter().find(|member| member.name == name)
+    }
+
+    /// Zones that get no requests.
+    pub fn evacuated_zones(&self) -> &BTreeSet<String> {
+        &self.evacuated_zones
+    }
+
+    /// Whether there is enough to serve with.
+    pub fn is_ready(&self) -> bool {
+        self.table.is_some() && !self.members.is_empty()
+    }
+
+    /// Most idle connections to one runner of a function: this gateway's share of what the runner accepts.
+    pub fn max_idle_connections(&self, function: &str) -> usize {
+        let table = self.table.as_ref();
+        let known = table.and_then(|table| {
+            let index = table.function_index(function)?;
+            table.configuration().functions.get(index)
+        });
+        let accepted = known.map_or(1, |known| known.connections as usize);
+        let share = accepted * 3 / 4 / self.members.len().max(1);
+        share.clamp(1, IDLE_PER_RUNNER_MAX)
+    }
+
+    /// Applies a whole configuration.
+    pub fn apply_document(
+        &mut self,
+        version: u64,
+        packed: &[u8],
+        configuration_format: &dyn ConfigurationFormat,
+    ) {
+        if version <= self.versions.configuration {
+            return;
+        }
+        let Some(document) = unpack(packed, DOCUMENT_MAX) else {
+            log::error!("gateway: configuration {version} cannot be unpacked");
+            return;
+        };
+        match configuration_format.parse(&document) {
+            Ok(configuration) => self.put_in_force(version, configuration),
+            Err(error) => log::error!("gateway: configuration {version} is rejected: {error}"),
+        }
+    }
+
+    /// Applies changes of the configuration in force. Where they cannot be applied the whole is needed.
+    pub fn apply_changes(
+        &mut self,
+        base: u64,
+        changes: &[Vec<u8>],
+        configuration_format: &dyn ConfigurationFormat,
+    ) {
+        let table = self.table.as_ref();
+        let Some(table) = table.filter(|_| base == self.versions.configuration) else {
+            return;
+        };
+        let mut configuration = table.configuration().as_ref().clone();
+        for packed in changes {
+            let change = unpack(packed, DOCUMENT_MAX);
+            let amended = change.and_then(|change| {
+                let amended = configuration_format.apply_change(&configuration, &change);
+                amended.ok()
+            });
+            let Some(amended) = amended else {
+                log::error!("gateway: a change after configuration {base} cannot be applied");
+                self.needs_whole = true;
+                return;
+            };
+            configuration = amended;
+        }
+        self.put_in_force(base + changes.len() as u64, configuration);
+    }
+
+    fn put_in_force(&mut self, version: u64, configuration: RoutingConfiguration) {
+        log::info!("gateway: configuration {} in force", configuration.version);
+        let table = RoutingTable::new(Arc::new(configuration));
+        self.table = Some(Arc::new(table));
+        self.versions.configuration = version;
+        self.needs_whole = false;
+    }
+
+    /// Applies the evacuated zones; whether they were newer.
+    pub fn apply_evacuations(&mut self, version: u64, zones: Vec<String>) -> bool {
+        if version <= self.versions.evacuations {
+            return false;
+        }
+        log::info!("gateway: evacuated zones {zones:?}");
+        self.versions.evacuations = version;
+        self.evacuated_zones = zones.into_iter().collect();
+        true
+    }
+
+    /// Applies the membership; whether it was newer.
+    pub fn apply_membership(&mut self, version: (u64, u64), members: Vec<Member>) -> bool {
+        if version <= self.membership_version || members.is_empty() {
+            return false;
+        }
+        log::info!(
+            "gateway: membership {version:?} of {} gateways",
+            members.len()
+        );
+        self.membership_version = version;
+        self.members = members;
+        true
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/connections.rs
@@ -0,0 +1,231 @@
+//! Open connections of the gateway. Each open connection has one role, and one without a role is closed or about to
+//! close.
+
+use crate::downstream_connection::DownstreamConnection;
+use crate::upstream_connection::UpstreamConnection;
+use event_loop::{ConnectionId, Event, EventLoop, ListenerId};
+use http1::RequestReader;
+use std::collections::HashMap;
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// A runner that is probed.
+#[derive(Clone, Debug)]
+pub(crate) struct ProbedRunner {
+    pub function: String,
+    pub runner: String,
+}
+
+/// What a connection is for.
+pub(crate) enum ConnectionRole {
+    /// A client's requests.
+    Downstream(DownstreamConnection),
+    /// Readiness checks at their own address.
+    Readiness(RequestReader),
+    /// Requests to a runner.
+    Upstream(UpstreamConnection),
+    /// Messages of another gateway, by name; none until it has said its name.
+    Peer(Option<String>),
+    /// Messages of a controller, by address.
+    Controller(String),
+    /// A probe whether a starting runner accepts connections.
+    Probe(ProbedRunner),
+}
+
+/// The event loop's connections, each with its role.
+pub(crate) struct Connections {
+    event_loop: EventLoop,
+    roles: HashMap<ConnectionId, ConnectionRole>,
+}
+
+impl Connections {
+    /// No connections yet; a peer that acknowledges nothing for `silence_ms` is taken for dead.
+    pub fn new(max_connections: usize, silence_ms: u32) -> io::Result<Self> {
+        Ok(Self {
+            event_loop: EventLoop::new(max_connections, silence_ms)?,
+            roles: HashMap::new(),
+        })
+    }
+
+    /// Listens at an address; each accepted connection buffers `buffer_max` unread bytes at most.
+    pub fn listen(&mut self, address: SocketAddr, buffer_max: usize) -> io::Result<ListenerId> {
+        self.event_loop.listen(address, buffer_max)
+    }
+
+    /// Accepts no more connections at a listener.
+    pub fn stop_listening(&mut self, listener: ListenerId) {
+        self.event_loop.stop_listening(listener);
+    }
+
+    /// Waits for events.
+    pub fn poll(&mut self, timeout: Duration, events: &mut Vec<Event>) {
+        self.event_loop.poll(timeout, events);
+    }
+
+    /// Begins to connect to an address (ip and port); none where that is no address or the system refuses.
+    pub fn connect(
+        &mut self,
+        address: &str,
+        buffer_max: usize,
+        role: ConnectionRole,
+    ) -> Option<ConnectionId> {
+        let address = address.parse().ok()?;
+        let id = self.event_loop.connect(address, buffer_max).ok()?;
+        self.roles.insert(id, role);
+        Some(id)
+    }
+
+    /// Gives a connection its role, in place of the one that it had.
+    pub fn set_role(&mut self, id: ConnectionId, role: ConnectionRole) {
+        self.roles.insert(id, role);
+    }
+
+    /// The role of an open connection.
+    pub fn role(&self, id: ConnectionId) -> Option<&ConnectionRole> {
+        self.roles.get(&id)
+    }
+
+    /// A client's connection.
+    pub fn downstream(&mut self, id: ConnectionId) -> Option<&mut DownstreamConnection> {
+        match self.roles.get_mut(&id) {
+            Some(ConnectionRole::Downstream(connection)) => Some(connection),
+            _ => None,
+        }
+    }
+
+    /// A client's connection with its unread bytes.
+    pub fn downstream_input(
+        &mut self,
+        id: ConnectionId,
+    ) -> Option<(&mut DownstreamConnection, &mut Vec<u8>)> {
+        let Some(ConnectionRole::Downstream(connection)) = self.roles.get_mut(&id) else {
+            return None;
+        };
+        Some((connection, self.event_loop.read_buffer(id)?))
+    }
+
+    /// The reader of a connection for readiness checks with its unread bytes.
+    pub fn readiness_input(
+        &mut self,
+        id: ConnectionId,
+    ) -> Option<(&mut RequestReader, &mut Vec<u8>)> {
+        let Some(ConnectionRole::Readiness(reader)) = self.roles.get_mut(&id) else {
+            return None;
+        };
+        Some((reader, self.event_loop.read_buffer(id)?))
+    }
+
+    /// A connection to a runner.
+    pub fn upstream(&mut self, id: ConnectionId) -> Option<&mut UpstreamConnection> {
+        match self.roles.get_mut(&id) {
+            Some(ConnectionRole::Upstream(connection)) => Some(connection),
+            _ => None,
+        }
+    }
+
+    /// A connection to a runner with its unread bytes.
+    pub fn upstream_input(
+        &mut self,
+        id: ConnectionId,
+    ) -> Option<(&mut UpstreamConnection, &mut Vec<u8>)> {
+        let Some(ConnectionRole::Upstream(connection)) = self.roles.get_mut(&id) else {
+            return None;
+        };
+        Some((connection, self.event_loop.read_buffer(id)?))
+    }
+
+    /// Unread bytes of a connection; none where it is closed.
+    pub fn read_buffer(&mut self, id: ConnectionId) -> Option<&mut Vec<u8>> {
+        self.event_loop.read_buffer(id)
+    }
+
+    /// Whether bytes were received that nobody has read.
+    pub fn has_unread_bytes(&mut self, id: ConnectionId) -> bool {
+        let buffer = self.event_loop.read_buffer(id);
+        buffer.is_some_and(|buffer| !buffer.is_empty())
+    }
+
+    /// Whether a connection is open and all bytes that were received on it have been read.
+    pub fn has_no_unread_bytes(&mut self, id: ConnectionId) -> bool {
+        let buffer = self.event_loop.read_buffer(id);
+        buffer.is_some_and(|buffer| buffer.is_empty())
+    }
+
+    /// Asks the system whether an open connection has nothing to read and was not closed by its peer, up to this
+    /// moment.
+    pub fn has_nothing_to_read(&mut self, id: ConnectionId) -> bool {
+        self.event_loop.has_nothing_to_read(id)
+    }
+
+    /// Whether the peer has not closed the connection, as far as events tell.
+    pub fn is_open(&self, id: ConnectionId) -> bool {
+        self.event_loop.is_open(id)
+    }
+
+    /// Bytes that wait to be sent.
+    pub fn unsent_bytes(&self, id: ConnectionId) -> usize {
+        self.event_loop.unsent_bytes(id)
+    }
+
+    /// Sets for how long the peer may leave sent bytes unacknowledged.
+    pub fn set_user_timeout(&mut self, id: ConnectionId, silence_ms: u64) {
+        self.event_loop.set_user_timeout(id, silence_ms);
+    }
+
+    /// Sends bytes; false where none of them has left or ever will.
+    pub fn send(&mut self, id: ConnectionId, bytes: &[u8]) -> bool {
+        self.event_loop.send(id, bytes)
+    }
+
+    /// Closes a connection at once.
+    pub fn close(&mut self, id: ConnectionId) {
+        self.roles.remove(&id);
+        self.event_loop.close(id);
+    }
+
+    /// Closes a connection once everything that was sent has left; what it receives until then is ignored.
+    pub fn close_after_flush(&mut self, id: ConnectionId) {
+        self.event_loop.close_after_flush(id);
+        self.roles.remove(&id);
+    }
+
+    /// Whether a connection that is to be closed still has bytes to send.
+    pub fn is_flushing(&self) -> bool {
+        self.event_loop.is_flushing()
+    }
+
+    /// Number of open connections.
+    pub fn len(&self) -> usize {
+        self.event_loop.len()
+    }
+
+    /// Clients' connections on which nothing is under way.
+    pub fn idle_downstream(&self) -> Vec<ConnectionId> {
+        let idle = self.roles.iter().filter(|(_, role)| {
+            matches!(role, ConnectionRole::Downstream(connection) if connection.is_idle())
+        });
+        idle.map(|(id, _)| *id).collect()
+    }
+
+    /// Whether a client is connected.
+    pub fn has_downstream(&self) -> bool {
+        let mut roles = self.roles.values();
+        roles.any(|role| matches!(role, ConnectionRole::Downstream(_)))
+    }
+
+    /// Connections with another gateway.
+    pub fn with_peer(&self, name: &str) -> Vec<ConnectionId> {
+        let with_peer = self
+            .roles
+            .iter()
+            .filter(|(_, role)| matches!(role, ConnectionRole::Peer(Some(known)) if known == name));
+        with_peer.map(|(id, _)| *id).collect()
+    }
+
+    /// Whether a pooled connection to a runner may still be used.
+    pub fn is_fresh_upstream(&self, id: ConnectionId, now: u64) -> bool {
+        matches!(self.roles.get(&id),
+            Some(ConnectionRole::Upstream(connection)) if connection.expires_at > now)
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/controller_messages.rs
@@ -0,0 +1,147 @@
+//! Messages to and from controllers.
+
+use crate::applied_configuration::ConfigurationVersions;
+use crate::connections::ConnectionRole;
+use crate::controller_links::{ControllerState, HeartbeatTiming, LinkTask};
+use crate::gateway::{Gateway, LINK_BUFFER_MAX};
+use protocol::{frame, Message};
+
+impl Gateway {
+    /// Sends a message to a controller; without a link it is dropped.
+    pub fn send_to_controller(&mut self, address: &str, message: &Message) {
+        if let Some(connection) = self.controllers.connection(address) {
+            self.connections.send(connection, &frame(message));
+        }
+    }
+
+    /// A message of a controller has come.
+    pub fn controller_message(&mut self, address: &str, message: Message) {
+        if !self.controllers.record_heard(address, self.now) {
+            return;
+        }
+        match message {
+            Message::ControllerHeartbeat {
+                configuration_version,
+                evacuations_version,
+                term,
+                controllers,
+                zone,
+                is_current,
+            } => {
+                let versions = ConfigurationVersions {
+                    configuration: configuration_version,
+                    evacuations: evacuations_version,
+                };
+                let state = ControllerState {
+                    versions,
+                    term,
+                    zone,
+                    is_current,
+                };
+                self.controllers.record_heartbeat(address, state);
+                self.controllers.add(controllers.into_iter());
+                self.request_configuration();
+            }
+            Message::Configuration { .. }
+            | Message::ConfigurationChanges { .. }
+            | Message::EvacuatedZones { .. } => self.configuration_message(address, message),
+            Message::GatewayMembership { version, members } => {
+                self.membership_received(version, members);
+            }
+            Message::JobRegisterResponse { number, response } => {
+                self.jobs.said(self.now, number, response);
+            }
+            Message::FunctionUpdates(updates) => {
+                for update in updates {
+                    self.lease_owner.update_runners(self.now, update);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Configuration of a controller. A gateway that serves may move forward by what any controller holds; one that
+    /// starts waits for a controller that is in contact with a majority.
+    fn configuration_message(&mut self, address: &str, message: Message) {
+        let is_trusted = self.controllers.is_current(address) || self.configuration.is_ready();
+        if !is_trusted {
+            log::info!("gateway: {address} is out of contact; its configuration is not applied");
+            return;
+        }
+        match message {
+            Message::Configuration { version, document } => {
+                self.configuration_received(version, &document);
+                self.request_configuration();
+            }
+            Message::ConfigurationChanges {
+                base_version,
+                changes,
+            } => {
+                self.changes_received(base_version, &changes);
+                self.request_configuration();
+            }
+            Message::EvacuatedZones { version, zones } => {
+                self.evacuations_received(version, zones);
+            }
+            _ => {}
+        }
+    }
+
+    /// Requests newer configuration where a controller has it.
+    fn request_configuration(&mut self) {
+        let versions = self.configuration.versions();
+        let is_ready = self.configuration.is_ready();
+        let zone = &self.options.zone;
+        let controller = self
+            .controllers
+            .newer_configuration(versions, is_ready, zone, self.now);
+        let Some(controller) = controller else {
+            return;
+        };
+        let message = Message::RequestConfiguration {
+            configuration_version: self.configuration.base_version(),
+            evacuations_version: versions.evacuations,
+        };
+        self.send_to_controller(&controller, &message);
+    }
+
+    /// Sends heartbeats to controllers, connects to those without a link and drops links that fell silent.
+    pub fn maintain_controller_links(&mut self) {
+        let timing = HeartbeatTiming {
+            interval_ms: self.options.heartbeat_ms(),
+            silence_ms: self.options.silence_ms(),
+        };
+        for address in self.controllers.addresses() {
+            match self.controllers.next_task(&address, self.now, timing) {
+                LinkTask::None => {}
+                LinkTask::Close(connection) => self.connections.close(connection),
+                LinkTask::SendHeartbeat(connection) => {
+                    let heartbeat = frame(&self.heartbeat());
+                    self.connections.send(connection, &heartbeat);
+                }
+                LinkTask::Connect => self.connect_to_controller(&address),
+            }
+        }
+        self.request_configuration();
+    }
+
+    fn heartbeat(&self) -> Message {
+        let versions = self.configuration.versions();
+        Message::GatewayHeartbeat {
+            configuration_version: versions.configuration,
+            evacuations_version: versions.evacuations,
+            membership_version: self.configuration.membership_version(),
+        }
+    }
+
+    fn connect_to_controller(&mut self, address: &str) {
+        let role = ConnectionRole::Controller(address.into());
+        let connection = self.connections.connect(address, LINK_BUFFER_MAX, role);
+        let Some(connection) = connection else {
+            return;
+        };
+        self.controllers.begin(address, connection, self.now);
+        let hello = frame(&Message::GatewayHello(self.identity.clone()));
+        self.connections.send(connection, &hello);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/downstream_requests.rs
@@ -0,0 +1,145 @@
+//! Phase 1: bytes of a client become a request. A client's next request is read once the one before has its response.
+
+use crate::connections::ConnectionRole;
+use crate::downstream_connection::DownstreamConnection;
+use crate::gateway::{Gateway, TimerEvent};
+use crate::pending_request::RequestPhase;
+use event_loop::ConnectionId;
+use http1::{MessageLimits, CONTINUE};
+
+const REQUEST_TIMEOUT: u16 = 408;
+
+impl Gateway {
+    /// A client has connected.
+    pub fn downstream_accepted(&mut self, id: ConnectionId) {
+        let connection = DownstreamConnection::accepted(self.now);
+        self.connections
+            .set_role(id, ConnectionRole::Downstream(connection));
+        let idle_ms = self.configuration.limits().idle_timeout_ms;
+        // A client that reads nothing for a while is no daemon that fell silent.
+        self.connections.set_user_timeout(id, idle_ms);
+        self.timers
+            .schedule(self.now + idle_ms, TimerEvent::DownstreamTimeout(id));
+    }
+
+    /// Bytes of a client have arrived.
+    pub fn downstream_readable(&mut self, id: ConnectionId) {
+        let limits = self.configuration.limits();
+        let message_limits = MessageLimits {
+            header_bytes: limits.header_bytes,
+            body_bytes: limits.body_bytes,
+        };
+        let Some((connection, buffer)) = self.connections.downstream_input(id) else {
+            return;
+        };
+        if connection.request.is_some() {
+            return;
+        }
+        match connection.reader.read(buffer, &message_limits) {
+            Ok(Some(request)) => {
+                connection.is_arriving = false;
+                connection.has_sent_continue = false;
+                self.admit_request(id, request);
+            }
+            Ok(None) => self.request_is_incomplete(id, limits.header_timeout_ms),
+            Err(error) => self.reject_bytes(id, &error),
+        }
+    }
+
+    /// A part of a request is here: it must be whole in time, and its client may wait for leave to send the body.
+    fn request_is_incomplete(&mut self, id: ConnectionId, wait_ms: u64) {
+        let Some((connection, buffer)) = self.connections.downstream_input(id) else {
+            return;
+        };
+        let has_begun = connection.reader.has_begun(buffer);
+        if has_begun && !connection.is_arriving {
+            connection.is_arriving = true;
+            connection.since = self.now;
+            self.timers
+                .schedule(self.now + wait_ms, TimerEvent::DownstreamTimeout(id));
+        }
+        if connection.reader.expects_continue() && !connection.has_sent_continue {
+            connection.has_sent_continue = true;
+            self.connections.send(id, CONTINUE);
+        }
+    }
+
+    /// Notes a connection whose next request may have arrived already. It is read in its turn and not from within the
+    /// response to the one before, since a client may send any number of requests at once.
+    pub fn read_next_turn(&mut self, id: ConnectionId) {
+        if self.connections.has_unread_bytes(id) {
+            self.unread.push(id);
+        }
+    }
+
+    /// Reads one more request of each client that sent several at once.
+    pub fn read_pipelined(&mut self) {
+        for id in std::mem::take(&mut self.unread) {
+            self.downstream_readable(id);
+        }
+    }
+
+    /// A client's connection may have been idle, or its request arriving, for too long.
+    pub fn downstream_timeout(&mut self, id: ConnectionId) {
+        let limits = self.configuration.limits();
+        let Some(connection) = self.connections.downstream(id) else {
+            return;
+        };
+        connection.has_timer = false;
+        if connection.request.is_some() {
+            return;
+        }
+        let is_arriving = connection.is_arriving;
+        let wait_ms = if is_arriving {
+            limits.header_timeout_ms
+        } else {
+            limits.idle_timeout_ms
+        };
+        let ends_at = connection.since + wait_ms;
+        if self.now < ends_at {
+            connection.has_timer = true;
+            self.timers
+                .schedule(ends_at, TimerEvent::DownstreamTimeout(id));
+            return;
+        }
+        if is_arriving {
+            let text = "the request came too slowly";
+            self.send_text(id, REQUEST_TIMEOUT, text, false);
+        }
+        self.connections.close_after_flush(id);
+    }
+
+    /// A client has left. A request that was sent to a runner goes on, since it may run once only; any other is
+    /// cancelled.
+    pub fn downstream_closed(&mut self, id: ConnectionId) {
+        let connection = self.connections.downstream(id);
+        let Some(request_id) = connection.and_then(|connection| connection.request) else {
+            return;
+        };
+        let Some(request) = self.requests.get(request_id) else {
+            return;
+        };
+        request.downstream = None;
+        match &request.phase {
+            RequestPhase::Upstream(attempt) if attempt.is_sent => return,
+            RequestPhase::Upstream(attempt) => {
+                let owner = attempt.owner.clone();
+                self.abandon_attempt(request_id);
+                self.void_job_attempt(&owner, request_id);
+            }
+            RequestPhase::AwaitingLease { .. } | RequestPhase::Backoff => {
+                self.cancel_lease_request(request_id);
+            }
+        }
+        self.requests.remove(request_id);
+    }
+
+    /// Closes the clients' connections on which nothing is under way and nothing has arrived.
+    pub fn close_idle_downstream(&mut self) {
+        for id in self.connections.idle_downstream() {
+            if !self.connections.has_unread_bytes(id) {
+                self.connections.close_after_flush(id);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/downstream_responses.rs
@@ -0,0 +1,86 @@
+//! Phase 7: a response goes to the client, and its connection is free for the next request.
+
+use crate::gateway::{Gateway, TimerEvent};
+use crate::pending_request::PendingRequest;
+use event_loop::ConnectionId;
+use http1::{write_response, HttpError, Request};
+
+/// Bytes of a response's head that are reserved beside its body.
+const HEAD_ESTIMATE: usize = 256;
+
+/// A header of a response.
+pub(crate) type Header<'a> = (&'a str, &'a [u8]);
+
+impl Gateway {
+    /// Responds to a request that is no longer in flight; where its client has left, nobody is told.
+    pub fn respond(
+        &mut self,
+        request: &PendingRequest,
+        status: u16,
+        headers: &[Header<'_>],
+        body: &[u8],
+    ) {
+        if let Some(id) = request.downstream {
+            self.respond_to(id, &request.request, status, headers, body);
+        }
+    }
+
+    /// Responds to a request on a client's connection.
+    pub fn respond_to(
+        &mut self,
+        id: ConnectionId,
+        request: &Request,
+        status: u16,
+        headers: &[Header<'_>],
+        body: &[u8],
+    ) {
+        let keeps_alive = request.keeps_alive && !self.is_draining();
+        let is_head = request.method == "HEAD";
+        let mut out = Vec::with_capacity(body.len() + HEAD_ESTIMATE);
+        let headers = headers.iter().copied();
+        write_response(&mut out, status, headers, body, keeps_alive, is_head);
+        self.connections.send(id, &out);
+        self.response_sent(id, keeps_alive);
+    }
+
+    fn response_sent(&mut self, id: ConnectionId, keeps_alive: bool) {
+        if !keeps_alive {
+            self.connections.close_after_flush(id);
+            return;
+        }
+        let Some(connection) = self.connections.downstream(id) else {
+            return;
+        };
+        connection.request = None;
+        connection.since = self.now;
+        if !connection.has_timer {
+            connection.has_timer = true;
+            let idle_ms = self.configuration.limits().idle_timeout_ms;
+            self.timers
+                .schedule(self.now + idle_ms, TimerEvent::DownstreamTimeout(id));
+        }
+        self.read_next_turn(id);
+    }
+
+    /// Responds to bytes that are no request, and closes the connection.
+    pub fn reject_bytes(&mut self, id: ConnectionId, error: &HttpError) {
+        log::debug!("gateway: bytes rejected: {error}");
+        self.send_text(id, error.status(), &error.to_string(), false);
+        self.connections.close_after_flush(id);
+    }
+
+    /// Sends a response without headers, which belongs to no request in flight.
+    pub fn send_text(&mut self, id: ConnectionId, status: u16, text: &str, keeps_alive: bool) {
+        let mut out = Vec::new();
+        let headers = std::iter::empty();
+        write_response(
+            &mut out,
+            status,
+            headers,
+            text.as_bytes(),
+            keeps_alive,
+            false,
+        );
+        self.connections.send(id, &out);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/in_flight_requests.rs
@@ -0,0 +1,62 @@
+//! Requests in flight, by an id that is never used twice within the gateway's incarnation.
+
+use crate::pending_request::PendingRequest;
+use slab::Slab;
+
+/// Number of a request, unique within the gateway's incarnation.
+pub(crate) type RequestId = u64;
+
+/// Bits of an id that hold the request's slot; the others count the requests of the incarnation, and last for 10^12.
+const SLOT_BITS: u32 = 24;
+const SLOT_MASK: u64 = (1 << SLOT_BITS) - 1;
+
+/// All requests in flight.
+#[derive(Default)]
+pub(crate) struct InFlightRequests {
+    slots: Slab<PendingRequest>,
+    admitted: u64,
+}
+
+fn slot(id: RequestId) -> usize {
+    (id & SLOT_MASK) as usize
+}
+
+impl InFlightRequests {
+    /// Adds a request and gives it its id.
+    pub fn add(&mut self, mut request: PendingRequest) -> RequestId {
+        self.admitted += 1;
+        let entry = self.slots.vacant_entry();
+        let id = (self.admitted << SLOT_BITS) | entry.key() as u64;
+        request.id = id;
+        entry.insert(request);
+        id
+    }
+
+    /// The request with this id, if it is still in flight.
+    pub fn get(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+        let request = self.slots.get_mut(slot(id))?;
+        (request.id == id).then_some(request)
+    }
+
+    /// Takes a request out, as it gets its response or its client has left.
+    pub fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
+        self.get(id)?;
+        Some(self.slots.remove(slot(id)))
+    }
+
+    /// Number of requests in flight.
+    pub fn len(&self) -> usize {
+        self.slots.len()
+    }
+
+    /// Requests in flight, by slot.
+    pub fn iter(&self) -> impl Iterator<Item = &PendingRequest> {
+        self.slots.iter().map(|(_, request)| request)
+    }
+
+    /// Ids of the requests that fulfil a condition.
+    pub fn ids(&self, matches: impl Fn(&PendingRequest) -> bool) -> Vec<RequestId> {
+        let matching = self.iter().filter(|request| matches(request));
+        matching.map(|request| request.id).collect()
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/job_messages.rs
@@ -0,0 +1,312 @@
+//! Requests with an idempotency key are copies of one job: the function's owner lets one copy run it and gives the
+//! others its response. Here the messages about jobs are sent and received.
+
+use crate::gateway::Gateway;
+use crate::in_flight_requests::RequestId;
+use crate::pending_request::{PendingRequest, RequestPhase};
+use crate::stored_response::{pack, unpack, StoredResponse};
+use http1::{Request, Response};
+use jobs::{digest, is_key, JobAction, Pass};
+use protocol::{JobCompletion, JobResult, JobVerdict, Message};
+
+/// Header by which a client names the job that its request asks for.
+const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
+
+const CONFLICT: u16 = 409;
+const UNPROCESSABLE: u16 = 422;
+const SERVER_ERRORS_FROM: u16 = 500;
+
+/// The idempotency key is no key, or there are several.
+pub(crate) struct InvalidIdempotencyKey;
+
+impl Gateway {
+    /// A request's part in the job that its client named, if any.
+    pub fn job_of(
+        &self,
+        request: &Request,
+        at_most_once: bool,
+    ) -> Result<Option<Box<Pass>>, InvalidIdempotencyKey> {
+        let mut keys = request.headers.get_all(IDEMPOTENCY_KEY);
+        let Some(key) = keys.next() else {
+            return Ok(None);
+        };
+        let text = std::str::from_utf8(key).map_err(|_| InvalidIdempotencyKey)?;
+        if keys.next().is_some() || !is_key(key) {
+            return Err(InvalidIdempotencyKey);
+        }
+        let digest = digest(&request.method, &request.target, &request.body);
+        let incarnation = self.identity.incarnation;
+        let job = Pass::new(text.into(), digest, at_most_once, incarnation);
+        Ok(Some(Box::new(job)))
+    }
+
+    /// Does what the coordination of jobs asks for; whether there was anything.
+    pub fn run_job_actions(&mut self) -> bool {
+        let actions = self.jobs.actions();
+        let has_any = !actions.is_empty();
+        for action in actions {
+            self.run_job_action(action);
+        }
+        has_any
+    }
+
+    fn run_job_action(&mut self, action: JobAction) {
+        let now = self.now;
+        match action {
+            JobAction::Seat(gateway, zone, request) => {
+                self.lease_owner
+                    .request_lease(now, &gateway, &zone, request);
+            }
+            JobAction::Withdraw(gateway, id) => self.lease_owner.cancel(now, &gateway, id),
+            JobAction::Claimed {
+                gateway,
+                ticket,
+                attempt,
+                version,
+            } => {
+                let message = Message::JobClaimed {
+                    request_id: ticket,
+                    attempt,
+                    register_version: version,
+                };
+                self.send_job_message(&gateway, message);
+            }
+            JobAction::Joined(gateway, request_id, attempt) => {
+                let message = Message::JobJoined {
+                    request_id,
+                    attempt,
+                };
+                self.send_job_message(&gateway, message);
+            }
+            JobAction::Tell(gateway, request_id, attempt, verdict) => {
+                let message = Message::JobVerdict {
+                    request_id,
+                    attempt,
+                    verdict,
+                };
+                self.send_job_message(&gateway, message);
+            }
+            JobAction::Kept(gateway, request_id) => {
+                self.send_job_message(&gateway, Message::JobPersisted(request_id));
+            }
+            JobAction::Ask {
+                number,
+                key,
+                expected,
+                bytes,
+                tries,
+            } => {
+                let message = Message::JobRegisterRequest {
+                    number,
+                    key,
+                    expected_version: expected,
+                    value: bytes,
+                };
+                self.send_register_request(tries, &message);
+            }
+        }
+    }
+
+    fn send_register_request(&mut self, attempts: u32, message: &Message) {
+        let zone = &self.options.zone;
+        if let Some(controller) = self.controllers.for_job_register(zone, attempts) {
+            self.send_to_controller(&controller, message);
+        }
+    }
+
+    /// Sends a message about a job to a gateway, which may be this one.
+    fn send_job_message(&mut self, gateway: &str, message: Message) {
+        if gateway == self.options.name {
+            self.job_message(gateway, message);
+        } else {
+            self.send_to_peer(gateway, &message);
+        }
+    }
+
+    /// A message about a job has come from another gateway, or from the coordination here.
+    pub fn job_message(&mut self, name: &str, message: Message) {
+        match message {
+            Message::JobCompletion(completion) => self.jobs.ended(self.now, name, completion),
+            Message::JobPersisted(id) => self.unacknowledged_results.kept(id),
+            Message::JobClaimed {
+                request_id,
+                attempt,
+                register_version,
+            } => self.job_claimed(name, request_id, attempt, register_version),
+            Message::JobJoined {
+                request_id,
+                attempt,
+            } => self.job_joined(name, request_id, attempt),
+            Message::JobVerdict {
+                request_id,
+                attempt,
+                verdict,
+            } => self.job_decided(name, request_id, attempt, verdict),
+            _ => {}
+        }
+    }
+
+    /// A request has the claim on its job, and may be sent to its runner.
+    fn job_claimed(&mut self, owner: &str, id: RequestId, attempt: u32, register_version: u64) {
+        let Some(job) = self.job_waiting_for(owner, id, attempt) else {
+            return;
+        };
+        job.claimed(register_version);
+        if !job.is_ready {
+            return;
+        }
+        let request = self.requests.get(id);
+        let attempt = request.and_then(|request| request.attempt());
+        if let Some(connection) = attempt.map(|attempt| attempt.connection) {
+            self.send_upstream_request(connection);
+        }
+    }
+
+    /// Another copy of the request may be running; it waits for that copy's response.
+    fn job_joined(&mut self, owner: &str, id: RequestId, attempt: u32) {
+        let Some(job) = self.job_waiting_for(owner, id, attempt) else {
+            return;
+        };
+        job.joined();
+        self.abandon_attempt(id);
+        let since = self.now;
+        if let Some(request) = self.requests.get(id) {
+            request.phase = RequestPhase::AwaitingLease {
+                owner: owner.into(),
+                since,
+            };
+        }
+    }
+
+    /// It is known what came of the job: the request gets its response.
+    fn job_decided(&mut self, owner: &str, id: RequestId, attempt: u32, verdict: JobVerdict) {
+        if self.job_waiting_for(owner, id, attempt).is_none() {
+            return;
+        }
+        self.abandon_attempt(id);
+        match verdict {
+            JobVerdict::NotRun(retry_after_ms) => {
+                let reason = "no seat in time, or no claim on the job";
+                self.reject(id, u64::from(retry_after_ms), reason);
+            }
+            JobVerdict::Answer(packed) => match unpack(&packed) {
+                Some(stored) => self.respond_with_stored(id, &stored),
+                None => {
+                    let reason = "it has run, and its answer cannot be read";
+                    self.end_with_error(id, CONFLICT, reason);
+                }
+            },
+            JobVerdict::TooLarge => {
+                let reason = "it has run, and its answer was too large to be kept";
+                self.end_with_error(id, CONFLICT, reason);
+            }
+            JobVerdict::MayHaveRun => {
+                let reason = "it may have run, and is not run again";
+                self.end_with_error(id, CONFLICT, reason);
+            }
+            JobVerdict::OtherRequest => {
+                let reason = "the key was used with another request";
+                self.end_with_error(id, UNPROCESSABLE, reason);
+            }
+        }
+    }
+
+    /// The part in its job of a request that was not sent, where a message of an owner is about the lease request that
+    /// stands.
+    fn job_waiting_for(&mut self, owner: &str, id: RequestId, attempt: u32) -> Option<&mut Pass> {
+        let request = self.requests.get(id)?;
+        let is_sent = request.is_sent();
+        let job = request.job.as_mut().filter(|_| !is_sent)?;
+        job.is_meant(owner, attempt).then_some(job.as_mut())
+    }
+
+    fn end_with_error(&mut self, id: RequestId, status: u16, reason: &str) {
+        if let Some(request) = self.requests.remove(id) {
+            self.respond_with_error(&request, status, reason);
+        }
+    }
+
+    fn respond_with_stored(&mut self, id: RequestId, stored: &StoredResponse) {
+        let Some(request) = self.requests.remove(id) else {
+            return;
+        };
+        let request_id = self.options.conventions.request_id;
+        let kept = stored.headers.iter();
+        let kept = kept.filter(|(name, _)| !name.eq_ignore_ascii_case(request_id));
+        let mut headers: Vec<(&str, &[u8])> = kept
+            .map(|(name, value)| (name.as_str(), value.as_slice()))
+            .collect();
+        headers.push((request_id, &request.client_request_id));
+        self.respond(&request, stored.status, &headers, &stored.body);
+    }
+
+    /// A request of a job ends: the owners that may know of the job are told.
+    pub fn complete_job(&mut self, request: &PendingRequest, result: JobResult) {
+        let Some(job) = &request.job else {
+            return;
+        };
+        let completion = job.end(request.id, &request.function, result);
+        self.unacknowledged_results.note(self.now, &completion);
+        let lender = match &request.phase {
+            RequestPhase::AwaitingLease { owner, .. } => Some(owner.clone()),
+            RequestPhase::Upstream(attempt) => Some(attempt.owner.clone()),
+            RequestPhase::Backoff => None,
+        };
+        let owner = self.owner_of(&request.function);
+        let owner = owner.filter(|owner| lender.as_ref() != Some(owner));
+        for name in lender.into_iter().chain(owner) {
+            self.send_completion(&name, completion.clone());
+        }
+    }
+
+    fn send_completion(&mut self, name: &str, completion: JobCompletion) {
+        self.send_job_message(name, Message::JobCompletion(completion));
+    }
+
+    /// A runner responded to the request of a job.
+    pub fn complete_job_with(&mut self, request: &PendingRequest, response: &Response) {
+        let Some(job) = &request.job else {
+            return;
+        };
+        // Work that may run twice is run anew after a failure.
+        let result = if !job.mark().at_most_once && response.status >= SERVER_ERRORS_FROM {
+            JobResult::Lost
+        } else {
+            pack(response).map_or(JobResult::TooLarge, JobResult::Answer)
+        };
+        self.complete_job(request, result);
+    }
+
+    /// A lease request is cancelled at its owner: nothing that was said about it holds any more.
+    pub fn void_job_attempt(&mut self, owner: &str, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let function = request.function.clone();
+        let Some(job) = &mut request.job else {
+            return;
+        };
+        let completion = job.end(id, &function, JobResult::NotRun);
+        job.void();
+        self.send_completion(owner, completion);
+    }
+
+    /// Advances the coordination of jobs, and sends results again that no owner has acknowledged.
+    pub fn advance_jobs(&mut self) {
+        let identity = &self.identity;
+        let configuration = &self.configuration;
+        self.jobs.tick(self.now, |gateway, incarnation| {
+            if gateway == identity.name {
+                return incarnation != identity.incarnation;
+            }
+            let member = configuration.member(gateway);
+            let is_gone = member.is_none_or(|member| member.incarnation != incarnation);
+            !configuration.members().is_empty() && is_gone
+        });
+        for completion in self.unacknowledged_results.due(self.now) {
+            if let Some(owner) = self.owner_of(&completion.function) {
+                self.send_completion(&owner, completion);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/lease_requests.rs
@@ -0,0 +1,202 @@
+//! Phase 3: a seat is requested from the owner of the function's seats, and given back when it is no longer used.
+
+use crate::gateway::{Gateway, TimerEvent};
+use crate::in_flight_requests::RequestId;
+use crate::pending_request::{HeldLease, OwnerName, PendingRequest, RequestPhase};
+use protocol::{LeaseOutcome, LeaseRelease, LeaseRequest, Member, Message};
+use seat_leases::select_owner;
+use std::collections::BTreeSet;
+
+/// Milliseconds before a request whose function has no owner looks for one again.
+const NO_OWNER_BACKOFF_MS: u64 = 30;
+
+impl Gateway {
+    /// The owner of a function's seats, as far as this gateway knows.
+    pub fn owner_of(&self, function: &str) -> Option<OwnerName> {
+        let may_own = |member: &Member| !self.peers.is_suspect(&member.name, self.now);
+        let owner = select_owner(function, self.configuration.members(), may_own);
+        owner.map(|member| member.name.clone())
+    }
+
+    /// Requests a lease from the function's owner.
+    pub fn request_lease(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let function = request.function.clone();
+        let mut lease_request = lease_request(request, self.now);
+        let Some(owner) = self.owner_of(&function) else {
+            self.back_off(id, NO_OWNER_BACKOFF_MS);
+            return;
+        };
+        let now = self.now;
+        if let Some(request) = self.requests.get(id) {
+            request.phase = RequestPhase::AwaitingLease {
+                owner: owner.clone(),
+                since: now,
+            };
+            lease_request.job = request.job.as_mut().map(|job| job.bid(&owner));
+        }
+        if owner == self.options.name {
+            let zone = self.options.zone.clone();
+            self.lease_requested(&owner, &zone, lease_request);
+            return;
+        }
+        self.tell_new_owner(&owner, &function);
+        self.send_to_peer(&owner, &Message::LeaseRequest(lease_request));
+    }
+
+    /// A lease is requested by a gateway that may be this one. A request of a job goes to the job's coordination first.
+    pub fn lease_requested(&mut self, gateway: &str, zone: &str, request: LeaseRequest) {
+        if request.job.is_some() {
+            self.jobs.arrive(self.now, gateway, zone, request);
+        } else {
+            self.lease_owner
+                .request_lease(self.now, gateway, zone, request);
+        }
+    }
+
+    /// Lets a request wait before it requests a lease again.
+    pub fn back_off(&mut self, id: RequestId, wait_ms: u64) {
+        if let Some(request) = self.requests.get(id) {
+            request.phase = RequestPhase::Backoff;
+            self.timers
+                .schedule(self.now + wait_ms, TimerEvent::BackoffOver(id));
+        }
+    }
+
+    /// A request's backoff is over.
+    pub fn backoff_over(&mut self, id: RequestId) {
+        let request = self.requests.get(id);
+        if request.is_some_and(|request| matches!(request.phase, RequestPhase::Backoff)) {
+            self.request_lease(id);
+        }
+    }
+
+    /// Cancels the lease request of a request that awaits a lease.
+    pub fn cancel_lease_request(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let RequestPhase::AwaitingLease { owner, .. } = &request.phase else {
+            return;
+        };
+        let owner = owner.clone();
+        request.phase = RequestPhase::Backoff;
+        if owner == self.options.name {
+            self.lease_owner.cancel(self.now, &owner, id);
+        } else {
+            self.send_to_peer(&owner, &Message::CancelRequest(id));
+        }
+        self.void_job_attempt(&owner, id);
+    }
+
+    /// Releases a lease at the owner that granted it, and at the function's owner where that is another by now.
+    pub fn release_lease(&mut self, lease: &HeldLease, outcome: LeaseOutcome, duration_ms: u64) {
+        let release = LeaseRelease {
+            request_id: lease.request,
+            outcome,
+            duration_ms: duration_ms as u32,
+        };
+        let owner = self.owner_of(&lease.function);
+        let other = owner.filter(|owner| *owner != lease.owner);
+        for name in std::iter::once(lease.owner.clone()).chain(other) {
+            self.release_at(&name, &release);
+        }
+    }
+
+    /// Releases a lease at one owner, which may be this gateway.
+    pub fn release_at(&mut self, owner: &str, release: &LeaseRelease) {
+        if owner == self.options.name {
+            self.lease_owner.release(self.now, owner, release);
+        } else if self.peers.contains(owner) {
+            self.send_to_peer(owner, &Message::LeaseRelease(release.clone()));
+        }
+    }
+
+    /// Tells a function's new owner which seats this gateway uses.
+    pub fn tell_new_owner(&mut self, owner: &str, function: &str) {
+        if !self.peers.is_new_owner(function, owner) {
+            return;
+        }
+        let runners = self.leases_in_use(function);
+        if !runners.is_empty() {
+            let message = Message::LeasesInUse {
+                function: function.into(),
+                runners,
+            };
+            self.send_to_peer(owner, &message);
+        }
+    }
+
+    /// Functions at whose runners this gateway has requests now.
+    pub fn functions_in_use(&self) -> BTreeSet<String> {
+        let upstream = self.requests.iter();
+        let upstream = upstream.filter(|request| request.attempt().is_some());
+        upstream.map(|request| request.function.clone()).collect()
+    }
+
+    /// Runners of a function at which this gateway has requests now.
+    fn leases_in_use(&self, function: &str) -> Vec<(String, String, String, Vec<u64>)> {
+        let mut runners: Vec<(String, String, String, Vec<u64>)> = Vec::new();
+        for request in self.requests.iter() {
+            let Some(attempt) = request.attempt() else {
+                continue;
+            };
+            if request.function != function {
+                continue;
+            }
+            match runners.iter_mut().find(|known| known.0 == attempt.runner) {
+                Some(known) => known.3.push(request.id),
+                None => runners.push((
+                    attempt.runner.clone(),
+                    attempt.address.clone(),
+                    attempt.zone.clone(),
+                    vec![request.id],
+                )),
+            }
+        }
+        runners
+    }
+
+    /// Moves requests that await a response of another gateway than the one that owns their function now.
+    pub fn move_to_new_owners(&mut self) {
+        let awaiting = |request: &PendingRequest| request.awaited_owner().is_some();
+        for id in self.requests.ids(awaiting) {
+            self.move_to_new_owner(id);
+        }
+    }
+
+    fn move_to_new_owner(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let Some((owner, _)) = request.awaited_owner() else {
+            return;
+        };
+        let (owner, function) = (owner.clone(), request.function.clone());
+        let awaits_claim = request.awaits_claim();
+        if self.owner_of(&function).as_deref() == Some(&owner) {
+            return;
+        }
+        if awaits_claim {
+            self.abandon_attempt(id);
+            self.void_job_attempt(&owner, id);
+        } else {
+            self.cancel_lease_request(id);
+        }
+        self.request_lease(id);
+    }
+}
+
+/// The lease request of a request, without its part in a job.
+fn lease_request(request: &PendingRequest, now: u64) -> LeaseRequest {
+    LeaseRequest {
+        request_id: request.id,
+        function: request.function.clone(),
+        priority: request.priority,
+        timeout_ms: request.deadline.saturating_sub(now) as u32,
+        excluded_runners: request.excluded_runners.clone(),
+        job: None,
+    }
+}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,22 +1,58 @@
-//! The data plane over non-blocking lines: requests come in, get a seat from the keeper of their function, go to
-//! a runner, and their answers go back. One thread; nothing waits for a single line.
+//! The data plane: a proxy between clients and the runners of functions, on one thread over non-blocking connections.
+//!
+//! *Downstream* is the client's side and *upstream* the runner's. A request passes through these phases; each stands in
+//! a file of its own, and [`run`] wires them to the event loop:
+//!
+//! 1. `downstream_requests`: a client's bytes become a request; connections that are idle or slow time out.
+//! 2. `request_admission`: the request is bound to a function, checked and given its timeout and retry allowance.
+//! 3. `lease_requests`: a seat is requested from the gateway that owns the function's seats.
+//! 4. `upstream_requests`: a lease came; a pooled or new connection to its runner is taken and the request is sent.
+//! 5. `upstream_responses`: the runner's bytes, or the end of its connection, are matched to the request.
+//! 6. `request_outcomes`: the response is classified; the request is answered, retried (`retries`) or rejected.
+//! 7. `downstream_responses`: the response is written, and the client's next request is read.
+//!
+//! Beside this path stand `job_messages` (requests with an idempotency key), `peer_messages` and
+//! `controller_messages` (what other daemons send), `configuration_updates`, `upstream_probes`, `readiness` and
+//! `status`.
+//!
+//! The state is split into parts that each own one invariant and do no I/O beyond their own connections:
+//! `Connections`, `InFlightRequests`, `UpstreamPool`, `RetryBudgets`, `ResponseTimes`, `PeerLinks`, `ControllerLinks`
+//! and `AppliedConfiguration`. `Gateway` holds one of each; the phases reach them through their methods.
 #![warn(missing_docs)]
 
-mod answers;
-mod clients;
-mod control;
-mod controllers;
+mod applied_configuration;
+mod configuration_updates;
+mod connections;
+mod controller_links;
+mod controller_messages;
+mod downstream_connection;
+mod downstream_requests;
+mod downstream_responses;
 mod gateway;
-mod jobs;
-mod links;
+mod in_flight_requests;
+mod job_messages;
+mod lease_requests;
 mod options;
-mod outcomes;
-mod pool;
-mod probes;
+mod peer_links;
+mod peer_messages;
+mod pending_request;
+mod readiness;
+mod rejection_log;
+mod request_admission;
+mod request_outcomes;
+pub mod response_classification;
+mod response_times;
 mod retries;
-pub mod runner_connection;
-mod runners;
-mod tickets;
+mod retry_budgets;
+mod run;
+mod status;
+mod stored_response;
+mod upstream_connection;
+mod upstream_pool;
+mod upstream_probes;
+mod upstream_requests;
+mod upstream_responses;
+pub mod upstream_session;
 
-pub use gateway::run;
 pub use options::{GatewayError, GatewayOptions, HttpConventions};
+pub use run::run;
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -39,7 +39,7 @@
     /// Names of the HTTP headers that it reads and writes.
     pub conventions: HttpConventions,
     /// Parser of the operators' documents.
-    pub documents: Box<dyn ConfigurationFormat>,
+    pub configuration_format: Box<dyn ConfigurationFormat>,
     /// Retries allowed per first attempt, over all gateways.
     pub retry_ratio: f64,
     /// Retries allowed beside the ratio, over all gateways.
--- /dev/null
+++ b/crates/gateway/src/peer_links.rs
@@ -0,0 +1,132 @@
+//! Connections with other gateways, and which of these are suspected to be dead.
+
+use crate::connections::Connections;
+use event_loop::ConnectionId;
+use protocol::{frame, Message};
+use std::collections::HashMap;
+
+/// Milliseconds of silence after which an owner from which a response is awaited is pinged.
+pub(crate) const PING_AFTER_MS: u64 = 250;
+/// Milliseconds of silence after which such an owner is taken for dead.
+const DEAD_AFTER_MS: u64 = 650;
+/// Milliseconds for which a gateway that was taken for dead owns nothing.
+const SUSPECT_MS: u64 = 1_500;
+/// Most functions whose owner is remembered.
+const KNOWN_OWNERS_MAX: usize = 65_536;
+
+struct PeerLink {
+    connection: ConnectionId,
+    heard_at: u64,
+    pinged_at: u64,
+    /// Messages of this turn of the loop, which leave in one write.
+    outbox: Vec<u8>,
+}
+
+/// Whether a peer from which a response is awaited is alive.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Liveness {
+    /// There is no link to it.
+    Disconnected,
+    /// It was heard from, or has still time to answer a ping.
+    Alive,
+    /// It did not answer a ping in time.
+    Silent,
+}
+
+/// Links with other gateways, by name.
+#[derive(Default)]
+pub(crate) struct PeerLinks {
+    links: HashMap<String, PeerLink>,
+    suspects: HashMap<String, u64>,
+    known_owners: HashMap<String, String>,
+}
+
+impl PeerLinks {
+    /// Whether there is a link with a gateway.
+    pub fn contains(&self, name: &str) -> bool {
+        self.links.contains_key(name)
+    }
+
+    /// Adds a link over a connection.
+    pub fn add(&mut self, name: &str, connection: ConnectionId, now: u64) {
+        let link = PeerLink {
+            connection,
+            heard_at: now,
+            pinged_at: 0,
+            outbox: Vec::new(),
+        };
+        self.links.insert(name.into(), link);
+    }
+
+    /// Queues a message until the next flush; without a link it is dropped.
+    pub fn queue(&mut self, name: &str, message: &Message) {
+        if let Some(link) = self.links.get_mut(name) {
+            link.outbox.extend_from_slice(&frame(message));
+        }
+    }
+
+    /// Sends what was queued since the last flush, in one write for each gateway.
+    pub fn flush(&mut self, connections: &mut Connections) {
+        for link in self.links.values_mut() {
+            if !link.outbox.is_empty() {
+                connections.send(link.connection, &link.outbox);
+                link.outbox.clear();
+            }
+        }
+    }
+
+    /// A message came from a gateway, which is alive.
+    pub fn record_heard(&mut self, name: &str, now: u64) {
+        self.suspects.remove(name);
+        if let Some(link) = self.links.get_mut(name) {
+            link.heard_at = now;
+        }
+    }
+
+    /// Pings a gateway that was silent, and tells whether it is alive.
+    pub fn check_liveness(&mut self, name: &str, now: u64) -> Liveness {
+        let Some(link) = self.links.get_mut(name) else {
+            return Liveness::Disconnected;
+        };
+        let is_ping_answered = link.pinged_at <= link.heard_at;
+        let last_activity = link.heard_at.max(link.pinged_at);
+        if is_ping_answered && now > last_activity + PING_AFTER_MS {
+            link.pinged_at = now;
+            link.outbox.extend_from_slice(&frame(&Message::Ping(now)));
+            return Liveness::Alive;
+        }
+        if !is_ping_answered && now > link.pinged_at + (DEAD_AFTER_MS - PING_AFTER_MS) {
+            return Liveness::Silent;
+        }
+        Liveness::Alive
+    }
+
+    /// Removes the link with a gateway that was taken for dead, which owns nothing for a while.
+    pub fn suspect(&mut self, name: &str, now: u64) {
+        self.links.remove(name);
+        self.suspects.insert(name.into(), now + SUSPECT_MS);
+    }
+
+    /// Whether a gateway was taken for dead lately.
+    pub fn is_suspect(&self, name: &str, now: u64) -> bool {
+        self.suspects.get(name).is_some_and(|until| now < *until)
+    }
+
+    /// Suspects no gateway any more, since a new membership names those that are alive.
+    pub fn clear_suspects(&mut self) {
+        self.suspects.clear();
+    }
+
+    /// Remembers the owner of a function; whether it is another one than last time.
+    pub fn is_new_owner(&mut self, function: &str, owner: &str) -> bool {
+        let known = self.known_owners.get(function);
+        if known.is_some_and(|known| known == owner) {
+            return false;
+        }
+        if self.known_owners.len() >= KNOWN_OWNERS_MAX {
+            self.known_owners.clear();
+        }
+        let former = self.known_owners.insert(function.into(), owner.into());
+        former.is_some()
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/peer_messages.rs
@@ -0,0 +1,166 @@
+//! Messages to and from other gateways, and whether the owners from which responses are awaited are alive.
+
+use crate::connections::ConnectionRole;
+use crate::gateway::{Gateway, LINK_BUFFER_MAX};
+use crate::peer_links::{Liveness, PING_AFTER_MS};
+use event_loop::ConnectionId;
+use protocol::{frame, take_frames, Member, Message};
+
+impl Gateway {
+    /// Queues a message to another gateway; the link is opened where there is none.
+    pub fn send_to_peer(&mut self, name: &str, message: &Message) {
+        if !self.peers.contains(name) && !self.connect_to_peer(name) {
+            return;
+        }
+        self.peers.queue(name, message);
+    }
+
+    fn connect_to_peer(&mut self, name: &str) -> bool {
+        let Some(member) = self.configuration.member(name) else {
+            return false;
+        };
+        let role = ConnectionRole::Peer(Some(name.into()));
+        let connection = self
+            .connections
+            .connect(&member.address, LINK_BUFFER_MAX, role);
+        let Some(connection) = connection else {
+            return false;
+        };
+        let hello = frame(&Message::GatewayHello(self.identity.clone()));
+        self.connections.send(connection, &hello);
+        self.peers.add(name, connection, self.now);
+        true
+    }
+
+    /// Sends what was queued for other gateways.
+    pub fn flush_peers(&mut self) {
+        self.peers.flush(&mut self.connections);
+    }
+
+    /// Bytes of another daemon have arrived.
+    pub fn link_readable(&mut self, id: ConnectionId) {
+        let Some(buffer) = self.connections.read_buffer(id) else {
+            return;
+        };
+        let (messages, error) = take_frames::<Message>(buffer);
+        for message in messages {
+            self.link_message(id, message);
+        }
+        if let Some(error) = error {
+            log::warn!("gateway: a link is closed: {error}");
+            self.link_closed(id);
+            self.connections.close(id);
+        }
+    }
+
+    fn link_message(&mut self, id: ConnectionId, message: Message) {
+        match self.connections.role(id) {
+            Some(ConnectionRole::Controller(address)) => {
+                let address = address.clone();
+                self.controller_message(&address, message);
+            }
+            Some(ConnectionRole::Peer(Some(name))) => {
+                let name = name.clone();
+                self.peer_message(&name, message);
+            }
+            Some(ConnectionRole::Peer(None)) => self.first_message(id, message),
+            _ => {}
+        }
+    }
+
+    /// A message on a connection whose peer has not said its name: another gateway, or an operator's tool.
+    fn first_message(&mut self, id: ConnectionId, message: Message) {
+        match message {
+            Message::GatewayHello(member) => self.peer_introduced(id, &member),
+            Message::RequestStatus => {
+                let status = Message::Status(self.status());
+                self.connections.send(id, &frame(&status));
+            }
+            _ => {}
+        }
+    }
+
+    fn peer_introduced(&mut self, id: ConnectionId, member: &Member) {
+        let role = ConnectionRole::Peer(Some(member.name.clone()));
+        self.connections.set_role(id, role);
+        if !self.peers.contains(&member.name) {
+            self.peers.add(&member.name, id, self.now);
+        }
+    }
+
+    fn peer_message(&mut self, name: &str, message: Message) {
+        self.peers.record_heard(name, self.now);
+        match message {
+            Message::LeaseRequest(request) => {
+                let member = self.configuration.member(name);
+                let zone = member.map_or_else(String::new, |member| member.zone.clone());
+                self.lease_requested(name, &zone, request);
+            }
+            Message::CancelRequest(id) => self.lease_owner.cancel(self.now, name, id),
+            Message::LeaseRelease(release) => self.lease_owner.release(self.now, name, &release),
+            Message::LeasesInUse { function, runners } => {
+                self.lease_owner
+                    .adopt_leases(self.now, name, &function, &runners);
+            }
+            Message::SeatLease(lease) => self.lease_granted(name, lease),
+            Message::Reject {
+                request_id,
+                retry_after_ms,
+            } => self.lease_rejected(request_id, retry_after_ms),
+            Message::Ping(number) => self.send_to_peer(name, &Message::Pong(number)),
+            other => self.job_message(name, other),
+        }
+    }
+
+    /// Checks whether the owners from which responses are awaited are alive.
+    pub fn check_awaited_owners(&mut self) {
+        for name in self.awaited_owners() {
+            match self.peers.check_liveness(&name, self.now) {
+                Liveness::Alive => {}
+                Liveness::Disconnected => self.peer_died(&name),
+                Liveness::Silent => {
+                    log::warn!("gateway: {name} is silent");
+                    self.peer_died(&name);
+                }
+            }
+        }
+    }
+
+    /// Other gateways from which a response has been awaited for so long that they are pinged.
+    fn awaited_owners(&self) -> Vec<String> {
+        let mut owners: Vec<String> = Vec::new();
+        for request in self.requests.iter() {
+            let Some((owner, since)) = request.awaited_owner() else {
+                continue;
+            };
+            let is_overdue = since + PING_AFTER_MS <= self.now;
+            if is_overdue && *owner != self.options.name && !owners.contains(owner) {
+                owners.push(owner.clone());
+            }
+        }
+        owners
+    }
+
+    /// Takes another gateway for dead: its seats are free, and what awaits its response goes elsewhere.
+    fn peer_died(&mut self, name: &str) {
+        self.peers.suspect(name, self.now);
+        for connection in self.connections.with_peer(name) {
+            self.connections.close(connection);
+        }
+        self.lease_owner.remove_gateway(self.now, name);
+        self.jobs.forget_gateway(self.now, name);
+        self.move_to_new_owners();
+    }
+
+    /// A connection with another daemon has ended.
+    pub fn link_closed(&mut self, id: ConnectionId) {
+        match self.connections.role(id) {
+            Some(ConnectionRole::Controller(address)) => self.controllers.end(address),
+            Some(ConnectionRole::Peer(Some(name))) => {
+                let name = name.clone();
+                self.peer_died(&name);
+            }
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/pending_request.rs
@@ -0,0 +1,153 @@
+//! One client request from its admission to its response.
+
+use crate::in_flight_requests::RequestId;
+use event_loop::ConnectionId;
+use http1::Request;
+use jobs::Pass;
+
+/// Name of the gateway that owns the seats of a function.
+pub(crate) type OwnerName = String;
+
+/// Where a request is on its way to a runner.
+#[derive(Debug)]
+pub(crate) enum RequestPhase {
+    /// It has requested a lease from the owner.
+    AwaitingLease { owner: OwnerName, since: u64 },
+    /// It holds a lease, and is at the runner or on the way there.
+    Upstream(UpstreamAttempt),
+    /// It requests a lease again later: its function has no owner, or the lease was of no use.
+    Backoff,
+}
+
+/// One attempt to have a request run by the runner of a lease.
+#[derive(Debug)]
+pub(crate) struct UpstreamAttempt {
+    /// Owner that granted the lease.
+    pub owner: OwnerName,
+    pub runner: String,
+    pub address: String,
+    pub zone: String,
+    pub connection: ConnectionId,
+    /// Milliseconds of the gateway's clock at which the lease came or the request was sent, whichever is later.
+    pub started_at: u64,
+    /// Whether the first byte may be at the runner, so that the request may run.
+    pub is_sent: bool,
+}
+
+/// A lease that a request holds, as far as its release needs it.
+pub(crate) struct HeldLease {
+    pub request: RequestId,
+    pub owner: OwnerName,
+    pub function: String,
+}
+
+/// A request that was read whole and has no response yet.
+#[derive(Debug)]
+pub(crate) struct PendingRequest {
+    /// Set by [`InFlightRequests`](crate::in_flight_requests::InFlightRequests).
+    pub id: RequestId,
+    /// The client's connection; none once the client has left.
+    pub downstream: Option<ConnectionId>,
+    pub request: Request,
+    /// The id that the client gave, which its response bears.
+    pub client_request_id: Vec<u8>,
+    pub function: String,
+    /// Whether it may run once at most, so that it is never retried after it may have run.
+    pub at_most_once: bool,
+    /// Priority among waiting requests; 0 goes first.
+    pub priority: u8,
+    /// Most times that it may be sent to a runner.
+    pub max_attempts: u32,
+    /// Times that it was sent to a runner.
+    pub attempts: u32,
+    /// Times that no connection to the runner of a lease came to be.
+    pub connect_failures: u32,
+    pub may_have_run: bool,
+    pub received_at: u64,
+    pub deadline: u64,
+    /// Runners at which it failed.
+    pub excluded_runners: Vec<String>,
+    pub phase: RequestPhase,
+    /// Its part in a job, where the client gave an idempotency key.
+    pub job: Option<Box<Pass>>,
+}
+
+/// Milliseconds that must be left before the deadline for another attempt.
+const RETRY_TIME_MIN_MS: u64 = 5;
+/// Most failures to connect after which there is another attempt.
+const CONNECT_FAILURES_MAX: u32 = 8;
+
+impl PendingRequest {
+    /// The attempt under way, if it holds a lease.
+    pub fn attempt(&self) -> Option<&UpstreamAttempt> {
+        match &self.phase {
+            RequestPhase::Upstream(attempt) => Some(attempt),
+            RequestPhase::AwaitingLease { .. } | RequestPhase::Backoff => None,
+        }
+    }
+
+    /// The lease that it holds.
+    pub fn held_lease(&self) -> Option<HeldLease> {
+        let attempt = self.attempt()?;
+        Some(HeldLease {
+            request: self.id,
+            owner: attempt.owner.clone(),
+            function: self.function.clone(),
+        })
+    }
+
+    /// Whether the first byte of the attempt under way may be at the runner.
+    pub fn is_sent(&self) -> bool {
+        self.attempt().is_some_and(|attempt| attempt.is_sent)
+    }
+
+    /// Whether it holds a lease and may not be sent yet, since its job is not claimed.
+    pub fn awaits_claim(&self) -> bool {
+        let is_unsent = self.attempt().is_some_and(|attempt| !attempt.is_sent);
+        is_unsent && self.job.as_ref().is_some_and(|job| !job.may_leave())
+    }
+
+    /// Whether its connection is up and only the claim on its job holds it back.
+    pub fn is_ready_for_claim(&self) -> bool {
+        self.job.as_ref().is_some_and(|job| job.is_ready)
+    }
+
+    /// Whether another copy of it may have run, as far as is known here.
+    pub fn may_have_run_elsewhere(&self) -> bool {
+        self.job.as_ref().is_some_and(|job| job.is_unsure())
+    }
+
+    /// The owner from which a response is awaited, and since when.
+    pub fn awaited_owner(&self) -> Option<(&OwnerName, u64)> {
+        match &self.phase {
+            RequestPhase::AwaitingLease { owner, since } => Some((owner, *since)),
+            RequestPhase::Upstream(attempt) if self.awaits_claim() => {
+                Some((&attempt.owner, attempt.started_at))
+            }
+            _ => None,
+        }
+    }
+
+    /// Notes that a runner failed it.
+    pub fn exclude_runner(&mut self, runner: String) {
+        if !self.excluded_runners.contains(&runner) {
+            self.excluded_runners.push(runner);
+        }
+    }
+
+    /// Whether it may be attempted again at all: there is a client and time for it, and it cannot run twice where it
+    /// must not.
+    pub fn may_be_retried(&self, now: u64) -> bool {
+        let has_time = self.deadline > now + RETRY_TIME_MIN_MS;
+        if self.downstream.is_none() || !has_time {
+            return false;
+        }
+        if self.connect_failures > CONNECT_FAILURES_MAX {
+            return false;
+        }
+        if self.may_have_run && self.at_most_once {
+            return false;
+        }
+        true
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/readiness.rs
@@ -0,0 +1,44 @@
+//! Readiness checks, at their own address and among clients' requests.
+
+use crate::connections::ConnectionRole;
+use crate::gateway::Gateway;
+use event_loop::ConnectionId;
+use http1::{MessageLimits, RequestReader};
+
+/// Limits of a request at the address for readiness checks.
+const CHECK_LIMITS: MessageLimits = MessageLimits {
+    header_bytes: 8 << 10,
+    body_bytes: 1 << 10,
+};
+const OK: u16 = 200;
+const UNAVAILABLE: u16 = 503;
+
+impl Gateway {
+    /// A connection was accepted at the address for readiness checks.
+    pub fn readiness_accepted(&mut self, id: ConnectionId) {
+        let role = ConnectionRole::Readiness(RequestReader::new());
+        self.connections.set_role(id, role);
+    }
+
+    /// Bytes have arrived at the address for readiness checks; whatever request they are, readiness is told.
+    pub fn readiness_readable(&mut self, id: ConnectionId) {
+        let Some((reader, buffer)) = self.connections.readiness_input(id) else {
+            return;
+        };
+        match reader.read(buffer, &CHECK_LIMITS) {
+            Ok(None) => {}
+            Ok(Some(request)) => self.respond_to_readiness_check(id, request.keeps_alive),
+            Err(error) => self.reject_bytes(id, &error),
+        }
+    }
+
+    /// Tells whether the gateway serves: it has a configuration and a membership, and is not draining.
+    pub fn respond_to_readiness_check(&mut self, id: ConnectionId, keeps_alive: bool) {
+        let is_ready = self.configuration.is_ready() && !self.is_draining();
+        let status = if is_ready { OK } else { UNAVAILABLE };
+        self.send_text(id, status, "", keeps_alive);
+        if !keeps_alive {
+            self.connections.close_after_flush(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/request_admission.rs
@@ -0,0 +1,173 @@
+//! Phase 2: a request is bound to a function and checked. It is in flight from here until its response.
+
+use crate::gateway::{Gateway, TimerEvent};
+use crate::pending_request::{PendingRequest, RequestPhase};
+use event_loop::ConnectionId;
+use http1::Request;
+use jobs::Pass;
+use routing::{Binding, RoutingTable};
+use std::fmt;
+
+/// Most milliseconds that any request is held.
+const TIMEOUT_MAX_MS: u64 = 120_000;
+
+const BAD_REQUEST: u16 = 400;
+const NOT_FOUND: u16 = 404;
+const UNAVAILABLE: u16 = 503;
+
+/// Why a request is not admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum AdmissionError {
+    /// There is no configuration yet.
+    NotConfigured,
+    /// No binding has the request's host and path.
+    NoBinding,
+    /// The client gave no id.
+    NoRequestId,
+    /// The client's timeout is no number.
+    InvalidTimeout,
+    /// The client's idempotency key is none, or there are several.
+    InvalidIdempotencyKey,
+}
+
+impl AdmissionError {
+    fn status(self) -> u16 {
+        match self {
+            Self::NotConfigured => UNAVAILABLE,
+            Self::NoBinding => NOT_FOUND,
+            Self::NoRequestId | Self::InvalidTimeout | Self::InvalidIdempotencyKey => BAD_REQUEST,
+        }
+    }
+}
+
+impl fmt::Display for AdmissionError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Self::NotConfigured | Self::NoBinding => "no binding for this host and path",
+            Self::NoRequestId => "the request has no id",
+            Self::InvalidTimeout => "the time left is not a number",
+            Self::InvalidIdempotencyKey => {
+                "the idempotency key is not up to 200 visible ASCII characters, told once"
+            }
+        })
+    }
+}
+
+/// What the binding and the client's headers say of a request.
+struct Admission {
+    function: String,
+    at_most_once: bool,
+    priority: u8,
+    max_attempts: u32,
+    timeout_ms: u64,
+    job: Option<Box<Pass>>,
+}
+
+impl Gateway {
+    /// A whole request was read: it is put in flight, or gets an error at once.
+    pub fn admit_request(&mut self, id: ConnectionId, request: Request) {
+        let conventions = self.options.conventions;
+        if (conventions.is_readiness_check)(&request.method, &request.target) {
+            self.respond_to_readiness_check(id, request.keeps_alive);
+            self.read_next_turn(id);
+            return;
+        }
+        let client_request_id = request.headers.get(conventions.request_id);
+        let client_request_id = client_request_id.unwrap_or(b"").to_vec();
+        match self.check_request(&request, &client_request_id) {
+            Ok(admission) => self.begin_request(id, request, client_request_id, admission),
+            Err(error) => self.reject_request(id, &request, &client_request_id, error),
+        }
+    }
+
+    fn check_request(
+        &self,
+        request: &Request,
+        client_request_id: &[u8],
+    ) -> Result<Admission, AdmissionError> {
+        let table = self.configuration.table();
+        let table = table.ok_or(AdmissionError::NotConfigured)?;
+        let (binding, function) = bind(&table, request).ok_or(AdmissionError::NoBinding)?;
+        if client_request_id.is_empty() {
+            return Err(AdmissionError::NoRequestId);
+        }
+        let binding_timeout_ms = u64::from(binding.timeout_ms);
+        let client_timeout_ms = match request.headers.get_text(self.options.conventions.timeout) {
+            None => binding_timeout_ms,
+            Some(text) => {
+                let parsed = text.trim().parse::<u64>();
+                parsed.map_err(|_| AdmissionError::InvalidTimeout)?
+            }
+        };
+        let job = self.job_of(request, binding.at_most_once);
+        let job = job.map_err(|_| AdmissionError::InvalidIdempotencyKey)?;
+        Ok(Admission {
+            function,
+            at_most_once: binding.at_most_once,
+            priority: binding.priority,
+            max_attempts: binding.max_attempts.max(1),
+            timeout_ms: client_timeout_ms
+                .min(binding_timeout_ms)
+                .min(TIMEOUT_MAX_MS),
+            job,
+        })
+    }
+
+    fn begin_request(
+        &mut self,
+        id: ConnectionId,
+        request: Request,
+        client_request_id: Vec<u8>,
+        admission: Admission,
+    ) {
+        let deadline = self.now + admission.timeout_ms;
+        let request_id = self.requests.add(PendingRequest {
+            id: 0,
+            downstream: Some(id),
+            request,
+            client_request_id,
+            function: admission.function,
+            at_most_once: admission.at_most_once,
+            priority: admission.priority,
+            max_attempts: admission.max_attempts,
+            attempts: 0,
+            connect_failures: 0,
+            may_have_run: false,
+            received_at: self.now,
+            deadline,
+            excluded_runners: Vec::new(),
+            phase: RequestPhase::Backoff,
+            job: admission.job,
+        });
+        if let Some(connection) = self.connections.downstream(id) {
+            connection.request = Some(request_id);
+        }
+        self.timers
+            .schedule(deadline, TimerEvent::RequestDeadline(request_id));
+        self.deposit_retry_budget(request_id);
+        self.request_lease(request_id);
+    }
+
+    fn reject_request(
+        &mut self,
+        id: ConnectionId,
+        request: &Request,
+        client_request_id: &[u8],
+        error: AdmissionError,
+    ) {
+        let mut headers: Vec<(&str, &[u8])> = Vec::new();
+        if !client_request_id.is_empty() {
+            headers.push((self.options.conventions.request_id, client_request_id));
+        }
+        let text = error.to_string();
+        self.respond_to(id, request, error.status(), &headers, text.as_bytes());
+    }
+}
+
+/// The binding of a request's host and path, and the name of its function.
+fn bind<'a>(table: &'a RoutingTable, request: &Request) -> Option<(&'a Binding, String)> {
+    let host = request.headers.get_text("host").unwrap_or("");
+    let path = request.target.split('?').next().unwrap_or("");
+    let (_, binding, function) = table.find(host, path)?;
+    Some((binding, function.name.clone()))
+}
--- /dev/null
+++ b/crates/gateway/src/request_outcomes.rs
@@ -0,0 +1,218 @@
+//! Phase 6: a request is answered, retried or rejected.
+
+use crate::gateway::Gateway;
+use crate::in_flight_requests::RequestId;
+use crate::pending_request::{PendingRequest, RequestPhase};
+use crate::response_classification::{classify, ResponseClass};
+use crate::upstream_session::UpstreamResponse;
+use event_loop::ConnectionId;
+use http1::{end_to_end, Response};
+use protocol::{JobResult, LeaseOutcome};
+
+/// Least milliseconds after which a rejected client may come back.
+const RETRY_AFTER_MIN_MS: u64 = 150;
+
+const SERVER_ERRORS_FROM: u16 = 500;
+const BAD_GATEWAY: u16 = 502;
+const UNAVAILABLE: u16 = 503;
+const GATEWAY_TIMEOUT: u16 = 504;
+
+impl Gateway {
+    /// The owner has no seat in time: the request has not run, and the client is told at once.
+    pub fn lease_rejected(&mut self, id: RequestId, retry_after_ms: u32) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        if matches!(request.phase, RequestPhase::AwaitingLease { .. }) {
+            self.reject(id, u64::from(retry_after_ms), "no seat in time");
+        }
+    }
+
+    /// A runner's response to a request has come.
+    pub fn response_received(&mut self, id: RequestId, received: &UpstreamResponse) {
+        let response = &received.response;
+        match classify(response, &self.options.conventions) {
+            ResponseClass::Completed => self.request_completed(id, response),
+            ResponseClass::Rejected => {
+                self.request_not_run(id, received, LeaseOutcome::Rejected);
+            }
+            ResponseClass::Misdirected => self.request_not_run(id, received, LeaseOutcome::Gone),
+            ResponseClass::Untrusted(reason) => self.attempt_lost(id, reason),
+        }
+    }
+
+    /// A runner ran a request, and this is its response.
+    fn request_completed(&mut self, id: RequestId, response: &Response) {
+        let now = self.now;
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let Some(attempt) = request.attempt() else {
+            return;
+        };
+        let duration_ms = now - attempt.started_at;
+        let runner = attempt.runner.clone();
+        let lease = request.held_lease();
+        request.may_have_run = true;
+        self.response_times.record(&request.function, duration_ms);
+        if let Some(lease) = lease {
+            self.release_lease(&lease, LeaseOutcome::Succeeded, duration_ms);
+        }
+        if response.status >= SERVER_ERRORS_FROM && self.retry_after_error(id, runner) {
+            return;
+        }
+        let Some(request) = self.requests.remove(id) else {
+            return;
+        };
+        let headers: Vec<(&str, &[u8])> = end_to_end(&response.headers).collect();
+        self.respond(&request, response.status, &headers, &response.body);
+        self.complete_job_with(&request, response);
+    }
+
+    /// Whether an idempotent request to which a runner responded with an error is retried at another.
+    fn retry_after_error(&mut self, id: RequestId, runner: String) -> bool {
+        let request = self.requests.get(id);
+        let Some(request) = request.filter(|request| !request.at_most_once) else {
+            return false;
+        };
+        request.excluded_runners.push(runner);
+        self.retry_sent(id)
+    }
+
+    /// A runner states that it did not run a request.
+    fn request_not_run(
+        &mut self,
+        id: RequestId,
+        received: &UpstreamResponse,
+        outcome: LeaseOutcome,
+    ) {
+        let now = self.now;
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let Some(attempt) = request.attempt() else {
+            return;
+        };
+        let duration_ms = now - attempt.started_at;
+        let runner = attempt.runner.clone();
+        let lease = request.held_lease();
+        // What may be another request's rejection promises nothing for this one.
+        request.may_have_run |= !received.is_certain;
+        request.excluded_runners.push(runner);
+        if let Some(lease) = lease {
+            self.release_lease(&lease, outcome, duration_ms);
+        }
+        if !self.retry_sent(id) {
+            self.reject(id, RETRY_AFTER_MIN_MS, "the runner turned it away");
+        }
+    }
+
+    /// A request's runner may have run it, and no valid response came.
+    pub fn attempt_lost(&mut self, id: RequestId, reason: &str) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let Some(attempt) = request.attempt() else {
+            return;
+        };
+        let runner = attempt.runner.clone();
+        let lease = request.held_lease();
+        request.may_have_run = true;
+        request.exclude_runner(runner);
+        if let Some(lease) = lease {
+            self.release_lease(&lease, LeaseOutcome::Lost, 0);
+        }
+        if !self.retry_sent(id) {
+            self.reject(id, RETRY_AFTER_MIN_MS, reason);
+        }
+    }
+
+    /// Ends a request that no runner answered: 503 where none can have run it, 502 where one may have.
+    pub fn reject(&mut self, id: RequestId, retry_after_ms: u64, reason: &str) {
+        let Some(request) = self.requests.remove(id) else {
+            return;
+        };
+        let conventions = self.options.conventions;
+        let retry_after_s = retry_after_ms.max(RETRY_AFTER_MIN_MS) as f64 / 1_000.0;
+        let retry_after = format!("{retry_after_s:.3}");
+        let mut headers: Vec<(&str, &[u8])> =
+            vec![(conventions.request_id, &request.client_request_id)];
+        let (status, result) = if request.may_have_run {
+            (BAD_GATEWAY, JobResult::Lost)
+        } else {
+            headers.push((conventions.retry_after, retry_after.as_bytes()));
+            (UNAVAILABLE, JobResult::NotRun)
+        };
+        self.complete_job(&request, result);
+        self.record_rejection(&request, status, reason);
+        self.respond(&request, status, &headers, reason.as_bytes());
+    }
+
+    /// Ends a request that is no longer in flight with a status of the gateway's own.
+    pub fn respond_with_error(&mut self, request: &PendingRequest, status: u16, reason: &str) {
+        self.record_rejection(request, status, reason);
+        let request_id = self.options.conventions.request_id;
+        let headers: [(&str, &[u8]); 1] = [(request_id, &request.client_request_id)];
+        self.respond(request, status, &headers, reason.as_bytes());
+    }
+
+    fn record_rejection(&mut self, request: &PendingRequest, status: u16, reason: &str) {
+        let held_ms = self.now - request.received_at;
+        self.rejections
+            .record(&request.function, status, held_ms, reason);
+    }
+
+    /// A request's deadline has come.
+    pub fn request_timed_out(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        match request.attempt() {
+            Some(attempt) => {
+                let (connection, runner) = (attempt.connection, attempt.runner.clone());
+                self.attempt_timed_out(id, connection, &runner);
+            }
+            None => self.cancel_lease_request(id),
+        }
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        if !request.may_have_run && !request.may_have_run_elsewhere() {
+            let reason = "the time is over, and it was not run";
+            self.reject(id, RETRY_AFTER_MIN_MS, reason);
+            return;
+        }
+        let Some(request) = self.requests.remove(id) else {
+            return;
+        };
+        let (result, reason) = if request.may_have_run {
+            (JobResult::Lost, "the runner did not answer in time")
+        } else {
+            let reason = "another copy may have run, and did not end in time";
+            (JobResult::NotRun, reason)
+        };
+        self.complete_job(&request, result);
+        self.respond_with_error(&request, GATEWAY_TIMEOUT, reason);
+    }
+
+    /// Gives up the attempt of a request whose deadline has come, at whatever point it is.
+    fn attempt_timed_out(&mut self, id: RequestId, connection: ConnectionId, runner: &str) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let is_sent = request.is_sent();
+        request.may_have_run |= is_sent;
+        let outcome = if is_sent {
+            LeaseOutcome::Lost
+        } else if request.awaits_claim() {
+            LeaseOutcome::Unused
+        } else {
+            LeaseOutcome::Unreachable
+        };
+        let lease = request.held_lease();
+        self.close_upstream(connection, runner);
+        if let Some(lease) = lease {
+            self.release_lease(&lease, outcome, 0);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/response_classification.rs
@@ -0,0 +1,75 @@
+//! What a runner's own response says of its request: whether it ran, and whether the response can be passed on.
+
+use crate::options::HttpConventions;
+use http1::Response;
+
+const REQUEST_TIMEOUT: u16 = 408;
+const MISDIRECTED: u16 = 421;
+const TOO_MANY_REQUESTS: u16 = 429;
+const UNAVAILABLE: u16 = 503;
+
+/// What a runner's response says of its request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ResponseClass {
+    /// The request ran, and this is its response.
+    Completed,
+    /// The runner did not run it.
+    Rejected,
+    /// Another runner has the address: nothing was run.
+    Misdirected,
+    /// It may have run, and for this reason the response cannot be passed on.
+    Untrusted(&'static str),
+}
+
+/// Classifies a response that is known to belong to the request.
+#[must_use]
+pub fn classify(response: &Response, conventions: &HttpConventions) -> ResponseClass {
+    let is_success = (200..300).contains(&response.status);
+    if is_success {
+        return classify_success(response, conventions);
+    }
+    if is_misdirected(response) {
+        return ResponseClass::Misdirected;
+    }
+    if response.headers.get(conventions.not_run).is_some() {
+        return ResponseClass::Rejected;
+    }
+    // These say that nothing ran and nothing will; a runner that does not state so may have run it.
+    let promises = [REQUEST_TIMEOUT, TOO_MANY_REQUESTS, UNAVAILABLE];
+    if promises.contains(&response.status) {
+        return ResponseClass::Untrusted(
+            "the runner refused it and did not say that it was not run",
+        );
+    }
+    ResponseClass::Completed
+}
+
+fn classify_success(response: &Response, conventions: &HttpConventions) -> ResponseClass {
+    if response.headers.get(conventions.not_run).is_some() {
+        return ResponseClass::Untrusted(
+            "the answer says both that it was run and that it was not",
+        );
+    }
+    match response.headers.get_all(conventions.seal).count() {
+        0 => return ResponseClass::Untrusted("the answer has no seal"),
+        1 => {}
+        _ => return ResponseClass::Untrusted("the answer has several seals"),
+    }
+    if response.headers.get("Content-Encoding").is_some() {
+        return ResponseClass::Untrusted("the answer is encoded, which nobody asked for");
+    }
+    ResponseClass::Completed
+}
+
+/// Whether another runner has the address to which the request went.
+pub(crate) fn is_misdirected(response: &Response) -> bool {
+    response.status == MISDIRECTED
+}
+
+/// Whether a response states that the request was not run.
+pub(crate) fn states_not_run(response: &Response, conventions: &HttpConventions) -> bool {
+    matches!(
+        classify(response, conventions),
+        ResponseClass::Rejected | ResponseClass::Misdirected
+    )
+}
--- /dev/null
+++ b/crates/gateway/src/response_times.rs
@@ -0,0 +1,41 @@
+//! Mean response time of each function, from which it is known that a response is overdue.
+
+use std::collections::HashMap;
+
+/// Most functions whose response time is remembered.
+const FUNCTIONS_MAX: usize = 65_536;
+/// Responses over which the mean is taken; the newest weigh most.
+const MEAN_SPAN: f64 = 16.0;
+/// Milliseconds of a response that are assumed until one was seen.
+const PRIOR_MS: f64 = 100.0;
+/// Mean response times after which a response is overdue.
+const OVERDUE_FACTOR: f64 = 16.0;
+/// Least milliseconds after which a response is overdue.
+const OVERDUE_MIN_MS: f64 = 400.0;
+
+/// Mean response times, in milliseconds, by function.
+#[derive(Default)]
+pub(crate) struct ResponseTimes {
+    means_ms: HashMap<String, f64>,
+}
+
+impl ResponseTimes {
+    /// A runner of the function answered after so many milliseconds.
+    pub fn record(&mut self, function: &str, duration_ms: u64) {
+        if let Some(mean) = self.means_ms.get_mut(function) {
+            *mean += (duration_ms as f64 - *mean) / MEAN_SPAN;
+            return;
+        }
+        if self.means_ms.len() >= FUNCTIONS_MAX {
+            self.means_ms.clear();
+        }
+        self.means_ms.insert(function.into(), duration_ms as f64);
+    }
+
+    /// Milliseconds after which a response of the function is overdue.
+    pub fn overdue_after_ms(&self, function: &str) -> u64 {
+        let mean = self.means_ms.get(function).copied();
+        let mean = mean.unwrap_or(PRIOR_MS);
+        (mean * OVERDUE_FACTOR).max(OVERDUE_MIN_MS) as u64
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/run.rs
@@ -0,0 +1,266 @@
+//! Wiring: events of connections, timers and the actions of the state machines are given to the phases of a request.
+
+use crate::connections::{ConnectionRole, ProbedRunner};
+use crate::gateway::{Gateway, TimerEvent};
+use crate::options::{GatewayError, GatewayOptions};
+use event_loop::{CloseReason, ConnectionId, Event};
+use protocol::Message;
+use seat_leases::LeaseAction;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Milliseconds between two turns of periodic work.
+const TICK_MS: u64 = 50;
+/// Most milliseconds of waiting for events, for the case that no timer is set.
+const POLL_TIMEOUT_MAX_MS: u64 = TICK_MS * 4;
+/// Milliseconds between checks whether the settings have changed.
+const SETTINGS_CHECK_INTERVAL_MS: u64 = 2_000;
+
+/// Signals that were received.
+struct Signals {
+    stop: Arc<AtomicBool>,
+    reload: Arc<AtomicBool>,
+}
+
+impl Signals {
+    fn register() -> std::io::Result<Self> {
+        let (stop, reload) = (Arc::default(), Arc::default());
+        signal_hook::flag::register(signal_hook::consts::SIGTERM, Arc::clone(&stop))?;
+        signal_hook::flag::register(signal_hook::consts::SIGINT, Arc::clone(&stop))?;
+        signal_hook::flag::register(signal_hook::consts::SIGHUP, Arc::clone(&reload))?;
+        Ok(Self { stop, reload })
+    }
+}
+
+/// Runs a gateway until SIGTERM or SIGINT has come and all requests have been answered, or the grace period is nearly
+/// over. Errors are those of the start alone: a listening socket, the poller or a signal handler.
+pub fn run(options: GatewayOptions) -> Result<(), GatewayError> {
+    let signals = Signals::register().map_err(GatewayError::System)?;
+    let mut gateway = Gateway::open(options)?;
+    let started = Instant::now();
+    gateway.timers.schedule(0, TimerEvent::Tick);
+    let mut events = Vec::new();
+    loop {
+        gateway.now = started.elapsed().as_millis() as u64;
+        if signals.stop.load(Ordering::Relaxed) && !gateway.is_draining() {
+            gateway.begin_draining();
+        }
+        if signals.reload.swap(false, Ordering::Relaxed) {
+            gateway.reload_settings();
+        }
+        if gateway.is_drained() {
+            log::info!("gateway: drained, {} requests left", gateway.requests.len());
+            return Ok(());
+        }
+        gateway.handle_due_timers();
+        gateway.read_pipelined();
+        gateway.run_actions();
+        let timeout = gateway.poll_timeout();
+        gateway.connections.poll(timeout, &mut events);
+        gateway.now = started.elapsed().as_millis() as u64;
+        for event in events.drain(..) {
+            gateway.handle_event(event);
+        }
+        gateway.run_actions();
+        gateway.flush_peers();
+    }
+}
+
+impl Gateway {
+    fn poll_timeout(&self) -> Duration {
+        if !self.unread.is_empty() {
+            return Duration::ZERO;
+        }
+        let timer = self.timers.next_deadline();
+        let mut next = timer.unwrap_or(self.now + TICK_MS);
+        if let Some(at) = self.lease_owner.next_probe_at() {
+            next = next.min(at);
+        }
+        let wait_ms = next.saturating_sub(self.now);
+        Duration::from_millis(wait_ms.min(POLL_TIMEOUT_MAX_MS))
+    }
+
+    fn handle_due_timers(&mut self) {
+        while let Some(event) = self.timers.pop_due(self.now) {
+            match event {
+                TimerEvent::Tick => {
+                    self.timers.schedule(self.now + TICK_MS, TimerEvent::Tick);
+                    self.tick();
+                }
+                TimerEvent::RequestDeadline(id) => self.request_timed_out(id),
+                TimerEvent::BackoffOver(id) => self.backoff_over(id),
+                TimerEvent::ConnectTimeout(id) => self.connect_timeout(id),
+                TimerEvent::ResponseOverdue(id, attempt) => self.response_overdue(id, attempt),
+                TimerEvent::DownstreamTimeout(id) => self.downstream_timeout(id),
+            }
+        }
+        let probe_at = self.lease_owner.next_probe_at();
+        if probe_at.is_some_and(|at| at <= self.now) {
+            self.lease_owner.tick(self.now);
+        }
+        self.run_actions();
+        self.flush_peers();
+    }
+
+    /// Periodic work.
+    fn tick(&mut self) {
+        // The settings may change without a signal.
+        if self.now >= self.settings_checked_at + SETTINGS_CHECK_INTERVAL_MS {
+            self.settings_checked_at = self.now;
+            self.reload_settings();
+        }
+        self.lease_owner.tick(self.now);
+        self.advance_jobs();
+        self.maintain_controller_links();
+        self.check_awaited_owners();
+        self.report_to_scaler();
+        self.upstream_pool.expire(&mut self.connections, self.now);
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Accepted(listener, id) if listener == self.listeners.downstream => {
+                self.downstream_accepted(id);
+            }
+            Event::Accepted(listener, id) if listener == self.listeners.readiness => {
+                self.readiness_accepted(id);
+            }
+            Event::Accepted(_, id) => self.connections.set_role(id, ConnectionRole::Peer(None)),
+            Event::Connected(id) => self.connected(id),
+            Event::Readable(id) => self.readable(id),
+            Event::Closed(id, reason) => self.closed(id, reason),
+        }
+    }
+
+    fn connected(&mut self, id: ConnectionId) {
+        match self.connections.role(id) {
+            Some(ConnectionRole::Probe(probed)) => {
+                let probed = probed.clone();
+                self.probe_connected(id, &probed);
+            }
+            Some(ConnectionRole::Upstream(_)) => self.send_upstream_request(id),
+            _ => {}
+        }
+    }
+
+    fn readable(&mut self, id: ConnectionId) {
+        match self.connections.role(id) {
+            Some(ConnectionRole::Downstream(_)) => self.downstream_readable(id),
+            Some(ConnectionRole::Readiness(_)) => self.readiness_readable(id),
+            Some(ConnectionRole::Upstream(_)) => self.upstream_readable(id),
+            Some(ConnectionRole::Peer(_) | ConnectionRole::Controller(_)) => {
+                self.link_readable(id);
+            }
+            Some(ConnectionRole::Probe(_)) | None => {}
+        }
+    }
+
+    fn closed(&mut self, id: ConnectionId, reason: CloseReason) {
+        match self.connections.role(id) {
+            Some(ConnectionRole::Downstream(_)) => self.downstream_closed(id),
+            Some(ConnectionRole::Upstream(_)) => self.upstream_closed(id, reason),
+            Some(ConnectionRole::Peer(_) | ConnectionRole::Controller(_)) => self.link_closed(id),
+            Some(ConnectionRole::Probe(probed)) => {
+                let probed = probed.clone();
+                self.probe_finished(&probed, false);
+            }
+            Some(ConnectionRole::Readiness(_)) | None => {}
+        }
+        self.connections.close(id);
+    }
+
+    /// Does what the owner of seats and the coordination of jobs ask for, until they ask for nothing more.
+    fn run_actions(&mut self) {
+        loop {
+            let actions = self.lease_owner.take_actions();
+            if actions.is_empty() && !self.run_job_actions() {
+                return;
+            }
+            for action in actions {
+                self.run_lease_action(action);
+            }
+        }
+    }
+
+    /// Leases and rejections for this gateway go straight to their requests.
+    fn run_lease_action(&mut self, action: LeaseAction) {
+        match action {
+            LeaseAction::Lease { gateway, lease } if gateway == self.options.name => {
+                self.lease_granted(&gateway, lease);
+            }
+            LeaseAction::Lease { gateway, lease } => {
+                self.send_to_peer(&gateway, &Message::SeatLease(lease));
+            }
+            LeaseAction::Reject {
+                gateway,
+                request_id,
+                retry_after_ms,
+            } => self.reject_lease_request(&gateway, request_id, retry_after_ms),
+            LeaseAction::Probe {
+                function,
+                runner,
+                address,
+            } => self.probe_runner(ProbedRunner { function, runner }, &address),
+        }
+    }
+
+    fn reject_lease_request(&mut self, gateway: &str, request_id: u64, retry_after_ms: u32) {
+        let now = self.now;
+        if self.jobs.refused(now, gateway, request_id, retry_after_ms) {
+            return;
+        }
+        if gateway == self.options.name {
+            self.lease_rejected(request_id, retry_after_ms);
+            return;
+        }
+        let rejection = Message::Reject {
+            request_id,
+            retry_after_ms,
+        };
+        self.send_to_peer(gateway, &rejection);
+    }
+
+    fn begin_draining(&mut self) {
+        let requests = self.requests.len();
+        log::info!("gateway: draining, {requests} requests in flight");
+        self.draining_since = Some(self.now);
+    }
+
+    /// Whether the gateway may stop: its requests are answered, or the grace period is nearly over.
+    fn is_drained(&mut self) -> bool {
+        let Some(since) = self.draining_since else {
+            return false;
+        };
+        // Clients learn within two readiness checks, a second apart, that this gateway serves no more; some come all the
+        // same.
+        let spent_ms = self.now - since;
+        if spent_ms >= self.options.shutdown_grace_ms / 2 {
+            self.connections.stop_listening(self.listeners.downstream);
+            self.close_idle_downstream();
+            if self.has_nothing_in_flight() {
+                return true;
+            }
+        }
+        spent_ms >= self.options.shutdown_grace_ms * 11 / 12
+    }
+
+    fn has_nothing_in_flight(&self) -> bool {
+        self.requests.len() == 0
+            && self.unacknowledged_results.is_empty()
+            && !self.connections.has_downstream()
+            && !self.connections.is_flushing()
+    }
+
+    fn reload_settings(&mut self) {
+        let Some(controllers) = (self.options.reload_controllers)() else {
+            return;
+        };
+        log::info!(
+            "gateway: settings reloaded, {} controllers named",
+            controllers.len()
+        );
+        self.controllers
+            .add(controllers.iter().map(ToString::to_string));
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/status.rs
@@ -0,0 +1,24 @@
+//! The gateway's state as JSON text, for operators.
+
+use crate::gateway::Gateway;
+
+impl Gateway {
+    /// State of this gateway. The names of the fields are those of the operators' tool.
+    pub fn status(&self) -> String {
+        let versions = self.configuration.versions();
+        serde_json::json!({
+            "name": self.options.name,
+            "ready": self.configuration.is_ready(),
+            "version": self.configuration.operator_version(),
+            "marks": [versions.configuration, versions.evacuations],
+            "members": self.configuration.members().len(),
+            "functions_kept": self.lease_owner.len(),
+            "jobs": self.jobs.len(),
+            "owed": self.unacknowledged_results.len(),
+            "requests": self.requests.len(),
+            "lines": self.connections.len(),
+            "refused": self.rejections.count(),
+        })
+        .to_string()
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/upstream_pool.rs
@@ -0,0 +1,69 @@
+//! Idle connections to runners, kept for the next request.
+
+use crate::connections::Connections;
+use event_loop::ConnectionId;
+use std::collections::HashMap;
+
+/// Most idle connections, over all runners.
+const IDLE_MAX: usize = 1_024;
+
+/// Idle connections by runner; `count` is their number.
+#[derive(Default)]
+pub(crate) struct UpstreamPool {
+    idle: HashMap<String, Vec<ConnectionId>>,
+    count: usize,
+}
+
+impl UpstreamPool {
+    /// Takes the connection to a runner that was used last.
+    pub fn take(&mut self, runner: &str) -> Option<ConnectionId> {
+        let connections = self.idle.get_mut(runner)?;
+        let connection = connections.pop();
+        if connections.is_empty() {
+            self.idle.remove(runner);
+        }
+        self.count -= usize::from(connection.is_some());
+        connection
+    }
+
+    /// Keeps a connection, unless the runner has `max_idle` of them already or the pool is full.
+    pub fn put(&mut self, runner: &str, connection: ConnectionId, max_idle: usize) -> bool {
+        let connections = self.idle.entry(runner.into()).or_default();
+        if connections.len() >= max_idle || self.count >= IDLE_MAX {
+            return false;
+        }
+        connections.push(connection);
+        self.count += 1;
+        true
+    }
+
+    /// Removes a connection that is about to be closed.
+    pub fn remove(&mut self, runner: &str, connection: ConnectionId) {
+        let Some(connections) = self.idle.get_mut(runner) else {
+            return;
+        };
+        let before = connections.len();
+        connections.retain(|one| *one != connection);
+        self.count -= before - connections.len();
+        if connections.is_empty() {
+            self.idle.remove(runner);
+        }
+    }
+
+    /// Closes connections that were idle for too long.
+    pub fn expire(&mut self, connections: &mut Connections, now: u64) {
+        let mut count = self.count;
+        self.idle.retain(|_, idle| {
+            idle.retain(|connection| {
+                let is_fresh = connections.is_fresh_upstream(*connection, now);
+                if !is_fresh {
+                    connections.close(*connection);
+                    count -= 1;
+                }
+                is_fresh
+            });
+            !idle.is_empty()
+        });
+        self.count = count;
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/upstream_session.rs
@@ -0,0 +1,156 @@
+//! State of the HTTP exchange on one connection to a runner: bytes and the end of the connection go in, and what they mean
+//! for the request on the connection comes out. It does no I/O and knows no clock.
+//!
+//! HTTP/1.1 gives responses in the order of the requests, but a faulty runner may send more than one response, or bytes
+//! that are none. So a connection bears one request at a time, a response is taken only if it bears that request's id, and
+//! a connection on which anything else was ever seen is not used again.
+
+use crate::options::HttpConventions;
+use crate::response_classification::{is_misdirected, states_not_run};
+use http1::{MessageLimits, Response, ResponseReader};
+
+/// Largest body of a runner's response, in bytes.
+pub const BODY_MAX: usize = 4 << 20;
+/// Largest head of a runner's response, in bytes.
+pub const HEAD_MAX: usize = 64 << 10;
+/// Responses to other requests that are dropped on one connection before it is closed.
+const STRAYS_MAX: u32 = 4;
+
+const RESPONSE_LIMITS: MessageLimits = MessageLimits {
+    header_bytes: HEAD_MAX,
+    body_bytes: BODY_MAX,
+};
+
+/// What is known of the request that was sent on a connection.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct OutstandingRequest {
+    /// The client's id of the request, which its response must bear.
+    pub id: Vec<u8>,
+    /// Whether the response has no body, whatever its head says.
+    pub is_head: bool,
+    /// Whether the request may run once only.
+    pub at_most_once: bool,
+}
+
+/// What bytes, or the end of a connection, mean for its request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum SessionEvent {
+    /// The response is not complete yet.
+    Incomplete,
+    /// The request's own response, complete.
+    Response(UpstreamResponse),
+    /// No response to the request can come on this connection any more. The runner may have run it.
+    Failed(&'static str),
+    /// Bytes came, or the end, while no request was on the connection.
+    Unsolicited,
+}
+
+/// A complete response of a runner.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct UpstreamResponse {
+    /// The response as the runner gave it.
+    pub response: Response,
+    /// Whether the connection may bear another request.
+    pub is_reusable: bool,
+    /// Whether it surely belongs to this request: it bears the id, or nothing else was ever sent on the connection.
+    pub is_certain: bool,
+}
+
+/// The state of one connection to a runner.
+#[derive(Debug, Default)]
+pub struct UpstreamSession {
+    reader: ResponseReader,
+    outstanding: Option<OutstandingRequest>,
+    requests: u32,
+    strays: u32,
+}
+
+impl UpstreamSession {
+    /// Number of requests that were sent on the connection.
+    #[must_use]
+    pub fn requests(&self) -> u32 {
+        self.requests
+    }
+
+    /// A request is sent on the connection.
+    pub fn request_sent(&mut self, request: OutstandingRequest) {
+        self.reader = ResponseReader::new(request.is_head);
+        self.outstanding = Some(request);
+        self.requests += 1;
+    }
+
+    /// Bytes have arrived. What belongs to a response is taken off the start of the buffer.
+    pub fn bytes_received(
+        &mut self,
+        buffer: &mut Vec<u8>,
+        conventions: &HttpConventions,
+    ) -> SessionEvent {
+        while self.outstanding.is_some() {
+            match self.reader.read(buffer, &RESPONSE_LIMITS) {
+                Ok(None) => return SessionEvent::Incomplete,
+                Ok(Some(response)) => {
+                    match self.match_response(response, buffer.is_empty(), conventions) {
+                        SessionEvent::Incomplete => {}
+                        event => return event,
+                    }
+                }
+                Err(_) => return self.fail("the runner sent no answer in the protocol"),
+            }
+        }
+        SessionEvent::Unsolicited
+    }
+
+    /// The connection has ended, and all bytes before that were given to [`bytes_received`](Self::bytes_received). A
+    /// response whose length nothing but this end tells is not known to be complete.
+    pub fn connection_closed(&mut self) -> SessionEvent {
+        if self.outstanding.is_none() {
+            return SessionEvent::Unsolicited;
+        }
+        self.fail("the runner broke off")
+    }
+
+    fn fail(&mut self, reason: &'static str) -> SessionEvent {
+        self.outstanding = None;
+        SessionEvent::Failed(reason)
+    }
+
+    /// Matches a complete response to the request; `Incomplete` where it belongs to another one.
+    fn match_response(
+        &mut self,
+        response: Response,
+        is_last: bool,
+        conventions: &HttpConventions,
+    ) -> SessionEvent {
+        let Some(request) = &self.outstanding else {
+            return SessionEvent::Unsolicited;
+        };
+        let has_id = response.headers.get(conventions.request_id).is_some();
+        let mut ids = response.headers.get_all(conventions.request_id);
+        let is_own = has_id && ids.all(|id| id == request.id.as_slice());
+        drop(ids);
+        // A rejection may come without an id; behind another request it may be a late one.
+        let is_first = self.requests <= 1 && self.strays == 0;
+        let is_rejection = !has_id && states_not_run(&response, conventions);
+        let may_be_own = is_rejection && (is_first || !request.at_most_once);
+        if !is_own && !may_be_own {
+            return self.drop_stray(request.is_head);
+        }
+        self.outstanding = None;
+        let is_reusable =
+            response.keeps_alive && is_last && self.strays == 0 && !is_misdirected(&response);
+        SessionEvent::Response(UpstreamResponse {
+            response,
+            is_reusable,
+            is_certain: is_own || is_first,
+        })
+    }
+
+    fn drop_stray(&mut self, is_head: bool) -> SessionEvent {
+        self.strays += 1;
+        self.reader = ResponseReader::new(is_head);
+        if self.strays > STRAYS_MAX {
+            return self.fail("the runner's answers belong to other requests");
+        }
+        SessionEvent::Incomplete
+    }
+}
--- a/crates/gateway/tests/runner_connection.rs
+++ b/crates/gateway/tests/upstream_session.rs
@@ -1,8 +1,9 @@
 //! The state of one connection to a runner, for every cut and every interleaving of its bytes: no part of an answer
 //! reaches another request, and an answer that is cut short is never whole.
 
-use gateway::runner_connection::{
-    judge, Outstanding, Reading, RunnerAnswer, RunnerConnection, Verdict,
+use gateway::response_classification::{classify, ResponseClass};
+use gateway::upstream_session::{
+    OutstandingRequest, SessionEvent, UpstreamResponse, UpstreamSession,
 };
 use gateway::HttpConventions;
 use http1::write_response;
@@ -40,11 +41,11 @@
     Framing::Close,
 ];
 
-fn outstanding(id: &str, framing: Framing) -> Outstanding {
-    Outstanding {
+fn outstanding(id: &str, framing: Framing) -> OutstandingRequest {
+    OutstandingRequest {
         id: id.into(),
         is_head: framing == Framing::Head,
-        is_once: true,
+        at_most_once: true,
     }
 }
 
@@ -76,37 +77,38 @@
 /// A connection, and what has arrived on it.
 #[derive(Default)]
 struct Peer {
-    connection: RunnerConnection,
+    connection: UpstreamSession,
     inbox: Vec<u8>,
 }
 
 impl Peer {
-    fn gives(&mut self, bytes: &[u8]) -> Reading {
+    fn gives(&mut self, bytes: &[u8]) -> SessionEvent {
         self.inbox.extend_from_slice(bytes);
-        self.connection.received(&mut self.inbox, &CONVENTIONS)
+        self.connection
+            .bytes_received(&mut self.inbox, &CONVENTIONS)
     }
 
     /// Gives the bytes one by one until a request's fate is known: the fate, and how many bytes that took.
-    fn gives_slowly(&mut self, bytes: &[u8]) -> (Reading, usize) {
+    fn gives_slowly(&mut self, bytes: &[u8]) -> (SessionEvent, usize) {
         for (place, byte) in bytes.iter().enumerate() {
             let reading = self.gives(&[*byte]);
-            if reading != Reading::Incomplete {
+            if reading != SessionEvent::Incomplete {
                 return (reading, place + 1);
             }
         }
-        (Reading::Incomplete, bytes.len())
+        (SessionEvent::Incomplete, bytes.len())
     }
 }
 
-fn whole(reading: Reading, what: &str) -> RunnerAnswer {
+fn whole(reading: SessionEvent, what: &str) -> UpstreamResponse {
     match reading {
-        Reading::Answer(answer) => answer,
+        SessionEvent::Response(answer) => answer,
         other => panic!("{what}: {other:?}"),
     }
 }
 
 /// What must hold of an answer that is passed on to the request with this id.
-fn check_own(answer: &RunnerAnswer, id: &str, framing: Framing, what: &str) {
+fn check_own(answer: &UpstreamResponse, id: &str, framing: Framing, what: &str) {
     let ids: Vec<&[u8]> = answer.response.headers.get_all("Id").collect();
     assert_eq!(ids, [id.as_bytes()], "{what}");
     let seal = format!("seal-{id}");
@@ -130,17 +132,21 @@
         for cut in 0..=bytes.len() {
             let what = format!("{framing:?} cut at {cut} of {}", bytes.len());
             let mut peer = Peer::default();
-            peer.connection.sends(outstanding("own", framing));
+            peer.connection.request_sent(outstanding("own", framing));
             let (reading, taken) = peer.gives_slowly(&bytes[..cut]);
             if cut == bytes.len() && framing != Framing::Close {
                 check_own(&whole(reading, &what), "own", framing, &what);
                 assert_eq!(taken, cut);
-                assert_eq!(peer.connection.ended(), Reading::Unasked, "{what}");
+                assert_eq!(
+                    peer.connection.connection_closed(),
+                    SessionEvent::Unsolicited,
+                    "{what}"
+                );
                 continue;
             }
-            assert_eq!(reading, Reading::Incomplete, "{what}");
-            let end = peer.connection.ended();
-            assert!(matches!(end, Reading::Failed(_)), "{what}: {end:?}");
+            assert_eq!(reading, SessionEvent::Incomplete, "{what}");
+            let end = peer.connection.connection_closed();
+            assert!(matches!(end, SessionEvent::Failed(_)), "{what}: {end:?}");
         }
     }
 }
@@ -153,7 +159,7 @@
             for count in 1..=surplus.len() {
                 let what = format!("{first:?}, then {count} bytes of {stale:?}");
                 let mut peer = Peer::default();
-                peer.connection.sends(outstanding("own", first));
+                peer.connection.request_sent(outstanding("own", first));
                 let bytes = [&answer(first, "own"), &surplus[..count]].concat();
                 let own = whole(peer.gives(&bytes), &what);
                 check_own(&own, "own", first, &what);
@@ -171,13 +177,14 @@
             for next in FRAMINGS {
                 let what = format!("{count} late bytes of {stale:?}, then {next:?}");
                 let mut peer = Peer::default();
-                peer.connection.sends(outstanding("own", Framing::Length));
+                peer.connection
+                    .request_sent(outstanding("own", Framing::Length));
                 let own = whole(peer.gives(&answer(Framing::Length, "own")), &what);
                 assert!(own.is_reusable, "{what}");
-                peer.connection.sends(outstanding("next", next));
+                peer.connection.request_sent(outstanding("next", next));
                 let bytes = [&surplus[..count], &answer(next, "next")].concat();
                 let (reading, _) = peer.gives_slowly(&bytes);
-                if let Reading::Answer(answer) = reading {
+                if let SessionEvent::Response(answer) = reading {
                     check_own(&answer, "next", next, &what);
                     // Interim answers are dropped, whosever they are: nothing of them can reach a request.
                     let is_interim = stale == Framing::Interim && count <= INTERIM.len();
@@ -197,11 +204,12 @@
         if stale == Framing::Head {
             continue;
         }
-        peer.connection.sends(outstanding("own", Framing::Length));
+        peer.connection
+            .request_sent(outstanding("own", Framing::Length));
         let what = format!("{stale:?}");
         assert_eq!(
             peer.gives(&answer(stale, "stale")),
-            Reading::Incomplete,
+            SessionEvent::Incomplete,
             "{what}"
         );
         let own = whole(peer.gives(&answer(Framing::Length, "own")), &what);
@@ -213,13 +221,17 @@
 #[test]
 fn a_connection_with_too_many_foreign_answers_fails() {
     let mut peer = Peer::default();
-    peer.connection.sends(outstanding("own", Framing::Length));
+    peer.connection
+        .request_sent(outstanding("own", Framing::Length));
     let mut given = 0;
-    while peer.gives(&answer(Framing::Length, "stale")) == Reading::Incomplete {
+    while peer.gives(&answer(Framing::Length, "stale")) == SessionEvent::Incomplete {
         given += 1;
         assert!(given < 10, "it never ends");
     }
-    assert_eq!(peer.connection.ended(), Reading::Unasked);
+    assert_eq!(
+        peer.connection.connection_closed(),
+        SessionEvent::Unsolicited
+    );
 }
 
 #[test]
@@ -230,10 +242,10 @@
             for garbage in [b"\0".as_slice(), b"\r\n\r\n", b"HTTP/1.1 200 OK\r\n"] {
                 let what = format!("{garbage:?} at {place} of {framing:?}");
                 let mut peer = Peer::default();
-                peer.connection.sends(outstanding("own", framing));
+                peer.connection.request_sent(outstanding("own", framing));
                 let spoilt = [&bytes[..place], garbage, &bytes[place..]].concat();
                 let (reading, _) = peer.gives_slowly(&spoilt);
-                if let Reading::Answer(answer) = reading {
+                if let SessionEvent::Response(answer) = reading {
                     let ids: Vec<&[u8]> = answer.response.headers.get_all("Id").collect();
                     assert_eq!(ids, [b"own"], "{what}");
                 }
@@ -248,13 +260,14 @@
         let stale = format!("HTTP/1.1 {status}");
         for count in 1..=stale.len() {
             let mut peer = Peer::default();
-            peer.connection.sends(outstanding("own", Framing::Length));
+            peer.connection
+                .request_sent(outstanding("own", Framing::Length));
             let failed =
                 b"HTTP/1.1 500 No\r\nId: own\r\nSeal: seal-own\r\nContent-Length: 0\r\n\r\n";
             let bytes = [&stale.as_bytes()[..count], failed].concat();
             let reading = peer.gives(&bytes);
             assert!(
-                matches!(reading, Reading::Failed(_)),
+                matches!(reading, SessionEvent::Failed(_)),
                 "{count} bytes of {stale}: {reading:?}"
             );
         }
@@ -279,9 +292,10 @@
     ];
     for headers in refused {
         let mut peer = Peer::default();
-        peer.connection.sends(outstanding("own", Framing::Length));
+        peer.connection
+            .request_sent(outstanding("own", Framing::Length));
         let reading = peer.gives(&head(200, headers));
-        assert_eq!(reading, Reading::Incomplete, "{headers:?}");
+        assert_eq!(reading, SessionEvent::Incomplete, "{headers:?}");
     }
 }
 
@@ -289,23 +303,29 @@
 fn a_refusal_without_an_id_is_believed_on_a_new_connection_only() {
     let refusal = head(503, &[("Not-Run", "1")]);
     let mut peer = Peer::default();
-    peer.connection.sends(outstanding("own", Framing::Length));
+    peer.connection
+        .request_sent(outstanding("own", Framing::Length));
     let told = whole(peer.gives(&refusal), "new");
     assert!(told.is_certain);
-    assert_eq!(judge(&told.response, &CONVENTIONS), Verdict::TurnedAway);
+    assert_eq!(
+        classify(&told.response, &CONVENTIONS),
+        ResponseClass::Rejected
+    );
 
     // On a connection that had another request, it may be that one's.
-    peer.connection.sends(outstanding("next", Framing::Length));
-    assert_eq!(peer.gives(&refusal), Reading::Incomplete);
+    peer.connection
+        .request_sent(outstanding("next", Framing::Length));
+    assert_eq!(peer.gives(&refusal), SessionEvent::Incomplete);
 
     let mut peer = Peer::default();
-    peer.connection.sends(outstanding("own", Framing::Length));
+    peer.connection
+        .request_sent(outstanding("own", Framing::Length));
     whole(peer.gives(&answer(Framing::Length, "own")), "own");
-    let repeatable = Outstanding {
-        is_once: false,
+    let repeatable = OutstandingRequest {
+        at_most_once: false,
         ..outstanding("next", Framing::Length)
     };
-    peer.connection.sends(repeatable);
+    peer.connection.request_sent(repeatable);
     assert!(!whole(peer.gives(&refusal), "repeatable").is_certain);
 }
 
@@ -313,8 +333,11 @@
 fn bytes_that_nobody_asked_for_end_a_connection() {
     for bytes in [b"x".as_slice(), &answer(Framing::Length, "own")] {
         let mut peer = Peer::default();
-        assert_eq!(peer.gives(bytes), Reading::Unasked);
-        assert_eq!(peer.connection.ended(), Reading::Unasked);
+        assert_eq!(peer.gives(bytes), SessionEvent::Unsolicited);
+        assert_eq!(
+            peer.connection.connection_closed(),
+            SessionEvent::Unsolicited
+        );
     }
 }
 
@@ -322,20 +345,21 @@
 fn a_runners_word_is_taken_for_what_it_promises_and_no_more() {
     let of = |status: u16, headers: &[(&str, &str)]| {
         let mut peer = Peer::default();
-        peer.connection.sends(outstanding("own", Framing::Length));
+        peer.connection
+            .request_sent(outstanding("own", Framing::Length));
         let headers: Vec<_> = [("Id", "own")].iter().chain(headers).copied().collect();
-        judge(
+        classify(
             &whole(peer.gives(&head(status, &headers)), "own").response,
             &CONVENTIONS,
         )
     };
-    let is_doubtful = |verdict: Verdict| matches!(verdict, Verdict::Doubtful(_));
-    assert_eq!(of(200, &[("Seal", "s")]), Verdict::Answered);
-    assert_eq!(of(404, &[]), Verdict::Answered);
-    assert_eq!(of(500, &[("Seal", "s")]), Verdict::Answered);
-    assert_eq!(of(503, &[("Not-Run", "1")]), Verdict::TurnedAway);
-    assert_eq!(of(429, &[("Not-Run", "1")]), Verdict::TurnedAway);
-    assert_eq!(of(421, &[]), Verdict::Misdirected);
+    let is_doubtful = |verdict: ResponseClass| matches!(verdict, ResponseClass::Untrusted(_));
+    assert_eq!(of(200, &[("Seal", "s")]), ResponseClass::Completed);
+    assert_eq!(of(404, &[]), ResponseClass::Completed);
+    assert_eq!(of(500, &[("Seal", "s")]), ResponseClass::Completed);
+    assert_eq!(of(503, &[("Not-Run", "1")]), ResponseClass::Rejected);
+    assert_eq!(of(429, &[("Not-Run", "1")]), ResponseClass::Rejected);
+    assert_eq!(of(421, &[]), ResponseClass::Misdirected);
     assert!(is_doubtful(of(200, &[])));
     assert!(is_doubtful(of(200, &[("Seal", "s"), ("Seal", "t")])));
     assert!(is_doubtful(of(200, &[("Seal", "s"), ("Not-Run", "1")])));
--- a/crates/jobs/tests/town/hearing.rs
+++ b/crates/jobs/tests/town/hearing.rs
@@ -58,13 +58,13 @@
     pub fn seat_action(&mut self, place: usize, action: LeaseAction) {
         let now = self.now_ms();
         match action {
-            LeaseAction::Grant {
+            LeaseAction::Lease {
                 gateway,
                 lease: grant,
             } => self.deliver(place, &gateway, Message::SeatLease(grant)),
             LeaseAction::Reject {
                 gateway,
-                request: ticket,
+                request_id: ticket,
                 retry_after_ms: after,
             } => {
                 self.nodes[place].jobs.refused(now, &gateway, ticket, after);
--- a/crates/seat_leases/src/lease_owner.rs
+++ b/crates/seat_leases/src/lease_owner.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseAction {
     /// Send a lease to the gateway whose request it is for.
-    Grant {
+    Lease {
         /// Name of the gateway.
         gateway: String,
         /// The leased seat.
@@ -37,7 +37,7 @@
         /// Name of the gateway.
         gateway: String,
         /// The request's number at that gateway.
-        request: u64,
+        request_id: u64,
         /// Milliseconds after which a retry is worthwhile.
         retry_after_ms: u32,
     },
@@ -297,10 +297,10 @@
         self.awaited.values().min().copied()
     }
 
-    fn reject(&mut self, gateway: &str, request: u64, retry_after_ms: u32) {
+    fn reject(&mut self, gateway: &str, request_id: u64, retry_after_ms: u32) {
         self.actions.push(LeaseAction::Reject {
             gateway: gateway.into(),
-            request,
+            request_id,
             retry_after_ms,
         });
     }
@@ -345,7 +345,7 @@
             let (gateway, ticket) = waiting.holder;
             self.actions.push(LeaseAction::Reject {
                 gateway,
-                request: ticket,
+                request_id: ticket,
                 retry_after_ms,
             });
         }
@@ -368,7 +368,7 @@
                 address: runner.news.address.clone(),
                 zone: runner.news.zone.clone(),
             };
-            self.actions.push(LeaseAction::Grant {
+            self.actions.push(LeaseAction::Lease {
                 gateway,
                 lease: grant,
             });
--- a/crates/seat_leases/tests/common/mod.rs
+++ b/crates/seat_leases/tests/common/mod.rs
@@ -65,7 +65,7 @@
 pub fn grants(keeper: &mut LeaseOwner) -> Vec<(u64, String)> {
     let actions = keeper.take_actions().into_iter();
     let lent = actions.filter_map(|action| match action {
-        LeaseAction::Grant { lease: grant, .. } => Some((grant.request_id, grant.runner)),
+        LeaseAction::Lease { lease: grant, .. } => Some((grant.request_id, grant.runner)),
         LeaseAction::Reject { .. } | LeaseAction::Probe { .. } => None,
     });
     lent.collect()
@@ -83,11 +83,11 @@
     let actions = keeper.take_actions().into_iter();
     let refused = actions.filter_map(|action| match action {
         LeaseAction::Reject {
-            request: ticket,
+            request_id: ticket,
             retry_after_ms: after,
             ..
         } => Some((ticket, after)),
-        LeaseAction::Grant { .. } | LeaseAction::Probe { .. } => None,
+        LeaseAction::Lease { .. } | LeaseAction::Probe { .. } => None,
     });
     refused.collect()
 }
--- a/crates/seat_leases/tests/lease_owner.rs
+++ b/crates/seat_leases/tests/lease_owner.rs
@@ -108,7 +108,7 @@
     assert_eq!(grants(&mut keeper), [(1, "a".to_string())]);
     keeper.remove_gateway(1, "f");
     let actions = keeper.take_actions();
-    let [LeaseAction::Grant {
+    let [LeaseAction::Lease {
         gateway,
         lease: grant,
     }] = &actions[..]
--- a/crates/seat_leases/tests/oracle.rs
+++ b/crates/seat_leases/tests/oracle.rs
@@ -143,13 +143,13 @@
         let known = self.keeper.runner_usage(FUNCTION).len();
         for action in self.keeper.take_actions() {
             match action {
-                LeaseAction::Grant {
+                LeaseAction::Lease {
                     gateway,
                     lease: grant,
                 } => self.granted((gateway, grant.request_id), &grant.runner, known),
                 LeaseAction::Reject {
                     gateway,
-                    request: ticket,
+                    request_id: ticket,
                     retry_after_ms: after,
                 } => {
                     assert!(after > 0, "no time to come back");
--- a/tests/hollow/src/fleet.rs
+++ b/tests/hollow/src/fleet.rs
@@ -190,7 +190,7 @@
     fn run_actions(&mut self, keeper: usize, actions: Vec<LeaseAction>) {
         for action in actions {
             match action {
-                LeaseAction::Grant {
+                LeaseAction::Lease {
                     gateway,
                     lease: grant,
                 } => {
@@ -202,7 +202,7 @@
                     self.sums.count("Grant", &message);
                 }
                 LeaseAction::Reject {
-                    request: ticket,
+                    request_id: ticket,
                     retry_after_ms,
                     ..
                 } => {
--- a/tests/hollow/src/keeper.rs
+++ b/tests/hollow/src/keeper.rs
@@ -46,7 +46,7 @@
             let actions = keeper.take_actions();
             granted += actions
                 .iter()
-                .filter(|one| matches!(one, LeaseAction::Grant { .. }))
+                .filter(|one| matches!(one, LeaseAction::Lease { .. }))
                 .count();
         }
     });
