--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,288 +1,399 @@
-use crate::changes::Changes;
-use crate::controllers::ControllerLinks;
-use crate::disk::{self, Disk};
-use crate::gateways::Gateways;
-use crate::jobs::JobAsks;
-use crate::options::{ControllerError, ControllerOptions};
-use crate::recent_changes::RecentChanges;
-use crate::scaling::Scaling;
-use consensus::{Consensus, ConsensusAction, ConsensusOptions, CONFIGURATION_KEY, EVACUATIONS_KEY};
-use event_loop::{ConnectionId, Event, EventLoop, ListenerId};
-use http1::RequestReader;
-use operator_commands::{ConfigurationRecord, Evacuations};
-use std::collections::HashMap;
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::Arc;
-use std::time::{Duration, Instant};
+//! The wiring of a controller: hands events, completions and time to the parts that decide, and does what they ask for.
 
-/// What a line is for.
-pub(crate) enum Role {
-    /// An operator's connection; whether its request is being worked on.
-    Operator(Box<RequestReader>, bool),
-    /// A gateway, by name once it told it.
-    Gateway(Option<String>),
-    /// Another controller, by consensus address once it is known.
-    Controller(Option<String>),
-    /// The platform.
-    Platform,
-}
+use crate::clock::Clock;
+use crate::committed_configuration::{CommittedChange, CommittedConfiguration, KnownVersions};
+use crate::controller_connections::{ControllerConnection, ControllerConnections};
+use crate::daemon_loop::{run_loop, Daemon};
+use crate::disk_thread::{self, DiskThread};
+use crate::error::ControllerError;
+use crate::gateway_table::{GatewayContext, GatewayTable};
+use crate::job_registers::{JobCaller, JobOperation, JobRegisters};
+use crate::operator_service::{OperatorContext, OperatorService};
+use crate::options::ControllerOptions;
+use crate::peer_links::PeerLinks;
+use crate::scaler::{Scaler, ScalerContext};
+use crate::signals::Signals;
+use crate::status::ControllerStatus;
+use consensus::{Consensus, ConsensusAction, DiskWork, VoterSnapshot};
+use event_loop::{ConnectionId, Event};
+use protocol::{take_frames, Message};
+use std::time::Duration;
 
-/// All state of the daemon, on one thread beside the disk's.
-pub(crate) struct Controller {
-    pub options: ControllerOptions,
-    pub event_loop: EventLoop,
-    pub roles: HashMap<ConnectionId, Role>,
-    pub consensus: Consensus,
-    pub disk: Disk,
-    pub controllers: ControllerLinks,
-    pub gateways: Gateways,
-    pub changes: Changes,
-    pub jobs: JobAsks,
-    pub scaling: Scaling,
-    pub kept: Arc<ConfigurationRecord>,
-    pub kept_at: u64,
-    pub steps: RecentChanges,
-    pub closures: Evacuations,
-    pub closures_at: u64,
-    pub now: u64,
-    began: Instant,
-    ticked_at: u64,
-    listeners: [ListenerId; 3],
-}
+/// Part of the grace period for which a stopping controller still answers, while its role is taken over.
+const SHUTDOWN_SHARE: u64 = 4;
 
-const TICK_MS: u64 = 50;
-const LINK_INBOX: usize = 16 << 20;
-const OPERATOR_INBOX: usize = 40 << 20;
+/// All state of a controller, on one thread beside the disk's. Each part owns what its own doc says, and knows nothing of
+/// this type.
+struct Controller {
+    options: ControllerOptions,
+    clock: Clock,
+    /// Milliseconds since the start, taken anew with each turn of the loop.
+    now: u64,
+    stops_at: Option<u64>,
+    connections: ControllerConnections,
+    consensus: Consensus,
+    disk: DiskThread,
+    peers: PeerLinks,
+    gateways: GatewayTable,
+    operators: OperatorService,
+    jobs: JobRegisters,
+    configuration: CommittedConfiguration,
+    scaler: Scaler,
+}
 
-/// Runs until it is told to stop.
+/// Runs a controller until it is told to stop.
+///
+/// # Errors
+/// Where an address cannot be listened at, the data folder cannot be used, or the system refuses what every daemon needs.
 pub fn run(options: ControllerOptions) -> Result<(), ControllerError> {
-    let term = Arc::new(AtomicBool::new(false));
-    let hup = Arc::new(AtomicBool::new(false));
-    let watch = |signal, flag: &Arc<AtomicBool>| {
-        signal_hook::flag::register(signal, Arc::clone(flag)).map_err(ControllerError::System)
-    };
-    watch(signal_hook::consts::SIGTERM, &term)?;
-    watch(signal_hook::consts::SIGINT, &term)?;
-    watch(signal_hook::consts::SIGHUP, &hup)?;
+    let signals = Signals::register()?;
     let mut controller = Controller::open(options)?;
-    let mut events = Vec::new();
-    let mut stops_at = None;
-    loop {
-        controller.now = controller.clock();
-        if term.load(Ordering::Relaxed) && stops_at.is_none() {
-            log::info!("controller: told to stop");
-            controller.consensus.resign(controller.now);
-            stops_at = Some(controller.now + controller.options.grace_period_ms / 4);
-        }
-        if stops_at.is_some_and(|at| controller.now >= at) {
-            return Ok(());
-        }
-        if hup.swap(false, Ordering::Relaxed) {
-            controller.reload();
-        }
-        if controller.now >= controller.ticked_at + TICK_MS {
-            controller.ticked_at = controller.now;
-            controller.tick();
+    run_loop(&mut controller, &signals);
+    Ok(())
+}
+
+impl Daemon for Controller {
+    fn update_clock(&mut self) {
+        self.now = self.clock.now();
+    }
+
+    fn begin_shutdown(&mut self) {
+        log::info!("controller: asked to stop");
+        self.consensus.resign(self.now);
+        self.stops_at = Some(self.now + self.options.grace_period_ms / SHUTDOWN_SHARE);
+    }
+
+    fn is_shut_down(&self) -> bool {
+        self.stops_at.is_some_and(|at| self.now >= at)
+    }
+
+    /// Takes other controllers' addresses from settings that have changed.
+    fn reload(&mut self) {
+        let Some(seeds) = (self.options.reload_seeds)() else {
+            return;
+        };
+        let count = seeds.len();
+        log::info!("controller: settings read anew, {count} controllers named");
+        let seeds = seeds.iter().map(ToString::to_string).collect();
+        self.consensus.update_seeds(seeds);
+    }
+
+    fn advance(&mut self) -> Duration {
+        if self.clock.take_tick(self.now) {
+            self.tick();
         }
-        controller.act();
-        controller.controllers.flush(&mut controller.event_loop);
-        controller.gateways.flush(&mut controller.event_loop);
-        let next = controller.ticked_at + TICK_MS;
-        let patience = Duration::from_millis(next.saturating_sub(controller.now).max(1));
-        controller.event_loop.poll(patience, &mut events);
-        controller.now = controller.clock();
-        for event in events.drain(..) {
-            controller.handle(event);
+        self.execute_consensus_actions();
+        self.flush();
+        self.clock.until_tick(self.now)
+    }
+
+    fn poll(&mut self, timeout: Duration, events: &mut Vec<Event>) {
+        self.connections.poll(timeout, events);
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Accepted(listener, connection) => {
+                let kind = self.connections.accept(listener, connection);
+                if kind == Some(ControllerConnection::Operator) {
+                    self.operators.accept(connection);
+                }
+            }
+            Event::Connected(_) => {}
+            Event::Readable(connection) => self.handle_readable(connection),
+            Event::Closed(connection, _) => self.handle_closed(connection),
         }
-        for done in controller.disk.done() {
-            controller.consensus.on_disk(controller.now, done);
+    }
+
+    fn finish_turn(&mut self) {
+        for completion in self.disk.take_completions() {
+            self.consensus.on_disk(self.now, completion);
         }
-        controller.act();
-        controller.controllers.flush(&mut controller.event_loop);
-        controller.gateways.flush(&mut controller.event_loop);
+        self.execute_consensus_actions();
+        self.flush();
     }
 }
 
 impl Controller {
     fn open(options: ControllerOptions) -> Result<Self, ControllerError> {
-        let silence = options.lease_ms() as u32;
-        let mut event_loop =
-            EventLoop::new(options.connections_max, silence).map_err(ControllerError::System)?;
-        let mut listen = |address, inbox_max| {
-            let listener = event_loop.listen(address, inbox_max);
-            listener.map_err(|error| ControllerError::Listen(address, error))
-        };
-        let operators = listen(options.operator_address, OPERATOR_INBOX)?;
-        let gateways = listen(options.gateway_address, LINK_INBOX)?;
-        let consensus_hatch = listen(options.consensus_address, LINK_INBOX)?;
-        let voter_disk = disk::open(&options.data_dir).map_err(ControllerError::Data)?;
-        let held = consensus::VoterSnapshot::of(voter_disk.voter());
-        let consensus = Consensus::new(
-            ConsensusOptions {
-                name: options.name.clone(),
-                address: options.consensus_address.to_string(),
-                seeds: options.seeds.iter().map(ToString::to_string).collect(),
-                is_first_start: options.is_first_start,
-                disk_id: voter_disk.identity(),
-                lease_ms: options.lease_ms(),
-                heartbeat_interval_ms: options.heartbeat_ms(),
-                replacement_timeout_ms: options.resync_ms * 3 / 5,
-                seed: rand::random(),
-                target_voter_count: options.voters_wanted,
-            },
-            0,
-            held,
-        );
-        let waker = event_loop.waker().map_err(ControllerError::System)?;
-        let disk = Disk::start(voter_disk, waker);
+        let connections = ControllerConnections::open(&options)?;
+        let voter_disk = disk_thread::open(&options.data_dir).map_err(ControllerError::Data)?;
+        let snapshot = VoterSnapshot::of(voter_disk.voter());
+        let consensus_options = options.consensus_options(voter_disk.identity());
+        let consensus = Consensus::new(consensus_options, 0, snapshot);
+        let disk = DiskThread::start(voter_disk, connections.waker()?);
         Ok(Self {
-            controllers: ControllerLinks::new(options.consensus_address.to_string()),
-            gateways: Gateways::default(),
-            changes: Changes::default(),
-            jobs: JobAsks::default(),
-            scaling: Scaling::default(),
-            kept: Arc::default(),
-            kept_at: 0,
-            steps: RecentChanges::default(),
-            closures: Evacuations::default(),
-            closures_at: 0,
-            event_loop,
-            roles: HashMap::new(),
+            clock: Clock::start(),
+            now: 0,
+            stops_at: None,
+            connections,
             consensus,
             disk,
-            now: 0,
-            began: Instant::now(),
-            ticked_at: 0,
-            listeners: [operators, gateways, consensus_hatch],
+            peers: PeerLinks::new(options.consensus_address.to_string()),
+            gateways: GatewayTable::default(),
+            operators: OperatorService::default(),
+            jobs: JobRegisters::default(),
+            configuration: CommittedConfiguration::default(),
+            scaler: Scaler::default(),
             options,
         })
     }
 
-    /// Milliseconds since the start, at this very moment.
-    pub fn clock(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
-    }
-
     fn tick(&mut self) {
         self.consensus.tick(self.now);
-        self.tell_contact();
-        self.heartbeat_gateways(false);
-        self.tend_scaling();
-        self.tend_changes();
-        self.tend_jobs();
+        self.publish_contact();
+        let interval_ms = self.options.gateway_heartbeat_ms();
+        if self.gateways.is_heartbeat_due(self.now, interval_ms) {
+            self.heartbeat_gateways();
+        }
+        self.poll_scaler();
+        let (operators, mut context) = self.operator_parts();
+        operators.expire_requests(&mut context);
+        let retention_ms = self.options.job_retention_ms;
+        if self.jobs.take_rotation(self.now, retention_ms) {
+            self.disk.submit(DiskWork::RotateJobWindow);
+        }
     }
 
-    fn handle(&mut self, event: Event) {
-        match event {
-            Event::Accepted(listener, line) => {
-                let [operators, gateways, _] = self.listeners;
-                let role = if listener == operators {
-                    Role::Operator(Box::default(), false)
-                } else if listener == gateways {
-                    Role::Gateway(None)
-                } else {
-                    Role::Controller(None)
-                };
-                self.roles.insert(line, role);
+    fn flush(&mut self) {
+        self.peers.flush(&mut self.connections);
+        self.gateways.flush(&mut self.connections);
+    }
+
+    fn handle_readable(&mut self, connection: ConnectionId) {
+        match self.connections.kind(connection) {
+            Some(ControllerConnection::Operator) => {
+                let (operators, mut context) = self.operator_parts();
+                operators.handle_readable(connection, &mut context);
             }
-            Event::Connected(_) => {}
-            Event::Readable(line) => match self.roles.get(&line) {
-                Some(Role::Operator(..)) => self.operator_arrived(line),
-                Some(Role::Gateway(_)) => self.gateway_arrived(line),
-                Some(Role::Controller(_)) => self.controller_arrived(line),
-                Some(Role::Platform) => self.platform_arrived(line),
-                None => {}
-            },
-            Event::Closed(line, _) => {
-                match self.roles.remove(&line) {
-                    Some(Role::Gateway(Some(name))) => self.gateway_ended(&name, line),
-                    Some(Role::Controller(Some(address))) => self.controllers.ended(&address, line),
-                    Some(Role::Platform) => self.platform_ended(line),
-                    Some(Role::Operator(..)) => self.changes.caller_left(line),
-                    _ => {}
-                }
-                self.event_loop.close(line);
+            Some(ControllerConnection::Gateway) => self.handle_gateway_readable(connection),
+            Some(ControllerConnection::Peer) => {
+                let (now, consensus) = (self.now, &mut self.consensus);
+                self.peers
+                    .handle_readable(now, connection, consensus, &mut self.connections);
             }
+            Some(ControllerConnection::Platform) => {
+                let (scaler, _, mut context) = self.scaler_parts();
+                scaler.handle_readable(connection, &mut context);
+            }
+            None => {}
         }
     }
 
-    /// Takes other controllers' addresses from settings that have changed.
-    fn reload(&mut self) {
-        let Some(seeds) = (self.options.reload_seeds)() else {
-            return;
-        };
-        log::info!(
-            "controller: settings read anew, {} controllers named",
-            seeds.len()
-        );
-        let seeds = seeds.iter().map(ToString::to_string).collect();
-        self.consensus.update_seeds(seeds);
+    fn handle_closed(&mut self, connection: ConnectionId) {
+        match self.connections.forget(connection) {
+            Some(ControllerConnection::Operator) => self.operators.remove(connection),
+            Some(ControllerConnection::Gateway) => self.remove_gateway(connection),
+            Some(ControllerConnection::Peer) => self.peers.remove(connection),
+            Some(ControllerConnection::Platform) => {
+                let (scaler, _, mut context) = self.scaler_parts();
+                scaler.handle_closed(connection, &mut context);
+            }
+            None => {}
+        }
+        self.connections.close(connection);
     }
 
-    /// Does what the consensus machine wants done.
-    fn act(&mut self) {
+    fn execute_consensus_actions(&mut self) {
         loop {
             let actions = self.consensus.take_actions();
             if actions.is_empty() {
                 return;
             }
             for action in actions {
-                match action {
-                    ConsensusAction::Send { to, message } => self.send_controller(&to, message),
-                    ConsensusAction::Disk(work) => self.disk.ask(work),
-                    ConsensusAction::RequestCompleted { token, outcome } => {
-                        if !self.job_done(token, &outcome) {
-                            self.change_done(token, outcome);
-                        }
-                    }
-                    ConsensusAction::ValueCommitted { .. } => {}
-                    ConsensusAction::RoleAcquired { term } => {
-                        log::info!("controller: scales under term {term}");
-                    }
-                    ConsensusAction::RoleLost => log::info!("controller: scales no more"),
-                }
+                self.execute_consensus_action(action);
             }
-            self.take_settled();
+            self.apply_committed_values();
         }
     }
 
-    /// Takes newer settled values and tells the gateways of them.
-    fn take_settled(&mut self) {
-        let mut has_news = false;
-        let mut is_described = false;
-        if let Some((version, bytes)) = self.consensus.committed(CONFIGURATION_KEY) {
-            if version > self.kept_at {
-                if let Some(kept) = ConfigurationRecord::read(bytes) {
-                    self.steps.note(version, &kept);
-                    self.kept = Arc::new(kept);
-                    self.kept_at = version;
-                    has_news = true;
-                    is_described = true;
+    fn execute_consensus_action(&mut self, action: ConsensusAction) {
+        match action {
+            ConsensusAction::Send { to, message } => {
+                self.peers
+                    .queue(self.now, &to, message, &mut self.connections);
+            }
+            ConsensusAction::Disk(work) => self.disk.submit(work),
+            ConsensusAction::RequestCompleted { token, outcome } => {
+                if JobRegisters::owns_token(token) {
+                    self.jobs.finish(token, &outcome, &mut self.gateways);
                 } else {
-                    log::error!("controller: settled description {version} cannot be read");
+                    let (operators, mut context) = self.operator_parts();
+                    operators.handle_outcome(token, outcome, &mut context);
                 }
             }
+            ConsensusAction::ValueCommitted { .. } => {}
+            ConsensusAction::RoleAcquired { term } => {
+                log::info!("controller: role acquired, scales under term {term}");
+            }
+            ConsensusAction::RoleLost => log::info!("controller: role lost, scales no more"),
         }
-        if let Some((version, bytes)) = self.consensus.committed(EVACUATIONS_KEY) {
-            if version > self.closures_at {
-                if let Some(closures) = Evacuations::read(bytes) {
-                    self.closures = closures;
-                    self.closures_at = version;
-                    has_news = true;
+    }
+
+    /// Takes newer committed values, and notifies the gateways of them.
+    fn apply_committed_values(&mut self) {
+        let Some(change) = self.configuration.update(&self.consensus) else {
+            return;
+        };
+        let (scaler, configuration, mut context) = self.scaler_parts();
+        if change == CommittedChange::Configuration {
+            scaler.apply_configuration(configuration, &context);
+        }
+        scaler.apply_evacuations(configuration, &mut context);
+        self.heartbeat_gateways();
+    }
+
+    fn handle_gateway_readable(&mut self, connection: ConnectionId) {
+        let Some(buffer) = self.connections.read_buffer(connection) else {
+            return;
+        };
+        let (messages, error) = take_frames::<Message>(buffer);
+        for message in messages {
+            self.handle_gateway_message(connection, message);
+        }
+        if let Some(error) = error {
+            log::warn!("controller: a link to a gateway is closed: {error}");
+            self.remove_gateway(connection);
+            self.connections.close(connection);
+        }
+    }
+
+    fn handle_gateway_message(&mut self, connection: ConnectionId, message: Message) {
+        match message {
+            Message::GatewayHello(member) => {
+                self.scaler.gateway_linked(&member.name);
+                let (gateways, mut context) = self.gateway_parts();
+                gateways.register(connection, member, &mut context);
+            }
+            Message::RequestStatus => {
+                let functions = self.scaler.function_statuses();
+                let (gateways, mut context) = self.gateway_parts();
+                let status = context.status.to_json(gateways.len(), &functions);
+                context.reply(connection, &Message::Status(status));
+            }
+            Message::RequestHeartbeat => {
+                let (_, mut context) = self.gateway_parts();
+                let heartbeat = context.status.heartbeat();
+                context.reply(connection, &heartbeat);
+            }
+            message => {
+                if let Some(gateway) = self.gateways.note_heard(self.now, connection) {
+                    self.handle_registered_gateway(&gateway, message);
                 }
             }
         }
-        if has_news {
-            log::info!(
-                "controller: description {} and closures {:?} are settled",
-                self.kept.version,
-                self.closures.zones
-            );
-            if is_described {
-                self.describe_scaling();
+    }
+
+    fn handle_registered_gateway(&mut self, gateway: &str, message: Message) {
+        match message {
+            Message::RequestConfiguration {
+                configuration_version,
+                evacuations_version,
+            } => {
+                // A gateway hears that contact is over before it hears anything that may be old.
+                self.publish_contact();
+                let known = KnownVersions {
+                    configuration: configuration_version,
+                    evacuations: evacuations_version,
+                };
+                for update in self.configuration.updates_since(known) {
+                    self.gateways.queue(gateway, &update);
+                }
             }
-            self.close_scaling();
-            self.heartbeat_gateways(true);
+            Message::JobRegisterRequest {
+                number,
+                key,
+                expected_version,
+                value,
+            } => {
+                let operation = JobOperation {
+                    caller: JobCaller::new(gateway, number),
+                    key,
+                    expected_version,
+                    value,
+                };
+                let (now, consensus) = (self.now, &mut self.consensus);
+                self.jobs
+                    .begin(now, operation, consensus, &mut self.gateways);
+            }
+            Message::FunctionReports(reports) => {
+                let (scaler, _, mut context) = self.scaler_parts();
+                scaler.handle_reports(gateway, &reports, &mut context);
+            }
+            _ => {}
+        }
+    }
+
+    fn remove_gateway(&mut self, connection: ConnectionId) {
+        if let Some(name) = self.gateways.remove(connection) {
+            self.scaler.gateway_gone(&name);
+        }
+    }
+
+    /// Sends a heartbeat at once where contact with a majority has begun or ended.
+    fn publish_contact(&mut self) {
+        self.update_clock();
+        let is_current = self.consensus.is_current(self.now);
+        if self.gateways.has_contact_changed(is_current) {
+            self.heartbeat_gateways();
         }
     }
+
+    fn heartbeat_gateways(&mut self) {
+        let (gateways, mut context) = self.gateway_parts();
+        for name in gateways.heartbeat(&mut context) {
+            self.scaler.gateway_gone(&name);
+        }
+    }
+
+    fn poll_scaler(&mut self) {
+        let term = self.consensus.role_term(self.now);
+        let (scaler, configuration, mut context) = self.scaler_parts();
+        let Some(term) = term else {
+            scaler.end_term(&mut context);
+            return;
+        };
+        if scaler.begin_term(term, configuration, &mut context) {
+            self.heartbeat_gateways();
+        }
+        let (scaler, _, mut context) = self.scaler_parts();
+        scaler.poll(&mut context);
+    }
+
+    /// The scaler, with what it decides by and works with.
+    fn scaler_parts(&mut self) -> (&mut Scaler, &CommittedConfiguration, ScalerContext<'_>) {
+        let context = ScalerContext {
+            now: self.now,
+            options: &self.options,
+            connections: &mut self.connections,
+            gateways: &mut self.gateways,
+        };
+        (&mut self.scaler, &self.configuration, context)
+    }
+
+    /// The operators' part, with what it works with.
+    fn operator_parts(&mut self) -> (&mut OperatorService, OperatorContext<'_>) {
+        let context = OperatorContext {
+            now: self.now,
+            clock: &self.clock,
+            options: &self.options,
+            connections: &mut self.connections,
+            consensus: &mut self.consensus,
+        };
+        (&mut self.operators, context)
+    }
+
+    /// The gateways, with what they work with.
+    fn gateway_parts(&mut self) -> (&mut GatewayTable, GatewayContext<'_>) {
+        let context = GatewayContext {
+            status: ControllerStatus {
+                now: self.now,
+                options: &self.options,
+                consensus: &self.consensus,
+                configuration: &self.configuration,
+            },
+            connections: &mut self.connections,
+        };
+        (&mut self.gateways, context)
+    }
 }
--- a/crates/controller/src/disk.rs
+++ b/crates/controller/src/disk_thread.rs
@@ -12,14 +12,14 @@
 use voter::VoterDisk;
 
 /// Most pieces of work that one sync covers.
-const BATCH_MAX: usize = 256;
+const BATCH_SIZE_MAX: usize = 256;
 /// Most bytes of work that waits for the disk.
-const WAITING_MAX: usize = 24 << 20;
+const WAITING_BYTES_MAX: usize = 24 << 20;
 /// Pause between tries at a disk that failed.
-const REOPEN: Duration = Duration::from_millis(500);
+const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The thread that waits for the disk, so that nothing else does.
-pub(crate) struct Disk {
+/// The handle of the thread that waits for the disk, so that nothing else does.
+pub(crate) struct DiskThread {
     work: Sender<DiskWork>,
     done: Receiver<DiskCompletion>,
     /// Bytes of work that waits.
@@ -47,7 +47,7 @@
     opened.map_err(|report| format!("{report:#}"))
 }
 
-impl Disk {
+impl DiskThread {
     pub fn start(disk: VoterDisk, waker: Arc<Waker>) -> Self {
         let (work, jobs) = unbounded::<DiskWork>();
         let (results, done) = unbounded();
@@ -69,10 +69,10 @@
     }
 
     /// Gives work to the thread, or refuses it where too much waits, as while a disk hangs.
-    pub fn ask(&mut self, work: DiskWork) {
+    pub fn submit(&mut self, work: DiskWork) {
         let size = work.size();
         let waiting = self.waiting.load(Ordering::Relaxed);
-        if waiting > 0 && waiting + size > WAITING_MAX {
+        if waiting > 0 && waiting + size > WAITING_BYTES_MAX {
             self.refused.extend(work.refused());
             return;
         }
@@ -80,7 +80,7 @@
         let _ = self.work.send(work);
     }
 
-    pub fn done(&mut self) -> Vec<DiskCompletion> {
+    pub fn take_completions(&mut self) -> Vec<DiskCompletion> {
         let refused = self.refused.drain(..);
         refused.chain(self.done.try_iter()).collect()
     }
@@ -90,12 +90,12 @@
     fn serve(mut self) {
         let mut tried_at = Instant::now();
         loop {
-            let first = match self.work.recv_timeout(REOPEN) {
+            let first = match self.work.recv_timeout(REOPEN_INTERVAL) {
                 Ok(first) => Some(first),
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            if self.disk.voter().may_reopen() && tried_at.elapsed() >= REOPEN {
+            if self.disk.voter().may_reopen() && tried_at.elapsed() >= REOPEN_INTERVAL {
                 tried_at = Instant::now();
                 self.reopen();
             }
@@ -117,7 +117,7 @@
     }
 
     fn perform(&mut self, first: DiskWork) {
-        let rest = self.work.try_iter().take(BATCH_MAX);
+        let rest = self.work.try_iter().take(BATCH_SIZE_MAX);
         let batch: Vec<DiskWork> = std::iter::once(first).chain(rest).collect();
         let size = batch.iter().map(DiskWork::size).sum();
         for done in execute_batch_on_disk(&mut self.disk, batch) {
--- /dev/null
+++ b/crates/controller/src/gateway_table.rs
@@ -0,0 +1,159 @@
+//! The gateways that have a link to this controller.
+
+use crate::controller_connections::ControllerConnections;
+use crate::outbox::Outbox;
+use crate::status::ControllerStatus;
+use event_loop::ConnectionId;
+use protocol::{frame, Member, Message};
+use std::collections::{BTreeMap, HashMap};
+
+struct GatewayPeer {
+    member: Member,
+    outbox: Outbox,
+    heard_at: u64,
+}
+
+/// The other parts of the controller that gateways work with.
+pub(crate) struct GatewayContext<'a> {
+    /// What heartbeats are made of.
+    pub status: ControllerStatus<'a>,
+    /// Connections, of which some are closed.
+    pub connections: &'a mut ControllerConnections,
+}
+
+impl GatewayContext<'_> {
+    /// Answers on a connection at once, whether or not it is known who is at its other end.
+    pub fn reply(&mut self, connection: ConnectionId, message: &Message) {
+        self.connections.send(connection, &frame(message));
+    }
+}
+
+/// Gateways by name, with what waits to be sent to each, and the schedule of heartbeats to them.
+#[derive(Default)]
+pub(crate) struct GatewayTable {
+    gateways: BTreeMap<String, GatewayPeer>,
+    /// Which gateway is at the other end of each connection, once it has said so.
+    names: HashMap<ConnectionId, String>,
+    heartbeat_at: u64,
+    /// Whether the last heartbeat said that this controller is in contact with a majority.
+    was_current: bool,
+}
+
+impl GatewayTable {
+    /// A gateway has said who it is. The connection that it had before is closed, and a heartbeat queued.
+    pub fn register(
+        &mut self,
+        connection: ConnectionId,
+        member: Member,
+        context: &mut GatewayContext<'_>,
+    ) {
+        let name = member.name.clone();
+        self.names.insert(connection, name.clone());
+        let gateway = GatewayPeer {
+            member,
+            outbox: Outbox::new(connection),
+            heard_at: context.status.now,
+        };
+        if let Some(former) = self.gateways.insert(name.clone(), gateway) {
+            let former = former.outbox.connection();
+            self.names.remove(&former);
+            context.connections.close(former);
+        }
+        self.queue(&name, &context.status.heartbeat());
+    }
+
+    /// Something arrived on a connection. Returns the name of the gateway at its other end, once that is known.
+    pub fn note_heard(&mut self, now: u64, connection: ConnectionId) -> Option<String> {
+        let name = self.names.get(&connection)?;
+        if let Some(gateway) = self.gateways.get_mut(name) {
+            gateway.heard_at = now;
+        }
+        Some(name.clone())
+    }
+
+    /// A connection has ended. Returns the name of the gateway that is gone with it.
+    pub fn remove(&mut self, connection: ConnectionId) -> Option<String> {
+        let name = self.names.remove(&connection)?;
+        let gateway = self.gateways.get(&name)?;
+        if gateway.outbox.connection() != connection {
+            return None;
+        }
+        self.gateways.remove(&name);
+        Some(name)
+    }
+
+    /// Queues a message for a gateway; nothing where it has no link.
+    pub fn queue(&mut self, name: &str, message: &Message) {
+        self.queue_frame(name, &frame(message));
+    }
+
+    /// Queues a message that was framed once for several gateways.
+    pub fn queue_frame(&mut self, name: &str, frame: &[u8]) {
+        if let Some(gateway) = self.gateways.get_mut(name) {
+            gateway.outbox.queue_frame(frame);
+        }
+    }
+
+    /// Sends what was queued since the last flush, in one piece for each gateway.
+    pub fn flush(&mut self, connections: &mut ControllerConnections) {
+        for gateway in self.gateways.values_mut() {
+            gateway.outbox.flush(connections);
+        }
+    }
+
+    /// Whether the regular heartbeat is due.
+    pub fn is_heartbeat_due(&self, now: u64, interval_ms: u64) -> bool {
+        now >= self.heartbeat_at + interval_ms
+    }
+
+    /// Whether gateways do not know yet that contact with a majority has begun or ended.
+    pub fn has_contact_changed(&self, is_current: bool) -> bool {
+        is_current != self.was_current
+    }
+
+    /// Queues a heartbeat for all gateways but those that are silent: their links are closed, and their names returned.
+    pub fn heartbeat(&mut self, context: &mut GatewayContext<'_>) -> Vec<String> {
+        self.heartbeat_at = context.status.now;
+        self.was_current = context.status.is_current();
+        let heartbeat = frame(&context.status.heartbeat());
+        let silent = self.close_silent(context);
+        for gateway in self.gateways.values_mut() {
+            gateway.outbox.queue_frame(&heartbeat);
+        }
+        silent
+    }
+
+    fn close_silent(&mut self, context: &mut GatewayContext<'_>) -> Vec<String> {
+        let now = context.status.now;
+        let timeout_ms = context.status.options.gateway_timeout_ms();
+        let is_silent = |gateway: &GatewayPeer| now > gateway.heard_at + timeout_ms;
+        let gateways = self.gateways.iter();
+        let silent = gateways.filter(|(_, gateway)| is_silent(gateway));
+        let silent: Vec<String> = silent.map(|(name, _)| name.clone()).collect();
+        for name in &silent {
+            if let Some(gateway) = self.gateways.remove(name) {
+                let connection = gateway.outbox.connection();
+                log::info!("controller: gateway {name} is silent");
+                self.names.remove(&connection);
+                context.connections.close(connection);
+            }
+        }
+        silent
+    }
+
+    /// The gateways, in the order of their names.
+    pub fn members(&self) -> impl Iterator<Item = &Member> + Clone {
+        self.gateways.values().map(|gateway| &gateway.member)
+    }
+
+    /// Number of a gateway's incarnation; none where it has no link.
+    pub fn incarnation(&self, name: &str) -> Option<u64> {
+        let gateway = self.gateways.get(name)?;
+        Some(gateway.member.incarnation)
+    }
+
+    /// Gateways that have a link.
+    pub fn len(&self) -> usize {
+        self.gateways.len()
+    }
+}
--- /dev/null
+++ b/crates/controller/src/operator_routing.rs
@@ -0,0 +1,57 @@
+//! What is done about an operator's request, before anything is read from the consensus.
+
+use crate::codec::{CommandParseError, OperatorCodec};
+use crate::operator_response::OperatorResponse;
+use http1::Request;
+use operator_commands::{Command, CommandKind};
+
+/// What a controller does about a request.
+pub(crate) enum RequestRoute {
+    /// Answers it at once.
+    Respond(OperatorResponse),
+    /// Sends the operator to a controller in contact with a majority, since this one may neither accept nor reject commands.
+    Redirect,
+    /// Executes its command.
+    Execute(Command),
+}
+
+/// Decides on a request.
+pub(crate) fn route(
+    request: Request,
+    codec: &dyn OperatorCodec,
+    zones: &[String],
+    is_in_contact: bool,
+) -> RequestRoute {
+    let kind = match codec.parse_command(&request.method, &request.target) {
+        Ok(kind) => kind,
+        Err(CommandParseError::UnknownTarget) => {
+            return respond(404, "there is no such call");
+        }
+        Err(CommandParseError::Rejected(status)) => return respond(status, "not this method"),
+    };
+    if names_unknown_zone(&kind, zones) {
+        return respond(404, "there is no such zone");
+    }
+    if !is_in_contact {
+        return RequestRoute::Redirect;
+    }
+    RequestRoute::Execute(Command {
+        kind,
+        base: codec.base_version(&request.headers),
+        version: codec.version_of(&request.body),
+        body: request.body,
+    })
+}
+
+fn names_unknown_zone(kind: &CommandKind, zones: &[String]) -> bool {
+    match kind {
+        CommandKind::BeginEvacuation(zone) | CommandKind::FinishEvacuation(zone) => {
+            !zones.contains(zone)
+        }
+        _ => false,
+    }
+}
+
+fn respond(status: u16, reason: &str) -> RequestRoute {
+    RequestRoute::Respond(OperatorResponse::new(status, reason))
+}
--- /dev/null
+++ b/crates/controller/src/operator_service.rs
@@ -0,0 +1,189 @@
+//! The operators' API of a controller: reads requests, executes their commands over the consensus, and answers.
+
+use crate::clock::Clock;
+use crate::controller_connections::ControllerConnections;
+use crate::operator_inbox::{OperatorInbox, OperatorInput};
+use crate::operator_requests::{OperatorCaller, OperatorRequests, RequestProgress};
+use crate::operator_response::{OperatorResponse, SERVICE_UNAVAILABLE, TEMPORARY_REDIRECT};
+use crate::operator_routing::{route, RequestRoute};
+use crate::options::ControllerOptions;
+use consensus::Consensus;
+use event_loop::ConnectionId;
+use http1::Request;
+use operator_commands::Command;
+use register::Outcome;
+use std::net::SocketAddr;
+
+/// Operators' connections and their commands in progress.
+#[derive(Default)]
+pub(crate) struct OperatorService {
+    inbox: OperatorInbox,
+    requests: OperatorRequests,
+}
+
+/// The other parts of the controller that operators' requests work with.
+pub(crate) struct OperatorContext<'a> {
+    /// Milliseconds since the start, as of this turn.
+    pub now: u64,
+    /// Tells the time at this very moment.
+    pub clock: &'a Clock,
+    /// Settings.
+    pub options: &'a ControllerOptions,
+    /// Connections, for the answers.
+    pub connections: &'a mut ControllerConnections,
+    /// The consensus, by which commands are executed.
+    pub consensus: &'a mut Consensus,
+}
+
+impl OperatorService {
+    /// An operator opened a connection.
+    pub fn accept(&mut self, connection: ConnectionId) {
+        self.inbox.accept(connection);
+    }
+
+    /// A connection has ended.
+    pub fn remove(&mut self, connection: ConnectionId) {
+        self.inbox.remove(connection);
+        self.requests.remove_caller(connection);
+    }
+
+    /// Something arrived on a connection.
+    pub fn handle_readable(&mut self, connection: ConnectionId, context: &mut OperatorContext<'_>) {
+        let Some(buffer) = context.connections.read_buffer(connection) else {
+            return;
+        };
+        match self.inbox.read(connection, buffer) {
+            None | Some(OperatorInput::Incomplete) => {}
+            Some(OperatorInput::ExpectsContinue) => {
+                context.connections.send(connection, http1::CONTINUE);
+            }
+            Some(OperatorInput::Request(request)) => {
+                self.handle_request(connection, *request, context);
+            }
+            Some(OperatorInput::Malformed(error)) => {
+                let caller = OperatorCaller {
+                    connection,
+                    keeps_alive: false,
+                };
+                let response = OperatorResponse::new(error.status(), error.to_string());
+                self.respond(caller, &response, context);
+            }
+        }
+    }
+
+    fn handle_request(
+        &mut self,
+        connection: ConnectionId,
+        request: Request,
+        context: &mut OperatorContext<'_>,
+    ) {
+        let caller = OperatorCaller {
+            connection,
+            keeps_alive: request.keeps_alive,
+        };
+        let target = request.target.clone();
+        let codec = context.options.operator_codec.as_ref();
+        // Contact is judged by the time at this moment: a turn may have taken long.
+        let is_in_contact = context.consensus.is_in_contact(context.clock.now());
+        match route(request, codec, &context.options.zones, is_in_contact) {
+            RequestRoute::Respond(response) => self.respond(caller, &response, context),
+            RequestRoute::Redirect => {
+                let response = redirect(&target, context);
+                self.respond(caller, &response, context);
+            }
+            RequestRoute::Execute(command) => self.begin_command(caller, command, context),
+        }
+    }
+
+    fn begin_command(
+        &mut self,
+        caller: OperatorCaller,
+        command: Command,
+        context: &mut OperatorContext<'_>,
+    ) {
+        if self.requests.is_full() {
+            let response = OperatorResponse::new(SERVICE_UNAVAILABLE, "too many changes at once");
+            self.respond(caller, &response, context);
+            return;
+        }
+        let timeout_max_ms = context.options.propagation_timeout_ms;
+        let read = self
+            .requests
+            .begin(context.now, caller, command, timeout_max_ms);
+        context.consensus.read(context.now, read.token, read.key);
+    }
+
+    /// The consensus is done with a read or a write of a command.
+    pub fn handle_outcome(
+        &mut self,
+        token: u64,
+        outcome: Outcome,
+        context: &mut OperatorContext<'_>,
+    ) {
+        let documents = context.options.operator_codec.documents();
+        match self.requests.handle_outcome(token, outcome, documents) {
+            None => {}
+            Some(RequestProgress::Reply { caller, reply }) => {
+                self.respond(caller, &reply.into(), context);
+            }
+            Some(RequestProgress::Write {
+                key,
+                expected,
+                bytes,
+            }) => {
+                let now = context.now;
+                context.consensus.write(now, token, key, expected, bytes);
+            }
+        }
+    }
+
+    /// Answers commands whose time is over, or all where contact with a majority was lost on the way.
+    pub fn expire_requests(&mut self, context: &mut OperatorContext<'_>) {
+        let has_contact = context.consensus.is_in_contact(context.now);
+        for token in self.requests.expired(context.now, has_contact) {
+            if let Some(caller) = self.requests.remove(token) {
+                let reason = "it is not known whether it was taken: no majority of controllers answered in time";
+                let response = OperatorResponse::new(SERVICE_UNAVAILABLE, reason);
+                self.respond(caller, &response, context);
+            }
+        }
+    }
+
+    /// Answers an operator and goes on with what was sent meanwhile.
+    fn respond(
+        &mut self,
+        caller: OperatorCaller,
+        response: &OperatorResponse,
+        context: &mut OperatorContext<'_>,
+    ) {
+        let connection = caller.connection;
+        if !self.inbox.contains(connection) {
+            return;
+        }
+        let bytes = response.encode(caller.keeps_alive);
+        context.connections.send(connection, &bytes);
+        if !caller.keeps_alive {
+            context.connections.close_after_flush(connection);
+            self.inbox.remove(connection);
+            return;
+        }
+        self.inbox.finish_request(connection);
+        let buffer = context.connections.read_buffer(connection);
+        if buffer.is_some_and(|buffer| !buffer.is_empty()) {
+            self.handle_readable(connection, context);
+        }
+    }
+}
+
+/// Sends an operator to any controller in contact with a majority.
+fn redirect(target: &str, context: &OperatorContext<'_>) -> OperatorResponse {
+    let peers = context.consensus.peers_in_contact(context.now);
+    let place = rand::random::<u32>() as usize % peers.len().max(1);
+    let peer: Option<SocketAddr> = peers.get(place).and_then(|peer| peer.parse().ok());
+    let Some(peer) = peer else {
+        let reason = "no majority of controllers is in contact; nothing was done";
+        return OperatorResponse::new(SERVICE_UNAVAILABLE, reason);
+    };
+    let port = context.options.operator_address.port();
+    OperatorResponse::new(TEMPORARY_REDIRECT, b"").with_location(peer.ip(), port, target)
+}
--- a/crates/controller/src/options.rs
+++ b/crates/controller/src/options.rs
@@ -1,93 +1,10 @@
-use autoscaler::{RunnerListing, StartError, StartedRunner, WorkerListing};
-use http1::Headers;
-use operator_commands::{BaseVersion, CommandKind};
-use routing::ConfigurationFormat;
-use std::fmt;
-use std::io;
+//! Settings of a controller.
+
+use crate::codec::{OperatorCodec, PlatformCodec};
+use consensus::ConsensusOptions;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A request to the platform's API.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct PlatformRequest {
-    /// Method.
-    pub method: &'static str,
-    /// Path and query.
-    pub target: String,
-    /// Header fields beside those that HTTP needs.
-    pub headers: Vec<(&'static str, String)>,
-    /// Body, empty where there is none.
-    pub body: Vec<u8>,
-}
-
-/// What came of a start: the runner's id and address, or why there is none.
-pub type StartResult = Result<StartedRunner, StartError>;
-
-/// Names the writer of a start or stop, so that the platform refuses one whose term is over.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FencingToken<'a> {
-    /// Name of the controller that holds the role lease.
-    pub holder: &'a str,
-    /// Term under which it holds the lease; a higher term supersedes all lower ones.
-    pub term: u64,
-}
-
-/// Why an operator's request names no command.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CommandParseError {
-    /// The target is none of the operators' API.
-    UnknownTarget,
-    /// The target is known, and the request is answered with this status.
-    Rejected(u16),
-}
-
-/// One page of the platform's list of runners.
-#[derive(Clone, Debug, PartialEq)]
-pub struct RunnerPage {
-    /// The runners of this page.
-    pub runners: Vec<RunnerListing>,
-    /// Names the page that follows; none on the last one.
-    pub next: Option<String>,
-}
-
-/// The forms of the operators' API. It translates and decides nothing.
-pub trait OperatorCodec {
-    /// Reader of the operators' documents.
-    fn documents(&self) -> &dyn ConfigurationFormat;
-    /// The operator's version that a document bears.
-    fn version_of(&self, document: &[u8]) -> Option<u64>;
-    /// What a request asks for, by its method and target.
-    fn parse_command(&self, method: &str, target: &str) -> Result<CommandKind, CommandParseError>;
-    /// The version on which a change builds.
-    fn base_version(&self, headers: &Headers) -> BaseVersion;
-}
-
-/// The forms of the platform's API. It translates and decides nothing.
-pub trait PlatformCodec {
-    /// Asks for a page of the list of runners; the first one where none is named.
-    fn list_runners(&self, page: Option<&str>) -> PlatformRequest;
-    /// Reads such a page; the error says what is wrong with it.
-    fn read_runners(&self, body: &[u8]) -> Result<RunnerPage, String>;
-    /// Asks for the list of workers.
-    fn list_workers(&self) -> PlatformRequest;
-    /// Reads that list; the error says what is wrong with it.
-    fn read_workers(&self, body: &[u8]) -> Result<Vec<WorkerListing>, String>;
-    /// Asks for a start. A start that is sent again with the same nonce starts nothing more.
-    fn start(
-        &self,
-        function: &str,
-        worker: &str,
-        nonce: &str,
-        fence: FencingToken<'_>,
-    ) -> PlatformRequest;
-    /// Reads the answer to a start.
-    fn read_start(&self, status: u16, body: &[u8]) -> StartResult;
-    /// Asks for a stop of the runner with this id.
-    fn stop(&self, id: &str, fence: FencingToken<'_>) -> PlatformRequest;
-    /// Whether the answer to a stop says that it is done.
-    fn is_stopped(&self, status: u16) -> bool;
-}
-
 /// Reads the addresses of controllers anew; none where the settings have not changed or cannot be read.
 pub type SeedReloader = Box<dyn Fn() -> Option<Vec<SocketAddr>>>;
 
@@ -142,53 +59,50 @@
 }
 
 impl ControllerOptions {
-    /// Milliseconds between heartbeats: a twentieth of the bound on changes.
-    pub fn heartbeat_ms(&self) -> u64 {
+    /// Milliseconds between heartbeats of the consensus: a twentieth of the bound on changes.
+    pub(crate) fn heartbeat_ms(&self) -> u64 {
         self.propagation_timeout_ms / 20
     }
 
+    /// Milliseconds between heartbeats to gateways.
+    pub(crate) fn gateway_heartbeat_ms(&self) -> u64 {
+        self.heartbeat_ms() * 2
+    }
+
     /// Milliseconds of the scaler's role lease: two fifths of the bound on changes.
-    pub fn lease_ms(&self) -> u64 {
+    pub(crate) fn lease_ms(&self) -> u64 {
         self.propagation_timeout_ms * 2 / 5
     }
 
     /// Milliseconds of silence after which a gateway is considered gone: a third of the bound on changes.
-    pub fn silence_ms(&self) -> u64 {
+    pub(crate) fn gateway_timeout_ms(&self) -> u64 {
         self.propagation_timeout_ms / 3
     }
 
-    /// Milliseconds between looks at the platform's lists: a quarter of the bound on leaving runners.
-    pub fn list_every_ms(&self) -> u64 {
+    /// Milliseconds between requests for the platform's lists: a quarter of the time that a runner drains.
+    pub(crate) fn list_interval_ms(&self) -> u64 {
         self.drain_ms / 4
     }
 
-    /// Milliseconds that a call to the platform may take: a third of the bound on changes.
-    pub fn call_ms(&self) -> u64 {
+    /// Milliseconds that a request to the platform may take: a third of the bound on changes.
+    pub(crate) fn platform_timeout_ms(&self) -> u64 {
         self.propagation_timeout_ms / 3
     }
-}
 
-/// Why the daemon ended with a failure.
-#[derive(Debug)]
-pub enum ControllerError {
-    /// An address could not be listened at.
-    Listen(SocketAddr, io::Error),
-    /// The data folder could not be used.
-    Data(String),
-    /// The system refused what every daemon needs.
-    System(io::Error),
-}
-
-impl fmt::Display for ControllerError {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Listen(address, error) => {
-                write!(formatter, "cannot listen at {address}: {error}")
-            }
-            Self::Data(reason) => write!(formatter, "the data folder cannot be used: {reason}"),
-            Self::System(error) => write!(formatter, "the system refused: {error}"),
+    /// Settings of the consensus, with the identity of the voter's disk.
+    pub(crate) fn consensus_options(&self, disk_id: u64) -> ConsensusOptions {
+        ConsensusOptions {
+            name: self.name.clone(),
+            address: self.consensus_address.to_string(),
+            seeds: self.seeds.iter().map(ToString::to_string).collect(),
+            is_first_start: self.is_first_start,
+            disk_id,
+            lease_ms: self.lease_ms(),
+            heartbeat_interval_ms: self.heartbeat_ms(),
+            // A voter that is away for longer cannot hold everything again within the time that is allowed for it.
+            replacement_timeout_ms: self.resync_ms * 3 / 5,
+            seed: rand::random(),
+            target_voter_count: self.voters_wanted,
         }
     }
 }
-
-impl std::error::Error for ControllerError {}
--- a/crates/controller/src/redirector.rs
+++ b/crates/controller/src/redirector.rs
@@ -1,25 +1,27 @@
-//! A daemon of the control plane without a disk: it keeps nothing, and sends operators on to members of the consensus
-//! group that are alive and in contact with a majority.
+//! A daemon of the control plane without a disk: it stores nothing, and redirects operators to controllers that are alive and
+//! in contact with a majority.
 
-use crate::directory::MemberDirectory;
-use crate::operators::{location_of, RETRY_AFTER};
-use crate::options::{CommandParseError, ControllerError, OperatorCodec, SeedReloader};
-use event_loop::{ConnectionId, Event, EventLoop};
-use http1::{write_response, MessageLimits, Request, RequestReader};
+use crate::clock::Clock;
+use crate::codec::{CommandParseError, OperatorCodec};
+use crate::connections::{ConnectionKind, Connections};
+use crate::controller_connections::OPERATOR_INBOX_MAX;
+use crate::daemon_loop::{run_loop, Daemon};
+use crate::error::ControllerError;
+use crate::member_directory::MemberDirectory;
+use crate::operator_inbox::{OperatorInbox, OperatorInput};
+use crate::operator_response::{OperatorResponse, SERVICE_UNAVAILABLE, TEMPORARY_REDIRECT};
+use crate::options::SeedReloader;
+use crate::signals::Signals;
+use event_loop::{ConnectionId, Event};
+use http1::Request;
 use protocol::{frame, take_frames, Message};
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
-const OPERATOR_INBOX: usize = 40 << 20;
-const MEMBER_INBOX: usize = 1 << 20;
-const TICK_MS: u64 = 50;
-const BOUNDS: MessageLimits = MessageLimits {
-    header_bytes: 64 << 10,
-    body_bytes: 32 << 20,
-};
+/// Most unread bytes of a controller's answer; heartbeats are small.
+const MEMBER_INBOX_MAX: usize = 1 << 20;
+const NOT_FOUND: u16 = 404;
 
 /// Settings of a daemon of the control plane without a disk.
 pub struct RedirectorOptions {
@@ -40,103 +42,132 @@
 }
 
 impl RedirectorOptions {
-    /// Milliseconds between questions to a member: a tenth of the bound on changes.
-    fn ask_ms(&self) -> u64 {
+    /// Milliseconds between requests for a member's heartbeat: a tenth of the bound on changes.
+    fn poll_interval_ms(&self) -> u64 {
         self.propagation_timeout_ms / 10
     }
 
-    /// Milliseconds for which a member's word counts: three tenths of the bound on changes.
-    fn fresh_ms(&self) -> u64 {
+    /// Milliseconds for which a member's heartbeat counts: three tenths of the bound on changes.
+    fn freshness_ms(&self) -> u64 {
         self.propagation_timeout_ms * 3 / 10
     }
 }
 
-/// What a line is for.
-enum Role {
-    Operator(Box<RequestReader>),
+/// What a redirector's connection is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RedirectorConnection {
+    /// An operator sends a request.
+    Operator,
+    /// The controller at this address tells whether it is in contact with a majority.
     Member(SocketAddr),
 }
 
+impl ConnectionKind for RedirectorConnection {
+    fn inbox_max(self) -> usize {
+        match self {
+            Self::Operator => OPERATOR_INBOX_MAX,
+            Self::Member(_) => MEMBER_INBOX_MAX,
+        }
+    }
+}
+
 struct Redirector {
     options: RedirectorOptions,
-    event_loop: EventLoop,
-    roles: HashMap<ConnectionId, Role>,
+    clock: Clock,
+    now: u64,
+    is_stopping: bool,
+    connections: Connections<RedirectorConnection>,
+    operators: OperatorInbox,
     links: HashMap<SocketAddr, ConnectionId>,
     directory: MemberDirectory,
-    began: Instant,
-    now: u64,
-    ticked_at: u64,
-    turn: usize,
+    /// Counts redirects, so that members take turns.
+    redirects: usize,
 }
 
-/// Serves operators on a machine without a disk: nothing is kept here, so each call is sent on to another daemon.
+/// Serves operators on a machine without a disk, until it is told to stop.
+///
+/// # Errors
+/// Where the address for operators cannot be listened at, or the system refuses what every daemon needs.
 pub fn run_redirector(options: RedirectorOptions) -> Result<(), ControllerError> {
-    let (term, hup) = (Arc::default(), Arc::default());
-    let watch = |signal, flag: &Arc<AtomicBool>| {
-        signal_hook::flag::register(signal, Arc::clone(flag)).map_err(ControllerError::System)
-    };
-    watch(signal_hook::consts::SIGTERM, &term)?;
-    watch(signal_hook::consts::SIGINT, &term)?;
-    watch(signal_hook::consts::SIGHUP, &hup)?;
+    let signals = Signals::register()?;
     let mut redirector = Redirector::open(options)?;
-    let mut events = Vec::new();
-    while !term.load(Ordering::Relaxed) {
-        if hup.swap(false, Ordering::Relaxed) {
-            redirector.reload();
-        }
-        redirector.now = redirector.clock();
-        if redirector.now >= redirector.ticked_at + TICK_MS {
-            redirector.ticked_at = redirector.now;
-            redirector.tick();
-        }
-        let patience = Duration::from_millis(TICK_MS);
-        redirector.event_loop.poll(patience, &mut events);
-        redirector.now = redirector.clock();
-        for event in events.drain(..) {
-            redirector.handle(event);
-        }
-    }
+    run_loop(&mut redirector, &signals);
     Ok(())
 }
 
-impl Redirector {
-    fn open(options: RedirectorOptions) -> Result<Self, ControllerError> {
-        let silence = options.fresh_ms() as u32;
-        let mut event_loop =
-            EventLoop::new(options.connections_max, silence).map_err(ControllerError::System)?;
-        let listening = event_loop.listen(options.operator_address, OPERATOR_INBOX);
-        listening.map_err(|error| ControllerError::Listen(options.operator_address, error))?;
-        let seeds = options.seeds.clone();
-        let (ask, fresh) = (options.ask_ms(), options.fresh_ms());
-        log::info!(
-            "controller: no disk here; calls are sent on, members are learnt from {seeds:?}"
-        );
-        Ok(Self {
-            directory: MemberDirectory::new(options.gateway_address, seeds, ask, fresh),
-            event_loop,
-            roles: HashMap::new(),
-            links: HashMap::new(),
-            began: Instant::now(),
-            now: 0,
-            ticked_at: 0,
-            turn: 0,
-            options,
-        })
+impl Daemon for Redirector {
+    fn update_clock(&mut self) {
+        self.now = self.clock.now();
     }
 
-    fn clock(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+    fn begin_shutdown(&mut self) {
+        self.is_stopping = true;
+    }
+
+    fn is_shut_down(&self) -> bool {
+        self.is_stopping
     }
 
     fn reload(&mut self) {
         let Some(seeds) = (self.options.reload_seeds)() else {
             return;
         };
+        let count = seeds.len();
+        log::info!("controller: settings read anew, {count} seeds named");
+        self.directory.set_seeds(self.now, seeds);
+    }
+
+    fn advance(&mut self) -> Duration {
+        if self.clock.take_tick(self.now) {
+            self.tick();
+        }
+        Clock::tick_interval()
+    }
+
+    fn poll(&mut self, timeout: Duration, events: &mut Vec<Event>) {
+        self.connections.poll(timeout, events);
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Accepted(listener, connection) => {
+                self.connections.accept(listener, connection);
+                self.operators.accept(connection);
+            }
+            Event::Connected(_) => {}
+            Event::Readable(connection) => self.handle_readable(connection),
+            Event::Closed(connection, _) => self.handle_closed(connection),
+        }
+    }
+
+    fn finish_turn(&mut self) {}
+}
+
+impl Redirector {
+    fn open(options: RedirectorOptions) -> Result<Self, ControllerError> {
+        let mut connections = Connections::new(options.connections_max, options.freshness_ms())?;
+        connections.listen(options.operator_address, RedirectorConnection::Operator)?;
+        let seeds = options.seeds.clone();
         log::info!(
-            "controller: settings read anew, {} seeds named",
-            seeds.len()
+            "controller: no disk here; requests are redirected, members are learnt from {seeds:?}"
         );
-        self.directory.set_seeds(self.now, seeds);
+        let directory = MemberDirectory::new(
+            options.gateway_address,
+            seeds,
+            options.poll_interval_ms(),
+            options.freshness_ms(),
+        );
+        Ok(Self {
+            options,
+            clock: Clock::start(),
+            now: 0,
+            is_stopping: false,
+            connections,
+            operators: OperatorInbox::default(),
+            links: HashMap::new(),
+            directory,
+            redirects: 0,
+        })
     }
 
     fn tick(&mut self) {
@@ -145,138 +176,125 @@
             self.close_link(address);
         }
         for address in self.directory.due(self.now) {
-            self.ask_member(address);
+            self.request_heartbeat(address);
         }
     }
 
-    fn close_link(&mut self, address: SocketAddr) {
-        if let Some(line) = self.links.remove(&address) {
-            self.roles.remove(&line);
-            self.event_loop.close(line);
+    fn handle_readable(&mut self, connection: ConnectionId) {
+        match self.connections.kind(connection) {
+            Some(RedirectorConnection::Operator) => self.handle_operator_readable(connection),
+            Some(RedirectorConnection::Member(address)) => {
+                self.handle_member_readable(connection, address);
+            }
+            None => {}
         }
     }
 
-    fn ask_member(&mut self, address: SocketAddr) {
-        if !self.links.contains_key(&address) {
-            let Ok(line) = self.event_loop.connect(address, MEMBER_INBOX) else {
-                return;
-            };
-            self.roles.insert(line, Role::Member(address));
-            self.links.insert(address, line);
+    fn handle_closed(&mut self, connection: ConnectionId) {
+        match self.connections.forget(connection) {
+            Some(RedirectorConnection::Operator) => self.operators.remove(connection),
+            Some(RedirectorConnection::Member(address)) => {
+                self.links.remove(&address);
+                self.directory.on_link_ended(address);
+            }
+            None => {}
         }
-        if let Some(line) = self.links.get(&address) {
-            self.event_loop
-                .send(*line, &frame(&Message::RequestHeartbeat));
+        self.connections.close(connection);
+    }
+
+    fn close_link(&mut self, address: SocketAddr) {
+        if let Some(connection) = self.links.remove(&address) {
+            self.connections.close(connection);
         }
     }
 
-    fn handle(&mut self, event: Event) {
-        match event {
-            Event::Accepted(_, line) => {
-                let role = Role::Operator(Box::default());
-                self.roles.insert(line, role);
-            }
-            Event::Connected(_) => {}
-            Event::Readable(line) => match self.roles.get(&line) {
-                Some(Role::Operator(_)) => self.operator_arrived(line),
-                Some(Role::Member(address)) => self.member_arrived(line, *address),
-                None => {}
-            },
-            Event::Closed(line, _) => {
-                if let Some(Role::Member(address)) = self.roles.remove(&line) {
-                    self.links.remove(&address);
-                    self.directory.on_link_ended(address);
-                }
-                self.event_loop.close(line);
-            }
+    fn request_heartbeat(&mut self, address: SocketAddr) {
+        let Some(connection) = self.link_to(address) else {
+            return;
+        };
+        let request = frame(&Message::RequestHeartbeat);
+        self.connections.send(connection, &request);
+    }
+
+    fn link_to(&mut self, address: SocketAddr) -> Option<ConnectionId> {
+        if let Some(connection) = self.links.get(&address) {
+            return Some(*connection);
         }
+        let kind = RedirectorConnection::Member(address);
+        let connection = self.connections.connect(address, kind)?;
+        self.links.insert(address, connection);
+        Some(connection)
     }
 
-    fn member_arrived(&mut self, line: ConnectionId, address: SocketAddr) {
-        let Some(inbox) = self.event_loop.read_buffer(line) else {
+    fn handle_member_readable(&mut self, connection: ConnectionId, address: SocketAddr) {
+        let Some(buffer) = self.connections.read_buffer(connection) else {
             return;
         };
-        let (messages, fault) = take_frames::<Message>(inbox);
+        let (messages, error) = take_frames::<Message>(buffer);
         for message in messages {
-            if let Message::ControllerHeartbeat {
-                controllers,
-                is_current,
-                ..
-            } = message
-            {
-                let members = controllers
-                    .iter()
-                    .filter_map(|controller| controller.parse().ok());
-                self.directory
-                    .on_heartbeat(self.now, address, is_current, members);
-            }
+            self.handle_member_message(address, message);
         }
-        if let Some(fault) = fault {
-            log::warn!("controller: the link to member {address} is closed: {fault}");
+        if let Some(error) = error {
+            log::warn!("controller: the link to member {address} is closed: {error}");
             self.directory.on_link_ended(address);
             self.close_link(address);
         }
     }
 
-    fn operator_arrived(&mut self, line: ConnectionId) {
-        let Some(Role::Operator(reader)) = self.roles.get_mut(&line) else {
+    fn handle_member_message(&mut self, from: SocketAddr, message: Message) {
+        let Message::ControllerHeartbeat {
+            controllers,
+            is_current,
+            ..
+        } = message
+        else {
             return;
         };
-        let Some(inbox) = self.event_loop.read_buffer(line) else {
+        let members = controllers.iter();
+        let members = members.filter_map(|controller| controller.parse().ok());
+        self.directory
+            .on_heartbeat(self.now, from, is_current, members);
+    }
+
+    fn handle_operator_readable(&mut self, connection: ConnectionId) {
+        let Some(buffer) = self.connections.read_buffer(connection) else {
             return;
         };
-        let mut out = Vec::new();
-        match reader.read(inbox, &BOUNDS) {
-            Ok(None) => return,
-            Ok(Some(request)) => self.send_on(&request, &mut out),
-            Err(fault) => {
-                let text = fault.to_string();
-                let none = std::iter::empty();
-                write_response(
-                    &mut out,
-                    fault.status(),
-                    none,
-                    text.as_bytes(),
-                    false,
-                    false,
-                );
+        let response = match self.operators.read(connection, buffer) {
+            None | Some(OperatorInput::Incomplete | OperatorInput::ExpectsContinue) => return,
+            Some(OperatorInput::Request(request)) => self.respond_to(&request),
+            Some(OperatorInput::Malformed(error)) => {
+                OperatorResponse::bare(error.status(), error.to_string())
             }
-        }
-        self.event_loop.send(line, &out);
-        self.event_loop.close_after_flush(line);
-        self.roles.remove(&line);
+        };
+        let keeps_alive = false;
+        self.connections
+            .send(connection, &response.encode(keeps_alive));
+        self.connections.close_after_flush(connection);
+        self.operators.remove(connection);
     }
 
-    /// Sends a call on to a member in contact with a majority; where none is known the caller comes again.
-    fn send_on(&mut self, request: &Request, out: &mut Vec<u8>) {
+    /// Redirects a request to a member in contact with a majority; where none is known the operator comes again.
+    fn respond_to(&mut self, request: &Request) -> OperatorResponse {
         let codec = &self.options.operator_codec;
-        let parsed = codec.parse_command(&request.method, &request.target);
-        let mut header: Vec<(&str, String)> = Vec::new();
-        let status = match parsed {
-            Err(CommandParseError::UnknownTarget) => 404,
-            Err(CommandParseError::Rejected(status)) => status,
-            Ok(_) => match self.next_member() {
-                Some(member) => {
-                    let port = self.options.operator_address.port();
-                    let location = location_of(member.ip(), port, &request.target);
-                    header.push(("Location", location));
-                    307
-                }
-                None => {
-                    let after = String::from_utf8_lossy(RETRY_AFTER).into_owned();
-                    header.push(("Retry-After", after));
-                    503
-                }
-            },
+        match codec.parse_command(&request.method, &request.target) {
+            Err(CommandParseError::UnknownTarget) => OperatorResponse::bare(NOT_FOUND, b""),
+            Err(CommandParseError::Rejected(status)) => OperatorResponse::bare(status, b""),
+            Ok(_) => self.redirect(&request.target),
+        }
+    }
+
+    fn redirect(&mut self, target: &str) -> OperatorResponse {
+        let Some(member) = self.next_member() else {
+            return OperatorResponse::bare(SERVICE_UNAVAILABLE, b"").with_retry_after();
         };
-        let headers = header.iter().map(|(name, value)| (*name, value.as_bytes()));
-        write_response(out, status, headers, b"", false, false);
+        let port = self.options.operator_address.port();
+        OperatorResponse::bare(TEMPORARY_REDIRECT, b"").with_location(member.ip(), port, target)
     }
 
     fn next_member(&mut self) -> Option<SocketAddr> {
-        let now = self.clock();
-        let current = self.directory.current(now);
-        self.turn = self.turn.wrapping_add(1);
-        current.get(self.turn % current.len().max(1)).copied()
+        let current = self.directory.current(self.clock.now());
+        self.redirects = self.redirects.wrapping_add(1);
+        current.get(self.redirects % current.len().max(1)).copied()
     }
 }
--- /dev/null
+++ b/crates/controller/src/scaler.rs
@@ -0,0 +1,389 @@
+//! The role of the scaler, which the holder of the role lease has: it feeds the autoscaler, carries out its commands at the
+//! platform, and publishes its updates to the gateways that own functions.
+
+use crate::codec::{FencingToken, PlatformRequest};
+use crate::committed_configuration::CommittedConfiguration;
+use crate::controller_connections::ControllerConnections;
+use crate::gateway_table::GatewayTable;
+use crate::membership_publisher::MembershipPublisher;
+use crate::options::ControllerOptions;
+use crate::platform_client::{PlatformClient, PlatformEndpoint, PlatformOutcome, RequestPurpose};
+use crate::platform_lists::{PageProgress, PlatformLists};
+use autoscaler::{Autoscaler, AutoscalerOptions, FunctionStatus, RunnerCommand, StartError};
+use event_loop::ConnectionId;
+use http1::Response;
+use protocol::{FunctionReport, FunctionUpdate, Message};
+use std::collections::BTreeMap;
+
+const OK: u16 = 200;
+
+/// All that this controller knows as scaler. The next holder of the role learns it anew.
+#[derive(Default)]
+pub(crate) struct Scaler {
+    term: u64,
+    began_at: u64,
+    /// None while another controller scales.
+    autoscaler: Option<Autoscaler>,
+    membership: MembershipPublisher,
+    /// Incarnation of each gateway whose reports were taken.
+    incarnations: BTreeMap<String, u64>,
+    platform: PlatformClient,
+    lists: PlatformLists,
+}
+
+/// The other parts of the controller that the scaler works with.
+pub(crate) struct ScalerContext<'a> {
+    /// Milliseconds since the start.
+    pub now: u64,
+    /// Settings.
+    pub options: &'a ControllerOptions,
+    /// Connections, for those to the platform.
+    pub connections: &'a mut ControllerConnections,
+    /// Gateways, which are notified.
+    pub gateways: &'a mut GatewayTable,
+}
+
+impl ScalerContext<'_> {
+    fn endpoint(&self) -> PlatformEndpoint {
+        PlatformEndpoint {
+            address: self.options.platform_address,
+            timeout_ms: self.options.platform_timeout_ms(),
+        }
+    }
+}
+
+impl Scaler {
+    /// Another controller may scale: everything is dropped.
+    pub fn end_term(&mut self, context: &mut ScalerContext<'_>) {
+        if self.autoscaler.is_some() {
+            log::info!("scaler: role lost, term {} is over", self.term);
+            self.reset(context);
+        }
+    }
+
+    fn reset(&mut self, context: &mut ScalerContext<'_>) {
+        self.autoscaler = None;
+        self.lists.drop_runners();
+        self.platform.reset(context.connections);
+    }
+
+    /// This controller holds the role lease under a term. Begins anew where the term is another one than before, and returns
+    /// whether it did.
+    pub fn begin_term(
+        &mut self,
+        term: u64,
+        configuration: &CommittedConfiguration,
+        context: &mut ScalerContext<'_>,
+    ) -> bool {
+        if term == self.term && self.autoscaler.is_some() {
+            return false;
+        }
+        self.reset(context);
+        let options = AutoscalerOptions {
+            list_lag_ms: context.options.list_lag_ms,
+            drain_ms: context.options.drain_ms,
+            commands_per_s: context.options.starts_per_second,
+            nonce_prefix: format!("{term:x}"),
+            term,
+            ..AutoscalerOptions::default()
+        };
+        self.term = term;
+        self.began_at = context.now;
+        self.autoscaler = Some(Autoscaler::new(options, context.now));
+        self.membership.begin_term(term);
+        self.lists.begin_term();
+        self.apply_configuration(configuration, context);
+        self.apply_evacuations(configuration, context);
+        true
+    }
+
+    /// The configuration is another one than before.
+    pub fn apply_configuration(
+        &mut self,
+        configuration: &CommittedConfiguration,
+        context: &ScalerContext<'_>,
+    ) {
+        let record = configuration.record();
+        let Some(autoscaler) = self.autoscaler.as_mut().filter(|_| record.version > 0) else {
+            return;
+        };
+        let documents = context.options.operator_codec.documents();
+        match documents.parse(&record.document().unwrap_or_default()) {
+            Ok(document) => autoscaler.apply_configuration(context.now, &document),
+            Err(error) => log::error!("scaler: the configuration cannot be read: {error}"),
+        }
+    }
+
+    /// The evacuated zones may be others than before.
+    pub fn apply_evacuations(
+        &mut self,
+        configuration: &CommittedConfiguration,
+        context: &mut ScalerContext<'_>,
+    ) {
+        if let Some(autoscaler) = self.autoscaler.as_mut() {
+            let zones = configuration.evacuated_zones().iter().cloned().collect();
+            autoscaler.set_evacuated_zones(context.now, &zones);
+        }
+        self.carry_out(context);
+    }
+
+    /// Does what is due by time.
+    pub fn poll(&mut self, context: &mut ScalerContext<'_>) {
+        self.publish_membership(context);
+        self.poll_lists(context);
+        if let Some(autoscaler) = self.autoscaler.as_mut() {
+            autoscaler.tick(context.now);
+        }
+        self.carry_out(context);
+        let endpoint = context.endpoint();
+        let failed = self
+            .platform
+            .expire(context.now, endpoint, context.connections);
+        self.fail_all(failed, context.now);
+    }
+
+    /// A gateway came that does not know the membership.
+    pub fn gateway_linked(&mut self, name: &str) {
+        self.membership.add_receiver(name);
+    }
+
+    /// A gateway's link has ended.
+    pub fn gateway_gone(&mut self, name: &str) {
+        if let Some(autoscaler) = self.autoscaler.as_mut() {
+            autoscaler.remove_owner(name);
+        }
+    }
+
+    fn publish_membership(&mut self, context: &mut ScalerContext<'_>) {
+        let is_early = context.now < self.began_at + context.options.heartbeat_ms();
+        self.membership.update(context.gateways.members(), is_early);
+        let Some(update) = self.membership.take_update() else {
+            return;
+        };
+        for name in update.receivers {
+            context.gateways.queue_frame(&name, &update.frame);
+        }
+    }
+
+    /// The owner of functions reports about them.
+    pub fn handle_reports(
+        &mut self,
+        owner: &str,
+        reports: &[FunctionReport],
+        context: &mut ScalerContext<'_>,
+    ) {
+        let incarnation = context.gateways.incarnation(owner).unwrap_or(0);
+        let Some(autoscaler) = self.autoscaler.as_mut() else {
+            return;
+        };
+        // Counters begin anew with each incarnation of an owner.
+        let known = self.incarnations.insert(owner.into(), incarnation);
+        if known.is_some_and(|known| known != incarnation) {
+            autoscaler.remove_owner(owner);
+        }
+        for report in reports {
+            autoscaler.handle_report(context.now, owner, report);
+            let (term, number) = autoscaler.update_version(&report.function);
+            if term > 0 && number != report.update_number {
+                let update = autoscaler.update_for(&report.function, context.now);
+                let message = Message::FunctionUpdates(vec![update]);
+                context.gateways.queue(owner, &message);
+            }
+        }
+        self.carry_out(context);
+    }
+
+    /// Something arrived on a connection to the platform.
+    pub fn handle_readable(&mut self, connection: ConnectionId, context: &mut ScalerContext<'_>) {
+        match self.platform.receive(connection, context.connections) {
+            None => {}
+            Some(PlatformOutcome::Failed(purpose)) => {
+                self.fail(purpose, context.now);
+                self.send_waiting(context);
+            }
+            Some(PlatformOutcome::Answered(purpose, response)) => {
+                self.handle_response(purpose, &response, context);
+                self.carry_out(context);
+                self.send_waiting(context);
+            }
+        }
+    }
+
+    /// A connection to the platform has ended.
+    pub fn handle_closed(&mut self, connection: ConnectionId, context: &mut ScalerContext<'_>) {
+        if let Some(purpose) = self.platform.remove(connection) {
+            self.fail(purpose, context.now);
+            self.send_waiting(context);
+        }
+    }
+
+    /// What the autoscaler thinks of each function that has runners or waiting requests.
+    pub fn function_statuses(&self) -> Vec<FunctionStatus> {
+        let autoscaler = self.autoscaler.as_ref();
+        let statuses = autoscaler.map(Autoscaler::function_statuses);
+        let mut statuses = statuses.unwrap_or_default();
+        statuses.retain(|status| status.runners > 0 || status.waiting > 0);
+        statuses
+    }
+
+    /// Gives the autoscaler's commands to the platform and its updates to the owners of the functions.
+    fn carry_out(&mut self, context: &mut ScalerContext<'_>) {
+        let Some(autoscaler) = self.autoscaler.as_mut() else {
+            return;
+        };
+        let commands = autoscaler.take_commands();
+        let updates = autoscaler.take_updates();
+        for command in commands {
+            self.send_command(command, context);
+        }
+        self.publish_updates(updates, context.gateways);
+    }
+
+    fn send_command(&mut self, command: RunnerCommand, context: &mut ScalerContext<'_>) {
+        let fence = FencingToken {
+            holder: &context.options.name,
+            term: self.term,
+        };
+        let codec = &context.options.platform_codec;
+        let (request, purpose) = match command {
+            RunnerCommand::Start {
+                function,
+                worker,
+                nonce,
+            } => {
+                let request = codec.start(&function, &worker, &nonce, fence);
+                (request, RequestPurpose::Start(nonce))
+            }
+            RunnerCommand::Stop { id } => {
+                let request = codec.stop(&id, fence);
+                (request, RequestPurpose::Stop(id))
+            }
+        };
+        self.send(request, purpose, context);
+    }
+
+    fn publish_updates(&self, updates: Vec<FunctionUpdate>, gateways: &mut GatewayTable) {
+        let mut by_owner: BTreeMap<&str, Vec<FunctionUpdate>> = BTreeMap::new();
+        for update in updates {
+            let members = self.membership.members();
+            let owner = seat_leases::select_owner(&update.function, members, |_| true);
+            if let Some(owner) = owner {
+                by_owner.entry(&owner.name).or_default().push(update);
+            }
+        }
+        for (owner, updates) in by_owner {
+            gateways.queue(owner, &Message::FunctionUpdates(updates));
+        }
+    }
+
+    fn poll_lists(&mut self, context: &mut ScalerContext<'_>) {
+        let interval_ms = context.options.list_interval_ms();
+        if self.lists.take_workers_due(context.now, interval_ms) {
+            let request = context.options.platform_codec.list_workers();
+            self.send(request, RequestPurpose::ListWorkers, context);
+        }
+        if self.lists.take_runners_due(context.now, interval_ms) {
+            let request = context.options.platform_codec.list_runners(None);
+            self.send(request, RequestPurpose::ListRunners, context);
+        }
+    }
+
+    fn send(
+        &mut self,
+        request: PlatformRequest,
+        purpose: RequestPurpose,
+        context: &mut ScalerContext<'_>,
+    ) {
+        match self.platform.enqueue(request, purpose) {
+            Ok(()) => self.send_waiting(context),
+            Err(purpose) => self.fail(purpose, context.now),
+        }
+    }
+
+    fn send_waiting(&mut self, context: &mut ScalerContext<'_>) {
+        let endpoint = context.endpoint();
+        let failed = self
+            .platform
+            .send_waiting(context.now, endpoint, context.connections);
+        self.fail_all(failed, context.now);
+    }
+
+    fn handle_response(
+        &mut self,
+        purpose: RequestPurpose,
+        response: &Response,
+        context: &mut ScalerContext<'_>,
+    ) {
+        let codec = &context.options.platform_codec;
+        let Some(autoscaler) = self.autoscaler.as_mut() else {
+            return;
+        };
+        match purpose {
+            RequestPurpose::ListWorkers if response.status == OK => {
+                match codec.read_workers(&response.body) {
+                    Ok(workers) => autoscaler.update_workers(context.now, workers),
+                    Err(reason) => log::warn!("scaler: the list of workers: {reason}"),
+                }
+            }
+            RequestPurpose::ListRunners if response.status == OK => {
+                self.handle_runner_page(&response.body, context);
+            }
+            RequestPurpose::Start(nonce) => {
+                let result = codec.read_start(response.status, &response.body);
+                if let Err(error) = &result {
+                    log::info!("scaler: start {nonce} gave no runner: {error:?}");
+                }
+                autoscaler.handle_start_result(context.now, &nonce, result);
+            }
+            RequestPurpose::Stop(id) => {
+                let is_done = codec.is_stopped(response.status);
+                autoscaler.handle_stop_result(context.now, &id, is_done);
+            }
+            purpose => self.fail(purpose, context.now),
+        }
+    }
+
+    fn handle_runner_page(&mut self, body: &[u8], context: &mut ScalerContext<'_>) {
+        let codec = &context.options.platform_codec;
+        let page = match codec.read_runners(body) {
+            Ok(page) => page,
+            Err(reason) => {
+                log::warn!("scaler: the list of runners: {reason}");
+                self.lists.end_runners();
+                return;
+            }
+        };
+        match self.lists.add_page(page) {
+            PageProgress::Next(page) => {
+                let request = codec.list_runners(Some(&page));
+                self.send(request, RequestPurpose::ListRunners, context);
+            }
+            PageProgress::Complete(runners) => {
+                if let Some(autoscaler) = self.autoscaler.as_mut() {
+                    autoscaler.update_runners(context.now, runners);
+                }
+            }
+        }
+    }
+
+    fn fail_all(&mut self, purposes: Vec<RequestPurpose>, now: u64) {
+        for purpose in purposes {
+            self.fail(purpose, now);
+        }
+    }
+
+    /// A request to the platform was not answered, or not as it should be.
+    fn fail(&mut self, purpose: RequestPurpose, now: u64) {
+        let Some(autoscaler) = self.autoscaler.as_mut() else {
+            return;
+        };
+        match purpose {
+            RequestPurpose::ListWorkers => {}
+            RequestPurpose::ListRunners => self.lists.drop_runners(),
+            RequestPurpose::Start(nonce) => {
+                autoscaler.handle_start_result(now, &nonce, Err(StartError::Unanswered));
+            }
+            RequestPurpose::Stop(id) => autoscaler.handle_stop_result(now, &id, false),
+        }
+    }
+}
