--- a/crates/anti_entropy/src/digests.rs
+++ b/crates/anti_entropy/src/digests.rs
@@ -1,16 +1,16 @@
 /// Number of ranges that the keys are split into, by their hash.
-pub const RANGES: usize = 256;
+pub const RANGE_COUNT: usize = 256;
 
 /// A digest for each range: all (key, stamp) pairs of the range, mixed so that order is no matter.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Digests {
+pub struct RangeDigests {
     ranges: Vec<u64>,
 }
 
-impl Default for Digests {
+impl Default for RangeDigests {
     fn default() -> Self {
         Self {
-            ranges: vec![0; RANGES],
+            ranges: vec![0; RANGE_COUNT],
         }
     }
 }
@@ -29,7 +29,7 @@
 
 /// The range that a key falls into.
 pub fn range_of(key: &str) -> u16 {
-    (hash(&[key.as_bytes()]) % RANGES as u64) as u16
+    (hash(&[key.as_bytes()]) % RANGE_COUNT as u64) as u16
 }
 
 fn mark(key: &str, stamp: (u64, u64)) -> u64 {
@@ -37,16 +37,16 @@
     hash(&[key.as_bytes(), &first, &second])
 }
 
-impl Digests {
-    /// Digests as another copy told them.
+impl RangeDigests {
+    /// RangeDigests as another copy told them.
     pub fn from_ranges(ranges: &[u64]) -> Self {
         let mut own = ranges.to_vec();
-        own.resize(RANGES, 0);
+        own.resize(RANGE_COUNT, 0);
         Self { ranges: own }
     }
 
     /// A key's stamp changed; either may be missing.
-    pub fn change(&mut self, key: &str, old: Option<(u64, u64)>, new: Option<(u64, u64)>) {
+    pub fn update(&mut self, key: &str, old: Option<(u64, u64)>, new: Option<(u64, u64)>) {
         let range = &mut self.ranges[usize::from(range_of(key))];
         for stamp in [old, new].into_iter().flatten() {
             *range ^= mark(key, stamp);
@@ -54,7 +54,7 @@
     }
 
     /// The digests, range by range.
-    pub fn all(&self) -> &[u64] {
+    pub fn as_slice(&self) -> &[u64] {
         &self.ranges
     }
 
@@ -76,7 +76,7 @@
 
     seeded! {
         fn digests_follow_any_course_of_changes(changes: Vec<(u8, Option<u64>)>) -> bool {
-            let mut digests = Digests::default();
+            let mut digests = RangeDigests::default();
             let mut copy: BTreeMap<String, u64> = BTreeMap::new();
             for (key, stamp) in changes {
                 let key = format!("key-{key}");
@@ -85,24 +85,24 @@
                     None => copy.remove(&key),
                 };
                 let pair = |stamp: u64| (stamp, 1);
-                digests.change(&key, old.map(pair), stamp.map(pair));
+                digests.update(&key, old.map(pair), stamp.map(pair));
             }
-            let mut fresh = Digests::default();
+            let mut fresh = RangeDigests::default();
             for (key, stamp) in &copy {
-                fresh.change(key, None, Some((*stamp, 1)));
+                fresh.update(key, None, Some((*stamp, 1)));
             }
             fresh == digests
         }
 
         fn a_newer_key_shows_in_its_range_alone(keys: Vec<u16>, changed: u16) -> bool {
-            let mut one = Digests::default();
+            let mut one = RangeDigests::default();
             for key in &keys {
-                one.change(&key.to_string(), None, Some((1, 1)));
+                one.update(&key.to_string(), None, Some((1, 1)));
             }
             let mut other = one.clone();
             let name = format!("other-{changed}");
-            other.change(&name, None, Some((2, 1)));
-            one.differing(other.all()) == vec![range_of(&name)]
+            other.update(&name, None, Some((2, 1)));
+            one.differing(other.as_slice()) == vec![range_of(&name)]
         }
     }
 }
--- a/crates/consensus/src/action.rs
+++ b/crates/consensus/src/action.rs
@@ -1,6 +1,6 @@
 use crate::disk::DiskWork;
 use crate::message::ConsensusMessage;
-use register::Outcome;
+use register::ChangeOutcome;
 
 /// What a controller knows of itself when its consensus machine begins.
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
         /// Token that it was asked with.
         token: u64,
         /// How it ended.
-        outcome: Outcome,
+        outcome: ChangeOutcome,
     },
     /// A newer value is known to be settled.
     ValueCommitted {
--- a/crates/consensus/src/asking.rs
+++ b/crates/consensus/src/asking.rs
@@ -6,8 +6,8 @@
 use crate::message::ConsensusMessage;
 use rand::Rng;
 use register::{
-    Ballot, Change, Outcome, Proposal, ProposalStep, VoterAsk, VoterMessage, VoterRef, VoterReply,
-    VoterSet,
+    Ballot, Change, ChangeOutcome, Proposal, ProposalStep, VoterOperation, VoterRef, VoterRequest,
+    VoterResponse, VoterSet,
 };
 
 /// Time in which a change ends.
@@ -21,8 +21,8 @@
     /// Starts a change of a register under the set that is known.
     pub(crate) fn propose(&mut self, now: u64, purpose: Purpose, key: &str, change: Change) {
         let set = self.set.clone();
-        if set.era == 0 {
-            let outcome = Outcome::Unreached("no voters are known yet".into());
+        if set.epoch == 0 {
+            let outcome = ChangeOutcome::NoQuorum("no voters are known yet".into());
             return self.on_outcome(now, purpose, key, outcome);
         }
         let tag = self.random.random::<u64>() | 1;
@@ -91,9 +91,9 @@
         job.asked_at = now;
         let number = job.number;
         let known = job.known.as_ref().map_or((0, 0), |value| value.mark());
-        let message = VoterMessage {
-            mark: job.set.mark(),
-            ask: job.ask.clone(),
+        let message = VoterRequest {
+            set_version: job.set.version(),
+            operation: job.ask.clone(),
         };
         let voters = job.set.voters.iter().zip(&job.has_answered);
         let missing = voters.filter(|(_, has_answered)| !**has_answered);
@@ -121,14 +121,14 @@
         from: &str,
         number: u64,
         known: (u64, u64),
-        message: VoterMessage,
+        message: VoterRequest,
     ) {
-        let is_promise = matches!(message.ask, VoterAsk::Promise { .. });
-        let is_role_round = is_role_round(&message.ask);
+        let is_promise = matches!(message.operation, VoterOperation::Prepare { .. });
+        let is_role_round = is_role_round(&message.operation);
         let lease = self.options.lease_ms;
         if is_role_round && is_promise && !self.duty.may_promise(now, from, lease) {
             if from != self.options.address {
-                let reply = VoterReply::Closed {
+                let reply = VoterResponse::Unavailable {
                     reason: "the duty is not vacant".into(),
                 };
                 self.answer(from, number, false, reply);
@@ -146,7 +146,7 @@
             }));
     }
 
-    pub(crate) fn answer(&mut self, to: &str, number: u64, is_known: bool, reply: VoterReply) {
+    pub(crate) fn answer(&mut self, to: &str, number: u64, is_known: bool, reply: VoterResponse) {
         let message = ConsensusMessage::VoterResponse {
             disk: self.options.disk_id,
             number,
@@ -164,7 +164,7 @@
         disk: u64,
         number: u64,
         is_known: bool,
-        mut reply: VoterReply,
+        mut reply: VoterResponse,
     ) {
         let job = self.jobs.iter_mut().find(|(_, job)| job.number == number);
         let Some((&id, job)) = job.filter(|(_, job)| job.paused.is_none()) else {
@@ -174,14 +174,14 @@
         let Some(place) = voters.position(|voter| voter.disk == disk) else {
             return;
         };
-        if let VoterReply::OtherSet { set } = &reply {
+        if let VoterResponse::SetMismatch { set } = &reply {
             let set = set.clone();
             return self.on_other_set(now, from, &set);
         }
         if job.has_answered[place] {
             return;
         }
-        if let (true, VoterReply::Holds { stored, .. }) = (is_known, &mut reply) {
+        if let (true, VoterResponse::LastAccepted { value: stored, .. }) = (is_known, &mut reply) {
             let known = job.known.as_ref();
             let Some(value) = known.filter(|value| value.mark() == (stored.version, stored.tag))
             else {
@@ -190,17 +190,17 @@
             stored.bytes = value.bytes.to_vec();
         }
         job.has_answered[place] = true;
-        let step = job.proposal.on_reply(place, reply);
+        let step = job.proposal.on_response(place, reply);
         self.on_step(now, id, step);
     }
 
     /// A voter is in another set: one of the two is told of the newer. An empty voter is just not
     /// there yet. All of them are asked again.
     fn on_other_set(&mut self, now: u64, from: &str, set: &VoterSet) {
-        if set.mark() > self.set.mark() {
+        if set.version() > self.set.version() {
             return self.learn_set(now, set);
         }
-        if set.era != 0 && set.mark() < self.set.mark() && from != self.options.address {
+        if set.epoch != 0 && set.version() < self.set.version() && from != self.options.address {
             self.send(from, ConsensusMessage::VoterSet(self.set_news()));
         }
     }
@@ -211,15 +211,15 @@
         };
         match step {
             ProposalStep::Wait => {}
-            ProposalStep::Ask(ask) => {
+            ProposalStep::Send(ask) => {
                 job.ask = ask;
                 self.ask_all(now, id);
             }
-            ProposalStep::Again(above) => {
+            ProposalStep::Retry(above) => {
                 let pause = self.random.random_range(1..=10);
                 job.paused = Some((now + pause, above));
             }
-            ProposalStep::Done(Outcome::Unreached(_) | Outcome::Undecided)
+            ProposalStep::Done(ChangeOutcome::NoQuorum(_) | ChangeOutcome::Indeterminate)
                 if now + PAUSE < job.until && job.purpose != Purpose::Duty =>
             {
                 job.paused = Some((now + PAUSE, Ballot::default()));
@@ -228,38 +228,38 @@
         }
     }
 
-    fn finish(&mut self, now: u64, id: u64, outcome: Outcome) {
+    fn finish(&mut self, now: u64, id: u64, outcome: ChangeOutcome) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
-        if let Outcome::Settled(stored) | Outcome::Stale(stored) = &outcome {
+        if let ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) = &outcome {
             // Jobs come and go by the thousand; nobody keeps them up.
-            if !register::is_job(&job.key) {
+            if !register::is_job_key(&job.key) {
                 self.learn_settled(now, &job.key, stored);
             }
         }
-        if let (Purpose::Settle(key), Outcome::Settled(_)) = (job.purpose, &outcome) {
+        if let (Purpose::Settle(key), ChangeOutcome::Committed(_)) = (job.purpose, &outcome) {
             self.on_read(key, job.begun_at);
         }
         let outcome = job.judge(outcome);
         self.on_outcome(now, job.purpose, &job.key, outcome);
     }
 
-    fn on_outcome(&mut self, now: u64, purpose: Purpose, key: &str, outcome: Outcome) {
+    fn on_outcome(&mut self, now: u64, purpose: Purpose, key: &str, outcome: ChangeOutcome) {
         match purpose {
             Purpose::Client(token) => {
                 self.actions
                     .push(ConsensusAction::RequestCompleted { token, outcome });
             }
             Purpose::Settle(key) => {
-                if let Outcome::Settled(_) = outcome {
+                if let ChangeOutcome::Committed(_) = outcome {
                     self.unread.remove(key);
                 }
                 self.settle_at = now + PAUSE;
             }
             Purpose::Place => {
                 self.place_at = now + PAUSE + self.random.random_range(0..400);
-                if let Outcome::Settled(_) = outcome {
+                if let ChangeOutcome::Committed(_) = outcome {
                     self.spread_set();
                 }
             }
@@ -278,7 +278,7 @@
                 continue;
             };
             if now >= job.until {
-                let outcome = job.proposal.give_up();
+                let outcome = job.proposal.abandon();
                 self.finish(now, id, outcome);
                 continue;
             }
@@ -305,7 +305,7 @@
             }
             job.paused = None;
             job.known = known;
-            job.ask = job.proposal.again(ballot);
+            job.ask = job.proposal.retry(ballot);
         }
         self.ask_all(now, id);
     }
--- a/crates/consensus/src/catching_up.rs
+++ b/crates/consensus/src/catching_up.rs
@@ -6,7 +6,7 @@
 use crate::job::Value;
 use crate::message::ConsensusMessage;
 use rand::Rng;
-use register::{Ballot, Held, Stored, VoterSet, VOTERS_KEY};
+use register::{Ballot, RegisterState, VersionedValue, VoterSet, VOTERS_KEY};
 use speedy::Readable;
 
 /// Time in which a settled value may still come to this controller's own voter.
@@ -108,28 +108,28 @@
         let held = held.filter(|held| (held.version, held.tag) == value.mark());
         let message = ConsensusMessage::Value {
             ballot: held.map(|held| held.accepted).unwrap_or_default(),
-            stored: value.stored(),
+            value: value.stored(),
             key,
         };
         self.send(from, message);
     }
 
     /// Takes a settled value, also for this controller's voter where it lags behind.
-    pub(crate) fn on_value(&mut self, now: u64, key: &str, ballot: Ballot, stored: Stored) {
+    pub(crate) fn on_value(&mut self, now: u64, key: &str, ballot: Ballot, stored: VersionedValue) {
         self.learn_settled(now, key, &stored);
         if ballot == Ballot::default() || !self.is_voting() || !self.is_behind(key, &stored) {
             return;
         }
-        let held = Held {
+        let held = RegisterState {
             promised: ballot,
             accepted: ballot,
-            stored,
+            value: stored,
         };
         let work = DiskWork::Repair(key.to_string(), held);
         self.actions.push(ConsensusAction::Disk(work));
     }
 
-    fn is_behind(&self, key: &str, settled: &Stored) -> bool {
+    fn is_behind(&self, key: &str, settled: &VersionedValue) -> bool {
         let (version, tag) = self
             .held
             .get(key)
@@ -167,7 +167,7 @@
     }
 
     /// A value is known to be settled.
-    pub(crate) fn learn_settled(&mut self, now: u64, key: &str, stored: &Stored) {
+    pub(crate) fn learn_settled(&mut self, now: u64, key: &str, stored: &VersionedValue) {
         if stored.version > self.settled_mark(key).0 {
             self.learn_value(now, key, Value::of(stored));
         }
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -10,10 +10,10 @@
 use crate::peer::Peer;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use register::{Change, Outcome, VoterSet, VOTERS_KEY};
+use register::{Change, ChangeOutcome, VoterSet, VOTERS_KEY};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use voter::Joining;
+use voter::MembershipChange;
 
 /// Key of the description's register.
 pub const CONFIGURATION_KEY: &str = "description";
@@ -73,7 +73,7 @@
     /// Rounds over the duty, and changes of the set, that the disk has not ended yet.
     pub(crate) duty_rounds: usize,
     pub(crate) set_works: usize,
-    pub(crate) joining: Joining,
+    pub(crate) joining: MembershipChange,
     pub(crate) place_at: u64,
     /// The set before the newest, where it is known.
     pub(crate) previous: Option<VoterSet>,
@@ -92,7 +92,7 @@
         let values: BTreeMap<String, RegisterSnapshot> =
             values.map(|value| (value.key.clone(), value)).collect();
         let counter = values.values().map(|value| value.promised.counter).max();
-        let duty = Duty::restored(now, held.set.era, values.get(SCALER_ROLE_KEY));
+        let duty = Duty::restored(now, held.set.epoch, values.get(SCALER_ROLE_KEY));
         let mut consensus = Self {
             incarnation: random.random::<u64>() | 1,
             actions: Vec::new(),
@@ -122,7 +122,7 @@
             duty,
             duty_rounds: 0,
             set_works: 0,
-            joining: Joining::default(),
+            joining: MembershipChange::default(),
             place_at: now,
             previous: None,
             pulled: BTreeMap::new(),
@@ -160,21 +160,27 @@
                 is_known,
                 reply,
             } => self.on_answer(now, from, disk, number, is_known, reply),
-            ConsensusMessage::RequestVoterSet if self.set.era > 0 => {
+            ConsensusMessage::RequestVoterSet if self.set.epoch > 0 => {
                 self.send(from, ConsensusMessage::VoterSet(self.set_news()));
             }
             ConsensusMessage::RequestVoterSet => {}
             ConsensusMessage::VoterSet(news) => self.on_set_news(now, news),
             ConsensusMessage::FormVoterSet(set) => self.on_form(&set),
-            ConsensusMessage::ConfirmInstalled { mark } => {
+            ConsensusMessage::ConfirmInstalled { set_version } => {
                 let to = from.to_string();
-                let work = DiskWork::ConfirmInstalled { to, mark };
+                let work = DiskWork::ConfirmInstalled { to, set_version };
                 self.actions.push(ConsensusAction::Disk(work));
             }
-            ConsensusMessage::Installed { disk, mark } => self.on_installed(disk, mark),
-            ConsensusMessage::RequestReplica { mark, after } => {
+            ConsensusMessage::Installed { disk, set_version } => {
+                self.on_installed(disk, set_version)
+            }
+            ConsensusMessage::RequestReplica { set_version, after } => {
                 let to = from.to_string();
-                let work = DiskWork::ReadReplica { to, mark, after };
+                let work = DiskWork::ReadReplica {
+                    to,
+                    set_version,
+                    after,
+                };
                 self.actions.push(ConsensusAction::Disk(work));
             }
             ConsensusMessage::Replica(page) => self.on_copy(now, page),
@@ -184,7 +190,7 @@
             ConsensusMessage::Value {
                 key,
                 ballot,
-                stored,
+                value: stored,
             } => self.on_value(now, &key, ballot, stored),
         }
         self.tend(now);
@@ -196,9 +202,9 @@
         match done {
             DiskCompletion::VoterState(summary) => self.on_held(now, summary),
             DiskCompletion::SetWorkEnded => self.set_works = self.set_works.saturating_sub(1),
-            DiskCompletion::InstallationConfirmed { to, mark } => {
+            DiskCompletion::InstallationConfirmed { to, set_version } => {
                 let disk = self.options.disk_id;
-                self.send(&to, ConsensusMessage::Installed { disk, mark });
+                self.send(&to, ConsensusMessage::Installed { disk, set_version });
             }
             DiskCompletion::ResetEnded(identity) => self.on_begun_anew(now, identity),
             DiskCompletion::ReplicaPage { to, mut page } => {
@@ -239,8 +245,8 @@
             self.held.insert(value.key.clone(), value);
         }
         // What a failed disk has taken in memory alone is not a set that this controller's voter is in.
-        if self.is_open && summary.set.mark() != self.own_set.mark() {
-            log::info!("consensus: votes in set {:?}", summary.set.mark());
+        if self.is_open && summary.set.version() != self.own_set.version() {
+            log::info!("consensus: votes in set {}", summary.set.version());
             self.own_set = summary.set;
             self.wants_heartbeat = true;
             let set = self.own_set.clone();
@@ -275,7 +281,7 @@
     }
 
     fn tend_settling(&mut self, now: u64) {
-        if self.set.era == 0 || now < self.settle_at {
+        if self.set.epoch == 0 || now < self.settle_at {
             return;
         }
         let missing: Vec<&'static str> = self.unread.union(&self.unconfirmed).copied().collect();
@@ -302,7 +308,7 @@
         }
         let known = self.settled.get(key);
         if let Some(newer) = known.filter(|known| known.version > expected) {
-            let outcome = Outcome::Stale(newer.stored());
+            let outcome = ChangeOutcome::Conflict(newer.stored());
             return self
                 .actions
                 .push(ConsensusAction::RequestCompleted { token, outcome });
@@ -319,7 +325,7 @@
     }
 
     fn refuse(&mut self, token: u64, reason: &str) {
-        let outcome = Outcome::Unreached(reason.into());
+        let outcome = ChangeOutcome::NoQuorum(reason.into());
         self.actions
             .push(ConsensusAction::RequestCompleted { token, outcome });
     }
@@ -368,15 +374,15 @@
 
     /// What this controller is about, in a few words.
     pub fn status(&self) -> String {
-        let mark = self.set.mark();
+        let set_version = self.set.version();
         match self.unread.first() {
             _ if !self.is_open => "the disk is not to be trusted".into(),
-            _ if self.set.era == 0 => "no voters are known yet".into(),
-            _ if self.own_set.era == 0 => format!("waits for a place in set {mark:?}"),
+            _ if self.set.epoch == 0 => "no voters are known yet".into(),
+            _ if self.own_set.epoch == 0 => format!("waits for a place in set {set_version}"),
             _ if self.is_beginning_anew() => "empties its disk".into(),
-            _ if !self.is_named() => format!("left out of set {mark:?}"),
+            _ if !self.is_named() => format!("left out of set {set_version}"),
             Some(key) => format!("{key} was not read at a majority yet"),
-            None => format!("votes in set {mark:?}"),
+            None => format!("votes in set {set_version}"),
         }
     }
 
@@ -393,6 +399,6 @@
 
     /// Whether this controller's voter counts.
     pub(crate) fn is_voting(&self) -> bool {
-        self.is_open && self.own_set.era > 0 && self.is_named()
+        self.is_open && self.own_set.epoch > 0 && self.is_named()
     }
 }
--- a/crates/consensus/src/contending.rs
+++ b/crates/consensus/src/contending.rs
@@ -3,7 +3,7 @@
 use crate::duty::{term_of, Claim, RoleHolder};
 use crate::job::Purpose;
 use rand::Rng;
-use register::{Change, Outcome};
+use register::{Change, ChangeOutcome};
 use speedy::{Readable, Writable};
 
 /// Time between the tries of two neighbours in the set, so that they don't race.
@@ -49,7 +49,7 @@
     /// Whether this controller's voter would let a controller have the duty.
     pub(crate) fn may_grant(&self, now: u64, to: &str) -> bool {
         let is_calm = self.duty_rounds == 0 && self.set_works == 0;
-        let is_current = self.is_voting() && self.own_set.mark() == self.set.mark();
+        let is_current = self.is_voting() && self.own_set.version() == self.set.version();
         is_calm && is_current && self.duty.may_promise(now, to, self.options.lease_ms)
     }
 
@@ -65,7 +65,7 @@
         let term_holder = RoleHolder::read_from_buffer(bytes).unwrap_or_default();
         let is_firm = held.promised == held.accepted;
         let is_holder = term_holder.address == holder && term_holder.incarnation == incarnation;
-        is_firm && is_holder && term_of(self.own_set.era, held.version) == term
+        is_firm && is_holder && term_of(self.own_set.epoch, held.version) == term
     }
 
     /// A heartbeat is about to leave: it claims the duty where this controller has won it.
@@ -73,7 +73,7 @@
         let Some(term) = self.duty.claim.as_ref().map(|claim| claim.term) else {
             return;
         };
-        let is_current = self.own_set.mark() == self.set.mark();
+        let is_current = self.own_set.version() == self.set.version();
         let is_backed = is_current && self.backs(&self.options.address, self.incarnation, term);
         let (number, lease, disk) = (
             self.heartbeat_number,
@@ -117,7 +117,7 @@
     }
 
     fn has_consent(&self, now: u64) -> bool {
-        let mark = self.set.mark();
+        let set_version = self.set.version();
         let voters = self.set.voters.iter();
         let consenting = voters.filter(|voter| {
             let mut fresh = self.fresh(now).map(|(_, heartbeat)| heartbeat);
@@ -125,7 +125,7 @@
                 || fresh.any(|heartbeat| {
                     heartbeat.disk == voter.disk
                         && heartbeat.grants_role
-                        && heartbeat.own_set == mark
+                        && heartbeat.own_set == set_version
                 })
         });
         consenting.count() >= self.set.majority()
@@ -143,15 +143,15 @@
         self.propose(now, Purpose::Duty, SCALER_ROLE_KEY, change);
     }
 
-    pub(crate) fn on_contended(&mut self, now: u64, outcome: Outcome) {
-        let Outcome::Settled(stored) = outcome else {
+    pub(crate) fn on_contended(&mut self, now: u64, outcome: ChangeOutcome) {
+        let ChangeOutcome::Committed(stored) = outcome else {
             let pause = self.random.random_range(50..200);
             self.duty.quiet_until = self.duty.quiet_until.max(now + pause);
             return;
         };
         let is_newest = stored.version == self.settled_mark(SCALER_ROLE_KEY).0;
         if is_newest && !self.duty.is_resigned {
-            self.duty.claim = Some(Claim::new(now, self.set.era, stored.version));
+            self.duty.claim = Some(Claim::new(now, self.set.epoch, stored.version));
             self.wants_heartbeat = true;
             self.heartbeat_sent_at = None;
         }
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -3,10 +3,12 @@
 use crate::consensus::REPLICATED_KEYS;
 use crate::duty::is_role_round;
 use crate::message::ReplicaPage;
-use register::{Ballot, Held, VoterAsk, VoterMessage, VoterReply, VoterSet};
+use register::{
+    Ballot, RegisterState, SetVersion, VoterOperation, VoterRequest, VoterResponse, VoterSet,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use voter::{Installing, Voter, VoterDisk};
+use voter::{Installation, Voter, VoterDisk};
 
 /// Most bytes of a part of a copy, unless one key alone is larger: a quarter of a second at 2 Mbit/s.
 const PAGE_MAX: usize = 64 << 10;
@@ -25,7 +27,7 @@
         /// Version and tag of a value that the asker has.
         known: (u64, u64),
         /// The question.
-        message: VoterMessage,
+        message: VoterRequest,
     },
     /// Take the first set.
     FormSet(VoterSet),
@@ -34,15 +36,15 @@
     /// Take a set with all that its other members hold, into an empty voter.
     Install(Installation),
     /// Take a newer value from another copy.
-    Repair(String, Held),
+    Repair(String, RegisterState),
     /// Let one span pass for which jobs are remembered.
     RotateJobWindow,
-    /// Say so where the voter is in the set of this mark, or in a later one.
+    /// Say so where the voter is in the set of this version, or in a later one.
     ConfirmInstalled {
         /// Address of the controller that asks.
         to: String,
-        /// Mark of the set.
-        mark: (u64, u64),
+        /// Version of the set.
+        set_version: SetVersion,
     },
     /// Give up all that is held and begin as an empty voter under this identity.
     Reset(u64),
@@ -50,8 +52,8 @@
     ReadReplica {
         /// Address of the controller that asks.
         to: String,
-        /// Mark of the set that it must be held under.
-        mark: (u64, u64),
+        /// Version of the set that it must be held under.
+        set_version: SetVersion,
         /// The key after which the part begins.
         after: String,
     },
@@ -60,15 +62,22 @@
 impl DiskWork {
     /// Bytes that the work takes while it waits for the disk.
     pub fn size(&self) -> usize {
-        let held = |key: &String, held: &Held| key.len() + held.stored.bytes.len() + KEY_OVERHEAD;
+        let held =
+            |key: &String, held: &RegisterState| key.len() + held.value.bytes.len() + KEY_OVERHEAD;
         match self {
-            Self::VoterRequest { message, .. } => match &message.ask {
-                VoterAsk::Accept { key, stored, .. } => {
-                    key.len() + stored.bytes.len() + KEY_OVERHEAD
+            Self::VoterRequest { message, .. } => match &message.operation {
+                VoterOperation::Accept {
+                    key, value: stored, ..
+                } => key.len() + stored.bytes.len() + KEY_OVERHEAD,
+                VoterOperation::Query { key } | VoterOperation::Prepare { key, .. } => {
+                    key.len() + KEY_OVERHEAD
                 }
-                VoterAsk::Peek { key } | VoterAsk::Promise { key, .. } => key.len() + KEY_OVERHEAD,
             },
-            Self::Install(given) => given.keys.iter().map(|(key, value)| held(key, value)).sum(),
+            Self::Install(given) => given
+                .registers
+                .iter()
+                .map(|(key, value)| held(key, value))
+                .sum(),
             Self::Repair(key, value) => held(key, value),
             Self::FormSet(_)
             | Self::AdoptSet(_)
@@ -92,8 +101,8 @@
                 to,
                 number,
                 is_known: false,
-                is_role_round: is_role_round(&message.ask),
-                reply: VoterReply::Closed {
+                is_role_round: is_role_round(&message.operation),
+                reply: VoterResponse::Unavailable {
                     reason: "too much waits for the disk".into(),
                 },
             }),
@@ -109,17 +118,6 @@
     }
 }
 
-/// What an empty voter is given.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Installation {
-    /// The set that it is a member of.
-    pub set: VoterSet,
-    /// Times before which claims are forgotten, and before which unknown ones are refused.
-    pub floors: (u64, u64),
-    /// All that a majority of the other members holds.
-    pub keys: Vec<(String, Held)>,
-}
-
 /// What came of the disk's work. Give it to the consensus in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiskCompletion {
@@ -136,16 +134,16 @@
         /// Whether the question was a round over the duty.
         is_role_round: bool,
         /// The reply.
-        reply: VoterReply,
+        reply: VoterResponse,
     },
     /// Work on the set is over; what came of it is in [`DiskCompletion::VoterState`].
     SetWorkEnded,
-    /// The voter is durably in the set of this mark, or in a later one.
+    /// The voter is durably in the set of this version, or in a later one.
     InstallationConfirmed {
         /// Address of the controller that asked.
         to: String,
-        /// Mark of the set that was asked about.
-        mark: (u64, u64),
+        /// Version of the set that was asked about.
+        set_version: SetVersion,
     },
     /// The voter began anew under this identity; none where the disk failed and nothing is known to
     /// have changed.
@@ -162,7 +160,7 @@
 /// What a voter holds, as its consensus machine knows it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VoterSnapshot {
-    /// The voter's set; era 0 where it is empty.
+    /// The voter's set; epoch 0 where it is empty.
     pub set: VoterSet,
     /// Whether the disk can be trusted.
     pub is_open: bool,
@@ -196,16 +194,16 @@
     }
 
     fn of_keys<'a>(voter: &Voter, keys: impl Iterator<Item = (&'a str, bool)>) -> Self {
-        let held = voter.held();
+        let held = voter.acceptor();
         let values = keys.map(|(key, has_bytes)| {
-            let held = held.held(key).cloned().unwrap_or_default();
+            let held = held.register(key).cloned().unwrap_or_default();
             RegisterSnapshot {
                 key: key.to_string(),
                 promised: held.promised,
                 accepted: held.accepted,
-                version: held.stored.version,
-                tag: held.stored.tag,
-                bytes: has_bytes.then(|| Arc::new(held.stored.bytes)),
+                version: held.value.version,
+                tag: held.value.tag,
+                bytes: has_bytes.then(|| Arc::new(held.value.bytes)),
             }
         });
         Self {
@@ -217,13 +215,13 @@
 }
 
 fn accepted(voter: &Voter, key: &str) -> Ballot {
-    let held = voter.held().held(key);
+    let held = voter.acceptor().register(key);
     held.map(|held| held.accepted).unwrap_or_default()
 }
 
 fn all_accepted(voter: &Voter) -> BTreeMap<&'static str, (Ballot, Ballot)> {
     let of = |key: &str| {
-        let held = voter.held().held(key);
+        let held = voter.acceptor().register(key);
         held.map(|held| (held.promised, held.accepted))
     };
     let kept = REPLICATED_KEYS.iter();
@@ -244,7 +242,7 @@
             disk.voter_mut(),
             std::mem::take(&mut waiting),
         ));
-        let begun = disk.begin_anew(identity);
+        let begun = disk.reset(identity);
         if let Err(report) = &begun {
             log::error!("consensus: the disk could not be emptied: {report:#}");
         }
@@ -276,7 +274,7 @@
                 reply, is_known, ..
             } = done
             {
-                *reply = Voter::unsynced_reply();
+                *reply = Voter::disk_failed_response();
                 *is_known = false;
             }
         }
@@ -301,8 +299,8 @@
             known,
             message,
         } => {
-            let is_role_round = is_role_round(&message.ask);
-            let mut reply = voter.ask(message);
+            let is_role_round = is_role_round(&message.operation);
+            let mut reply = voter.handle(message);
             let is_known = leave_out(&mut reply, known);
             return Some(DiskCompletion::VoterResponse {
                 to,
@@ -312,38 +310,42 @@
                 reply,
             });
         }
-        DiskWork::FormSet(set) => voter.form(set, 0),
-        DiskWork::AdoptSet(set) => voter.adopt(set),
-        DiskWork::Install(given) => voter.install(Installing {
-            set: given.set,
-            floors: given.floors,
-            keys: given.keys,
-        }),
+        DiskWork::FormSet(set) => voter.bootstrap(set, 0),
+        DiskWork::AdoptSet(set) => voter.adopt_set(set),
+        DiskWork::Install(given) => voter.install(given),
         DiskWork::Repair(key, held) => {
-            voter.mend(vec![(key, held)]);
+            voter.repair(vec![(key, held)]);
             return None;
         }
         DiskWork::RotateJobWindow => {
-            voter.turn_jobs();
+            voter.advance_job_window();
             return None;
         }
-        DiskWork::ConfirmInstalled { to, mark } => {
-            let own = voter.held().set().mark();
-            let is_installed = voter.is_open() && own.0 == mark.0 && own >= mark && mark.0 > 0;
-            return is_installed.then_some(DiskCompletion::InstallationConfirmed { to, mark });
+        DiskWork::ConfirmInstalled { to, set_version } => {
+            let own = voter.acceptor().set().version();
+            let is_installed = voter.is_open()
+                && own.epoch == set_version.epoch
+                && own >= set_version
+                && set_version.epoch > 0;
+            return is_installed
+                .then_some(DiskCompletion::InstallationConfirmed { to, set_version });
         }
         // It needs the whole disk: see `execute_batch_on_disk`.
         DiskWork::Reset(_) => return Some(DiskCompletion::ResetEnded(None)),
-        DiskWork::ReadReplica { to, mark, after } => {
-            let page = page(voter, mark, after)?;
+        DiskWork::ReadReplica {
+            to,
+            set_version,
+            after,
+        } => {
+            let page = page(voter, set_version, after)?;
             return Some(DiskCompletion::ReplicaPage { to, page });
         }
     }
     Some(DiskCompletion::SetWorkEnded)
 }
 
-fn leave_out(reply: &mut VoterReply, known: (u64, u64)) -> bool {
-    let VoterReply::Holds { stored, .. } = reply else {
+fn leave_out(reply: &mut VoterResponse, known: (u64, u64)) -> bool {
+    let VoterResponse::LastAccepted { value: stored, .. } = reply else {
         return false;
     };
     let is_known = known.0 > 0 && (stored.version, stored.tag) == known;
@@ -353,16 +355,16 @@
     is_known
 }
 
-fn page(voter: &Voter, mark: (u64, u64), after: String) -> Option<ReplicaPage> {
-    let held = voter.held();
-    if !voter.is_open() || held.set().mark() != mark || mark.0 == 0 {
+fn page(voter: &Voter, set_version: SetVersion, after: String) -> Option<ReplicaPage> {
+    let held = voter.acceptor();
+    if !voter.is_open() || held.set().version() != set_version || set_version.epoch == 0 {
         return None;
     }
-    let mut keys: Vec<(String, Held)> = Vec::new();
+    let mut keys: Vec<(String, RegisterState)> = Vec::new();
     let mut size = 0;
     let mut is_last = true;
-    for (key, value) in held.after(&after) {
-        size += key.len() + value.stored.bytes.len() + KEY_OVERHEAD;
+    for (key, value) in held.registers_after(&after) {
+        size += key.len() + value.value.bytes.len() + KEY_OVERHEAD;
         if size > PAGE_MAX && !keys.is_empty() {
             is_last = false;
             break;
@@ -371,8 +373,8 @@
     }
     Some(ReplicaPage {
         disk: 0,
-        mark,
-        floors: held.floors(),
+        set_version,
+        claim_floors: held.claim_floors(),
         after,
         keys,
         is_last,
@@ -380,10 +382,10 @@
 }
 
 /// Key that a question is about.
-pub(crate) fn key_of(ask: &VoterAsk) -> &str {
+pub(crate) fn key_of(ask: &VoterOperation) -> &str {
     match ask {
-        VoterAsk::Peek { key } | VoterAsk::Promise { key, .. } | VoterAsk::Accept { key, .. } => {
-            key
-        }
+        VoterOperation::Query { key }
+        | VoterOperation::Prepare { key, .. }
+        | VoterOperation::Accept { key, .. } => key,
     }
 }
--- a/crates/consensus/src/duty.rs
+++ b/crates/consensus/src/duty.rs
@@ -1,6 +1,6 @@
 use crate::consensus::SCALER_ROLE_KEY;
 use crate::disk::{key_of, RegisterSnapshot};
-use register::{VoterAsk, VoterSet};
+use register::{VoterOperation, VoterSet};
 use speedy::{Readable, Writable};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -19,8 +19,8 @@
 }
 
 /// Whether a question promises or accepts something about the duty.
-pub(crate) fn is_role_round(ask: &VoterAsk) -> bool {
-    key_of(ask) == SCALER_ROLE_KEY && !matches!(ask, VoterAsk::Peek { .. })
+pub(crate) fn is_role_round(ask: &VoterOperation) -> bool {
+    key_of(ask) == SCALER_ROLE_KEY && !matches!(ask, VoterOperation::Query { .. })
 }
 
 /// Number that fences a holder: the version at which it won, under the voters' era.
--- a/crates/consensus/src/heartbeats.rs
+++ b/crates/consensus/src/heartbeats.rs
@@ -94,7 +94,7 @@
         let has_news = self.wants_heartbeat;
         self.wants_heartbeat = false;
         self.heartbeat_sent_at = Some(now);
-        let pause = match self.set.era {
+        let pause = match self.set.epoch {
             0 => FIRST_HEARTBEAT_MS.min(self.options.heartbeat_interval_ms),
             _ => self.options.heartbeat_interval_ms,
         };
@@ -129,7 +129,7 @@
                 .told_at
                 .is_none_or(|at| now >= at + SILENT_HEARTBEAT_MS);
             let is_seed = self.options.seeds.iter().any(|seed| seed == address);
-            let is_probed = is_seed && (is_heard || is_due || self.set.era == 0);
+            let is_probed = is_seed && (is_heard || is_due || self.set.epoch == 0);
             if is_probed || (is_heard && self.is_named()) {
                 audience.insert(address.clone());
             }
@@ -155,8 +155,8 @@
             disk: self.options.disk_id,
             incarnation: self.incarnation,
             number: self.heartbeat_number,
-            own_set: self.own_set.mark(),
-            known_set: self.set.mark(),
+            own_set: self.own_set.version(),
+            known_set: self.set.version(),
             committed: REPLICATED_KEYS
                 .iter()
                 .map(|key| self.settled_mark(key))
@@ -189,29 +189,29 @@
         self.compare_sets(from, &heartbeat);
         self.on_acknowledgement(&heartbeat);
         self.on_claim(now, from, &heartbeat);
-        let same_era = heartbeat.known_set.0 == self.set.era;
-        if same_era && self.set.era > 0 {
+        let same_era = heartbeat.known_set.epoch == self.set.epoch;
+        if same_era && self.set.epoch > 0 {
             self.on_settled_marks(now, from, &heartbeat.committed);
         }
     }
 
     /// Whichever of two controllers knows the older set is told the newer one.
     fn compare_sets(&mut self, from: &str, heartbeat: &Heartbeat) {
-        if heartbeat.known_set > self.set.mark() {
+        if heartbeat.known_set > self.set.version() {
             return self.send(from, ConsensusMessage::RequestVoterSet);
         }
-        if heartbeat.known_set < self.set.mark() && heartbeat.known_set.0 > 0 {
+        if heartbeat.known_set < self.set.version() && heartbeat.known_set.epoch > 0 {
             self.send(from, ConsensusMessage::VoterSet(self.set_news()));
         }
-        if heartbeat.own_set.0 > 0 || self.set.era == 0 {
+        if heartbeat.own_set.epoch > 0 || self.set.epoch == 0 {
             return;
         }
         // A member that is named by its disk and still empty missed the founding.
         let mut voters = self.set.voters.iter();
         let is_named = voters.any(|voter| voter.disk == heartbeat.disk);
-        if is_named && self.set.no == 1 && self.own_set == self.set {
+        if is_named && self.set.number == 1 && self.own_set == self.set {
             self.send(from, ConsensusMessage::FormVoterSet(self.set.clone()));
-        } else if heartbeat.known_set.0 == 0 {
+        } else if heartbeat.known_set.epoch == 0 {
             self.send(from, ConsensusMessage::VoterSet(self.set_news()));
         }
     }
@@ -222,7 +222,7 @@
                 .duty
                 .on_no_claim(from, heartbeat.incarnation, heartbeat.number);
         }
-        let known = term_of(self.set.era, self.settled_mark(SCALER_ROLE_KEY).0);
+        let known = term_of(self.set.epoch, self.settled_mark(SCALER_ROLE_KEY).0);
         if heartbeat.role_term < known {
             return;
         }
@@ -239,7 +239,7 @@
         }
         let ack = RoleLeaseAck {
             disk: self.options.disk_id,
-            mark: self.own_set.mark(),
+            set_version: self.own_set.version(),
             term: heartbeat.role_term,
             number: heartbeat.number,
         };
@@ -247,11 +247,11 @@
     }
 
     pub(crate) fn on_ack(&mut self, now: u64, ack: RoleLeaseAck) {
-        let mark = self.set.mark();
+        let set_version = self.set.version();
         let Some(claim) = self.duty.claim.as_mut() else {
             return;
         };
-        if ack.mark == mark && ack.term == claim.term {
+        if ack.set_version == set_version && ack.term == claim.term {
             claim.on_ack(&self.set, ack.disk, ack.number, self.options.lease_ms);
             self.announce(now);
         }
--- a/crates/consensus/src/installing.rs
+++ b/crates/consensus/src/installing.rs
@@ -1,7 +1,8 @@
 use crate::consensus::{Consensus, SCALER_ROLE_KEY};
-use crate::disk::{DiskWork, Installation};
+use crate::disk::DiskWork;
 use crate::message::{ConsensusMessage, ReplicaPage};
-use register::{merged, Held, VoterRef, VoterSet};
+use register::{merge_replicas, ClaimFloors, RegisterState, VoterRef, VoterSet};
+use voter::Installation;
 
 /// Time after which a part of a copy is asked for again the first time; it doubles with each time.
 const PULL_AGAIN: u64 = 250;
@@ -14,8 +15,8 @@
 /// What has come of another member's copy.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pulled {
-    floors: (u64, u64),
-    keys: Vec<(String, Held)>,
+    claim_floors: ClaimFloors,
+    keys: Vec<(String, RegisterState)>,
     after: String,
     is_whole: bool,
     /// When the next part was asked for, and how often parts had to be asked for again. A part may take long to
@@ -71,10 +72,10 @@
         let pulled = self.pulled.entry(from.disk).or_default();
         pulled.asked_at = Some(now);
         let after = pulled.after.clone();
-        let mark = self.set.mark();
+        let set_version = self.set.version();
         let to = self.locate(from);
         if to != self.options.address {
-            self.send(&to, ConsensusMessage::RequestReplica { mark, after });
+            self.send(&to, ConsensusMessage::RequestReplica { set_version, after });
         }
     }
 
@@ -83,16 +84,16 @@
     pub(crate) fn on_copy(&mut self, now: u64, page: ReplicaPage) {
         let mut sources = self.sources().into_iter();
         let source = sources.find(|source| source.disk == page.disk);
-        let is_wanted = self.own_set.era == 0 && self.set_works == 0 && self.is_named();
-        let Some(source) = source.filter(|_| is_wanted && page.mark == self.set.mark()) else {
+        let is_wanted = self.own_set.epoch == 0 && self.set_works == 0 && self.is_named();
+        let Some(source) = source.filter(|_| is_wanted && page.set_version == self.set.version())
+        else {
             return;
         };
         let pulled = self.pulled.entry(page.disk).or_default();
         if pulled.is_whole || pulled.after != page.after {
             return;
         }
-        pulled.floors.0 = pulled.floors.0.max(page.floors.0);
-        pulled.floors.1 = pulled.floors.1.max(page.floors.1);
+        pulled.claim_floors = pulled.claim_floors.max(page.claim_floors);
         pulled.is_whole = page.is_last;
         if let Some((last, _)) = page.keys.last() {
             pulled.after = last.clone();
@@ -127,18 +128,22 @@
         }
         let whole = self.pulled.values().filter(|copy| copy.is_whole);
         let whole: Vec<&Pulled> = whole.collect();
-        let floors = whole.iter().fold((0, 0), |floors: (u64, u64), copy| {
-            (floors.0.max(copy.floors.0), floors.1.max(copy.floors.1))
+        let claim_floors = whole.iter().fold(ClaimFloors::default(), |floors, copy| {
+            floors.max(copy.claim_floors)
         });
-        let keys = merged(whole.iter().map(|copy| copy.keys.clone()).collect());
+        let keys = merge_replicas(whole.iter().map(|copy| copy.keys.clone()).collect());
         self.pulled.clear();
         // No member of an old set backs a claim any more that a majority of it had backed, since one of
         // them gave its copy here. What they had backed must be over before this controller's voter promises.
         let mut held = keys.iter();
-        if held.any(|(key, held)| key == SCALER_ROLE_KEY && held.stored.version > 0) {
+        if held.any(|(key, held)| key == SCALER_ROLE_KEY && held.value.version > 0) {
             self.duty.closed_until = now + self.options.lease_ms;
         }
         let set = self.set.clone();
-        self.work_on_set(DiskWork::Install(Installation { set, floors, keys }));
+        self.work_on_set(DiskWork::Install(Installation {
+            set,
+            claim_floors,
+            registers: keys,
+        }));
     }
 }
--- a/crates/consensus/src/job.rs
+++ b/crates/consensus/src/job.rs
@@ -1,4 +1,4 @@
-use register::{Ballot, Change, Outcome, Proposal, Stored, VoterAsk, VoterSet};
+use register::{Ballot, Change, ChangeOutcome, Proposal, VersionedValue, VoterOperation, VoterSet};
 use std::sync::Arc;
 
 /// A value with its version and tag.
@@ -10,7 +10,7 @@
 }
 
 impl Value {
-    pub fn of(stored: &Stored) -> Self {
+    pub fn of(stored: &VersionedValue) -> Self {
         Self {
             version: stored.version,
             tag: stored.tag,
@@ -23,16 +23,16 @@
     }
 
     /// Version and tag alone.
-    pub fn brief(&self) -> Stored {
-        Stored {
+    pub fn brief(&self) -> VersionedValue {
+        VersionedValue {
             version: self.version,
             tag: self.tag,
             bytes: Vec::new(),
         }
     }
 
-    pub fn stored(&self) -> Stored {
-        Stored {
+    pub fn stored(&self) -> VersionedValue {
+        VersionedValue {
             version: self.version,
             tag: self.tag,
             bytes: self.bytes.to_vec(),
@@ -61,7 +61,7 @@
     pub change: Change,
     pub tag: u64,
     pub proposal: Proposal,
-    pub ask: VoterAsk,
+    pub ask: VoterOperation,
     pub number: u64,
     pub set: VoterSet,
     pub has_answered: Vec<bool>,
@@ -78,7 +78,7 @@
 impl Job {
     /// Begins anew under another set, as the same write.
     pub fn move_to(&mut self, set: &VoterSet, ballot: Ballot) {
-        self.has_proposed |= matches!(self.proposal.give_up(), Outcome::Undecided);
+        self.has_proposed |= matches!(self.proposal.abandon(), ChangeOutcome::Indeterminate);
         let change = self.change.clone();
         let count = set.voters.len();
         let (proposal, ask) = Proposal::start(&self.key, change, self.tag, ballot, count);
@@ -89,14 +89,16 @@
     }
 
     /// How it ended, with all that was proposed under earlier sets.
-    pub fn judge(&self, outcome: Outcome) -> Outcome {
+    pub fn judge(&self, outcome: ChangeOutcome) -> ChangeOutcome {
         let Change::Write { expected, .. } = &self.change else {
             return outcome;
         };
         match outcome {
-            Outcome::Unreached(_) if self.has_proposed => Outcome::Undecided,
-            Outcome::Stale(stored) if self.has_proposed && stored.version > expected + 1 => {
-                Outcome::Undecided
+            ChangeOutcome::NoQuorum(_) if self.has_proposed => ChangeOutcome::Indeterminate,
+            ChangeOutcome::Conflict(stored)
+                if self.has_proposed && stored.version > expected + 1 =>
+            {
+                ChangeOutcome::Indeterminate
             }
             outcome => outcome,
         }
--- a/crates/consensus/src/leaving.rs
+++ b/crates/consensus/src/leaving.rs
@@ -4,7 +4,7 @@
 use crate::disk::DiskWork;
 use crate::message::ConsensusMessage;
 use rand::Rng;
-use register::VoterSet;
+use register::{SetVersion, VoterSet};
 use std::collections::BTreeSet;
 
 /// Time between questions whether the members have installed the set.
@@ -42,9 +42,9 @@
 impl Consensus {
     /// Where this controller stands with the set of voters.
     pub fn membership_state(&self) -> MembershipState {
-        match (self.own_set.era > 0, self.is_named()) {
+        match (self.own_set.epoch > 0, self.is_named()) {
             _ if self.is_beginning_anew() => MembershipState::Resetting,
-            _ if self.set.era == 0 => MembershipState::Bootstrapping,
+            _ if self.set.epoch == 0 => MembershipState::Bootstrapping,
             (true, true) => MembershipState::Voting,
             (true, false) => MembershipState::Leaving,
             (false, true) => MembershipState::Installing,
@@ -78,18 +78,18 @@
     }
 
     fn ask_whether_installed(&mut self) {
-        let mark = self.set.mark();
+        let set_version = self.set.version();
         for voter in self.set.voters.clone() {
             let to = self.locate(&voter);
             if to != self.options.address {
-                self.send(&to, ConsensusMessage::ConfirmInstalled { mark });
+                self.send(&to, ConsensusMessage::ConfirmInstalled { set_version });
             }
         }
     }
 
-    /// A member said that it durably is in the set of a mark.
-    pub(crate) fn on_installed(&mut self, disk: u64, mark: (u64, u64)) {
-        let is_current = mark == self.set.mark();
+    /// A member said that it durably is in the set of a version.
+    pub(crate) fn on_installed(&mut self, disk: u64, set_version: SetVersion) {
+        let is_current = set_version == self.set.version();
         if let Some(departure) = self.departure.as_mut().filter(|_| is_current) {
             departure.installed.insert(disk);
         }
@@ -142,7 +142,7 @@
         self.unread = REQUIRED_KEYS.into_iter().collect();
         self.read_begun.clear();
         self.settle_at = now;
-        self.joining = voter::Joining::default();
+        self.joining = voter::MembershipChange::default();
         self.place_at = now;
         self.pulled.clear();
         self.wants_heartbeat = true;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -25,8 +25,7 @@
 };
 pub use contact::ContactLease;
 pub use disk::{
-    execute_batch, execute_batch_on_disk, DiskCompletion, DiskWork, Installation, RegisterSnapshot,
-    VoterSnapshot,
+    execute_batch, execute_batch_on_disk, DiskCompletion, DiskWork, RegisterSnapshot, VoterSnapshot,
 };
 pub use duty::RoleHolder;
 pub use leaving::MembershipState;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -7,20 +7,20 @@
 use register::{grown, relocated, Change, VoterRef, VoterSet, VOTERS_KEY};
 use speedy::Writable;
 use std::collections::BTreeSet;
-use voter::{JoinStep, Joining};
+use voter::{MembershipChange, MembershipStep};
 
 impl Consensus {
     /// Learns a set that is settled; an older one is ignored.
     pub(crate) fn learn_set(&mut self, now: u64, set: &VoterSet) {
-        if set.mark() <= self.set.mark() || set.voters.is_empty() {
+        if set.version() <= self.set.version() || set.voters.is_empty() {
             return;
         }
         log::info!(
             "consensus: set {:?} has {} voters",
-            set.mark(),
+            set.version(),
             set.voters.len()
         );
-        let follows = self.set.era == set.era && self.set.no + 1 == set.no;
+        let follows = self.set.epoch == set.epoch && self.set.number + 1 == set.number;
         let old = std::mem::replace(&mut self.set, set.clone());
         self.previous = follows.then_some(old);
         self.pulled.clear();
@@ -40,7 +40,7 @@
     /// Lets this controller's own voter follow into the newest set.
     fn tend_adopting(&mut self) {
         let (own, set) = (&self.own_set, &self.set);
-        if !self.is_open || own.era == 0 || own.era != set.era || own.no >= set.no {
+        if !self.is_open || own.epoch == 0 || own.epoch != set.epoch || own.number >= set.number {
             return;
         }
         self.work_on_set(DiskWork::AdoptSet(self.set.clone()));
@@ -55,9 +55,9 @@
     pub(crate) fn on_form(&mut self, set: &VoterSet) {
         let mut voters = set.voters.iter();
         let is_named = voters.any(|voter| voter.disk == self.options.disk_id);
-        let is_empty = self.own_set.era == 0 && self.set_works == 0;
-        let is_current = set.mark() >= self.set.mark();
-        if is_named && is_empty && is_current && set.no == 1 {
+        let is_empty = self.own_set.epoch == 0 && self.set_works == 0;
+        let is_current = set.version() >= self.set.version();
+        if is_named && is_empty && is_current && set.number == 1 {
             self.work_on_set(DiskWork::FormSet(set.clone()));
         }
     }
@@ -88,11 +88,11 @@
 
     pub(crate) fn on_set_news(&mut self, now: u64, news: VoterSetUpdate) {
         self.learn_set(now, &news.set);
-        if news.set.mark() != self.set.mark() || self.previous.is_some() {
+        if news.set.version() != self.set.version() || self.previous.is_some() {
             return;
         }
         let set = &self.set;
-        let follows = |old: &VoterSet| old.era == set.era && old.no + 1 == set.no;
+        let follows = |old: &VoterSet| old.epoch == set.epoch && old.number + 1 == set.number;
         self.previous = news.previous.filter(follows);
     }
 
@@ -113,8 +113,8 @@
         };
         log::info!("consensus: forms the first set of {} voters", voters.len());
         self.work_on_set(DiskWork::FormSet(VoterSet {
-            era: 1,
-            no: 1,
+            epoch: 1,
+            number: 1,
             voters,
         }));
     }
@@ -132,14 +132,14 @@
             known_set,
             ..
         } = peer.heartbeat;
-        let is_blank = own_set.0 == 0 && known_set.0 == 0;
+        let is_blank = own_set.epoch == 0 && known_set.epoch == 0;
         let is_founder = peer.heard_at.is_some() && is_blank && peer.heartbeat.is_first_start;
         is_founder.then_some(VoterRef { disk, address })
     }
 
     /// Asks for a place in the set.
     fn tend_place(&mut self, now: u64) {
-        let mark = self.set.mark();
+        let set_version = self.set.version();
         let is_member = |disk: u64| self.set.voters.iter().any(|voter| voter.disk == disk);
         let fresh: Vec<Heartbeat> = self
             .fresh(now)
@@ -147,11 +147,11 @@
             .collect();
         let voting = fresh
             .iter()
-            .filter(|heartbeat| is_member(heartbeat.disk) && heartbeat.own_set == mark);
+            .filter(|heartbeat| is_member(heartbeat.disk) && heartbeat.own_set == set_version);
         let voting: Vec<&Heartbeat> = voting.collect();
         if voting.len() < self.set.majority() {
             // Silence is only told apart from a cut of its own by a controller that hears a majority.
-            self.joining = Joining::default();
+            self.joining = MembershipChange::default();
             return;
         }
         if !self.may_propose_set(now) {
@@ -171,21 +171,21 @@
             }
         }
         let answering: Vec<u64> = answering.into_iter().collect();
-        let expected = self.set.no - 1;
+        let expected = self.set.number - 1;
         let (set, patience) = (self.set.clone(), self.options.replacement_timeout_ms);
         let settled = (expected, &set);
         let step = self
             .joining
             .decide(now, patience, &me, &set, &answering, settled);
         let next = match step {
-            JoinStep::Claim(_, next) => Some(next),
+            MembershipStep::Propose(_, next) => Some(next),
             _ if self.may_grow(&voting) => grown(&set, me),
             _ => None,
         };
         let Some(next) = next else {
             return;
         };
-        log::info!("consensus: asks for a place in set {:?}", next.mark());
+        log::info!("consensus: asks for a place in set {}", next.version());
         self.propose_set(now, &next);
     }
 
@@ -193,7 +193,7 @@
     /// are durably in the present one, and only where none other follows yet.
     fn propose_set(&mut self, now: u64, next: &VoterSet) {
         let bytes = next.write_to_vec().unwrap_or_default();
-        let expected = self.set.no - 1;
+        let expected = self.set.number - 1;
         let change = Change::Write { expected, bytes };
         self.propose(now, Purpose::Place, VOTERS_KEY, change);
     }
@@ -213,7 +213,7 @@
         if self.may_propose_set(now) {
             log::info!(
                 "consensus: is reached at {address} from set {:?} on",
-                next.mark()
+                next.version()
             );
             self.propose_set(now, &next);
         }
@@ -222,10 +222,11 @@
     /// Whether a member that is heard has not installed the newest set yet. The next change leaves it
     /// time, so that one copy is missing at most; a member that never gets there must not block repair.
     fn is_change_pending(&mut self, now: u64) -> bool {
-        let mark = self.set.mark();
+        let set_version = self.set.version();
         let members: Vec<u64> = self.set.voters.iter().map(|voter| voter.disk).collect();
-        let is_pending =
-            |heartbeat: &Heartbeat| members.contains(&heartbeat.disk) && heartbeat.own_set != mark;
+        let is_pending = |heartbeat: &Heartbeat| {
+            members.contains(&heartbeat.disk) && heartbeat.own_set != set_version
+        };
         if !self.fresh(now).any(|(_, heartbeat)| is_pending(heartbeat)) {
             self.pending_since = None;
             return false;
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,4 +1,7 @@
-use register::{Ballot, Held, Stored, VoterMessage, VoterReply, VoterSet};
+use register::{
+    Ballot, ClaimFloors, RegisterState, SetVersion, VersionedValue, VoterRequest, VoterResponse,
+    VoterSet,
+};
 use speedy::{Readable, Writable};
 
 /// What controllers say to one another.
@@ -20,7 +23,7 @@
         /// Version and tag of a value that the asker has, which need not travel.
         known: (u64, u64),
         /// The question.
-        message: VoterMessage,
+        message: VoterRequest,
     },
     /// A voter's answer.
     VoterResponse {
@@ -31,7 +34,7 @@
         /// Whether the value is left out, since it is the one that the asker has.
         is_known: bool,
         /// The answer.
-        reply: VoterReply,
+        reply: VoterResponse,
     },
     /// Tell the newest set.
     RequestVoterSet,
@@ -39,22 +42,22 @@
     VoterSet(VoterSetUpdate),
     /// The first set, to a member that is still empty.
     FormVoterSet(VoterSet),
-    /// Say so once the set of this mark, or a later one, is durable at the receiver's voter.
+    /// Say so once the set of this version, or a later one, is durable at the receiver's voter.
     ConfirmInstalled {
-        /// Mark of the set.
-        mark: (u64, u64),
+        /// Version of the set.
+        set_version: SetVersion,
     },
     /// A voter with all that it must hold is durably in a set.
     Installed {
         /// Identity of the voter's disk.
         disk: u64,
-        /// Mark of the set.
-        mark: (u64, u64),
+        /// Version of the set.
+        set_version: SetVersion,
     },
-    /// Tell what is held after a key, under the set of this mark.
+    /// Tell what is held after a key, under the set of this version.
     RequestReplica {
-        /// Mark of the set.
-        mark: (u64, u64),
+        /// Version of the set.
+        set_version: SetVersion,
         /// The last key that is known; empty at the beginning.
         after: String,
     },
@@ -74,7 +77,7 @@
         /// Ballot under which the sender's voter accepted it; blank where it did not.
         ballot: Ballot,
         /// The value.
-        stored: Stored,
+        value: VersionedValue,
     },
 }
 
@@ -97,10 +100,10 @@
     pub incarnation: u64,
     /// Counted up with each heartbeat of a incarnation.
     pub number: u64,
-    /// Mark of the set that the controller's voter is in; era 0 where it is empty.
-    pub own_set: (u64, u64),
-    /// Mark of the newest set that the controller knows.
-    pub known_set: (u64, u64),
+    /// Version of the set that the controller's voter is in; epoch 0 where it is empty.
+    pub own_set: SetVersion,
+    /// Version of the newest set that the controller knows.
+    pub known_set: SetVersion,
     /// Version and tag of the settled values of all keys that are kept up, in their order.
     pub committed: Vec<(u64, u64)>,
     /// Term under which the controller holds the duty or has just won it; 0 for none.
@@ -133,8 +136,8 @@
 pub struct RoleLeaseAck {
     /// Id of the member's disk.
     pub disk: u64,
-    /// Mark of the set that the member's voter is in.
-    pub mark: (u64, u64),
+    /// Version of the set that the member's voter is in.
+    pub set_version: SetVersion,
     /// Term that was claimed.
     pub term: u64,
     /// Number of the heartbeat that claimed it.
@@ -146,14 +149,14 @@
 pub struct ReplicaPage {
     /// Id of the member's disk.
     pub disk: u64,
-    /// Mark of the set that the member is in.
-    pub mark: (u64, u64),
+    /// Version of the set that the member is in.
+    pub set_version: SetVersion,
     /// Times before which claims are forgotten, and before which unknown ones are refused.
-    pub floors: (u64, u64),
+    pub claim_floors: ClaimFloors,
     /// The key after which this part begins.
     pub after: String,
     /// Keys with what is held.
-    pub keys: Vec<(String, Held)>,
+    pub keys: Vec<(String, RegisterState)>,
     /// Whether nothing comes after this part.
     pub is_last: bool,
 }
--- a/crates/consensus/src/serving.rs
+++ b/crates/consensus/src/serving.rs
@@ -48,7 +48,7 @@
     /// more under the one that is known here.
     pub(crate) fn on_acknowledgement(&mut self, heartbeat: &Heartbeat) {
         if heartbeat.acknowledged.incarnation != self.incarnation
-            || heartbeat.known_set > self.set.mark()
+            || heartbeat.known_set > self.set.version()
         {
             return;
         }
--- a/crates/consensus/tests/bad_messages.rs
+++ b/crates/consensus/tests/bad_messages.rs
@@ -83,7 +83,7 @@
             let Some(message) = garbled(message, &mut random) else {
                 continue;
             };
-            let before = (settled(&consensus), consensus.voter_set().mark());
+            let before = (settled(&consensus), consensus.voter_set().version());
             fed += 1;
             consensus.on_message(local, from, message);
             local += random.random_range(0..40);
@@ -95,19 +95,19 @@
                     consensus::ConsensusAction::Disk(work) => Some(work),
                     _ => None,
                 });
-            let promised = voter.voter().held().clone();
+            let promised = voter.voter().acceptor().clone();
             for done in consensus::execute_batch_on_disk(&mut voter, works.collect()) {
                 consensus.on_disk(local, done);
             }
-            let after = (settled(&consensus), consensus.voter_set().mark());
+            let after = (settled(&consensus), consensus.voter_set().version());
             let mut versions = before.0.iter().zip(&after.0);
             assert!(versions.all(|(old, new)| old <= new), "a value moved back");
             assert!(before.1 <= after.1, "the set moved back");
             for (key, held) in promised
-                .after("")
+                .registers_after("")
                 .filter(|(key, _)| REQUIRED_KEYS.contains(&key.as_str()))
             {
-                let now = voter.voter().held().held(key).unwrap();
+                let now = voter.voter().acceptor().register(key).unwrap();
                 assert!(now.promised >= held.promised && now.accepted >= held.accepted);
             }
             assert!(
--- a/crates/consensus/tests/catching_up.rs
+++ b/crates/consensus/tests/catching_up.rs
@@ -31,8 +31,8 @@
 
 fn voter_version(world: &World, place: usize) -> u64 {
     let voter = world.nodes[place].voter.as_ref();
-    let held = voter.and_then(|voter| voter.voter().held().held(CONFIGURATION_KEY));
-    held.map_or(0, |held| held.stored.version)
+    let held = voter.and_then(|voter| voter.voter().acceptor().register(CONFIGURATION_KEY));
+    held.map_or(0, |held| held.value.version)
 }
 
 fn ask_to_write(world: &mut World, place: usize, key: &str, expected: u64, length: usize) {
@@ -143,9 +143,9 @@
     let voter = world.nodes[0].voter.as_ref().unwrap();
     let state = voter
         .voter()
-        .held()
-        .after("")
-        .map(|(key, held)| key.len() + held.stored.bytes.len() + 80);
+        .acceptor()
+        .registers_after("")
+        .map(|(key, held)| key.len() + held.value.bytes.len() + 80);
     let state: usize = state.sum();
     println!("installed in {took:?} ms with {bytes} bytes; the state has {state}");
     assert!(took.is_some_and(|took| took < 10_000), "{took:?}");
--- a/crates/consensus/tests/contact.rs
+++ b/crates/consensus/tests/contact.rs
@@ -23,8 +23,8 @@
         address: format!("at-{disk}"),
     });
     VoterSet {
-        era: 1,
-        no: 1,
+        epoch: 1,
+        number: 1,
         voters: voters.collect(),
     }
 }
--- a/crates/consensus/tests/copies.rs
+++ b/crates/consensus/tests/copies.rs
@@ -4,9 +4,9 @@
 mod world;
 
 use consensus::{ConsensusAction, CONFIGURATION_KEY};
-use journal::Mishap;
+use journal::FaultKind;
 use rand::Rng;
-use register::Outcome;
+use register::{ChangeOutcome, SetVersion};
 use world::World;
 
 fn started(seed: u64, count: usize) -> World {
@@ -81,7 +81,7 @@
             assert_eq!(known(&world, place), 1, "seed {seed}");
         }
         let travelled = (world.bytes - before) >> 20;
-        let is_voter = world.nodes[0].mark().0 > 0;
+        let is_voter = world.nodes[0].set_version().epoch > 0;
         let copies = if is_voter { 3 } else { 4 };
         assert!(
             travelled <= copies,
@@ -122,8 +122,8 @@
 
 fn voter_version(world: &World, place: usize) -> u64 {
     let voter = world.nodes[place].voter.as_ref().unwrap();
-    let held = voter.voter().held().held(CONFIGURATION_KEY);
-    held.map_or(0, |held| held.stored.version)
+    let held = voter.voter().acceptor().register(CONFIGURATION_KEY);
+    held.map_or(0, |held| held.value.version)
 }
 
 #[test]
@@ -135,8 +135,8 @@
     world.cuts.clear();
     world.run(1_000);
     let voter = world.nodes[2].voter.as_ref().unwrap().voter();
-    let held = voter.held().held(CONFIGURATION_KEY).unwrap();
-    assert_eq!(held.stored.version, 1);
+    let held = voter.acceptor().register(CONFIGURATION_KEY).unwrap();
+    assert_eq!(held.value.version, 1);
 }
 
 /// It read the value at the others before it heard their heartbeats, so it lacks nothing but its own copy.
@@ -149,7 +149,7 @@
         write(&mut world, 0);
         let stored = world.nodes[0].consensus.as_ref().unwrap();
         let (version, bytes) = stored.committed(CONFIGURATION_KEY).unwrap();
-        let told = register::Stored {
+        let told = register::VersionedValue {
             version,
             tag: 1,
             bytes: bytes.to_vec(),
@@ -158,7 +158,7 @@
         let message = consensus::ConsensusMessage::Value {
             key: CONFIGURATION_KEY.into(),
             ballot: register::Ballot::default(),
-            stored: told,
+            value: told,
         };
         let local = world.nodes[2].clock(world.now);
         let consensus = world.nodes[2].consensus.as_mut().unwrap();
@@ -185,15 +185,15 @@
         ConsensusAction::RequestCompleted { token, outcome } => Some((token, outcome)),
         _ => None,
     };
-    let ended: Vec<(u64, Outcome)> = consensus
+    let ended: Vec<(u64, ChangeOutcome)> = consensus
         .take_actions()
         .into_iter()
         .filter_map(done)
         .collect();
-    let refused = Outcome::Unreached("too many changes at once".into());
+    let refused = ChangeOutcome::NoQuorum("too many changes at once".into());
     assert_eq!(ended, vec![(64, refused)]);
     consensus.tick(local + 1_600);
-    let ended: Vec<(u64, Outcome)> = consensus
+    let ended: Vec<(u64, ChangeOutcome)> = consensus
         .take_actions()
         .into_iter()
         .filter_map(done)
@@ -208,14 +208,16 @@
     world.kill(2);
     let seeds = vec!["at-0".to_string(), "at-2".to_string()];
     let newcomer = world.add(seeds, false);
-    let took = world.until(6_000, |world| world.nodes[newcomer].mark() == (1, 2));
+    let took = world.until(6_000, |world| {
+        world.nodes[newcomer].set_version() == SetVersion::new(1, 2)
+    });
     assert!(took.is_some(), "it got no place");
     let old = world.nodes[2].disk;
     world.boot(2);
     world.run(3_000);
     let node = &world.nodes[2];
     assert!(
-        node.disk != old && node.mark() == (0, 0),
+        node.disk != old && node.set_version() == SetVersion::new(0, 0),
         "it kept its state"
     );
     assert_eq!(known(&world, 2), 1);
@@ -226,10 +228,10 @@
 #[test]
 fn a_controller_whose_disk_failed_counts_again_once_it_was_opened_anew() {
     let mut world = started(7, 3);
-    world.nodes[2].folder.suffer(Mishap::Full);
+    world.nodes[2].folder.inject(FaultKind::Full);
     write(&mut world, 0);
     assert!(!world.nodes[2].voter.as_ref().unwrap().voter().is_open());
-    world.nodes[2].folder.suffer(Mishap::Room);
+    world.nodes[2].folder.inject(FaultKind::Room);
     world.reopen(2);
     world.kill(1);
     write(&mut world, 0);
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -7,14 +7,14 @@
     execute_batch_on_disk, ConsensusAction, ConsensusMessage, DiskCompletion, DiskWork, Heartbeat,
     MembershipState, VoterSetUpdate,
 };
-use journal::{Folder, MemoryFolder, Mishap};
-use register::{replaced, VoterRef, VoterSet};
+use journal::{FaultKind, Folder, MemoryFolder};
+use register::{replaced, SetVersion, VoterRef, VoterSet};
 use std::io;
 use voter::VoterDisk;
 use world::World;
 
-const FIRST: (u64, u64) = (1, 1);
-const SECOND: (u64, u64) = (1, 2);
+const FIRST: SetVersion = SetVersion::new(1, 1);
+const SECOND: SetVersion = SetVersion::new(1, 2);
 
 fn set(no: u64) -> VoterSet {
     let voter = |disk: u64| VoterRef {
@@ -22,8 +22,8 @@
         address: format!("at-{disk}"),
     };
     VoterSet {
-        era: 1,
-        no,
+        epoch: 1,
+        number: no,
         voters: (1..=3).map(voter).collect(),
     }
 }
@@ -34,9 +34,9 @@
     VoterDisk::open(Box::new(open_folder), 1).unwrap()
 }
 
-fn confirm(mark: (u64, u64)) -> DiskWork {
+fn confirm(set_version: SetVersion) -> DiskWork {
     let to = "at-3".to_string();
-    DiskWork::ConfirmInstalled { to, mark }
+    DiskWork::ConfirmInstalled { to, set_version }
 }
 
 fn is_confirmed(dones: &[DiskCompletion]) -> bool {
@@ -64,15 +64,15 @@
     )));
     assert!(!is_confirmed(&execute_batch_on_disk(
         &mut disk,
-        vec![confirm((2, 1))]
+        vec![confirm(SetVersion::new(2, 1))]
     )));
-    folder.suffer(Mishap::Full);
+    folder.inject(FaultKind::Full);
     let adopt = DiskWork::AdoptSet(set(2));
     assert!(!is_confirmed(&execute_batch_on_disk(
         &mut disk,
         vec![adopt, confirm(SECOND)]
     )));
-    folder.suffer(Mishap::Room);
+    folder.inject(FaultKind::Room);
     disk.reopen().unwrap();
     assert!(!is_confirmed(&execute_batch_on_disk(
         &mut disk,
@@ -96,7 +96,7 @@
     world.is_writing = false;
     world.run(1_500);
     world.isolate(0);
-    world.nodes[0].folder.suffer(Mishap::Full);
+    world.nodes[0].folder.inject(FaultKind::Full);
     let newcomer = VoterRef {
         disk: 77,
         address: "at-9".into(),
@@ -113,7 +113,7 @@
     world.run(500);
     let local = world.nodes[0].clock(world.now) + 500;
     let consensus = world.nodes[0].consensus.as_mut().unwrap();
-    assert_eq!(consensus.voter_set().mark(), SECOND);
+    assert_eq!(consensus.voter_set().version(), SECOND);
     consensus.tick(local);
     let heartbeats: Vec<Heartbeat> = consensus
         .take_actions()
@@ -144,9 +144,9 @@
 fn a_copy_is_given_under_the_set_that_it_is_asked_for_and_under_no_other() {
     let folder = MemoryFolder::default();
     let mut disk = opened(&folder);
-    let pull = |mark| DiskWork::ReadReplica {
+    let pull = |set_version| DiskWork::ReadReplica {
         to: "at-3".into(),
-        mark,
+        set_version,
         after: String::new(),
     };
     let is_given = |dones: &[DiskCompletion]| {
@@ -155,7 +155,7 @@
     };
     assert!(!is_given(&execute_batch_on_disk(
         &mut disk,
-        vec![pull((0, 0))]
+        vec![pull(SetVersion::new(0, 0))]
     )));
     execute_batch_on_disk(&mut disk, vec![DiskWork::FormSet(set(1))]);
     assert!(!is_given(&execute_batch_on_disk(
--- a/crates/consensus/tests/duty.rs
+++ b/crates/consensus/tests/duty.rs
@@ -134,7 +134,7 @@
         world.run(span);
         world.wipe(one);
         world.boot(one);
-        world.until(2_000, |world| world.nodes[one].mark().1 > 1);
+        world.until(2_000, |world| world.nodes[one].set_version().number > 1);
         world.part(holder, one);
         world.run(3_000);
         let (next, _, _) = world.holder().expect("nobody follows");
--- a/crates/consensus/tests/granting.rs
+++ b/crates/consensus/tests/granting.rs
@@ -4,7 +4,9 @@
     Consensus, ConsensusAction, ConsensusMessage, ConsensusOptions, DiskWork, Heartbeat,
     RegisterSnapshot, RoleHolder, VoterSnapshot, SCALER_ROLE_KEY,
 };
-use register::{Ballot, VoterAsk, VoterMessage, VoterRef, VoterReply, VoterSet};
+use register::{
+    Ballot, SetVersion, VoterOperation, VoterRef, VoterRequest, VoterResponse, VoterSet,
+};
 use speedy::Writable;
 use std::sync::Arc;
 
@@ -24,8 +26,8 @@
         address: address.into(),
     });
     VoterSet {
-        era: 1,
-        no: 1,
+        epoch: 1,
+        number: 1,
         voters: voters.collect(),
     }
 }
@@ -78,8 +80,8 @@
         disk: 2,
         incarnation: HOLDER_INCARNATION,
         number: 1,
-        own_set: (1, 1),
-        known_set: (1, 1),
+        own_set: SetVersion::new(1, 1),
+        known_set: SetVersion::new(1, 1),
         role_term: TERM,
         ..Heartbeat::default()
     })
@@ -97,20 +99,23 @@
 
 /// Whether the member's voter is asked for a promise that another controller wants at a time; if not, it is refused.
 fn passes_promise_on(consensus: &mut Consensus, now: u64) -> bool {
-    let ask = VoterAsk::Promise {
+    let ask = VoterOperation::Prepare {
         key: SCALER_ROLE_KEY.into(),
         ballot: ballot(9),
     };
     let message = ConsensusMessage::VoterRequest {
         number: 1,
         known: (0, 0),
-        message: VoterMessage { mark: (1, 1), ask },
+        message: VoterRequest {
+            set_version: SetVersion::new(1, 1),
+            operation: ask,
+        },
     };
     consensus.on_message(now, OTHER, message);
     let actions = consensus.take_actions();
     let is_refused = actions.iter().any(|action| {
         matches!(action, ConsensusAction::Send { to, message: ConsensusMessage::VoterResponse { reply, .. } }
-            if to == OTHER && matches!(reply, VoterReply::Closed { .. }))
+            if to == OTHER && matches!(reply, VoterResponse::Unavailable { .. }))
     });
     let is_passed_on = actions.iter().any(
         |action| matches!(action, ConsensusAction::Disk(DiskWork::VoterRequest { to, .. }) if to == OTHER),
--- a/crates/consensus/tests/identities.rs
+++ b/crates/consensus/tests/identities.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use consensus::{Consensus, ConsensusAction, ConsensusMessage, Heartbeat, CONFIGURATION_KEY};
-use register::{Ballot, Stored, VoterAsk, VoterReply};
+use register::{Ballot, SetVersion, VersionedValue, VoterOperation, VoterResponse};
 use world::World;
 
 fn started() -> World {
@@ -27,7 +27,7 @@
     let ConsensusMessage::VoterRequest { message, .. } = message else {
         return false;
     };
-    matches!(message.ask, VoterAsk::Accept { .. })
+    matches!(message.operation, VoterOperation::Accept { .. })
 }
 
 #[test]
@@ -48,9 +48,9 @@
         disk,
         number,
         is_known: false,
-        reply: VoterReply::Holds {
+        reply: VoterResponse::LastAccepted {
             ballot: Ballot::default(),
-            stored: Stored::default(),
+            value: VersionedValue::default(),
         },
     };
     // One member answers from both addresses, as where its disk was carried over; a stranger answers too.
@@ -83,12 +83,12 @@
             ..Heartbeat::default()
         })
     };
-    consensus.on_message(local, "at-9", heartbeat(5, 100, (1, 1)));
-    consensus.on_message(local, "at-9", heartbeat(6, 1, (1, 1)));
+    consensus.on_message(local, "at-9", heartbeat(5, 100, SetVersion::new(1, 1)));
+    consensus.on_message(local, "at-9", heartbeat(6, 1, SetVersion::new(1, 1)));
     consensus.take_actions();
-    consensus.on_message(local, "at-9", heartbeat(5, 101, (1, 2)));
+    consensus.on_message(local, "at-9", heartbeat(5, 101, SetVersion::new(1, 2)));
     let wants_set = |message: &ConsensusMessage| *message == ConsensusMessage::RequestVoterSet;
     assert!(!sent(consensus).iter().any(wants_set));
-    consensus.on_message(local, "at-9", heartbeat(6, 2, (1, 2)));
+    consensus.on_message(local, "at-9", heartbeat(6, 2, SetVersion::new(1, 2)));
     assert!(sent(consensus).iter().any(wants_set));
 }
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -5,7 +5,8 @@
 mod world;
 
 use consensus::MembershipState;
-use journal::Mishap;
+use journal::FaultKind;
+use register::SetVersion;
 use world::{World, PATIENCE};
 
 const SEEDS: std::ops::Range<u64> = 0..12;
@@ -36,12 +37,16 @@
     let newcomer = world.add_newcomer();
     world.part(newcomer, 2);
     let mut waited = 0;
-    while world.newest_set().no < 2 {
+    while world.newest_set().number < 2 {
         world.run(1);
         waited += 1;
         assert!(waited < 3 * PATIENCE, "seed {seed}: no place was given");
     }
-    assert_eq!(world.nodes[newcomer].mark(), (0, 0), "it must be empty yet");
+    assert_eq!(
+        world.nodes[newcomer].set_version(),
+        SetVersion::new(0, 0),
+        "it must be empty yet"
+    );
     (world, newcomer)
 }
 
@@ -50,16 +55,24 @@
     for seed in SEEDS {
         let (mut world, newcomer) = replaced_holder(seed);
         // Member 1 learns of the new set; then 0 is lost, and nobody but 2 has the value.
-        world.until(1_000, |world| world.nodes[1].mark() == (1, 2));
+        world.until(1_000, |world| {
+            world.nodes[1].set_version() == SetVersion::new(1, 2)
+        });
         world.lose(0);
         world.isolate(newcomer);
         world.join(1, 2);
         world.run(4 * PATIENCE);
-        let kept = world.nodes[2].voter_set().map(|set| set.mark());
-        assert_eq!(kept, Some((1, 2)), "seed {seed}: its copy is gone");
+        let kept = world.nodes[2].voter_set().map(|set| set.version());
+        assert_eq!(
+            kept,
+            Some(SetVersion::new(1, 2)),
+            "seed {seed}: its copy is gone"
+        );
         assert_eq!(membership(&world, 2), MembershipState::Leaving);
         world.rejoin(newcomer);
-        let took = world.until(3_000, |world| world.nodes[newcomer].mark() >= (1, 2));
+        let took = world.until(3_000, |world| {
+            world.nodes[newcomer].set_version() >= SetVersion::new(1, 2)
+        });
         assert!(took.is_some(), "seed {seed}: the newcomer installs nothing");
         world.must_read(newcomer);
         world.must_read(1);
@@ -71,13 +84,17 @@
 fn a_newcomer_that_restarts_still_knows_whose_copies_are_enough() {
     for seed in SEEDS {
         let (mut world, newcomer) = replaced_holder(seed);
-        world.until(1_000, |world| world.nodes[1].mark() == (1, 2));
+        world.until(1_000, |world| {
+            world.nodes[1].set_version() == SetVersion::new(1, 2)
+        });
         world.lose(0);
         world.kill(newcomer);
         world.boot(newcomer);
         world.join(1, 2);
         world.join(2, newcomer);
-        let took = world.until(3_000, |world| world.nodes[newcomer].mark() >= (1, 2));
+        let took = world.until(3_000, |world| {
+            world.nodes[newcomer].set_version() >= SetVersion::new(1, 2)
+        });
         assert!(took.is_some(), "seed {seed}: the newcomer installs nothing");
         world.must_read(newcomer);
     }
@@ -88,14 +105,18 @@
     for seed in SEEDS {
         let (mut world, newcomer) = replaced_holder(seed);
         world.isolate(newcomer);
-        world.nodes[0].folder.suffer(Mishap::Full);
+        world.nodes[0].folder.inject(FaultKind::Full);
         world.join(0, 1);
         world.run(1_000);
         world.join(0, 2);
         world.join(1, 2);
         world.run(4 * PATIENCE);
-        let kept = world.nodes[2].voter_set().map(|set| set.mark());
-        assert_eq!(kept, Some((1, 2)), "seed {seed}: its copy is gone");
+        let kept = world.nodes[2].voter_set().map(|set| set.version());
+        assert_eq!(
+            kept,
+            Some(SetVersion::new(1, 2)),
+            "seed {seed}: its copy is gone"
+        );
         world.lose(0);
         world.rejoin(newcomer);
         world.run(3_000);
@@ -108,7 +129,9 @@
     for seed in SEEDS {
         let (mut world, newcomer) = replaced_holder(seed);
         world.join(0, 1);
-        world.until(1_000, |world| world.nodes[0].mark() == (1, 2));
+        world.until(1_000, |world| {
+            world.nodes[0].set_version() == SetVersion::new(1, 2)
+        });
         // Of the new set {0, 1, newcomer}, 1 is gone for good and the newcomer is kept from copies of 0.
         world.lose(1);
         world.run(1_000);
@@ -117,7 +140,7 @@
         world.part(second, 2);
         world.run(4 * PATIENCE);
         assert_eq!(
-            world.newest_set().no,
+            world.newest_set().number,
             2,
             "seed {seed}: changed without a majority"
         );
@@ -127,7 +150,9 @@
             "seed {seed}: asked for a change before the former was installed"
         );
         world.rejoin(2);
-        let took = world.until(8_000, |world| world.nodes[second].mark() >= (1, 3));
+        let took = world.until(8_000, |world| {
+            world.nodes[second].set_version() >= SetVersion::new(1, 3)
+        });
         assert!(
             took.is_some(),
             "seed {seed}: the second newcomer got no place"
@@ -149,14 +174,14 @@
         let newcomers = [world.add_newcomer(), world.add_newcomer()];
         world.run(3 * PATIENCE);
         let set = world.newest_set();
-        assert_eq!((set.no, set.voters.len()), (2, 3), "seed {seed}");
+        assert_eq!((set.number, set.voters.len()), (2, 3), "seed {seed}");
         let voting = newcomers.map(|place| membership(&world, place));
         assert!(
             voting.contains(&MembershipState::Voting) && voting.contains(&MembershipState::Joining)
         );
         world.lose(1);
         world.run(3 * PATIENCE);
-        assert_eq!(world.newest_set().no, 3, "seed {seed}");
+        assert_eq!(world.newest_set().number, 3, "seed {seed}");
         for newcomer in newcomers {
             assert_eq!(membership(&world, newcomer), MembershipState::Voting);
             world.must_read(newcomer);
@@ -224,7 +249,9 @@
         world.isolate(2);
         let newcomer = world.add_newcomer();
         world.part(2, newcomer);
-        world.until(3 * PATIENCE, |world| world.nodes[newcomer].mark() == (1, 2));
+        world.until(3 * PATIENCE, |world| {
+            world.nodes[newcomer].set_version() == SetVersion::new(1, 2)
+        });
         world.rejoin(2);
         world.run(3_000);
         assert_eq!(
@@ -261,7 +288,7 @@
         world.lose(1);
         let last = world.add_newcomer();
         world.run(3 * PATIENCE);
-        assert_eq!(world.newest_set().no, 3, "seed {seed}");
+        assert_eq!(world.newest_set().number, 3, "seed {seed}");
         world.must_write(last);
         let disk = world.nodes[2].disk;
         world.bring_back(2);
@@ -302,14 +329,18 @@
         world.must_write(0);
         world.wipe(2);
         world.boot(2);
-        let took = world.until(PATIENCE, |world| world.nodes[2].mark() == (1, 2));
+        let took = world.until(PATIENCE, |world| {
+            world.nodes[2].set_version() == SetVersion::new(1, 2)
+        });
         assert!(
             took.is_some_and(|took| took < 1_500),
             "seed {seed}: {took:?}"
         );
         world.wipe(1);
         world.boot(1);
-        let took = world.until(PATIENCE, |world| world.nodes[1].mark() == (1, 3));
+        let took = world.until(PATIENCE, |world| {
+            world.nodes[1].set_version() == SetVersion::new(1, 3)
+        });
         assert!(
             took.is_some_and(|took| took < 1_500),
             "seed {seed}: {took:?}"
@@ -327,11 +358,11 @@
         world.is_writing = false;
         world.run(4_000);
         world.must_write(0);
-        let number = world.newest_set().no;
+        let number = world.newest_set().number;
         world.lose(4);
         let newcomer = world.add_newcomer();
         let mut waited = 0;
-        while world.newest_set().no == number {
+        while world.newest_set().number == number {
             world.run(1);
             waited += 1;
             assert!(waited < 3 * PATIENCE, "seed {seed}: no place was given");
@@ -342,9 +373,17 @@
         world.wipe(3);
         world.boot(3);
         world.run(PATIENCE * 3 / 4);
-        assert_eq!(world.newest_set().no, number + 1, "seed {seed}: too early");
+        assert_eq!(
+            world.newest_set().number,
+            number + 1,
+            "seed {seed}: too early"
+        );
         world.run(PATIENCE);
-        assert_eq!(world.newest_set().no, number + 2, "seed {seed}: blocked");
+        assert_eq!(
+            world.newest_set().number,
+            number + 2,
+            "seed {seed}: blocked"
+        );
         world.rejoin(newcomer);
         world.until(2_000, World::is_whole);
         world.lose(0);
@@ -358,7 +397,7 @@
 fn a_leaving_member_waits_for_a_newcomer_that_is_heard_and_has_not_installed_yet() {
     for seed in SEEDS {
         let (mut world, newcomer) = replaced_holder(seed);
-        world.nodes[newcomer].folder.suffer(Mishap::Full);
+        world.nodes[newcomer].folder.inject(FaultKind::Full);
         world.cuts.clear();
         world.run(2 * PATIENCE);
         assert_eq!(
@@ -367,9 +406,11 @@
             "seed {seed}"
         );
         world.lose(0);
-        world.nodes[newcomer].folder.suffer(Mishap::Room);
+        world.nodes[newcomer].folder.inject(FaultKind::Room);
         world.reopen(newcomer);
-        let took = world.until(3_000, |world| world.nodes[newcomer].mark() >= (1, 2));
+        let took = world.until(3_000, |world| {
+            world.nodes[newcomer].set_version() >= SetVersion::new(1, 2)
+        });
         assert!(took.is_some(), "seed {seed}: the newcomer installs nothing");
         world.must_read(newcomer);
         world.must_write(1);
--- a/crates/consensus/tests/world/faults.rs
+++ b/crates/consensus/tests/world/faults.rs
@@ -1,5 +1,5 @@
 use super::{Event, World};
-use journal::Mishap;
+use journal::FaultKind;
 use rand::Rng;
 
 impl World {
@@ -20,13 +20,13 @@
         let sets = self.nodes.iter().filter_map(|node| node.consensus.as_ref());
         let newest = sets
             .map(|consensus| consensus.voter_set())
-            .max_by_key(|set| set.mark());
-        let Some(newest) = newest.filter(|set| set.era > 0) else {
+            .max_by_key(|set| set.version());
+        let Some(newest) = newest.filter(|set| set.epoch > 0) else {
             return false;
         };
         newest.voters.iter().all(|voter| {
             let mut nodes = self.nodes.iter();
-            nodes.any(|node| node.disk == voter.disk && node.mark() == newest.mark())
+            nodes.any(|node| node.disk == voter.disk && node.set_version() == newest.version())
         })
     }
 
@@ -87,7 +87,7 @@
             } else {
                 self.nodes[place].works.clear();
                 self.kill(place);
-                self.nodes[place].folder.suffer(Mishap::PowerLoss(0));
+                self.nodes[place].folder.inject(FaultKind::PowerLoss(0));
             }
             let delay = self.random.random_range(10..1_000);
             self.later(delay, Event::Boot(place));
--- a/crates/consensus/tests/world/machines.rs
+++ b/crates/consensus/tests/world/machines.rs
@@ -2,7 +2,7 @@
 
 use super::{Event, World};
 use consensus::{ConsensusMessage, CONFIGURATION_KEY};
-use register::{VoterAsk, VoterSet, VOTERS_KEY};
+use register::{SetVersion, VoterOperation, VoterSet, VOTERS_KEY};
 
 impl World {
     /// Cuts a controller from all others.
@@ -57,14 +57,14 @@
                 other.address == *seed && !other.is_gone && other.address != node.address
             })
         };
-        node.mark() == (0, 0) && !node.seeds.iter().any(is_live)
+        node.set_version() == SetVersion::new(0, 0) && !node.seeds.iter().any(is_live)
     }
 
     /// The newest set that any controller knows.
     pub fn newest_set(&self) -> VoterSet {
         let consensus = self.nodes.iter().filter_map(|node| node.consensus.as_ref());
         let sets = consensus.map(|consensus| consensus.voter_set().clone());
-        sets.max_by_key(VoterSet::mark).unwrap_or_default()
+        sets.max_by_key(VoterSet::version).unwrap_or_default()
     }
 
     /// The newest set, and where each controller stands with it.
@@ -77,7 +77,7 @@
                 "\n{} disk {} {:?}: {reason}",
                 node.address,
                 node.disk,
-                node.mark()
+                node.set_version()
             );
             text.push_str(&line);
         }
@@ -114,7 +114,7 @@
         let ConsensusMessage::VoterRequest { message, .. } = message else {
             return;
         };
-        if matches!(&message.ask, VoterAsk::Promise { key, .. } if key == VOTERS_KEY) {
+        if matches!(&message.operation, VoterOperation::Prepare { key, .. } if key == VOTERS_KEY) {
             self.set_proposals.push((self.now, from));
         }
     }
--- a/crates/consensus/tests/world/node.rs
+++ b/crates/consensus/tests/world/node.rs
@@ -6,7 +6,7 @@
 use journal::{Folder, MemoryFolder};
 use rand::rngs::StdRng;
 use rand::Rng;
-use register::VoterSet;
+use register::{SetVersion, VoterSet};
 use std::io;
 use voter::VoterDisk;
 
@@ -89,17 +89,19 @@
         self.disk = voter.identity();
     }
 
-    /// Mark of the set in which the controller's voter is.
-    pub fn mark(&self) -> (u64, u64) {
+    /// Version of the set in which the controller's voter is.
+    pub fn set_version(&self) -> SetVersion {
         let voter = self.voter.as_ref();
-        voter.map_or((0, 0), |disk| disk.voter().held().set().mark())
+        voter.map_or(SetVersion::default(), |disk| {
+            disk.voter().acceptor().set().version()
+        })
     }
 
     /// The set in which the controller's voter is.
     pub fn voter_set(&self) -> Option<&VoterSet> {
         let disk = self.voter.as_ref()?;
-        let set = disk.voter().held().set();
-        (set.era > 0).then_some(set)
+        let set = disk.voter().acceptor().set();
+        (set.epoch > 0).then_some(set)
     }
 
     fn open_disk(&mut self, fresh: u64) -> VoterDisk {
--- a/crates/consensus/tests/world/oracle.rs
+++ b/crates/consensus/tests/world/oracle.rs
@@ -1,5 +1,5 @@
 use super::Node;
-use register::{Outcome, Stored};
+use register::{ChangeOutcome, SetVersion, VersionedValue};
 use std::collections::BTreeMap;
 
 struct Asked {
@@ -12,8 +12,8 @@
 
 /// No two sets of voters may have a majority at one time.
 fn look_at_sets(now: u64, nodes: &[Node]) {
-    let mut voting: BTreeMap<(u64, u64), usize> = BTreeMap::new();
-    let mut quorate: Vec<(u64, u64)> = Vec::new();
+    let mut voting: BTreeMap<SetVersion, usize> = BTreeMap::new();
+    let mut quorate: Vec<SetVersion> = Vec::new();
     for node in nodes {
         let Some(set) = node.voter_set() else {
             continue;
@@ -21,10 +21,10 @@
         if !set.voters.iter().any(|voter| voter.disk == node.disk) {
             continue;
         }
-        let count = voting.entry(set.mark()).or_default();
+        let count = voting.entry(set.version()).or_default();
         *count += 1;
         if *count == set.majority() {
-            quorate.push(set.mark());
+            quorate.push(set.version());
         }
     }
     assert!(
@@ -68,18 +68,18 @@
         assert_eq!(known, bytes, "two values are settled at {key} {version}");
     }
 
-    pub fn done(&mut self, now: u64, token: u64, outcome: &Outcome) {
+    pub fn done(&mut self, now: u64, token: u64, outcome: &ChangeOutcome) {
         let asked = self.asked.remove(&token).expect("a change ended twice");
-        let (Outcome::Settled(stored) | Outcome::Stale(stored)) = outcome else {
+        let (ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored)) = outcome else {
             return;
         };
         self.settled(&asked.key, stored.version, &stored.bytes);
-        if let Outcome::Settled(_) = outcome {
+        if let ChangeOutcome::Committed(_) = outcome {
             self.acknowledge(now, &asked, stored);
         }
     }
 
-    fn acknowledge(&mut self, now: u64, asked: &Asked, stored: &Stored) {
+    fn acknowledge(&mut self, now: u64, asked: &Asked, stored: &VersionedValue) {
         if let Some((expected, bytes)) = &asked.write {
             assert_eq!(stored.version, expected + 1);
             assert_eq!(&stored.bytes, bytes, "another's write was acknowledged");
--- a/crates/controller/src/disk_thread.rs
+++ b/crates/controller/src/disk_thread.rs
@@ -95,7 +95,7 @@
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            if self.disk.voter().may_reopen() && tried_at.elapsed() >= REOPEN_INTERVAL {
+            if self.disk.voter().can_reopen() && tried_at.elapsed() >= REOPEN_INTERVAL {
                 tried_at = Instant::now();
                 self.reopen();
             }
--- a/crates/controller/src/job_registers.rs
+++ b/crates/controller/src/job_registers.rs
@@ -3,7 +3,7 @@
 use crate::gateway_table::GatewayTable;
 use consensus::Consensus;
 use protocol::{Message, RegisterResponse};
-use register::{is_job, Outcome};
+use register::{is_job_key, ChangeOutcome};
 use std::collections::HashMap;
 
 /// Tokens of the consensus's work for jobs begin here; those of operators' commands are counted from one.
@@ -47,7 +47,7 @@
 impl JobOperation {
     /// Whether it is about a job's register, and its value is one of a job.
     fn is_valid(&self) -> bool {
-        is_job(&self.key) && self.value.len() <= VALUE_BYTES_MAX
+        is_job_key(&self.key) && self.value.len() <= VALUE_BYTES_MAX
     }
 }
 
@@ -109,7 +109,7 @@
     }
 
     /// The consensus is done with a read or a write: the gateway that waits for it hears the result.
-    pub fn finish(&mut self, token: u64, outcome: &Outcome, gateways: &mut GatewayTable) {
+    pub fn finish(&mut self, token: u64, outcome: &ChangeOutcome, gateways: &mut GatewayTable) {
         if let Some(request) = self.in_progress.remove(&token) {
             let response = response_to(outcome, request.is_write);
             respond(&request.caller, response, gateways);
@@ -126,13 +126,13 @@
     }
 }
 
-fn response_to(outcome: &Outcome, is_write: bool) -> RegisterResponse {
+fn response_to(outcome: &ChangeOutcome, is_write: bool) -> RegisterResponse {
     match outcome {
-        Outcome::Settled(stored) if is_write => RegisterResponse::Written(stored.version),
-        Outcome::Settled(stored) | Outcome::Stale(stored) => {
+        ChangeOutcome::Committed(stored) if is_write => RegisterResponse::Written(stored.version),
+        ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) => {
             RegisterResponse::Found(stored.version, stored.bytes.clone())
         }
-        Outcome::Undecided => RegisterResponse::Indeterminate,
+        ChangeOutcome::Indeterminate => RegisterResponse::Indeterminate,
         _ => RegisterResponse::Unavailable,
     }
 }
--- a/crates/controller/src/operator_requests.rs
+++ b/crates/controller/src/operator_requests.rs
@@ -4,7 +4,7 @@
 use consensus::{CONFIGURATION_KEY, EVACUATIONS_KEY};
 use event_loop::ConnectionId;
 use operator_commands::{Command, CommandExecution, CommandReply, ExecutionStep};
-use register::Outcome;
+use register::ChangeOutcome;
 use routing::ConfigurationFormat;
 use std::collections::HashMap;
 
@@ -100,7 +100,7 @@
     pub fn handle_outcome(
         &mut self,
         token: u64,
-        outcome: Outcome,
+        outcome: ChangeOutcome,
         documents: &dyn ConfigurationFormat,
     ) -> Option<RequestProgress> {
         let mut request = self.in_progress.remove(&token)?;
--- a/crates/controller/src/operator_service.rs
+++ b/crates/controller/src/operator_service.rs
@@ -11,7 +11,7 @@
 use event_loop::ConnectionId;
 use http1::Request;
 use operator_commands::Command;
-use register::Outcome;
+use register::ChangeOutcome;
 use std::net::SocketAddr;
 
 /// Operators' connections and their commands in progress.
@@ -117,7 +117,7 @@
     pub fn handle_outcome(
         &mut self,
         token: u64,
-        outcome: Outcome,
+        outcome: ChangeOutcome,
         context: &mut OperatorContext<'_>,
     ) {
         let documents = context.options.operator_codec.documents();
--- a/crates/core/src/duty.rs
+++ b/crates/core/src/duty.rs
@@ -1,6 +1,6 @@
 use crate::shared::Shared;
-use leader_election::{Duty, Move, Tenure};
-use register::{Change, Outcome};
+use leader_election::{ElectionStep, LeaderElection, Leadership};
+use register::{Change, ChangeOutcome};
 use speedy::{Readable, Writable};
 use std::thread;
 use std::time::Duration;
@@ -24,42 +24,42 @@
 pub fn keep(shared: &Shared) {
     let lease = shared.store.settled().blueprint.bounds.duty_ms();
     let patience = Duration::from_millis(lease / 3);
-    let mut duty = Duty::new(shared.links.me().clone(), lease, now_ms());
+    let mut duty = LeaderElection::new(shared.links.me().clone(), lease, now_ms());
     loop {
         let began = now_ms();
-        duty.in_era(shared.store.set().era);
-        let mut next = duty.next(began);
+        duty.enter_epoch(shared.store.set().epoch);
+        let mut next = duty.next_step(began);
         let is_blind = !sees_fleet(shared, began, lease);
         if is_blind && duty.term(began).is_some() {
             log::warn!("duty: this core hears no front and gives the duty up");
             duty.step_down(began);
         }
-        if is_blind && matches!(next, Move::Write(..)) {
-            next = Move::Look;
+        if is_blind && matches!(next, ElectionStep::Write(..)) {
+            next = ElectionStep::Read;
         }
         let (change, tenure) = match next {
-            Move::Wait => {
+            ElectionStep::Wait => {
                 thread::sleep(Duration::from_millis(lease / 50));
                 shared.set_tenure(&duty, now_ms());
                 continue;
             }
-            Move::Look => (Change::Read, None),
-            Move::Write(expected, tenure) => {
+            ElectionStep::Read => (Change::Read, None),
+            ElectionStep::Write(expected, tenure) => {
                 let bytes = tenure.write_to_vec().unwrap_or_default();
                 (Change::Write { expected, bytes }, Some(tenure))
             }
         };
         let (_, outcome) = shared.store.change(KEY, change, patience);
         match (outcome, tenure) {
-            (Outcome::Settled(stored), Some(tenure)) => {
-                if duty.tenure() != &tenure {
+            (ChangeOutcome::Committed(stored), Some(tenure)) => {
+                if duty.leadership() != &tenure {
                     log::info!("duty: this core scales, term {}", tenure.term);
                 }
-                duty.won(now_ms(), began, stored.version, tenure);
+                duty.on_elected(now_ms(), began, stored.version, tenure);
             }
-            (Outcome::Settled(stored) | Outcome::Stale(stored), _) => {
-                let seen = Tenure::read_from_buffer(&stored.bytes).unwrap_or_default();
-                duty.seen(now_ms(), stored.version, seen);
+            (ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored), _) => {
+                let seen = Leadership::read_from_buffer(&stored.bytes).unwrap_or_default();
+                duty.observe(now_ms(), stored.version, seen);
             }
             _ => {}
         }
--- a/crates/core/src/joining.rs
+++ b/crates/core/src/joining.rs
@@ -2,13 +2,16 @@
 use crate::shared::Shared;
 use crate::voting::Work;
 use crossbeam::channel::bounded;
-use register::{merged, replaced, Change, Outcome, Stored, VoterRef, VoterSet, VOTERS_KEY};
+use register::{
+    merge_replicas, replaced, Change, ChangeOutcome, ClaimFloors, VersionedValue, VoterRef,
+    VoterSet, VOTERS_KEY,
+};
 use speedy::{Readable, Writable};
 use transport::{now_ms, Message};
-use voter::{HeardCore, Installing, JoinStep, Joining};
+use voter::{Installation, MembershipChange, MembershipStep, PeerStatus};
 
 /// Takes the next step of an empty core into the set of voters.
-pub fn step(shared: &Shared, joining: &mut Joining, set: &VoterSet, heard: &[HeardCore]) {
+pub fn step(shared: &Shared, joining: &mut MembershipChange, set: &VoterSet, heard: &[PeerStatus]) {
     let Some((version, newest)) = settled_set(shared, set) else {
         return;
     };
@@ -20,17 +23,17 @@
     let answering: Vec<u64> = heard.iter().map(|one| one.disk).collect();
     let settled = (version, &newest);
     match joining.decide(now_ms(), patience, &me, set, &answering, settled) {
-        JoinStep::Wait => {}
-        JoinStep::Adopt(next) => {
+        MembershipStep::Wait => {}
+        MembershipStep::Adopt(next) => {
             adopt(shared, set, &next);
         }
-        JoinStep::Install => install(shared, set),
-        JoinStep::Claim(expected, next) => {
+        MembershipStep::Install => install(shared, set),
+        MembershipStep::Propose(expected, next) => {
             log::warn!("set: this empty core takes the place of a voter");
             let bytes = next.write_to_vec().unwrap_or_default();
             let change = Change::Write { expected, bytes };
             let (_, outcome) = shared.store.change(VOTERS_KEY, change, shared.patience());
-            if let Outcome::Settled(_) = outcome {
+            if let ChangeOutcome::Committed(_) = outcome {
                 adopt(shared, set, &next);
             }
         }
@@ -65,7 +68,7 @@
     else {
         return Err(format!("no core answers at {new}"));
     };
-    if their_set.era != 0 {
+    if their_set.epoch != 0 {
         return Err(format!("the core at {new} is not empty"));
     }
     let newcomer = VoterRef {
@@ -76,7 +79,7 @@
     let next = next.ok_or_else(|| format!("the core at {new} is a voter already"))?;
     let (version, settled) =
         settled_set(shared, &set).ok_or_else(|| "no majority of voters answers".to_string())?;
-    if settled.mark() > set.mark() {
+    if settled.version() > set.version() {
         adopt(shared, &set, &settled);
         return Err("another change of the voters was under way; ask again".into());
     }
@@ -85,7 +88,7 @@
         bytes: next.write_to_vec().unwrap_or_default(),
     };
     match shared.store.change(VOTERS_KEY, change, shared.patience()) {
-        (_, Outcome::Settled(_)) if adopt(shared, &set, &next) => Ok(next),
+        (_, ChangeOutcome::Committed(_)) if adopt(shared, &set, &next) => Ok(next),
         (_, outcome) => Err(format!("the change did not go through: {outcome:?}")),
     }
 }
@@ -95,13 +98,13 @@
     let (_, outcome) = shared
         .store
         .change(VOTERS_KEY, Change::Read, shared.patience());
-    let Outcome::Settled(stored) = outcome else {
+    let ChangeOutcome::Committed(stored) = outcome else {
         return None;
     };
     Some((stored.version, read_set(&stored, set)))
 }
 
-fn read_set(stored: &Stored, known: &VoterSet) -> VoterSet {
+fn read_set(stored: &VersionedValue, known: &VoterSet) -> VoterSet {
     VoterSet::read_from_buffer(&stored.bytes).unwrap_or_else(|_| known.clone())
 }
 
@@ -114,13 +117,13 @@
             .links
             .ask_wait(&voter.address, question, shared.patience());
         if let Some(Message::Adopted(set)) = answer {
-            adopted += usize::from(set.mark() >= next.mark());
+            adopted += usize::from(set.version() >= next.version());
         }
     }
     let is_majority = adopted >= old.majority();
     if is_majority {
         shared.store.learn_set(next);
-        log::info!("set: {adopted} voters are in set {:?} now", next.mark());
+        log::info!("set: {adopted} voters are in set {} now", next.version());
     }
     is_majority
 }
@@ -128,31 +131,35 @@
 /// Takes over what a majority of the other members holds.
 fn install(shared: &Shared, set: &VoterSet) {
     let mut copies = Vec::new();
-    let mut floors = (0, 0);
+    let mut claim_floors = ClaimFloors::default();
     for voter in set.voters.iter().filter(|voter| voter.disk != shared.disk) {
         let Some((copy, keys)) = pull(shared, &voter.address, None) else {
             continue;
         };
-        if copy.set.mark() == set.mark() {
-            floors = (floors.0.max(copy.floors.0), floors.1.max(copy.floors.1));
+        if copy.set.version() == set.version() {
+            claim_floors = claim_floors.max(copy.claim_floors);
             copies.push(keys);
         }
     }
     if copies.len() < set.majority() {
         return;
     }
-    let keys = merged(copies);
+    let keys = merge_replicas(copies);
     let count = keys.len();
     let (told, answer) = bounded(1);
     let set = set.clone();
-    let given = Installing { set, floors, keys };
+    let given = Installation {
+        set,
+        claim_floors,
+        registers: keys,
+    };
     if shared.voter.send(Work::Install(given, told)).is_err() {
         return;
     }
     if let Ok(set) = answer.recv() {
         log::warn!(
-            "set: this core votes in set {:?} with {count} keys",
-            set.mark()
+            "set: this core votes in set {} with {count} keys",
+            set.version()
         );
     }
 }
--- a/crates/core/src/mending.rs
+++ b/crates/core/src/mending.rs
@@ -1,9 +1,9 @@
 use crate::set;
 use crate::shared::Shared;
 use crate::voting::Work;
-use anti_entropy::Digests;
+use anti_entropy::RangeDigests;
 use crossbeam::channel::bounded;
-use register::Held;
+use register::RegisterState;
 use std::thread;
 use std::time::Duration;
 use transport::{Copy, Message, Responder};
@@ -59,9 +59,9 @@
     shared: &Shared,
     address: &str,
     known: Option<&[u64]>,
-) -> Option<(Copy, Vec<(String, Held)>)> {
+) -> Option<(Copy, Vec<(String, RegisterState)>)> {
     let copy = copy_of(shared, address)?;
-    let own = known.map_or_else(Digests::default, Digests::from_ranges);
+    let own = known.map_or_else(RangeDigests::default, RangeDigests::from_ranges);
     let differing = own.differing(&copy.ranges);
     let mut keys = Vec::new();
     for range in differing {
@@ -87,13 +87,14 @@
             continue;
         }
         for voter in set.voters.iter().filter(|voter| voter.disk != shared.disk) {
-            let Some(own) = own_copy(shared).filter(|own| own.set.mark() == set.mark()) else {
+            let Some(own) = own_copy(shared).filter(|own| own.set.version() == set.version())
+            else {
                 continue;
             };
             let Some((copy, keys)) = pull(shared, &voter.address, Some(&own.ranges)) else {
                 continue;
             };
-            if copy.set.mark() == set.mark() && !keys.is_empty() {
+            if copy.set.version() == set.version() && !keys.is_empty() {
                 let _ = shared.voter.try_send(Work::Mend(keys));
             }
         }
--- a/crates/core/src/operators.rs
+++ b/crates/core/src/operators.rs
@@ -127,13 +127,13 @@
                 "address": voter.address,
                 "disk": format!("{:x}", voter.disk),
                 "answers": copy.is_some(),
-                "votes": copy.is_some_and(|copy| copy.is_open && copy.set.mark() == set.mark()),
+                "votes": copy.is_some_and(|copy| copy.is_open && copy.set.version() == set.version()),
             })
         })
         .collect();
     json(
         200,
-        &serde_json::json!({ "era": set.era, "no": set.no, "voters": lines }),
+        &serde_json::json!({ "era": set.epoch, "no": set.number, "voters": lines }),
     )
 }
 
@@ -147,7 +147,7 @@
     match joining::replace(shared, old, new) {
         Ok(set) => json(
             200,
-            &serde_json::json!({ "outcome": "replaced", "era": set.era, "no": set.no }),
+            &serde_json::json!({ "outcome": "replaced", "era": set.epoch, "no": set.number }),
         ),
         Err(reason) => text(409, &reason),
     }
@@ -159,7 +159,7 @@
         return text(404, "no function of this name is listed");
     }
     if shared.duty.load().term.is_none() {
-        let holder = &shared.duty.load().tenure.holder.name;
+        let holder = &shared.duty.load().tenure.leader.name;
         let sentence = format!("this core does not scale; ask {holder:?}");
         return text(421, &sentence);
     }
@@ -254,13 +254,13 @@
         "role": "core",
         "name": shared.settings.name,
         "district": shared.settings.district,
-        "era": set.era,
+        "era": set.epoch,
         "voters": set.voters.iter().map(|voter| &voter.address).collect::<Vec<_>>(),
         "keys": keys.map(|(_, count)| count),
         "blueprint": settled.blueprint_version.no,
         "held": { "blueprint": settled.blueprint_version, "plan": settled.plan_version },
         "plan": settled.plan_version.no,
-        "duty": { "holder": duty.tenure.holder.name, "term": duty.tenure.term, "here": duty.term.is_some() },
+        "duty": { "holder": duty.tenure.leader.name, "term": duty.tenure.term, "here": duty.term.is_some() },
         "roster": settled.plan.roster,
         "fronts": front_lines,
         "clocks": clocks,
--- a/crates/core/src/puts.rs
+++ b/crates/core/src/puts.rs
@@ -3,7 +3,7 @@
 use crate::store::{BlueprintValue, HistoryLine, BLUEPRINT};
 use configuration::{Blueprint, Fault, Version};
 use oxhttp::model::{Body, Response};
-use register::{Change, Outcome, Stored};
+use register::{Change, ChangeOutcome, VersionedValue};
 use speedy::{Readable, Writable};
 use std::thread;
 use std::time::Duration;
@@ -76,7 +76,7 @@
     let bounds = shared.store.settled().blueprint.bounds.clone();
     let patience = Duration::from_millis(bounds.lease_ms());
     let (_, outcome) = shared.store.change(BLUEPRINT, Change::Read, patience);
-    let Outcome::Settled(current) = outcome else {
+    let ChangeOutcome::Committed(current) = outcome else {
         return text(503, "no majority of voters answered; nothing was changed");
     };
     if current.version != expected {
@@ -93,7 +93,7 @@
     let change = Change::Write { expected, bytes };
     let (era, outcome) = shared.store.change(BLUEPRINT, change, patience);
     match outcome {
-        Outcome::Settled(stored) => {
+        ChangeOutcome::Committed(stored) => {
             shared.store.put_in_force(BLUEPRINT, era, &stored);
             news::answer_all(shared);
             let version = Version {
@@ -102,8 +102,8 @@
             };
             acknowledge(shared, version, began, began + bounds.change_ms)
         }
-        Outcome::Stale(stored) => stale(stored.version),
-        Outcome::Undecided => undecided(
+        ChangeOutcome::Conflict(stored) => stale(stored.version),
+        ChangeOutcome::Indeterminate => undecided(
             expected + 1,
             "it is not known whether a majority of voters took it; ask for this version",
         ),
@@ -111,7 +111,7 @@
     }
 }
 
-fn value_of(stored: &Stored) -> BlueprintValue {
+fn value_of(stored: &VersionedValue) -> BlueprintValue {
     BlueprintValue::read_from_buffer(&stored.bytes).unwrap_or_default()
 }
 
--- a/crates/core/src/scaling.rs
+++ b/crates/core/src/scaling.rs
@@ -5,7 +5,7 @@
 use configuration::{Plan, Version};
 use crossbeam::channel::{bounded, Receiver, Sender};
 use rand::Rng;
-use register::{Change, Outcome};
+use register::{Change, ChangeOutcome};
 use scaler::{FrontSight, Order, OrderResult, Orders, Scaler, Sight};
 use speedy::Writable;
 use std::collections::BTreeMap;
@@ -78,7 +78,7 @@
     let sight = Sight {
         now: now_ms(),
         next: Version {
-            era: shared.store.set().era,
+            era: shared.store.set().epoch,
             no: settled.plan_version.no + 1,
         },
         term: duty.term.unwrap_or_default(),
@@ -123,7 +123,7 @@
         .store
         .change(PLAN, change, Duration::from_millis(patience));
     match outcome {
-        Outcome::Settled(stored) | Outcome::Stale(stored) => {
+        ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) => {
             shared.store.put_in_force(PLAN, era, &stored);
             news::answer_all(shared);
         }
--- a/crates/core/src/set.rs
+++ b/crates/core/src/set.rs
@@ -9,32 +9,32 @@
 use std::thread;
 use std::time::Instant;
 use transport::{now_ms, Message, News};
-use voter::{FoundStep, Founding, FrontsHold, HeardCore, Joining};
+use voter::{Bootstrap, BootstrapStep, GatewayEvidence, MembershipChange, PeerStatus};
 
 /// Finds out which voters count, again and again. Where all three seeds say that they are empty,
 /// the first of them forms a new era; a core that is empty beside others joins them.
 pub fn settle_set(shared: &Shared) {
-    let mut founding = Founding::default();
-    let mut joining = Joining::default();
+    let mut founding = Bootstrap::default();
+    let mut joining = MembershipChange::default();
     loop {
         let heard = hear(shared);
         let newest = heard
             .iter()
             .map(|one| &one.set)
-            .max_by_key(|set| set.mark());
+            .max_by_key(|set| set.version());
         let newest = newest.cloned().unwrap_or_default();
-        found(shared, &mut founding, &heard, newest.era == 0);
-        if newest.era > 0 {
+        found(shared, &mut founding, &heard, newest.epoch == 0);
+        if newest.epoch > 0 {
             shared.store.learn_set(&newest);
             tell_laggards(shared, &newest, &heard);
             let own = heard.iter().find(|one| one.disk == shared.disk);
-            if own.is_none_or(|one| one.set.era == 0) {
+            if own.is_none_or(|one| one.set.epoch == 0) {
                 joining::step(shared, &mut joining, &newest, &heard);
             } else if shared.store.is_blank() {
                 start_from_fronts(shared, &mut founding);
             }
         }
-        let is_settled = shared.store.set().era > 0;
+        let is_settled = shared.store.set().epoch > 0;
         let patience = shared.patience();
         let pause = if is_settled { patience } else { patience / 5 };
         thread::sleep(pause);
@@ -42,24 +42,26 @@
 }
 
 /// Takes the next step of an era's founding.
-fn found(shared: &Shared, founding: &mut Founding, heard: &[HeardCore], is_empty: bool) {
+fn found(shared: &Shared, founding: &mut Bootstrap, heard: &[PeerStatus], is_empty: bool) {
     let gathered = if is_empty { gather(shared) } else { Ok(None) };
     let Ok(gathered) = gathered else {
         return;
     };
-    let held = gathered.as_ref().map(|found| FrontsHold {
-        era: found.era(),
+    let held = gathered.as_ref().map(|found| GatewayEvidence {
+        epoch: found.era(),
         is_majority: found.is_majority,
     });
     let bounds = shared.store.settled().blueprint.bounds.clone();
     let is_first = shared.settings.seeds[0] == shared.settings.address();
     let seeds = shared.settings.seeds.len();
-    let (now, wall, own) = (now_ms(), shared.agreed_wall(), shared.disk);
+    let (now, wall, own) = (now_ms(), shared.median_wall_clock(), shared.disk);
     match founding.decide(now, wall, &bounds, own, is_first, seeds, heard, held) {
-        FoundStep::Wait => {}
-        FoundStep::Form(set, floor) => form_era(shared, set, floor, gathered.as_ref()),
-        FoundStep::Tell(set, addresses) => {
-            let Some(floor) = mending::own_copy(shared).map(|copy| copy.floors.1) else {
+        BootstrapStep::Wait => {}
+        BootstrapStep::Form(set, floor) => form_era(shared, set, floor, gathered.as_ref()),
+        BootstrapStep::Resend(set, addresses) => {
+            let Some(floor) =
+                mending::own_copy(shared).map(|copy| copy.claim_floors.refused_before)
+            else {
                 return;
             };
             for address in addresses {
@@ -71,21 +73,21 @@
 }
 
 /// Gives the values that fronts hold of an earlier era to this one, where nobody has done so yet.
-fn start_from_fronts(shared: &Shared, founding: &mut Founding) {
+fn start_from_fronts(shared: &Shared, founding: &mut Bootstrap) {
     let Ok(Some(found)) = gather(shared) else {
         return;
     };
     let bounds = shared.store.settled().blueprint.bounds.clone();
-    if founding.may_start(now_ms(), &bounds, found.is_majority) {
+    if founding.may_restore_values(now_ms(), &bounds, found.is_majority) {
         shared.store.start_from(&found.news);
     }
 }
 
 /// A member that missed a change of the set is told of it: what another member has taken is settled.
-fn tell_laggards(shared: &Shared, newest: &VoterSet, heard: &[HeardCore]) {
+fn tell_laggards(shared: &Shared, newest: &VoterSet, heard: &[PeerStatus]) {
     for one in heard {
         let is_member = newest.voters.iter().any(|voter| voter.disk == one.disk);
-        if is_member && one.set.era == newest.era && one.set.no < newest.no {
+        if is_member && one.set.epoch == newest.epoch && one.set.number < newest.number {
             let question = Message::Adopt(newest.clone());
             shared
                 .links
@@ -95,7 +97,7 @@
 }
 
 /// Asks all seeds and all voters who they are.
-fn hear(shared: &Shared) -> Vec<HeardCore> {
+fn hear(shared: &Shared) -> Vec<PeerStatus> {
     let seeds = shared.settings.seeds.iter().map(SocketAddr::to_string);
     let mut addresses: Vec<String> = seeds.collect();
     let set = shared.store.set();
@@ -114,11 +116,11 @@
             } = answer
             {
                 let address = from;
-                let _ = sender.try_send(HeardCore {
+                let _ = sender.try_send(PeerStatus {
                     address,
                     disk,
                     set,
-                    fronts_era,
+                    gateway_epoch: fronts_era,
                 });
             }
         });
@@ -204,7 +206,11 @@
             plan: plan.plan,
             ..News::default()
         },
-        is_majority: FrontsHold::is_enough(holders.len(), roster, shared.settings.seeds.len()),
+        is_majority: GatewayEvidence::is_sufficient(
+            holders.len(),
+            roster,
+            shared.settings.seeds.len(),
+        ),
     }))
 }
 
@@ -217,7 +223,7 @@
         log::warn!(
             "set: ALL VOTERS WERE EMPTY. Era {} starts from what the fronts held: blueprint {:?}, \
              heard a majority of fronts: {}. Once-keys issued before now are refused.",
-            set.era,
+            set.epoch,
             found.version,
             found.is_majority
         );
@@ -238,5 +244,5 @@
 pub fn form_here(shared: &Shared, set: VoterSet, floor: u64) -> Option<VoterSet> {
     let (told, answer) = bounded(1);
     shared.voter.send(Work::Form(set, floor, told)).ok()?;
-    answer.recv().ok().filter(|set| set.era > 0)
+    answer.recv().ok().filter(|set| set.epoch > 0)
 }
--- a/crates/core/src/shared.rs
+++ b/crates/core/src/shared.rs
@@ -6,7 +6,7 @@
 use configuration::{CoreSettings, PeerRef, Version};
 use crossbeam::channel::{bounded, Receiver, Sender};
 use error_stack::Report;
-use leader_election::{Duty, Tenure};
+use leader_election::{LeaderElection, Leadership};
 use parking_lot::Mutex;
 use rand::Rng;
 use request_queue::{DeskMessage, FrontReport};
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use std::{fmt, io, thread};
 use transport::{now_ms, unix_ms, Envelope, Handler, Links, Message, Responder, Role};
-use voter::agreed_wall;
+use voter::median_wall_clock;
 use voter::VoterError;
 
 /// Questions to this voter that may wait.
@@ -60,7 +60,7 @@
 /// The scaler's duty as this core sees it.
 #[derive(Clone, Default)]
 pub struct DutyView {
-    pub tenure: Tenure,
+    pub tenure: Leadership,
     pub term: Option<u64>,
 }
 
@@ -85,11 +85,11 @@
 }
 
 impl Shared {
-    pub fn set_tenure(&self, duty: &Duty, now: u64) {
+    pub fn set_tenure(&self, duty: &LeaderElection, now: u64) {
         let term = duty.term(now);
         let known = self.duty.load();
-        if known.term != term || known.tenure != *duty.tenure() {
-            let tenure = duty.tenure().clone();
+        if known.term != term || known.tenure != *duty.leadership() {
+            let tenure = duty.leadership().clone();
             self.duty.store(Arc::new(DutyView { tenure, term }));
         }
     }
@@ -111,11 +111,11 @@
     }
 
     /// The wall time that this core's and the fronts' clocks agree on.
-    pub fn agreed_wall(&self) -> u64 {
+    pub fn median_wall_clock(&self) -> u64 {
         let fronts = self.fronts.lock();
         let told = fronts.values();
         let told = told.filter(|known| !known.sight.report.is_witness);
-        agreed_wall(unix_ms(), told.map(|known| known.off_ms))
+        median_wall_clock(unix_ms(), told.map(|known| known.off_ms))
     }
 
     /// The newest era of which a front told this core that it holds a value, also one that is silent now.
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -1,6 +1,6 @@
 use arc_swap::ArcSwap;
 use configuration::{Blueprint, Plan, Version};
-use register::{Change, Outcome, RegisterClient, Stored, VoterSet};
+use register::{Change, ChangeOutcome, RegisterClient, VersionedValue, VoterSet};
 use serde::Serialize;
 use speedy::{Readable, Writable};
 use std::sync::Arc;
@@ -92,7 +92,7 @@
 
     /// Learns which voters count; an older set is ignored.
     pub fn learn_set(&self, set: &VoterSet) {
-        if set.mark() > self.set.load().mark() {
+        if set.version() > self.set.load().version() {
             self.set.store(Arc::new(set.clone()));
         }
     }
@@ -103,17 +103,17 @@
     }
 
     /// Reads or writes a register.
-    pub fn change(&self, key: &str, change: Change, budget: Duration) -> (u64, Outcome) {
+    pub fn change(&self, key: &str, change: Change, budget: Duration) -> (u64, ChangeOutcome) {
         let set = self.set();
-        if set.era == 0 {
+        if set.epoch == 0 {
             let reason = "no voters are known yet".to_string();
-            return (0, Outcome::Unreached(reason));
+            return (0, ChangeOutcome::NoQuorum(reason));
         }
         let outcome = self.client.change(&set, key, change, budget);
-        if let Outcome::OtherSet(set) = &outcome {
+        if let ChangeOutcome::SetMismatch(set) = &outcome {
             self.learn_set(set);
         }
-        (set.era, outcome)
+        (set.epoch, outcome)
     }
 
     /// Starts a new era from the values that the fronts held. Where another core was faster its
@@ -135,7 +135,7 @@
             let change = Change::Write { expected: 0, bytes };
             let (era, outcome) = self.change(key, change, patience);
             match outcome {
-                Outcome::Settled(stored) | Outcome::Stale(stored) => {
+                ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) => {
                     self.put_in_force(key, era, &stored);
                 }
                 other => log::error!("store: {key} of the last era was not taken: {other:?}"),
@@ -145,7 +145,7 @@
 
     /// Whether an era after a loss has not got its values back yet; nothing is planned until then.
     pub fn is_blank(&self) -> bool {
-        let era = self.set().era;
+        let era = self.set().epoch;
         era > 1 && self.settled().blueprint_version.era < era
     }
 
@@ -153,7 +153,7 @@
     pub fn refresh(&self, budget: Duration) -> bool {
         [BLUEPRINT, PLAN].into_iter().all(|key| {
             let (era, outcome) = self.change(key, Change::Read, budget);
-            let Outcome::Settled(stored) = outcome else {
+            let ChangeOutcome::Committed(stored) = outcome else {
                 return false;
             };
             self.put_in_force(key, era, &stored);
@@ -162,7 +162,7 @@
     }
 
     /// Puts a settled value in force where it is newer.
-    pub fn put_in_force(&self, key: &str, era: u64, stored: &Stored) {
+    pub fn put_in_force(&self, key: &str, era: u64, stored: &VersionedValue) {
         let version = Version {
             era,
             no: stored.version,
@@ -177,7 +177,7 @@
         }
     }
 
-    fn plan_in_force(&self, version: Version, stored: &Stored) {
+    fn plan_in_force(&self, version: Version, stored: &VersionedValue) {
         let Ok(plan) = Plan::read_from_buffer(&stored.bytes) else {
             log::error!("store: settled plan {} cannot be read", version.no);
             return;
@@ -193,7 +193,7 @@
         });
     }
 
-    fn blueprint_in_force(&self, version: Version, stored: &Stored) {
+    fn blueprint_in_force(&self, version: Version, stored: &VersionedValue) {
         if version <= self.settled.load().blueprint_version {
             return;
         }
--- a/crates/core/src/voting.rs
+++ b/crates/core/src/voting.rs
@@ -1,11 +1,11 @@
 use crate::shared::{CoreError, Shared};
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender};
 use journal::DiskFolder;
-use register::{Held, VoterMessage, VoterReply, VoterSet};
+use register::{RegisterState, VoterRequest, VoterResponse, VoterSet};
 use std::path::Path;
 use std::time::{Duration, Instant};
 use transport::{Copy, Message, Responder};
-use voter::{Installing, Voter};
+use voter::{Installation, Voter};
 
 /// Most questions that are answered with one sync.
 const BATCH_MAX: usize = 256;
@@ -13,15 +13,15 @@
 /// What the voter's thread is asked.
 pub enum Work {
     /// A question from the wire.
-    Ask(VoterMessage, Responder),
+    Ask(VoterRequest, Responder),
     /// Take this first set with its floor, and tell what is held then.
     Form(VoterSet, u64, Sender<VoterSet>),
     /// Take the set that follows.
     Adopt(VoterSet, Responder),
     /// Take a set with all that its other members hold, into an empty voter.
-    Install(Installing, Sender<VoterSet>),
+    Install(Installation, Sender<VoterSet>),
     /// Take newer values from another copy.
-    Mend(Vec<(String, Held)>),
+    Mend(Vec<(String, RegisterState)>),
     /// Tell who this is, with the id of the disk and the newest era that fronts told of.
     Hello(u64, u64, Responder),
     /// Tell the copy in short, to another core.
@@ -39,7 +39,7 @@
 /// What came of the work that is synced together.
 #[derive(Default)]
 struct Batch {
-    replies: Vec<(Responder, VoterReply)>,
+    replies: Vec<(Responder, VoterResponse)>,
     told_set: Vec<Sender<VoterSet>>,
     adopted: Vec<Responder>,
 }
@@ -52,7 +52,7 @@
 
 /// What comes next; nothing after a pause, where the disk has failed and may be tried again.
 fn next(voter: &Voter, work: &Receiver<Work>, pause: Duration) -> Result<Option<Work>, ()> {
-    if !voter.may_reopen() {
+    if !voter.can_reopen() {
         return work.recv().map(Some).map_err(|_| ());
     }
     match work.recv_timeout(pause) {
@@ -76,7 +76,7 @@
     let pause = || Duration::from_millis(shared.store.settled().blueprint.bounds.change_ms / 3);
     let mut tried_at = Instant::now();
     while let Ok(first) = next(&voter, work, pause()) {
-        if voter.may_reopen() && tried_at.elapsed() >= pause() {
+        if voter.can_reopen() && tried_at.elapsed() >= pause() {
             tried_at = Instant::now();
             voter = reopen(&shared.settings.data).unwrap_or(voter);
         }
@@ -92,7 +92,7 @@
             let reply = if is_synced {
                 reply
             } else {
-                Voter::unsynced_reply()
+                Voter::disk_failed_response()
             };
             responder.answer(Message::VoterAnswer(reply));
         }
@@ -100,7 +100,7 @@
         if !is_synced {
             continue;
         }
-        let set = voter.held().set();
+        let set = voter.acceptor().set();
         for told in batch.told_set {
             let _ = told.send(set.clone());
         }
@@ -113,15 +113,15 @@
 fn take(voter: &mut Voter, item: Work, batch: &mut Batch) {
     match item {
         Work::Ask(message, responder) => {
-            let reply = voter.ask(message);
+            let reply = voter.handle(message);
             batch.replies.push((responder, reply));
         }
         Work::Form(set, floor, told) => {
-            voter.form(set, floor);
+            voter.bootstrap(set, floor);
             batch.told_set.push(told);
         }
         Work::Adopt(set, responder) => {
-            voter.adopt(set);
+            voter.adopt_set(set);
             if voter.is_open() {
                 batch.adopted.push(responder);
             }
@@ -130,10 +130,10 @@
             voter.install(given);
             batch.told_set.push(told);
         }
-        Work::Mend(keys) => voter.mend(keys),
-        Work::AgeOut(wall, remembered) => voter.age_out(wall, remembered),
+        Work::Mend(keys) => voter.repair(keys),
+        Work::AgeOut(wall, remembered) => voter.expire_claims(wall, remembered),
         Work::Hello(disk, fronts_era, responder) => {
-            let set = voter.held().set().clone();
+            let set = voter.acceptor().set().clone();
             responder.answer(Message::HelloAnswer {
                 disk,
                 set,
@@ -147,21 +147,23 @@
             let _ = told.send(copy_of(voter));
         }
         Work::Range(range, responder) => {
-            responder.answer(Message::RangeAnswer(voter.held().range(range)));
+            responder.answer(Message::RangeAnswer(
+                voter.acceptor().registers_in_range(range),
+            ));
         }
         Work::Tell(told) => {
-            let held = voter.held();
+            let held = voter.acceptor();
             let _ = told.send((held.set().clone(), held.len()));
         }
     }
 }
 
 fn copy_of(voter: &Voter) -> Copy {
-    let held = voter.held();
+    let held = voter.acceptor();
     Copy {
         is_open: voter.is_open(),
         set: held.set().clone(),
-        floors: held.floors(),
-        ranges: held.digests().all().to_vec(),
+        claim_floors: held.claim_floors(),
+        ranges: held.digests().as_slice().to_vec(),
     }
 }
--- a/crates/front/src/news.rs
+++ b/crates/front/src/news.rs
@@ -62,7 +62,7 @@
     for neighbour in fronts {
         viewing::take_in(shared, vec![neighbour]);
     }
-    if news.set.era != 0 {
+    if news.set.epoch != 0 {
         shared.ledger.learn_set(&news.set);
     }
     let blueprint = news.blueprint.and_then(|newer| match parse(&newer.text) {
--- a/crates/front/src/once.rs
+++ b/crates/front/src/once.rs
@@ -3,7 +3,9 @@
 use crossbeam::channel::{bounded, Receiver, Sender};
 use idempotency_keys::{Claim, OnceKey};
 use parking_lot::Mutex;
-use register::{Ballot, Change, Held, Outcome, RegisterClient, Stored, VoterSet};
+use register::{
+    Ballot, Change, ChangeOutcome, RegisterClient, RegisterState, VersionedValue, VoterSet,
+};
 use speedy::{Readable, Writable};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -48,7 +50,7 @@
         }
     }
 
-    fn held(&self, proposer: u64) -> Vec<(String, Held)> {
+    fn held(&self, proposer: u64) -> Vec<(String, RegisterState)> {
         let ballot = Ballot {
             counter: 1,
             proposer,
@@ -56,15 +58,15 @@
         let claims = self.claims.iter();
         claims
             .map(|(register, (version, bytes))| {
-                let stored = Stored {
+                let stored = VersionedValue {
                     version: *version,
                     tag: proposer,
                     bytes: bytes.clone(),
                 };
-                let held = Held {
+                let held = RegisterState {
                     promised: ballot,
                     accepted: ballot,
-                    stored,
+                    value: stored,
                 };
                 (register.clone(), held)
             })
@@ -105,17 +107,17 @@
     /// that this front still knows.
     pub fn learn_set(&self, set: &VoterSet) {
         let known = self.set.load_full();
-        if set.mark() <= known.mark() {
+        if set.version() <= known.version() {
             return;
         }
         self.set.store(Arc::new(set.clone()));
-        if known.era == 0 || set.era == known.era {
+        if known.epoch == 0 || set.epoch == known.epoch {
             return;
         }
         let held = self.remembered.lock().held(self.me.incarnation);
         log::warn!(
             "front: era {} began; its voters are told {} claims",
-            set.era,
+            set.epoch,
             held.len()
         );
         for part in held.chunks(REMEMBERED_PART) {
@@ -135,10 +137,10 @@
             .collect()
     }
 
-    fn write(&self, key: &str, expected: u64, claim: &Claim, budget: Duration) -> Outcome {
+    fn write(&self, key: &str, expected: u64, claim: &Claim, budget: Duration) -> ChangeOutcome {
         let set = self.set.load_full();
-        if set.era == 0 {
-            return Outcome::Unreached("no voters are known yet".into());
+        if set.epoch == 0 {
+            return ChangeOutcome::NoQuorum("no voters are known yet".into());
         }
         let bytes = bytes_of(claim);
         let change = Change::Write {
@@ -146,10 +148,10 @@
             bytes: bytes.clone(),
         };
         let outcome = self.client.change(&set, key, change, budget);
-        if let Outcome::Settled(stored) = &outcome {
+        if let ChangeOutcome::Committed(stored) = &outcome {
             self.remembered.lock().note(key, stored.version, bytes);
         }
-        if let Outcome::OtherSet(set) = &outcome {
+        if let ChangeOutcome::SetMismatch(set) = &outcome {
             self.learn_set(set);
         }
         outcome
@@ -167,16 +169,16 @@
         while Instant::now() < end {
             let left = end.saturating_duration_since(Instant::now());
             match self.write(&key.register, expected, &claim, left) {
-                Outcome::Settled(stored) => return Claimed::Ours(stored.version),
-                Outcome::Stale(stored) => match Claim::read_from_buffer(&stored.bytes) {
+                ChangeOutcome::Committed(stored) => return Claimed::Ours(stored.version),
+                ChangeOutcome::Conflict(stored) => match Claim::read_from_buffer(&stored.bytes) {
                     Ok(Claim::Free) => expected = stored.version,
                     Ok(claim) => return Claimed::Theirs(claim),
                     Err(_) => return Claimed::Shut,
                 },
                 // While the set changes, some voters are in the old one and some in the next.
-                Outcome::OtherSet(_) => thread::sleep(budget / SET_PAUSES),
-                Outcome::AgedOut => return self.recall(&key.register),
-                Outcome::Undecided => {
+                ChangeOutcome::SetMismatch(_) => thread::sleep(budget / SET_PAUSES),
+                ChangeOutcome::Expired => return self.recall(&key.register),
+                ChangeOutcome::Indeterminate => {
                     self.leave_over(&key.register, expected + 1);
                     return Claimed::Shut;
                 }
@@ -204,7 +206,7 @@
     /// it is told. Where voters do not answer now it is done later.
     pub fn free(&self, key: &OnceKey, version: u64, budget: Duration) {
         match self.write(&key.register, version, &Claim::Free, budget) {
-            Outcome::Settled(_) | Outcome::Stale(_) => {}
+            ChangeOutcome::Committed(_) | ChangeOutcome::Conflict(_) => {}
             _ => self.leave_over(&key.register, version),
         }
     }
@@ -225,7 +227,7 @@
             }
         }
         let outcome = self.write(&key.register, version, &claim, budget);
-        if !matches!(outcome, Outcome::Settled(_)) {
+        if !matches!(outcome, ChangeOutcome::Committed(_)) {
             log::warn!("front: the answer under a key was not noted: {outcome:?}");
         }
     }
@@ -235,7 +237,7 @@
         for (register, version) in &self.leftovers.1 {
             let patience = Duration::from_secs(2);
             match self.write(&register, version, &Claim::Free, patience) {
-                Outcome::Settled(_) | Outcome::Stale(_) => {}
+                ChangeOutcome::Committed(_) | ChangeOutcome::Conflict(_) => {}
                 _ => {
                     self.leave_over(&register, version);
                     thread::sleep(Duration::from_millis(200));
--- a/crates/jobs/tests/town/controllers.rs
+++ b/crates/jobs/tests/town/controllers.rs
@@ -2,8 +2,8 @@
 use protocol::{Message, RegisterResponse};
 use rand::Rng;
 use register::{
-    Acceptor, Ballot, Change, Outcome, Proposal, ProposalStep, Record, VoterAsk, VoterMessage,
-    VoterRef, VoterReply, VoterSet,
+    Acceptor, Ballot, Change, ChangeOutcome, Proposal, ProposalStep, Record, SetVersion,
+    VoterOperation, VoterRef, VoterRequest, VoterResponse, VoterSet,
 };
 use std::collections::BTreeMap;
 
@@ -35,8 +35,8 @@
         address: String::new(),
     });
     VoterSet {
-        era: 1,
-        no: 1,
+        epoch: 1,
+        number: 1,
         voters: voters.collect(),
     }
 }
@@ -44,7 +44,7 @@
 impl Controller {
     pub fn new(place: usize, count: usize) -> Self {
         let mut acceptor = Acceptor::default();
-        let formed = acceptor.form(voters(count));
+        let formed = acceptor.bootstrap(voters(count));
         Self {
             is_up: true,
             life: 1 + place as u64,
@@ -57,13 +57,13 @@
     }
 }
 
-fn said_of(outcome: Outcome, is_write: bool) -> RegisterResponse {
+fn said_of(outcome: ChangeOutcome, is_write: bool) -> RegisterResponse {
     match outcome {
-        Outcome::Settled(stored) if is_write => RegisterResponse::Written(stored.version),
-        Outcome::Settled(stored) | Outcome::Stale(stored) => {
+        ChangeOutcome::Committed(stored) if is_write => RegisterResponse::Written(stored.version),
+        ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) => {
             RegisterResponse::Found(stored.version, stored.bytes)
         }
-        Outcome::Undecided => RegisterResponse::Indeterminate,
+        ChangeOutcome::Indeterminate => RegisterResponse::Indeterminate,
         _ => RegisterResponse::Unavailable,
     }
 }
@@ -107,7 +107,7 @@
         self.later(BUDGET_MS * MS, Event::Over(place, life, id));
     }
 
-    fn ask_all(&mut self, place: usize, id: u64, ask: &VoterAsk) {
+    fn ask_all(&mut self, place: usize, id: u64, ask: &VoterOperation) {
         let controller = &mut self.controllers[place];
         controller.last += 1;
         let (life, ask_number) = (controller.life, controller.last);
@@ -116,13 +116,13 @@
         }
         for to in 0..self.controllers.len() {
             let delay = if to == place { 1 } else { self.hop() };
-            let message = VoterMessage {
-                mark: (1, 1),
-                ask: ask.clone(),
+            let message = VoterRequest {
+                set_version: SetVersion::new(1, 1),
+                operation: ask.clone(),
             };
             self.later(
                 delay,
-                Event::VoterAsk(to, place, life, (id, ask_number), message),
+                Event::VoterOperation(to, place, life, (id, ask_number), message),
             );
         }
     }
@@ -133,7 +133,7 @@
         from: usize,
         life: u64,
         ask: (u64, u64),
-        message: VoterMessage,
+        message: VoterRequest,
     ) {
         let controller = &mut self.controllers[place];
         if !controller.is_up {
@@ -148,7 +148,10 @@
             10
         };
         let way = if from == place { 1 } else { self.hop() };
-        self.later(sync + way, Event::VoterReply(from, life, ask, place, reply));
+        self.later(
+            sync + way,
+            Event::VoterResponse(from, life, ask, place, reply),
+        );
     }
 
     pub fn voter_replied(
@@ -157,7 +160,7 @@
         life: u64,
         (id, number): (u64, u64),
         voter: usize,
-        reply: VoterReply,
+        reply: VoterResponse,
     ) {
         let now = self.now;
         let controller = &mut self.controllers[place];
@@ -170,15 +173,15 @@
         if asked.ask_number != number {
             return;
         }
-        match asked.proposal.on_reply(voter, reply) {
+        match asked.proposal.on_response(voter, reply) {
             ProposalStep::Wait => {}
-            ProposalStep::Ask(ask) => self.ask_all(place, id, &ask),
-            ProposalStep::Again(above) => {
+            ProposalStep::Send(ask) => self.ask_all(place, id, &ask),
+            ProposalStep::Retry(above) => {
                 asked.ask_number = 0;
                 let pause = self.random.random_range(1..=10) * MS;
                 self.later(pause, Event::Again(place, life, id, above.counter));
             }
-            ProposalStep::Done(Outcome::Unreached(_) | Outcome::Undecided)
+            ProposalStep::Done(ChangeOutcome::NoQuorum(_) | ChangeOutcome::Indeterminate)
                 if now + 100 * MS < asked.until =>
             {
                 asked.ask_number = 0;
@@ -199,7 +202,7 @@
             proposer: controller.life,
         };
         if let Some(asked) = controller.asked.get_mut(&id) {
-            let ask = asked.proposal.again(ballot);
+            let ask = asked.proposal.retry(ballot);
             self.ask_all(place, id, &ask);
         }
     }
@@ -210,12 +213,12 @@
             return;
         }
         if let Some(asked) = controller.asked.get(&id) {
-            let outcome = asked.proposal.give_up();
+            let outcome = asked.proposal.abandon();
             self.controller_done(place, id, outcome);
         }
     }
 
-    fn controller_done(&mut self, place: usize, id: u64, outcome: Outcome) {
+    fn controller_done(&mut self, place: usize, id: u64, outcome: ChangeOutcome) {
         let Some(asked) = self.controllers[place].asked.remove(&id) else {
             return;
         };
@@ -247,7 +250,7 @@
         for record in controller.records.clone() {
             controller.acceptor.replay(record);
         }
-        controller.acceptor.restore_digests();
+        controller.acceptor.rebuild_indexes();
         let (life, span) = (controller.life, self.weather.remembered_ms * MS);
         self.later(span, Event::TurnJobs(place, life));
     }
@@ -258,7 +261,7 @@
         if !controller.is_up || controller.life != life {
             return;
         }
-        let record = controller.acceptor.turn_jobs();
+        let record = controller.acceptor.advance_job_window();
         controller.records.extend(record);
         let span = self.weather.remembered_ms * MS;
         self.later(span, Event::TurnJobs(place, life));
--- a/crates/jobs/tests/town/mod.rs
+++ b/crates/jobs/tests/town/mod.rs
@@ -14,7 +14,7 @@
 use protocol::{JobCompletion, Member, Message, RegisterResponse};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use register::{VoterMessage, VoterReply};
+use register::{VoterRequest, VoterResponse};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -29,8 +29,8 @@
     LinkEnded(usize, u64, usize),
     ControllerAsk(usize, (usize, u64), Message),
     ControllerSaid(usize, u64, u64, RegisterResponse),
-    VoterAsk(usize, usize, u64, (u64, u64), VoterMessage),
-    VoterReply(usize, u64, (u64, u64), usize, VoterReply),
+    VoterOperation(usize, usize, u64, (u64, u64), VoterRequest),
+    VoterResponse(usize, u64, (u64, u64), usize, VoterResponse),
     Again(usize, u64, u64, u64),
     Over(usize, u64, u64),
     ControllerBoot(usize),
@@ -200,10 +200,10 @@
                     self.run_actions(place);
                 }
             }
-            Event::VoterAsk(to, from, life, ask, message) => {
+            Event::VoterOperation(to, from, life, ask, message) => {
                 self.voter_asked(to, from, life, ask, message);
             }
-            Event::VoterReply(controller, life, ask, voter, reply) => {
+            Event::VoterResponse(controller, life, ask, voter, reply) => {
                 self.voter_replied(controller, life, ask, voter, reply);
             }
             Event::Again(controller, life, id, above) => {
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -8,4 +8,4 @@
 
 pub use folder::{DiskFolder, Folder};
 pub use log_file::{Journal, JournalError, Recovered, SEGMENTS_MAX};
-pub use memory::{Fate, Fault, MemoryFolder, Mishap};
+pub use memory::{CrashOutcome, DiskFault, FaultKind, MemoryFolder};
--- a/crates/journal/src/memory.rs
+++ b/crates/journal/src/memory.rs
@@ -9,7 +9,7 @@
 
 /// What a disk in memory can be told to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Mishap {
+pub enum FaultKind {
     /// Every write fails, as on a full disk.
     Full,
     /// There is room again.
@@ -22,7 +22,7 @@
 
 /// What becomes of one unsynced effect when the power is lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fate {
+pub enum CrashOutcome {
     /// It is there.
     Kept,
     /// It is missing.
@@ -33,12 +33,12 @@
 
 /// How a disk fails from one operation on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
+pub enum DiskFault {
     /// Every operation that changes anything fails, as if the machine stopped.
     Stopped,
     /// Nothing can be written, made or renamed.
     Full,
-    /// As [`Fault::Full`], but half of the bytes of each write come to the file.
+    /// As [`DiskFault::Full`], but half of the bytes of each write come to the file.
     ShortWrite,
     /// Syncs fail. What they should have covered is never written later, though later syncs succeed.
     SyncFails,
@@ -78,7 +78,7 @@
     durable_names: BTreeMap<String, usize>,
     unsynced_names: Vec<NameChange>,
     operations: u64,
-    fault: Option<(u64, Fault)>,
+    fault: Option<(u64, DiskFault)>,
 }
 
 /// The bytes of one kind of operation; what it may do under a fault depends on it.
@@ -92,15 +92,15 @@
 
 impl Disk {
     /// Counts an operation, and tells the fault that it meets.
-    fn begin(&mut self, operation: Operation) -> Option<Fault> {
+    fn begin(&mut self, operation: Operation) -> Option<DiskFault> {
         self.operations += 1;
         let (from, fault) = self.fault?;
         let is_met = match fault {
-            Fault::Stopped => true,
-            Fault::Full | Fault::ShortWrite => {
+            DiskFault::Stopped => true,
+            DiskFault::Full | DiskFault::ShortWrite => {
                 matches!(operation, Operation::Write | Operation::Rename)
             }
-            Fault::SyncFails => operation == Operation::Sync,
+            DiskFault::SyncFails => operation == Operation::Sync,
         };
         (self.operations > from && is_met).then_some(fault)
     }
@@ -127,13 +127,13 @@
         });
     }
 
-    fn lose_power(&mut self, mut fate_of: impl FnMut(usize) -> Fate) {
+    fn lose_power(&mut self, mut fate_of: impl FnMut(usize) -> CrashOutcome) {
         for content in &mut self.contents {
             content.lose_power(&mut fate_of);
         }
         let mut names = std::mem::take(&mut self.durable_names);
         for change in std::mem::take(&mut self.unsynced_names) {
-            if fate_of(0) == Fate::Kept {
+            if fate_of(0) == CrashOutcome::Kept {
                 change.apply(&mut names);
             }
         }
@@ -144,7 +144,7 @@
 }
 
 impl Content {
-    fn lose_power(&mut self, fate_of: &mut impl FnMut(usize) -> Fate) {
+    fn lose_power(&mut self, fate_of: &mut impl FnMut(usize) -> CrashOutcome) {
         let mut bytes = Vec::new();
         let mut start = 0;
         for write in &self.writes {
@@ -152,9 +152,9 @@
             let kept = match write.lasting {
                 Lasting::Synced => write.length,
                 _ => match fate_of(write.length) {
-                    Fate::Kept => write.length,
-                    Fate::Lost => 0,
-                    Fate::Torn(count) => count.min(write.length),
+                    CrashOutcome::Kept => write.length,
+                    CrashOutcome::Lost => 0,
+                    CrashOutcome::Torn(count) => count.min(write.length),
                 },
             };
             if kept > 0 {
@@ -197,12 +197,12 @@
 
 impl MemoryFolder {
     /// Lets a mishap befall the disk.
-    pub fn suffer(&self, mishap: Mishap) {
+    pub fn inject(&self, mishap: FaultKind) {
         let mut disk = self.disk.lock();
         match mishap {
-            Mishap::Full => disk.fault = Some((0, Fault::Full)),
-            Mishap::Room => disk.fault = None,
-            Mishap::Torn(count) => {
+            FaultKind::Full => disk.fault = Some((0, DiskFault::Full)),
+            FaultKind::Room => disk.fault = None,
+            FaultKind::Torn(count) => {
                 if let Some(name) = disk.names.keys().next_back().cloned() {
                     let place = disk.names[&name];
                     let end = disk.contents[place].bytes.len();
@@ -210,12 +210,12 @@
                     disk.write(&name, &start[..count]);
                 }
             }
-            Mishap::PowerLoss(kept) => disk.lose_power(|_| Fate::Torn(kept)),
+            FaultKind::PowerLoss(kept) => disk.lose_power(|_| CrashOutcome::Torn(kept)),
         }
     }
 
     /// Lets the disk fail once it has done so many operations in all.
-    pub fn fail_after(&self, operations: u64, fault: Fault) {
+    pub fn fail_after(&self, operations: u64, fault: DiskFault) {
         self.disk.lock().fault = Some((operations, fault));
     }
 
@@ -230,16 +230,16 @@
         let mut lengths = Vec::new();
         self.copy().disk.lock().lose_power(|length| {
             lengths.push(length);
-            Fate::Lost
+            CrashOutcome::Lost
         });
         lengths
     }
 
     /// Loses the power; each unsynced effect meets its fate. Those without one are lost. No fault lasts.
-    pub fn lose_power(&self, fates: &[Fate]) {
+    pub fn lose_power(&self, fates: &[CrashOutcome]) {
         let mut fates = fates.iter();
         let mut disk = self.disk.lock();
-        disk.lose_power(|_| fates.next().copied().unwrap_or(Fate::Lost));
+        disk.lose_power(|_| fates.next().copied().unwrap_or(CrashOutcome::Lost));
     }
 
     /// A disk of its own with the same content.
@@ -311,7 +311,7 @@
         let mut disk = self.disk.lock();
         match disk.begin(Operation::Write) {
             None => disk.write(name, bytes),
-            Some(Fault::ShortWrite) => {
+            Some(DiskFault::ShortWrite) => {
                 disk.write(name, &bytes[..bytes.len() / 2]);
                 return Err(refused());
             }
@@ -326,7 +326,7 @@
         let place = *disk.names.get(name).ok_or_else(|| missing(name))?;
         let lasting = match fault {
             None => Lasting::Synced,
-            Some(Fault::SyncFails) => Lasting::Dropped,
+            Some(DiskFault::SyncFails) => Lasting::Dropped,
             Some(_) => return Err(refused()),
         };
         let writes = disk.contents[place].writes.iter_mut();
--- a/crates/journal/tests/power_loss.rs
+++ b/crates/journal/tests/power_loss.rs
@@ -1,7 +1,7 @@
 //! A loss of power after every single operation of a script, with every combination of unsynced effects kept,
 //! lost or torn, and a disk that fails from every operation on, against a plain list as oracle.
 
-use journal::{Fate, Fault, Journal, JournalError, MemoryFolder};
+use journal::{CrashOutcome, DiskFault, Journal, JournalError, MemoryFolder};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -119,7 +119,7 @@
     }
 
     /// Loses the power, and looks at what is there after it; also after one more record and another loss.
-    fn lose_power(&self, fates: &[Fate]) {
+    fn lose_power(&self, fates: &[CrashOutcome]) {
         let disk = self.disk.copy();
         disk.lose_power(fates);
         let mut after = self.on(disk);
@@ -130,14 +130,18 @@
     }
 
     /// Loses the power once more during each operation of the opening that follows.
-    fn lose_power_twice(&self, fates: &[Fate]) {
+    fn lose_power_twice(&self, fates: &[CrashOutcome]) {
         let disk = self.disk.copy();
         disk.lose_power(fates);
         for operations in disk.operations().. {
             let mut after = self.on(disk.copy());
-            after.disk.fail_after(operations, Fault::Stopped);
+            after.disk.fail_after(operations, DiskFault::Stopped);
             let is_whole = after.open();
-            for fate in [Fate::Kept, Fate::Lost, Fate::Torn(5)] {
+            for fate in [
+                CrashOutcome::Kept,
+                CrashOutcome::Lost,
+                CrashOutcome::Torn(5),
+            ] {
                 let fates = vec![fate; after.disk.unsynced().len()];
                 after.lose_power(&fates);
             }
@@ -160,27 +164,30 @@
 }
 
 /// What may become of an effect: a write may be torn after each byte.
-fn fates_of(length: usize) -> Vec<Fate> {
-    let torn = (1..length).map(Fate::Torn);
-    [Fate::Lost, Fate::Kept].into_iter().chain(torn).collect()
+fn fates_of(length: usize) -> Vec<CrashOutcome> {
+    let torn = (1..length).map(CrashOutcome::Torn);
+    [CrashOutcome::Lost, CrashOutcome::Kept]
+        .into_iter()
+        .chain(torn)
+        .collect()
 }
 
-fn combinations(unsynced: &[usize], random: &mut StdRng) -> Vec<Vec<Fate>> {
-    let choices: Vec<Vec<Fate>> = unsynced.iter().map(|length| fates_of(*length)).collect();
+fn combinations(unsynced: &[usize], random: &mut StdRng) -> Vec<Vec<CrashOutcome>> {
+    let choices: Vec<Vec<CrashOutcome>> = unsynced.iter().map(|length| fates_of(*length)).collect();
     let count = choices
         .iter()
         .fold(1usize, |count, one| count.saturating_mul(one.len()));
     if count > COMBINATIONS_MAX {
-        let mut drawn = vec![vec![Fate::Lost; unsynced.len()]];
-        drawn.push(vec![Fate::Kept; unsynced.len()]);
+        let mut drawn = vec![vec![CrashOutcome::Lost; unsynced.len()]];
+        drawn.push(vec![CrashOutcome::Kept; unsynced.len()]);
         drawn.extend((0..DRAWN).map(|_| {
-            let draw = |one: &Vec<Fate>| one[random.random_range(0..one.len())];
+            let draw = |one: &Vec<CrashOutcome>| one[random.random_range(0..one.len())];
             choices.iter().map(draw).collect()
         }));
         return drawn;
     }
     choices.iter().fold(vec![Vec::new()], |ways, choice| {
-        let longer = |way: &Vec<Fate>| {
+        let longer = |way: &Vec<CrashOutcome>| {
             let way = way.clone();
             choice.iter().map(move |fate| [&way[..], &[*fate]].concat())
         };
@@ -195,7 +202,7 @@
     for script in SCRIPTS {
         for operations in 0.. {
             let mut run = Run::new(MemoryFolder::default());
-            run.disk.fail_after(operations, Fault::Stopped);
+            run.disk.fail_after(operations, DiskFault::Stopped);
             run.play(script);
             tried += run.lose_power_in_all_ways(&mut random);
             if run.disk.operations() <= operations {
@@ -210,7 +217,7 @@
 #[test]
 fn a_disk_that_fails_for_a_while_loses_nothing_that_was_acknowledged() {
     let mut random = StdRng::seed_from_u64(2);
-    for fault in [Fault::Full, Fault::ShortWrite, Fault::SyncFails] {
+    for fault in [DiskFault::Full, DiskFault::ShortWrite, DiskFault::SyncFails] {
         for script in SCRIPTS {
             for operations in 0..40 {
                 for healed_at in 0..script.len() {
@@ -221,9 +228,14 @@
                     run.play(&script[healed_at..]);
                     run.lose_power(&[]);
                     let unsynced = run.disk.unsynced().len();
-                    run.lose_power(&vec![Fate::Kept; unsynced]);
-                    let draw =
-                        |_| [Fate::Kept, Fate::Lost, Fate::Torn(3)][random.random_range(0..3)];
+                    run.lose_power(&vec![CrashOutcome::Kept; unsynced]);
+                    let draw = |_| {
+                        [
+                            CrashOutcome::Kept,
+                            CrashOutcome::Lost,
+                            CrashOutcome::Torn(3),
+                        ][random.random_range(0..3)]
+                    };
                     run.lose_power(&(0..unsynced).map(draw).collect::<Vec<_>>());
                     // The process alone is killed.
                     assert!(run.open(), "the disk works again");
--- a/crates/journal/tests/recovery.rs
+++ b/crates/journal/tests/recovery.rs
@@ -1,6 +1,6 @@
 //! Recovery at every cut and with every kind of bit flip, against a plain list as oracle.
 
-use journal::{Folder, Journal, JournalError, MemoryFolder, Mishap};
+use journal::{FaultKind, Folder, Journal, JournalError, MemoryFolder};
 
 fn record(number: u8) -> Vec<u8> {
     vec![number; 3 + usize::from(number) % 7]
@@ -56,7 +56,7 @@
 fn a_full_disk_stops_the_journal_until_it_is_opened_again() {
     let disk = filled(2);
     let (mut journal, _) = Journal::open(Box::new(disk.clone())).unwrap();
-    disk.suffer(Mishap::Full);
+    disk.inject(FaultKind::Full);
     assert!(journal.append(&record(9)).is_err());
     assert!(journal.append(&record(9)).is_err());
 }
@@ -67,7 +67,7 @@
     let (mut journal, _) = Journal::open(Box::new(disk.clone())).unwrap();
     journal.snapshot(b"state").unwrap();
     journal.append(&record(7)).unwrap();
-    disk.suffer(Mishap::PowerLoss(0));
+    disk.inject(FaultKind::PowerLoss(0));
     let (_, found) = Journal::open(Box::new(disk.clone())).unwrap();
     assert_eq!(found.snapshot.as_deref(), Some(&b"state"[..]));
     assert_eq!(found.records, vec![record(7)]);
@@ -78,10 +78,10 @@
 fn a_snapshot_that_cannot_be_written_loses_nothing() {
     let disk = filled(4);
     let (mut journal, _) = Journal::open(Box::new(disk.clone())).unwrap();
-    disk.suffer(Mishap::Full);
+    disk.inject(FaultKind::Full);
     assert!(journal.snapshot(b"state").is_err());
-    disk.suffer(Mishap::Room);
-    disk.suffer(Mishap::PowerLoss(0));
+    disk.inject(FaultKind::Room);
+    disk.inject(FaultKind::PowerLoss(0));
     let (_, found) = Journal::open(Box::new(disk)).unwrap();
     assert_eq!(found.snapshot, None);
     assert_eq!(found.records, (0..4).map(record).collect::<Vec<_>>());
@@ -90,7 +90,7 @@
 #[test]
 fn what_was_appended_outlives_a_loss_of_power() {
     let disk = filled(4);
-    disk.suffer(Mishap::PowerLoss(0));
+    disk.inject(FaultKind::PowerLoss(0));
     let (_, found) = Journal::open(Box::new(disk)).unwrap();
     assert_eq!(found.records, (0..4).map(record).collect::<Vec<_>>());
 }
--- a/crates/leader_election/src/duty.rs
+++ b/crates/leader_election/src/duty.rs
@@ -3,107 +3,107 @@
 
 /// What a duty's register holds.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
-pub struct Tenure {
-    /// Who holds the duty.
-    pub holder: PeerRef,
+pub struct Leadership {
+    /// Who holds the election.
+    pub leader: PeerRef,
     /// Version of the register at which this holder won it; it fences all that the holder does.
     pub term: u64,
 }
 
-const ERA_SHIFT: u32 = 40;
+const EPOCH_SHIFT: u32 = 40;
 
 /// What to do about a duty now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Move {
+pub enum ElectionStep {
     /// Nothing yet.
     Wait,
     /// Read the register.
-    Look,
-    /// Write this tenure with this expected version.
-    Write(u64, Tenure),
+    Read,
+    /// Write this leadership with this expected version.
+    Write(u64, Leadership),
 }
 
-/// One daemon's view of one duty. It is held from a settled write until the lease that began
+/// One daemon's view of one election. It is held from a settled write until the lease that began
 /// before that write is over; others contend only after seeing nothing new for the whole lease.
 #[derive(Debug)]
-pub struct Duty {
+pub struct LeaderElection {
     me: PeerRef,
     lease: u64,
     version: u64,
-    tenure: Tenure,
+    leadership: Leadership,
     changed_at: u64,
     held_until: u64,
     next_at: u64,
-    era: u64,
+    epoch: u64,
 }
 
-impl Duty {
+impl LeaderElection {
     /// A duty that nothing is known of yet.
     pub fn new(me: PeerRef, lease: u64, now: u64) -> Self {
         Self {
             me,
             lease,
             version: 0,
-            tenure: Tenure::default(),
+            leadership: Leadership::default(),
             changed_at: now,
             held_until: 0,
             next_at: now,
-            era: 0,
+            epoch: 0,
         }
     }
 
-    /// The voters' era, as the register is read or written. Terms of a later era are higher, though
+    /// The voters' epoch, as the register is read or written. Terms of a later epoch are higher, though
     /// its registers count anew.
-    pub fn in_era(&mut self, era: u64) {
-        if era > self.era {
-            self.era = era;
+    pub fn enter_epoch(&mut self, epoch: u64) {
+        if epoch > self.epoch {
+            self.epoch = epoch;
             self.version = 0;
-            self.tenure = Tenure::default();
+            self.leadership = Leadership::default();
             self.held_until = 0;
         }
     }
 
-    /// The tenure that was seen last.
-    pub fn tenure(&self) -> &Tenure {
-        &self.tenure
+    /// The leadership that was seen last.
+    pub fn leadership(&self) -> &Leadership {
+        &self.leadership
     }
 
     /// The term under which this daemon holds the duty now, if it does.
     pub fn term(&self, now: u64) -> Option<u64> {
-        (self.tenure.holder == self.me && now < self.held_until).then_some(self.tenure.term)
+        (self.leadership.leader == self.me && now < self.held_until).then_some(self.leadership.term)
     }
 
     /// What to do now.
-    pub fn next(&mut self, now: u64) -> Move {
+    pub fn next_step(&mut self, now: u64) -> ElectionStep {
         if now < self.next_at {
-            return Move::Wait;
+            return ElectionStep::Wait;
         }
         self.next_at = now + self.lease / 5;
-        if self.tenure.holder == self.me {
-            return Move::Write(self.version, self.tenure.clone());
+        if self.leadership.leader == self.me {
+            return ElectionStep::Write(self.version, self.leadership.clone());
         }
-        if now < self.changed_at + self.lease || self.era == 0 {
-            return Move::Look;
+        if now < self.changed_at + self.lease || self.epoch == 0 {
+            return ElectionStep::Read;
         }
-        let won = Tenure {
-            holder: self.me.clone(),
-            term: (self.era << ERA_SHIFT) | (self.version + 1),
+        let won = Leadership {
+            leader: self.me.clone(),
+            term: (self.epoch << EPOCH_SHIFT) | (self.version + 1),
         };
-        Move::Write(self.version, won)
+        ElectionStep::Write(self.version, won)
     }
 
     /// The register was seen at a majority.
-    pub fn seen(&mut self, now: u64, version: u64, tenure: Tenure) {
+    pub fn observe(&mut self, now: u64, version: u64, leadership: Leadership) {
         if version > self.version {
             self.version = version;
-            self.tenure = tenure;
+            self.leadership = leadership;
             self.changed_at = now;
         }
     }
 
     /// A write that was begun at `began` is settled.
-    pub fn won(&mut self, now: u64, began: u64, version: u64, tenure: Tenure) {
-        self.seen(now, version, tenure);
+    pub fn on_elected(&mut self, now: u64, began: u64, version: u64, leadership: Leadership) {
+        self.observe(now, version, leadership);
         // A fifth is left for clocks that run apart.
         self.held_until = began + self.lease * 4 / 5;
     }
@@ -111,7 +111,7 @@
     /// Gives the duty up; another daemon wins it after the lease.
     pub fn step_down(&mut self, now: u64) {
         self.held_until = 0;
-        self.tenure.holder = PeerRef::default();
+        self.leadership.leader = PeerRef::default();
         self.changed_at = now;
     }
 }
@@ -129,49 +129,49 @@
 
     #[test]
     fn a_vacant_duty_is_contended_for_only_after_the_lease() {
-        let mut duty = Duty::new(peer("a"), 1_000, 0);
-        duty.in_era(1);
-        assert_eq!(duty.next(0), Move::Look);
-        duty.seen(
+        let mut election = LeaderElection::new(peer("a"), 1_000, 0);
+        election.enter_epoch(1);
+        assert_eq!(election.next_step(0), ElectionStep::Read);
+        election.observe(
             0,
             7,
-            Tenure {
-                holder: peer("b"),
+            Leadership {
+                leader: peer("b"),
                 term: 3,
             },
         );
-        assert_eq!(duty.next(500), Move::Look);
-        let Move::Write(7, won) = duty.next(1_000) else {
+        assert_eq!(election.next_step(500), ElectionStep::Read);
+        let ElectionStep::Write(7, won) = election.next_step(1_000) else {
             panic!("no write after the lease");
         };
         assert_eq!(won.term, (1 << 40) | 8);
-        duty.won(1_010, 1_000, 8, won);
-        assert_eq!(duty.term(1_799), Some((1 << 40) | 8));
+        election.on_elected(1_010, 1_000, 8, won);
+        assert_eq!(election.term(1_799), Some((1 << 40) | 8));
     }
 
     #[test]
     fn a_holder_that_was_frozen_does_not_hold_any_more() {
-        let mut duty = Duty::new(peer("a"), 1_000, 0);
-        duty.won(
+        let mut election = LeaderElection::new(peer("a"), 1_000, 0);
+        election.on_elected(
             10,
             0,
             1,
-            Tenure {
-                holder: peer("a"),
+            Leadership {
+                leader: peer("a"),
                 term: 1,
             },
         );
-        assert_eq!(duty.term(799), Some(1));
-        assert_eq!(duty.term(800), None);
-        duty.seen(
+        assert_eq!(election.term(799), Some(1));
+        assert_eq!(election.term(800), None);
+        election.observe(
             5_000,
             2,
-            Tenure {
-                holder: peer("b"),
+            Leadership {
+                leader: peer("b"),
                 term: 2,
             },
         );
-        assert_eq!(duty.term(5_001), None);
-        assert_eq!(duty.next(5_001), Move::Look);
+        assert_eq!(election.term(5_001), None);
+        assert_eq!(election.next_step(5_001), ElectionStep::Read);
     }
 }
--- a/crates/leader_election/src/lib.rs
+++ b/crates/leader_election/src/lib.rs
@@ -4,4 +4,4 @@
 
 mod duty;
 
-pub use duty::{Duty, Move, Tenure};
+pub use duty::{ElectionStep, LeaderElection, Leadership};
--- a/crates/operator_commands/src/execution.rs
+++ b/crates/operator_commands/src/execution.rs
@@ -3,7 +3,7 @@
 use crate::command::{Command, CommandKind};
 use crate::decision::{decide, CommandReply, Decision};
 use crate::evacuations::Evacuations;
-use register::{Outcome, Stored};
+use register::{ChangeOutcome, VersionedValue};
 use routing::ConfigurationFormat;
 
 /// Times that a command is decided anew because another one was faster.
@@ -53,15 +53,15 @@
     /// Takes how the read or the write ended.
     pub fn on_outcome(
         &mut self,
-        outcome: Outcome,
+        outcome: ChangeOutcome,
         documents: &dyn ConfigurationFormat,
     ) -> ExecutionStep {
         let has_written = std::mem::take(&mut self.has_written);
         let stored = match outcome {
-            Outcome::Settled(_) if has_written => {
+            ChangeOutcome::Committed(_) if has_written => {
                 return ExecutionStep::Reply(CommandReply::Acknowledged)
             }
-            Outcome::Settled(stored) | Outcome::Stale(stored) => stored,
+            ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) => stored,
             // A value that was proposed may or may not be chosen later: neither an acknowledgement nor a rejection.
             _ => return undecided("it is not known whether it was taken; send it again"),
         };
@@ -72,7 +72,11 @@
         self.step(stored, documents)
     }
 
-    fn step(&mut self, stored: Stored, documents: &dyn ConfigurationFormat) -> ExecutionStep {
+    fn step(
+        &mut self,
+        stored: VersionedValue,
+        documents: &dyn ConfigurationFormat,
+    ) -> ExecutionStep {
         match decide(&self.command, &stored.bytes, documents) {
             Decision::Reply(reply) => ExecutionStep::Reply(reply),
             Decision::Write(_) if !self.may_write(&stored) => {
@@ -89,7 +93,7 @@
     /// An evacuation command is applied only to the zone's state that it first met. Otherwise one whose caller was
     /// answered by another member long ago could undo a newer, acknowledged command of the same zone. A configuration
     /// command needs no such check: its base pins the one state that it applies to.
-    fn may_write(&mut self, stored: &Stored) -> bool {
+    fn may_write(&mut self, stored: &VersionedValue) -> bool {
         let (CommandKind::BeginEvacuation(zone) | CommandKind::FinishEvacuation(zone)) =
             &self.command.kind
         else {
--- a/crates/operator_commands/tests/cluster/faults.rs
+++ b/crates/operator_commands/tests/cluster/faults.rs
@@ -3,7 +3,7 @@
 use super::members::Member;
 use super::{Cluster, CONFIGURATION, EVACUATIONS};
 use rand::Rng;
-use register::{Acceptor, Held};
+use register::{Acceptor, ClaimFloors, RegisterState};
 
 impl Cluster {
     pub fn befall(&mut self) {
@@ -26,25 +26,25 @@
     fn replace_voter(&mut self) {
         let place = self.random.random_range(0..self.voters.len());
         let mut set = self.set.clone();
-        set.no += 1;
-        set.voters[place].disk = 1_000 + set.no;
+        set.number += 1;
+        set.voters[place].disk = 1_000 + set.number;
         let others = (0..self.voters.len()).filter(|other| *other != place);
         let others: Vec<usize> = others.collect();
         let keys = [CONFIGURATION, EVACUATIONS].into_iter().filter_map(|key| {
             let held = others
                 .iter()
-                .filter_map(|other| self.voters[*other].held(key));
+                .filter_map(|other| self.voters[*other].register(key));
             let newest = held.max_by_key(|held| held.accepted)?;
-            let newest = Held {
+            let newest = RegisterState {
                 promised: newest.accepted,
                 ..newest.clone()
             };
             Some((key.to_string(), newest))
         });
         let mut replacement = Acceptor::default();
-        replacement.install(set.clone(), (0, 0), keys.collect());
+        replacement.install(set.clone(), ClaimFloors::default(), keys.collect());
         for other in others {
-            self.voters[other].adopt(set.clone());
+            self.voters[other].adopt_set(set.clone());
         }
         self.voters[place] = replacement;
         self.set = set;
--- a/crates/operator_commands/tests/cluster/members.rs
+++ b/crates/operator_commands/tests/cluster/members.rs
@@ -5,7 +5,8 @@
 use operator_commands::{CommandExecution, CommandReply, ExecutionStep};
 use rand::Rng;
 use register::{
-    Ballot, Change, Outcome, Proposal, ProposalStep, VoterAsk, VoterMessage, VoterReply,
+    Ballot, Change, ChangeOutcome, Proposal, ProposalStep, SetVersion, VoterOperation,
+    VoterRequest, VoterResponse,
 };
 use std::collections::BTreeMap;
 
@@ -19,7 +20,7 @@
     ask: u64,
     began_at: u64,
     /// Set of voters that the round was begun under; it ends with it.
-    mark: (u64, u64),
+    set_version: SetVersion,
 }
 
 pub struct Member {
@@ -76,13 +77,13 @@
             proposal,
             ask: 0,
             began_at,
-            mark: self.set.mark(),
+            set_version: self.set.version(),
         };
         self.members[member].running.insert(copy.number, running);
         self.ask_voters(member, copy.number, &ask);
     }
 
-    fn ask_voters(&mut self, member: usize, copy: u64, ask: &VoterAsk) {
+    fn ask_voters(&mut self, member: usize, copy: u64, ask: &VoterOperation) {
         let asking = &mut self.members[member];
         asking.last_ask += 1;
         let (life, number) = (asking.life, asking.last_ask);
@@ -90,11 +91,11 @@
             return;
         };
         running.ask = number;
-        let mark = running.mark;
+        let set_version = running.set_version;
         for voter in 0..self.voters.len() {
-            let message = VoterMessage {
-                mark,
-                ask: ask.clone(),
+            let message = VoterRequest {
+                set_version,
+                operation: ask.clone(),
             };
             self.send(Parcel::Ask {
                 member,
@@ -112,7 +113,7 @@
         life: u64,
         number: u64,
         voter: usize,
-        reply: VoterReply,
+        reply: VoterResponse,
     ) {
         if self.members[member].life != life {
             return;
@@ -122,22 +123,22 @@
             return;
         };
         let copy = running.copy.number;
-        match running.proposal.on_reply(voter, reply) {
+        match running.proposal.on_response(voter, reply) {
             ProposalStep::Wait => {}
-            ProposalStep::Ask(ask) => self.ask_voters(member, copy, &ask),
-            ProposalStep::Again(above) => {
+            ProposalStep::Send(ask) => self.ask_voters(member, copy, &ask),
+            ProposalStep::Retry(above) => {
                 let ballot = self.members[member].next_ballot(above);
                 let Some(running) = self.members[member].running.get_mut(&copy) else {
                     return;
                 };
-                let ask = running.proposal.again(ballot);
+                let ask = running.proposal.retry(ballot);
                 self.ask_voters(member, copy, &ask);
             }
             ProposalStep::Done(outcome) => self.go_on(member, copy, outcome),
         }
     }
 
-    fn go_on(&mut self, member: usize, copy: u64, outcome: Outcome) {
+    fn go_on(&mut self, member: usize, copy: u64, outcome: ChangeOutcome) {
         let Some(mut running) = self.members[member].running.remove(&copy) else {
             return;
         };
@@ -161,7 +162,7 @@
             let late = running.filter(|(_, running)| running.began_at + ROUND_STEPS < self.now);
             let late: Vec<u64> = late.map(|(copy, _)| *copy).collect();
             for copy in late {
-                let outcome = self.members[member].running[&copy].proposal.give_up();
+                let outcome = self.members[member].running[&copy].proposal.abandon();
                 self.go_on(member, copy, outcome);
             }
         }
@@ -178,20 +179,20 @@
             Proposal::start(CONFIGURATION, Change::Read, 1, ballot, count);
         'asking: loop {
             for voter in 0..count {
-                let message = VoterMessage {
-                    mark: self.set.mark(),
-                    ask: ask.clone(),
+                let message = VoterRequest {
+                    set_version: self.set.version(),
+                    operation: ask.clone(),
                 };
                 let (_, reply) = self.voters[voter].handle(message);
                 self.oracle.look(&self.voters);
-                match proposal.on_reply(voter, reply) {
+                match proposal.on_response(voter, reply) {
                     ProposalStep::Wait => {}
-                    ProposalStep::Ask(next) => {
+                    ProposalStep::Send(next) => {
                         ask = next;
                         continue 'asking;
                     }
-                    ProposalStep::Again(above) => {
-                        ask = proposal.again(self.members[member].next_ballot(above));
+                    ProposalStep::Retry(above) => {
+                        ask = proposal.retry(self.members[member].next_ballot(above));
                         continue 'asking;
                     }
                     ProposalStep::Done(outcome) => {
--- a/crates/operator_commands/tests/cluster/mod.rs
+++ b/crates/operator_commands/tests/cluster/mod.rs
@@ -14,7 +14,7 @@
 use oracle::Oracle;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use register::{Acceptor, VoterMessage, VoterRef, VoterReply, VoterSet};
+use register::{Acceptor, VoterRef, VoterRequest, VoterResponse, VoterSet};
 
 pub const CONFIGURATION: &str = "configuration";
 pub const EVACUATIONS: &str = "evacuations";
@@ -43,14 +43,14 @@
         life: u64,
         number: u64,
         voter: usize,
-        message: VoterMessage,
+        message: VoterRequest,
     },
     VoterAnswer {
         member: usize,
         life: u64,
         number: u64,
         voter: usize,
-        reply: VoterReply,
+        reply: VoterResponse,
     },
 }
 
@@ -87,12 +87,12 @@
             address: String::new(),
         });
         let set = VoterSet {
-            era: 1,
-            no: 1,
+            epoch: 1,
+            number: 1,
             voters: voters.collect(),
         };
         let mut voter = Acceptor::default();
-        voter.form(set.clone());
+        voter.bootstrap(set.clone());
         let operators = (0..settings.operators).map(|_| Operator::default());
         Self {
             random: StdRng::seed_from_u64(seed),
--- a/crates/operator_commands/tests/cluster/oracle.rs
+++ b/crates/operator_commands/tests/cluster/oracle.rs
@@ -5,7 +5,7 @@
 use operator_commands::{
     BaseVersion, Command, CommandKind, CommandReply, ConfigurationRecord, Evacuations,
 };
-use register::{Acceptor, Ballot, Stored};
+use register::{Acceptor, Ballot, VersionedValue};
 use routing::ConfigurationFormat;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -65,20 +65,20 @@
     pub fn look(&mut self, voters: &[Acceptor]) {
         for key in [CONFIGURATION, EVACUATIONS] {
             for (place, voter) in voters.iter().enumerate() {
-                let held = voter.held(key).filter(|held| held.stored.version > 0);
+                let held = voter.register(key).filter(|held| held.value.version > 0);
                 let Some(held) = held else {
                     continue;
                 };
                 let accepted = self.accepted.entry((key, held.accepted)).or_default();
                 let is_new = accepted.insert(place);
                 if is_new && accepted.len() > voters.len() / 2 {
-                    self.note_chosen(key, &held.stored);
+                    self.note_chosen(key, &held.value);
                 }
             }
         }
     }
 
-    fn note_chosen(&mut self, key: &str, stored: &Stored) {
+    fn note_chosen(&mut self, key: &str, stored: &VersionedValue) {
         let place = (key.to_string(), stored.version);
         if let Some((tag, bytes)) = self.seen.get(&place) {
             assert!(
--- a/crates/operator_commands/tests/executions.rs
+++ b/crates/operator_commands/tests/executions.rs
@@ -9,20 +9,20 @@
     BaseVersion, Command, CommandExecution, CommandKind, CommandReply, Evacuations, ExecutionStep,
     DECISION_ATTEMPTS_MAX,
 };
-use register::{Ballot, Outcome, Stored};
+use register::{Ballot, ChangeOutcome, VersionedValue};
 use speedy::Writable;
 
 const ZONE: &str = "zone-a";
 
-fn stored(version: u64, bytes: Vec<u8>) -> Stored {
-    Stored {
+fn stored(version: u64, bytes: Vec<u8>) -> VersionedValue {
+    VersionedValue {
         version,
         tag: version,
         bytes,
     }
 }
 
-fn evacuations(value: &Evacuations, version: u64) -> Stored {
+fn evacuations(value: &Evacuations, version: u64) -> VersionedValue {
     stored(version, value.write_to_vec().unwrap())
 }
 
@@ -45,7 +45,7 @@
     })
 }
 
-fn feed(execution: &mut CommandExecution, outcome: Outcome) -> ExecutionStep {
+fn feed(execution: &mut CommandExecution, outcome: ChangeOutcome) -> ExecutionStep {
     execution.on_outcome(outcome, &TestDocuments)
 }
 
@@ -53,12 +53,12 @@
     matches!(step, ExecutionStep::Reply(CommandReply::Undecided(_)))
 }
 
-fn undecided_outcomes() -> Vec<Outcome> {
+fn undecided_outcomes() -> Vec<ChangeOutcome> {
     vec![
-        Outcome::Undecided,
-        Outcome::Unreached("no majority".into()),
-        Outcome::Beaten(Ballot::default()),
-        Outcome::AgedOut,
+        ChangeOutcome::Indeterminate,
+        ChangeOutcome::NoQuorum("no majority".into()),
+        ChangeOutcome::Preempted(Ballot::default()),
+        ChangeOutcome::Expired,
     ]
 }
 
@@ -68,7 +68,10 @@
         let mut reading = replace(0, 1, 1);
         assert!(is_undecided(&feed(&mut reading, outcome.clone())));
         let mut writing = replace(0, 1, 1);
-        let step = feed(&mut writing, Outcome::Settled(Stored::default()));
+        let step = feed(
+            &mut writing,
+            ChangeOutcome::Committed(VersionedValue::default()),
+        );
         assert!(matches!(step, ExecutionStep::Write { expected: 0, .. }));
         assert!(is_undecided(&feed(&mut writing, outcome)));
     }
@@ -77,12 +80,17 @@
 #[test]
 fn a_write_that_another_copy_of_the_command_made_is_acknowledged() {
     let (mut one, mut other) = (replace(0, 1, 1), replace(0, 1, 1));
-    let ExecutionStep::Write { bytes, .. } = feed(&mut one, Outcome::Settled(Stored::default()))
-    else {
+    let ExecutionStep::Write { bytes, .. } = feed(
+        &mut one,
+        ChangeOutcome::Committed(VersionedValue::default()),
+    ) else {
         panic!("it is not written");
     };
-    feed(&mut other, Outcome::Settled(Stored::default()));
-    let step = feed(&mut other, Outcome::Stale(stored(1, bytes)));
+    feed(
+        &mut other,
+        ChangeOutcome::Committed(VersionedValue::default()),
+    );
+    let step = feed(&mut other, ChangeOutcome::Conflict(stored(1, bytes)));
     assert_eq!(step, ExecutionStep::Reply(CommandReply::Acknowledged));
 }
 
@@ -90,11 +98,17 @@
 fn a_late_copy_of_an_evacuation_command_does_not_undo_a_newer_one() {
     let begun = Evacuations::default().next(ZONE, true);
     let mut finish = evacuation(CommandKind::FinishEvacuation(ZONE.into()));
-    let step = feed(&mut finish, Outcome::Settled(evacuations(&begun, 1)));
+    let step = feed(
+        &mut finish,
+        ChangeOutcome::Committed(evacuations(&begun, 1)),
+    );
     assert!(matches!(step, ExecutionStep::Write { expected: 1, .. }));
     // Meanwhile another copy finished it, was acknowledged, and the evacuation was begun anew.
     let begun_anew = begun.next(ZONE, false).next(ZONE, true);
-    let step = feed(&mut finish, Outcome::Stale(evacuations(&begun_anew, 3)));
+    let step = feed(
+        &mut finish,
+        ChangeOutcome::Conflict(evacuations(&begun_anew, 3)),
+    );
     assert!(is_undecided(&step), "{step:?}");
 }
 
@@ -102,9 +116,15 @@
 fn a_change_of_another_zone_does_not_keep_an_evacuation_from_being_accepted() {
     let mut begin = evacuation(CommandKind::BeginEvacuation(ZONE.into()));
     let before = Evacuations::default();
-    feed(&mut begin, Outcome::Settled(evacuations(&before, 1)));
+    feed(
+        &mut begin,
+        ChangeOutcome::Committed(evacuations(&before, 1)),
+    );
     let other_zone = before.next("zone-b", true);
-    let step = feed(&mut begin, Outcome::Stale(evacuations(&other_zone, 2)));
+    let step = feed(
+        &mut begin,
+        ChangeOutcome::Conflict(evacuations(&other_zone, 2)),
+    );
     let ExecutionStep::Write { expected: 2, bytes } = step else {
         panic!("it is not written again: {step:?}");
     };
@@ -118,7 +138,7 @@
     let mut value = Evacuations::default();
     for round in 0..DECISION_ATTEMPTS_MAX {
         let stored = evacuations(&value, u64::from(round));
-        let step = feed(&mut begin, Outcome::Stale(stored));
+        let step = feed(&mut begin, ChangeOutcome::Conflict(stored));
         assert!(
             matches!(step, ExecutionStep::Write { .. }),
             "round {round}: {step:?}"
@@ -127,6 +147,6 @@
     }
     assert!(is_undecided(&feed(
         &mut begin,
-        Outcome::Stale(evacuations(&value, 99))
+        ChangeOutcome::Conflict(evacuations(&value, 99))
     )));
 }
--- a/crates/register/src/changing.rs
+++ b/crates/register/src/changing.rs
@@ -1,4 +1,4 @@
-use crate::acceptor::Held;
+use crate::acceptor::RegisterState;
 use crate::message::{VoterRef, VoterSet};
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
         return None;
     }
     let mut next = set.clone();
-    next.no += 1;
+    next.number += 1;
     let place = next
         .voters
         .iter()
@@ -23,7 +23,7 @@
 /// The set that follows when a member is reached at another address.
 pub fn relocated(set: &VoterSet, disk: u64, address: &str) -> Option<VoterSet> {
     let mut next = set.clone();
-    next.no += 1;
+    next.number += 1;
     let mut members = next.voters.iter_mut();
     let member = members.find(|voter| voter.disk == disk)?;
     if member.address == address {
@@ -35,14 +35,14 @@
 
 /// What a newcomer must hold, from the copies of a majority of the others: for each key the newest
 /// accepted value and the highest promise.
-pub fn merged(copies: Vec<Vec<(String, Held)>>) -> Vec<(String, Held)> {
-    let mut keys: BTreeMap<String, Held> = BTreeMap::new();
+pub fn merge_replicas(copies: Vec<Vec<(String, RegisterState)>>) -> Vec<(String, RegisterState)> {
+    let mut keys: BTreeMap<String, RegisterState> = BTreeMap::new();
     for (key, held) in copies.into_iter().flatten() {
         let known = keys.entry(key).or_default();
         known.promised = known.promised.max(held.promised);
         if held.accepted > known.accepted {
             known.accepted = held.accepted;
-            known.stored = held.stored;
+            known.value = held.value;
         }
     }
     keys.into_iter().collect()
@@ -56,7 +56,7 @@
         return None;
     }
     let mut next = set.clone();
-    next.no += 1;
+    next.number += 1;
     next.voters.push(newcomer);
     Some(next)
 }
--- a/crates/register/src/client.rs
+++ b/crates/register/src/client.rs
@@ -1,6 +1,6 @@
-use crate::message::{Ballot, VoterAsk, VoterMessage, VoterRef, VoterReply, VoterSet};
+use crate::message::{Ballot, VoterOperation, VoterRef, VoterRequest, VoterResponse, VoterSet};
 use crate::proposal::{Proposal, ProposalStep};
-use crate::round::{Change, Outcome};
+use crate::round::{Change, ChangeOutcome};
 use crossbeam::channel::{unbounded, Receiver, Sender};
 use rand::Rng;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,10 +12,10 @@
     fn ask(
         &self,
         voter: &VoterRef,
-        message: VoterMessage,
+        message: VoterRequest,
         number: u64,
         place: usize,
-        replies: Sender<(u64, usize, VoterReply)>,
+        replies: Sender<(u64, usize, VoterResponse)>,
     );
 }
 
@@ -45,7 +45,13 @@
     }
 
     /// Reads or writes a key within the budget.
-    pub fn change(&self, set: &VoterSet, key: &str, change: Change, budget: Duration) -> Outcome {
+    pub fn change(
+        &self,
+        set: &VoterSet,
+        key: &str,
+        change: Change,
+        budget: Duration,
+    ) -> ChangeOutcome {
         let end = Instant::now() + budget;
         let ballot = self.next_ballot(Ballot::default());
         let tag = rand::rng().random();
@@ -55,20 +61,20 @@
             let replies = self.ask_all(set, ask, number);
             ask = loop {
                 let Ok((reply_number, place, reply)) = replies.recv_deadline(end) else {
-                    return proposal.give_up();
+                    return proposal.abandon();
                 };
                 if reply_number != number {
                     continue;
                 }
-                match proposal.on_reply(place, reply) {
-                    ProposalStep::Ask(ask) => break ask,
+                match proposal.on_response(place, reply) {
+                    ProposalStep::Send(ask) => break ask,
                     ProposalStep::Wait => {}
                     ProposalStep::Done(outcome) => return outcome,
-                    ProposalStep::Again(_) if Instant::now() >= end => return proposal.give_up(),
-                    ProposalStep::Again(above) => {
+                    ProposalStep::Retry(_) if Instant::now() >= end => return proposal.abandon(),
+                    ProposalStep::Retry(above) => {
                         let pause = rand::rng().random_range(1..=8);
                         std::thread::sleep(Duration::from_millis(pause));
-                        break proposal.again(self.next_ballot(above));
+                        break proposal.retry(self.next_ballot(above));
                     }
                 }
             };
@@ -78,14 +84,14 @@
     fn ask_all(
         &self,
         set: &VoterSet,
-        ask: VoterAsk,
+        ask: VoterOperation,
         number: u64,
-    ) -> Receiver<(u64, usize, VoterReply)> {
+    ) -> Receiver<(u64, usize, VoterResponse)> {
         let (sender, receiver) = unbounded();
         for (place, voter) in set.voters.iter().enumerate() {
-            let message = VoterMessage {
-                mark: set.mark(),
-                ask: ask.clone(),
+            let message = VoterRequest {
+                set_version: set.version(),
+                operation: ask.clone(),
             };
             self.port.ask(voter, message, number, place, sender.clone());
         }
--- a/crates/register/src/jobs.rs
+++ b/crates/register/src/jobs.rs
@@ -1,9 +1,9 @@
-use crate::acceptor::Held;
-use crate::message::{Ballot, VoterAsk, VoterReply};
+use crate::acceptor::RegisterState;
+use crate::message::{Ballot, VoterOperation, VoterResponse};
 use std::collections::BTreeMap;
 
 /// What the keys of jobs begin with.
-pub const JOB_PREFIX: &str = "job/";
+pub const JOB_KEY_PREFIX: &str = "job/";
 /// Key under which the promise stands that a voter gave for all jobs which it does not hold.
 pub(crate) const FORGOTTEN_KEY: &str = "job";
 /// Bytes of jobs up to which answers are taken.
@@ -18,8 +18,8 @@
 const SMALL: usize = 1 << 10;
 
 /// Whether a key is a job's.
-pub fn is_job(key: &str) -> bool {
-    key.starts_with(JOB_PREFIX)
+pub fn is_job_key(key: &str) -> bool {
+    key.starts_with(JOB_KEY_PREFIX)
 }
 
 /// A voter's memory of jobs. Jobs carry no time, so ballots count it: a turn forgets what was promised before the
@@ -36,8 +36,8 @@
 
 impl JobWindow {
     /// What a voter knows that was just opened: all that it holds is as if it were new.
-    pub fn of(keys: &BTreeMap<String, Held>) -> Self {
-        let jobs = keys.iter().filter(|(key, _)| is_job(key));
+    pub fn of(keys: &BTreeMap<String, RegisterState>) -> Self {
+        let jobs = keys.iter().filter(|(key, _)| is_job_key(key));
         let (mut seen, mut bytes) = (forgotten(keys), 0);
         for (key, held) in jobs {
             seen = seen.max(held.promised.counter);
@@ -50,51 +50,61 @@
         }
     }
 
-    pub fn note(&mut self, key: &str, old: Option<&Held>, new: Option<&Held>) {
-        if !is_job(key) {
+    pub fn note(&mut self, key: &str, old: Option<&RegisterState>, new: Option<&RegisterState>) {
+        if !is_job_key(key) {
             return;
         }
-        let size = |held: Option<&Held>| held.map_or(0, |held| size_of(key, held));
+        let size = |held: Option<&RegisterState>| held.map_or(0, |held| size_of(key, held));
         self.bytes = (self.bytes + size(new)).saturating_sub(size(old));
         let promised = new.map_or(0, |held| held.promised.counter);
         self.seen = self.seen.max(promised);
     }
 
     /// The promise that stands for all jobs below it, once a turn has come; none where nothing falls under it.
-    pub fn turn(&mut self, keys: &BTreeMap<String, Held>) -> Option<Held> {
+    pub fn turn(&mut self, keys: &BTreeMap<String, RegisterState>) -> Option<RegisterState> {
         let floor = self.rising;
         self.rising = self.seen;
-        let mut jobs = keys.iter().filter(|(key, _)| is_job(key));
+        let mut jobs = keys.iter().filter(|(key, _)| is_job_key(key));
         let has_old = jobs.any(|(_, held)| held.promised.counter <= floor);
-        has_old.then(|| Held {
+        has_old.then(|| RegisterState {
             promised: ballot(floor),
-            ..Held::default()
+            ..RegisterState::default()
         })
     }
 
     /// Whether another copy's value for a job that is not held is one that was forgotten here.
-    pub fn has_forgotten(&self, keys: &BTreeMap<String, Held>, key: &str, theirs: Ballot) -> bool {
-        is_job(key) && !keys.contains_key(key) && theirs.counter <= self.rising.max(forgotten(keys))
+    pub fn has_forgotten(
+        &self,
+        keys: &BTreeMap<String, RegisterState>,
+        key: &str,
+        theirs: Ballot,
+    ) -> bool {
+        is_job_key(key)
+            && !keys.contains_key(key)
+            && theirs.counter <= self.rising.max(forgotten(keys))
     }
 
     /// Why a question about a job is refused, if it is.
-    pub fn refusal(&self, keys: &BTreeMap<String, Held>, ask: &VoterAsk) -> Option<VoterReply> {
-        let (key, asked) = match ask {
-            VoterAsk::Peek { .. } => return None,
-            VoterAsk::Promise { key, ballot } | VoterAsk::Accept { key, ballot, .. } => {
-                (key, ballot)
-            }
+    pub fn rejection(
+        &self,
+        keys: &BTreeMap<String, RegisterState>,
+        operation: &VoterOperation,
+    ) -> Option<VoterResponse> {
+        let (key, asked) = match operation {
+            VoterOperation::Query { .. } => return None,
+            VoterOperation::Prepare { key, ballot }
+            | VoterOperation::Accept { key, ballot, .. } => (key, ballot),
         };
-        if !is_job(key) {
+        if !is_job_key(key) {
             return None;
         }
         let floor = self.rising.max(forgotten(keys));
         if !keys.contains_key(key) && asked.counter <= floor {
             let promised = ballot(floor);
-            return Some(VoterReply::Refused { promised });
+            return Some(VoterResponse::Rejected { promised });
         }
-        let size = match ask {
-            VoterAsk::Accept { stored, .. } => stored.bytes.len(),
+        let size = match operation {
+            VoterOperation::Accept { value, .. } => value.bytes.len(),
             _ => 0,
         };
         let bytes_max = match size {
@@ -102,14 +112,14 @@
             _ => ANSWER_BYTES_MAX,
         };
         let is_full = self.bytes + key.len() + JOB_OVERHEAD + size > bytes_max;
-        (size > VALUE_MAX || is_full).then(|| VoterReply::Closed {
+        (size > VALUE_MAX || is_full).then(|| VoterResponse::Unavailable {
             reason: "there is no room for the value".into(),
         })
     }
 }
 
-fn size_of(key: &str, held: &Held) -> usize {
-    key.len() + JOB_OVERHEAD + held.stored.bytes.len()
+fn size_of(key: &str, held: &RegisterState) -> usize {
+    key.len() + JOB_OVERHEAD + held.value.bytes.len()
 }
 
 fn ballot(counter: u64) -> Ballot {
@@ -119,7 +129,7 @@
     }
 }
 
-fn forgotten(keys: &BTreeMap<String, Held>) -> u64 {
+fn forgotten(keys: &BTreeMap<String, RegisterState>) -> u64 {
     let held = keys.get(FORGOTTEN_KEY);
     held.map_or(0, |held| held.promised.counter)
 }
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -10,10 +10,13 @@
 mod proposal;
 mod round;
 
-pub use acceptor::{Acceptor, Held, Record, KEYS_MAX};
-pub use changing::{grown, merged, relocated, replaced, VOTERS_KEY};
+pub use acceptor::{Acceptor, ClaimFloors, Record, RegisterState, MAX_KEYS};
+pub use changing::{grown, merge_replicas, relocated, replaced, VOTERS_KEY};
 pub use client::{RegisterClient, VoterPort};
-pub use jobs::{is_job, JOB_PREFIX};
-pub use message::{Ballot, Stored, VoterAsk, VoterMessage, VoterRef, VoterReply, VoterSet};
+pub use jobs::{is_job_key, JOB_KEY_PREFIX};
+pub use message::{
+    Ballot, SetVersion, VersionedValue, VoterOperation, VoterRef, VoterRequest, VoterResponse,
+    VoterSet,
+};
 pub use proposal::{Proposal, ProposalStep};
-pub use round::{Change, Outcome, Round, Step};
+pub use round::{Change, ChangeOutcome, Round, RoundStep};
