--- a/crates/register/src/message.rs
+++ b/crates/register/src/message.rs
@@ -1,4 +1,5 @@
 use speedy::{Readable, Writable};
+use std::fmt;
 
 /// A ballot: the higher one wins, and no two proposers share one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
@@ -11,7 +12,7 @@
 
 /// A value in a register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct Stored {
+pub struct VersionedValue {
     /// Counted up by one with each change; 0 is a register that was never written.
     pub version: u64,
     /// Random tag of the write, by which a writer knows its own value again.
@@ -29,48 +30,73 @@
     pub address: String,
 }
 
-/// The voters that count in an era.
+/// The voters that count in an epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct VoterSet {
     /// Grows only when all state was lost and was gathered anew.
-    pub era: u64,
-    /// Grows with each change of the set within an era.
-    pub no: u64,
+    pub epoch: u64,
+    /// Grows with each change of the set within an epoch.
+    pub number: u64,
     /// The voters themselves.
     pub voters: Vec<VoterRef>,
 }
 
+/// Version of a voter set: a later epoch wins, then a higher number.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
+pub struct SetVersion {
+    /// See [`VoterSet::epoch`].
+    pub epoch: u64,
+    /// See [`VoterSet::number`].
+    pub number: u64,
+}
+
+impl SetVersion {
+    /// Version of the set with this number in an epoch.
+    pub const fn new(epoch: u64, number: u64) -> Self {
+        Self { epoch, number }
+    }
+}
+
+impl fmt::Display for SetVersion {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "({}, {})", self.epoch, self.number)
+    }
+}
+
 impl VoterSet {
     /// How many voters make a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Era and number together, by which messages are told apart.
-    pub fn mark(&self) -> (u64, u64) {
-        (self.era, self.no)
+    /// Version of this set, with which a proposer and a voter check that they mean the same set.
+    pub fn version(&self) -> SetVersion {
+        SetVersion {
+            epoch: self.epoch,
+            number: self.number,
+        }
     }
 }
 
 /// A question to a voter, with the mark of the set that the asker believes in.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub struct VoterMessage {
-    /// Era and number of the set.
-    pub mark: (u64, u64),
-    /// The question.
-    pub ask: VoterAsk,
+pub struct VoterRequest {
+    /// Version of the voter set that the proposer uses.
+    pub set_version: SetVersion,
+    /// What the voter is to do.
+    pub operation: VoterOperation,
 }
 
 /// Questions to a voter.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub enum VoterAsk {
+pub enum VoterOperation {
     /// What has been accepted? Promises nothing.
-    Peek {
+    Query {
         /// Key of the register.
         key: String,
     },
     /// First round: promise to take nothing below the ballot.
-    Promise {
+    Prepare {
         /// Key of the register.
         key: String,
         /// The proposer's ballot.
@@ -83,36 +109,36 @@
         /// The proposer's ballot.
         ballot: Ballot,
         /// The value.
-        stored: Stored,
+        value: VersionedValue,
     },
 }
 
 /// A voter's answer.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub enum VoterReply {
+pub enum VoterResponse {
     /// To a peek or a promise: what was accepted, and under which ballot.
-    Holds {
+    LastAccepted {
         /// Ballot under which the value was accepted.
         ballot: Ballot,
         /// The value; version 0 where there is none.
-        stored: Stored,
+        value: VersionedValue,
     },
     /// The value was accepted and synced.
     Accepted,
     /// A higher ballot was promised.
-    Refused {
+    Rejected {
         /// That ballot.
         promised: Ballot,
     },
     /// The asker believes in another set; this is the voter's.
-    OtherSet {
-        /// The voter's own set, era 0 where it has none.
+    SetMismatch {
+        /// The voter's own set, epoch 0 where it has none.
         set: VoterSet,
     },
     /// The key was issued before a time whose claims the voter no longer knows.
-    AgedOut,
+    Expired,
     /// The voter cannot answer: its disk failed or its table is full.
-    Closed {
+    Unavailable {
         /// Why, in a short sentence.
         reason: String,
     },
--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -1,18 +1,18 @@
-use crate::message::{Ballot, Stored, VoterAsk, VoterReply};
-use crate::round::{Change, Outcome, Round, Step};
+use crate::message::{Ballot, VersionedValue, VoterOperation, VoterResponse};
+use crate::round::{Change, ChangeOutcome, Round, RoundStep};
 
 /// What the driver of a proposal does next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProposalStep {
     /// Ask every voter; answers to earlier asks must not be fed any more.
-    Ask(VoterAsk),
+    Send(VoterOperation),
     /// Wait for more answers.
     Wait,
-    /// Another proposer was faster: pause a little, then call [`Proposal::again`] with a ballot
+    /// Another proposer was faster: pause a little, then call [`Proposal::retry`] with a ballot
     /// above this one.
-    Again(Ballot),
+    Retry(Ballot),
     /// The change has ended.
-    Done(Outcome),
+    Done(ChangeOutcome),
 }
 
 /// One change of one register, over as many rounds as it takes. A pure machine.
@@ -34,7 +34,7 @@
         tag: u64,
         ballot: Ballot,
         voters: usize,
-    ) -> (Self, VoterAsk) {
+    ) -> (Self, VoterOperation) {
         let (round, ask) = Round::start(key, change.clone(), ballot, tag, voters);
         let proposal = Self {
             key: key.to_string(),
@@ -48,7 +48,7 @@
     }
 
     /// Goes on with a ballot that this proposer never used before.
-    pub fn again(&mut self, ballot: Ballot) -> VoterAsk {
+    pub fn retry(&mut self, ballot: Ballot) -> VoterOperation {
         let change = self.change.clone();
         let (round, ask) = Round::start(&self.key, change, ballot, self.tag, self.voters);
         self.round = round;
@@ -56,50 +56,52 @@
     }
 
     /// Takes one voter's answer to the ask that is out.
-    pub fn on_reply(&mut self, place: usize, reply: VoterReply) -> ProposalStep {
-        let step = self.round.on_reply(place, reply);
+    pub fn on_response(&mut self, voter: usize, response: VoterResponse) -> ProposalStep {
+        let step = self.round.on_response(voter, response);
         self.has_proposed |= self.round.has_proposed();
         match step {
-            Step::Ask(ask) => ProposalStep::Ask(ask),
-            Step::Wait => ProposalStep::Wait,
-            Step::Done(Outcome::Beaten(above)) => ProposalStep::Again(above),
-            Step::Done(outcome) => ProposalStep::Done(self.judge(outcome)),
+            RoundStep::Send(ask) => ProposalStep::Send(ask),
+            RoundStep::Wait => ProposalStep::Wait,
+            RoundStep::Done(ChangeOutcome::Preempted(above)) => ProposalStep::Retry(above),
+            RoundStep::Done(outcome) => ProposalStep::Done(self.judge(outcome)),
         }
     }
 
     /// Ends the change when its time is over.
-    pub fn give_up(&self) -> Outcome {
-        self.judge(self.round.give_up())
+    pub fn abandon(&self) -> ChangeOutcome {
+        self.judge(self.round.abandon())
     }
 
     // A settled value answers a write only where it is the writer's own; and once a value was
     // proposed, nothing short of the register's own word says that it was not chosen.
-    fn judge(&self, outcome: Outcome) -> Outcome {
+    fn judge(&self, outcome: ChangeOutcome) -> ChangeOutcome {
         match outcome {
-            Outcome::Settled(stored) => self.judge_settled(stored),
-            Outcome::Beaten(_)
-            | Outcome::Unreached(_)
-            | Outcome::OtherSet(_)
-            | Outcome::AgedOut
+            ChangeOutcome::Committed(value) => self.judge_committed(value),
+            ChangeOutcome::Preempted(_)
+            | ChangeOutcome::NoQuorum(_)
+            | ChangeOutcome::SetMismatch(_)
+            | ChangeOutcome::Expired
                 if self.has_proposed =>
             {
-                Outcome::Undecided
+                ChangeOutcome::Indeterminate
+            }
+            ChangeOutcome::Preempted(_) => {
+                ChangeOutcome::NoQuorum("other writers kept winning".into())
             }
-            Outcome::Beaten(_) => Outcome::Unreached("other writers kept winning".into()),
             outcome => outcome,
         }
     }
 
-    fn judge_settled(&self, stored: Stored) -> Outcome {
+    fn judge_committed(&self, value: VersionedValue) -> ChangeOutcome {
         let Change::Write { expected, .. } = &self.change else {
-            return Outcome::Settled(stored);
+            return ChangeOutcome::Committed(value);
         };
-        if stored.version == expected + 1 && stored.tag == self.tag {
-            return Outcome::Settled(stored);
+        if value.version == expected + 1 && value.tag == self.tag {
+            return ChangeOutcome::Committed(value);
         }
-        if self.has_proposed && stored.version > expected + 1 {
-            return Outcome::Undecided;
+        if self.has_proposed && value.version > expected + 1 {
+            return ChangeOutcome::Indeterminate;
         }
-        Outcome::Stale(stored)
+        ChangeOutcome::Conflict(value)
     }
 }
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -1,4 +1,4 @@
-use crate::message::{Ballot, Stored, VoterAsk, VoterReply, VoterSet};
+use crate::message::{Ballot, VersionedValue, VoterOperation, VoterResponse, VoterSet};
 
 /// What a proposer wants of a register.
 #[derive(Clone, Debug, PartialEq)]
@@ -16,38 +16,38 @@
 
 /// How a change ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
+pub enum ChangeOutcome {
     /// The value that was read, or that was written and is settled.
-    Settled(Stored),
+    Committed(VersionedValue),
     /// The version was not the expected one; this is the value in place.
-    Stale(Stored),
+    Conflict(VersionedValue),
     /// A higher ballot is about; try again above it.
-    Beaten(Ballot),
+    Preempted(Ballot),
     /// The voters believe in this set.
-    OtherSet(VoterSet),
+    SetMismatch(VoterSet),
     /// The key is too old: what was under it is no longer known, so nothing may be.
-    AgedOut,
+    Expired,
     /// No majority answered and nothing was proposed.
-    Unreached(String),
+    NoQuorum(String),
     /// A value was proposed and it is not known whether it was chosen.
-    Undecided,
+    Indeterminate,
 }
 
 /// What the driver does next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum RoundStep {
     /// Ask every voter.
-    Ask(VoterAsk),
+    Send(VoterOperation),
     /// Wait for more answers.
     Wait,
     /// The change has ended.
-    Done(Outcome),
+    Done(ChangeOutcome),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    Peek,
-    Promise,
+    Query,
+    Prepare,
     Accept,
 }
 
@@ -60,10 +60,10 @@
     tag: u64,
     voters: usize,
     phase: Phase,
-    answers: Vec<Option<(Ballot, Stored)>>,
-    refusals: Vec<bool>,
-    proposed: Stored,
-    beaten: Ballot,
+    answers: Vec<Option<(Ballot, VersionedValue)>>,
+    rejections: Vec<bool>,
+    proposed: VersionedValue,
+    highest_rejection: Ballot,
     reason: String,
 }
 
@@ -75,41 +75,41 @@
         ballot: Ballot,
         tag: u64,
         voters: usize,
-    ) -> (Self, VoterAsk) {
+    ) -> (Self, VoterOperation) {
         let mut round = Self {
             key: key.to_string(),
-            phase: Phase::Peek,
+            phase: Phase::Query,
             change,
             ballot,
             tag,
             voters,
             answers: Vec::new(),
-            refusals: Vec::new(),
-            proposed: Stored::default(),
-            beaten: Ballot::default(),
+            rejections: Vec::new(),
+            proposed: VersionedValue::default(),
+            highest_rejection: Ballot::default(),
             reason: "no majority of voters answered".into(),
         };
         let phase = match round.change {
-            Change::Read => Phase::Peek,
-            Change::Write { .. } => Phase::Promise,
+            Change::Read => Phase::Query,
+            Change::Write { .. } => Phase::Prepare,
         };
         let ask = round.enter(phase);
         (round, ask)
     }
 
-    fn enter(&mut self, phase: Phase) -> VoterAsk {
+    fn enter(&mut self, phase: Phase) -> VoterOperation {
         self.phase = phase;
         self.answers = vec![None; self.voters];
-        self.refusals = vec![false; self.voters];
+        self.rejections = vec![false; self.voters];
         let key = self.key.clone();
         let ballot = self.ballot;
         match phase {
-            Phase::Peek => VoterAsk::Peek { key },
-            Phase::Promise => VoterAsk::Promise { key, ballot },
-            Phase::Accept => VoterAsk::Accept {
+            Phase::Query => VoterOperation::Query { key },
+            Phase::Prepare => VoterOperation::Prepare { key, ballot },
+            Phase::Accept => VoterOperation::Accept {
                 key,
                 ballot,
-                stored: self.proposed.clone(),
+                value: self.proposed.clone(),
             },
         }
     }
@@ -119,53 +119,55 @@
     }
 
     /// Takes one voter's answer to the ask that is out. Answers to earlier asks must not be fed.
-    pub fn on_reply(&mut self, voter: usize, reply: VoterReply) -> Step {
-        if voter >= self.voters || self.answers[voter].is_some() || self.refusals[voter] {
-            return Step::Wait;
+    pub fn on_response(&mut self, voter: usize, response: VoterResponse) -> RoundStep {
+        if voter >= self.voters || self.answers[voter].is_some() || self.rejections[voter] {
+            return RoundStep::Wait;
         }
-        match (self.phase, reply) {
-            (Phase::Peek | Phase::Promise, VoterReply::Holds { ballot, stored }) => {
-                self.answers[voter] = Some((ballot, stored));
+        match (self.phase, response) {
+            (Phase::Query | Phase::Prepare, VoterResponse::LastAccepted { ballot, value }) => {
+                self.answers[voter] = Some((ballot, value));
             }
-            (Phase::Accept, VoterReply::Accepted) => {
-                self.answers[voter] = Some((self.ballot, Stored::default()));
+            (Phase::Accept, VoterResponse::Accepted) => {
+                self.answers[voter] = Some((self.ballot, VersionedValue::default()));
             }
-            (_, VoterReply::Refused { promised }) => {
-                self.beaten = self.beaten.max(promised);
-                self.refusals[voter] = true;
+            (_, VoterResponse::Rejected { promised }) => {
+                self.highest_rejection = self.highest_rejection.max(promised);
+                self.rejections[voter] = true;
             }
-            (Phase::Peek | Phase::Promise, VoterReply::OtherSet { set }) if set.era != 0 => {
-                return Step::Done(Outcome::OtherSet(set));
+            (Phase::Query | Phase::Prepare, VoterResponse::SetMismatch { set })
+                if set.epoch != 0 =>
+            {
+                return RoundStep::Done(ChangeOutcome::SetMismatch(set));
             }
-            (Phase::Peek | Phase::Promise, VoterReply::AgedOut) => {
-                return Step::Done(Outcome::AgedOut);
+            (Phase::Query | Phase::Prepare, VoterResponse::Expired) => {
+                return RoundStep::Done(ChangeOutcome::Expired);
             }
-            (_, VoterReply::Closed { reason }) => {
+            (_, VoterResponse::Unavailable { reason }) => {
                 self.reason = reason;
-                self.refusals[voter] = true;
+                self.rejections[voter] = true;
             }
-            _ => self.refusals[voter] = true,
+            _ => self.rejections[voter] = true,
         }
         let answered = self.answers.iter().flatten().count();
         if answered >= self.majority() {
             return self.advance();
         }
-        let refused = self.refusals.iter().filter(|refused| **refused).count();
-        if refused > self.voters - self.majority() {
-            return Step::Done(self.give_up());
+        let rejected = self.rejections.iter().filter(|rejected| **rejected).count();
+        if rejected > self.voters - self.majority() {
+            return RoundStep::Done(self.abandon());
         }
-        Step::Wait
+        RoundStep::Wait
     }
 
     /// Ends the try without further answers.
-    pub fn give_up(&self) -> Outcome {
-        if self.beaten > Ballot::default() {
-            return Outcome::Beaten(self.beaten);
+    pub fn abandon(&self) -> ChangeOutcome {
+        if self.highest_rejection > Ballot::default() {
+            return ChangeOutcome::Preempted(self.highest_rejection);
         }
         if self.has_proposed() {
-            return Outcome::Undecided;
+            return ChangeOutcome::Indeterminate;
         }
-        Outcome::Unreached(self.reason.clone())
+        ChangeOutcome::NoQuorum(self.reason.clone())
     }
 
     /// Whether this try's own value has been proposed, so that it may yet be chosen. To settle a
@@ -179,23 +181,23 @@
         self.tag
     }
 
-    fn advance(&mut self) -> Step {
+    fn advance(&mut self) -> RoundStep {
         let newest = self.answers.iter().flatten().max_by_key(|(held, _)| *held);
         let (newest_ballot, newest) = newest.cloned().unwrap_or_default();
         match self.phase {
-            Phase::Accept => Step::Done(Outcome::Settled(self.proposed.clone())),
-            Phase::Peek => {
+            Phase::Accept => RoundStep::Done(ChangeOutcome::Committed(self.proposed.clone())),
+            Phase::Query => {
                 let same = self.answers.iter().flatten();
                 let agreeing = same.filter(|(held, _)| *held == newest_ballot).count();
                 if agreeing >= self.majority() {
-                    return Step::Done(Outcome::Settled(newest));
+                    return RoundStep::Done(ChangeOutcome::Committed(newest));
                 }
-                Step::Ask(self.enter(Phase::Promise))
+                RoundStep::Send(self.enter(Phase::Prepare))
             }
-            Phase::Promise => {
+            Phase::Prepare => {
                 match &self.change {
                     Change::Write { expected, bytes } if newest.version == *expected => {
-                        self.proposed = Stored {
+                        self.proposed = VersionedValue {
                             version: expected + 1,
                             tag: self.tag,
                             bytes: bytes.clone(),
@@ -204,9 +206,9 @@
                     _ => self.proposed = newest,
                 }
                 if self.proposed.version == 0 {
-                    return Step::Done(Outcome::Settled(Stored::default()));
+                    return RoundStep::Done(ChangeOutcome::Committed(VersionedValue::default()));
                 }
-                Step::Ask(self.enter(Phase::Accept))
+                RoundStep::Send(self.enter(Phase::Accept))
             }
         }
     }
--- a/crates/register/tests/jobs.rs
+++ b/crates/register/tests/jobs.rs
@@ -3,17 +3,17 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use register::{
-    Acceptor, Ballot, Change, Held, Outcome, Proposal, ProposalStep, Record, Stored, VoterAsk,
-    VoterMessage, VoterReply, VoterSet,
+    Acceptor, Ballot, Change, ChangeOutcome, Proposal, ProposalStep, Record, RegisterState,
+    SetVersion, VersionedValue, VoterOperation, VoterRequest, VoterResponse, VoterSet,
 };
 
 const VOTERS: usize = 3;
 
 fn founded() -> (Acceptor, Vec<Record>) {
     let mut acceptor = Acceptor::default();
-    let record = acceptor.form(VoterSet {
-        era: 1,
-        no: 1,
+    let record = acceptor.bootstrap(VoterSet {
+        epoch: 1,
+        number: 1,
         voters: Vec::new(),
     });
     (acceptor, record.into_iter().collect())
@@ -25,14 +25,17 @@
 }
 
 impl Voter {
-    fn ask(&mut self, ask: VoterAsk) -> VoterReply {
-        let (record, reply) = self.acceptor.handle(VoterMessage { mark: (1, 1), ask });
+    fn ask(&mut self, ask: VoterOperation) -> VoterResponse {
+        let (record, reply) = self.acceptor.handle(VoterRequest {
+            set_version: SetVersion::new(1, 1),
+            operation: ask,
+        });
         self.records.extend(record);
         reply
     }
 
     fn turn(&mut self) {
-        let record = self.acceptor.turn_jobs();
+        let record = self.acceptor.advance_job_window();
         self.records.extend(record);
     }
 
@@ -41,7 +44,7 @@
         for record in self.records.clone() {
             self.acceptor.replay(record);
         }
-        self.acceptor.restore_digests();
+        self.acceptor.rebuild_indexes();
     }
 }
 
@@ -53,7 +56,7 @@
     key: &str,
     change: Change,
     answers: impl Fn(usize) -> bool,
-) -> Outcome {
+) -> ChangeOutcome {
     let ballot = |counter: &mut u64, above: u64| {
         *counter = (*counter).max(above) + 1;
         Ballot {
@@ -68,22 +71,22 @@
         let mut next = None;
         for place in (0..VOTERS).filter(|place| answers(*place)) {
             let reply = voters[place].ask(ask.clone());
-            match proposal.on_reply(place, reply) {
+            match proposal.on_response(place, reply) {
                 ProposalStep::Wait => continue,
                 ProposalStep::Done(outcome) => return outcome,
-                ProposalStep::Ask(ask) => next = Some(ask),
-                ProposalStep::Again(above) => {
-                    next = Some(proposal.again(ballot(counter, above.counter)));
+                ProposalStep::Send(ask) => next = Some(ask),
+                ProposalStep::Retry(above) => {
+                    next = Some(proposal.retry(ballot(counter, above.counter)));
                 }
             }
             break;
         }
         let Some(again) = next else {
-            return proposal.give_up();
+            return proposal.abandon();
         };
         ask = again;
     }
-    proposal.give_up()
+    proposal.abandon()
 }
 
 fn three() -> Vec<Voter> {
@@ -108,18 +111,18 @@
     for job in 0..50 {
         let key = format!("job/{job}");
         let outcome = change(&mut voters, &mut counter, 1, &key, write(b"one"), all);
-        assert!(matches!(outcome, Outcome::Settled(_)));
+        assert!(matches!(outcome, ChangeOutcome::Committed(_)));
         voters.iter_mut().for_each(Voter::turn);
         let outcome = change(&mut voters, &mut counter, 1, &key, write(b"two"), all);
         assert!(
-            matches!(outcome, Outcome::Stale(_)),
+            matches!(outcome, ChangeOutcome::Conflict(_)),
             "{job} is forgotten early"
         );
         voters.iter_mut().for_each(Voter::turn);
         voters.iter_mut().for_each(Voter::turn);
         assert!(voters
             .iter()
-            .all(|voter| voter.acceptor.held(&key).is_none()));
+            .all(|voter| voter.acceptor.register(&key).is_none()));
     }
     assert!(
         voters[0].acceptor.len() <= 2,
@@ -135,9 +138,9 @@
     change(&mut voters, &mut high, 1, "job/high", write(b"one"), all);
     voters.iter_mut().for_each(Voter::turn);
     let outcome = change(&mut voters, &mut low, 2, "job/low", write(b"one"), all);
-    assert!(matches!(outcome, Outcome::Settled(_)));
+    assert!(matches!(outcome, ChangeOutcome::Committed(_)));
     // The round ends at a majority, so the third voter may not have been asked.
-    let holds = |voter: &Voter| voter.acceptor.held("job/low").is_some();
+    let holds = |voter: &Voter| voter.acceptor.register("job/low").is_some();
     let holders: Vec<bool> = voters.iter().map(holds).collect();
     assert!(holders.iter().filter(|holds| **holds).count() >= 2);
     voters.iter_mut().for_each(Voter::turn);
@@ -155,30 +158,30 @@
         proposer: 3,
     };
     let key = "job/late".to_string();
-    let promise = VoterAsk::Promise {
+    let promise = VoterOperation::Prepare {
         key: key.clone(),
         ballot,
     };
     voters[0].ask(promise);
     voters[0].turn();
     voters[0].turn();
-    assert!(voters[0].acceptor.held(&key).is_none());
+    assert!(voters[0].acceptor.register(&key).is_none());
     for restarts in [false, true] {
         if restarts {
             voters[0].restart();
         }
-        let stored = Stored {
+        let stored = VersionedValue {
             version: 1,
             tag: 1,
             bytes: vec![1],
         };
-        let accept = VoterAsk::Accept {
+        let accept = VoterOperation::Accept {
             key: key.clone(),
             ballot,
-            stored,
+            value: stored,
         };
         let reply = voters[0].ask(accept);
-        assert!(matches!(reply, VoterReply::Refused { .. }), "{reply:?}");
+        assert!(matches!(reply, VoterResponse::Rejected { .. }), "{reply:?}");
     }
 }
 
@@ -198,7 +201,7 @@
 #[test]
 fn answers_are_taken_up_to_a_bound_and_claims_beyond_it() {
     let (mut acceptor, records) = founded();
-    let held = |size: usize, counter: u64| Held {
+    let held = |size: usize, counter: u64| RegisterState {
         promised: Ballot {
             counter,
             proposer: 1,
@@ -207,14 +210,14 @@
             counter,
             proposer: 1,
         },
-        stored: Stored {
+        value: VersionedValue {
             version: 1,
             tag: 1,
             bytes: vec![0; size],
         },
     };
     for place in 0..310 {
-        acceptor.replay(Record::Key(format!("job/{place}"), held(40 << 10, 5)));
+        acceptor.replay(Record::Register(format!("job/{place}"), held(40 << 10, 5)));
     }
     let mut voter = Voter { acceptor, records };
     let mut accept = |size: usize| {
@@ -222,19 +225,22 @@
             counter: 9,
             proposer: 1,
         };
-        let stored = held(size, 9).stored;
+        let stored = held(size, 9).value;
         let key = "job/new".to_string();
-        voter.ask(VoterAsk::Accept {
+        voter.ask(VoterOperation::Accept {
             key,
             ballot,
-            stored,
+            value: stored,
         })
     };
-    assert!(matches!(accept(2_000), VoterReply::Closed { .. }));
-    assert!(matches!(accept(41 << 10), VoterReply::Closed { .. }));
-    assert_eq!(accept(200), VoterReply::Accepted);
+    assert!(matches!(accept(2_000), VoterResponse::Unavailable { .. }));
+    assert!(matches!(
+        accept(41 << 10),
+        VoterResponse::Unavailable { .. }
+    ));
+    assert_eq!(accept(200), VoterResponse::Accepted);
     for place in 310..420 {
-        let record = Record::Key(format!("job/{place}"), held(40 << 10, 5));
+        let record = Record::Register(format!("job/{place}"), held(40 << 10, 5));
         voter.acceptor.replay(record);
     }
     let ballot = Ballot {
@@ -242,11 +248,17 @@
         proposer: 1,
     };
     let key = "job/newer".to_string();
-    let promise = VoterAsk::Promise { key, ballot };
-    assert!(matches!(voter.ask(promise), VoterReply::Closed { .. }));
+    let promise = VoterOperation::Prepare { key, ballot };
+    assert!(matches!(
+        voter.ask(promise),
+        VoterResponse::Unavailable { .. }
+    ));
     let key = "job/1".to_string();
-    let peek = VoterAsk::Peek { key };
-    assert!(matches!(voter.ask(peek), VoterReply::Holds { .. }));
+    let peek = VoterOperation::Query { key };
+    assert!(matches!(
+        voter.ask(peek),
+        VoterResponse::LastAccepted { .. }
+    ));
 }
 
 /// A voter that was away comes back with jobs that the others have forgotten. What is settled after that stays.
@@ -258,7 +270,7 @@
         let mut voters = three();
         let mut counters = [0; 3];
         let mut ids = [0, 1, 2];
-        let (mut newest, mut acknowledged): (u64, Option<Stored>) = (0, None);
+        let (mut newest, mut acknowledged): (u64, Option<VersionedValue>) = (0, None);
         for step in 0..60 {
             let away = random.random_range(0..VOTERS);
             let who = random.random_range(0..3);
@@ -286,7 +298,9 @@
                     let answers = |place| place != away;
                     let (counter, id) = (&mut counters[who], ids[who]);
                     let outcome = change(&mut voters, counter, id, "job/x", change_wanted, answers);
-                    let (Outcome::Settled(stored) | Outcome::Stale(stored)) = outcome else {
+                    let (ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored)) =
+                        outcome
+                    else {
                         continue;
                     };
                     if let Some(known) = &acknowledged {
--- a/crates/register/tests/rounds.rs
+++ b/crates/register/tests/rounds.rs
@@ -4,8 +4,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use register::{
-    Acceptor, Ballot, Change, Outcome, Proposal, ProposalStep, Record, Round, Step, VoterMessage,
-    VoterRef, VoterReply, VoterSet,
+    Acceptor, Ballot, Change, ChangeOutcome, ClaimFloors, Proposal, ProposalStep, Record, Round,
+    RoundStep, SetVersion, VoterRef, VoterRequest, VoterResponse, VoterSet,
 };
 use std::collections::BTreeMap;
 
@@ -21,8 +21,8 @@
 }
 
 enum Parcel {
-    ToVoter(usize, usize, u64, VoterMessage),
-    ToProposer(usize, usize, u64, VoterReply),
+    ToVoter(usize, usize, u64, VoterRequest),
+    ToProposer(usize, usize, u64, VoterResponse),
 }
 
 struct World {
@@ -45,8 +45,8 @@
             })
             .collect();
         let set = VoterSet {
-            era: 1,
-            no: 1,
+            epoch: 1,
+            number: 1,
             voters,
         };
         let mut world = Self {
@@ -69,17 +69,17 @@
             set,
         };
         for place in 0..VOTERS {
-            let record = world.voters[place].form(world.set.clone()).unwrap();
+            let record = world.voters[place].bootstrap(world.set.clone()).unwrap();
             world.synced[place].push(record);
         }
         world
     }
 
-    fn send_all(&mut self, proposer: usize, number: u64, ask: register::VoterAsk) {
+    fn send_all(&mut self, proposer: usize, number: u64, ask: register::VoterOperation) {
         for voter in 0..VOTERS {
-            let message = VoterMessage {
-                mark: self.set.mark(),
-                ask: ask.clone(),
+            let message = VoterRequest {
+                set_version: self.set.version(),
+                operation: ask.clone(),
             };
             self.parcels
                 .push(Parcel::ToVoter(proposer, voter, number, message));
@@ -125,7 +125,7 @@
         }
     }
 
-    fn answer(&mut self, place: usize, voter: usize, number: u64, reply: VoterReply) {
+    fn answer(&mut self, place: usize, voter: usize, number: u64, reply: VoterResponse) {
         let Some((mut round, current)) = self.proposers[place].round.take() else {
             return;
         };
@@ -133,14 +133,14 @@
             self.proposers[place].round = Some((round, current));
             return;
         }
-        match round.on_reply(voter, reply) {
-            Step::Wait => self.proposers[place].round = Some((round, current)),
-            Step::Ask(ask) => {
+        match round.on_response(voter, reply) {
+            RoundStep::Wait => self.proposers[place].round = Some((round, current)),
+            RoundStep::Send(ask) => {
                 self.proposers[place].proposed |= round.has_proposed();
                 self.proposers[place].round = Some((round, current + 1));
                 self.send_all(place, current + 1, ask);
             }
-            Step::Done(Outcome::Settled(stored)) => {
+            RoundStep::Done(ChangeOutcome::Committed(stored)) => {
                 let proposer = &mut self.proposers[place];
                 if stored.version == proposer.expected + 1 && stored.tag == proposer.tag {
                     self.writes += 1;
@@ -150,13 +150,13 @@
                     self.settle(stored.version, stored.tag);
                 }
             }
-            Step::Done(Outcome::Beaten(ballot)) => {
+            RoundStep::Done(ChangeOutcome::Preempted(ballot)) => {
                 let proposer = &mut self.proposers[place];
                 proposer.counter = proposer.counter.max(ballot.counter);
                 let tag = proposer.tag;
                 self.begin(place, Some(tag));
             }
-            Step::Done(_) => {}
+            RoundStep::Done(_) => {}
         }
     }
 
@@ -214,7 +214,7 @@
 }
 
 /// Writes through proposals against voters that answer at once.
-fn write(voters: &mut [Acceptor], counter: u64, expected: u64) -> Outcome {
+fn write(voters: &mut [Acceptor], counter: u64, expected: u64) -> ChangeOutcome {
     let ballot = Ballot {
         counter,
         proposer: counter,
@@ -227,17 +227,17 @@
     loop {
         let mut next = None;
         for (place, voter) in voters.iter_mut().enumerate() {
-            let message = VoterMessage {
-                mark: (1, 1),
-                ask: ask.clone(),
+            let message = VoterRequest {
+                set_version: SetVersion::new(1, 1),
+                operation: ask.clone(),
             };
-            match proposal.on_reply(place, voter.handle(message).1) {
+            match proposal.on_response(place, voter.handle(message).1) {
                 ProposalStep::Wait => {}
-                ProposalStep::Ask(ask) => {
+                ProposalStep::Send(ask) => {
                     next = Some(ask);
                     break;
                 }
-                ProposalStep::Again(_) => panic!("nobody else writes"),
+                ProposalStep::Retry(_) => panic!("nobody else writes"),
                 ProposalStep::Done(outcome) => return outcome,
             }
         }
@@ -250,18 +250,21 @@
     let mut voters = vec![Acceptor::default(); VOTERS];
     for voter in &mut voters {
         let set = VoterSet {
-            era: 1,
-            no: 1,
+            epoch: 1,
+            number: 1,
             voters: Vec::new(),
         };
-        voter.form(set).unwrap();
+        voter.bootstrap(set).unwrap();
     }
     for (counter, expected) in [(1, 0), (2, 1), (3, 2)] {
         let outcome = write(&mut voters, counter, expected);
-        assert!(matches!(outcome, Outcome::Settled(_)), "{outcome:?}");
+        assert!(
+            matches!(outcome, ChangeOutcome::Committed(_)),
+            "{outcome:?}"
+        );
     }
     for expected in [0, 1, 2, 7] {
-        let Outcome::Stale(stored) = write(&mut voters, 10 + expected, expected) else {
+        let ChangeOutcome::Conflict(stored) = write(&mut voters, 10 + expected, expected) else {
             panic!("a write with version {expected} was not told that it is stale");
         };
         assert_eq!((stored.version, stored.tag), (3, 3));
@@ -271,8 +274,8 @@
 #[test]
 fn a_newcomer_holds_what_any_majority_had_settled() {
     let set = |no, disks: [u64; 3]| VoterSet {
-        era: 1,
-        no,
+        epoch: 1,
+        number: no,
         voters: disks
             .iter()
             .map(|disk| VoterRef {
@@ -284,39 +287,54 @@
     // The value is settled at the first and the third voter; the third is then replaced.
     let mut voters = vec![Acceptor::default(); VOTERS];
     for voter in &mut voters {
-        voter.form(set(1, [1, 2, 3])).unwrap();
+        voter.bootstrap(set(1, [1, 2, 3])).unwrap();
     }
     let mut missing = std::mem::take(&mut voters[1]);
-    assert!(matches!(write(&mut voters, 1, 0), Outcome::Settled(_)));
+    assert!(matches!(
+        write(&mut voters, 1, 0),
+        ChangeOutcome::Committed(_)
+    ));
     let next = set(2, [1, 2, 9]);
     let copies: Vec<_> = [&mut voters[0], &mut missing]
         .into_iter()
         .map(|voter| {
-            voter.adopt(next.clone()).unwrap();
-            (0..256).flat_map(|range| voter.range(range)).collect()
+            voter.adopt_set(next.clone()).unwrap();
+            (0..256)
+                .flat_map(|range| voter.registers_in_range(range))
+                .collect()
         })
         .collect();
     let mut newcomer = Acceptor::default();
-    newcomer.install(next, (0, 0), register::merged(copies));
-    assert_eq!(newcomer.held("key").unwrap().stored.version, 1);
+    newcomer.install(
+        next,
+        ClaimFloors::default(),
+        register::merge_replicas(copies),
+    );
+    assert_eq!(newcomer.register("key").unwrap().value.version, 1);
     // Promises come with it: a ballot below the settled one is refused.
-    let ask = register::VoterAsk::Promise {
+    let ask = register::VoterOperation::Prepare {
         key: "key".into(),
         ballot: Ballot::default(),
     };
-    let (_, reply) = newcomer.handle(VoterMessage { mark: (1, 2), ask });
-    assert!(matches!(reply, VoterReply::Refused { .. }));
+    let (_, reply) = newcomer.handle(VoterRequest {
+        set_version: SetVersion::new(1, 2),
+        operation: ask,
+    });
+    assert!(matches!(reply, VoterResponse::Rejected { .. }));
 }
 
 #[test]
 fn a_voter_of_another_set_answers_with_its_own() {
     let mut voter = Acceptor::default();
-    let ask = register::VoterAsk::Peek { key: "key".into() };
-    let (record, reply) = voter.handle(VoterMessage { mark: (1, 1), ask });
+    let ask = register::VoterOperation::Query { key: "key".into() };
+    let (record, reply) = voter.handle(VoterRequest {
+        set_version: SetVersion::new(1, 1),
+        operation: ask,
+    });
     assert_eq!(record, None);
     assert_eq!(
         reply,
-        VoterReply::OtherSet {
+        VoterResponse::SetMismatch {
             set: VoterSet::default()
         }
     );
@@ -325,19 +343,19 @@
 #[test]
 fn an_aged_out_claim_is_refused_and_never_taken_anew() {
     let set = VoterSet {
-        era: 1,
-        no: 1,
+        epoch: 1,
+        number: 1,
         voters: Vec::new(),
     };
     let mut voter = Acceptor::default();
-    voter.form(set).unwrap();
+    voter.bootstrap(set).unwrap();
     let ballot = Ballot {
         counter: 1,
         proposer: 1,
     };
-    let ask = |time: u64| VoterMessage {
-        mark: (1, 1),
-        ask: register::VoterAsk::Promise {
+    let ask = |time: u64| VoterRequest {
+        set_version: SetVersion::new(1, 1),
+        operation: register::VoterOperation::Prepare {
             key: format!("once/{time:014}/x"),
             ballot,
         },
@@ -345,15 +363,15 @@
     assert!(voter.handle(ask(500)).0.is_some());
     assert!(voter.handle(ask(1_000)).0.is_some());
     assert!(
-        voter.age_out(5_000, 600).is_none(),
+        voter.expire_claims(5_000, 600).is_none(),
         "a clock that jumped ahead"
     );
     assert!(
-        voter.age_out(900, 400).is_none(),
+        voter.expire_claims(900, 400).is_none(),
         "a clock that jumped back"
     );
-    assert!(voter.age_out(5_000, 400).is_some());
+    assert!(voter.expire_claims(5_000, 400).is_some());
     let (record, reply) = voter.handle(ask(500));
-    assert!(record.is_none() && reply == VoterReply::AgedOut);
+    assert!(record.is_none() && reply == VoterResponse::Expired);
     assert!(voter.handle(ask(600)).0.is_some());
 }
--- a/crates/simulator/src/core_duties.rs
+++ b/crates/simulator/src/core_duties.rs
@@ -15,7 +15,7 @@
         let sight = Sight {
             now: net.now,
             next: Version {
-                era: self.set.era,
+                era: self.set.epoch,
                 no: in_force.plan_version.no + 1,
             },
             term: term.unwrap_or_default(),
@@ -57,11 +57,11 @@
             return;
         }
         self.aged_at = net.now;
-        let water = self.voter.held().floors().0;
+        let water = self.voter.acceptor().claim_floors().forgotten_before;
         let remembered = self.in_force.blueprint.bounds.claim_ms;
-        self.voter.age_out(net.wall, remembered);
+        self.voter.expire_claims(net.wall, remembered);
         self.voter.sync();
-        if self.voter.held().floors().0 > water {
+        if self.voter.acceptor().claim_floors().forgotten_before > water {
             oracle.look("ageing");
         }
     }
--- a/crates/simulator/src/core_founding.rs
+++ b/crates/simulator/src/core_founding.rs
@@ -6,7 +6,7 @@
 use speedy::Writable;
 use std::collections::BTreeMap;
 use transport::{BlueprintNews, Message, News, PlanNews};
-use voter::{agreed_wall, FoundStep, Founding, FrontsHold, HeardCore};
+use voter::{median_wall_clock, Bootstrap, BootstrapStep, GatewayEvidence, PeerStatus};
 
 /// Numbers of questions for what fronts hold.
 pub(crate) const GATHER: u64 = 3;
@@ -14,7 +14,7 @@
 /// An era's beginning at a core, as far as it has come.
 #[derive(Default)]
 pub(crate) struct Found {
-    founding: Founding,
+    founding: Bootstrap,
     blueprint: Option<BlueprintNews>,
     plan: Option<PlanNews>,
     /// How far each front's wall clock is ahead of this core's.
@@ -61,7 +61,7 @@
     }
 
     /// What fronts hold of earlier eras; `Err` where they hold something that was not told yet.
-    fn gather(&mut self, net: &mut Net) -> Result<Option<FrontsHold>, ()> {
+    fn gather(&mut self, net: &mut Net) -> Result<Option<GatewayEvidence>, ()> {
         let Some((blueprint, plan, count)) = self.holders(net.now) else {
             return Ok(None);
         };
@@ -91,8 +91,11 @@
             return Err(());
         }
         let roster = found.plan.as_ref().map_or(0, |news| news.plan.roster.len());
-        let is_majority = FrontsHold::is_enough(count, roster, self.seeds.len());
-        Ok(Some(FrontsHold { era, is_majority }))
+        let is_majority = GatewayEvidence::is_sufficient(count, roster, self.seeds.len());
+        Ok(Some(GatewayEvidence {
+            epoch: era,
+            is_majority,
+        }))
     }
 
     /// A front tells what it holds.
@@ -119,8 +122,8 @@
     }
 
     /// Takes the next step of an era's founding.
-    pub fn tend_founding(&mut self, net: &mut Net, oracle: &mut Oracle, heard: &[HeardCore]) {
-        let is_empty = heard.iter().all(|one| one.set.era == 0);
+    pub fn tend_founding(&mut self, net: &mut Net, oracle: &mut Oracle, heard: &[PeerStatus]) {
+        let is_empty = heard.iter().all(|one| one.set.epoch == 0);
         let held = if is_empty {
             match self.gather(net) {
                 Ok(held) => held,
@@ -131,17 +134,17 @@
         };
         let bounds = self.in_force.blueprint.bounds.clone();
         let is_first = self.seeds[0] == self.peer.name;
-        let wall = agreed_wall(net.wall, self.found.ahead.values().copied());
+        let wall = median_wall_clock(net.wall, self.found.ahead.values().copied());
         let (now, seeds) = (net.now, self.seeds.len());
         let step = self
             .found
             .founding
             .decide(now, wall, &bounds, self.disk, is_first, seeds, heard, held);
         match step {
-            FoundStep::Wait => {}
-            FoundStep::Form(set, floor) => {
+            BootstrapStep::Wait => {}
+            BootstrapStep::Form(set, floor) => {
                 oracle.look("eras founded");
-                self.voter.form(set.clone(), floor);
+                self.voter.bootstrap(set.clone(), floor);
                 if !self.voter.sync() {
                     return;
                 }
@@ -151,15 +154,15 @@
                 }
                 self.learn_set(&set);
             }
-            FoundStep::Tell(set, addresses) => {
-                let floor = self.voter.held().floors().1;
+            BootstrapStep::Resend(set, addresses) => {
+                let floor = self.voter.acceptor().claim_floors().refused_before;
                 for address in addresses {
                     let parcel = self.parcel(0, Message::Form(set.clone(), floor));
                     net.send(&self.peer.name, &address, parcel);
                 }
             }
         }
-        let is_member = self.voter.held().set().era == self.set.era;
+        let is_member = self.voter.acceptor().set().epoch == self.set.epoch;
         if is_member && self.is_blank() {
             self.start_from_fronts(net);
         }
@@ -167,7 +170,7 @@
 
     /// Whether an era after a loss has not got its values back yet.
     pub fn is_blank(&self) -> bool {
-        self.set.era > 1 && self.in_force.blueprint_version.era < self.set.era
+        self.set.epoch > 1 && self.in_force.blueprint_version.era < self.set.epoch
     }
 
     /// Gives the values that fronts hold of an earlier era to this one.
@@ -177,7 +180,7 @@
         };
         let bounds = self.in_force.blueprint.bounds.clone();
         let founding = &mut self.found.founding;
-        if !founding.may_start(net.now, &bounds, held.is_majority) {
+        if !founding.may_restore_values(net.now, &bounds, held.is_majority) {
             return;
         }
         let blueprint = self.found.blueprint.as_ref();
--- a/crates/simulator/src/core_joining.rs
+++ b/crates/simulator/src/core_joining.rs
@@ -1,11 +1,14 @@
 use crate::core_node::{CoreNode, Purpose};
 use crate::net::{Net, Parcel};
 use crate::oracle::Oracle;
-use register::{merged, Change, Held, Outcome, VoterRef, VoterSet, VOTERS_KEY};
+use register::{
+    merge_replicas, Change, ChangeOutcome, ClaimFloors, RegisterState, VoterRef, VoterSet,
+    VOTERS_KEY,
+};
 use speedy::{Readable, Writable};
 use std::collections::{BTreeMap, BTreeSet};
 use transport::{Copy, Message};
-use voter::{HeardCore, Installing, JoinStep, Joining};
+use voter::{Installation, MembershipChange, MembershipStep, PeerStatus};
 
 const CYCLE: u64 = 500;
 /// Time between comparisons with the other members' copies.
@@ -17,24 +20,24 @@
 
 #[derive(Default)]
 struct Pulled {
-    floors: (u64, u64),
+    claim_floors: ClaimFloors,
     missing: BTreeSet<u16>,
-    keys: Vec<(String, Held)>,
+    keys: Vec<(String, RegisterState)>,
 }
 
 /// An empty core's way into the set, as far as it has come.
 #[derive(Default)]
 pub(crate) struct Join {
-    joining: Joining,
+    joining: MembershipChange,
     next_at: u64,
     repair_at: u64,
-    heard: BTreeMap<String, HeardCore>,
+    heard: BTreeMap<String, PeerStatus>,
     pulled: BTreeMap<String, Pulled>,
 }
 
 impl CoreNode {
     pub fn learn_set(&mut self, set: &VoterSet) {
-        if set.mark() > self.set.mark() {
+        if set.version() > self.set.version() {
             self.set = set.clone();
             self.join.pulled.clear();
         }
@@ -68,17 +71,17 @@
         for core in cores {
             self.say(net, &core, 2, Message::Hello);
         }
-        let known: Vec<HeardCore> = heard.into_values().collect();
+        let known: Vec<PeerStatus> = heard.into_values().collect();
         self.tend_founding(net, oracle, &known);
         self.tend_repair(net);
         for one in &known {
             let (name, set) = (&one.address, &one.set);
             let is_member = self.set.voters.iter().any(|voter| voter.disk == one.disk);
-            if is_member && set.era == self.set.era && set.no < self.set.no {
+            if is_member && set.epoch == self.set.epoch && set.number < self.set.number {
                 self.say(net, name, 2, Message::Adopt(self.set.clone()));
             }
         }
-        if self.voter.held().set().era != 0 || self.set.era == 0 {
+        if self.voter.acceptor().set().epoch != 0 || self.set.epoch == 0 {
             return;
         }
         let answering: Vec<u64> = known.iter().map(|one| one.disk).collect();
@@ -90,7 +93,7 @@
 
     /// Asks the other members for their digests, now and then.
     fn tend_repair(&mut self, net: &mut Net) {
-        if net.now < self.join.repair_at || self.voter.held().set().era == 0 {
+        if net.now < self.join.repair_at || self.voter.acceptor().set().epoch == 0 {
             return;
         }
         self.join.repair_at = net.now + REPAIR;
@@ -106,8 +109,8 @@
 
     /// Asks for the ranges in which another member's copy differs.
     fn compare(&self, net: &mut Net, from: &str, copy: &Copy) {
-        let held = self.voter.held();
-        if held.set().era == 0 || copy.set.mark() != held.set().mark() {
+        let held = self.voter.acceptor();
+        if held.set().epoch == 0 || copy.set.version() != held.set().version() {
             return;
         }
         for range in held.digests().differing(&copy.ranges) {
@@ -116,16 +119,16 @@
         }
     }
 
-    fn mend(&mut self, oracle: &mut Oracle, keys: Vec<(String, Held)>) {
-        let before = self.voter.held().digests().clone();
-        self.voter.mend(keys);
-        if self.voter.sync() && *self.voter.held().digests() != before {
+    fn mend(&mut self, oracle: &mut Oracle, keys: Vec<(String, RegisterState)>) {
+        let before = self.voter.acceptor().digests().clone();
+        self.voter.repair(keys);
+        if self.voter.sync() && *self.voter.acceptor().digests() != before {
             oracle.look("mended");
         }
     }
 
-    pub fn join_read(&mut self, net: &mut Net, answering: &[u64], outcome: &Outcome) {
-        let Outcome::Settled(stored) = outcome else {
+    pub fn join_read(&mut self, net: &mut Net, answering: &[u64], outcome: &ChangeOutcome) {
+        let ChangeOutcome::Committed(stored) = outcome else {
             return;
         };
         let set = self.set.clone();
@@ -141,14 +144,14 @@
             .joining
             .decide(now, PATIENCE, &me, &set, answering, settled);
         match step {
-            JoinStep::Wait => {}
-            JoinStep::Adopt(next) => self.tell_adopt(net, &next),
-            JoinStep::Claim(expected, next) => {
+            MembershipStep::Wait => {}
+            MembershipStep::Adopt(next) => self.tell_adopt(net, &next),
+            MembershipStep::Propose(expected, next) => {
                 let bytes = next.write_to_vec().unwrap_or_default();
                 let change = Change::Write { expected, bytes };
                 self.propose(net, VOTERS_KEY, change, Purpose::JoinWrite(next));
             }
-            JoinStep::Install => {
+            MembershipStep::Install => {
                 for voter in set.voters.iter().filter(|voter| voter.disk != self.disk) {
                     self.ask_for_copy(net, &voter.address);
                 }
@@ -177,7 +180,7 @@
         message: Message,
     ) {
         let from = parcel.from.name.clone();
-        let held = self.voter.held();
+        let held = self.voter.acceptor();
         match message {
             Message::Hello => {
                 let answer = Message::HelloAnswer {
@@ -192,16 +195,16 @@
                 set,
                 fronts_era,
             } => {
-                let heard = HeardCore {
+                let heard = PeerStatus {
                     address: from.clone(),
                     disk,
                     set,
-                    fronts_era,
+                    gateway_epoch: fronts_era,
                 };
                 self.join.heard.insert(from, heard);
             }
             Message::Adopt(set) => {
-                self.voter.adopt(set.clone());
+                self.voter.adopt_set(set.clone());
                 if self.voter.sync() {
                     self.learn_set(&set);
                 }
@@ -210,13 +213,13 @@
                 let copy = Copy {
                     is_open: self.voter.is_open(),
                     set: held.set().clone(),
-                    floors: held.floors(),
-                    ranges: held.digests().all().to_vec(),
+                    claim_floors: held.claim_floors(),
+                    ranges: held.digests().as_slice().to_vec(),
                 };
                 self.say(net, &from, parcel.number, Message::DigestsAnswer(copy));
             }
             Message::Form(set, floor) if set.voters.iter().any(|voter| voter.disk == self.disk) => {
-                self.voter.form(set.clone(), floor);
+                self.voter.bootstrap(set.clone(), floor);
                 if self.voter.sync() {
                     self.learn_set(&set);
                 }
@@ -226,7 +229,7 @@
                 self.pull(net, &from, &copy);
             }
             Message::Range(range) => {
-                let answer = Message::RangeAnswer(held.range(range));
+                let answer = Message::RangeAnswer(held.registers_in_range(range));
                 self.say(net, &from, parcel.number, answer);
             }
             Message::RangeAnswer(keys) if parcel.number >= REPAIR_BASE => {
@@ -246,7 +249,8 @@
     }
 
     fn pull(&mut self, net: &mut Net, from: &str, copy: &Copy) {
-        let is_wanted = self.voter.held().set().era == 0 && copy.set.mark() == self.set.mark();
+        let is_wanted =
+            self.voter.acceptor().set().epoch == 0 && copy.set.version() == self.set.version();
         if !is_wanted || self.join.pulled.contains_key(from) {
             return;
         }
@@ -256,7 +260,7 @@
             .map(|(range, _)| range as u16)
             .collect();
         let pulled = Pulled {
-            floors: copy.floors,
+            claim_floors: copy.claim_floors,
             missing,
             keys: Vec::new(),
         };
@@ -272,14 +276,14 @@
         if !is_member || whole.len() < self.set.majority() {
             return;
         }
-        let floors = whole.iter().fold((0, 0), |floors: (u64, u64), pulled| {
-            (floors.0.max(pulled.floors.0), floors.1.max(pulled.floors.1))
+        let claim_floors = whole.iter().fold(ClaimFloors::default(), |floors, pulled| {
+            floors.max(pulled.claim_floors)
         });
         let copies = whole.iter().map(|pulled| pulled.keys.clone()).collect();
-        let given = Installing {
+        let given = Installation {
             set: self.set.clone(),
-            floors,
-            keys: merged(copies),
+            claim_floors,
+            registers: merge_replicas(copies),
         };
         self.voter.install(given);
         self.voter.sync();
--- a/crates/simulator/src/core_news.rs
+++ b/crates/simulator/src/core_news.rs
@@ -1,8 +1,8 @@
 use crate::core_node::CoreNode;
 use crate::net::{Net, Parcel};
 use configuration::{parse, Plan, Version};
-use leader_election::Tenure;
-use register::{Outcome, Stored};
+use leader_election::Leadership;
+use register::{ChangeOutcome, VersionedValue};
 use request_queue::{DeskMessage, FrontReport};
 use speedy::Readable;
 use std::sync::Arc;
@@ -40,20 +40,26 @@
         }
     }
 
-    pub fn duty_ended(&mut self, now: u64, began: u64, tenure: Option<Tenure>, outcome: Outcome) {
+    pub fn duty_ended(
+        &mut self,
+        now: u64,
+        began: u64,
+        tenure: Option<Leadership>,
+        outcome: ChangeOutcome,
+    ) {
         match (outcome, tenure) {
-            (Outcome::Settled(stored), Some(tenure)) => {
-                self.duty.won(now, began, stored.version, tenure);
+            (ChangeOutcome::Committed(stored), Some(tenure)) => {
+                self.duty.on_elected(now, began, stored.version, tenure);
             }
-            (Outcome::Settled(stored) | Outcome::Stale(stored), _) => {
-                let seen = Tenure::read_from_buffer(&stored.bytes).unwrap_or_default();
-                self.duty.seen(now, stored.version, seen);
+            (ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored), _) => {
+                let seen = Leadership::read_from_buffer(&stored.bytes).unwrap_or_default();
+                self.duty.observe(now, stored.version, seen);
             }
             _ => {}
         }
     }
 
-    pub fn put_in_force(&mut self, key: &str, era: u64, stored: &Stored) {
+    pub fn put_in_force(&mut self, key: &str, era: u64, stored: &VersionedValue) {
         let version = Version {
             era,
             no: stored.version,
--- a/crates/simulator/src/core_node.rs
+++ b/crates/simulator/src/core_node.rs
@@ -6,9 +6,9 @@
 use crate::yard::Yard;
 use configuration::{Blueprint, PeerRef, Plan, Version};
 use journal::MemoryFolder;
-use leader_election::{Duty, Move, Tenure};
+use leader_election::{ElectionStep, LeaderElection, Leadership};
 use rand::Rng;
-use register::{Ballot, Change, Outcome, Proposal, ProposalStep, VoterAsk, VoterSet};
+use register::{Ballot, Change, ChangeOutcome, Proposal, ProposalStep, VoterOperation, VoterSet};
 use request_queue::DeskMessage;
 use scaler::{FrontSight, Orders, Scaler};
 use speedy::Writable;
@@ -22,7 +22,7 @@
 pub(crate) enum Purpose {
     JoinRead(Vec<u64>),
     JoinWrite(VoterSet),
-    Duty(u64, Option<Tenure>),
+    Duty(u64, Option<Leadership>),
     Refresh,
     Certain(Box<Parcel>),
     Plan,
@@ -65,7 +65,7 @@
     pub fronts: BTreeMap<String, FrontSight>,
     pub puts: Vec<(Put, Version, u64)>,
     running: BTreeMap<u64, Running>,
-    pub duty: Duty,
+    pub duty: LeaderElection,
     pub scaler: Scaler,
     pub orders: Orders,
     counter: u64,
@@ -93,13 +93,13 @@
             fresh.to_le_bytes().to_vec()
         };
         Self {
-            duty: Duty::new(peer.clone(), lease, now),
+            duty: LeaderElection::new(peer.clone(), lease, now),
             peer,
             folder,
             disk,
             join: Join::default(),
             found: Found::default(),
-            set: voter.held().set().clone(),
+            set: voter.acceptor().set().clone(),
             seeds,
             voter,
             in_force: InForce {
@@ -143,11 +143,11 @@
     fn deliver(&mut self, net: &mut Net, oracle: &mut Oracle, parcel: Parcel) {
         match parcel.body.clone() {
             Message::Voter(message) => {
-                let reply = self.voter.ask(message);
+                let reply = self.voter.handle(message);
                 let reply = if self.voter.sync() {
                     reply
                 } else {
-                    Voter::unsynced_reply()
+                    Voter::disk_failed_response()
                 };
                 let answer = self.parcel(parcel.number, Message::VoterAnswer(reply));
                 net.send(&self.peer.name, &parcel.from.name, answer);
@@ -164,14 +164,14 @@
                 let Some(place) = place else {
                     return;
                 };
-                match running.proposal.on_reply(place, reply) {
+                match running.proposal.on_response(place, reply) {
                     ProposalStep::Wait => {}
-                    ProposalStep::Ask(ask) => self.ask_voters(net, id, &ask),
-                    ProposalStep::Again(above) => {
+                    ProposalStep::Send(ask) => self.ask_voters(net, id, &ask),
+                    ProposalStep::Retry(above) => {
                         self.counter = self.counter.max(above.counter);
                         let ballot = self.next_ballot();
                         if let Some(running) = self.running.get_mut(&id) {
-                            let ask = running.proposal.again(ballot);
+                            let ask = running.proposal.retry(ballot);
                             self.ask_voters(net, id, &ask);
                         }
                     }
@@ -244,7 +244,7 @@
         }
     }
 
-    fn ask_voters(&mut self, net: &mut Net, id: u64, ask: &VoterAsk) {
+    fn ask_voters(&mut self, net: &mut Net, id: u64, ask: &VoterOperation) {
         self.counter += 1;
         let number = self.counter;
         let Some(running) = self.running.get_mut(&id) else {
@@ -282,22 +282,22 @@
             let Some(running) = self.running.get(&id) else {
                 continue;
             };
-            let outcome = running.proposal.give_up();
+            let outcome = running.proposal.abandon();
             self.ended(net, oracle, id, outcome);
         }
-        if self.set.era > 0 && now >= self.refreshed_at + 300 {
+        if self.set.epoch > 0 && now >= self.refreshed_at + 300 {
             self.refreshed_at = now;
             for key in ["blueprint", "plan"] {
                 self.propose(net, key, Change::Read, Purpose::Refresh);
             }
         }
         let key = "duty/scaler";
-        self.duty.in_era(self.set.era);
+        self.duty.enter_epoch(self.set.epoch);
         self.age_claims(net, oracle);
-        match self.duty.next(now) {
-            Move::Wait => {}
-            Move::Look => self.propose(net, key, Change::Read, Purpose::Duty(now, None)),
-            Move::Write(expected, tenure) => {
+        match self.duty.next_step(now) {
+            ElectionStep::Wait => {}
+            ElectionStep::Read => self.propose(net, key, Change::Read, Purpose::Duty(now, None)),
+            ElectionStep::Write(expected, tenure) => {
                 let bytes = tenure.write_to_vec().unwrap_or_default();
                 let change = Change::Write { expected, bytes };
                 self.propose(net, key, change, Purpose::Duty(now, Some(tenure)));
@@ -309,33 +309,33 @@
         self.scale(net, yard);
     }
 
-    fn ended(&mut self, net: &mut Net, oracle: &mut Oracle, id: u64, outcome: Outcome) {
+    fn ended(&mut self, net: &mut Net, oracle: &mut Oracle, id: u64, outcome: ChangeOutcome) {
         let Some(running) = self.running.remove(&id) else {
             return;
         };
         let key = running.key;
-        if let Outcome::OtherSet(set) = &outcome {
+        if let ChangeOutcome::SetMismatch(set) = &outcome {
             self.learn_set(set);
         }
-        if let Outcome::Settled(stored) | Outcome::Stale(stored) = &outcome {
-            let era = running.set.era;
+        if let ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) = &outcome {
+            let era = running.set.epoch;
             oracle.settled(&key, era, stored.version, stored.tag, &stored.bytes);
             self.put_in_force(&key, era, stored);
         }
         match running.purpose {
             Purpose::Refresh => {
-                self.is_certain |= key == "plan" && matches!(outcome, Outcome::Settled(_));
+                self.is_certain |= key == "plan" && matches!(outcome, ChangeOutcome::Committed(_));
             }
             Purpose::JoinRead(answering) => self.join_read(net, &answering, &outcome),
             Purpose::JoinWrite(next) => {
-                if matches!(outcome, Outcome::Settled(_)) {
+                if matches!(outcome, ChangeOutcome::Committed(_)) {
                     self.tell_adopt(net, &next);
                 }
             }
             Purpose::Plan => self.is_planning = false,
             Purpose::Duty(began, tenure) => self.duty_ended(net.now, began, tenure, outcome),
             Purpose::Certain(parcel) if key == "blueprint" => {
-                if matches!(outcome, Outcome::Settled(_)) {
+                if matches!(outcome, ChangeOutcome::Committed(_)) {
                     self.propose(net, "plan", Change::Read, Purpose::Certain(parcel));
                 }
             }
@@ -346,7 +346,7 @@
                 else {
                     return;
                 };
-                let is_certain = matches!(outcome, Outcome::Settled(_));
+                let is_certain = matches!(outcome, ChangeOutcome::Committed(_));
                 self.answer_ask(net, &parcel, blueprint, plan, is_certain);
             }
             Purpose::PutRead(put) => self.put_read(net, oracle, put, outcome),
--- a/crates/simulator/src/core_puts.rs
+++ b/crates/simulator/src/core_puts.rs
@@ -2,7 +2,7 @@
 use crate::net::Net;
 use crate::oracle::Oracle;
 use configuration::{check, Blueprint, DistrictState, Version};
-use register::{Change, Outcome};
+use register::{Change, ChangeOutcome};
 
 /// Longest time until a put is answered.
 const ANSWER_MS: u64 = 3_000;
@@ -54,8 +54,14 @@
         self.propose(net, "blueprint", Change::Read, Purpose::PutRead(put));
     }
 
-    pub fn put_read(&mut self, net: &mut Net, oracle: &mut Oracle, mut put: Put, outcome: Outcome) {
-        let Outcome::Settled(stored) = outcome else {
+    pub fn put_read(
+        &mut self,
+        net: &mut Net,
+        oracle: &mut Oracle,
+        mut put: Put,
+        outcome: ChangeOutcome,
+    ) {
+        let ChangeOutcome::Committed(stored) = outcome else {
             return;
         };
         let text = String::from_utf8_lossy(&stored.bytes).into_owned();
@@ -75,11 +81,17 @@
         self.propose(net, "blueprint", change, Purpose::PutWrite(put));
     }
 
-    pub fn put_written(&mut self, net: &mut Net, oracle: &mut Oracle, put: Put, outcome: Outcome) {
+    pub fn put_written(
+        &mut self,
+        net: &mut Net,
+        oracle: &mut Oracle,
+        put: Put,
+        outcome: ChangeOutcome,
+    ) {
         match outcome {
-            Outcome::Settled(stored) => {
+            ChangeOutcome::Committed(stored) => {
                 let version = Version {
-                    era: self.set.era,
+                    era: self.set.epoch,
                     no: stored.version,
                 };
                 let until = put.began + ANSWER_MS;
@@ -87,7 +99,7 @@
                 self.acknowledge(net, oracle);
             }
             // The same text may be in force by another operator's put, so only its own is judged.
-            Outcome::Stale(stored) if stored.bytes != put.text.as_bytes() => {
+            ChangeOutcome::Conflict(stored) if stored.bytes != put.text.as_bytes() => {
                 oracle.refused(&put.text);
             }
             _ => {}
--- a/crates/simulator/src/failing.rs
+++ b/crates/simulator/src/failing.rs
@@ -4,7 +4,7 @@
 use crate::net::{Event, Happening};
 use crate::world::World;
 use crate::yard::LAG;
-use journal::Mishap;
+use journal::FaultKind;
 use rand::Rng;
 
 impl World {
@@ -41,16 +41,16 @@
             Fault::PowerLoss(name, lasts) => {
                 let torn = self.net.random.random_range(0..40);
                 let folder = self.cores[&name].folder.clone();
-                folder.suffer(Mishap::PowerLoss(0));
-                folder.suffer(Mishap::Torn(torn));
+                folder.inject(FaultKind::PowerLoss(0));
+                folder.inject(FaultKind::Torn(torn));
                 self.fault(Fault::Kill(name, lasts));
             }
             Fault::FullDisk(name, 0) => {
-                self.cores[&name].folder.suffer(Mishap::Room);
+                self.cores[&name].folder.inject(FaultKind::Room);
                 self.fault(Fault::Kill(name, 1));
             }
             Fault::FullDisk(name, lasts) => {
-                self.cores[&name].folder.suffer(Mishap::Full);
+                self.cores[&name].folder.inject(FaultKind::Full);
                 let room = Happening::Fault(Fault::FullDisk(name, 0));
                 self.net.at(now + lasts, room);
             }
--- a/crates/simulator/src/front_claims.rs
+++ b/crates/simulator/src/front_claims.rs
@@ -2,7 +2,9 @@
 use crate::net::{Net, Parcel};
 use crate::oracle::Oracle;
 use idempotency_keys::Claim;
-use register::{Ballot, Change, Outcome, Proposal, ProposalStep, VoterAsk, VoterReply};
+use register::{
+    Ballot, Change, ChangeOutcome, Proposal, ProposalStep, VoterOperation, VoterResponse,
+};
 use speedy::Writable;
 
 const CLAIM_PATIENCE: u64 = 500;
@@ -13,7 +15,7 @@
         net: &mut Net,
         oracle: &mut Oracle,
         parcel: &Parcel,
-        reply: VoterReply,
+        reply: VoterResponse,
     ) {
         let mut found = self.claiming.iter_mut();
         let found = found.find(|(_, claiming)| claiming.number == parcel.number);
@@ -26,14 +28,14 @@
             return;
         };
         let id = *id;
-        match claiming.proposal.on_reply(place, reply) {
+        match claiming.proposal.on_response(place, reply) {
             ProposalStep::Wait => {}
-            ProposalStep::Ask(ask) => self.ask_voters(net, id, ask),
-            ProposalStep::Again(above) => {
+            ProposalStep::Send(ask) => self.ask_voters(net, id, ask),
+            ProposalStep::Retry(above) => {
                 self.counter = self.counter.max(above.counter);
                 let ballot = self.next_ballot();
                 if let Some(claiming) = self.claiming.get_mut(&id) {
-                    let ask = claiming.proposal.again(ballot);
+                    let ask = claiming.proposal.retry(ballot);
                     self.ask_voters(net, id, ask);
                 }
             }
@@ -53,7 +55,7 @@
         }
     }
 
-    fn ask_voters(&mut self, net: &mut Net, id: u64, ask: VoterAsk) {
+    fn ask_voters(&mut self, net: &mut Net, id: u64, ask: VoterOperation) {
         self.counter += 1;
         let number = self.counter;
         let Some(claiming) = self.claiming.get_mut(&id) else {
@@ -94,10 +96,10 @@
         net: &mut Net,
         oracle: &mut Oracle,
         purpose: Purpose,
-        outcome: Outcome,
+        outcome: ChangeOutcome,
     ) {
-        if let Outcome::OtherSet(set) = &outcome {
-            if set.mark() > self.set.mark() {
+        if let ChangeOutcome::SetMismatch(set) = &outcome {
+            if set.version() > self.set.version() {
                 self.set = set.clone();
             }
         }
@@ -105,14 +107,14 @@
             return;
         };
         match outcome {
-            Outcome::Settled(stored) => {
+            ChangeOutcome::Committed(stored) => {
                 if let Some(open) = self.open.get_mut(&slot) {
                     open.claimed = Some(stored.version);
                 }
                 self.arrive(net, slot);
             }
-            Outcome::Stale(_) => self.tell(oracle, slot, "theirs"),
-            Outcome::AgedOut => {
+            ChangeOutcome::Conflict(_) => self.tell(oracle, slot, "theirs"),
+            ChangeOutcome::Expired => {
                 oracle.look("claims aged out");
                 self.tell(oracle, slot, "aged-out");
             }
--- a/crates/simulator/src/front_node.rs
+++ b/crates/simulator/src/front_node.rs
@@ -112,7 +112,7 @@
             .collect();
         for id in over {
             if let Some(claiming) = self.claiming.remove(&id) {
-                let outcome = claiming.proposal.give_up();
+                let outcome = claiming.proposal.abandon();
                 self.claim_ended(net, oracle, claiming.purpose, outcome);
             }
         }
@@ -166,7 +166,7 @@
         if let Some(newer) = news.plan {
             self.desk.set_plan(now, Arc::new(newer.plan), newer.version);
         }
-        if news.set.mark() > self.set.mark() {
+        if news.set.version() > self.set.version() {
             self.set = news.set;
         }
         if news.is_certain {
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -1,7 +1,7 @@
 use configuration::PeerRef;
 use rand::rngs::StdRng;
 use rand::Rng;
-use register::{VoterAsk, VoterMessage, VoterSet};
+use register::{VoterOperation, VoterRequest, VoterSet};
 use request_queue::{SeatGrant, Ticket, TryEnd};
 use scaler::{Order, OrderResult};
 use std::cmp::Reverse;
@@ -156,11 +156,17 @@
     }
 
     /// Asks every voter of a set.
-    pub fn ask_voters(&mut self, from: &PeerRef, set: &VoterSet, number: u64, ask: &VoterAsk) {
+    pub fn ask_voters(
+        &mut self,
+        from: &PeerRef,
+        set: &VoterSet,
+        number: u64,
+        ask: &VoterOperation,
+    ) {
         for voter in &set.voters {
-            let message = VoterMessage {
-                mark: set.mark(),
-                ask: ask.clone(),
+            let message = VoterRequest {
+                set_version: set.version(),
+                operation: ask.clone(),
             };
             let parcel = Parcel {
                 from: from.clone(),
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -10,7 +10,7 @@
 use journal::MemoryFolder;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use register::{Ballot, Stored, VoterAsk, VoterMessage, VoterRef, VoterSet};
+use register::{Ballot, VersionedValue, VoterOperation, VoterRef, VoterRequest, VoterSet};
 use scaler::Worker;
 use std::collections::BTreeMap;
 
@@ -86,19 +86,19 @@
             address: name.clone(),
         });
         let set = VoterSet {
-            era: 1,
-            no: 1,
+            epoch: 1,
+            number: 1,
             voters: voters.collect(),
         };
-        let first = VoterMessage {
-            mark: set.mark(),
-            ask: VoterAsk::Accept {
+        let first = VoterRequest {
+            set_version: set.version(),
+            operation: VoterOperation::Accept {
                 key: "blueprint".into(),
                 ballot: Ballot {
                     counter: 1,
                     proposer: 1,
                 },
-                stored: Stored {
+                value: VersionedValue {
                     version: 1,
                     tag: 1,
                     bytes: text.into_bytes(),
@@ -139,8 +139,8 @@
             let folder = MemoryFolder::default();
             let now = world.clocks[name].now(0);
             let mut core = CoreNode::new(peer, folder, place as u64 + 1, core_names.clone(), now);
-            core.voter.form(set.clone(), 0);
-            core.voter.ask(first.clone());
+            core.voter.bootstrap(set.clone(), 0);
+            core.voter.handle(first.clone());
             core.voter.sync();
             core.set = set.clone();
             world.cores.insert(name.clone(), core);
@@ -313,7 +313,8 @@
             }
         }
         for core in self.cores.values() {
-            if core.voter.held().set().mark() != core.set.mark() || !core.voter.is_open() {
+            if core.voter.acceptor().set().version() != core.set.version() || !core.voter.is_open()
+            {
                 let text = format!("{} does not vote at the end", core.peer.name);
                 self.oracle.broken.push(text);
             }
--- a/crates/transport/src/message.rs
+++ b/crates/transport/src/message.rs
@@ -1,6 +1,6 @@
 use configuration::{PeerRef, Plan, Version};
 use peer_sampling::Neighbour;
-use register::{Held, VoterMessage, VoterReply, VoterSet};
+use register::{ClaimFloors, RegisterState, VoterRequest, VoterResponse, VoterSet};
 use request_queue::{DeskMessage, FrontReport};
 use speedy::{Readable, Writable};
 
@@ -71,9 +71,9 @@
     /// Between fronts.
     Desk(DeskMessage),
     /// To a voter.
-    Voter(VoterMessage),
+    Voter(VoterRequest),
     /// From a voter.
-    VoterAnswer(VoterReply),
+    VoterAnswer(VoterResponse),
     /// Question for news; it is answered when there is some, or after a while.
     Ask {
         /// Blueprint version that the asker has.
@@ -113,9 +113,9 @@
     /// What do you hold in this range?
     Range(u16),
     /// Answer: all keys of the range.
-    RangeAnswer(Vec<(String, Held)>),
+    RangeAnswer(Vec<(String, RegisterState)>),
     /// Claims that a front still knows after the ledger was lost.
-    Remembered(Vec<(String, Held)>),
+    Remembered(Vec<(String, RegisterState)>),
 }
 
 /// A voter's copy in short.
@@ -126,7 +126,7 @@
     /// The set that it is in.
     pub set: VoterSet,
     /// Times before which claims are forgotten, and before which unknown ones are refused.
-    pub floors: (u64, u64),
+    pub claim_floors: ClaimFloors,
     /// A digest for each range.
     pub ranges: Vec<u64>,
 }
--- a/crates/transport/src/voters.rs
+++ b/crates/transport/src/voters.rs
@@ -1,7 +1,7 @@
 use crate::links::Links;
 use crate::message::Message;
 use crossbeam::channel::Sender;
-use register::{VoterMessage, VoterPort, VoterRef, VoterReply};
+use register::{VoterPort, VoterRef, VoterRequest, VoterResponse};
 use std::sync::Arc;
 
 /// Reaches voters over the links.
@@ -20,10 +20,10 @@
     fn ask(
         &self,
         voter: &VoterRef,
-        message: VoterMessage,
+        message: VoterRequest,
         number: u64,
         place: usize,
-        replies: Sender<(u64, usize, VoterReply)>,
+        replies: Sender<(u64, usize, VoterResponse)>,
     ) {
         let on_answer = Box::new(move |answer| {
             if let Message::VoterAnswer(reply) = answer {
--- a/crates/transport/tests/frames.rs
+++ b/crates/transport/tests/frames.rs
@@ -2,7 +2,7 @@
 
 use configuration::{PeerRef, Version};
 use fuzzing::{seeded, TestResult};
-use register::{Ballot, Stored, VoterAsk, VoterMessage, VoterReply};
+use register::{Ballot, SetVersion, VersionedValue, VoterOperation, VoterRequest, VoterResponse};
 use request_queue::{DeskMessage, RankCount};
 use transport::{decode, encode, Envelope, FrameError, Message, Role, FRAME_MAX};
 
@@ -26,7 +26,7 @@
         counter: number,
         proposer: 3,
     };
-    let stored = Stored {
+    let stored = VersionedValue {
         version: number,
         tag: 1,
         bytes: bytes.to_vec(),
@@ -38,15 +38,18 @@
             plan: version,
             wants_certain: true,
         },
-        Message::Voter(VoterMessage {
-            mark: (1, number),
-            ask: VoterAsk::Accept {
+        Message::Voter(VoterRequest {
+            set_version: SetVersion::new(1, number),
+            operation: VoterOperation::Accept {
                 key: text.into(),
                 ballot,
-                stored: stored.clone(),
+                value: stored.clone(),
             },
         }),
-        Message::VoterAnswer(VoterReply::Holds { ballot, stored }),
+        Message::VoterAnswer(VoterResponse::LastAccepted {
+            ballot,
+            value: stored,
+        }),
         Message::Desk(DeskMessage::Bid {
             life: 3,
             stamp: number,
--- a/crates/voter/src/founding.rs
+++ b/crates/voter/src/founding.rs
@@ -3,63 +3,63 @@
 
 /// What a core said of itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HeardCore {
+pub struct PeerStatus {
     /// Address at which it was asked.
     pub address: String,
     /// Id of its disk.
     pub disk: u64,
-    /// Its set; era 0 where it is empty.
+    /// Its set; epoch 0 where it is empty.
     pub set: VoterSet,
-    /// The newest era of which a front told it that it holds a value; 0 where none did.
-    pub fronts_era: u64,
+    /// The newest epoch of which a front told it that it holds a value; 0 where none did.
+    pub gateway_epoch: u64,
 }
 
 /// What the fronts still hold of earlier eras.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct FrontsHold {
-    /// The newest era of which they hold a value; 0 where they hold none.
-    pub era: u64,
+pub struct GatewayEvidence {
+    /// The newest epoch of which they hold a value; 0 where they hold none.
+    pub epoch: u64,
     /// Whether a majority of the roster was heard, or all fronts on it.
     pub is_majority: bool,
 }
 
-impl FrontsHold {
+impl GatewayEvidence {
     /// Whether so many fronts of a roster tell enough. Cores that lost their disks bear no witness, so
     /// all members count for the majority; but there is nobody else to hear where all but as many as
     /// there are cores were heard.
-    pub fn is_enough(fronts: usize, roster: usize, cores: usize) -> bool {
+    pub fn is_sufficient(fronts: usize, roster: usize, cores: usize) -> bool {
         fronts > 0 && (fronts > roster / 2 || fronts + cores >= roster)
     }
 }
 
 /// The wall time that most clocks agree on, from this core's own and how far others are ahead of it.
 /// A floor by one clock alone that was set back would let in keys from before the loss.
-pub fn agreed_wall(own: u64, ahead: impl Iterator<Item = i64>) -> u64 {
+pub fn median_wall_clock(own: u64, ahead: impl Iterator<Item = i64>) -> u64 {
     let mut ahead: Vec<i64> = ahead.chain([0]).collect();
     ahead.sort_unstable();
     own.saturating_add_signed(ahead[ahead.len() / 2])
 }
 
-/// What a core does about the set's first founding in an era.
+/// What a core does about the set's first founding in an epoch.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FoundStep {
+pub enum BootstrapStep {
     /// Nothing, or not yet.
     Wait,
     /// Form this set, refusing keys issued before a time, and tell its members.
     Form(VoterSet, u64),
     /// Tell these members again that the set was formed: they are named in it and are still empty.
-    Tell(VoterSet, Vec<String>),
+    Resend(VoterSet, Vec<String>),
 }
 
-/// How an era begins: where all seeds say that they are empty, the first of them forms a set. A
+/// How an epoch begins: where all seeds say that they are empty, the first of them forms a set. A
 /// pure machine.
 #[derive(Debug, Default)]
-pub struct Founding {
+pub struct Bootstrap {
     empty_since: Option<u64>,
     blank_since: Option<u64>,
 }
 
-impl Founding {
+impl Bootstrap {
     /// Decides the next step. `now` is this core's boot-time clock, `wall` its wall clock, and `own` the
     /// id of its disk.
     #[allow(clippy::too_many_arguments)]
@@ -71,28 +71,28 @@
         own: u64,
         is_first: bool,
         seeds: usize,
-        heard: &[HeardCore],
-        held: Option<FrontsHold>,
-    ) -> FoundStep {
+        heard: &[PeerStatus],
+        held: Option<GatewayEvidence>,
+    ) -> BootstrapStep {
         let sets = heard.iter().map(|one| &one.set);
         let newest = sets
-            .max_by_key(|set| set.mark())
+            .max_by_key(|set| set.version())
             .cloned()
             .unwrap_or_default();
-        if newest.era > 0 {
+        if newest.epoch > 0 {
             self.empty_since = None;
             return tell_again(own, &newest, heard);
         }
-        let told = heard.iter().map(|one| one.fronts_era).max();
-        let held_era = held.map_or(0, |held| held.era);
-        // An era must not begin from nothing where there was one before: whoever has just woken, or
+        let told = heard.iter().map(|one| one.gateway_epoch).max();
+        let held_epoch = held.map_or(0, |held| held.epoch);
+        // An epoch must not begin from nothing where there was one before: whoever has just woken, or
         // is cut off from the fronts, hears none of them for a while.
-        if held_era < told.unwrap_or(0) {
-            return FoundStep::Wait;
+        if held_epoch < told.unwrap_or(0) {
+            return BootstrapStep::Wait;
         }
         if !is_first || heard.len() < seeds {
             self.empty_since = None;
-            return FoundStep::Wait;
+            return BootstrapStep::Wait;
         }
         let waited = now - *self.empty_since.get_or_insert(now);
         let is_complete = held.is_some_and(|held| held.is_majority);
@@ -101,18 +101,18 @@
             Some(_) => bounds.return_ms / 2,
         };
         if waited < bounds.lease_ms() || (!is_complete && waited < patience) {
-            return FoundStep::Wait;
+            return BootstrapStep::Wait;
         }
         // It has waited for fronts now; the values are not waited for a second time.
         self.blank_since = Some(now.saturating_sub(bounds.return_ms / 2));
-        let before = held.map_or(0, |held| held.era);
+        let before = held.map_or(0, |held| held.epoch);
         let voters = heard.iter().map(|one| VoterRef {
             disk: one.disk,
             address: one.address.clone(),
         });
         let set = VoterSet {
-            era: before + 1,
-            no: 1,
+            epoch: before + 1,
+            number: 1,
             voters: voters.collect(),
         };
         // Keys that callers may have issued before the loss are refused: whether their work ran
@@ -121,102 +121,106 @@
             0 => 0,
             _ => wall + bounds.change_ms + bounds.slack_ms(),
         };
-        FoundStep::Form(set, floor)
+        BootstrapStep::Form(set, floor)
     }
 
-    /// Whether an era that has no values yet may start from what the fronts hold: at once where a
+    /// Whether an epoch that has no values yet may start from what the fronts hold: at once where a
     /// majority of the roster was heard, else after half the return bound.
-    pub fn may_start(&mut self, now: u64, bounds: &Bounds, is_majority: bool) -> bool {
+    pub fn may_restore_values(&mut self, now: u64, bounds: &Bounds, is_majority: bool) -> bool {
         let since = *self.blank_since.get_or_insert(now);
         is_majority || since + bounds.return_ms / 2 <= now
     }
 }
 
-/// Members that are named in an era's first set by their disk and are still empty never took part in
-/// the era, so they may be told of it again, by one that has taken it and knows its floor. Otherwise a
+/// Members that are named in an epoch's first set by their disk and are still empty never took part in
+/// the epoch, so they may be told of it again, by one that has taken it and knows its floor. Otherwise a
 /// lost word would leave the set without a majority for ever.
-fn tell_again(own: u64, set: &VoterSet, heard: &[HeardCore]) -> FoundStep {
+fn tell_again(own: u64, set: &VoterSet, heard: &[PeerStatus]) -> BootstrapStep {
     let mut mine = heard.iter().filter(|one| one.disk == own);
-    if !mine.any(|one| one.set.mark() == set.mark()) {
-        return FoundStep::Wait;
+    if !mine.any(|one| one.set.version() == set.version()) {
+        return BootstrapStep::Wait;
     }
-    let is_named = |one: &&HeardCore| {
+    let is_named = |one: &&PeerStatus| {
         let mut voters = set.voters.iter();
-        one.set.era == 0 && voters.any(|voter| voter.disk == one.disk)
+        one.set.epoch == 0 && voters.any(|voter| voter.disk == one.disk)
     };
     let empty = heard.iter().filter(is_named);
     let empty: Vec<String> = empty.map(|one| one.address.clone()).collect();
-    if set.no != 1 || empty.is_empty() {
-        return FoundStep::Wait;
+    if set.number != 1 || empty.is_empty() {
+        return BootstrapStep::Wait;
     }
-    FoundStep::Tell(set.clone(), empty)
+    BootstrapStep::Resend(set.clone(), empty)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn empty(disk: u64) -> HeardCore {
-        HeardCore {
+    fn empty(disk: u64) -> PeerStatus {
+        PeerStatus {
             address: format!("at-{disk}"),
             disk,
             set: VoterSet::default(),
-            fronts_era: 0,
+            gateway_epoch: 0,
         }
     }
 
     fn decide(
-        founding: &mut Founding,
+        founding: &mut Bootstrap,
         now: u64,
-        heard: &[HeardCore],
-        held: Option<FrontsHold>,
-    ) -> FoundStep {
+        heard: &[PeerStatus],
+        held: Option<GatewayEvidence>,
+    ) -> BootstrapStep {
         founding.decide(now, 1_000_000, &Bounds::default(), 1, true, 3, heard, held)
     }
 
     #[test]
-    fn an_era_begins_above_what_fronts_hold_once_a_majority_of_them_was_heard() {
+    fn an_epoch_begins_above_what_fronts_hold_once_a_majority_of_them_was_heard() {
         let heard = [empty(1), empty(2), empty(3)];
-        let mut founding = Founding::default();
+        let mut founding = Bootstrap::default();
         let some = |is_majority| {
-            Some(FrontsHold {
-                era: 4,
+            Some(GatewayEvidence {
+                epoch: 4,
                 is_majority,
             })
         };
         assert_eq!(
             decide(&mut founding, 0, &heard, some(true)),
-            FoundStep::Wait
+            BootstrapStep::Wait
         );
         assert_eq!(
             decide(&mut founding, 1_500, &heard, some(false)),
-            FoundStep::Wait
+            BootstrapStep::Wait
         );
-        let FoundStep::Form(set, floor) = decide(&mut founding, 1_600, &heard, some(true)) else {
-            panic!("no era");
+        let BootstrapStep::Form(set, floor) = decide(&mut founding, 1_600, &heard, some(true))
+        else {
+            panic!("no epoch");
         };
-        assert_eq!((set.era, set.no, set.voters.len()), (5, 1, 3));
+        assert_eq!((set.epoch, set.number, set.voters.len()), (5, 1, 3));
         assert!(floor > 1_003_000, "keys from before the loss are refused");
         assert_eq!(
             decide(&mut founding, 1_700, &heard[..2], some(true)),
-            FoundStep::Wait
+            BootstrapStep::Wait
         );
         assert_eq!(
             decide(&mut founding, 1_800, &heard, some(true)),
-            FoundStep::Wait
+            BootstrapStep::Wait
         );
     }
 
     #[test]
-    fn no_era_begins_from_nothing_where_any_core_heard_of_one_before() {
-        let mut founding = Founding::default();
-        let told = HeardCore {
-            fronts_era: 4,
+    fn no_epoch_begins_from_nothing_where_any_core_heard_of_one_before() {
+        let mut founding = Bootstrap::default();
+        let told = PeerStatus {
+            gateway_epoch: 4,
             ..empty(3)
         };
         let heard = [empty(1), empty(2), told];
-        assert_eq!(decide(&mut founding, 0, &heard, None), FoundStep::Wait);
-        assert_eq!(decide(&mut founding, 60_000, &heard, None), FoundStep::Wait);
+        assert_eq!(decide(&mut founding, 0, &heard, None), BootstrapStep::Wait);
+        assert_eq!(
+            decide(&mut founding, 60_000, &heard, None),
+            BootstrapStep::Wait
+        );
     }
 
     #[test]
@@ -224,53 +228,57 @@
         let hour = 3_600_000;
         let others = [hour, hour + 20, hour - 30];
         assert_eq!(
-            agreed_wall(10 * 3_600_000, others.into_iter()),
+            median_wall_clock(10 * 3_600_000, others.into_iter()),
             11 * 3_600_000
         );
-        assert_eq!(agreed_wall(5_000, [-10, hour, 10].into_iter()), 5_010);
-        assert_eq!(agreed_wall(5_000, std::iter::empty()), 5_000);
+        assert_eq!(median_wall_clock(5_000, [-10, hour, 10].into_iter()), 5_010);
+        assert_eq!(median_wall_clock(5_000, std::iter::empty()), 5_000);
     }
 
     #[test]
     fn a_majority_or_all_fronts_of_the_roster_tell_enough() {
-        assert!(FrontsHold::is_enough(6, 10, 3) && !FrontsHold::is_enough(5, 10, 3));
-        assert!(FrontsHold::is_enough(3, 6, 3) && !FrontsHold::is_enough(2, 6, 3));
-        assert!(!FrontsHold::is_enough(0, 3, 3));
+        assert!(
+            GatewayEvidence::is_sufficient(6, 10, 3) && !GatewayEvidence::is_sufficient(5, 10, 3)
+        );
+        assert!(
+            GatewayEvidence::is_sufficient(3, 6, 3) && !GatewayEvidence::is_sufficient(2, 6, 3)
+        );
+        assert!(!GatewayEvidence::is_sufficient(0, 3, 3));
     }
 
     #[test]
-    fn an_era_without_values_starts_from_what_was_heard_after_a_while() {
-        let (mut founding, bounds) = (Founding::default(), Bounds::default());
-        assert!(!founding.may_start(0, &bounds, false));
-        assert!(!founding.may_start(5_999, &bounds, false));
-        assert!(founding.may_start(6_000, &bounds, false));
-        assert!(Founding::default().may_start(0, &bounds, true));
+    fn an_epoch_without_values_starts_from_what_was_heard_after_a_while() {
+        let (mut founding, bounds) = (Bootstrap::default(), Bounds::default());
+        assert!(!founding.may_restore_values(0, &bounds, false));
+        assert!(!founding.may_restore_values(5_999, &bounds, false));
+        assert!(founding.may_restore_values(6_000, &bounds, false));
+        assert!(Bootstrap::default().may_restore_values(0, &bounds, true));
     }
 
     #[test]
     fn a_member_that_missed_the_founding_is_told_again() {
-        let mut founding = Founding::default();
+        let mut founding = Bootstrap::default();
         let heard = [empty(1), empty(2), empty(3)];
-        let FoundStep::Wait = decide(&mut founding, 0, &heard, None) else {
+        let BootstrapStep::Wait = decide(&mut founding, 0, &heard, None) else {
             panic!("too early");
         };
-        let FoundStep::Form(set, _) = decide(&mut founding, 1_500, &heard, None) else {
-            panic!("no era");
+        let BootstrapStep::Form(set, _) = decide(&mut founding, 1_500, &heard, None) else {
+            panic!("no epoch");
         };
-        let formed = HeardCore {
+        let formed = PeerStatus {
             set: set.clone(),
             ..empty(1)
         };
         let stranger = empty(9);
-        let other = HeardCore {
+        let other = PeerStatus {
             disk: 3,
             ..formed.clone()
         };
         let heard = [empty(1), empty(2), other];
         let step = decide(&mut founding, 1_550, &heard, None);
-        assert_eq!(step, FoundStep::Wait, "an empty core knows no floor");
+        assert_eq!(step, BootstrapStep::Wait, "an empty core knows no floor");
         let heard = [formed, empty(2), stranger];
         let step = decide(&mut founding, 1_600, &heard, None);
-        assert_eq!(step, FoundStep::Tell(set, vec!["at-2".into()]));
+        assert_eq!(step, BootstrapStep::Resend(set, vec!["at-2".into()]));
     }
 }
--- a/crates/voter/src/joining.rs
+++ b/crates/voter/src/joining.rs
@@ -2,7 +2,7 @@
 
 /// What an empty voter does next to become a member.
 #[derive(Clone, Debug, PartialEq)]
-pub enum JoinStep {
+pub enum MembershipStep {
     /// Nothing can be done yet.
     Wait,
     /// Tell the members of the set to take the next one, which is settled.
@@ -10,17 +10,17 @@
     /// Take over what the other members hold.
     Install,
     /// Write this next set with this expected version.
-    Claim(u64, VoterSet),
+    Propose(u64, VoterSet),
 }
 
 /// An empty voter's way into the set. A pure machine.
 #[derive(Clone, Debug, Default)]
-pub struct Joining {
+pub struct MembershipChange {
     /// Members that did not answer, and since when.
     silent: Vec<(u64, u64)>,
 }
 
-impl Joining {
+impl MembershipChange {
     /// Decides the next step, from the set that the others are in, the disks that answer now, and
     /// the version and value of the register that settles sets.
     pub fn decide(
@@ -31,17 +31,19 @@
         set: &VoterSet,
         answering: &[u64],
         settled: (u64, &VoterSet),
-    ) -> JoinStep {
+    ) -> MembershipStep {
         let (version, newest) = settled;
-        if newest.mark() > set.mark() {
-            return JoinStep::Adopt(newest.clone());
+        if newest.version() > set.version() {
+            return MembershipStep::Adopt(newest.clone());
         }
         if set.voters.iter().any(|voter| voter.disk == me.disk) {
-            return JoinStep::Install;
+            return MembershipStep::Install;
         }
         let gone = self.gone(now, patience, me, set, answering);
         let next = gone.and_then(|gone| replaced(set, gone, me.clone()));
-        next.map_or(JoinStep::Wait, |next| JoinStep::Claim(version, next))
+        next.map_or(MembershipStep::Wait, |next| {
+            MembershipStep::Propose(version, next)
+        })
     }
 
     /// A member whose place is free: its disk was emptied, or it has been silent for long.
@@ -89,39 +91,43 @@
 
     fn set() -> VoterSet {
         VoterSet {
-            era: 1,
-            no: 1,
+            epoch: 1,
+            number: 1,
             voters: (1..=3).map(voter).collect(),
         }
     }
 
     #[test]
     fn a_silent_member_is_replaced_only_after_the_patience() {
-        let mut joining = Joining::default();
+        let mut joining = MembershipChange::default();
         let set = set();
         let mut decide = |now, answering: &[u64]| {
             joining.decide(now, 100, &voter(9), &set, answering, (0, &set))
         };
-        assert_eq!(decide(0, &[1, 2, 3]), JoinStep::Wait);
-        assert_eq!(decide(10, &[1, 2]), JoinStep::Wait);
-        assert_eq!(decide(60, &[1, 2, 3]), JoinStep::Wait, "it was heard again");
-        assert_eq!(decide(70, &[1, 2]), JoinStep::Wait);
-        assert_eq!(decide(169, &[1, 2]), JoinStep::Wait);
-        let JoinStep::Claim(0, next) = decide(170, &[1, 2]) else {
+        assert_eq!(decide(0, &[1, 2, 3]), MembershipStep::Wait);
+        assert_eq!(decide(10, &[1, 2]), MembershipStep::Wait);
+        assert_eq!(
+            decide(60, &[1, 2, 3]),
+            MembershipStep::Wait,
+            "it was heard again"
+        );
+        assert_eq!(decide(70, &[1, 2]), MembershipStep::Wait);
+        assert_eq!(decide(169, &[1, 2]), MembershipStep::Wait);
+        let MembershipStep::Propose(0, next) = decide(170, &[1, 2]) else {
             panic!("no claim after the patience");
         };
-        assert_eq!((next.no, next.voters[2].disk), (2, 9));
+        assert_eq!((next.number, next.voters[2].disk), (2, 9));
     }
 
     #[test]
     fn an_emptied_disk_takes_its_own_place_at_once() {
-        let mut joining = Joining::default();
+        let mut joining = MembershipChange::default();
         let me = VoterRef {
             disk: 9,
             address: "at-3".into(),
         };
         let step = joining.decide(0, 100, &me, &set(), &[1, 2, 9], (4, &set()));
-        let JoinStep::Claim(4, next) = step else {
+        let MembershipStep::Propose(4, next) = step else {
             panic!("no claim");
         };
         assert_eq!(next.voters[2], me);
@@ -129,11 +135,11 @@
 
     #[test]
     fn a_settled_set_is_finished_before_anything_else() {
-        let mut joining = Joining::default();
+        let mut joining = MembershipChange::default();
         let next = replaced(&set(), 3, voter(7)).unwrap();
         let step = joining.decide(0, 0, &voter(9), &set(), &[1, 2], (1, &next));
-        assert_eq!(step, JoinStep::Adopt(next.clone()));
+        assert_eq!(step, MembershipStep::Adopt(next.clone()));
         let step = joining.decide(0, 0, &voter(7), &next, &[1, 2], (1, &next));
-        assert_eq!(step, JoinStep::Install);
+        assert_eq!(step, MembershipStep::Install);
     }
 }
--- a/crates/voter/src/keeper.rs
+++ b/crates/voter/src/keeper.rs
@@ -2,7 +2,9 @@
 
 use error_stack::{Report, ResultExt};
 use journal::{Folder, Journal, JournalError, Recovered};
-use register::{Acceptor, Held, Record, VoterMessage, VoterReply, VoterSet};
+use register::{
+    Acceptor, ClaimFloors, Record, RegisterState, VoterRequest, VoterResponse, VoterSet,
+};
 use speedy::{Readable, Writable};
 use std::fmt;
 
@@ -38,14 +40,14 @@
 impl std::error::Error for VoterError {}
 
 /// What an empty voter is given.
-#[derive(Clone, Debug)]
-pub struct Installing {
+#[derive(Clone, Debug, PartialEq)]
+pub struct Installation {
     /// The set that it is a member of.
     pub set: VoterSet,
     /// Times before which claims are forgotten, and before which unknown ones are refused.
-    pub floors: (u64, u64),
+    pub claim_floors: ClaimFloors,
     /// All that a majority of the other members holds.
-    pub keys: Vec<(String, Held)>,
+    pub registers: Vec<(String, RegisterState)>,
 }
 
 /// A voter with its journal. What it is asked may be answered only after [`Voter::sync`] said so.
@@ -56,8 +58,8 @@
     is_damaged: bool,
 }
 
-fn closed(reason: &str) -> VoterReply {
-    VoterReply::Closed {
+fn closed(reason: &str) -> VoterResponse {
+    VoterResponse::Unavailable {
         reason: reason.into(),
     }
 }
@@ -107,7 +109,7 @@
     }
 
     /// What the voter holds, also what is not synced yet.
-    pub fn held(&self) -> &Acceptor {
+    pub fn acceptor(&self) -> &Acceptor {
         &self.acceptor
     }
 
@@ -117,7 +119,7 @@
     }
 
     /// Whether the disk failed, and may be tried again since what it holds is not damaged.
-    pub fn may_reopen(&self) -> bool {
+    pub fn can_reopen(&self) -> bool {
         self.journal.is_none() && !self.is_damaged
     }
 
@@ -135,66 +137,69 @@
     }
 
     /// Works a reply out.
-    pub fn ask(&mut self, message: VoterMessage) -> VoterReply {
+    pub fn handle(&mut self, request: VoterRequest) -> VoterResponse {
         if !self.is_open() {
             return closed("the disk is not to be trusted");
         }
-        let (record, reply) = self.acceptor.handle(message);
+        let (record, reply) = self.acceptor.handle(request);
         self.unsynced.extend(record);
         reply
     }
 
     /// What is said in place of a reply whose records could not be synced.
-    pub fn unsynced_reply() -> VoterReply {
+    pub fn disk_failed_response() -> VoterResponse {
         closed("the disk failed")
     }
 
     /// Takes the first set of an era, with its floor.
-    pub fn form(&mut self, set: VoterSet, floor: u64) {
+    pub fn bootstrap(&mut self, set: VoterSet, floor: u64) {
         if !self.is_open() {
             return;
         }
-        let formed = self.acceptor.form(set);
+        let formed = self.acceptor.bootstrap(set);
         if formed.is_some() {
-            self.unsynced.extend(self.acceptor.shut_before(floor));
+            self.unsynced
+                .extend(self.acceptor.refuse_claims_before(floor));
         }
         self.unsynced.extend(formed);
     }
 
     /// Takes the set that follows.
-    pub fn adopt(&mut self, set: VoterSet) {
+    pub fn adopt_set(&mut self, set: VoterSet) {
         if self.is_open() {
-            self.unsynced.extend(self.acceptor.adopt(set));
+            self.unsynced.extend(self.acceptor.adopt_set(set));
         }
     }
 
     /// Takes a set with all that its other members hold, where this voter is empty.
-    pub fn install(&mut self, given: Installing) {
+    pub fn install(&mut self, given: Installation) {
         if self.is_open() {
-            let records = self.acceptor.install(given.set, given.floors, given.keys);
+            let records = self
+                .acceptor
+                .install(given.set, given.claim_floors, given.registers);
             self.unsynced.extend(records);
         }
     }
 
     /// Takes newer values from another copy.
-    pub fn mend(&mut self, keys: Vec<(String, Held)>) {
+    pub fn repair(&mut self, keys: Vec<(String, RegisterState)>) {
         if self.is_open() {
-            self.unsynced.extend(self.acceptor.mend(keys));
+            self.unsynced.extend(self.acceptor.repair(keys));
         }
     }
 
     /// Forgets claims issued longer ago than they are remembered.
-    pub fn age_out(&mut self, wall: u64, remembered: u64) {
+    pub fn expire_claims(&mut self, wall: u64, remembered: u64) {
         if self.is_open() {
             self.unsynced
-                .extend(self.acceptor.age_out(wall, remembered));
+                .extend(self.acceptor.expire_claims(wall, remembered));
         }
     }
 
     /// Lets one span pass for which jobs are remembered.
-    pub fn turn_jobs(&mut self) {
+    pub fn advance_job_window(&mut self) {
         if self.is_open() {
-            self.unsynced.extend(self.acceptor.turn_jobs());
+            self.unsynced.extend(self.acceptor.advance_job_window());
         }
     }
 
@@ -254,6 +259,6 @@
             acceptor.replay(record);
         }
     }
-    acceptor.restore_digests();
+    acceptor.rebuild_indexes();
     Ok(acceptor)
 }
--- a/crates/voter/src/lib.rs
+++ b/crates/voter/src/lib.rs
@@ -7,7 +7,7 @@
 mod keeper;
 mod voter_disk;
 
-pub use founding::{agreed_wall, FoundStep, Founding, FrontsHold, HeardCore};
-pub use joining::{JoinStep, Joining};
-pub use keeper::{Installing, Voter, VoterError};
+pub use founding::{median_wall_clock, Bootstrap, BootstrapStep, GatewayEvidence, PeerStatus};
+pub use joining::{MembershipChange, MembershipStep};
+pub use keeper::{Installation, Voter, VoterError};
 pub use voter_disk::{OpenFolder, VoterDisk};
--- a/crates/voter/src/voter_disk.rs
+++ b/crates/voter/src/voter_disk.rs
@@ -73,7 +73,7 @@
 
     /// Gives up all that the voter holds and begins as an empty one under a fresh identity. After a
     /// failure it is the former voter still, as far as can be told; the call may be repeated.
-    pub fn begin_anew(&mut self, fresh: u64) -> Result<(), Report<VoterError>> {
+    pub fn reset(&mut self, fresh: u64) -> Result<(), Report<VoterError>> {
         let mut folder = (self.open_folder)().change_context(VoterError::Folder)?;
         let identity = Identity {
             disk: fresh,
--- a/crates/voter/tests/beginning_anew.rs
+++ b/crates/voter/tests/beginning_anew.rs
@@ -1,8 +1,11 @@
 //! A voter that begins anew while power is lost: it is the whole former voter or an empty new one.
 
-use journal::{Folder, MemoryFolder, Mishap};
+use journal::{FaultKind, Folder, MemoryFolder};
 use parking_lot::Mutex;
-use register::{Ballot, Stored, VoterAsk, VoterMessage, VoterRef, VoterReply, VoterSet};
+use register::{
+    Ballot, SetVersion, VersionedValue, VoterOperation, VoterRef, VoterRequest, VoterResponse,
+    VoterSet,
+};
 use std::io;
 use std::sync::Arc;
 use voter::VoterDisk;
@@ -74,8 +77,8 @@
 
 fn set(no: u64) -> VoterSet {
     VoterSet {
-        era: 1,
-        no,
+        epoch: 1,
+        number: no,
         voters: vec![VoterRef {
             disk: OLD,
             address: "one".into(),
@@ -83,16 +86,16 @@
     }
 }
 
-fn accept(key: &str, no: u64) -> VoterMessage {
-    VoterMessage {
-        mark: (1, no),
-        ask: VoterAsk::Accept {
+fn accept(key: &str, no: u64) -> VoterRequest {
+    VoterRequest {
+        set_version: SetVersion::new(1, no),
+        operation: VoterOperation::Accept {
             key: key.into(),
             ballot: Ballot {
                 counter: 4,
                 proposer: 1,
             },
-            stored: Stored {
+            value: VersionedValue {
                 version: 7,
                 tag: 7,
                 bytes: b"kept".to_vec(),
@@ -105,31 +108,34 @@
 fn filled(left: &Arc<Mutex<usize>>) -> (MemoryFolder, VoterDisk) {
     let folder = MemoryFolder::default();
     let mut disk = open(&folder, left, OLD);
-    disk.voter_mut().form(set(1), 0);
+    disk.voter_mut().bootstrap(set(1), 0);
     assert_eq!(
-        disk.voter_mut().ask(accept("first", 1)),
-        VoterReply::Accepted
+        disk.voter_mut().handle(accept("first", 1)),
+        VoterResponse::Accepted
     );
     assert!(disk.voter_mut().sync());
     disk.reopen().unwrap();
-    disk.voter_mut().adopt(set(2));
+    disk.voter_mut().adopt_set(set(2));
     assert_eq!(
-        disk.voter_mut().ask(accept("second", 2)),
-        VoterReply::Accepted
+        disk.voter_mut().handle(accept("second", 2)),
+        VoterResponse::Accepted
     );
     assert!(disk.voter_mut().sync());
     (folder, disk)
 }
 
 fn is_whole(disk: &VoterDisk) -> bool {
-    let held = disk.voter().held();
-    let has = |key: &str| held.held(key).is_some_and(|held| held.stored.version == 7);
-    held.set().mark() == (1, 2) && has("first") && has("second")
+    let held = disk.voter().acceptor();
+    let has = |key: &str| {
+        held.register(key)
+            .is_some_and(|held| held.value.version == 7)
+    };
+    held.set().version() == SetVersion::new(1, 2) && has("first") && has("second")
 }
 
 fn is_blank(disk: &VoterDisk) -> bool {
-    let held = disk.voter().held();
-    held.set().era == 0 && held.is_empty() && disk.voter().is_open()
+    let held = disk.voter().acceptor();
+    held.set().epoch == 0 && held.is_empty() && disk.voter().is_open()
 }
 
 #[test]
@@ -139,9 +145,9 @@
         let left = Arc::new(Mutex::new(usize::MAX));
         let (folder, mut disk) = filled(&left);
         *left.lock() = steps;
-        let begun = disk.begin_anew(NEW);
+        let begun = disk.reset(NEW);
         drop(disk);
-        folder.suffer(Mishap::PowerLoss(0));
+        folder.inject(FaultKind::PowerLoss(0));
         *left.lock() = usize::MAX;
         let again = open(&folder, &left, NEWER);
         match again.identity() {
@@ -163,11 +169,11 @@
 fn a_disk_that_is_full_keeps_the_former_voter_and_may_be_emptied_later() {
     let left = Arc::new(Mutex::new(usize::MAX));
     let (folder, mut disk) = filled(&left);
-    folder.suffer(Mishap::Full);
-    assert!(disk.begin_anew(NEW).is_err());
+    folder.inject(FaultKind::Full);
+    assert!(disk.reset(NEW).is_err());
     assert!(is_whole(&disk) && disk.identity() == OLD);
-    folder.suffer(Mishap::Room);
-    disk.begin_anew(NEW).unwrap();
+    folder.inject(FaultKind::Room);
+    disk.reset(NEW).unwrap();
     assert!(is_blank(&disk) && disk.identity() == NEW);
 }
 
--- a/crates/voter/tests/data_folder.rs
+++ b/crates/voter/tests/data_folder.rs
@@ -3,7 +3,9 @@
 use journal::{DiskFolder, Folder};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use register::{Ballot, VoterAsk, VoterMessage, VoterRef, VoterReply, VoterSet};
+use register::{
+    Ballot, SetVersion, VoterOperation, VoterRef, VoterRequest, VoterResponse, VoterSet,
+};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -57,8 +59,11 @@
         let disk = identity(&data.0).unwrap();
         let mut opened = open_disk(&data.0).unwrap();
         let voter = opened.voter_mut();
-        voter.form(set(disk), 0);
-        assert!(matches!(voter.ask(promise(7)), VoterReply::Holds { .. }));
+        voter.bootstrap(set(disk), 0);
+        assert!(matches!(
+            voter.handle(promise(7)),
+            VoterResponse::LastAccepted { .. }
+        ));
         assert!(voter.sync());
         (data, disk)
     }
@@ -73,24 +78,24 @@
 fn set(disk: u64) -> VoterSet {
     let address = "here".into();
     VoterSet {
-        era: 1,
-        no: 1,
+        epoch: 1,
+        number: 1,
         voters: vec![VoterRef { disk, address }],
     }
 }
 
-fn promise(counter: u64) -> VoterMessage {
+fn promise(counter: u64) -> VoterRequest {
     let proposer = 1;
     let ballot = Ballot { counter, proposer };
     let key = "k".into();
-    VoterMessage {
-        mark: (1, 1),
-        ask: VoterAsk::Promise { key, ballot },
+    VoterRequest {
+        set_version: SetVersion::new(1, 1),
+        operation: VoterOperation::Prepare { key, ballot },
     }
 }
 
 fn promised(voter: &Voter) -> u64 {
-    let held = voter.held().held("k");
+    let held = voter.acceptor().register("k");
     held.map_or(0, |held| held.promised.counter)
 }
 
@@ -163,7 +168,7 @@
     let former = journal_files(&data.0, disk);
     let kept: Vec<Vec<u8>> = former.iter().map(|file| fs::read(file).unwrap()).collect();
     let next = disk ^ 1;
-    open_disk(&data.0).unwrap().begin_anew(next).unwrap();
+    open_disk(&data.0).unwrap().reset(next).unwrap();
     assert_eq!(identity(&data.0), Ok(next));
     assert!(journal_files(&data.0, disk).is_empty());
     // A loss of power brings the removed journal back, whole or in part.
@@ -198,7 +203,7 @@
         let opened = open_disk(&data.0).unwrap();
         let voter = opened.voter();
         assert_eq!(voter.is_open(), is_open, "{name}");
-        assert!(!voter.may_reopen(), "{name}: the disk does not fail");
+        assert!(!voter.can_reopen(), "{name}: the disk does not fail");
         assert_eq!(promised(voter), if is_open { 7 } else { 0 });
         assert_eq!(fs::read(&file).unwrap(), bytes, "{name} was changed");
     }
--- a/crates/voter/tests/growth.rs
+++ b/crates/voter/tests/growth.rs
@@ -4,7 +4,9 @@
 use parking_lot::Mutex;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use register::{Ballot, Stored, VoterAsk, VoterMessage, VoterRef, VoterReply, VoterSet};
+use register::{
+    Ballot, VersionedValue, VoterOperation, VoterRef, VoterRequest, VoterResponse, VoterSet,
+};
 use std::io;
 use std::sync::Arc;
 use voter::Voter;
@@ -71,29 +73,29 @@
 fn set() -> VoterSet {
     let (disk, address) = (1, "one".into());
     VoterSet {
-        era: 1,
-        no: 1,
+        epoch: 1,
+        number: 1,
         voters: vec![VoterRef { disk, address }],
     }
 }
 
-fn accept(key: &str, counter: u64, bytes: Vec<u8>) -> VoterMessage {
+fn accept(key: &str, counter: u64, bytes: Vec<u8>) -> VoterRequest {
     let ballot = Ballot {
         counter,
         proposer: 1,
     };
-    let stored = Stored {
+    let stored = VersionedValue {
         version: counter,
         tag: counter,
         bytes,
     };
     let key = key.to_string();
-    VoterMessage {
-        mark: set().mark(),
-        ask: VoterAsk::Accept {
+    VoterRequest {
+        set_version: set().version(),
+        operation: VoterOperation::Accept {
             key,
             ballot,
-            stored,
+            value: stored,
         },
     }
 }
@@ -106,25 +108,25 @@
 
 fn founded(folder: &WatchedFolder) -> Voter {
     let mut voter = Voter::open(Box::new(folder.clone())).unwrap();
-    voter.form(set(), 0);
+    voter.bootstrap(set(), 0);
     assert!(voter.sync());
     voter
 }
 
 fn version(voter: &Voter) -> u64 {
-    let held = voter.held().held("description");
-    held.map_or(0, |held| held.stored.version)
+    let held = voter.acceptor().register("description");
+    held.map_or(0, |held| held.value.version)
 }
 
 /// Makes a change, as the thread of the disk does; a voter that was closed is opened again first.
 fn change(voter: &mut Voter, folder: &WatchedFolder, counter: u64, bytes: Vec<u8>) -> bool {
-    if voter.may_reopen() {
+    if voter.can_reopen() {
         if let Ok(opened) = Voter::reopen(Box::new(folder.clone())) {
             *voter = opened;
         }
     }
-    let reply = voter.ask(accept("description", counter, bytes));
-    let is_synced = voter.sync() && reply == VoterReply::Accepted;
+    let reply = voter.handle(accept("description", counter, bytes));
+    let is_synced = voter.sync() && reply == VoterResponse::Accepted;
     let before = folder.watch.lock().written;
     voter.compact();
     let compacted = folder.watch.lock().written - before;
@@ -185,7 +187,7 @@
     let mut voter = founded(&folder);
     let mut counter = 0;
     for key in ["description", "closures"] {
-        voter.ask(accept(key, 1, vec![1; 4 << 20]));
+        voter.handle(accept(key, 1, vec![1; 4 << 20]));
         assert!(voter.sync());
         voter.compact();
     }
@@ -194,8 +196,8 @@
             counter += 1;
             let bytes = value(&mut random, size);
             let key = format!("job/{counter:08}/{}", "k".repeat(60));
-            let reply = voter.ask(accept(&key, counter, bytes));
-            if reply != VoterReply::Accepted {
+            let reply = voter.handle(accept(&key, counter, bytes));
+            if reply != VoterResponse::Accepted {
                 break;
             }
             if counter % 64 == 0 {
@@ -207,11 +209,11 @@
     assert!(voter.sync());
     for _ in 0..40 {
         counter += 1;
-        voter.ask(accept("description", counter, vec![2; 4 << 20]));
+        voter.handle(accept("description", counter, vec![2; 4 << 20]));
         assert!(voter.sync());
         voter.compact();
     }
     let peak = folder.watch.lock().peak;
-    println!("peak {peak} bytes with {} keys", voter.held().len());
+    println!("peak {peak} bytes with {} keys", voter.acceptor().len());
     assert!(peak < DISK, "{peak} bytes");
 }
--- a/crates/voter/tests/power_loss.rs
+++ b/crates/voter/tests/power_loss.rs
@@ -1,11 +1,14 @@
 //! A voter whose power goes after every operation of its disk: what it answered holds, and nothing else does.
 
-use journal::{Fate, Fault, MemoryFolder};
+use journal::{CrashOutcome, DiskFault, MemoryFolder};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use register::{Ballot, Held, Stored, VoterAsk, VoterMessage, VoterRef, VoterReply, VoterSet};
+use register::{
+    Ballot, ClaimFloors, RegisterState, SetVersion, VersionedValue, VoterOperation, VoterRef,
+    VoterRequest, VoterResponse, VoterSet,
+};
 use speedy::Writable;
-use voter::{Installing, Voter};
+use voter::{Installation, Voter};
 
 const KEYS: [&str; 3] = ["description", "job/one", "job/two"];
 /// Turns after which a job that nobody touched is forgotten.
@@ -17,21 +20,21 @@
     let disk = 1;
     let address = "one".into();
     VoterSet {
-        era: 1,
-        no,
+        epoch: 1,
+        number: no,
         voters: vec![VoterRef { disk, address }],
     }
 }
 
-fn held(counter: u64) -> Held {
+fn held(counter: u64) -> RegisterState {
     let ballot = Ballot {
         counter,
         proposer: 9,
     };
-    Held {
+    RegisterState {
         promised: ballot,
         accepted: ballot,
-        stored: Stored {
+        value: VersionedValue {
             version: counter,
             tag: counter,
             bytes: vec![counter as u8; 2],
@@ -44,7 +47,7 @@
 struct Answered {
     promised: Ballot,
     accepted: Ballot,
-    mark: (u64, u64),
+    set_version: SetVersion,
 }
 
 #[derive(Clone)]
@@ -55,7 +58,7 @@
 }
 
 fn state(voter: &Voter) -> Vec<u8> {
-    voter.held().write_to_vec().unwrap()
+    voter.acceptor().write_to_vec().unwrap()
 }
 
 impl Oracle {
@@ -74,27 +77,29 @@
             "a state that the voter never had"
         );
         for (key, answered) in KEYS.iter().zip(&self.answered) {
-            let floor = voter.held().held("job").map(|held| held.promised);
-            let floor = floor.filter(|_| register::is_job(key)).unwrap_or_default();
-            let held = voter.held().held(key).cloned().unwrap_or_default();
+            let floor = voter.acceptor().register("job").map(|held| held.promised);
+            let floor = floor
+                .filter(|_| register::is_job_key(key))
+                .unwrap_or_default();
+            let held = voter.acceptor().register(key).cloned().unwrap_or_default();
             let promised = held.promised.max(floor);
             assert!(promised >= answered.promised, "{key}: a weaker promise");
             let accepted = held.accepted.max(floor);
             assert!(accepted >= answered.accepted, "{key}: a value is lost");
-            assert!(voter.held().set().mark() >= answered.mark);
+            assert!(voter.acceptor().set().version() >= answered.set_version);
         }
         self.states = vec![found];
     }
 
-    fn synced(&mut self, voter: &Voter, key: usize, ask: &VoterAsk, reply: &VoterReply) {
+    fn synced(&mut self, voter: &Voter, key: usize, ask: &VoterOperation, reply: &VoterResponse) {
         self.states = vec![state(voter)];
         let answered = &mut self.answered[key];
-        answered.mark = voter.held().set().mark();
+        answered.set_version = voter.acceptor().set().version();
         match (ask, reply) {
-            (VoterAsk::Promise { ballot, .. }, VoterReply::Holds { .. }) => {
+            (VoterOperation::Prepare { ballot, .. }, VoterResponse::LastAccepted { .. }) => {
                 answered.promised = answered.promised.max(*ballot);
             }
-            (VoterAsk::Accept { ballot, .. }, VoterReply::Accepted) => {
+            (VoterOperation::Accept { ballot, .. }, VoterResponse::Accepted) => {
                 answered.promised = answered.promised.max(*ballot);
                 answered.accepted = answered.accepted.max(*ballot);
             }
@@ -152,19 +157,19 @@
             return;
         };
         let message = message(voter, choice, key, counter);
-        let ask = message.ask.clone();
+        let ask = message.operation.clone();
         match choice {
-            2 => voter.mend(vec![(KEYS[key].into(), held(counter))]),
-            3 => (0..FORGET_TURNS).for_each(|_| voter.turn_jobs()),
-            4 => voter.adopt(set(counter)),
-            5 => voter.install(Installing {
+            2 => voter.repair(vec![(KEYS[key].into(), held(counter))]),
+            3 => (0..FORGET_TURNS).for_each(|_| voter.advance_job_window()),
+            4 => voter.adopt_set(set(counter)),
+            5 => voter.install(Installation {
                 set: set(1),
-                floors: (0, 0),
-                keys: vec![(KEYS[key].into(), held(counter))],
+                claim_floors: ClaimFloors::default(),
+                registers: vec![(KEYS[key].into(), held(counter))],
             }),
-            _ => voter.form(set(1), 0),
+            _ => voter.bootstrap(set(1), 0),
         }
-        let reply = voter.ask(message);
+        let reply = voter.handle(message);
         self.oracle.states.push(state(voter));
         if voter.sync() {
             self.oracle.synced(voter, key, &ask, &reply);
@@ -173,7 +178,7 @@
         }
     }
 
-    fn lose_power(&self, fates: &[Fate]) {
+    fn lose_power(&self, fates: &[CrashOutcome]) {
         let disk = self.disk.copy();
         disk.lose_power(fates);
         let mut after = Self {
@@ -194,30 +199,33 @@
     }
 }
 
-fn message(voter: &Voter, choice: usize, key: usize, counter: u64) -> VoterMessage {
+fn message(voter: &Voter, choice: usize, key: usize, counter: u64) -> VoterRequest {
     let key = KEYS[key].to_string();
     let ballot = Ballot {
         counter,
         proposer: 1,
     };
     let ask = match choice {
-        6 | 7 => VoterAsk::Promise { key, ballot },
-        8 => VoterAsk::Peek { key },
-        _ => VoterAsk::Accept {
+        6 | 7 => VoterOperation::Prepare { key, ballot },
+        8 => VoterOperation::Query { key },
+        _ => VoterOperation::Accept {
             key,
             ballot,
-            stored: Stored {
+            value: VersionedValue {
                 version: counter,
                 tag: counter,
                 bytes: vec![counter as u8; 3],
             },
         },
     };
-    let mark = match voter.held().set().mark() {
-        (0, _) => (1, 1),
-        mark => mark,
+    let set_version = match voter.acceptor().set().version() {
+        SetVersion { epoch: 0, .. } => SetVersion::new(1, 1),
+        set_version => set_version,
     };
-    VoterMessage { mark, ask }
+    VoterRequest {
+        set_version,
+        operation: ask,
+    }
 }
 
 #[test]
@@ -226,20 +234,20 @@
     for seed in 0..SEEDS {
         for operations in 0.. {
             let mut run = Run::new(seed);
-            run.disk.fail_after(operations, Fault::Stopped);
+            run.disk.fail_after(operations, DiskFault::Stopped);
             (0..STEPS).for_each(|_| run.step());
             let unsynced = run.disk.unsynced();
             let longest = unsynced.iter().copied().max().unwrap_or(0);
             let same = |fate| vec![fate; unsynced.len()];
-            run.lose_power(&same(Fate::Kept));
-            (0..longest).for_each(|count| run.lose_power(&same(Fate::Torn(count))));
+            run.lose_power(&same(CrashOutcome::Kept));
+            (0..longest).for_each(|count| run.lose_power(&same(CrashOutcome::Torn(count))));
             for _ in 0..12 {
                 let draw = |length: &usize| match run.random.random_range(0..3) {
-                    0 => Fate::Kept,
-                    1 => Fate::Lost,
-                    _ => Fate::Torn(run.random.random_range(0..=*length)),
+                    0 => CrashOutcome::Kept,
+                    1 => CrashOutcome::Lost,
+                    _ => CrashOutcome::Torn(run.random.random_range(0..=*length)),
                 };
-                let fates: Vec<Fate> = unsynced.iter().map(draw).collect();
+                let fates: Vec<CrashOutcome> = unsynced.iter().map(draw).collect();
                 run.lose_power(&fates);
             }
             tried += 13 + longest;
@@ -254,7 +262,7 @@
 
 #[test]
 fn a_disk_that_fails_for_a_while_weakens_no_promise() {
-    for fault in [Fault::Full, Fault::ShortWrite, Fault::SyncFails] {
+    for fault in [DiskFault::Full, DiskFault::ShortWrite, DiskFault::SyncFails] {
         for seed in 0..SEEDS {
             for operations in 0..30 {
                 let mut run = Run::new(seed);
@@ -263,7 +271,7 @@
                 run.disk.fail_after(u64::MAX, fault);
                 (0..STEPS / 2).for_each(|_| run.step());
                 run.lose_power(&[]);
-                run.lose_power(&vec![Fate::Kept; run.disk.unsynced().len()]);
+                run.lose_power(&vec![CrashOutcome::Kept; run.disk.unsynced().len()]);
             }
         }
     }
--- a/crates/voter/tests/reopening.rs
+++ b/crates/voter/tests/reopening.rs
@@ -1,14 +1,16 @@
 //! A voter whose disk fails: nothing that was not synced is answered, and it opens again by itself only
 //! when all that it holds was written anew.
 
-use journal::{MemoryFolder, Mishap};
-use register::{Ballot, Stored, VoterAsk, VoterMessage, VoterRef, VoterReply, VoterSet};
+use journal::{FaultKind, MemoryFolder};
+use register::{
+    Ballot, VersionedValue, VoterOperation, VoterRef, VoterRequest, VoterResponse, VoterSet,
+};
 use voter::Voter;
 
 fn set() -> VoterSet {
     VoterSet {
-        era: 1,
-        no: 1,
+        epoch: 1,
+        number: 1,
         voters: vec![VoterRef {
             disk: 1,
             address: "one".into(),
@@ -16,16 +18,16 @@
     }
 }
 
-fn accept(counter: u64, bytes: &[u8]) -> VoterMessage {
-    VoterMessage {
-        mark: set().mark(),
-        ask: VoterAsk::Accept {
+fn accept(counter: u64, bytes: &[u8]) -> VoterRequest {
+    VoterRequest {
+        set_version: set().version(),
+        operation: VoterOperation::Accept {
             key: "k".into(),
             ballot: Ballot {
                 counter,
                 proposer: 1,
             },
-            stored: Stored {
+            value: VersionedValue {
                 version: counter,
                 tag: counter,
                 bytes: bytes.to_vec(),
@@ -35,34 +37,37 @@
 }
 
 fn held(voter: &Voter) -> u64 {
-    voter.held().held("k").map_or(0, |held| held.stored.version)
+    voter
+        .acceptor()
+        .register("k")
+        .map_or(0, |held| held.value.version)
 }
 
 #[test]
 fn a_sync_that_failed_is_never_taken_for_done_and_the_voter_opens_again() {
     let folder = MemoryFolder::default();
     let mut voter = Voter::open(Box::new(folder.clone())).unwrap();
-    voter.form(set(), 0);
-    voter.ask(accept(1, b"first"));
+    voter.bootstrap(set(), 0);
+    voter.handle(accept(1, b"first"));
     assert!(voter.sync());
-    folder.suffer(Mishap::Full);
-    voter.ask(accept(2, b"second"));
+    folder.inject(FaultKind::Full);
+    voter.handle(accept(2, b"second"));
     assert!(!voter.sync(), "the disk is full");
     assert!(matches!(
-        voter.ask(accept(3, b"third")),
-        VoterReply::Closed { .. }
+        voter.handle(accept(3, b"third")),
+        VoterResponse::Unavailable { .. }
     ));
-    assert!(voter.may_reopen());
+    assert!(voter.can_reopen());
     assert!(
         Voter::reopen(Box::new(folder.clone())).is_err(),
         "nothing can be written anew on a full disk"
     );
-    folder.suffer(Mishap::Room);
+    folder.inject(FaultKind::Room);
     let mut voter = Voter::reopen(Box::new(folder.clone())).unwrap();
     assert!(voter.is_open() && held(&voter) == 1);
-    voter.ask(accept(4, b"fourth"));
+    voter.handle(accept(4, b"fourth"));
     assert!(voter.sync());
-    folder.suffer(Mishap::PowerLoss(0));
+    folder.inject(FaultKind::PowerLoss(0));
     let again = Voter::open(Box::new(folder)).unwrap();
     assert_eq!(held(&again), 4);
 }
--- a/tests/compatibility/src/controller_folder.rs
+++ b/tests/compatibility/src/controller_folder.rs
@@ -3,12 +3,14 @@
 use crate::samples::operator_commands::{replaced_configuration, two_zones, updated_configuration};
 use crate::samples::register::voter;
 use crate::samples::stored::{done_job, role_lease, taken_job};
-use consensus::{execute_batch_on_disk, DiskWork, Installation};
+use consensus::{execute_batch_on_disk, DiskWork};
 use journal::{Folder, MemoryFolder};
-use register::{Ballot, Held, Stored, VoterAsk, VoterMessage, VoterSet};
+use register::{
+    Ballot, ClaimFloors, RegisterState, VersionedValue, VoterOperation, VoterRequest, VoterSet,
+};
 use speedy::Writable;
 use std::io;
-use voter::VoterDisk;
+use voter::{Installation, VoterDisk};
 
 /// Identity of the disk.
 const DISK: u64 = 0x0102_0304_0506_0708;
@@ -69,7 +71,7 @@
 
     /// All that the voter holds, encoded as in a snapshot.
     pub fn state(&self) -> Vec<u8> {
-        let state = self.disk.voter().held().write_to_vec();
+        let state = self.disk.voter().acceptor().write_to_vec();
         state.expect("writing to memory does not fail")
     }
 
@@ -110,8 +112,8 @@
 
 fn first_set() -> VoterSet {
     VoterSet {
-        era: 1,
-        no: 1,
+        epoch: 1,
+        number: 1,
         voters: vec![
             voter(DISK, "10.0.0.1:7000"),
             voter(0x1112_1314_1516_1718, "10.0.0.2:7000"),
@@ -122,7 +124,7 @@
 
 fn second_set() -> VoterSet {
     let mut set = first_set();
-    set.no = 2;
+    set.number = 2;
     set.voters[2] = voter(0x3132_3334_3536_3738, "10.0.0.4:7000");
     set
 }
@@ -134,8 +136,8 @@
     }
 }
 
-fn stored(version: u64, value: &impl Writable<speedy::LittleEndian>) -> Stored {
-    Stored {
+fn stored(version: u64, value: &impl Writable<speedy::LittleEndian>) -> VersionedValue {
+    VersionedValue {
         version,
         tag: 0x7172_7374_0000_0000 + version,
         bytes: value
@@ -144,31 +146,31 @@
     }
 }
 
-fn ask(set: &VoterSet, ask: VoterAsk) -> DiskWork {
+fn ask(set: &VoterSet, ask: VoterOperation) -> DiskWork {
     DiskWork::VoterRequest {
         to: "10.0.0.2:7000".into(),
         number: 1,
         known: (0, 0),
-        message: VoterMessage {
-            mark: set.mark(),
-            ask,
+        message: VoterRequest {
+            set_version: set.version(),
+            operation: ask,
         },
     }
 }
 
 fn promise(set: &VoterSet, key: &str, counter: u64) -> DiskWork {
-    let promise = VoterAsk::Promise {
+    let promise = VoterOperation::Prepare {
         key: key.into(),
         ballot: ballot(counter),
     };
     ask(set, promise)
 }
 
-fn accept(set: &VoterSet, key: &str, counter: u64, stored: Stored) -> DiskWork {
-    let accept = VoterAsk::Accept {
+fn accept(set: &VoterSet, key: &str, counter: u64, stored: VersionedValue) -> DiskWork {
+    let accept = VoterOperation::Accept {
         key: key.into(),
         ballot: ballot(counter),
-        stored,
+        value: stored,
     };
     ask(set, accept)
 }
@@ -210,10 +212,10 @@
 }
 
 fn forgetting() -> Vec<DiskWork> {
-    let newer = Held {
+    let newer = RegisterState {
         promised: ballot(20),
         accepted: ballot(20),
-        stored: stored(2, &role_lease()),
+        value: stored(2, &role_lease()),
     };
     let set = second_set();
     let claim = |request, counter| {
@@ -240,17 +242,17 @@
 
 fn beginning_anew() -> Vec<DiskWork> {
     let mut set = second_set();
-    set.no = 3;
+    set.number = 3;
     set.voters[0] = voter(DISK_ANEW, "10.0.0.1:7000");
-    let held = Held {
+    let held = RegisterState {
         promised: ballot(31),
         accepted: ballot(30),
-        stored: stored(3, &updated_configuration()),
+        value: stored(3, &updated_configuration()),
     };
     let installation = Installation {
         set,
-        floors: (0, 0),
-        keys: vec![("description".into(), held)],
+        claim_floors: ClaimFloors::default(),
+        registers: vec![("description".into(), held)],
     };
     vec![DiskWork::Reset(DISK_ANEW), DiskWork::Install(installation)]
 }
--- a/tests/compatibility/src/core_folder.rs
+++ b/tests/compatibility/src/core_folder.rs
@@ -3,7 +3,7 @@
 use crate::samples::register::{register_state, voter};
 use crate::samples::stored::{once_claims, plan, tenures};
 use journal::{Folder, MemoryFolder};
-use register::{Ballot, Stored, VoterAsk, VoterMessage, VoterSet};
+use register::{Ballot, VersionedValue, VoterOperation, VoterRequest, VoterSet};
 use speedy::{LittleEndian, Writable};
 use voter::Voter;
 
@@ -40,7 +40,7 @@
 
     /// All that the voter holds, encoded as in a snapshot.
     pub fn state(&self) -> Vec<u8> {
-        encoded(self.voter.held())
+        encoded(self.voter.acceptor())
     }
 
     /// Writes a stage on top of the one before.
@@ -49,12 +49,12 @@
     /// Where there is no such stage.
     pub fn write(&mut self, stage: &str) {
         match stage {
-            "founded" => self.voter.form(first_set(), WALL_MS - 1),
+            "founded" => self.voter.bootstrap(first_set(), WALL_MS - 1),
             "planned" => self.plan(),
             "claimed" => self.claim(),
             "aged_out" => self
                 .voter
-                .age_out(WALL_MS + REMEMBERED_MS + 2, REMEMBERED_MS),
+                .expire_claims(WALL_MS + REMEMBERED_MS + 2, REMEMBERED_MS),
             "snapshot" => self.take_snapshot(),
             other => panic!("no stage is named {other}"),
         }
@@ -67,7 +67,7 @@
         self.accept("plan", 2, encoded(&plan()));
         self.accept("blueprint", 3, b"blueprint value".to_vec());
         let repaired = vec![("plan".to_string(), register_state())];
-        self.voter.mend(repaired);
+        self.voter.repair(repaired);
     }
 
     fn claim(&mut self) {
@@ -81,21 +81,21 @@
     }
 
     fn accept(&mut self, key: &str, counter: u64, bytes: Vec<u8>) {
-        let accept = VoterAsk::Accept {
+        let accept = VoterOperation::Accept {
             key: key.into(),
             ballot: Ballot {
                 counter,
                 proposer: 0x5152_5354_5556_5758,
             },
-            stored: Stored {
+            value: VersionedValue {
                 version: 1,
                 tag: 0x7172_7374_7576_7778,
                 bytes,
             },
         };
-        self.voter.ask(VoterMessage {
-            mark: first_set().mark(),
-            ask: accept,
+        self.voter.handle(VoterRequest {
+            set_version: first_set().version(),
+            operation: accept,
         });
     }
 
@@ -115,8 +115,8 @@
 
 fn first_set() -> VoterSet {
     VoterSet {
-        era: 1,
-        no: 1,
+        epoch: 1,
+        number: 1,
         voters: vec![
             voter(0x0102_0304_0506_0708, "10.0.0.1:7200"),
             voter(0x1112_1314_1516_1718, "10.0.0.2:7200"),
--- a/tests/compatibility/src/samples/consensus.rs
+++ b/tests/compatibility/src/samples/consensus.rs
@@ -7,7 +7,7 @@
 use consensus::{
     ConsensusMessage, Heartbeat, HeartbeatAck, ReplicaPage, RoleLeaseAck, VoterSetUpdate,
 };
-use register::{VoterMessage, VoterReply, VoterSet};
+use register::{ClaimFloors, SetVersion, VoterRequest, VoterResponse, VoterSet};
 
 /// Every message between controllers.
 pub fn messages() -> Vec<Sample<ConsensusMessage>> {
@@ -24,7 +24,7 @@
     };
     let ack = ConsensusMessage::RoleLeaseAck(RoleLeaseAck {
         disk: 0x0102_0304_0506_0708,
-        mark: (2, 5),
+        set_version: SetVersion::new(2, 5),
         term: (2 << 40) | 12,
         number: 400,
     });
@@ -42,8 +42,8 @@
         disk: 0x0102_0304_0506_0708,
         incarnation: 0x2122_2324_2526_2728,
         number: 401,
-        own_set: (2, 5),
-        known_set: (2, 6),
+        own_set: SetVersion::new(2, 5),
+        known_set: SetVersion::new(2, 6),
         committed: vec![(9, 0xfeed), (3, 7), (12, 1), (0, 0)],
         role_term: (2 << 40) | 12,
         grants_role: true,
@@ -75,7 +75,7 @@
     ]
 }
 
-fn ask(message: VoterMessage) -> ConsensusMessage {
+fn ask(message: VoterRequest) -> ConsensusMessage {
     ConsensusMessage::VoterRequest {
         number: 77,
         known: (9, 0xfeed_beef_0000_0001),
@@ -83,7 +83,7 @@
     }
 }
 
-fn answer(is_known: bool, reply: VoterReply) -> ConsensusMessage {
+fn answer(is_known: bool, reply: VoterResponse) -> ConsensusMessage {
     ConsensusMessage::VoterResponse {
         disk: 0x1112_1314_1516_1718,
         number: 77,
@@ -94,7 +94,7 @@
 
 fn membership() -> Vec<Sample<ConsensusMessage>> {
     let previous = VoterSet {
-        no: 4,
+        number: 4,
         ..voter_set()
     };
     let after_change = VoterSetUpdate {
@@ -107,9 +107,11 @@
     };
     let installed = ConsensusMessage::Installed {
         disk: u64::MAX,
-        mark: (2, 5),
+        set_version: SetVersion::new(2, 5),
+    };
+    let confirm = ConsensusMessage::ConfirmInstalled {
+        set_version: SetVersion::new(2, 5),
     };
-    let confirm = ConsensusMessage::ConfirmInstalled { mark: (2, 5) };
     vec![
         sample("request_voter_set", ConsensusMessage::RequestVoterSet),
         sample("voter_set", ConsensusMessage::VoterSet(after_change)),
@@ -122,7 +124,7 @@
 
 fn catching_up() -> Vec<Sample<ConsensusMessage>> {
     let request_replica = ConsensusMessage::RequestReplica {
-        mark: (2, 5),
+        set_version: SetVersion::new(2, 5),
         after: "closures".into(),
     };
     let request_value = ConsensusMessage::RequestValue {
@@ -132,7 +134,7 @@
     let value = ConsensusMessage::Value {
         key: "description".into(),
         ballot: ballot(),
-        stored: versioned_value(),
+        value: versioned_value(),
     };
     vec![
         sample("request_replica", request_replica),
@@ -145,8 +147,11 @@
 fn replica_page() -> ReplicaPage {
     ReplicaPage {
         disk: 0x1112_1314_1516_1718,
-        mark: (2, 5),
-        floors: (1_700_000_000_000, 1_700_000_000_001),
+        set_version: SetVersion::new(2, 5),
+        claim_floors: ClaimFloors {
+            forgotten_before: 1_700_000_000_000,
+            refused_before: 1_700_000_000_001,
+        },
         after: "closures".into(),
         keys: vec![
             ("description".into(), register_state()),
--- a/tests/compatibility/src/samples/daemons.rs
+++ b/tests/compatibility/src/samples/daemons.rs
@@ -4,6 +4,7 @@
 use crate::samples::register::{answers, questions, register_state, voter_set};
 use crate::samples::stored::{peer, plan, version};
 use peer_sampling::Neighbour;
+use register::ClaimFloors;
 use request_queue::{
     Award, DeskMessage, FrontReport, FunctionReport, RankCount, Return, RunnerReport,
 };
@@ -202,7 +203,10 @@
     let digests = Message::DigestsAnswer(Copy {
         is_open: true,
         set: voter_set(),
-        floors: (1_700_000_000_000, 1_700_000_000_001),
+        claim_floors: ClaimFloors {
+            forgotten_before: 1_700_000_000_000,
+            refused_before: 1_700_000_000_001,
+        },
         ranges: vec![0, 7, u64::MAX],
     });
     let held = vec![("plan".to_string(), register_state())];
--- a/tests/compatibility/src/samples/register.rs
+++ b/tests/compatibility/src/samples/register.rs
@@ -2,14 +2,15 @@
 
 use crate::sample::{sample, Sample};
 use register::{
-    Ballot, Held, Record, Stored, VoterAsk, VoterMessage, VoterRef, VoterReply, VoterSet,
+    Ballot, Record, RegisterState, SetVersion, VersionedValue, VoterOperation, VoterRef,
+    VoterRequest, VoterResponse, VoterSet,
 };
 
 /// A set of three voters.
 pub fn voter_set() -> VoterSet {
     VoterSet {
-        era: 2,
-        no: 5,
+        epoch: 2,
+        number: 5,
         voters: vec![
             voter(0x0102_0304_0506_0708, "10.0.0.1:7000"),
             voter(0x1112_1314_1516_1718, "10.0.0.2:7000"),
@@ -35,8 +36,8 @@
 }
 
 /// A written value.
-pub fn versioned_value() -> Stored {
-    Stored {
+pub fn versioned_value() -> VersionedValue {
+    VersionedValue {
         version: 9,
         tag: 0xfeed_beef_0000_0001,
         bytes: b"the value \x00\xff".to_vec(),
@@ -44,30 +45,33 @@
 }
 
 /// What a voter holds for a key.
-pub fn register_state() -> Held {
-    Held {
+pub fn register_state() -> RegisterState {
+    RegisterState {
         promised: Ballot {
             counter: 0x0000_0021_0000_0009,
             proposer: 4,
         },
         accepted: ballot(),
-        stored: versioned_value(),
+        value: versioned_value(),
     }
 }
 
 /// Each question, under the version of [`voter_set`].
-pub fn questions() -> Vec<Sample<VoterMessage>> {
-    let question = |ask| VoterMessage { mark: (2, 5), ask };
+pub fn questions() -> Vec<Sample<VoterRequest>> {
+    let question = |ask| VoterRequest {
+        set_version: SetVersion::new(2, 5),
+        operation: ask,
+    };
     let key = "description".to_string();
-    let peek = VoterAsk::Peek { key: key.clone() };
-    let promise = VoterAsk::Promise {
+    let peek = VoterOperation::Query { key: key.clone() };
+    let promise = VoterOperation::Prepare {
         key: key.clone(),
         ballot: ballot(),
     };
-    let accept = VoterAsk::Accept {
+    let accept = VoterOperation::Accept {
         key,
         ballot: ballot(),
-        stored: versioned_value(),
+        value: versioned_value(),
     };
     vec![
         sample("peek", question(peek)),
@@ -77,22 +81,22 @@
 }
 
 /// Each answer.
-pub fn answers() -> Vec<Sample<VoterReply>> {
-    let holds = VoterReply::Holds {
+pub fn answers() -> Vec<Sample<VoterResponse>> {
+    let holds = VoterResponse::LastAccepted {
         ballot: ballot(),
-        stored: versioned_value(),
+        value: versioned_value(),
     };
-    let refused = VoterReply::Refused { promised: ballot() };
-    let other_set = VoterReply::OtherSet { set: voter_set() };
-    let closed = VoterReply::Closed {
+    let refused = VoterResponse::Rejected { promised: ballot() };
+    let other_set = VoterResponse::SetMismatch { set: voter_set() };
+    let closed = VoterResponse::Unavailable {
         reason: "the disk failed".into(),
     };
     vec![
         sample("holds", holds),
-        sample("accepted", VoterReply::Accepted),
+        sample("accepted", VoterResponse::Accepted),
         sample("refused", refused),
         sample("other_set", other_set),
-        sample("aged_out", VoterReply::AgedOut),
+        sample("aged_out", VoterResponse::Expired),
         sample("closed", closed),
     ]
 }
@@ -100,9 +104,9 @@
 /// Each record of a voter's journal.
 pub fn records() -> Vec<Sample<Record>> {
     vec![
-        sample("key", Record::Key("duty".into(), register_state())),
-        sample("set", Record::Set(voter_set())),
-        sample("water", Record::Water(1_700_000_000_000)),
-        sample("shut", Record::Shut(1_700_000_000_001)),
+        sample("key", Record::Register("duty".into(), register_state())),
+        sample("set", Record::VoterSet(voter_set())),
+        sample("water", Record::ForgottenBefore(1_700_000_000_000)),
+        sample("shut", Record::RefusedBefore(1_700_000_000_001)),
     ]
 }
--- a/tests/compatibility/src/samples/stored.rs
+++ b/tests/compatibility/src/samples/stored.rs
@@ -5,7 +5,7 @@
 use consensus::RoleHolder;
 use idempotency_keys::Claim as OnceClaim;
 use jobs::{Claim, ClaimState, RunnerId};
-use leader_election::Tenure;
+use leader_election::Leadership;
 
 /// A job's register while a request may be running.
 pub fn taken_job() -> Claim {
@@ -71,9 +71,9 @@
 }
 
 /// Values of the older daemons' election register.
-pub fn tenures() -> Vec<Sample<Tenure>> {
-    let tenure = Tenure {
-        holder: peer(),
+pub fn tenures() -> Vec<Sample<Leadership>> {
+    let tenure = Leadership {
+        leader: peer(),
         term: (1 << 40) | 3,
     };
     vec![sample("tenure", tenure)]
--- a/tests/compatibility/tests/controller_folder.rs
+++ b/tests/compatibility/tests/controller_folder.rs
@@ -68,9 +68,9 @@
     let mut scenario = ControllerScenario::open(torn.to_memory());
     assert!(scenario.disk().voter().is_open());
     // The last record is a promise for the scaler's register; the one before it accepted a value there.
-    let role = scenario.disk().voter().held().held("duty");
+    let role = scenario.disk().voter().acceptor().register("duty");
     let role = role.expect("the value is held");
-    assert_eq!((role.promised.counter, role.stored.version), (3, 1));
+    assert_eq!((role.promised.counter, role.value.version), (3, 1));
     scenario.repeat_last_configuration_round();
     assert_as_captured(&scenario, "configured");
 }
--- a/tests/hollow/src/controllers.rs
+++ b/tests/hollow/src/controllers.rs
@@ -7,7 +7,7 @@
 };
 use journal::MemoryFolder;
 use protocol::frame;
-use register::Outcome;
+use register::ChangeOutcome;
 use std::collections::VecDeque;
 use voter::Voter;
 
@@ -23,7 +23,7 @@
     cpu: u64,
     bytes: u64,
     messages: u64,
-    done: Option<(u64, Outcome)>,
+    done: Option<(u64, ChangeOutcome)>,
 }
 
 struct World {
@@ -164,7 +164,10 @@
             assert!(self.now < began + 20_000, "the write ends");
         }
         let done = self.controllers[place].done.take();
-        assert!(matches!(done, Some((1, Outcome::Settled(_)))), "{done:?}");
+        assert!(
+            matches!(done, Some((1, ChangeOutcome::Committed(_)))),
+            "{done:?}"
+        );
         self.now - began
     }
 }
--- a/tests/model/src/consensus/history.rs
+++ b/tests/model/src/consensus/history.rs
@@ -1,4 +1,4 @@
-use register::{Outcome, Stored};
+use register::{ChangeOutcome, VersionedValue};
 use std::collections::BTreeMap;
 
 /// A read or write under way, by its token.
@@ -60,21 +60,21 @@
     }
 
     /// A request has ended.
-    pub fn end(&mut self, token: u64, outcome: &Outcome) -> Result<(), String> {
+    pub fn end(&mut self, token: u64, outcome: &ChangeOutcome) -> Result<(), String> {
         let Some(request) = self.requests.remove(&token) else {
             return Err(format!("request {token} ended twice"));
         };
-        let (Outcome::Settled(stored) | Outcome::Stale(stored)) = outcome else {
+        let (ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored)) = outcome else {
             return Ok(());
         };
         self.note_settled(&request.key, stored.version, &stored.bytes)?;
         match outcome {
-            Outcome::Settled(_) => self.acknowledge(&request, stored),
+            ChangeOutcome::Committed(_) => self.acknowledge(&request, stored),
             _ => Ok(()),
         }
     }
 
-    fn acknowledge(&mut self, request: &Request, stored: &Stored) -> Result<(), String> {
+    fn acknowledge(&mut self, request: &Request, stored: &VersionedValue) -> Result<(), String> {
         match &request.write {
             Some((expected, bytes)) if stored.version != expected + 1 || stored.bytes != *bytes => {
                 return Err(format!(
--- a/tests/model/src/consensus/invariants.rs
+++ b/tests/model/src/consensus/invariants.rs
@@ -2,7 +2,7 @@
 
 use super::system::System;
 use consensus::CONFIGURATION_KEY;
-use register::VoterSet;
+use register::{SetVersion, VoterSet};
 use std::collections::BTreeMap;
 
 /// Situations that an exploration of sufficient depth brings about.
@@ -15,7 +15,7 @@
 
 /// What a voter's disk holds, as far as invariants look at it.
 struct Copy {
-    mark: (u64, u64),
+    set_version: SetVersion,
     version: u64,
     bytes: Vec<u8>,
 }
@@ -23,10 +23,10 @@
 fn copies(system: &System) -> BTreeMap<u64, Copy> {
     let mut copies = BTreeMap::new();
     for node in &system.nodes {
-        let held = node.held().held(CONFIGURATION_KEY);
-        let stored = held.map(|held| held.stored.clone()).unwrap_or_default();
+        let held = node.held().register(CONFIGURATION_KEY);
+        let stored = held.map(|held| held.value.clone()).unwrap_or_default();
         let copy = Copy {
-            mark: node.held().set().mark(),
+            set_version: node.held().set().version(),
             version: stored.version,
             bytes: stored.bytes,
         };
@@ -39,7 +39,7 @@
 fn newest_set(system: &System) -> VoterSet {
     let sets = system.nodes.iter();
     let sets = sets.map(|node| node.held().set().clone());
-    sets.max_by_key(VoterSet::mark).unwrap_or_default()
+    sets.max_by_key(VoterSet::version).unwrap_or_default()
 }
 
 /// Every majority of the newest set whose members all vote in it holds what was acknowledged.
@@ -52,7 +52,7 @@
     let copies = copies(system);
     let voting = set.voters.iter().filter_map(|voter| {
         let copy = copies.get(&voter.disk)?;
-        (copy.mark == set.mark()).then_some(copy)
+        (copy.set_version == set.version()).then_some(copy)
     });
     let voting: Vec<&Copy> = voting.collect();
     let holding = voting.iter().filter(|copy| copy.version >= version);
@@ -60,7 +60,7 @@
     if lacking >= set.majority() {
         return Err(format!(
             "version {version} was acknowledged, and {lacking} of the set {:?} that vote do not hold it",
-            set.mark()
+            set.version()
         ));
     }
     check_settled_copies(system, &set, &voting)
@@ -83,9 +83,9 @@
 
 /// Which of the milestones a state shows.
 pub fn reached(system: &System) -> Vec<bool> {
-    let replaced = newest_set(system).no.saturating_sub(1);
+    let replaced = newest_set(system).number.saturating_sub(1);
     let newcomer = system.nodes.last();
-    let votes = newcomer.is_some_and(|node| node.held().set().era > 0);
+    let votes = newcomer.is_some_and(|node| node.held().set().epoch > 0);
     vec![
         replaced >= 1,
         replaced >= 2,
--- a/tests/model/src/consensus/node.rs
+++ b/tests/model/src/consensus/node.rs
@@ -3,7 +3,7 @@
 use consensus::{
     execute_batch_on_disk, Consensus, ConsensusAction, ConsensusOptions, DiskWork, VoterSnapshot,
 };
-use journal::{Folder, MemoryFolder, Mishap};
+use journal::{FaultKind, Folder, MemoryFolder};
 use register::Acceptor;
 use speedy::Writable;
 use std::io;
@@ -126,7 +126,7 @@
         self.consensus = None;
         self.voter = OpenVoter::default();
         self.folder = self.folder.copy();
-        self.folder.suffer(Mishap::PowerLoss(0));
+        self.folder.inject(FaultKind::PowerLoss(0));
     }
 
     /// Gives the machine an empty disk with a new id.
@@ -178,7 +178,7 @@
         fingerprinter.debug(&self.consensus);
         let voter = self.voter.slot().take();
         let disk = voter.unwrap_or_else(|| self.open_copy());
-        self.held = Arc::new(disk.voter().held().clone());
+        self.held = Arc::new(disk.voter().acceptor().clone());
         let held = self.held.write_to_vec().expect("a voter can be written");
         fingerprinter.bytes(&held);
         self.digest = fingerprinter.finish();
--- a/tests/model/src/consensus/system.rs
+++ b/tests/model/src/consensus/system.rs
@@ -198,7 +198,7 @@
             let Some(consensus) = self.nodes[place].consensus.as_ref() else {
                 continue;
             };
-            if self.is_frozen(place) || consensus.voter_set().era == 0 {
+            if self.is_frozen(place) || consensus.voter_set().epoch == 0 {
                 continue;
             }
             if place >= 2 {
--- a/tests/model/src/registers/disk.rs
+++ b/tests/model/src/registers/disk.rs
@@ -1,7 +1,7 @@
 use crate::fingerprint::Fingerprinter;
 use consensus::{execute_batch, DiskCompletion, DiskWork, ReplicaPage};
-use journal::{MemoryFolder, Mishap};
-use register::{Acceptor, VoterMessage, VoterReply};
+use journal::{FaultKind, MemoryFolder};
+use register::{Acceptor, SetVersion, VoterRequest, VoterResponse};
 use speedy::Writable;
 use std::sync::Arc;
 use voter::Voter;
@@ -46,7 +46,7 @@
     }
 
     /// The voter's answer to a question.
-    pub fn ask(&mut self, message: VoterMessage) -> Option<VoterReply> {
+    pub fn ask(&mut self, message: VoterRequest) -> Option<VoterResponse> {
         let work = DiskWork::VoterRequest {
             to: String::new(),
             number: 0,
@@ -61,10 +61,10 @@
     }
 
     /// A copy of what is held under a set.
-    pub fn copy(&mut self, mark: (u64, u64)) -> Option<ReplicaPage> {
+    pub fn copy(&mut self, set_version: SetVersion) -> Option<ReplicaPage> {
         let work = DiskWork::ReadReplica {
             to: String::new(),
-            mark,
+            set_version,
             after: String::new(),
         };
         let mut dones = self.work(work).into_iter();
@@ -77,12 +77,12 @@
     /// Loses what was not synced.
     pub fn crash(&mut self) {
         self.folder = self.folder.copy();
-        self.folder.suffer(Mishap::PowerLoss(0));
+        self.folder.inject(FaultKind::PowerLoss(0));
         self.note(&open(&self.folder));
     }
 
     fn note(&mut self, voter: &Voter) {
-        self.held = Arc::new(voter.held().clone());
+        self.held = Arc::new(voter.acceptor().clone());
         let mut fingerprinter = Fingerprinter::default();
         let held = self.held.write_to_vec().expect("a voter can be written");
         fingerprinter.bytes(&held);
--- a/tests/model/src/registers/exploration.rs
+++ b/tests/model/src/registers/exploration.rs
@@ -4,7 +4,7 @@
 use crate::explorer::Model;
 use crate::fingerprint::Fingerprinter;
 use consensus::DiskWork;
-use register::{replaced, Change, Outcome, VOTERS_KEY};
+use register::{replaced, Change, ChangeOutcome, VOTERS_KEY};
 use speedy::Writable;
 use std::collections::BTreeMap;
 
@@ -141,7 +141,7 @@
                 next.disks.get_mut(disk).map(|voter| voter.work(work));
             }
             Step::Copy(disk) => {
-                let mark = next.set.mark();
+                let mark = next.set.version();
                 let page = next.disks.get_mut(disk).and_then(|voter| voter.copy(mark));
                 next.copies.extend(page.map(|page| (*disk, page)));
             }
@@ -156,21 +156,21 @@
     /// Every majority of the newest set whose members all vote in it holds what was acknowledged.
     fn check(&self, state: &System) -> Result<(), String> {
         let newest = state.disks.values().map(|disk| disk.held().set());
-        let Some(set) = newest.max_by_key(|set| set.mark()) else {
+        let Some(set) = newest.max_by_key(|set| set.version()) else {
             return Ok(());
         };
         let members = set.voters.iter();
         let members = members.filter_map(|voter| state.disks.get(&voter.disk));
-        let voting = members.filter(|disk| disk.held().set().mark() == set.mark());
+        let voting = members.filter(|disk| disk.held().set().version() == set.version());
         let lacking = voting.filter(|disk| {
-            let held = disk.held().held(VALUE_KEY);
-            held.map_or(0, |held| held.stored.version) < state.acknowledged
+            let held = disk.held().register(VALUE_KEY);
+            held.map_or(0, |held| held.value.version) < state.acknowledged
         });
         if lacking.count() >= set.majority() {
             return Err(format!(
                 "version {} was acknowledged, and a majority of set {:?} votes without it",
                 state.acknowledged,
-                set.mark()
+                set.version()
             ));
         }
         Ok(())
@@ -203,12 +203,11 @@
 
     fn reached(&self, state: &System) -> Vec<bool> {
         let newcomer = state.disks.get(&NEWCOMER);
-        let votes = newcomer.is_some_and(|disk| disk.held().set().era > 0);
-        let settled = state
-            .proposers
-            .iter()
-            .filter(|one| one.key == VALUE_KEY && matches!(one.outcome, Some(Outcome::Settled(_))));
-        let is_second = settled.clone().any(|one| one.set.no == 2);
+        let votes = newcomer.is_some_and(|disk| disk.held().set().epoch > 0);
+        let settled = state.proposers.iter().filter(|one| {
+            one.key == VALUE_KEY && matches!(one.outcome, Some(ChangeOutcome::Committed(_)))
+        });
+        let is_second = settled.clone().any(|one| one.set.number == 2);
         vec![
             state.acknowledged > 0,
             votes,
--- a/tests/model/src/registers/proposer.rs
+++ b/tests/model/src/registers/proposer.rs
@@ -1,11 +1,13 @@
-use register::{Ballot, Change, Outcome, Proposal, ProposalStep, VoterAsk, VoterReply, VoterSet};
+use register::{
+    Ballot, Change, ChangeOutcome, Proposal, ProposalStep, VoterOperation, VoterResponse, VoterSet,
+};
 
 /// What a proposer sends to the voters next.
 pub struct Question {
     /// Number that the answers bear.
     pub number: u64,
     /// The question.
-    pub ask: VoterAsk,
+    pub ask: VoterOperation,
 }
 
 /// A caller's read or write with the product's proposal, which drives it.
@@ -22,7 +24,7 @@
     /// Number of the question that is out.
     pub number: u64,
     /// How it ended.
-    pub outcome: Option<Outcome>,
+    pub outcome: Option<ChangeOutcome>,
     /// Newest acknowledged version when it began.
     pub floor: u64,
     /// A ballot above which it goes on.
@@ -75,7 +77,7 @@
         }
     }
 
-    fn question(&mut self, ask: VoterAsk) -> Question {
+    fn question(&mut self, ask: VoterOperation) -> Question {
         self.number += 1;
         let number = self.number;
         Question { number, ask }
@@ -84,7 +86,7 @@
     /// Begins, or begins anew under another set as the same write.
     pub fn begin(&mut self, set: VoterSet) -> Question {
         if let Some(proposal) = &self.proposal {
-            self.has_proposed |= proposal.give_up() == Outcome::Undecided;
+            self.has_proposed |= proposal.abandon() == ChangeOutcome::Indeterminate;
         }
         let ballot = self.next_ballot(Ballot::default());
         let (change, voters) = (self.change.clone(), set.voters.len());
@@ -100,16 +102,16 @@
         let above = self.beaten.take()?;
         self.tries_left -= 1;
         let ballot = self.next_ballot(above);
-        let ask = self.proposal.as_mut()?.again(ballot);
+        let ask = self.proposal.as_mut()?.retry(ballot);
         Some(self.question(ask))
     }
 
     /// Takes a voter's answer to the question that is out.
-    pub fn answer(&mut self, place: usize, reply: VoterReply) -> Option<Question> {
-        match self.proposal.as_mut()?.on_reply(place, reply) {
+    pub fn answer(&mut self, place: usize, reply: VoterResponse) -> Option<Question> {
+        match self.proposal.as_mut()?.on_response(place, reply) {
             ProposalStep::Wait => None,
-            ProposalStep::Ask(ask) => Some(self.question(ask)),
-            ProposalStep::Again(above) => {
+            ProposalStep::Send(ask) => Some(self.question(ask)),
+            ProposalStep::Retry(above) => {
                 self.number += 1;
                 self.beaten = Some(above);
                 None
--- a/tests/model/src/registers/state.rs
+++ b/tests/model/src/registers/state.rs
@@ -1,10 +1,14 @@
 use super::disk::VoterDisk;
 use super::exploration::Step;
 use super::proposer::{Proposer, Question};
-use consensus::{DiskWork, Installation, ReplicaPage};
-use register::{merged, Change, Outcome, VoterMessage, VoterRef, VoterReply, VoterSet, VOTERS_KEY};
+use consensus::{DiskWork, ReplicaPage};
+use register::{
+    merge_replicas, Change, ChangeOutcome, ClaimFloors, VoterRef, VoterRequest, VoterResponse,
+    VoterSet, VOTERS_KEY,
+};
 use speedy::Readable;
 use std::collections::{BTreeMap, BTreeSet};
+use voter::Installation;
 
 pub(super) const VALUE_KEY: &str = "value";
 pub(super) const MEMBERS: u64 = 3;
@@ -19,7 +23,7 @@
 pub(super) struct Sent {
     pub(super) proposer: usize,
     pub(super) number: u64,
-    pub(super) message: VoterMessage,
+    pub(super) message: VoterRequest,
 }
 
 /// The whole system.
@@ -29,7 +33,7 @@
     pub(super) proposers: Vec<Proposer>,
     pub(super) sent: Vec<Sent>,
     /// Answers to questions that are out, by proposer and voter.
-    pub(super) answers: Vec<(usize, u64, VoterReply)>,
+    pub(super) answers: Vec<(usize, u64, VoterResponse)>,
     /// The newest set that is settled.
     pub(super) set: VoterSet,
     pub(super) copies: BTreeMap<u64, ReplicaPage>,
@@ -46,8 +50,8 @@
 
 pub(super) fn first_set() -> VoterSet {
     VoterSet {
-        era: 1,
-        no: 1,
+        epoch: 1,
+        number: 1,
         voters: (1..=MEMBERS).map(voter).collect(),
     }
 }
@@ -57,8 +61,11 @@
         let Some(Question { number, ask }) = question else {
             return;
         };
-        let mark = self.proposers[proposer].set.mark();
-        let message = VoterMessage { mark, ask };
+        let mark = self.proposers[proposer].set.version();
+        let message = VoterRequest {
+            set_version: mark,
+            operation: ask,
+        };
         self.sent.push(Sent {
             proposer,
             number,
@@ -72,10 +79,13 @@
         let mut question = Some(self.proposers[changer].begin(first_set()));
         while let Some(Question { ask, .. }) = question.take() {
             for disk in majority {
-                let mark = first_set().mark();
+                let mark = first_set().version();
                 let ask = ask.clone();
                 let voter = self.disks.get_mut(disk).expect("the member has a disk");
-                let reply = voter.ask(VoterMessage { mark, ask });
+                let reply = voter.ask(VoterRequest {
+                    set_version: mark,
+                    operation: ask,
+                });
                 let reply = reply.expect("the voter answers");
                 let place = *disk as usize - 1;
                 question = question.or(self.proposers[changer].answer(place, reply));
@@ -116,9 +126,9 @@
 
     pub(super) fn answer(&mut self, place: usize) -> Result<(), String> {
         let (proposer, disk, reply) = self.answers.remove(place);
-        if let VoterReply::OtherSet { set } = reply {
+        if let VoterResponse::SetMismatch { set } = reply {
             // As the product does: the proposer begins anew under a newer set, and asks on under its own else.
-            if set.mark() > self.proposers[proposer].set.mark() {
+            if set.version() > self.proposers[proposer].set.version() {
                 let question = self.proposers[proposer].begin(set);
                 self.drop_answers_of(proposer);
                 self.send(proposer, Some(question));
@@ -140,10 +150,12 @@
 
     fn note_outcome(&mut self, place: usize) -> Result<(), String> {
         let proposer = self.proposers[place].clone();
-        let Some(Outcome::Settled(stored) | Outcome::Stale(stored)) = &proposer.outcome else {
+        let Some(ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored)) =
+            &proposer.outcome
+        else {
             return Ok(());
         };
-        let is_settled = matches!(proposer.outcome, Some(Outcome::Settled(_)));
+        let is_settled = matches!(proposer.outcome, Some(ChangeOutcome::Committed(_)));
         if proposer.key == VOTERS_KEY {
             let set = VoterSet::read_from_buffer(&stored.bytes);
             self.set = set.map_err(|error| error.to_string())?;
@@ -187,13 +199,13 @@
 
     pub(super) fn install(&mut self) {
         let pages = std::mem::take(&mut self.copies);
-        let floors = pages.values().fold((0, 0), |floors: (u64, u64), page| {
-            (floors.0.max(page.floors.0), floors.1.max(page.floors.1))
+        let claim_floors = pages.values().fold(ClaimFloors::default(), |floors, page| {
+            floors.max(page.claim_floors)
         });
         let installation = Installation {
             set: self.set.clone(),
-            floors,
-            keys: merged(pages.into_values().map(|page| page.keys).collect()),
+            claim_floors,
+            registers: merge_replicas(pages.into_values().map(|page| page.keys).collect()),
         };
         if let Some(disk) = self.disks.get_mut(&NEWCOMER) {
             disk.work(DiskWork::Install(installation));
@@ -203,16 +215,16 @@
     /// Steps of the change of sets.
     pub(super) fn membership_steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
-        if self.set.no < 2 {
+        if self.set.number < 2 {
             return steps;
         }
-        let newcomer_votes = self.disks[&NEWCOMER].held().set().era > 0;
+        let newcomer_votes = self.disks[&NEWCOMER].held().set().epoch > 0;
         for (disk, voter) in &self.disks {
             let set = voter.held().set();
-            if set.era > 0 && set.no < self.set.no {
+            if set.epoch > 0 && set.number < self.set.number {
                 steps.push(Step::Adopt(*disk));
             }
-            let is_source = *disk != NEWCOMER && set.mark() == self.set.mark();
+            let is_source = *disk != NEWCOMER && set.version() == self.set.version();
             if is_source && !newcomer_votes && !self.copies.contains_key(disk) {
                 steps.push(Step::Copy(*disk));
             }
@@ -225,8 +237,8 @@
 
     pub(super) fn is_for(&self, sent: &Sent, disk: u64) -> bool {
         // A question is sent to the voters of its set.
-        let voters = match sent.message.mark {
-            mark if mark == self.set.mark() => self.set.voters.clone(),
+        let voters = match sent.message.set_version {
+            mark if mark == self.set.version() => self.set.voters.clone(),
             _ => first_set().voters,
         };
         voters.iter().any(|voter| voter.disk == disk)
