--- /dev/null
+++ b/crates/autoscaler/src/arrivals.rs
@@ -0,0 +1,134 @@
+//! Arrival rate of one function: measured over a sliding window, forecast by the design's Kalman filter, and read off a
+//! short window for bursts that must not wait for the filter.
+
+use scaler::Forecast;
+use std::collections::{BTreeMap, VecDeque};
+
+/// Milliseconds between two samples of the counter; each feeds the forecast once.
+const SAMPLE_INTERVAL_MS: u64 = 250;
+/// Milliseconds over which the rate is measured.
+const RATE_WINDOW_MS: u64 = 1_000;
+/// Milliseconds over which a burst is measured.
+const BURST_WINDOW_MS: u64 = 250;
+/// Standard deviations of a Poisson count that a burst must exceed to count as one.
+const BURST_DEVIATIONS: f64 = 3.0;
+/// Share of the counts by zone that is kept from one sample to the next.
+const ZONE_COUNT_DECAY: f64 = 0.8;
+/// Below this a zone's decayed count is dropped.
+const ZONE_COUNT_MIN: f64 = 0.01;
+
+/// The counter of arrivals at one moment.
+#[derive(Clone, Copy, Debug)]
+struct Sample {
+    at: u64,
+    total: u64,
+}
+
+/// Arrivals of one function. Rates are in requests a second, times in milliseconds of the autoscaler's clock.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Arrivals {
+    total: u64,
+    samples: VecDeque<Sample>,
+    sampled_at: u64,
+    forecast: Forecast,
+    by_zone: BTreeMap<String, f64>,
+}
+
+impl Arrivals {
+    /// Counts requests that came in by a gateway of a zone since the last report.
+    pub fn record(&mut self, now: u64, zone: &str, count: u64) {
+        if self.samples.is_empty() {
+            self.samples.push_back(Sample {
+                at: now,
+                total: self.total,
+            });
+            self.sampled_at = now;
+        }
+        self.total += count;
+        self.record_zone(zone, count);
+    }
+
+    /// Counts where requests came from, of which it is not known when they came; they do not count for the rate.
+    pub fn record_zone(&mut self, zone: &str, count: u64) {
+        *self.by_zone.entry(zone.to_owned()).or_default() += count as f64;
+    }
+
+    /// Takes a sample when one is due.
+    pub fn sample(&mut self, now: u64) {
+        if self.samples.is_empty() || now < self.sampled_at + SAMPLE_INTERVAL_MS {
+            return;
+        }
+        // After a pause the filter takes the samples that it missed, up to four windows of them.
+        let most = 4 * RATE_WINDOW_MS / SAMPLE_INTERVAL_MS;
+        let missed = ((now - self.sampled_at) / SAMPLE_INTERVAL_MS).min(most);
+        let measured = self.measured(now);
+        for _ in 0..missed {
+            self.forecast.observe(measured);
+            self.by_zone
+                .values_mut()
+                .for_each(|count| *count *= ZONE_COUNT_DECAY);
+        }
+        self.by_zone.retain(|_, count| *count > ZONE_COUNT_MIN);
+        self.sampled_at = now;
+        self.samples.push_back(Sample {
+            at: now,
+            total: self.total,
+        });
+        while self.samples.len() > 1 && self.samples[1].at + RATE_WINDOW_MS <= now {
+            self.samples.pop_front();
+        }
+    }
+
+    /// Arrivals within about the last window.
+    pub fn recent(&self, now: u64) -> u64 {
+        let base = self.window_start(now).or(self.samples.front());
+        base.map_or(0, |sample| self.total - sample.total)
+    }
+
+    /// Rate over about the last window.
+    pub fn measured(&self, now: u64) -> f64 {
+        let since = self
+            .window_start(now)
+            .map_or(now.saturating_sub(RATE_WINDOW_MS), |sample| sample.at);
+        let passed = now.saturating_sub(since).max(RATE_WINDOW_MS);
+        self.recent(now) as f64 * 1_000.0 / passed as f64
+    }
+
+    /// Rate in the last moments, less what chance alone may bring.
+    pub fn burst(&self, now: u64) -> f64 {
+        let Some(newest) = self.samples.back().copied() else {
+            return 0.0;
+        };
+        // The newest sample may be only just taken; the one before it then tells more.
+        let base = match self.samples.iter().rev().nth(1).copied() {
+            Some(former) if now < newest.at + BURST_WINDOW_MS / 2 => former,
+            _ => newest,
+        };
+        let count = (self.total - base.total) as f64;
+        let passed = now.saturating_sub(base.at).max(BURST_WINDOW_MS) as f64;
+        (count - BURST_DEVIATIONS * count.sqrt()).max(0.0) * 1_000.0 / passed
+    }
+
+    /// Rate that the filter forecasts.
+    pub fn forecast(&self) -> f64 {
+        self.forecast.rate()
+    }
+
+    /// Decayed counts of arrivals by zone.
+    pub fn by_zone(&self) -> &BTreeMap<String, f64> {
+        &self.by_zone
+    }
+
+    /// Forgets what led to the present rate, as the function goes to sleep. The total stays.
+    pub fn reset(&mut self) {
+        self.samples.clear();
+        self.forecast = Forecast::default();
+        self.by_zone.clear();
+    }
+
+    /// The newest sample that is at least a window old.
+    fn window_start(&self, now: u64) -> Option<&Sample> {
+        let mut newest_first = self.samples.iter().rev();
+        newest_first.find(|sample| sample.at + RATE_WINDOW_MS <= now)
+    }
+}
--- /dev/null
+++ b/crates/autoscaler/src/draining.rs
@@ -0,0 +1,120 @@
+//! Taking runners out of service without losing a request.
+//!
+//! A runner that is to end drains first: its owner is told to send it nothing more. It is stopped only once its owner,
+//! knowing that, reports none in flight (docs/source.md, gap 3).
+
+use crate::owner_reports::OwnerReport;
+use crate::runner::{DrainReason, Runner, RunnerState};
+use crate::state::ClusterState;
+
+/// Milliseconds beyond the longest request timeout after which a runner surely holds none.
+const TIMEOUT_SLACK_MS: u64 = 1_000;
+
+/// Gives a runner no new requests; it is stopped once it holds none.
+pub(crate) fn drain(state: &mut ClusterState, serial: u64, reason: DrainReason) {
+    let since = state.now;
+    let Some(runner) = state.runners.get(serial) else {
+        return;
+    };
+    match runner.state {
+        RunnerState::StartPending { .. } => withdraw_start(state, serial),
+        RunnerState::Draining { .. } => state.runners.set_drain_reason(serial, reason),
+        RunnerState::Starting | RunnerState::Serving => {
+            log::info!("scaler: {} drains {:?}", runner.function, runner.id);
+            state.set_runner_state(serial, RunnerState::Draining { reason, since });
+        }
+        // A start that is not answered yet is decided about once it is.
+        _ => {}
+    }
+}
+
+/// Takes the wish for a start back. A start that was commanded may have been carried out.
+pub(crate) fn withdraw_start(state: &mut ClusterState, serial: u64) {
+    let Some(runner) = state.runners.get(serial) else {
+        return;
+    };
+    if runner.start_requested_at.is_none() {
+        state.forget_runner(serial);
+        return;
+    }
+    state.start_queue.remove_runner(serial);
+    let since = state.now;
+    state.set_runner_state(serial, RunnerState::StartUnconfirmed { since });
+}
+
+/// Drains a runner whose zone is evacuated, and lets it be taken back once the zone is not any more.
+pub(crate) fn apply_evacuation(state: &mut ClusterState, serial: u64) {
+    let Some(runner) = state.runners.get(serial) else {
+        return;
+    };
+    let is_evacuated = state.workers.is_evacuated(&runner.zone);
+    match runner.state {
+        RunnerState::StartPending { .. } if is_evacuated => withdraw_start(state, serial),
+        RunnerState::Starting | RunnerState::Serving if is_evacuated => {
+            drain(state, serial, DrainReason::ZoneEvacuated);
+        }
+        RunnerState::Draining { reason, .. } if is_evacuated && reason == DrainReason::Surplus => {
+            drain(state, serial, DrainReason::ZoneEvacuated);
+        }
+        RunnerState::Draining {
+            reason: DrainReason::ZoneEvacuated,
+            ..
+        } if !is_evacuated => drain(state, serial, DrainReason::Surplus),
+        _ => {}
+    }
+}
+
+/// The platform ends the runners of a worker that it drains.
+pub(crate) fn apply_worker_drain(state: &mut ClusterState, serial: u64) {
+    let Some(runner) = state.runners.get(serial) else {
+        return;
+    };
+    if !state.workers.is_draining(&runner.worker) {
+        return;
+    }
+    let since = state.now;
+    match runner.state {
+        RunnerState::StartPending { .. } => withdraw_start(state, serial),
+        RunnerState::Starting | RunnerState::Serving | RunnerState::Draining { .. } => {
+            state.set_runner_state(serial, RunnerState::Terminating { since });
+        }
+        _ => {}
+    }
+}
+
+/// Milliseconds after which no request that was in flight can be so still.
+fn longest_request_ms(state: &ClusterState) -> u64 {
+    state.functions.longest_timeout_ms() + TIMEOUT_SLACK_MS
+}
+
+/// Whether an owner reported lately that requests are in flight at a runner.
+pub(crate) fn has_requests_in_flight(state: &ClusterState, runner: &Runner) -> bool {
+    let function = state.functions.get(&runner.function);
+    let (Some(function), Some(id)) = (function, &runner.id) else {
+        return false;
+    };
+    let limit_ms = longest_request_ms(state);
+    let holds =
+        |report: &OwnerReport| report.in_flight(id) > 0 && report.is_within(limit_ms, state.now);
+    function.reports().iter().any(holds)
+}
+
+/// Whether a runner that has been draining since a time holds nothing any more: its owners report so, knowing that it
+/// drains. Where none reports, the longest time that a request may take has passed.
+pub(crate) fn is_drained(state: &ClusterState, runner: &Runner, since: u64) -> bool {
+    let Some(function) = state.functions.get(&runner.function) else {
+        return true;
+    };
+    if runner.drain_update == 0 || has_requests_in_flight(state, runner) {
+        return false;
+    }
+    if state.now >= since + longest_request_ms(state) {
+        return true;
+    }
+    let reports = function.reports().iter();
+    let current = reports.filter(|report| report.is_current(state.now));
+    let mut knows = current.map(|report| report.update_number() >= runner.drain_update);
+    knows
+        .next()
+        .is_some_and(|first| first && knows.all(|one| one))
+}
--- /dev/null
+++ b/crates/autoscaler/src/evaluation.rs
@@ -0,0 +1,52 @@
+//! The regular look at a function of which nothing new was reported.
+
+use crate::owner_reports::{OwnerReport, REPORT_TIMEOUT_MS};
+use crate::scaling_decision::decide;
+use crate::state::ClusterState;
+
+/// Samples the demand of a function, decides about it, and lets it go to sleep.
+pub(crate) fn evaluate(state: &mut ClusterState, name: &str) {
+    let now = state.now;
+    let limit_ms = state.functions.longest_timeout_ms().max(REPORT_TIMEOUT_MS);
+    let Some(function) = state.functions.get_mut(name) else {
+        state.functions.deactivate(name);
+        return;
+    };
+    function.sample_arrivals(now);
+    let holds =
+        |report: &OwnerReport| report.is_within(limit_ms, now) && report.has_requests_in_flight();
+    if function.reports().iter().any(holds) {
+        function.mark_busy(now);
+    }
+    update_service_time(state, name);
+    decide(state, name);
+    let Some(function) = state.functions.get_mut(name) else {
+        return;
+    };
+    if function.is_awake(now, &state.options) {
+        return;
+    }
+    function.reset_arrivals();
+    if function.runners().is_empty() && !function.configuration().is_prewarmed() {
+        state.functions.deactivate(name);
+        state.functions.remove_unconfigured(name);
+    }
+}
+
+/// Expects of new runners what the middle one of those measured takes.
+fn update_service_time(state: &mut ClusterState, name: &str) {
+    let Some(function) = state.functions.get(name) else {
+        return;
+    };
+    let runners = state.runners_of(function);
+    let measured = runners.filter_map(|(_, runner)| runner.service_time.measured_ms());
+    let mut times_ms: Vec<f64> = measured.collect();
+    if times_ms.is_empty() {
+        return;
+    }
+    times_ms.sort_by(f64::total_cmp);
+    let median_ms = times_ms[times_ms.len() / 2];
+    if let Some(function) = state.functions.get_mut(name) {
+        function.set_service_time_ms(median_ms);
+    }
+}
--- /dev/null
+++ b/crates/autoscaler/src/eviction.rs
@@ -0,0 +1,117 @@
+//! Making room for a function where all memory is taken: idle runners of others give way.
+
+use crate::draining::drain;
+use crate::function::Function;
+use crate::load::Load;
+use crate::runner::{DrainReason, Runner, RunnerState};
+use crate::state::ClusterState;
+use std::collections::BTreeMap;
+
+/// A runner that its function can do without. The longest idle ones go first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct SurplusRunner {
+    /// When it was last used.
+    pub last_used_at: u64,
+    /// Its serial.
+    pub serial: u64,
+}
+
+/// Memory that would be free on a worker if these runners went.
+struct Eviction {
+    free_mb: u64,
+    victims: Vec<u64>,
+}
+
+/// Drains runners that have been idle the longest, beyond their functions' minimal ones, on the worker that is the first
+/// to have room then.
+pub(crate) fn evict_for(state: &mut ClusterState, name: &str) {
+    let Some(function) = state.functions.get(name) else {
+        return;
+    };
+    let configuration = function.configuration();
+    let is_idle = |runner: &Runner| runner.evictable_at() <= state.now;
+    let mut surplus = surplus_runners(state, name, configuration.priority, is_idle);
+    surplus.sort_unstable();
+    for serial in choose_victims(state, configuration.memory_mb, &surplus) {
+        drain(state, serial, DrainReason::Surplus);
+    }
+}
+
+fn choose_victims(state: &ClusterState, needed_mb: u64, surplus: &[SurplusRunner]) -> Vec<u64> {
+    let mut evictions: BTreeMap<&str, Eviction> = BTreeMap::new();
+    for candidate in surplus {
+        let Some(runner) = state.runners.get(candidate.serial) else {
+            continue;
+        };
+        let Some(worker) = state.workers.get(&runner.worker) else {
+            continue;
+        };
+        if !state.workers.is_open(worker, state.now) {
+            continue;
+        }
+        let eviction = evictions.entry(&runner.worker).or_insert_with(|| Eviction {
+            free_mb: state.free_mb(worker) + ending_mb(state, &runner.worker),
+            victims: Vec::new(),
+        });
+        if eviction.free_mb >= needed_mb {
+            // What ends there already will make the room.
+            return Vec::new();
+        }
+        eviction.free_mb += runner.memory_mb;
+        eviction.victims.push(candidate.serial);
+        if eviction.free_mb >= needed_mb {
+            return std::mem::take(&mut eviction.victims);
+        }
+    }
+    Vec::new()
+}
+
+/// Memory of runners that end on a worker.
+fn ending_mb(state: &ClusterState, worker: &str) -> u64 {
+    let placed = state.runners.on_worker(worker);
+    let ending = placed.filter(|(_, runner)| !runner.is_capacity());
+    ending.map(|(_, runner)| runner.memory_mb).sum()
+}
+
+/// Runners with nothing in flight that other functions than this one can do without, of those that `accepts`. A function
+/// of a more urgent or the same priority keeps what it needs.
+pub(crate) fn surplus_runners(
+    state: &ClusterState,
+    name: &str,
+    priority: u8,
+    accepts: impl Fn(&Runner) -> bool,
+) -> Vec<SurplusRunner> {
+    let mut surplus = Vec::new();
+    let others = state.functions.active().iter();
+    for other in others.filter(|other| *other != name) {
+        let Some(function) = state.functions.get(other) else {
+            continue;
+        };
+        let load = Load::of(state, function);
+        let is_needed = load.waiting > 0 || load.demand > state.options.beta * load.capacity;
+        if is_needed && function.configuration().priority <= priority {
+            continue;
+        }
+        let minimal = usize::from(function.configuration().is_prewarmed());
+        let runners = state.runners_of(function);
+        let unused = runners.filter(|(_, runner)| is_unused(function, runner) && accepts(runner));
+        let mut unused: Vec<SurplusRunner> = unused
+            .map(|(serial, runner)| SurplusRunner {
+                last_used_at: runner.last_used_at,
+                serial,
+            })
+            .collect();
+        unused.sort_unstable();
+        unused.truncate(load.runners.saturating_sub(minimal));
+        surplus.extend(unused);
+    }
+    surplus
+}
+
+/// It serves, and no owner reported a request in flight at it.
+fn is_unused(function: &Function, runner: &Runner) -> bool {
+    let Some(id) = &runner.id else {
+        return false;
+    };
+    runner.state == RunnerState::Serving && function.reports().in_flight(id) == 0
+}
--- a/crates/autoscaler/src/function.rs
+++ b/crates/autoscaler/src/function.rs
@@ -1,109 +1,224 @@
-use crate::demand::Arrivals;
-use crate::options::AutoscalerOptions;
-use crate::start_block::NoRoom;
-use protocol::RunnerReport;
-use std::collections::{BTreeMap, BTreeSet};
-
-/// Milliseconds after which a keeper that tells nothing is taken as no keeper of the function.
-pub(crate) const QUIET_MS: u64 = 3_000;
-/// Milliseconds that an answer is thought to take before any is known.
-pub(crate) const PACE_MS: f64 = 60.0;
-const AIM_SLACK: f64 = 1.1;
-
-/// What the description says of a function.
-#[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Plan {
-    pub memory_mb: u64,
-    pub start_ms: u64,
-    pub concurrency: u32,
-    pub aim_ms: u32,
-    pub rank: u8,
-    pub timeout_ms: u64,
-    pub is_described: bool,
-}
+//! One function: its configuration, its demand as reported by its owners, and the state of its last decisions.
 
-impl Plan {
-    /// A start does not fit in the smallest aim, so one runner is kept.
-    pub fn is_prewarmed(&self) -> bool {
-        self.is_described && self.start_ms as f64 * AIM_SLACK > f64::from(self.aim_ms)
-    }
-
-    pub fn retention_ms(&self, options: &AutoscalerOptions) -> u64 {
-        (self.start_ms as f64 * options.retention_starts) as u64
-    }
+use crate::arrivals::Arrivals;
+use crate::function_configuration::FunctionConfiguration;
+use crate::options::AutoscalerOptions;
+use crate::owner_reports::OwnerReports;
+use protocol::FunctionReport;
+use std::collections::BTreeSet;
 
-    pub fn cooldown_ms(&self, options: &AutoscalerOptions) -> u64 {
-        (self.start_ms as f64 * options.cooldown_starts) as u64
-    }
-}
+/// Milliseconds that a request is expected to take before any was answered.
+pub(crate) const DEFAULT_SERVICE_TIME_MS: f64 = 60.0;
 
-/// What one keeper told last.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct Keeper {
-    pub heard_at: u64,
-    pub news: u64,
-    pub waiting: u32,
-    pub arrived: BTreeMap<String, u64>,
-    pub runners: BTreeMap<String, RunnerReport>,
-}
-
-impl Keeper {
-    pub fn in_use(&self, id: &str) -> u32 {
-        self.runners.get(id).map_or(0, |report| report.in_use)
-    }
+/// No worker had room for a function that has no runner.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct CapacityShortage {
+    /// When that was found.
+    pub found_at: u64,
+    /// When a worker may have room at the earliest; none where nothing is known that would make it.
+    pub room_at: Option<u64>,
 }
 
+/// A function that is configured, or that still has runners.
 #[derive(Clone, Debug)]
 pub(crate) struct Function {
-    pub plan: Plan,
-    pub arrivals: Arrivals,
-    pub keepers: BTreeMap<String, Keeper>,
-    /// Serials of its runners.
-    pub runners: BTreeSet<u64>,
-    pub pace_ms: f64,
-    pub busy_at: Option<u64>,
-    pub calm_since: Option<u64>,
-    /// No start before this, since the platform knows no such function or no worker has room.
-    pub held_until: u64,
-    /// That the last start found no room, where it has no runner either.
-    pub no_room: Option<NoRoom>,
-    pub news: u64,
-    pub reason: &'static str,
+    configuration: FunctionConfiguration,
+    arrivals: Arrivals,
+    reports: OwnerReports,
+    runners: BTreeSet<u64>,
+    service_time_ms: f64,
+    busy_at: Option<u64>,
+    below_beta_since: Option<u64>,
+    starts_paused_until: u64,
+    shortage: Option<CapacityShortage>,
+    update_number: u64,
+    last_decision: &'static str,
 }
 
 impl Function {
-    pub fn new(plan: Plan) -> Self {
+    /// A function without runners of which nothing was reported.
+    pub fn new(configuration: FunctionConfiguration) -> Self {
         Self {
-            plan,
+            configuration,
             arrivals: Arrivals::default(),
-            keepers: BTreeMap::new(),
+            reports: OwnerReports::default(),
             runners: BTreeSet::new(),
-            pace_ms: PACE_MS,
+            service_time_ms: DEFAULT_SERVICE_TIME_MS,
             busy_at: None,
-            calm_since: None,
-            held_until: 0,
-            no_room: None,
-            news: 0,
-            reason: "",
+            below_beta_since: None,
+            starts_paused_until: 0,
+            shortage: None,
+            update_number: 0,
+            last_decision: "",
         }
     }
 
-    pub fn waiting(&self, now: u64) -> u32 {
-        let current = self
-            .keepers
-            .values()
-            .filter(|keeper| keeper.heard_at + QUIET_MS > now);
-        current.fold(0, |sum, keeper| sum.saturating_add(keeper.waiting))
+    /// What the configuration says of it.
+    pub fn configuration(&self) -> &FunctionConfiguration {
+        &self.configuration
+    }
+
+    /// Takes a new configuration.
+    pub fn set_configuration(&mut self, configuration: FunctionConfiguration) {
+        self.configuration = configuration;
+    }
+
+    /// The configuration in force names it no more.
+    pub fn unconfigure(&mut self) {
+        self.configuration.is_configured = false;
+    }
+
+    /// Its arrivals.
+    pub fn arrivals(&self) -> &Arrivals {
+        &self.arrivals
+    }
+
+    /// Takes a sample of the arrivals when one is due.
+    pub fn sample_arrivals(&mut self, now: u64) {
+        self.arrivals.sample(now);
+    }
+
+    /// Forgets the rate that was measured; the function sleeps.
+    pub fn reset_arrivals(&mut self) {
+        self.arrivals.reset();
+    }
+
+    /// What its owners reported.
+    pub fn reports(&self) -> &OwnerReports {
+        &self.reports
+    }
+
+    /// Takes what an owner reports, but for the arrivals.
+    pub fn take_report(&mut self, owner: &str, report: &FunctionReport, now: u64) {
+        self.reports.entry(owner).replace(report, now);
+    }
+
+    /// Counts what arrived since the owner's last report.
+    pub fn record_arrivals(&mut self, owner: &str, report: &FunctionReport, now: u64) {
+        let is_new = !self.reports.contains(owner);
+        let known = self.reports.entry(owner);
+        let mut waiting = u64::from(report.waiting);
+        for (zone, counter) in &report.arrivals {
+            let mut arrived = known.take_arrivals(zone, *counter);
+            if is_new {
+                // What an owner counted before its first report is no rate. Of that, what waits is still to be served;
+                // where it came from is known, how fast is not.
+                arrived = arrived.min(waiting);
+                waiting -= arrived;
+            }
+            if arrived == 0 {
+                continue;
+            }
+            if is_new {
+                self.arrivals.record_zone(zone, arrived);
+            } else {
+                self.arrivals.record(now, zone, arrived);
+            }
+            self.busy_at = Some(now);
+        }
+    }
+
+    /// Forgets what an owner reported.
+    pub fn remove_owner(&mut self, owner: &str) {
+        self.reports.remove(owner);
+    }
+
+    /// Serials of its runners.
+    pub fn runners(&self) -> &BTreeSet<u64> {
+        &self.runners
+    }
+
+    /// Adds one of its runners.
+    pub fn add_runner(&mut self, serial: u64) {
+        self.runners.insert(serial);
+    }
+
+    /// Removes one of its runners.
+    pub fn remove_runner(&mut self, serial: u64) {
+        self.runners.remove(&serial);
+    }
+
+    /// Milliseconds that a request is expected to take at a runner that answered none yet.
+    pub fn service_time_ms(&self) -> f64 {
+        self.service_time_ms
+    }
+
+    /// Takes what its runners were found to take.
+    pub fn set_service_time_ms(&mut self, service_time_ms: f64) {
+        self.service_time_ms = service_time_ms;
     }
 
-    /// Requests in flight at a runner, as all keepers told last.
-    pub fn in_use(&self, id: &str) -> u32 {
-        let told = self.keepers.values().map(|keeper| keeper.in_use(id));
-        told.fold(0, u32::saturating_add)
+    /// Requests came, waited or were in flight just now.
+    pub fn mark_busy(&mut self, now: u64) {
+        self.busy_at = Some(now);
     }
 
+    /// Requests that wait for a seat.
+    pub fn waiting(&self, now: u64) -> u32 {
+        self.reports.waiting(now)
+    }
+
+    /// Requests wait, or the last one is not longer ago than the retention.
     pub fn is_awake(&self, now: u64, options: &AutoscalerOptions) -> bool {
-        let retention_ms = self.plan.retention_ms(options);
+        let retention_ms = self.configuration.retention_ms(options);
         self.waiting(now) > 0 || self.busy_at.is_some_and(|at| now < at + retention_ms)
     }
+
+    /// Since when the demand has been below beta; none where it is not.
+    pub fn below_beta_since(&self) -> Option<u64> {
+        self.below_beta_since
+    }
+
+    /// Begins or ends the cooldown.
+    pub fn set_below_beta_since(&mut self, since: Option<u64>) {
+        self.below_beta_since = since;
+    }
+
+    /// No start is to be tried now, since the platform knows no such function or no worker had room.
+    pub fn is_start_paused(&self, now: u64) -> bool {
+        now < self.starts_paused_until
+    }
+
+    /// Tries no start before a time.
+    pub fn pause_starts(&mut self, until: u64) {
+        self.starts_paused_until = until;
+    }
+
+    /// Starts may be tried again at once.
+    pub fn resume_starts(&mut self) {
+        self.starts_paused_until = 0;
+    }
+
+    /// That the last start found no room while there was no runner.
+    pub fn shortage(&self) -> Option<CapacityShortage> {
+        self.shortage
+    }
+
+    /// Takes what the last search for room found. Gives what was known before.
+    pub fn replace_shortage(
+        &mut self,
+        shortage: Option<CapacityShortage>,
+    ) -> Option<CapacityShortage> {
+        std::mem::replace(&mut self.shortage, shortage)
+    }
+
+    /// Number of the last update about its runners; 0 before the first.
+    pub fn update_number(&self) -> u64 {
+        self.update_number
+    }
+
+    /// An update about its runners is sent.
+    pub fn set_update_number(&mut self, number: u64) {
+        self.update_number = number;
+    }
+
+    /// What was decided last, for operators.
+    pub fn last_decision(&self) -> &'static str {
+        self.last_decision
+    }
+
+    /// Notes a decision.
+    pub fn set_last_decision(&mut self, decision: &'static str) {
+        self.last_decision = decision;
+    }
 }
--- /dev/null
+++ b/crates/autoscaler/src/function_configuration.rs
@@ -0,0 +1,84 @@
+//! The part of the operator's configuration that decides how a function is scaled.
+
+use crate::options::AutoscalerOptions;
+use routing::RoutingConfiguration;
+use std::collections::BTreeMap;
+
+/// How much longer than usual a start may take and still be expected to meet the latency target.
+const START_TIME_MARGIN: f64 = 1.1;
+
+/// What the configuration says of a function.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct FunctionConfiguration {
+    /// Memory of a runner, in megabytes.
+    pub memory_mb: u64,
+    /// Milliseconds that a start usually takes.
+    pub start_ms: u64,
+    /// Most requests that a runner may hold at once.
+    pub concurrency: u32,
+    /// Milliseconds within which an answer is wanted: the smallest target of its routes.
+    pub latency_target_ms: u32,
+    /// The most urgent priority of its routes; the lowest number goes first.
+    pub priority: u8,
+    /// Milliseconds for which a request may take at most: the longest of its routes.
+    pub timeout_ms: u64,
+    /// The configuration in force names the function. Where not, its runners end.
+    pub is_configured: bool,
+}
+
+impl FunctionConfiguration {
+    /// A function that runs and that no configuration names.
+    pub fn unconfigured(concurrency: u32) -> Self {
+        Self {
+            memory_mb: 0,
+            start_ms: 0,
+            concurrency,
+            latency_target_ms: u32::MAX,
+            priority: u8::MAX,
+            timeout_ms: 0,
+            is_configured: false,
+        }
+    }
+
+    /// A start does not fit into the latency target, so one runner is always kept.
+    pub fn is_prewarmed(&self) -> bool {
+        let start_ms = self.start_ms as f64 * START_TIME_MARGIN;
+        self.is_configured && start_ms > f64::from(self.latency_target_ms)
+    }
+
+    /// Milliseconds without requests after which the last runner ends.
+    pub fn retention_ms(&self, options: &AutoscalerOptions) -> u64 {
+        (self.start_ms as f64 * options.retention_starts) as u64
+    }
+
+    /// Milliseconds below beta after which quotas fall.
+    pub fn cooldown_ms(&self, options: &AutoscalerOptions) -> u64 {
+        (self.start_ms as f64 * options.cooldown_starts) as u64
+    }
+}
+
+/// The configuration of each function, with the strictest wants of all routes that lead to it.
+pub(crate) fn by_function(
+    configuration: &RoutingConfiguration,
+) -> BTreeMap<String, FunctionConfiguration> {
+    let functions = configuration.functions.iter();
+    let mut found: Vec<FunctionConfiguration> = functions
+        .map(|function| FunctionConfiguration {
+            memory_mb: function.memory_mb,
+            start_ms: function.start_ms,
+            is_configured: true,
+            ..FunctionConfiguration::unconfigured(function.concurrency.max(1))
+        })
+        .collect();
+    for binding in &configuration.bindings {
+        let Some(function) = found.get_mut(binding.function_index) else {
+            continue;
+        };
+        function.latency_target_ms = function.latency_target_ms.min(binding.latency_target_ms);
+        function.priority = function.priority.min(binding.priority);
+        function.timeout_ms = function.timeout_ms.max(u64::from(binding.timeout_ms));
+    }
+    let names = configuration.functions.iter();
+    let names = names.map(|function| function.name.clone());
+    names.zip(found).collect()
+}
--- a/crates/autoscaler/src/lib.rs
+++ b/crates/autoscaler/src/lib.rs
@@ -1,26 +1,54 @@
-//! The scaler's decisions as a pure state machine: reports of keepers and the platform's lists go
-//! in; orders to the platform and news for the keepers come out. Nothing is stored.
-#![warn(missing_docs)]
+//! Scaling decisions of the controller that holds the scaler's role, as a pure state machine.
+//!
+//! Owners' reports, the platform's lists and answers, and the operator's configuration go in; commands to the platform
+//! and updates for the owners come out. Nothing is stored: a new term learns everything from the lists and reports. The
+//! design and what was changed of it is in docs/source.md.
+//!
+//! From the bottom up:
+//! - values: `options`, `platform`, `arrivals`, `owner_reports`, `function_configuration`, `memory_account`;
+//! - parts of the state, each with its invariant: `function_table`, `runner_table`, `worker_capacity`, `start_queue`,
+//!   `token_bucket`, `update_log`, `stopped_runners`, put together in `state`;
+//! - steps: `load`, `draining`, `eviction`, `placement`, `start_block`, `starts`, `quotas`;
+//! - the decision about a function: `scaling_decision`;
+//! - what each message or the time changes: `reports`, `listings`, `configuration`, `runner_commands`, `evaluation`,
+//!   `ending`, `updates`;
+//! - the coordinator: `autoscaler`.
 
+mod arrivals;
 mod autoscaler;
-mod deciding;
-mod demand;
-mod describing;
+mod configuration;
+mod draining;
 mod ending;
+mod evaluation;
+mod eviction;
 mod function;
-mod listing;
-mod listing_types;
+mod function_configuration;
+mod function_status;
+mod function_table;
+mod listings;
+mod load;
+mod memory_account;
 mod options;
-mod ordering;
-mod placing;
-mod reporting;
-mod room;
+mod owner_reports;
+mod placement;
+mod platform;
+mod quotas;
+mod reports;
 mod runner;
+mod runner_commands;
+mod runner_table;
+mod scaling_decision;
 mod start_block;
-mod telling;
+mod start_queue;
+mod starts;
+mod state;
+mod stopped_runners;
+mod token_bucket;
+mod update_log;
+mod updates;
+mod worker_capacity;
 
 pub use autoscaler::Autoscaler;
-pub use listing_types::{
-    FunctionStatus, RunnerCommand, RunnerListing, StartError, StartedRunner, WorkerListing,
-};
+pub use function_status::FunctionStatus;
 pub use options::AutoscalerOptions;
+pub use platform::{RunnerCommand, RunnerListing, StartError, StartedRunner, WorkerListing};
--- /dev/null
+++ b/crates/autoscaler/src/listings.rs
@@ -0,0 +1,206 @@
+//! What the platform's lists of workers and runners change.
+//!
+//! The lists show all that there is, and lag. Runners that are unknown are adopted, whoever started them: so a new term
+//! learns what an earlier one left. Runners that were listed and are no more for longer than lists lag are gone.
+
+use crate::draining::{apply_evacuation, apply_worker_drain, withdraw_start};
+use crate::function_configuration::FunctionConfiguration;
+use crate::platform::{RunnerListing, WorkerListing};
+use crate::runner::{Runner, RunnerState, ServiceTime};
+use crate::scaling_decision::decide_due;
+use crate::start_block::retry_blocked_starts;
+use crate::state::ClusterState;
+use std::collections::HashSet;
+
+/// Takes the platform's whole list of workers.
+pub(crate) fn update_workers(state: &mut ClusterState, listings: Vec<WorkerListing>) {
+    let is_first = !state.workers.is_listed();
+    let changes = state.workers.replace(listings, state.now);
+    for worker in &changes.lost {
+        handle_lost_worker(state, worker);
+    }
+    let draining = state.workers.draining();
+    let placed = draining.flat_map(|worker| state.runners.on_worker(worker));
+    let serials: Vec<u64> = placed.map(|(serial, _)| serial).collect();
+    for serial in serials {
+        apply_worker_drain(state, serial);
+    }
+    if changes.has_gained_room {
+        retry_blocked_starts(state);
+    }
+    decide_after_listing(state, is_first);
+}
+
+/// A worker that is not listed is down. Starts there are lost; what serves there is for the owners and the list of
+/// runners to report.
+fn handle_lost_worker(state: &mut ClusterState, worker: &str) {
+    let since = state.now;
+    state.runners.forget_account(worker);
+    let placed = state.runners.on_worker(worker);
+    let placed: Vec<(u64, RunnerState)> = placed
+        .map(|(serial, runner)| (serial, runner.state))
+        .collect();
+    for (serial, runner_state) in placed {
+        match runner_state {
+            RunnerState::StartPending { .. } => withdraw_start(state, serial),
+            RunnerState::Starting => {
+                state.set_runner_state(serial, RunnerState::Unreachable { since });
+            }
+            _ => {}
+        }
+    }
+}
+
+/// Takes the platform's whole list of runners.
+pub(crate) fn update_runners(state: &mut ClusterState, listings: Vec<RunnerListing>) {
+    let is_first = state.runners_listed_at.is_none();
+    state.runners_listed_at = Some(state.now);
+    let ids = listings.iter().map(|listing| listing.id.as_str());
+    let listed: HashSet<&str> = ids.collect();
+    for listing in &listings {
+        match state.runners.serial_of_id(&listing.id) {
+            Some(serial) => handle_known_runner(state, serial, listing),
+            None => handle_unknown_runner(state, listing),
+        }
+    }
+    forget_unlisted(state, &listed);
+    decide_after_listing(state, is_first);
+}
+
+fn decide_after_listing(state: &mut ClusterState, is_first: bool) {
+    if !state.is_listed() {
+        return;
+    }
+    if is_first {
+        // Now it is known which runners there are, also for functions that have none.
+        for name in state.functions.active().clone() {
+            state.updates.mark_changed(&name);
+            state.functions.make_due(&name);
+        }
+    }
+    decide_due(state);
+}
+
+fn handle_known_runner(state: &mut ClusterState, serial: u64, listing: &RunnerListing) {
+    state.runners.mark_listed(serial);
+    let Some(runner) = state.runners.get(serial) else {
+        return;
+    };
+    let now = state.now;
+    match runner.state {
+        RunnerState::Starting | RunnerState::Serving | RunnerState::Draining { .. }
+            if listing.is_terminating =>
+        {
+            state.set_runner_state(serial, RunnerState::Terminating { since: now });
+        }
+        RunnerState::Starting => {
+            state.runners.mark_up(serial);
+            state.set_runner_state(serial, RunnerState::Serving);
+        }
+        RunnerState::Unreachable { since } => {
+            let is_kept = now >= since + state.options.unlisted_ms();
+            if is_kept && !listing.is_terminating {
+                state.set_runner_state(serial, RunnerState::STOP_NOW);
+            }
+        }
+        _ => {}
+    }
+}
+
+fn handle_unknown_runner(state: &mut ClusterState, listing: &RunnerListing) {
+    if let Some(stopped_at) = state.stopped_runners.stopped_at(&listing.id) {
+        handle_stopped_runner(state, listing, stopped_at);
+        return;
+    }
+    replace_unconfirmed_start(state, listing);
+    let serial = adopt(state, listing);
+    if listing.is_terminating {
+        let since = state.now;
+        state.set_runner_state(serial, RunnerState::Terminating { since });
+        return;
+    }
+    apply_evacuation(state, serial);
+    apply_worker_drain(state, serial);
+}
+
+/// A runner that ended is listed. It is stopped again where it is there for longer than lists lag and requests take.
+fn handle_stopped_runner(state: &mut ClusterState, listing: &RunnerListing, stopped_at: u64) {
+    let options = &state.options;
+    let longest_ms = state.functions.longest_timeout_ms();
+    let limit_ms = options.unlisted_ms() + options.drain_ms + longest_ms;
+    if listing.is_terminating || state.now < stopped_at + limit_ms {
+        return;
+    }
+    state.stopped_runners.remove(&listing.id);
+    let serial = adopt(state, listing);
+    state.set_runner_state(serial, RunnerState::STOP_NOW);
+}
+
+/// A runner is listed that a start which was not answered may have given.
+fn replace_unconfirmed_start(state: &mut ClusterState, listing: &RunnerListing) {
+    let mut placed = state.runners.on_worker(&listing.worker);
+    let unconfirmed = placed.find(|(_, runner)| {
+        let is_unconfirmed = matches!(runner.state, RunnerState::StartUnconfirmed { .. });
+        is_unconfirmed && runner.function == listing.function
+    });
+    let serial = unconfirmed.map(|(serial, _)| serial);
+    drop(placed);
+    if let Some(serial) = serial {
+        state.forget_runner(serial);
+    }
+}
+
+/// Takes a runner that this autoscaler did not start.
+fn adopt(state: &mut ClusterState, listing: &RunnerListing) -> u64 {
+    let now = state.now;
+    let name = listing.function.as_str();
+    let capacity = listing.capacity.max(1);
+    let unconfigured = FunctionConfiguration::unconfigured(capacity);
+    let function = state.functions.get_or_insert(name, unconfigured);
+    function.mark_busy(now);
+    let configuration = function.configuration();
+    let quota = listing.capacity.min(configuration.concurrency).max(1);
+    let runner = Runner {
+        function: name.to_owned(),
+        nonce: String::new(),
+        id: Some(listing.id.clone()),
+        address: listing.address.clone(),
+        zone: listing.zone.clone(),
+        worker: listing.worker.clone(),
+        memory_mb: configuration.memory_mb,
+        quota,
+        max_quota: quota,
+        capacity,
+        state: RunnerState::Serving,
+        start_requested_at: None,
+        started_at: now,
+        failed_attempts: 0,
+        id_known_at: now,
+        is_up: true,
+        is_lost: false,
+        was_listed: true,
+        unlisted_since: None,
+        drain_update: 0,
+        last_used_at: now,
+        service_time: ServiceTime::unmeasured(function.service_time_ms()),
+    };
+    log::info!("scaler: {} has {:?}", runner.function, runner.id);
+    state.updates.mark_changed(name);
+    state.functions.make_due(name);
+    state.add_runner(runner)
+}
+
+/// Forgets runners that were listed and are no more, for longer than the list lags.
+fn forget_unlisted(state: &mut ClusterState, listed: &HashSet<&str>) {
+    let unlisted_ms = state.options.unlisted_ms();
+    let gone = state.runners.mark_unlisted(listed, unlisted_ms, state.now);
+    for (serial, id) in gone {
+        log::info!("scaler: {id} is gone");
+        // Lists that lag may show it again.
+        state.stopped_runners.record(id, state.now);
+        state.forget_runner(serial);
+    }
+    state
+        .stopped_runners
+        .forget_unlisted(listed, unlisted_ms, state.now);
+}
--- /dev/null
+++ b/crates/autoscaler/src/load.rs
@@ -0,0 +1,86 @@
+//! Demand and capacity of one function at one moment: what the design's alpha and beta compare.
+
+use crate::function::Function;
+use crate::state::ClusterState;
+
+/// Requests that wait are to be served within this share of the latency target...
+const BACKLOG_TARGET_SHARE: f64 = 1.0;
+/// ...but within no less than so many seconds...
+const BACKLOG_TIMEOUT_MIN_S: f64 = 0.3;
+/// ...and no more.
+const BACKLOG_TIMEOUT_MAX_S: f64 = 0.5;
+
+/// What a function is to carry, and what it can. Rates are in requests a second.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Load {
+    /// Rate over about the last second.
+    pub measured: f64,
+    /// Rate that the Kalman filter forecasts.
+    pub forecast: f64,
+    /// Rate of a burst that the filter has not followed yet.
+    pub burst: f64,
+    /// Requests that wait for a seat.
+    pub waiting: u32,
+    /// Requests that runners hold.
+    pub in_flight: u32,
+    /// Rate to be carried, with what waits.
+    pub demand: f64,
+    /// Rate that the quotas of all runners carry, also of those that start.
+    pub capacity: f64,
+    /// The quotas of these runners, summed.
+    pub seats: u32,
+    /// Their number.
+    pub runners: usize,
+}
+
+impl Load {
+    /// The load of a function now.
+    pub fn of(state: &ClusterState, function: &Function) -> Self {
+        let mut load = Self::default();
+        load.take_arrivals(state, function);
+        let serving = load.take_runners(state, function);
+        let configuration = function.configuration();
+        let target_s = f64::from(configuration.latency_target_ms) / 1_000.0;
+        let timeout_s =
+            (target_s * BACKLOG_TARGET_SHARE).clamp(BACKLOG_TIMEOUT_MIN_S, BACKLOG_TIMEOUT_MAX_S);
+        // What runs now serves some of those that wait before any new runner is up.
+        let start_s = configuration.start_ms as f64 / 1_000.0;
+        let served = (serving - load.rate()).max(0.0) * start_s;
+        let left = (f64::from(load.waiting) - served).max(0.0);
+        load.demand = load.rate() + left / timeout_s;
+        load
+    }
+
+    /// Rate of the arrivals, without what waits.
+    pub fn rate(&self) -> f64 {
+        self.measured.max(self.forecast).max(self.burst)
+    }
+
+    fn take_arrivals(&mut self, state: &ClusterState, function: &Function) {
+        if function.is_awake(state.now, &state.options) {
+            let arrivals = function.arrivals();
+            self.measured = arrivals.measured(state.now);
+            self.forecast = arrivals.forecast();
+            self.burst = arrivals.burst(state.now);
+        }
+        self.waiting = function.waiting(state.now);
+    }
+
+    /// Gives the rate that runners which are up carry.
+    fn take_runners(&mut self, state: &ClusterState, function: &Function) -> f64 {
+        let mut serving = 0.0;
+        for (_, runner) in state.runners_of(function) {
+            if let Some(id) = &runner.id {
+                self.in_flight += function.reports().in_flight(id);
+            }
+            if runner.is_capacity() {
+                let capacity = f64::from(runner.quota) * state.seat_rate(runner);
+                self.capacity += capacity;
+                serving += if runner.is_up { capacity } else { 0.0 };
+                self.seats += runner.quota;
+                self.runners += 1;
+            }
+        }
+        serving
+    }
+}
--- a/crates/autoscaler/src/options.rs
+++ b/crates/autoscaler/src/options.rs
@@ -1,9 +1,18 @@
-/// How the autoscaler decides. The ratios without a source in the design are ours.
+//! Settings of the autoscaler. Ratios that docs/source.md marks as ours are not in the design's paper.
+
+/// Milliseconds beyond twice the lists' lag after which a runner that no list shows is taken as gone.
+const UNLISTED_SLACK_MS: u64 = 1_000;
+/// How many times its usual duration a start may take.
+const START_TIME_LIMIT: u64 = 3;
+/// Milliseconds that a start may take beyond that and the lists' lag.
+const START_SLACK_MS: u64 = 3_000;
+
+/// How the autoscaler decides.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AutoscalerOptions {
-    /// Share of the capacity above which a demand asks for more.
+    /// Share of the capacity above which a demand asks for more (the design's alpha).
     pub alpha: f64,
-    /// Share of the capacity below which quotas fall once it is calm.
+    /// Share of the capacity below which quotas fall after the cooldown (the design's beta).
     pub beta: f64,
     /// Milliseconds by which the platform's lists lag.
     pub list_lag_ms: u64,
@@ -11,13 +20,13 @@
     pub drain_ms: u64,
     /// Starts and stops that the platform takes in a second; at most 0.8 of it is used.
     pub commands_per_s: f64,
-    /// Prefix of nonces, unique for this duty's term.
+    /// Prefix of nonces, unique for this term.
     pub nonce_prefix: String,
-    /// Term of the duty.
+    /// Term of the role lease under which this autoscaler decides; a later term supersedes it.
     pub term: u64,
-    /// Starts' durations of silence after which a function's last runner ends (ours).
+    /// Multiples of a function's start time without requests after which its last runner ends (ours).
     pub retention_starts: f64,
-    /// Starts' durations of calm after which quotas fall (ours).
+    /// Multiples of a function's start time below beta after which quotas fall (ours).
     pub cooldown_starts: f64,
     /// Places a runner in the callers' zone first where the function has none there (ours). It
     /// goes before the design's least-occupied worker and keeps calls inside a zone.
@@ -42,11 +51,13 @@
 }
 
 impl AutoscalerOptions {
+    /// Milliseconds without a listing after which a runner that was listed is taken as gone.
     pub(crate) fn unlisted_ms(&self) -> u64 {
-        2 * self.list_lag_ms + 1_000
+        2 * self.list_lag_ms + UNLISTED_SLACK_MS
     }
 
+    /// Milliseconds after which a start that usually takes `start_ms` is taken as failed.
     pub(crate) fn start_limit_ms(&self, start_ms: u64) -> u64 {
-        3 * start_ms + self.list_lag_ms + 3_000
+        START_TIME_LIMIT * start_ms + self.list_lag_ms + START_SLACK_MS
     }
 }
--- /dev/null
+++ b/crates/autoscaler/src/placement.rs
@@ -0,0 +1,141 @@
+//! The worker on which a start is placed.
+//!
+//! The design takes the least-occupied used worker, then a fresh one. On the platform the zone goes first: where the
+//! function's calls come from and it has no runner, and for functions that nobody calls yet the emptiest zone.
+
+use crate::function::Function;
+use crate::memory_account::MemoryAccount;
+use crate::state::ClusterState;
+use crate::worker_capacity::Worker;
+use std::cmp::Ordering;
+use std::collections::BTreeMap;
+
+/// Steps of occupancy within which workers count as equally occupied, so that spreading over zones decides.
+const OCCUPANCY_STEPS: f64 = 10.0;
+
+/// How well a worker suits a start; the lowest is chosen.
+struct Fitness {
+    is_outside_preferred_zone: bool,
+    is_fresh: bool,
+    occupancy_step: u64,
+    /// Runners of the function in the worker's zone.
+    neighbours: usize,
+    occupancy: f64,
+}
+
+impl Fitness {
+    fn compare(&self, other: &Self) -> Ordering {
+        let key = |fitness: &Self| {
+            (
+                fitness.is_outside_preferred_zone,
+                fitness.is_fresh,
+                fitness.occupancy_step,
+                fitness.neighbours,
+            )
+        };
+        let by_occupancy = || self.occupancy.total_cmp(&other.occupancy);
+        key(self).cmp(&key(other)).then_with(by_occupancy)
+    }
+}
+
+/// Chooses a worker for one more runner of a function; none where no worker has room.
+pub(crate) fn choose_worker(state: &mut ClusterState, name: &str) -> Option<String> {
+    refresh_accounts(state);
+    let state = &*state;
+    let function = state.functions.get(name)?;
+    let runners_by_zone = runners_by_zone(state, function);
+    let preferred_zone = preferred_zone(state, function, &runners_by_zone);
+    let mut best: Option<(Fitness, &str)> = None;
+    for worker in state.workers.iter() {
+        let listing = worker.listing();
+        let Some(account) = state.runners.account(&listing.name) else {
+            continue;
+        };
+        if !has_room(state, worker, account, function.configuration().memory_mb) {
+            continue;
+        }
+        let zone = listing.zone.as_str();
+        let occupancy = account.occupied_mb() / listing.memory_mb.max(1) as f64;
+        let fitness = Fitness {
+            is_outside_preferred_zone: preferred_zone.is_some_and(|preferred| preferred != zone),
+            is_fresh: state.runners.on_worker(&listing.name).next().is_none(),
+            occupancy_step: (occupancy * OCCUPANCY_STEPS) as u64,
+            neighbours: runners_by_zone.get(zone).copied().unwrap_or(0),
+            occupancy,
+        };
+        let is_better = |(other, _): &(Fitness, &str)| fitness.compare(other).is_lt();
+        if best.as_ref().is_none_or(is_better) {
+            best = Some((fitness, &listing.name));
+        }
+    }
+    best.map(|(_, chosen_worker)| chosen_worker.to_owned())
+}
+
+fn refresh_accounts(state: &mut ClusterState) {
+    for worker in state.workers.iter() {
+        let listed_until = state.workers.listed_until(worker);
+        let name = &worker.listing().name;
+        state.runners.refresh_account(name, listed_until);
+    }
+}
+
+fn has_room(
+    state: &ClusterState,
+    worker: &Worker,
+    account: &MemoryAccount,
+    memory_mb: u64,
+) -> bool {
+    let workers = &state.workers;
+    workers.is_open(worker, state.now) && workers.free_mb(worker, account) >= memory_mb
+}
+
+/// Runners of a function that count as capacity, by zone.
+fn runners_by_zone<'a>(
+    state: &'a ClusterState,
+    function: &'a Function,
+) -> BTreeMap<&'a str, usize> {
+    let mut by_zone = BTreeMap::new();
+    for (_, runner) in state.runners_of(function) {
+        if runner.is_capacity() {
+            *by_zone.entry(runner.zone.as_str()).or_default() += 1;
+        }
+    }
+    by_zone
+}
+
+/// The zone of most calls among those without a runner of the function; the emptiest zone where there are neither calls
+/// nor runners.
+fn preferred_zone<'a>(
+    state: &'a ClusterState,
+    function: &'a Function,
+    runners_by_zone: &BTreeMap<&str, usize>,
+) -> Option<&'a str> {
+    if !state.options.prefers_callers_zone {
+        return None;
+    }
+    let calls = function.arrivals().by_zone().iter();
+    let unserved = calls.filter(|(zone, _)| !runners_by_zone.contains_key(zone.as_str()));
+    let most = unserved.max_by(|(one, count), (other, other_count)| {
+        let by_count = count.total_cmp(other_count);
+        by_count.then_with(|| other.cmp(one))
+    });
+    match most {
+        Some((zone, _)) => Some(zone),
+        None if runners_by_zone.is_empty() => emptiest_zone(state),
+        None => None,
+    }
+}
+
+/// The zone whose runners take the least memory. Minimal runners that nobody called yet are spread by it, so that the
+/// loss of one worker or zone does not take them all.
+fn emptiest_zone(state: &ClusterState) -> Option<&str> {
+    let mut taken: BTreeMap<&str, u64> = BTreeMap::new();
+    let workers = state.workers.iter();
+    for worker in workers.filter(|worker| state.workers.is_open(worker, state.now)) {
+        let placed = state.runners.on_worker(&worker.listing().name);
+        let memory_mb: u64 = placed.map(|(_, runner)| runner.memory_mb).sum();
+        *taken.entry(&worker.listing().zone).or_default() += memory_mb;
+    }
+    let least = taken.into_iter().min_by_key(|(_, memory_mb)| *memory_mb);
+    least.map(|(zone, _)| zone)
+}
--- a/crates/autoscaler/src/listing_types.rs
+++ b/crates/autoscaler/src/platform.rs
@@ -1,4 +1,10 @@
-/// A worker on the platform's list.
+//! What the platform tells the autoscaler, and what the autoscaler asks of the platform.
+
+use std::error::Error;
+use std::fmt;
+
+/// A worker on the platform's list. Lists lag behind what happens by up to
+/// [`AutoscalerOptions::list_lag_ms`](crate::AutoscalerOptions::list_lag_ms).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkerListing {
     /// Name.
@@ -7,9 +13,9 @@
     pub zone: String,
     /// Memory, in megabytes.
     pub memory_mb: u64,
-    /// Memory that was free when the list was made.
+    /// Memory that was free when the list was made, in megabytes.
     pub free_mb: u64,
-    /// It is being drained.
+    /// The platform drains it: it takes no more starts, and its runners are ended.
     pub is_draining: bool,
 }
 
@@ -24,7 +30,7 @@
     pub address: String,
     /// Zone of its worker.
     pub zone: String,
-    /// Worker.
+    /// Name of its worker.
     pub worker: String,
     /// Most requests that it may hold at once.
     pub capacity: u32,
@@ -44,20 +50,33 @@
 /// Why a start gave no runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartError {
-    /// The worker has no room, is down, is leaving or is unknown (409).
+    /// The worker has no room, is down, is draining or is unknown (409).
     NoRoom,
     /// There is no such function (400).
     Refused,
-    /// Too many orders (429).
+    /// Too many commands (429).
     Busy,
-    /// No answer came; it may have been done.
+    /// No answer came; the start may have been carried out.
     Unanswered,
 }
 
-/// What the platform is to be asked.
+impl fmt::Display for StartError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Self::NoRoom => "the worker cannot take the runner",
+            Self::Refused => "the platform does not know the function",
+            Self::Busy => "the platform takes no more commands now",
+            Self::Unanswered => "the platform did not answer",
+        })
+    }
+}
+
+impl Error for StartError {}
+
+/// A command to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunnerCommand {
-    /// A runner is to be started.
+    /// Start a runner. Repeating it under the same nonce starts no second one.
     Start {
         /// The function.
         function: String,
@@ -66,34 +85,9 @@
         /// The start's own nonce.
         nonce: String,
     },
-    /// A runner is to be stopped.
+    /// Stop a runner.
     Stop {
         /// Id of the runner.
         id: String,
     },
 }
-
-/// What the autoscaler thinks of one function.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct FunctionStatus {
-    /// The function.
-    pub function: String,
-    /// Requests a second that were measured.
-    pub measured: f64,
-    /// Requests a second that are forecast.
-    pub forecast: f64,
-    /// Requests that wait for a seat.
-    pub waiting: u32,
-    /// Requests a second that are to be carried, with those that wait.
-    pub demand: f64,
-    /// Requests a second that its runners carry.
-    pub capacity: f64,
-    /// Milliseconds that one answer takes.
-    pub pace_ms: f64,
-    /// Runners that serve or start.
-    pub runners: usize,
-    /// Their quotas, summed.
-    pub seats: u32,
-    /// Last decision about it.
-    pub reason: String,
-}
--- /dev/null
+++ b/crates/autoscaler/src/quotas.rs
@@ -0,0 +1,70 @@
+//! How many requests owners may send each runner at once: the design's fine-grained step, taken before runners start or
+//! end.
+
+use crate::draining::drain;
+use crate::function::Function;
+use crate::runner::{DrainReason, Runner, RunnerState};
+use crate::state::ClusterState;
+use scaler::Pod;
+
+/// Runners whose quotas may rise: those that count as capacity, and those that can be taken back.
+pub(crate) fn growable(state: &ClusterState, function: &Function) -> Vec<Pod> {
+    let can_grow = |runner: &Runner| runner.is_capacity() || runner.can_be_revived();
+    pods(state, function, can_grow)
+}
+
+/// Runners whose quotas may fall: those that count as capacity and are known to exist.
+pub(crate) fn shrinkable(state: &ClusterState, function: &Function) -> Vec<Pod> {
+    let can_shrink = |runner: &Runner| runner.is_capacity() && runner.id.is_some();
+    pods(state, function, can_shrink)
+}
+
+fn pods(state: &ClusterState, function: &Function, accepts: impl Fn(&Runner) -> bool) -> Vec<Pod> {
+    let runners = state.runners_of(function);
+    let accepted = runners.filter(|(_, runner)| accepts(runner));
+    let pods = accepted.map(|(serial, runner)| Pod {
+        // The serials in equal lengths, so that ties go by age.
+        id: format!("{serial:020}"),
+        quota: runner.quota,
+        most: runner.max_quota,
+        seat_rate: state.seat_rate(runner),
+    });
+    pods.collect()
+}
+
+/// Takes the quotas that were decided, in that order. Tells whether any is another one than before.
+pub(crate) fn apply(state: &mut ClusterState, pods: &[Pod]) -> bool {
+    let mut has_changed = false;
+    for pod in pods {
+        let Ok(serial) = pod.id.parse() else {
+            continue;
+        };
+        has_changed |= set_quota(state, serial, pod.quota);
+    }
+    has_changed
+}
+
+/// Sets one quota. A runner at zero drains; one that drained and gets a quota serves again.
+pub(crate) fn set_quota(state: &mut ClusterState, serial: u64, quota: u32) -> bool {
+    let Some(runner) = state.runners.get(serial) else {
+        return false;
+    };
+    if runner.quota == quota {
+        return false;
+    }
+    if quota == 0 {
+        drain(state, serial, DrainReason::Surplus);
+        return true;
+    }
+    state.updates.mark_changed(&runner.function);
+    if runner.can_be_revived() {
+        let revived = if runner.is_up {
+            RunnerState::Serving
+        } else {
+            RunnerState::Starting
+        };
+        state.set_runner_state(serial, revived);
+    }
+    state.runners.set_quota(serial, quota);
+    true
+}
--- /dev/null
+++ b/crates/autoscaler/src/reports.rs
@@ -0,0 +1,78 @@
+//! What owners' reports change: arrivals, what waits, and what is known of each runner.
+
+use crate::runner::RunnerState;
+use crate::scaling_decision::decide;
+use crate::state::ClusterState;
+use protocol::{FunctionReport, RunnerReport};
+
+/// Takes what an owner reports of a function. Where requests wait it is decided at once.
+pub(crate) fn handle_report(state: &mut ClusterState, owner: &str, report: &FunctionReport) {
+    let now = state.now;
+    let name = report.function.as_str();
+    let Some(function) = state.functions.get_mut(name) else {
+        return;
+    };
+    function.record_arrivals(owner, report, now);
+    state.functions.add_owner(owner, name);
+    state.functions.activate(name);
+    for runner in &report.runners {
+        handle_runner_report(state, owner, name, runner);
+    }
+    let Some(function) = state.functions.get_mut(name) else {
+        return;
+    };
+    function.take_report(owner, report, now);
+    if report.waiting > 0 {
+        function.mark_busy(now);
+        decide(state, name);
+    }
+}
+
+/// Takes what an owner reports of a runner. Its counters are compared with those of the owner's report before.
+fn handle_runner_report(state: &mut ClusterState, owner: &str, name: &str, report: &RunnerReport) {
+    let Some(serial) = state.runners.serial_of_id(&report.id) else {
+        return;
+    };
+    let Some(runner) = state.runners.get(serial) else {
+        return;
+    };
+    if runner.function != name {
+        return;
+    }
+    let function = state.functions.get(name);
+    let before = function.and_then(|function| function.reports().runner(owner, &report.id));
+    let (succeeded, duration_ms) =
+        before.map_or((0, 0), |one| (one.succeeded, one.total_duration_ms));
+    let answers = report.succeeded.saturating_sub(succeeded);
+    let total_ms = report.total_duration_ms.saturating_sub(duration_ms);
+    let is_starting = runner.state == RunnerState::Starting;
+    state.runners.observe_answers(serial, answers, total_ms);
+    if answers > 0 || report.in_use > 0 {
+        state.runners.mark_used(serial, state.now);
+    }
+    if report.is_gone {
+        handle_lost(state, serial);
+        return;
+    }
+    if !report.is_up {
+        return;
+    }
+    state.runners.mark_up(serial);
+    if is_starting {
+        state.set_runner_state(serial, RunnerState::Serving);
+    }
+}
+
+/// An owner cannot reach a runner any more.
+fn handle_lost(state: &mut ClusterState, serial: u64) {
+    state.runners.mark_lost(serial);
+    let Some(runner) = state.runners.get(serial) else {
+        return;
+    };
+    if runner.stage().is_none() {
+        return;
+    }
+    log::info!("scaler: {} lost {:?}", runner.function, runner.id);
+    let since = state.now;
+    state.set_runner_state(serial, RunnerState::Unreachable { since });
+}
--- a/crates/autoscaler/src/runner.rs
+++ b/crates/autoscaler/src/runner.rs
@@ -1,123 +1,187 @@
+//! One runner, from the wish for it to its end.
+
 use protocol::RunnerStage;
 
-const SPAN: f64 = 20.0;
-/// Milliseconds for which a runner must be idle before it makes room.
-const IDLE_MS: u64 = 1_000;
+/// Answers over which the mean service time is smoothed.
+const SERVICE_TIME_ANSWERS: f64 = 20.0;
+/// Milliseconds for which a runner must have been idle before it may be drained to make room for another function.
+const EVICTION_IDLE_MS: u64 = 1_000;
 
 /// Why a runner gets no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Cause {
-    /// There are more than are needed.
+pub(crate) enum DrainReason {
+    /// There are more than are needed. It may be taken back.
     Surplus,
-    /// Its zone is closed.
-    Closed,
-    /// Its function is described no more.
-    Undescribed,
+    /// Its zone is evacuated.
+    ZoneEvacuated,
+    /// The configuration names its function no more.
+    FunctionRemoved,
 }
 
-/// Where a runner is between the wish for it and its end.
+/// Where a runner is between the wish for it and its end. Times are in milliseconds of the autoscaler's clock.
+///
+/// ```text
+/// StartPending <-> StartRequested -> Starting -> Serving <-> Draining -> StopPending <-> StopRequested
+/// ```
+///
+/// A start that was commanded and is wanted no more is `StartUnconfirmed`; a runner that owners cannot reach is
+/// `Unreachable`; one that the platform ends by itself is `Terminating`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Life {
-    /// Its start is to be ordered.
-    Wanted { not_before: u64 },
-    /// Its start is ordered and not answered.
-    Asked,
+pub(crate) enum RunnerState {
+    /// Its start is to be commanded, at the earliest at that time.
+    StartPending { not_before: u64 },
+    /// Its start is commanded and not answered.
+    StartRequested,
     /// It was started and is not known to be up.
     Starting,
     /// It serves.
     Serving,
-    /// It ends what it holds and is stopped then.
-    Draining { cause: Cause, since: u64 },
+    /// It gets no new requests and is stopped once it holds none.
+    Draining { reason: DrainReason, since: u64 },
     /// The platform ends it.
-    Leaving { since: u64 },
-    /// It cannot be reached.
-    Gone { since: u64 },
-    /// Its start was not answered and is wanted no more; it may be there.
-    Unsure { since: u64 },
-    /// Its stop is to be ordered.
-    Stopping { not_before: u64 },
-    /// Its stop is ordered and not answered.
-    StopAsked,
+    Terminating { since: u64 },
+    /// Owners cannot reach it.
+    Unreachable { since: u64 },
+    /// Its start was not answered and is wanted no more; the runner may exist.
+    StartUnconfirmed { since: u64 },
+    /// Its stop is to be commanded, at the earliest at that time.
+    StopPending { not_before: u64 },
+    /// Its stop is commanded and not answered.
+    StopRequested,
+}
+
+impl RunnerState {
+    /// The stop is to be commanded with the next commands.
+    pub const STOP_NOW: Self = Self::StopPending { not_before: 0 };
+
+    /// A runner in this state counts as capacity, now or soon.
+    pub fn is_capacity(self) -> bool {
+        matches!(
+            self,
+            Self::StartPending { .. } | Self::StartRequested | Self::Starting | Self::Serving
+        )
+    }
 }
 
+/// Mean time that a runner takes to answer a request.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ServiceTime {
+    mean_ms: f64,
+    answers: u64,
+}
+
+impl ServiceTime {
+    /// Nothing was measured; the first measurement moves on from the function's value.
+    pub fn unmeasured(function_ms: f64) -> Self {
+        Self {
+            mean_ms: function_ms,
+            answers: 0,
+        }
+    }
+
+    /// Takes answers and the milliseconds that they took together.
+    pub fn observe(&mut self, answers: u64, total_ms: u64) {
+        if answers == 0 {
+            return;
+        }
+        let mean_ms = (total_ms as f64 / answers as f64).max(1.0);
+        self.answers += answers;
+        let share = answers as f64 / (self.answers as f64).min(SERVICE_TIME_ANSWERS);
+        self.mean_ms += share.min(1.0) * (mean_ms - self.mean_ms);
+    }
+
+    /// The mean in milliseconds; none before the first answer.
+    pub fn measured_ms(&self) -> Option<f64> {
+        (self.answers > 0).then_some(self.mean_ms)
+    }
+}
+
+/// A runner. Only [`RunnerTable`](crate::runner_table::RunnerTable) gives it out to be changed.
 #[derive(Clone, Debug)]
 pub(crate) struct Runner {
+    /// Its function.
     pub function: String,
+    /// Nonce of its start; empty where it was found on a list.
     pub nonce: String,
+    /// Id that the platform gave it, once it is known.
     pub id: Option<String>,
+    /// Address (ip and port), once it is known.
     pub address: String,
+    /// Zone of its worker.
     pub zone: String,
+    /// Its worker.
     pub worker: String,
+    /// Memory that it takes, in megabytes.
     pub memory_mb: u64,
+    /// Requests that owners may send it at once.
     pub quota: u32,
-    pub most: u32,
-    /// What the platform says that it may hold.
+    /// Highest quota that it may have.
+    pub max_quota: u32,
+    /// Requests that it may hold at once by the platform's word.
     pub capacity: u32,
-    pub life: Life,
-    /// When its start was first ordered.
-    pub asked_at: Option<u64>,
+    /// Where it is between start and end.
+    pub state: RunnerState,
+    /// When its start was first commanded; none where it was not or where nothing was taken by it.
+    pub start_requested_at: Option<u64>,
+    /// When it began to start.
     pub started_at: u64,
-    pub tries: u32,
+    /// Attempts to start it that failed.
+    pub failed_attempts: u32,
     /// When its id became known.
-    pub known_at: u64,
+    pub id_known_at: u64,
+    /// It was reached or listed at least once.
     pub is_up: bool,
-    /// A keeper told that it is gone.
+    /// An owner reported that it is gone.
     pub is_lost: bool,
+    /// A list showed it.
     pub was_listed: bool,
-    pub missing_since: Option<u64>,
-    /// Number of the news that first said that it drains; 0 until those are made.
-    pub drain_news: u64,
-    pub used_at: u64,
-    pub pace_ms: f64,
-    pub answers: u64,
+    /// Since when lists do not show it.
+    pub unlisted_since: Option<u64>,
+    /// Number of the update that first told owners that it drains; 0 until that is made.
+    pub drain_update: u64,
+    /// When it was last seen to hold or answer requests.
+    pub last_used_at: u64,
+    /// How long it takes for a request.
+    pub service_time: ServiceTime,
 }
 
 impl Runner {
     /// It counts as capacity, now or soon.
-    pub fn counts(&self) -> bool {
-        matches!(
-            self.life,
-            Life::Wanted { .. } | Life::Asked | Life::Starting | Life::Serving
-        )
+    pub fn is_capacity(&self) -> bool {
+        self.state.is_capacity()
     }
 
-    /// It is not up yet.
-    pub fn is_coming(&self) -> bool {
-        self.counts() && self.life != Life::Serving
+    /// It counts as capacity and is not up yet.
+    pub fn is_pending(&self) -> bool {
+        self.is_capacity() && self.state != RunnerState::Serving
     }
 
-    /// When it has been idle for long enough to make room, if it is not used again.
-    pub fn idle_at(&self) -> u64 {
-        self.used_at + IDLE_MS
+    /// When it has been idle for long enough to be evicted, if it is not used again.
+    pub fn evictable_at(&self) -> u64 {
+        self.last_used_at + EVICTION_IDLE_MS
     }
 
-    pub fn can_revive(&self) -> bool {
-        let cause = Cause::Surplus;
-        matches!(self.life, Life::Draining { cause: own, .. } if own == cause)
+    /// It drains for no other reason than that it was not needed, so it may serve again.
+    pub fn can_be_revived(&self) -> bool {
+        matches!(
+            self.state,
+            RunnerState::Draining {
+                reason: DrainReason::Surplus,
+                ..
+            }
+        )
     }
 
-    /// Its stage in the news; none where it is not in them.
+    /// The stage that owners are told; none where they are not told of it.
     pub fn stage(&self) -> Option<RunnerStage> {
         self.id.as_ref()?;
-        match self.life {
-            Life::Starting => Some(RunnerStage::Starting),
-            Life::Serving => Some(RunnerStage::Serving),
-            Life::Draining { .. } | Life::Leaving { .. } => Some(RunnerStage::Draining),
+        match self.state {
+            RunnerState::Starting => Some(RunnerStage::Starting),
+            RunnerState::Serving => Some(RunnerStage::Serving),
+            RunnerState::Draining { .. } | RunnerState::Terminating { .. } => {
+                Some(RunnerStage::Draining)
+            }
             _ => None,
         }
     }
-
-    pub fn learn(&mut self, answered: u64, took_ms: u64) {
-        if answered == 0 {
-            return;
-        }
-        let mean = (took_ms as f64 / answered as f64).max(1.0);
-        self.answers += answered;
-        let share = answered as f64 / (self.answers as f64).min(SPAN);
-        self.pace_ms += share.min(1.0) * (mean - self.pace_ms);
-    }
-
-    pub fn learnt_pace(&self) -> Option<f64> {
-        (self.answers > 0).then_some(self.pace_ms)
-    }
 }
--- /dev/null
+++ b/crates/autoscaler/src/runner_commands.rs
@@ -0,0 +1,221 @@
+//! Commands to the platform, and what its answers change.
+//!
+//! Within the platform's rate, starts for which requests wait go first, then stops, then other starts. A start that got
+//! no answer is repeated under its nonce, so that the platform starts no second runner for it.
+
+use crate::draining::{
+    apply_evacuation, apply_worker_drain, has_requests_in_flight, withdraw_start,
+};
+use crate::platform::{RunnerCommand, StartError, StartedRunner};
+use crate::runner::{Runner, RunnerState};
+use crate::scaling_decision::{decide, decide_due};
+use crate::start_queue::{QueuedStart, StartUrgency};
+use crate::state::ClusterState;
+
+/// Milliseconds before the first retry of a start; they double with each one.
+const START_RETRY_MS: u64 = 250;
+/// Milliseconds before a later retry of a start, at the most.
+const START_RETRY_MAX_MS: u64 = 4_000;
+/// Attempts after which the time before a retry doubles no more.
+const START_RETRY_DOUBLINGS: u32 = 5;
+/// Milliseconds before a stop is repeated.
+const STOP_RETRY_MS: u64 = 500;
+/// Milliseconds for which no runner is started of a function that the platform does not know.
+const REFUSED_PAUSE_MS: u64 = 5_000;
+
+/// The commands to give now.
+pub(crate) fn take_commands(state: &mut ClusterState) -> Vec<RunnerCommand> {
+    state.command_rate.refill(state.now);
+    let mut commands = Vec::new();
+    take_starts(state, StartUrgency::RequestsWaiting, &mut commands);
+    take_stops(state, &mut commands);
+    take_starts(state, StartUrgency::Ahead, &mut commands);
+    commands
+}
+
+fn take_starts(state: &mut ClusterState, urgency: StartUrgency, commands: &mut Vec<RunnerCommand>) {
+    for queued in state.start_queue.entries(urgency) {
+        if !state.command_rate.has_token() {
+            return;
+        }
+        commands.extend(take_start(state, queued));
+    }
+}
+
+/// The command of a queued start; none where it is not due, or where its worker is not to be used any more.
+fn take_start(state: &mut ClusterState, queued: QueuedStart) -> Option<RunnerCommand> {
+    let serial = queued.serial;
+    let runner = state.runners.get(serial);
+    let Some((runner, not_before)) = runner.and_then(|runner| Some((runner, due_at(runner)?)))
+    else {
+        state.start_queue.remove(&queued);
+        return None;
+    };
+    if state.now < not_before {
+        return None;
+    }
+    let function = runner.function.clone();
+    if !can_start(state, runner) {
+        // The start goes elsewhere, under a new nonce.
+        withdraw_start(state, serial);
+        decide(state, &function);
+        return None;
+    }
+    let command = RunnerCommand::Start {
+        function,
+        worker: runner.worker.clone(),
+        nonce: runner.nonce.clone(),
+    };
+    state.runners.request_start(serial, state.now);
+    state.start_queue.remove(&queued);
+    state.command_rate.take();
+    Some(command)
+}
+
+fn due_at(runner: &Runner) -> Option<u64> {
+    match runner.state {
+        RunnerState::StartPending { not_before } => Some(not_before),
+        _ => None,
+    }
+}
+
+/// Whether a start may go to its worker. One that was commanded before may be repeated where another found no room.
+fn can_start(state: &ClusterState, runner: &Runner) -> bool {
+    let Some(worker) = state.workers.get(&runner.worker) else {
+        return false;
+    };
+    if runner.start_requested_at.is_some() {
+        return !state.workers.is_closed(worker);
+    }
+    state.workers.is_open(worker, state.now)
+}
+
+fn take_stops(state: &mut ClusterState, commands: &mut Vec<RunnerCommand>) {
+    for serial in state.runners.ending() {
+        if !state.command_rate.has_token() {
+            return;
+        }
+        commands.extend(take_stop(state, serial));
+    }
+}
+
+/// The command of a stop that is due. A runner that can be reached and holds requests is not stopped.
+fn take_stop(state: &mut ClusterState, serial: u64) -> Option<RunnerCommand> {
+    let runner = state.runners.get(serial)?;
+    if !runner.is_lost && has_requests_in_flight(state, runner) {
+        return None;
+    }
+    let RunnerState::StopPending { not_before } = runner.state else {
+        return None;
+    };
+    if state.now < not_before {
+        return None;
+    }
+    let id = runner.id.clone()?;
+    log::info!("scaler: {} stops {id}", runner.function);
+    state.runners.request_stop(serial);
+    state.command_rate.take();
+    Some(RunnerCommand::Stop { id })
+}
+
+/// Takes the platform's answer to a start. Answers to starts that are known no more are ignored.
+pub(crate) fn handle_start_result(
+    state: &mut ClusterState,
+    nonce: &str,
+    result: Result<StartedRunner, StartError>,
+) {
+    let Some(serial) = state.runners.serial_of_nonce(nonce) else {
+        return;
+    };
+    match result {
+        Ok(started) => handle_started(state, serial, started),
+        Err(error) => handle_start_error(state, serial, error),
+    }
+}
+
+fn handle_started(state: &mut ClusterState, serial: u64, started: StartedRunner) {
+    let StartedRunner { id, address } = started;
+    let known = state.runners.serial_of_id(&id);
+    if known.is_some_and(|other| other != serial) {
+        // The list was quicker than the answer.
+        state.forget_runner(serial);
+        return;
+    }
+    let Some(runner) = state.runners.get(serial) else {
+        return;
+    };
+    let is_awaited = matches!(
+        runner.state,
+        RunnerState::StartRequested
+            | RunnerState::StartPending { .. }
+            | RunnerState::StartUnconfirmed { .. }
+    );
+    if !is_awaited {
+        return;
+    }
+    let (function, worker) = (&runner.function, &runner.worker);
+    log::info!("scaler: {function} starts {id} on {worker}");
+    state.runners.assign_id(serial, &id, address, state.now);
+    state.start_queue.remove_runner(serial);
+    state.set_runner_state(serial, RunnerState::Starting);
+    apply_evacuation(state, serial);
+    apply_worker_drain(state, serial);
+    decide_due(state);
+}
+
+fn handle_start_error(state: &mut ClusterState, serial: u64, error: StartError) {
+    let Some(runner) = state.runners.get(serial) else {
+        return;
+    };
+    if runner.state != RunnerState::StartRequested {
+        return;
+    }
+    let name = runner.function.clone();
+    match error {
+        StartError::NoRoom => {
+            let worker = runner.worker.clone();
+            log::info!("scaler: {name} finds no room on {worker}");
+            state.workers.pause_starts(&worker, state.now);
+            state.runners.clear_start_request(serial);
+            state.forget_runner(serial);
+        }
+        StartError::Refused => {
+            log::warn!("scaler: {name} is not known to the platform");
+            state.runners.clear_start_request(serial);
+            state.forget_runner(serial);
+            if let Some(function) = state.functions.get_mut(&name) {
+                function.pause_starts(state.now + REFUSED_PAUSE_MS);
+            }
+            state.note_decision(&name, "start refused");
+        }
+        StartError::Busy | StartError::Unanswered => retry_start(state, serial, &name),
+    }
+    decide_due(state);
+}
+
+/// Queues the same start once more, under the same nonce.
+fn retry_start(state: &mut ClusterState, serial: u64, name: &str) {
+    let attempts = state.runners.count_failed_attempt(serial);
+    let doublings = attempts.min(START_RETRY_DOUBLINGS).saturating_sub(1);
+    let wait_ms = (START_RETRY_MS << doublings).min(START_RETRY_MAX_MS);
+    state.runners.retry_start(serial, state.now + wait_ms);
+    let function = state.functions.get(name);
+    let is_waiting = function.is_some_and(|function| function.waiting(state.now) > 0);
+    state.queue_start(serial, name, StartUrgency::of_waiting(is_waiting));
+}
+
+/// Takes the platform's answer to a stop: done (or unknown there), or to be repeated.
+pub(crate) fn handle_stop_result(state: &mut ClusterState, id: &str, is_done: bool) {
+    let Some(serial) = state.runners.serial_of_id(id) else {
+        return;
+    };
+    if is_done {
+        state.stopped_runners.record(id.to_owned(), state.now);
+        state.forget_runner(serial);
+        return;
+    }
+    let runner = state.runners.get(serial);
+    if runner.is_some_and(|runner| runner.state == RunnerState::StopRequested) {
+        state.runners.retry_stop(serial, state.now + STOP_RETRY_MS);
+    }
+}
--- /dev/null
+++ b/crates/autoscaler/src/scaling_decision.rs
@@ -0,0 +1,226 @@
+//! The decision about one function, after the design's Algorithm 1 (docs/source.md).
+//!
+//! - Above alpha of the capacity: quotas rise, and new runners are started for what is left of the gap.
+//! - Below beta, after a cooldown: quotas fall; a runner at zero drains.
+//! - A function that sleeps keeps no runner, unless a start does not fit into its latency target.
+
+use crate::draining::drain;
+use crate::function::Function;
+use crate::load::Load;
+use crate::quotas;
+use crate::runner::DrainReason;
+use crate::start_queue::StartUrgency;
+use crate::starts::add_start;
+use crate::state::ClusterState;
+use scaler::{grow, shrink, Pod};
+
+/// Runners are bounded by what serves so many times the demand.
+const MAX_OVERPROVISIONING: f64 = 4.0;
+/// Requests a second by which a surplus is raised, so that rounding keeps no seat.
+const ROUNDING: f64 = 1e-6;
+/// Minimal runners that are queued to start at once, at the least.
+const MINIMAL_STARTS_QUEUED: f64 = 8.0;
+
+/// Decides about all functions that are due.
+pub(crate) fn decide_due(state: &mut ClusterState) {
+    for name in state.functions.take_due() {
+        decide(state, &name);
+    }
+}
+
+/// Decides about one function. Nothing is decided before the configuration and both lists are known.
+pub(crate) fn decide(state: &mut ClusterState, name: &str) {
+    if !state.is_listed() || !state.functions.is_configured() {
+        return;
+    }
+    let Some(function) = state.functions.get(name) else {
+        return;
+    };
+    if !function.configuration().is_configured {
+        drain_all(state, name, DrainReason::FunctionRemoved);
+        return;
+    }
+    let is_prewarmed = function.configuration().is_prewarmed();
+    let is_awake = function.is_awake(state.now, &state.options);
+    let load = Load::of(state, function);
+    if load.waiting > 0 {
+        expedite_starts(state, name);
+    }
+    if !is_prewarmed && !is_awake {
+        drain_all(state, name, DrainReason::Surplus);
+        return;
+    }
+    if load.demand > state.options.alpha * load.capacity {
+        set_below_beta_since(state, name, None);
+        scale_up(state, name, load);
+    } else if load.demand < state.options.beta * load.capacity {
+        scale_down(state, name, load);
+    } else {
+        set_below_beta_since(state, name, None);
+    }
+    if is_prewarmed {
+        keep_minimal(state, name);
+    }
+}
+
+/// Puts the starts of a function before those for which nothing waits.
+fn expedite_starts(state: &mut ClusterState, name: &str) {
+    let Some(function) = state.functions.get(name) else {
+        return;
+    };
+    let priority = function.configuration().priority;
+    for &serial in function.runners() {
+        state.start_queue.expedite(priority, serial);
+    }
+}
+
+fn set_below_beta_since(state: &mut ClusterState, name: &str, since: Option<u64>) {
+    if let Some(function) = state.functions.get_mut(name) {
+        function.set_below_beta_since(since);
+    }
+}
+
+/// Quotas first, up to the concurrency; new runners for what is left of the gap.
+fn scale_up(state: &mut ClusterState, name: &str, load: Load) {
+    let Some(function) = state.functions.get(name) else {
+        return;
+    };
+    let mut pods = quotas::growable(state, function);
+    let gap = load.demand - state.options.alpha * load.capacity;
+    let left = grow(&mut pods, gap);
+    if quotas::apply(state, &pods) {
+        state.note_decision(name, "quotas up");
+    }
+    if left <= 0.0 {
+        return;
+    }
+    let urgency = StartUrgency::of_waiting(load.waiting > 0);
+    for _ in 0..new_runners(state, name, load, left) {
+        if add_start(state, name, urgency).is_err() {
+            return;
+        }
+    }
+}
+
+/// How many runners are started for a gap that quotas left, in requests a second.
+fn new_runners(state: &ClusterState, name: &str, before: Load, gap: f64) -> usize {
+    let Some(function) = state.functions.get(name) else {
+        return 0;
+    };
+    if function.is_start_paused(state.now) {
+        return 0;
+    }
+    let load = Load::of(state, function);
+    let concurrency = f64::from(function.configuration().concurrency);
+    let seat_rate = 1_000.0 / function.service_time_ms().max(1.0);
+    let runner_rate = concurrency * seat_rate;
+    let runners_for = |rate: f64| (rate.max(0.0) / runner_rate).ceil() as usize;
+    let runners_of_seats = |seats: u32| (f64::from(seats) / concurrency).ceil() as usize;
+    let for_gap = runners_for(gap);
+    let unplanned = before
+        .waiting
+        .saturating_sub(pending_seats(state, function));
+    let for_waiting = runners_of_seats(unplanned);
+    if load.runners == 0 && load.waiting > 0 {
+        // The first start of a sleeping function goes by what waits.
+        return for_gap.min(for_waiting);
+    }
+    // However slow the answers are, requests that came lately or are here hold one seat each.
+    let seats_needed = seats_needed(state, function, load);
+    let for_rate = runners_for(load.rate() - state.options.alpha * load.capacity)
+        .min(runners_of_seats(seats_needed.saturating_sub(load.seats)));
+    let most = runners_for(MAX_OVERPROVISIONING * load.demand).max(1);
+    let count = for_gap.min(for_waiting + for_rate);
+    count.min(most.saturating_sub(load.runners))
+}
+
+/// Seats that hold all requests that wait, are in flight, or came lately; at least one.
+fn seats_needed(state: &ClusterState, function: &Function, load: Load) -> u32 {
+    let recent = u32::try_from(function.arrivals().recent(state.now)).unwrap_or(u32::MAX);
+    let present = load.waiting.saturating_add(load.in_flight);
+    present.max(recent).max(1)
+}
+
+/// Seats of runners that are not up yet.
+fn pending_seats(state: &ClusterState, function: &Function) -> u32 {
+    let runners = state.runners_of(function);
+    let pending = runners.filter(|(_, runner)| runner.is_pending());
+    pending.map(|(_, runner)| runner.quota).sum()
+}
+
+/// Lowers quotas once the demand was below beta for the cooldown. One whole runner's capacity stays.
+fn scale_down(state: &mut ClusterState, name: &str, load: Load) {
+    let Some(function) = state.functions.get(name) else {
+        return;
+    };
+    let since = function.below_beta_since().unwrap_or(state.now);
+    let cooldown_ms = function.configuration().cooldown_ms(&state.options);
+    set_below_beta_since(state, name, Some(since));
+    if state.now < since + cooldown_ms {
+        return;
+    }
+    let Some(function) = state.functions.get(name) else {
+        return;
+    };
+    let mut pods = quotas::shrinkable(state, function);
+    let whole = |pod: &Pod| f64::from(pod.most) * pod.seat_rate;
+    let minimal = pods.iter().map(whole).fold(0.0, f64::max);
+    let Some(fastest) = pods.iter().map(|pod| pod.seat_rate).max_by(f64::total_cmp) else {
+        return;
+    };
+    let middle = (state.options.alpha + state.options.beta) / 2.0;
+    let needed = (load.demand / middle).max(f64::from(load.in_flight) * fastest);
+    let surplus = load.capacity - needed.max(minimal) + ROUNDING;
+    if shrink(&mut pods, surplus) && quotas::apply(state, &pods) {
+        set_below_beta_since(state, name, Some(state.now));
+        state.note_decision(name, "quotas down");
+    }
+}
+
+fn drain_all(state: &mut ClusterState, name: &str, reason: DrainReason) {
+    let Some(function) = state.functions.get(name) else {
+        return;
+    };
+    let runners = state.runners_of(function);
+    let capacity = runners.filter(|(_, runner)| runner.is_capacity());
+    let serials: Vec<u64> = capacity.map(|(serial, _)| serial).collect();
+    if serials.is_empty() {
+        return;
+    }
+    for serial in serials {
+        drain(state, serial, reason);
+    }
+    state.note_decision(name, "none needed");
+}
+
+/// A function whose start does not fit into its latency target always has one runner.
+fn keep_minimal(state: &mut ClusterState, name: &str) {
+    let Some(function) = state.functions.get(name) else {
+        return;
+    };
+    let has_capacity = state
+        .runners_of(function)
+        .any(|(_, runner)| runner.is_capacity());
+    if has_capacity {
+        return;
+    }
+    let is_paused = function.is_start_paused(state.now);
+    if let Some((serial, quota)) = revivable(state, function) {
+        quotas::set_quota(state, serial, quota);
+        return;
+    }
+    let most_queued = state.options.commands_per_s.max(MINIMAL_STARTS_QUEUED);
+    let is_queue_full = state.start_queue.len() as f64 >= most_queued;
+    if is_paused || is_queue_full {
+        return;
+    }
+    // Where no worker has room, the start is paused and tried again later.
+    let _ = add_start(state, name, StartUrgency::Ahead);
+}
+
+/// The oldest runner that can be taken back, with its highest quota.
+fn revivable(state: &ClusterState, function: &Function) -> Option<(u64, u32)> {
+    let mut runners = state.runners_of(function);
+    let found = runners.find(|(_, runner)| runner.can_be_revived());
+    found.map(|(serial, runner)| (serial, runner.max_quota))
+}
--- a/crates/autoscaler/src/start_block.rs
+++ b/crates/autoscaler/src/start_block.rs
@@ -1,165 +1,173 @@
-//! What a keeper is told of a function that has no runner and for which no worker has room.
+//! What an owner is told of a function that has no runner and for which no worker has room.
+//!
+//! The owner may then reject at once what could not be served in time anyway. The statement is made only where the lists
+//! show that no runner exists, holds for a bounded time, and is repeated while it is true.
 
-use crate::autoscaler::Autoscaler;
-use crate::function::Function;
-use crate::placing::{Worker, HELD_MS};
-use crate::runner::{Life, Runner};
+use crate::eviction::surplus_runners;
+use crate::function::{CapacityShortage, Function};
+use crate::memory_account::TimedMemory;
+use crate::runner::{Runner, RunnerState};
+use crate::state::ClusterState;
+use crate::worker_capacity::Worker;
 use protocol::StartBlock;
 use std::collections::BTreeMap;
 
-/// Milliseconds for which a judgement is told. It is renewed as often as the start is tried again.
-const VALID_MS: u64 = 2 * HELD_MS;
-/// A start is never taken to be done before the usual time divided by this; keepers look for it later.
-const QUICKEST_START: u64 = 2;
+/// Milliseconds after which a start for which there was no room is tried again.
+pub(crate) const NO_ROOM_RETRY_MS: u64 = 1_000;
+/// Milliseconds for which the statement holds. It is renewed as often as the start is tried again.
+const VALIDITY_MS: u64 = 2 * NO_ROOM_RETRY_MS;
+/// A start is never expected to be done before the usual time divided by this; owners rely on it.
+const QUICKEST_START_DIVISOR: u64 = 2;
 
-/// That no worker had room for a function without runners.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct NoRoom {
-    judged_at: u64,
-    /// When a worker may have room at the earliest; none where nothing is known that would make it.
-    room_at: Option<u64>,
+/// Notes when a worker may have room for a function whose start found none just now.
+pub(crate) fn record_shortage(state: &mut ClusterState, name: &str) {
+    let Some(function) = state.functions.get(name) else {
+        return;
+    };
+    if !shows_all_starts(state) || may_have_runner(state, function) {
+        clear_shortage(state, name);
+        return;
+    }
+    let shortage = CapacityShortage {
+        found_at: state.now,
+        room_at: room_at(state, name, function),
+    };
+    if let Some(function) = state.functions.get_mut(name) {
+        function.replace_shortage(Some(shortage));
+        state.updates.mark_changed(name);
+    }
 }
 
-/// Memory that becomes free on a worker.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Freeing {
-    /// When, at the earliest.
-    at: u64,
-    memory_mb: u64,
+/// A worker has room for the function.
+pub(crate) fn clear_shortage(state: &mut ClusterState, name: &str) {
+    let function = state.functions.get_mut(name);
+    if function.is_some_and(|function| function.replace_shortage(None).is_some()) {
+        state.updates.mark_changed(name);
+    }
 }
 
-impl Autoscaler {
-    /// Judges when a worker may have room for a function whose start found none just now.
-    pub(crate) fn judge_room(&mut self, name: &str) {
-        let Some(function) = self.functions.get(name) else {
-            return;
+/// Workers have more room than before: what found none is tried again at once, the most urgent first.
+pub(crate) fn retry_blocked_starts(state: &mut ClusterState) {
+    for name in state.functions.active().clone() {
+        let Some(function) = state.functions.get_mut(&name) else {
+            continue;
         };
-        if !self.lists_are_settled() || self.may_have_runner(function) {
-            self.lift_no_room(name);
-            return;
-        }
-        let judgement = NoRoom {
-            judged_at: self.now,
-            room_at: self.room_at(name, function),
-        };
-        if let Some(function) = self.functions.get_mut(name) {
-            function.no_room = Some(judgement);
-            self.changed.insert(name.to_owned());
-        }
-    }
-
-    /// A worker has room for the function.
-    pub(crate) fn lift_no_room(&mut self, name: &str) {
-        let function = self.functions.get_mut(name);
-        if function.is_some_and(|function| function.no_room.take().is_some()) {
-            self.changed.insert(name.to_owned());
-        }
-    }
-
-    /// Workers have more room than before: what found none is tried again at once, the most urgent first.
-    pub(crate) fn try_blocked_again(&mut self) {
-        for name in self.active.clone() {
-            let Some(function) = self.functions.get_mut(&name) else {
-                continue;
-            };
-            if function.no_room.is_some() {
-                function.held_until = 0;
-                self.make_due(&name);
-            }
+        if function.shortage().is_some() {
+            function.resume_starts();
+            state.functions.make_due(&name);
         }
     }
+}
 
-    /// What a function's keeper is told of it now.
-    pub(crate) fn start_block(&self, name: &str, now: u64) -> Option<StartBlock> {
-        let function = self.functions.get(name)?;
-        let no_room = function.no_room?;
-        let expires_at = no_room.judged_at + VALID_MS;
-        if now >= expires_at || self.may_have_runner(function) {
-            return None;
-        }
-        let start_ms = function.plan.start_ms;
-        let until = |at: u64| u32::try_from(at.saturating_sub(now)).unwrap_or(u32::MAX);
-        let tried_at = no_room.room_at.unwrap_or(no_room.judged_at + HELD_MS);
-        Some(StartBlock {
-            earliest_ready_ms: no_room
-                .room_at
-                .map(|room_at| until(room_at + start_ms / QUICKEST_START)),
-            retry_after_ms: until(tried_at + start_ms),
-            valid_ms: until(expires_at),
-        })
+/// What a function's owner is told of it at a time; none where nothing rules a start out.
+pub(crate) fn start_block(state: &ClusterState, name: &str, now: u64) -> Option<StartBlock> {
+    let function = state.functions.get(name)?;
+    let shortage = function.shortage()?;
+    let expires_at = shortage.found_at + VALIDITY_MS;
+    if now >= expires_at || may_have_runner(state, function) {
+        return None;
     }
+    let start_ms = function.configuration().start_ms;
+    let ms_until = |at: u64| u32::try_from(at.saturating_sub(now)).unwrap_or(u32::MAX);
+    let ready_after = |room_at: u64| ms_until(room_at + start_ms / QUICKEST_START_DIVISOR);
+    let retried_at = shortage
+        .room_at
+        .unwrap_or(shortage.found_at + NO_ROOM_RETRY_MS);
+    Some(StartBlock {
+        earliest_ready_ms: shortage.room_at.map(ready_after),
+        retry_after_ms: ms_until(retried_at + start_ms),
+        valid_ms: ms_until(expires_at),
+    })
+}
 
-    /// The list of runners knows all that an earlier term started.
-    fn lists_are_settled(&self) -> bool {
-        self.runners_seen_at >= self.began_at + 2 * self.options.list_lag_ms
-    }
+/// The list of runners shows all that an earlier term started.
+fn shows_all_starts(state: &ClusterState) -> bool {
+    let since = state.began_at + 2 * state.options.list_lag_ms;
+    state.runners_listed_at.is_some_and(|at| at >= since)
+}
 
-    /// A runner serves, starts or can be taken back, or one may be there that no list has shown yet.
-    fn may_have_runner(&self, function: &Function) -> bool {
-        self.runners_of(function).any(|(_, runner)| {
-            runner.counts() || runner.can_revive() || matches!(runner.life, Life::Unsure { .. })
-        })
-    }
+/// A runner serves, starts or can be taken back, or one may exist that no list has shown yet.
+fn may_have_runner(state: &ClusterState, function: &Function) -> bool {
+    state.runners_of(function).any(|(_, runner)| {
+        let is_unconfirmed = matches!(runner.state, RunnerState::StartUnconfirmed { .. });
+        runner.is_capacity() || runner.can_be_revived() || is_unconfirmed
+    })
+}
 
-    /// When a worker may have room at the earliest; none where nothing that is known would make it.
-    fn room_at(&self, name: &str, function: &Function) -> Option<u64> {
-        let mut spare = self.spare_by_worker(name, function.plan.rank);
-        let open = self.workers.values().filter(|worker| !self.is_shut(worker));
-        open.filter_map(|worker| {
-            let spare = spare
-                .remove(worker.listing.name.as_str())
-                .unwrap_or_default();
-            self.room_on(worker, function.plan.memory_mb, spare)
-        })
-        .min()
-    }
+/// When a worker may have room at the earliest; none where nothing that is known would make it.
+fn room_at(state: &ClusterState, name: &str, function: &Function) -> Option<u64> {
+    let configuration = function.configuration();
+    let mut surplus = surplus_by_worker(state, name, configuration.priority);
+    let workers = state.workers.iter();
+    let usable = workers.filter(|worker| !state.workers.is_closed(worker));
+    let times = usable.filter_map(|worker| {
+        let freeing = surplus.remove(worker.listing().name.as_str());
+        room_on(
+            state,
+            worker,
+            configuration.memory_mb,
+            freeing.unwrap_or_default(),
+        )
+    });
+    times.min()
+}
 
-    fn room_on(&self, worker: &Worker, memory_mb: u64, mut freeing: Vec<Freeing>) -> Option<u64> {
-        let placed = self.placed_on(&worker.listing.name);
-        let ending = placed.filter(|(_, runner)| !runner.counts());
-        freeing.extend(ending.map(|(_, runner)| Freeing {
-            at: self.freed_at(runner),
-            memory_mb: runner.memory_mb,
-        }));
-        freeing.sort_unstable();
-        let mut free_mb = self.free_mb(worker, &self.sum_account(worker));
-        let mut room_at = self.now.max(worker.aside_until);
-        for next in freeing {
-            if free_mb >= memory_mb {
-                break;
-            }
-            free_mb += next.memory_mb;
-            room_at = room_at.max(next.at);
+/// When a worker may have so much memory free, with what ends there and what is to be freed at its times.
+fn room_on(
+    state: &ClusterState,
+    worker: &Worker,
+    memory_mb: u64,
+    mut freeing: Vec<TimedMemory>,
+) -> Option<u64> {
+    let placed = state.runners.on_worker(&worker.listing().name);
+    let ending = placed.filter(|(_, runner)| !runner.is_capacity());
+    freeing.extend(ending.map(|(_, runner)| TimedMemory {
+        at: freed_at(state, runner),
+        memory_mb: runner.memory_mb,
+    }));
+    freeing.sort_unstable();
+    let mut free_mb = state.free_mb(worker);
+    let mut room_at = state.now.max(worker.starts_paused_until());
+    for next in freeing {
+        if free_mb >= memory_mb {
+            break;
         }
-        (free_mb >= memory_mb).then_some(room_at)
+        free_mb += next.memory_mb;
+        room_at = room_at.max(next.at);
     }
+    (free_mb >= memory_mb).then_some(room_at)
+}
 
-    /// When the memory of a runner that ends counts as free at the earliest.
-    fn freed_at(&self, runner: &Runner) -> u64 {
-        match runner.life {
-            Life::Gone { since } => since + self.options.unlisted_ms(),
-            Life::Unsure { since } => {
-                let function = self.functions.get(&runner.function);
-                let start_ms = function.map_or(0, |function| function.plan.start_ms);
-                since + self.options.start_limit_ms(start_ms)
-            }
-            _ => self.now,
+/// When the memory of a runner that ends counts as free at the earliest.
+fn freed_at(state: &ClusterState, runner: &Runner) -> u64 {
+    match runner.state {
+        RunnerState::Unreachable { since } => since + state.options.unlisted_ms(),
+        RunnerState::StartUnconfirmed { since } => {
+            let start_ms = state.functions.start_ms(&runner.function);
+            since + state.options.start_limit_ms(start_ms)
         }
+        _ => state.now,
     }
+}
 
-    /// Runners that others than this function could soon do without, by worker.
-    fn spare_by_worker(&self, name: &str, rank: u8) -> BTreeMap<&str, Vec<Freeing>> {
-        let mut spare: BTreeMap<&str, Vec<Freeing>> = BTreeMap::new();
-        let serials = self.spare_runners(name, rank, |_| true);
-        let runners = serials
-            .iter()
-            .filter_map(|(_, serial)| self.runners.get(serial));
-        for runner in runners {
-            spare.entry(&runner.worker).or_default().push(Freeing {
-                at: self.now.max(runner.idle_at()),
+/// Memory of runners that others than this function could soon do without, by worker.
+fn surplus_by_worker<'a>(
+    state: &'a ClusterState,
+    name: &str,
+    priority: u8,
+) -> BTreeMap<&'a str, Vec<TimedMemory>> {
+    let mut surplus: BTreeMap<&str, Vec<TimedMemory>> = BTreeMap::new();
+    for found in surplus_runners(state, name, priority, |_| true) {
+        let Some(runner) = state.runners.get(found.serial) else {
+            continue;
+        };
+        surplus
+            .entry(&runner.worker)
+            .or_default()
+            .push(TimedMemory {
+                at: state.now.max(runner.evictable_at()),
                 memory_mb: runner.memory_mb,
             });
-        }
-        spare
     }
+    surplus
 }
--- /dev/null
+++ b/crates/autoscaler/src/starts.rs
@@ -0,0 +1,82 @@
+//! The wish for one more runner: placed and queued at once, commanded when the platform's rate allows it.
+
+use crate::eviction::evict_for;
+use crate::function::Function;
+use crate::placement::choose_worker;
+use crate::runner::{Runner, RunnerState, ServiceTime};
+use crate::start_block::{clear_shortage, record_shortage, NO_ROOM_RETRY_MS};
+use crate::start_queue::StartUrgency;
+use crate::state::ClusterState;
+use crate::worker_capacity::Worker;
+
+/// No worker has room for a runner of the function.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct NoWorkerHasRoom;
+
+/// Queues the start of one more runner of a function. Where no worker has room, idle runners of others are drained for
+/// it, and the start is to be tried again later.
+pub(crate) fn add_start(
+    state: &mut ClusterState,
+    name: &str,
+    urgency: StartUrgency,
+) -> Result<(), NoWorkerHasRoom> {
+    let Some(worker) = choose_worker(state, name) else {
+        pause_starts(state, name);
+        evict_for(state, name);
+        record_shortage(state, name);
+        return Err(NoWorkerHasRoom);
+    };
+    clear_shortage(state, name);
+    let function = state.functions.get(name);
+    let (Some(function), Some(worker)) = (function, state.workers.get(&worker)) else {
+        return Err(NoWorkerHasRoom);
+    };
+    let runner = pending_runner(state, name, function, worker);
+    log::debug!("scaler: {name} wants a runner on {}", runner.worker);
+    let serial = state.add_runner(runner);
+    state.queue_start(serial, name, urgency);
+    state.note_decision(name, "one more runner");
+    Ok(())
+}
+
+fn pending_runner(
+    state: &ClusterState,
+    name: &str,
+    function: &Function,
+    worker: &Worker,
+) -> Runner {
+    let prefix = &state.options.nonce_prefix;
+    let configuration = function.configuration();
+    Runner {
+        function: name.to_owned(),
+        nonce: format!("{prefix}-{}", state.runners.next_serial()),
+        id: None,
+        address: String::new(),
+        zone: worker.listing().zone.clone(),
+        worker: worker.listing().name.clone(),
+        memory_mb: configuration.memory_mb,
+        quota: configuration.concurrency,
+        max_quota: configuration.concurrency,
+        capacity: u32::MAX,
+        state: RunnerState::StartPending { not_before: 0 },
+        start_requested_at: None,
+        started_at: state.now,
+        failed_attempts: 0,
+        id_known_at: state.now,
+        is_up: false,
+        is_lost: false,
+        was_listed: false,
+        unlisted_since: None,
+        drain_update: 0,
+        last_used_at: state.now,
+        service_time: ServiceTime::unmeasured(function.service_time_ms()),
+    }
+}
+
+fn pause_starts(state: &mut ClusterState, name: &str) {
+    let until = state.now + NO_ROOM_RETRY_MS;
+    if let Some(function) = state.functions.get_mut(name) {
+        function.pause_starts(until);
+    }
+    state.note_decision(name, "no room");
+}
--- a/crates/autoscaler/tests/start_block.rs
+++ b/crates/autoscaler/tests/start_block.rs
@@ -22,7 +22,7 @@
 /// An autoscaler with these workers and no runner, whose lists have settled.
 fn settled(functions: &[(&str, u32)], workers: &[WorkerListing]) -> Autoscaler {
     let mut autoscaler = cluster(options(), functions, workers, &[]);
-    autoscaler.take_commands();
+    let _ = autoscaler.take_commands();
     autoscaler.update_runners(LATER, vec![]);
     autoscaler.update_workers(LATER, workers.to_vec());
     autoscaler.take_updates();
