--- a/crates/autoscaler/src/autoscaler.rs
+++ b/crates/autoscaler/src/autoscaler.rs
@@ -12,7 +12,7 @@
 use crate::scaling_decision::decide_due;
 use crate::state::ClusterState;
 use crate::updates;
-use protocol::{FunctionReport, FunctionUpdate};
+use protocol::{FunctionReport, FunctionUpdate, UpdateVersion};
 use routing::RoutingConfiguration;
 use std::collections::BTreeSet;
 
@@ -124,7 +124,7 @@
 
     /// Version of what [`Autoscaler::update_for`] gives, as term and number; zero until the lists were seen once.
     #[must_use]
-    pub fn update_version(&self, function: &str) -> (u64, u64) {
+    pub fn update_version(&self, function: &str) -> UpdateVersion {
         updates::update_version(&self.state, function)
     }
 
--- a/crates/autoscaler/src/function.rs
+++ b/crates/autoscaler/src/function.rs
@@ -4,7 +4,7 @@
 use crate::function_configuration::FunctionConfiguration;
 use crate::options::AutoscalerOptions;
 use crate::owner_reports::OwnerReports;
-use protocol::FunctionReport;
+use protocol::{FunctionReport, ZoneArrivals};
 use std::collections::BTreeSet;
 
 /// Milliseconds that a request is expected to take before any was answered.
@@ -98,8 +98,8 @@
         let is_new = !self.reports.contains(owner);
         let known = self.reports.entry(owner);
         let mut waiting = u64::from(report.waiting);
-        for (zone, counter) in &report.arrivals {
-            let mut arrived = known.take_arrivals(zone, *counter);
+        for ZoneArrivals { zone, count } in &report.arrivals {
+            let mut arrived = known.take_arrivals(zone, *count);
             if is_new {
                 // What an owner counted before its first report is no rate. Of that, what waits is still to be served;
                 // where it came from is known, how fast is not.
--- a/crates/autoscaler/src/updates.rs
+++ b/crates/autoscaler/src/updates.rs
@@ -4,7 +4,7 @@
 use crate::runner::Runner;
 use crate::start_block::start_block;
 use crate::state::ClusterState;
-use protocol::{FunctionUpdate, RunnerStage, RunnerUpdate};
+use protocol::{FunctionUpdate, RunnerStage, RunnerUpdate, UpdateVersion};
 
 /// Updates of the functions whose runners changed since the last call. None before the lists were seen once.
 pub(crate) fn take_updates(state: &mut ClusterState) -> Vec<FunctionUpdate> {
@@ -26,7 +26,10 @@
     }
     FunctionUpdate {
         function: name.to_owned(),
-        version: (state.updates.term(), number),
+        version: UpdateVersion {
+            term: state.updates.term(),
+            number,
+        },
         runners: runner_updates(state, name, state.now),
         start_block: start_block(state, name, state.now),
     }
@@ -49,15 +52,18 @@
     }
 }
 
-/// Version of the present update of a function, as term and number; zero until the lists were seen once.
-pub(crate) fn update_version(state: &ClusterState, name: &str) -> (u64, u64) {
+/// Version of the present update of a function; zero until the lists were seen once.
+pub(crate) fn update_version(state: &ClusterState, name: &str) -> UpdateVersion {
     if !state.is_listed() {
-        return (0, 0);
+        return UpdateVersion::default();
     }
     let first = state.updates.first_number();
     let function = state.functions.get(name);
     let number = function.map_or(first, |function| function.update_number().max(first));
-    (state.updates.term(), number)
+    UpdateVersion {
+        term: state.updates.term(),
+        number,
+    }
 }
 
 fn runner_updates(state: &ClusterState, name: &str, now: u64) -> Vec<RunnerUpdate> {
--- a/crates/autoscaler/tests/cluster/mod.rs
+++ b/crates/autoscaler/tests/cluster/mod.rs
@@ -4,7 +4,7 @@
 use autoscaler::{
     Autoscaler, AutoscalerOptions, RunnerCommand, RunnerListing, StartedRunner, WorkerListing,
 };
-use protocol::{FunctionReport, FunctionUpdate, RunnerReport, RunnerStage};
+use protocol::{FunctionReport, FunctionUpdate, RunnerReport, RunnerStage, ZoneArrivals};
 use routing::{Binding, Function, RoutingConfiguration};
 
 pub const KEEPER: &str = "gateway-a/1";
@@ -63,7 +63,10 @@
 pub fn told(function: &str, arrived: u64, waiting: u32) -> FunctionReport {
     FunctionReport {
         function: function.to_owned(),
-        arrivals: vec![("a".to_owned(), arrived)],
+        arrivals: vec![ZoneArrivals {
+            zone: "a".to_owned(),
+            count: arrived,
+        }],
         waiting,
         ..FunctionReport::default()
     }
--- a/crates/autoscaler/tests/decisions.rs
+++ b/crates/autoscaler/tests/decisions.rs
@@ -115,16 +115,16 @@
     let news = said.remove(0);
     assert_eq!(stage(&news, "r-1"), Some(RunnerStage::Serving));
     assert_eq!(stage(&news, "r-3"), Some(RunnerStage::Draining));
-    autoscaler.handle_report(now, KEEPER, &report(news.version.1 - 1, 0));
+    autoscaler.handle_report(now, KEEPER, &report(news.version.number - 1, 0));
     autoscaler.tick(now + 50);
     assert!(
         autoscaler.take_commands().is_empty(),
         "the keeper does not know yet"
     );
-    autoscaler.handle_report(now + 100, KEEPER, &report(news.version.1, 1));
+    autoscaler.handle_report(now + 100, KEEPER, &report(news.version.number, 1));
     autoscaler.tick(now + 150);
     assert!(autoscaler.take_commands().is_empty(), "it holds requests");
-    autoscaler.handle_report(now + 200, KEEPER, &report(news.version.1, 0));
+    autoscaler.handle_report(now + 200, KEEPER, &report(news.version.number, 0));
     autoscaler.tick(now + 250);
     assert_eq!(stops(&autoscaler.take_commands()), ["r-2", "r-3"]);
     autoscaler.handle_stop_result(now + 300, "r-2", true);
@@ -189,7 +189,7 @@
         mark = autoscaler
             .take_updates()
             .last()
-            .map_or(mark, |news| news.version.1);
+            .map_or(mark, |news| news.version.number);
         if stops(&autoscaler.take_commands()) == [id.as_str()] {
             stopped_at = now;
             break;
--- a/crates/autoscaler/tests/platform.rs
+++ b/crates/autoscaler/tests/platform.rs
@@ -61,7 +61,10 @@
         "it does not know the lists"
     );
     assert!(autoscaler.take_updates().is_empty());
-    assert_eq!(autoscaler.update_for("f", 50_100).version, (0, 0));
+    assert_eq!(
+        autoscaler.update_for("f", 50_100).version,
+        protocol::UpdateVersion::default()
+    );
     autoscaler.update_workers(50_200, workers());
     autoscaler.tick(50_200);
     assert!(autoscaler.take_commands().is_empty());
@@ -76,7 +79,7 @@
     let news = autoscaler.take_updates();
     assert!(news
         .iter()
-        .all(|news| news.version.0 == 7 && news.version.1 > 7 << 32));
+        .all(|news| news.version.term == 7 && news.version.number > 7 << 32));
     let f_news = news.iter().find(|news| news.function == "f").unwrap();
     assert_eq!(stage(f_news, "r-1"), Some(RunnerStage::Serving));
     assert_eq!(quotas(f_news), [4]);
@@ -141,7 +144,7 @@
     let news = autoscaler.take_updates().remove(0);
     assert_eq!(stage(&news, "r-1"), Some(RunnerStage::Draining));
     let drained = protocol::FunctionReport {
-        update_number: news.version.1,
+        update_number: news.version.number,
         runners: vec![held("r-1", 0)],
         ..told("f", 0, 0)
     };
--- a/crates/autoscaler/tests/random.rs
+++ b/crates/autoscaler/tests/random.rs
@@ -210,7 +210,7 @@
             for runner in &news.runners {
                 assert!(runner.quota <= 4, "a quota above the concurrency");
             }
-            self.held.insert(news.function.clone(), news.version.1);
+            self.held.insert(news.function.clone(), news.version.number);
             let open = news.runners.into_iter();
             let open = open.filter(|runner| runner.stage != RunnerStage::Draining);
             let open = open.map(|runner| runner.id).collect();
--- a/crates/controller/src/membership_publisher.rs
+++ b/crates/controller/src/membership_publisher.rs
@@ -1,6 +1,6 @@
 //! The membership of gateways under one term, and who is yet to be notified of it.
 
-use protocol::{frame, Member, Message};
+use protocol::{frame, Member, Message, UpdateVersion};
 use std::collections::BTreeSet;
 
 /// The gateways that own functions' seats, with a version that rises with each change. Only the scaler publishes it.
@@ -58,7 +58,10 @@
             return None;
         }
         let message = Message::GatewayMembership {
-            version: (self.term, self.version),
+            version: UpdateVersion {
+                term: self.term,
+                number: self.version,
+            },
             members: self.members.clone(),
         };
         Some(MembershipUpdate {
--- a/crates/controller/src/scaler.rs
+++ b/crates/controller/src/scaler.rs
@@ -12,7 +12,7 @@
 use autoscaler::{Autoscaler, AutoscalerOptions, FunctionStatus, RunnerCommand, StartError};
 use event_loop::ConnectionId;
 use http1::Response;
-use protocol::{FunctionReport, FunctionUpdate, Message};
+use protocol::{FunctionReport, FunctionUpdate, Message, UpdateVersion};
 use std::collections::BTreeMap;
 
 const OK: u16 = 200;
@@ -183,7 +183,7 @@
         }
         for report in reports {
             autoscaler.handle_report(context.now, owner, report);
-            let (term, number) = autoscaler.update_version(&report.function);
+            let UpdateVersion { term, number } = autoscaler.update_version(&report.function);
             if term > 0 && number != report.update_number {
                 let update = autoscaler.update_for(&report.function, context.now);
                 let message = Message::FunctionUpdates(vec![update]);
--- a/crates/gateway/src/applied_configuration.rs
+++ b/crates/gateway/src/applied_configuration.rs
@@ -1,7 +1,7 @@
 //! What the control plane has put in force here. Each kind of update bears a version, and an older one than that in
 //! force is dropped.
 
-use protocol::{unpack, Member};
+use protocol::{unpack, Member, UpdateVersion};
 use routing::{ConfigurationFormat, Limits, RoutingConfiguration, RoutingTable};
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     table: Option<Arc<RoutingTable>>,
     needs_whole: bool,
     evacuated_zones: BTreeSet<String>,
-    membership_version: (u64, u64),
+    membership_version: UpdateVersion,
     members: Vec<Member>,
 }
 
@@ -71,7 +71,7 @@
     }
 
     /// Version of the membership in force.
-    pub fn membership_version(&self) -> (u64, u64) {
+    pub fn membership_version(&self) -> UpdateVersion {
         self.membership_version
     }
 
@@ -175,12 +175,12 @@
     }
 
     /// Applies the membership; whether it was newer.
-    pub fn apply_membership(&mut self, version: (u64, u64), members: Vec<Member>) -> bool {
+    pub fn apply_membership(&mut self, version: UpdateVersion, members: Vec<Member>) -> bool {
         if version <= self.membership_version || members.is_empty() {
             return false;
         }
         log::info!(
-            "gateway: membership {version:?} of {} gateways",
+            "gateway: membership {version} of {} gateways",
             members.len()
         );
         self.membership_version = version;
--- a/crates/gateway/src/configuration_updates.rs
+++ b/crates/gateway/src/configuration_updates.rs
@@ -1,7 +1,7 @@
 //! Updates of the control plane are put in force, and the scaler is told of the functions that are owned here.
 
 use crate::gateway::Gateway;
-use protocol::{Member, Message};
+use protocol::{Member, Message, UpdateVersion};
 use seat_leases::select_owner;
 
 impl Gateway {
@@ -31,7 +31,7 @@
 
     /// The gateways that own functions. Requests that await a lease of a gateway that owns the function no more request
     /// it anew, and new owners are told of the seats in use.
-    pub fn membership_received(&mut self, version: (u64, u64), members: Vec<Member>) {
+    pub fn membership_received(&mut self, version: UpdateVersion, members: Vec<Member>) {
         if !self.configuration.apply_membership(version, members) {
             return;
         }
--- a/crates/gateway/src/downstream_connection.rs
+++ b/crates/gateway/src/downstream_connection.rs
@@ -1,7 +1,7 @@
 //! State of one client's connection. It bears one request at a time.
 
-use crate::in_flight_requests::RequestId;
 use http1::RequestReader;
+use protocol::RequestId;
 
 /// A client's connection.
 #[derive(Default)]
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -3,7 +3,7 @@
 use crate::applied_configuration::AppliedConfiguration;
 use crate::connections::Connections;
 use crate::controller_links::ControllerLinks;
-use crate::in_flight_requests::{InFlightRequests, RequestId};
+use crate::in_flight_requests::InFlightRequests;
 use crate::options::{GatewayError, GatewayOptions};
 use crate::peer_links::PeerLinks;
 use crate::rejection_log::RejectionLog;
@@ -13,6 +13,7 @@
 use event_loop::{ConnectionId, ListenerId, Timers};
 use jobs::{Ends, Jobs};
 use protocol::Member;
+use protocol::RequestId;
 use seat_leases::LeaseOwner;
 
 /// Most unread bytes of a client's connection.
--- a/crates/gateway/src/in_flight_requests.rs
+++ b/crates/gateway/src/in_flight_requests.rs
@@ -1,11 +1,9 @@
 //! Requests in flight, by an id that is never used twice within the gateway's incarnation.
 
 use crate::pending_request::PendingRequest;
+use protocol::RequestId;
 use slab::Slab;
 
-/// Number of a request, unique within the gateway's incarnation.
-pub(crate) type RequestId = u64;
-
 /// Bits of an id that hold the request's slot; the others count the requests of the incarnation, and last for 10^12.
 const SLOT_BITS: u32 = 24;
 const SLOT_MASK: u64 = (1 << SLOT_BITS) - 1;
@@ -18,7 +16,7 @@
 }
 
 fn slot(id: RequestId) -> usize {
-    (id & SLOT_MASK) as usize
+    (id.0 & SLOT_MASK) as usize
 }
 
 impl InFlightRequests {
@@ -26,7 +24,7 @@
     pub fn add(&mut self, mut request: PendingRequest) -> RequestId {
         self.admitted += 1;
         let entry = self.slots.vacant_entry();
-        let id = (self.admitted << SLOT_BITS) | entry.key() as u64;
+        let id = RequestId((self.admitted << SLOT_BITS) | entry.key() as u64);
         request.id = id;
         entry.insert(request);
         id
--- a/crates/gateway/src/job_messages.rs
+++ b/crates/gateway/src/job_messages.rs
@@ -2,11 +2,11 @@
 //! others its response. Here the messages about jobs are sent and received.
 
 use crate::gateway::Gateway;
-use crate::in_flight_requests::RequestId;
 use crate::pending_request::{PendingRequest, RequestPhase};
 use crate::stored_response::{pack, unpack, StoredResponse};
 use http1::{Request, Response};
 use jobs::{digest, is_key, JobAction, Pass};
+use protocol::RequestId;
 use protocol::{JobCompletion, JobResult, JobVerdict, Message};
 
 /// Header by which a client names the job that its request asks for.
--- a/crates/gateway/src/lease_requests.rs
+++ b/crates/gateway/src/lease_requests.rs
@@ -1,9 +1,9 @@
 //! Phase 3: a seat is requested from the owner of the function's seats, and given back when it is no longer used.
 
 use crate::gateway::{Gateway, TimerEvent};
-use crate::in_flight_requests::RequestId;
 use crate::pending_request::{HeldLease, OwnerName, PendingRequest, RequestPhase};
-use protocol::{LeaseOutcome, LeaseRelease, LeaseRequest, Member, Message};
+use protocol::RequestId;
+use protocol::{LeaseOutcome, LeaseRelease, LeaseRequest, Member, Message, RunnerLeases};
 use seat_leases::select_owner;
 use std::collections::BTreeSet;
 
@@ -137,8 +137,8 @@
     }
 
     /// Runners of a function at which this gateway has requests now.
-    fn leases_in_use(&self, function: &str) -> Vec<(String, String, String, Vec<u64>)> {
-        let mut runners: Vec<(String, String, String, Vec<u64>)> = Vec::new();
+    fn leases_in_use(&self, function: &str) -> Vec<RunnerLeases> {
+        let mut runners: Vec<RunnerLeases> = Vec::new();
         for request in self.requests.iter() {
             let Some(attempt) = request.attempt() else {
                 continue;
@@ -146,14 +146,17 @@
             if request.function != function {
                 continue;
             }
-            match runners.iter_mut().find(|known| known.0 == attempt.runner) {
-                Some(known) => known.3.push(request.id),
-                None => runners.push((
-                    attempt.runner.clone(),
-                    attempt.address.clone(),
-                    attempt.zone.clone(),
-                    vec![request.id],
-                )),
+            match runners
+                .iter_mut()
+                .find(|known| known.runner == attempt.runner)
+            {
+                Some(known) => known.requests.push(request.id),
+                None => runners.push(RunnerLeases {
+                    runner: attempt.runner.clone(),
+                    address: attempt.address.clone(),
+                    zone: attempt.zone.clone(),
+                    requests: vec![request.id],
+                }),
             }
         }
         runners
--- a/crates/gateway/src/pending_request.rs
+++ b/crates/gateway/src/pending_request.rs
@@ -1,9 +1,9 @@
 //! One client request from its admission to its response.
 
-use crate::in_flight_requests::RequestId;
 use event_loop::ConnectionId;
 use http1::Request;
 use jobs::Pass;
+use protocol::RequestId;
 
 /// Name of the gateway that owns the seats of a function.
 pub(crate) type OwnerName = String;
--- a/crates/gateway/src/request_admission.rs
+++ b/crates/gateway/src/request_admission.rs
@@ -5,6 +5,7 @@
 use event_loop::ConnectionId;
 use http1::Request;
 use jobs::Pass;
+use protocol::RequestId;
 use routing::{Binding, RoutingTable};
 use std::fmt;
 
@@ -122,7 +123,7 @@
     ) {
         let deadline = self.now + admission.timeout_ms;
         let request_id = self.requests.add(PendingRequest {
-            id: 0,
+            id: RequestId(0),
             downstream: Some(id),
             request,
             client_request_id,
--- a/crates/gateway/src/request_outcomes.rs
+++ b/crates/gateway/src/request_outcomes.rs
@@ -1,12 +1,12 @@
 //! Phase 6: a request is answered, retried or rejected.
 
 use crate::gateway::Gateway;
-use crate::in_flight_requests::RequestId;
 use crate::pending_request::{PendingRequest, RequestPhase};
 use crate::response_classification::{classify, ResponseClass};
 use crate::upstream_session::UpstreamResponse;
 use event_loop::ConnectionId;
 use http1::{end_to_end, Response};
+use protocol::RequestId;
 use protocol::{JobResult, LeaseOutcome};
 
 /// Least milliseconds after which a rejected client may come back.
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -1,7 +1,7 @@
 //! When a request is attempted again, at another runner.
 
 use crate::gateway::Gateway;
-use crate::in_flight_requests::RequestId;
+use protocol::RequestId;
 
 impl Gateway {
     /// A request's first attempt earns its share of a retry.
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -4,7 +4,7 @@
 use crate::gateway::{Gateway, TimerEvent};
 use crate::options::{GatewayError, GatewayOptions};
 use event_loop::{CloseReason, ConnectionId, Event};
-use protocol::Message;
+use protocol::{Message, RequestId};
 use seat_leases::LeaseAction;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -205,7 +205,7 @@
         }
     }
 
-    fn reject_lease_request(&mut self, gateway: &str, request_id: u64, retry_after_ms: u32) {
+    fn reject_lease_request(&mut self, gateway: &str, request_id: RequestId, retry_after_ms: u32) {
         let now = self.now;
         if self.jobs.refused(now, gateway, request_id, retry_after_ms) {
             return;
--- a/crates/gateway/src/upstream_connection.rs
+++ b/crates/gateway/src/upstream_connection.rs
@@ -1,7 +1,7 @@
 //! State of one connection to a runner. It bears one request at a time.
 
-use crate::in_flight_requests::RequestId;
 use crate::upstream_session::UpstreamSession;
+use protocol::RequestId;
 
 /// A connection to a runner.
 pub(crate) struct UpstreamConnection {
--- a/crates/gateway/src/upstream_requests.rs
+++ b/crates/gateway/src/upstream_requests.rs
@@ -2,12 +2,12 @@
 
 use crate::connections::ConnectionRole;
 use crate::gateway::{Gateway, TimerEvent};
-use crate::in_flight_requests::RequestId;
 use crate::pending_request::{PendingRequest, RequestPhase, UpstreamAttempt};
 use crate::upstream_connection::UpstreamConnection;
 use crate::upstream_session::{OutstandingRequest, BODY_MAX, HEAD_MAX};
 use event_loop::ConnectionId;
 use http1::{end_to_end, write_request};
+use protocol::RequestId;
 use protocol::{LeaseOutcome, LeaseRelease, SeatLease};
 
 /// Most unread bytes of a connection to a runner.
--- a/crates/jobs/src/claim.rs
+++ b/crates/jobs/src/claim.rs
@@ -1,3 +1,4 @@
+use protocol::RequestId;
 use sha2::{Digest, Sha256};
 use speedy::{Readable, Writable};
 
@@ -14,7 +15,7 @@
     /// Life of the gateway.
     pub incarnation: u64,
     /// Its ticket in that life.
-    pub ticket: u64,
+    pub ticket: RequestId,
 }
 
 /// How far the job is.
--- a/crates/jobs/src/ends.rs
+++ b/crates/jobs/src/ends.rs
@@ -1,4 +1,4 @@
-use protocol::{JobCompletion, JobResult};
+use protocol::{JobCompletion, JobResult, RequestId};
 use std::collections::BTreeMap;
 
 /// Milliseconds after which an end is told again.
@@ -11,7 +11,7 @@
 /// Answers of once-work that are not known to be on the controllers' disks yet; they are told until they are.
 #[derive(Default)]
 pub struct Ends {
-    owed: BTreeMap<u64, (JobCompletion, u64, u64)>,
+    owed: BTreeMap<RequestId, (JobCompletion, u64, u64)>,
 }
 
 impl Ends {
@@ -25,7 +25,7 @@
     }
 
     /// An answer is on the controllers' disks.
-    pub fn kept(&mut self, ticket: u64) {
+    pub fn kept(&mut self, ticket: RequestId) {
         self.owed.remove(&ticket);
     }
 
--- a/crates/jobs/src/jobs.rs
+++ b/crates/jobs/src/jobs.rs
@@ -1,7 +1,7 @@
 use crate::action::JobAction;
 use crate::claim::{register_key, Claim, ClaimState};
 use crate::job::{Copy, Debt, Job, State};
-use protocol::{JobVerdict, LeaseRequest};
+use protocol::{JobVerdict, LeaseRequest, RequestId};
 use speedy::Writable;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -29,7 +29,7 @@
     pub(crate) life: u64,
     pub(crate) remembered_ms: u64,
     pub(crate) jobs: HashMap<String, Job>,
-    pub(crate) tickets: HashMap<(String, u64), String>,
+    pub(crate) tickets: HashMap<(String, RequestId), String>,
     pub(crate) asks: HashMap<u64, (String, Purpose, u64)>,
     pub(crate) busy: BTreeSet<String>,
     pub(crate) queue: VecDeque<(u64, String)>,
@@ -233,7 +233,7 @@
     }
 
     /// A gateway's request got no seat from its keeper. Whether this machine sees to it.
-    pub fn refused(&mut self, now: u64, gateway: &str, ticket: u64, after_ms: u32) -> bool {
+    pub fn refused(&mut self, now: u64, gateway: &str, ticket: RequestId, after_ms: u32) -> bool {
         let holder = (gateway.to_string(), ticket);
         let Some(name) = self.tickets.get(&holder).cloned() else {
             return false;
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -1,4 +1,4 @@
-use protocol::{JobAttempt, JobCompletion, JobResult};
+use protocol::{JobAttempt, JobCompletion, JobResult, RequestId};
 
 /// A gateway's part in the job of one of its requests: whether the request may leave for a runner. Each bid takes
 /// back all that was told about an earlier one.
@@ -80,7 +80,7 @@
     }
 
     /// What the keeper is told at the end of the request, or of its bid.
-    pub fn end(&self, ticket: u64, function: &str, result: JobResult) -> JobCompletion {
+    pub fn end(&self, ticket: RequestId, function: &str, result: JobResult) -> JobCompletion {
         JobCompletion {
             request_id: ticket,
             function: function.into(),
--- a/crates/jobs/tests/machine.rs
+++ b/crates/jobs/tests/machine.rs
@@ -2,12 +2,14 @@
 
 use fuzzing::seeded;
 use jobs::{digest, is_key, register_key, Claim, ClaimState, JobAction, Jobs, RunnerId};
-use protocol::{JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseRequest, RegisterResponse};
+use protocol::{
+    JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseRequest, RegisterResponse, RequestId,
+};
 use speedy::{Readable, Writable};
 
 fn bid(ticket: u64, key: &str, is_once: bool) -> LeaseRequest {
     LeaseRequest {
-        request_id: ticket,
+        request_id: RequestId(ticket),
         function: "sign".into(),
         timeout_ms: 4_000,
         job: Some(mark(key, is_once)),
@@ -27,7 +29,7 @@
 
 fn end(ticket: u64, key: &str, is_once: bool, result: JobResult) -> JobCompletion {
     JobCompletion {
-        request_id: ticket,
+        request_id: RequestId(ticket),
         function: "sign".into(),
         attempt: mark(key, is_once),
         register_version: u64::from(is_once),
@@ -52,7 +54,7 @@
 
 fn verdicts(actions: &[JobAction]) -> Vec<(u64, JobVerdict)> {
     let told = actions.iter().filter_map(|action| match action {
-        JobAction::Tell(_, ticket, _, verdict) => Some((*ticket, verdict.clone())),
+        JobAction::Tell(_, ticket, _, verdict) => Some((ticket.0, verdict.clone())),
         _ => None,
     });
     told.collect()
@@ -60,7 +62,7 @@
 
 fn may_leave(actions: &[JobAction]) -> Vec<u64> {
     let claimed = actions.iter().filter_map(|action| match action {
-        JobAction::Claimed { ticket, .. } => Some(*ticket),
+        JobAction::Claimed { ticket, .. } => Some(ticket.0),
         _ => None,
     });
     claimed.collect()
@@ -94,7 +96,7 @@
     jobs.ended(5, "g1", end(4, "k", false, JobResult::Lost));
     let actions = jobs.actions();
     assert!(
-        matches!(&actions[0], JobAction::Seat(gateway, _, bid) if gateway == "g2" && bid.request_id == 9)
+        matches!(&actions[0], JobAction::Seat(gateway, _, bid) if gateway == "g2" && bid.request_id == RequestId(9))
     );
     jobs.ended(9, "g2", end(9, "k", false, JobResult::Answer(vec![1])));
     jobs.arrive(10, "g3", "a", bid(2, "k", false));
@@ -109,7 +111,7 @@
     let mut jobs = Jobs::new(1, 600_000);
     jobs.arrive(0, "g1", "a", bid(4, "k", true));
     let (number, _, _) = ask_of(&jobs.actions()).unwrap();
-    assert!(jobs.refused(1, "g1", 4, 300));
+    assert!(jobs.refused(1, "g1", RequestId(4), 300));
     assert!(jobs.actions().is_empty());
     let done = Claim {
         digest: digest("POST", "/sign", b"build"),
@@ -204,7 +206,7 @@
                     jobs.said(now, number, said);
                 }
                 4 => {
-                    jobs.refused(now, gateway, ticket, 100);
+                    jobs.refused(now, gateway, RequestId(ticket), 100);
                 }
                 5 => jobs.forget_gateway(now, gateway),
                 _ => {
--- a/crates/jobs/tests/town/gateway.rs
+++ b/crates/jobs/tests/town/gateway.rs
@@ -2,7 +2,8 @@
 use super::{Event, Told, Town, FUNCTION, MS};
 use jobs::{digest, Ends, Jobs, Pass};
 use protocol::{
-    FunctionUpdate, JobResult, LeaseOutcome, LeaseRequest, Message, RunnerStage, RunnerUpdate,
+    FunctionUpdate, JobResult, LeaseOutcome, LeaseRequest, Message, RequestId, RunnerStage,
+    RunnerUpdate, UpdateVersion,
 };
 use rand::Rng;
 use seat_leases::{select_owner, LeaseOwner};
@@ -68,7 +69,7 @@
     };
     FunctionUpdate {
         function: FUNCTION.into(),
-        version: (1, 1),
+        version: UpdateVersion { term: 1, number: 1 },
         runners: (0..3).map(runner).collect(),
         start_block: None,
     }
@@ -164,7 +165,7 @@
         };
         ticket.stage = Stage::Waiting(keeper.clone());
         let bid = LeaseRequest {
-            request_id: number,
+            request_id: RequestId(number),
             function: FUNCTION.into(),
             priority: 0,
             timeout_ms: ticket.ends_at.saturating_sub(now) as u32,
@@ -199,13 +200,15 @@
             _ => return,
         };
         ticket.stage = Stage::Resting;
-        let end = ticket.pass.end(number, FUNCTION, JobResult::NotRun);
+        let end = ticket
+            .pass
+            .end(RequestId(number), FUNCTION, JobResult::NotRun);
         ticket.pass.void();
         if lender == node.name {
-            node.keeper.cancel(now, &lender, number);
+            node.keeper.cancel(now, &lender, RequestId(number));
         } else {
             let peer = self.place_of(&lender).unwrap();
-            self.send(place, peer, Message::CancelRequest(number));
+            self.send(place, peer, Message::CancelRequest(RequestId(number)));
         }
         self.tell_end(place, &lender, end);
     }
--- a/crates/jobs/tests/town/hearing.rs
+++ b/crates/jobs/tests/town/hearing.rs
@@ -1,7 +1,7 @@
 use super::gateway::Stage;
 use super::{Event, Told, Town};
 use jobs::JobAction;
-use protocol::{JobResult, JobVerdict, Message};
+use protocol::{JobResult, JobVerdict, Message, RequestId};
 use seat_leases::LeaseAction;
 
 impl Town {
@@ -23,17 +23,17 @@
                 request_id: ticket,
                 attempt,
                 register_version: version,
-            } => self.claimed(place, &name, ticket, attempt, version),
+            } => self.claimed(place, &name, ticket.0, attempt, version),
             Message::JobJoined {
                 request_id: ticket,
                 attempt,
-            } => self.joined(place, &name, ticket, attempt),
+            } => self.joined(place, &name, ticket.0, attempt),
             Message::JobVerdict {
                 request_id: ticket,
                 attempt,
                 verdict,
-            } => self.told(place, &name, ticket, attempt, verdict),
-            Message::JobPersisted(ticket) => node.ends.kept(ticket),
+            } => self.told(place, &name, ticket.0, attempt, verdict),
+            Message::JobPersisted(ticket) => node.ends.kept(RequestId(ticket.0)),
             _ => {}
         }
         self.run_actions(place);
@@ -67,7 +67,9 @@
                 request_id: ticket,
                 retry_after_ms: after,
             } => {
-                self.nodes[place].jobs.refused(now, &gateway, ticket, after);
+                self.nodes[place]
+                    .jobs
+                    .refused(now, &gateway, RequestId(ticket.0), after);
             }
             LeaseAction::Probe { .. } => {}
         }
@@ -89,7 +91,9 @@
             JobAction::Seat(gateway, district, bid) => {
                 node.keeper.request_lease(now, &gateway, &district, bid)
             }
-            JobAction::Withdraw(gateway, ticket) => node.keeper.cancel(now, &gateway, ticket),
+            JobAction::Withdraw(gateway, ticket) => {
+                node.keeper.cancel(now, &gateway, RequestId(ticket.0))
+            }
             JobAction::Claimed {
                 gateway,
                 ticket,
@@ -97,7 +101,7 @@
                 version,
             } => {
                 let message = Message::JobClaimed {
-                    request_id: ticket,
+                    request_id: RequestId(ticket.0),
                     attempt,
                     register_version: version,
                 };
@@ -108,21 +112,21 @@
                     place,
                     &gateway,
                     Message::JobJoined {
-                        request_id: ticket,
+                        request_id: RequestId(ticket.0),
                         attempt,
                     },
                 );
             }
             JobAction::Tell(gateway, ticket, attempt, verdict) => {
                 let message = Message::JobVerdict {
-                    request_id: ticket,
+                    request_id: RequestId(ticket.0),
                     attempt,
                     verdict,
                 };
                 self.deliver(place, &gateway, message);
             }
             JobAction::Kept(gateway, ticket) => {
-                self.deliver(place, &gateway, Message::JobPersisted(ticket));
+                self.deliver(place, &gateway, Message::JobPersisted(RequestId(ticket.0)));
             }
             JobAction::Ask {
                 number,
--- a/crates/jobs/tests/town/sending.rs
+++ b/crates/jobs/tests/town/sending.rs
@@ -1,13 +1,13 @@
 use super::gateway::Stage;
 use super::{Event, Reply, Told, Town, FUNCTION, MS};
-use protocol::{JobResult, LeaseOutcome, LeaseRelease, Message, SeatLease};
+use protocol::{JobResult, LeaseOutcome, LeaseRelease, Message, RequestId, SeatLease};
 use rand::Rng;
 
 const SENDS_MAX: u32 = 3;
 
 impl Town {
     pub fn granted(&mut self, place: usize, lender: &str, grant: SeatLease) {
-        let number = grant.request_id;
+        let number = grant.request_id.0;
         let way = self.hop();
         let node = &mut self.nodes[place];
         let ticket = node.tickets.get_mut(&number);
@@ -25,7 +25,7 @@
     pub fn release(&mut self, place: usize, lender: &str, ticket: u64, outcome: LeaseOutcome) {
         let now = self.now_ms();
         let release = LeaseRelease {
-            request_id: ticket,
+            request_id: RequestId(ticket),
             outcome,
             duration_ms: 20,
         };
@@ -155,7 +155,7 @@
         if ticket.has_client {
             self.oracle.tell(ticket.asked, self.now, told);
         }
-        let end = ticket.pass.end(number, FUNCTION, result);
+        let end = ticket.pass.end(RequestId(number), FUNCTION, result);
         self.nodes[place].ends.note(self.now / MS, &end);
         let lender = match &ticket.stage {
             Stage::Waiting(lender) | Stage::Sent(lender, ..) => Some(lender.clone()),
--- a/crates/jobs/tests/words.rs
+++ b/crates/jobs/tests/words.rs
@@ -1,7 +1,9 @@
 //! Word that comes late, or about an earlier bid, changes nothing; word that must come comes.
 
 use jobs::{digest, Claim, Ends, JobAction, Jobs, Pass};
-use protocol::{JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseRequest, RegisterResponse};
+use protocol::{
+    JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseRequest, RegisterResponse, RequestId,
+};
 use speedy::Readable;
 
 const KEY: &str = "k";
@@ -12,7 +14,7 @@
 
 fn bid(ticket: u64, mark: JobAttempt) -> LeaseRequest {
     LeaseRequest {
-        request_id: ticket,
+        request_id: RequestId(ticket),
         function: "sign".into(),
         timeout_ms: 4_000,
         job: Some(mark),
@@ -41,7 +43,7 @@
 }
 
 fn end(pass: &Pass, result: JobResult) -> JobCompletion {
-    pass.end(4, "sign", result)
+    pass.end(RequestId(4), "sign", result)
 }
 
 #[test]
@@ -70,10 +72,13 @@
     let (mut jobs, _) = running(&mut pass);
     jobs.arrive(2, "g2", "a", bid(9, self::pass().bid("k1")));
     jobs.actions();
-    assert!(jobs.refused(3, "g1", 4, 300));
+    assert!(jobs.refused(3, "g1", RequestId(4), 300));
     let actions = jobs.actions();
     let told = JobVerdict::NotRun(300);
-    assert_eq!(actions, [JobAction::Tell("g1".into(), 4, 1, told)]);
+    assert_eq!(
+        actions,
+        [JobAction::Tell("g1".into(), RequestId(4), 1, told)]
+    );
     jobs.ended(4, "g1", end(&pass, JobResult::NotRun));
     assert!(matches!(&jobs.actions()[0], JobAction::Seat(gateway, ..) if gateway == "g2"));
 }
@@ -88,8 +93,7 @@
     let (number, _) = asked(&jobs.actions());
     jobs.said(30_002, number, RegisterResponse::Found(1, claim));
     let actions = jobs.actions();
-    let joins =
-        |action: &JobAction| matches!(action, JobAction::Joined(gateway, 9, _) if gateway == "g2");
+    let joins = |action: &JobAction| matches!(action, JobAction::Joined(gateway, RequestId(9), _) if gateway == "g2");
     assert!(actions.iter().any(joins), "{actions:?}");
     assert!(!actions
         .iter()
@@ -119,7 +123,7 @@
         }
     }
     assert!(
-        matches!(told[..], [(at, 9, JobVerdict::MayHaveRun)] if at < 3_000),
+        matches!(told[..], [(at, RequestId(9), JobVerdict::MayHaveRun)] if at < 3_000),
         "{told:?}"
     );
 }
@@ -155,7 +159,7 @@
     assert!(ends.due(200).is_empty());
     assert_eq!(ends.due(300), std::slice::from_ref(&answer));
     assert_eq!(ends.due(600), [answer]);
-    ends.kept(4);
+    ends.kept(RequestId(4));
     assert!(ends.is_empty());
 }
 
@@ -170,10 +174,19 @@
     let kept = Claim::read_from_buffer(&bytes).unwrap();
     assert_eq!(kept.runner, Claim::read_from_buffer(&claim).unwrap().runner);
     other.said(11, number, RegisterResponse::Written(2));
-    assert_eq!(other.actions(), [JobAction::Kept("g1".into(), 4)]);
+    assert_eq!(
+        other.actions(),
+        [JobAction::Kept("g1".into(), RequestId(4))]
+    );
     other.ended(12, "g1", answer);
-    assert_eq!(other.actions(), [JobAction::Kept("g1".into(), 4)]);
+    assert_eq!(
+        other.actions(),
+        [JobAction::Kept("g1".into(), RequestId(4))]
+    );
     other.arrive(13, "g2", "a", bid(9, self::pass().bid("k2")));
     let told = JobVerdict::Answer(vec![5]);
-    assert_eq!(other.actions(), [JobAction::Tell("g2".into(), 9, 1, told)]);
+    assert_eq!(
+        other.actions(),
+        [JobAction::Tell("g2".into(), RequestId(9), 1, told)]
+    );
 }
--- a/crates/protocol/src/packing.rs
+++ b/crates/protocol/src/compression.rs
@@ -1,9 +1,11 @@
+//! Compression of documents and responses, on the wire and in the registers.
+
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 use flate2::Compression;
 use std::io::{Read, Write};
 
-/// Bytes deflated, as documents and answers travel and are kept.
+/// Deflates bytes.
 pub fn pack(bytes: &[u8]) -> Vec<u8> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     // Writing to memory does not fail.
@@ -11,10 +13,12 @@
     encoder.finish().unwrap_or_default()
 }
 
-/// Deflated bytes as they were, up to so many; none where they cannot be read.
-pub fn unpack(packed: &[u8], most: u64) -> Option<Vec<u8>> {
+/// Inflates the first `limit` bytes of what was deflated; none where it cannot be read.
+///
+/// The limit bounds the memory that a hostile or damaged input can take.
+pub fn unpack(packed: &[u8], limit: u64) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     let decoder = DeflateDecoder::new(packed);
-    decoder.take(most).read_to_end(&mut bytes).ok()?;
+    decoder.take(limit).read_to_end(&mut bytes).ok()?;
     Some(bytes)
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,16 +1,24 @@
-//! What the daemons of the data plane and the control plane say to one another. Every message is one frame.
+//! The protocol between gateways, controllers and operators' tools: typed messages, each sent as one frame.
+//!
+//! Values are encoded by position without field names, so the order of fields and variants is part of the protocol.
+//! `tests/compatibility` holds captured bytes of every message.
 #![warn(missing_docs)]
 
+mod compression;
 mod frame;
 mod functions;
+mod identifiers;
 mod jobs;
+mod leases;
 mod message;
-mod packing;
 
+pub use compression::{pack, unpack};
 pub use frame::{frame, take_frames, FrameError, Frames, FRAME_MAX};
 pub use functions::{
     FunctionReport, FunctionUpdate, RunnerReport, RunnerStage, RunnerUpdate, StartBlock,
+    ZoneArrivals,
 };
+pub use identifiers::{RequestId, UpdateVersion};
 pub use jobs::{JobAttempt, JobCompletion, JobResult, JobVerdict, RegisterResponse};
-pub use message::{LeaseOutcome, LeaseRelease, LeaseRequest, Member, Message, SeatLease};
-pub use packing::{pack, unpack};
+pub use leases::{LeaseOutcome, LeaseRelease, LeaseRequest, RunnerLeases, SeatLease};
+pub use message::{Member, Message};
--- a/crates/protocol/tests/drawn/mod.rs
+++ b/crates/protocol/tests/drawn/mod.rs
@@ -2,8 +2,8 @@
 
 use protocol::{
     FunctionReport, FunctionUpdate, JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseOutcome,
-    LeaseRelease, LeaseRequest, Member, Message, RegisterResponse, RunnerReport, RunnerStage,
-    RunnerUpdate, SeatLease, StartBlock,
+    LeaseRelease, LeaseRequest, Member, Message, RegisterResponse, RequestId, RunnerLeases,
+    RunnerReport, RunnerStage, RunnerUpdate, SeatLease, StartBlock, UpdateVersion, ZoneArrivals,
 };
 use quickcheck::{Arbitrary, Gen};
 
@@ -28,6 +28,23 @@
     (0..count).map(|_| draw(gen)).collect()
 }
 
+fn version(gen: &mut Gen) -> UpdateVersion {
+    let (term, number) = any(gen);
+    UpdateVersion { term, number }
+}
+
+fn runner_leases(gen: &mut Gen) -> RunnerLeases {
+    RunnerLeases {
+        runner: any(gen),
+        address: any(gen),
+        zone: any(gen),
+        requests: Vec::<u64>::arbitrary(gen)
+            .into_iter()
+            .map(RequestId)
+            .collect(),
+    }
+}
+
 fn member(gen: &mut Gen) -> Member {
     Member {
         name: any(gen),
@@ -41,7 +58,10 @@
     FunctionReport {
         function: any(gen),
         update_number: any(gen),
-        arrivals: any(gen),
+        arrivals: Vec::<(String, u64)>::arbitrary(gen)
+            .into_iter()
+            .map(|(zone, count)| ZoneArrivals { zone, count })
+            .collect(),
         waiting: any(gen),
         abandoned: any(gen),
         runners: some(gen, |gen| RunnerReport {
@@ -64,7 +84,7 @@
     ];
     FunctionUpdate {
         function: any(gen),
-        version: any(gen),
+        version: version(gen),
         runners: some(gen, |gen| RunnerUpdate {
             id: any(gen),
             address: any(gen),
@@ -142,7 +162,7 @@
         1 => Message::GatewayHeartbeat {
             configuration_version: any(gen),
             evacuations_version: any(gen),
-            membership_version: any(gen),
+            membership_version: version(gen),
         },
         2 => Message::ControllerHeartbeat {
             configuration_version: any(gen),
@@ -165,38 +185,38 @@
             zones: any(gen),
         },
         6 => Message::GatewayMembership {
-            version: any(gen),
+            version: version(gen),
             members: some(gen, member),
         },
         7 => Message::FunctionReports(some(gen, report)),
         8 => Message::FunctionUpdates(some(gen, news)),
         9 => Message::LeaseRequest(LeaseRequest {
-            request_id: any(gen),
+            request_id: RequestId(any(gen)),
             function: any(gen),
             priority: any(gen),
             timeout_ms: any(gen),
             excluded_runners: any(gen),
             job: bool::arbitrary(gen).then(|| mark(gen)),
         }),
-        10 => Message::CancelRequest(any(gen)),
+        10 => Message::CancelRequest(RequestId(any(gen))),
         11 => Message::SeatLease(SeatLease {
-            request_id: any(gen),
+            request_id: RequestId(any(gen)),
             runner: any(gen),
             address: any(gen),
             zone: any(gen),
         }),
         12 => Message::Reject {
-            request_id: any(gen),
+            request_id: RequestId(any(gen)),
             retry_after_ms: any(gen),
         },
         13 => Message::LeaseRelease(LeaseRelease {
-            request_id: any(gen),
+            request_id: RequestId(any(gen)),
             outcome: outcome(gen),
             duration_ms: any(gen),
         }),
         14 => Message::LeasesInUse {
             function: any(gen),
-            runners: some(gen, |gen| (any(gen), any(gen), any(gen), any(gen))),
+            runners: some(gen, runner_leases),
         },
         15 => Message::Ping(any(gen)),
         16 => Message::RequestStatus,
@@ -205,27 +225,27 @@
             changes: any(gen),
         },
         19 => Message::JobClaimed {
-            request_id: any(gen),
+            request_id: RequestId(any(gen)),
             attempt: any(gen),
             register_version: any(gen),
         },
         20 => Message::JobJoined {
-            request_id: any(gen),
+            request_id: RequestId(any(gen)),
             attempt: any(gen),
         },
         21 => Message::JobVerdict {
-            request_id: any(gen),
+            request_id: RequestId(any(gen)),
             attempt: any(gen),
             verdict: verdict(gen),
         },
         22 => Message::JobCompletion(JobCompletion {
-            request_id: any(gen),
+            request_id: RequestId(any(gen)),
             function: any(gen),
             attempt: mark(gen),
             register_version: any(gen),
             result: result(gen),
         }),
-        23 => Message::JobPersisted(any(gen)),
+        23 => Message::JobPersisted(RequestId(any(gen))),
         24 => Message::JobRegisterRequest {
             number: any(gen),
             key: any(gen),
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -4,7 +4,7 @@
 
 use drawn::{kind_of, message, Drawn, KINDS};
 use fuzzing::{seeded, TestResult};
-use protocol::{frame, FrameError, Frames, Message, FRAME_MAX};
+use protocol::{frame, FrameError, Frames, Message, RequestId, FRAME_MAX};
 use quickcheck::Gen;
 
 /// Reads frames as a daemon does: what is no whole frame yet stays until more arrives.
@@ -49,7 +49,7 @@
 #[test]
 fn a_bid_without_a_job_says_so_in_one_byte() {
     let bid = protocol::LeaseRequest {
-        request_id: 7,
+        request_id: RequestId(7),
         function: "sign".into(),
         ..protocol::LeaseRequest::default()
     };
--- a/crates/seat_leases/src/lease_owner.rs
+++ b/crates/seat_leases/src/lease_owner.rs
@@ -1,7 +1,7 @@
 use crate::seats::Seats;
 use protocol::{
-    FunctionReport, FunctionUpdate, LeaseOutcome, LeaseRelease, LeaseRequest, RunnerStage,
-    SeatLease,
+    FunctionReport, FunctionUpdate, LeaseOutcome, LeaseRelease, LeaseRequest, RequestId,
+    RunnerLeases, RunnerStage, SeatLease,
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -37,7 +37,7 @@
         /// Name of the gateway.
         gateway: String,
         /// The request's number at that gateway.
-        request_id: u64,
+        request_id: RequestId,
         /// Milliseconds after which a retry is worthwhile.
         retry_after_ms: u32,
     },
@@ -69,7 +69,7 @@
 #[derive(Default)]
 pub struct LeaseOwner {
     functions: HashMap<String, Seats>,
-    tickets: HashMap<(String, u64), String>,
+    tickets: HashMap<(String, RequestId), String>,
     dirty: BTreeSet<String>,
     awaited: BTreeMap<(String, String), u64>,
     closed: BTreeSet<String>,
@@ -128,7 +128,7 @@
     }
 
     /// A gateway's request wants no seat any more.
-    pub fn cancel(&mut self, now: u64, gateway: &str, ticket: u64) {
+    pub fn cancel(&mut self, now: u64, gateway: &str, ticket: RequestId) {
         let holder = (gateway.to_string(), ticket);
         let Some(function) = self.tickets.remove(&holder) else {
             return;
@@ -183,13 +183,13 @@
         now: u64,
         gateway: &str,
         function: &str,
-        runners: &[(String, String, String, Vec<u64>)],
+        runners: &[RunnerLeases],
     ) {
         let seats = self.functions.entry(function.to_string()).or_default();
         seats.used_at = now;
-        for (id, address, district, tickets) in runners {
-            let runner = seats.know(now, id, address, district);
-            for ticket in tickets {
+        for leases in runners {
+            let runner = seats.know(now, &leases.runner, &leases.address, &leases.zone);
+            for ticket in &leases.requests {
                 let holder = (gateway.to_string(), *ticket);
                 runner.holders.insert(holder.clone(), now);
                 self.tickets.insert(holder, function.to_string());
@@ -297,7 +297,7 @@
         self.awaited.values().min().copied()
     }
 
-    fn reject(&mut self, gateway: &str, request_id: u64, retry_after_ms: u32) {
+    fn reject(&mut self, gateway: &str, request_id: RequestId, retry_after_ms: u32) {
         self.actions.push(LeaseAction::Reject {
             gateway: gateway.into(),
             request_id,
--- a/crates/seat_leases/src/runner.rs
+++ b/crates/seat_leases/src/runner.rs
@@ -1,5 +1,5 @@
 use crate::refusal_backoff::RefusalBackoff;
-use protocol::{RunnerReport, RunnerStage, RunnerUpdate};
+use protocol::{RequestId, RunnerReport, RunnerStage, RunnerUpdate};
 use std::collections::BTreeMap;
 
 /// Answers over which a runner's pace is taken; the newest weigh most.
@@ -8,7 +8,7 @@
 const MISSES_MAX: u32 = 3;
 
 /// A request's seat: the gateway that holds it, and its ticket there.
-pub(crate) type Holder = (String, u64);
+pub(crate) type Holder = (String, RequestId);
 
 /// One runner as its keeper knows it.
 #[derive(Debug)]
--- a/crates/seat_leases/src/seats.rs
+++ b/crates/seat_leases/src/seats.rs
@@ -1,6 +1,9 @@
 use crate::runner::{Holder, Runner};
 use crate::start_block::HeldBlock;
-use protocol::{FunctionReport, FunctionUpdate, LeaseRequest, RunnerStage, RunnerUpdate};
+use protocol::{
+    FunctionReport, FunctionUpdate, LeaseRequest, RunnerStage, RunnerUpdate, UpdateVersion,
+    ZoneArrivals,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Runners of one function that refuse within a second where another keeper must be lending their seats too.
@@ -20,7 +23,7 @@
 /// Seats of one function's runners, and who waits for them.
 #[derive(Debug, Default)]
 pub(crate) struct Seats {
-    pub mark: (u64, u64),
+    pub version: UpdateVersion,
     pub runners: Vec<Runner>,
     pub waiting: BTreeMap<(u8, u64), Waiting>,
     /// That no new runner can be up in time, as the scaler said last.
@@ -36,10 +39,10 @@
 
 impl Seats {
     pub fn take_news(&mut self, now: u64, news: FunctionUpdate) {
-        if news.version < self.mark {
+        if news.version < self.version {
             return;
         }
-        self.mark = news.version;
+        self.version = news.version;
         self.start_block = news.start_block.map(|told| HeldBlock::new(now, told));
         let mut known: BTreeMap<String, Runner> = std::mem::take(&mut self.runners)
             .into_iter()
@@ -224,10 +227,16 @@
     }
 
     pub fn report(&self, function: &str) -> FunctionReport {
+        let arrivals = self.arrived.iter();
         FunctionReport {
             function: function.into(),
-            update_number: self.mark.1,
-            arrivals: self.arrived.clone().into_iter().collect(),
+            update_number: self.version.number,
+            arrivals: arrivals
+                .map(|(zone, count)| ZoneArrivals {
+                    zone: zone.clone(),
+                    count: *count,
+                })
+                .collect(),
             waiting: self.waiting.len() as u32,
             abandoned: self.given_up,
             runners: self.runners.iter().map(Runner::report).collect(),
--- a/crates/seat_leases/tests/common/mod.rs
+++ b/crates/seat_leases/tests/common/mod.rs
@@ -2,7 +2,8 @@
 #![allow(dead_code)]
 
 use protocol::{
-    FunctionUpdate, LeaseOutcome, LeaseRelease, LeaseRequest, RunnerStage, RunnerUpdate,
+    FunctionUpdate, LeaseOutcome, LeaseRelease, LeaseRequest, RequestId, RunnerStage, RunnerUpdate,
+    UpdateVersion,
 };
 use seat_leases::{LeaseAction, LeaseOwner};
 
@@ -10,7 +11,7 @@
 
 pub fn bid(ticket: u64, rank: u8) -> LeaseRequest {
     LeaseRequest {
-        request_id: ticket,
+        request_id: RequestId(ticket),
         function: FUNCTION.into(),
         priority: rank,
         timeout_ms: 5_000,
@@ -40,7 +41,7 @@
 pub fn news(number: u64, runners: &[RunnerUpdate]) -> FunctionUpdate {
     FunctionUpdate {
         function: FUNCTION.into(),
-        version: (1, number),
+        version: UpdateVersion { term: 1, number },
         runners: runners.to_vec(),
         start_block: None,
     }
@@ -48,7 +49,7 @@
 
 pub fn release(ticket: u64, outcome: LeaseOutcome, took_ms: u32) -> LeaseRelease {
     LeaseRelease {
-        request_id: ticket,
+        request_id: RequestId(ticket),
         outcome,
         duration_ms: took_ms,
     }
@@ -65,7 +66,7 @@
 pub fn grants(keeper: &mut LeaseOwner) -> Vec<(u64, String)> {
     let actions = keeper.take_actions().into_iter();
     let lent = actions.filter_map(|action| match action {
-        LeaseAction::Lease { lease: grant, .. } => Some((grant.request_id, grant.runner)),
+        LeaseAction::Lease { lease: grant, .. } => Some((grant.request_id.0, grant.runner)),
         LeaseAction::Reject { .. } | LeaseAction::Probe { .. } => None,
     });
     lent.collect()
@@ -83,7 +84,7 @@
     let actions = keeper.take_actions().into_iter();
     let refused = actions.filter_map(|action| match action {
         LeaseAction::Reject {
-            request_id: ticket,
+            request_id: RequestId(ticket),
             retry_after_ms: after,
             ..
         } => Some((ticket, after)),
--- a/crates/seat_leases/tests/lease_owner.rs
+++ b/crates/seat_leases/tests/lease_owner.rs
@@ -5,7 +5,9 @@
 use common::{
     avoiding, bid, grants, in_use, keeper, news, refusals, release, runner, tickets, FUNCTION,
 };
-use protocol::{LeaseOutcome, LeaseRequest, RunnerStage, RunnerUpdate};
+use protocol::{
+    LeaseOutcome, LeaseRequest, RequestId, RunnerLeases, RunnerStage, RunnerUpdate, UpdateVersion,
+};
 use seat_leases::{LeaseAction, LeaseOwner};
 use std::collections::BTreeSet;
 
@@ -71,8 +73,8 @@
         keeper.request_lease(0, "f", "north", bid(ticket, 1));
     }
     assert_eq!(tickets(&mut keeper), [1]);
-    keeper.cancel(1, "f", 2);
-    keeper.cancel(1, "f", 1);
+    keeper.cancel(1, "f", RequestId(2));
+    keeper.cancel(1, "f", RequestId(1));
     assert_eq!(tickets(&mut keeper), [3]);
     assert_eq!(in_use(&keeper, "a"), Some(1));
 }
@@ -115,7 +117,7 @@
     else {
         panic!("not one seat was lent: {actions:?}");
     };
-    assert_eq!((gateway.as_str(), grant.request_id), ("g", 1));
+    assert_eq!((gateway.as_str(), grant.request_id), ("g", RequestId(1)));
     assert_eq!(in_use(&keeper, "a"), Some(1));
 }
 
@@ -191,7 +193,7 @@
     assert_eq!(in_use(&keeper, "old"), None);
     assert_eq!(in_use(&keeper, "new"), Some(0));
     let mut next_term = news(1, &[runner("next", "north", 1)]);
-    next_term.version = (2, 1);
+    next_term.version = UpdateVersion { term: 2, number: 1 };
     keeper.update_runners(0, next_term);
     assert_eq!(in_use(&keeper, "next"), Some(0));
 }
@@ -361,7 +363,12 @@
 #[test]
 fn a_new_keeper_counts_what_gateways_have_at_runners() {
     let mut keeper = LeaseOwner::default();
-    let held = vec![("a".into(), "a:1".into(), "north".into(), vec![7, 8])];
+    let held = vec![RunnerLeases {
+        runner: "a".into(),
+        address: "a:1".into(),
+        zone: "north".into(),
+        requests: vec![RequestId(7), RequestId(8)],
+    }];
     keeper.adopt_leases(0, "f", FUNCTION, &held);
     assert_eq!(in_use(&keeper, "a"), Some(2));
     keeper.update_runners(1, news(1, &[runner("a", "north", 3)]));
--- a/crates/seat_leases/tests/oracle.rs
+++ b/crates/seat_leases/tests/oracle.rs
@@ -4,7 +4,7 @@
 
 use common::{bid, news, release, runner, FUNCTION};
 use fuzzing::seeded;
-use protocol::{LeaseOutcome, LeaseRequest, RunnerStage, RunnerUpdate};
+use protocol::{LeaseOutcome, LeaseRequest, RequestId, RunnerStage, RunnerUpdate};
 use seat_leases::{LeaseAction, LeaseOwner, RunnerUsage};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -96,7 +96,7 @@
         };
         self.waiting.retain(|_, one| one.0 != *holder);
         self.held.remove(holder);
-        self.keeper.cancel(self.now, &holder.0, holder.1);
+        self.keeper.cancel(self.now, &holder.0, RequestId(holder.1));
     }
 
     fn forget(&mut self, gateway: &str) {
@@ -146,14 +146,14 @@
                 LeaseAction::Lease {
                     gateway,
                     lease: grant,
-                } => self.granted((gateway, grant.request_id), &grant.runner, known),
+                } => self.granted((gateway, grant.request_id.0), &grant.runner, known),
                 LeaseAction::Reject {
                     gateway,
                     request_id: ticket,
                     retry_after_ms: after,
                 } => {
                     assert!(after > 0, "no time to come back");
-                    let holder = (gateway, ticket);
+                    let holder = (gateway, ticket.0);
                     let key = self.waiting.iter().find(|(_, one)| one.0 == holder);
                     let key = *key.expect("refused though it did not wait").0;
                     self.waiting.remove(&key);
--- a/crates/seat_leases/tests/refusing_runners.rs
+++ b/crates/seat_leases/tests/refusing_runners.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{bid, grants, keeper, release, runner};
-use protocol::{LeaseOutcome, RunnerUpdate};
+use protocol::{LeaseOutcome, RequestId, RunnerUpdate};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use seat_leases::LeaseOwner;
@@ -187,12 +187,12 @@
         "as many as it carried beside the refused one"
     );
     for ticket in 10..=12 {
-        keeper.cancel(200, "f", ticket);
+        keeper.cancel(200, "f", RequestId(ticket));
     }
     grants(&mut keeper);
     assert_eq!(lent_at(&mut keeper, 1_020, 20), 3);
     for ticket in 20..30 {
-        keeper.cancel(1_030, "f", ticket);
+        keeper.cancel(1_030, "f", RequestId(ticket));
     }
     grants(&mut keeper);
     assert_eq!(lent_at(&mut keeper, 2_020, 40), 4);
--- a/crates/seat_leases/tests/start_block.rs
+++ b/crates/seat_leases/tests/start_block.rs
@@ -3,7 +3,10 @@
 mod common;
 
 use common::{bid, grants, keeper, news, refusals, release, runner, FUNCTION};
-use protocol::{FunctionUpdate, LeaseOutcome, LeaseRequest, RunnerStage, RunnerUpdate, StartBlock};
+use protocol::{
+    FunctionUpdate, LeaseOutcome, LeaseRequest, RunnerStage, RunnerUpdate, StartBlock,
+    UpdateVersion, ZoneArrivals,
+};
 use seat_leases::LeaseOwner;
 
 const RETRY_AFTER_MS: u32 = 2_400;
@@ -51,7 +54,13 @@
     keeper.request_lease(400, "f", "north", bid(1, 1));
     assert_eq!(refusals(&mut keeper), [(1, RETRY_AFTER_MS - 400)]);
     let report = keeper.reports(1_000, true).remove(0);
-    assert_eq!(report.arrivals, [("north".to_string(), 1)]);
+    assert_eq!(
+        report.arrivals,
+        [ZoneArrivals {
+            zone: "north".to_string(),
+            count: 1
+        }]
+    );
 }
 
 #[test]
@@ -97,7 +106,7 @@
     let mut keeper = LeaseOwner::default();
     keeper.update_runners(0, blocked(9, None, &[]));
     let later = FunctionUpdate {
-        version: (2, 1),
+        version: UpdateVersion { term: 2, number: 1 },
         ..news(1, &[])
     };
     keeper.update_runners(100, later);
--- a/tests/compatibility/src/samples/protocol.rs
+++ b/tests/compatibility/src/samples/protocol.rs
@@ -3,8 +3,8 @@
 use crate::sample::{sample, Sample};
 use protocol::{
     FunctionReport, FunctionUpdate, JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseOutcome,
-    LeaseRelease, LeaseRequest, Member, Message, RegisterResponse, RunnerReport, RunnerStage,
-    RunnerUpdate, SeatLease, StartBlock,
+    LeaseRelease, LeaseRequest, Member, Message, RegisterResponse, RequestId, RunnerLeases,
+    RunnerReport, RunnerStage, RunnerUpdate, SeatLease, StartBlock, UpdateVersion, ZoneArrivals,
 };
 
 /// Every message between gateways, controllers and operators' tools.
@@ -43,7 +43,10 @@
     let gateway_heartbeat = Message::GatewayHeartbeat {
         configuration_version: 12,
         evacuations_version: 3,
-        membership_version: ((2 << 40) | 12, 7),
+        membership_version: UpdateVersion {
+            term: (2 << 40) | 12,
+            number: 7,
+        },
     };
     let controller_heartbeat = Message::ControllerHeartbeat {
         configuration_version: 13,
@@ -83,7 +86,10 @@
         zones: vec!["north".into(), "east".into()],
     };
     let membership = Message::GatewayMembership {
-        version: ((2 << 40) | 12, 8),
+        version: UpdateVersion {
+            term: (2 << 40) | 12,
+            number: 8,
+        },
         members: vec![gateway(), other_gateway()],
     };
     vec![
@@ -98,7 +104,10 @@
 fn scaling() -> Vec<Sample<Message>> {
     let blocked = FunctionUpdate {
         function: "resize".into(),
-        version: ((2 << 40) | 12, 19),
+        version: UpdateVersion {
+            term: (2 << 40) | 12,
+            number: 19,
+        },
         runners: Vec::new(),
         start_block: Some(StartBlock {
             earliest_ready_ms: Some(4_000),
@@ -138,7 +147,16 @@
     FunctionReport {
         function: "resize".into(),
         update_number: 19,
-        arrivals: vec![("north".into(), 400), ("".into(), 1)],
+        arrivals: vec![
+            ZoneArrivals {
+                zone: "north".into(),
+                count: 400,
+            },
+            ZoneArrivals {
+                zone: "".into(),
+                count: 1,
+            },
+        ],
         waiting: 6,
         abandoned: 2,
         runners: vec![runner, gone],
@@ -156,7 +174,10 @@
     };
     FunctionUpdate {
         function: "thumbnail".into(),
-        version: ((2 << 40) | 12, 18),
+        version: UpdateVersion {
+            term: (2 << 40) | 12,
+            number: 18,
+        },
         runners: vec![
             runner("r-17", RunnerStage::Starting, 1_200),
             runner("r-18", RunnerStage::Serving, 0),
@@ -168,7 +189,7 @@
 
 fn seats() -> Vec<Sample<Message>> {
     let request = LeaseRequest {
-        request_id: 0x0000_0001_0000_002a,
+        request_id: RequestId(0x0000_0001_0000_002a),
         function: "resize".into(),
         priority: 2,
         timeout_ms: 750,
@@ -181,19 +202,19 @@
         ..request.clone()
     };
     let lease = SeatLease {
-        request_id: 42,
+        request_id: RequestId(42),
         runner: "r-19".into(),
         address: "10.0.2.1:9000".into(),
         zone: "north".into(),
     };
     let rejection = Message::Reject {
-        request_id: 42,
+        request_id: RequestId(42),
         retry_after_ms: 900,
     };
     vec![
         sample("lease_request", Message::LeaseRequest(request)),
         sample("lease_request_plain", Message::LeaseRequest(plain_request)),
-        sample("cancel_request", Message::CancelRequest(42)),
+        sample("cancel_request", Message::CancelRequest(RequestId(42))),
         sample("seat_lease", Message::SeatLease(lease)),
         sample("reject", rejection),
         sample("known", known()),
@@ -201,13 +222,16 @@
 }
 
 fn known() -> Message {
-    let runner = (
-        "r-19".to_string(),
-        "10.0.2.1:9000".to_string(),
-        "north".to_string(),
-        vec![42, 43, u64::MAX],
-    );
-    let idle = ("r-20".to_string(), String::new(), String::new(), Vec::new());
+    let runner = RunnerLeases {
+        runner: "r-19".to_string(),
+        address: "10.0.2.1:9000".to_string(),
+        zone: "north".to_string(),
+        requests: vec![RequestId(42), RequestId(43), RequestId(u64::MAX)],
+    };
+    let idle = RunnerLeases {
+        runner: "r-20".to_string(),
+        ..RunnerLeases::default()
+    };
     Message::LeasesInUse {
         function: "resize".into(),
         runners: vec![runner, idle],
@@ -217,7 +241,7 @@
 fn releases() -> Vec<Sample<Message>> {
     let release = |outcome| {
         Message::LeaseRelease(LeaseRelease {
-            request_id: 42,
+            request_id: RequestId(42),
             outcome,
             duration_ms: 31,
         })
@@ -244,25 +268,25 @@
 
 fn job_attempts() -> Vec<Sample<Message>> {
     let claimed = Message::JobClaimed {
-        request_id: 42,
+        request_id: RequestId(42),
         attempt: 3,
         register_version: 2,
     };
     let joined = Message::JobJoined {
-        request_id: 43,
+        request_id: RequestId(43),
         attempt: 1,
     };
     vec![
         sample("claimed", claimed),
         sample("joined", joined),
-        sample("job_persisted", Message::JobPersisted(42)),
+        sample("job_persisted", Message::JobPersisted(RequestId(42))),
     ]
 }
 
 fn job_ends() -> Vec<Sample<Message>> {
     let end = |result| {
         Message::JobCompletion(JobCompletion {
-            request_id: 42,
+            request_id: RequestId(42),
             function: "resize".into(),
             attempt: job_attempt(),
             register_version: 2,
@@ -280,7 +304,7 @@
 
 fn job_verdicts() -> Vec<Sample<Message>> {
     let verdict = |verdict| Message::JobVerdict {
-        request_id: 43,
+        request_id: RequestId(43),
         attempt: 1,
         verdict,
     };
--- a/tests/compatibility/src/samples/stored.rs
+++ b/tests/compatibility/src/samples/stored.rs
@@ -14,7 +14,7 @@
         runner: RunnerId {
             gateway: "gw-1".into(),
             incarnation: 0x0102_0304_0506_0708,
-            ticket: 42,
+            ticket: protocol::RequestId(42),
         },
         by: (0x1112_1314_1516_1718, 9),
         state: ClaimState::Taken,
--- a/tests/hollow/src/carrier.rs
+++ b/tests/hollow/src/carrier.rs
@@ -3,7 +3,10 @@
 use crate::meter::{median_ns, tell_fit, Markdown};
 use crate::town;
 use http1::{write_request, write_response, MessageLimits, RequestReader, ResponseReader};
-use protocol::{frame, Frames, LeaseOutcome, LeaseRelease, LeaseRequest, Message, SeatLease};
+use protocol::{
+    frame, Frames, LeaseOutcome, LeaseRelease, LeaseRequest, Message, RequestId, SeatLease,
+    UpdateVersion,
+};
 use std::hint::black_box;
 
 const TIMES: u32 = 20_000;
@@ -17,7 +20,7 @@
 
 fn bid() -> Message {
     Message::LeaseRequest(LeaseRequest {
-        request_id: 77 << 32,
+        request_id: RequestId(77 << 32),
         function: town::function_name(7),
         priority: 1,
         timeout_ms: 6_000,
@@ -28,7 +31,7 @@
 
 fn grant() -> Message {
     Message::SeatLease(SeatLease {
-        request_id: 77 << 32,
+        request_id: RequestId(77 << 32),
         runner: town::instance_id(7),
         address: town::address(7),
         zone: town::zone(7).to_string(),
@@ -37,7 +40,7 @@
 
 fn release() -> Message {
     Message::LeaseRelease(LeaseRelease {
-        request_id: 77 << 32,
+        request_id: RequestId(77 << 32),
         outcome: LeaseOutcome::Succeeded,
         duration_ms: 60,
     })
@@ -142,7 +145,7 @@
     let mut points = Vec::new();
     for count in [10, 50, 150, 590] {
         let message = Message::GatewayMembership {
-            version: (7, 7),
+            version: UpdateVersion { term: 7, number: 7 },
             members: town::members(count),
         };
         let bytes = frame(&message);
--- a/tests/hollow/src/fleet.rs
+++ b/tests/hollow/src/fleet.rs
@@ -5,7 +5,10 @@
 use crate::scaler;
 use crate::town::{self, Mix};
 use autoscaler::{Autoscaler, RunnerCommand, RunnerListing, StartedRunner};
-use protocol::{frame, Frames, LeaseOutcome, LeaseRelease, LeaseRequest, Member, Message};
+use protocol::{
+    frame, Frames, LeaseOutcome, LeaseRelease, LeaseRequest, Member, Message, RequestId,
+    UpdateVersion,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use seat_leases::{LeaseAction, LeaseOwner};
@@ -127,7 +130,7 @@
         {
             let took_ms = self.pace_ms as u32;
             let message = Message::LeaseRelease(LeaseRelease {
-                request_id: ticket,
+                request_id: RequestId(ticket),
                 outcome: LeaseOutcome::Succeeded,
                 duration_ms: took_ms,
             });
@@ -142,7 +145,7 @@
             let keeper = self.elect(function);
             self.tickets += 1;
             let message = Message::LeaseRequest(LeaseRequest {
-                request_id: self.tickets,
+                request_id: RequestId(self.tickets),
                 function: town::function_name(function),
                 priority: 1,
                 timeout_ms: 6_000,
@@ -195,7 +198,7 @@
                     lease: grant,
                 } => {
                     let ends_at = self.now + self.pace_ms.max(1);
-                    let held = (self.places[&gateway], keeper, grant.request_id);
+                    let held = (self.places[&gateway], keeper, grant.request_id.0);
                     self.held.entry(ends_at).or_default().push(held);
                     let message = Message::SeatLease(grant);
                     timed(&mut self.gateways[keeper].cpu, || frame(&message).len());
@@ -263,7 +266,7 @@
             };
             for report in &reports {
                 autoscaler.handle_report(now, name, report);
-                let (term, number) = autoscaler.update_version(&report.function);
+                let UpdateVersion { term, number } = autoscaler.update_version(&report.function);
                 if term > 0 && number != report.update_number {
                     told.push(autoscaler.update_for(&report.function, now));
                 }
--- a/tests/hollow/src/keeper.rs
+++ b/tests/hollow/src/keeper.rs
@@ -2,7 +2,7 @@
 
 use crate::meter::{live, median_ns, tell_fit, timed, Markdown};
 use crate::town;
-use protocol::{frame, LeaseOutcome, LeaseRelease, LeaseRequest, Message};
+use protocol::{frame, LeaseOutcome, LeaseRelease, LeaseRequest, Message, RequestId};
 use seat_leases::{LeaseAction, LeaseOwner};
 use std::hint::black_box;
 
@@ -14,7 +14,7 @@
 
 fn bid(ticket: u64, function: usize) -> LeaseRequest {
     LeaseRequest {
-        request_id: ticket,
+        request_id: RequestId(ticket),
         function: town::function_name(function),
         priority: 1,
         timeout_ms: 6_000,
@@ -25,7 +25,7 @@
 
 fn release(ticket: u64) -> LeaseRelease {
     LeaseRelease {
-        request_id: ticket,
+        request_id: RequestId(ticket),
         outcome: LeaseOutcome::Succeeded,
         duration_ms: 60,
     }
--- a/tests/hollow/src/scaler.rs
+++ b/tests/hollow/src/scaler.rs
@@ -3,7 +3,7 @@
 use crate::meter::{live, tell_fit, timed, Markdown};
 use crate::town;
 use autoscaler::{Autoscaler, AutoscalerOptions, RunnerCommand, RunnerListing};
-use protocol::{FunctionReport, RunnerReport};
+use protocol::{FunctionReport, RunnerReport, ZoneArrivals};
 
 const ROUNDS: u64 = 5;
 const STARTS: usize = 21;
@@ -34,7 +34,10 @@
     };
     let runners: Vec<RunnerReport> = places.map(runner).collect();
     let arrived = round * 2 * runners.len() as u64;
-    let share = |zone: &&str| ((*zone).to_string(), arrived / 5);
+    let share = |zone: &&str| ZoneArrivals {
+        zone: (*zone).to_string(),
+        count: arrived / 5,
+    };
     FunctionReport {
         function: town::function_name(function),
         update_number: 1 << 32,
@@ -141,7 +144,10 @@
         .map(|start| {
             let asked = FunctionReport {
                 function: town::function_name(20_000 + start),
-                arrivals: vec![("north-a".to_string(), 1)],
+                arrivals: vec![ZoneArrivals {
+                    zone: "north-a".to_string(),
+                    count: 1,
+                }],
                 waiting: 1,
                 ..FunctionReport::default()
             };
--- a/tests/hollow/src/town.rs
+++ b/tests/hollow/src/town.rs
@@ -1,7 +1,7 @@
 //! The made-up town of daemons, functions and instances that all measurements use.
 
 use autoscaler::{RunnerListing, WorkerListing};
-use protocol::{FunctionUpdate, Member, RunnerStage, RunnerUpdate};
+use protocol::{FunctionUpdate, Member, RunnerStage, RunnerUpdate, UpdateVersion};
 use routing::{Binding, Function, RoutingConfiguration};
 
 /// Zones of the site.
@@ -149,7 +149,10 @@
     };
     FunctionUpdate {
         function: function_name(function),
-        version: (1, mark),
+        version: UpdateVersion {
+            term: 1,
+            number: mark,
+        },
         runners: (0..runners).map(runner).collect(),
         start_block: None,
     }
--- a/tests/hollow/src/wire_gateways.rs
+++ b/tests/hollow/src/wire_gateways.rs
@@ -3,7 +3,9 @@
 use crate::town;
 use crate::wire_daemons::CHANGE_MS;
 use event_loop::{ConnectionId, Event, EventLoop};
-use protocol::{frame, Frames, FunctionReport, Member, Message, RunnerReport};
+use protocol::{
+    frame, Frames, FunctionReport, Member, Message, RunnerReport, UpdateVersion, ZoneArrivals,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -24,7 +26,7 @@
     description: u64,
     /// Descriptions that were taken.
     orders: u64,
-    roster: (u64, u64),
+    roster: UpdateVersion,
     scaler: Option<(u64, usize)>,
     kept: HashMap<String, (u64, Vec<String>)>,
 }
@@ -44,7 +46,7 @@
     kinds: BTreeMap<&'static str, (u64, u64)>,
     instances: usize,
     /// Functions that have instances, by the gateway that keeps them under the roster of this mark.
-    keepers: ((u64, u64), HashMap<String, Vec<usize>>),
+    keepers: (UpdateVersion, HashMap<String, Vec<usize>>),
 }
 
 impl Gateways {
@@ -71,7 +73,7 @@
     }
 
     /// A gateway keeps what falls to it under a roster, with the instances that there are.
-    fn keep(&mut self, place: usize, mark: (u64, u64), members: &[Member]) {
+    fn keep(&mut self, place: usize, mark: UpdateVersion, members: &[Member]) {
         if mark > self.keepers.0 {
             let mut keepers: HashMap<String, Vec<usize>> = HashMap::new();
             for function in 0..self.instances / EACH {
@@ -106,8 +108,9 @@
 
     /// Whether each gateway has a link to every controller and the whole roster.
     pub fn are_linked(&self) -> bool {
-        let is_linked =
-            |gateway: &Gateway| gateway.lines.iter().all(Option::is_some) && gateway.roster.0 > 0;
+        let is_linked = |gateway: &Gateway| {
+            gateway.lines.iter().all(Option::is_some) && gateway.roster.term > 0
+        };
         self.gateways.iter().all(is_linked)
     }
 
@@ -131,7 +134,7 @@
     pub fn restart(&mut self, place: usize) {
         let gateway = &mut self.gateways[place];
         gateway.member.incarnation += 1;
-        gateway.roster = (0, 0);
+        gateway.roster = UpdateVersion::default();
         gateway.kept.clear();
         for line in std::mem::take(&mut gateway.lines).into_iter().flatten() {
             self.lines.remove(&line);
@@ -224,10 +227,10 @@
             .map(|(function, (news, runners))| FunctionReport {
                 function: function.clone(),
                 update_number: *news,
-                arrivals: vec![(
-                    gateway.member.zone.clone(),
-                    now / 100 * runners.len() as u64,
-                )],
+                arrivals: vec![ZoneArrivals {
+                    zone: gateway.member.zone.clone(),
+                    count: now / 100 * runners.len() as u64,
+                }],
                 runners: runners.iter().map(runner).collect(),
                 ..FunctionReport::default()
             });
@@ -317,7 +320,7 @@
                     let ids = one.runners.into_iter().map(|runner| runner.id);
                     gateway
                         .kept
-                        .insert(one.function, (one.version.1, ids.collect()));
+                        .insert(one.function, (one.version.number, ids.collect()));
                 }
                 "Runners"
             }
