--- a/crates/operator_commands/src/command.rs
+++ b/crates/operator_commands/src/command.rs
@@ -1,4 +1,4 @@
-//! What an operator asks for, as far as decisions need it.
+//! An operator's command, as far as decisions need it.
 
 /// What a command asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,14 +15,14 @@
     FinishEvacuation(String),
 }
 
-/// The version that a configuration command builds on, as the operator told it.
+/// The version that a configuration command builds on, as the operator states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaseVersion {
     /// Exactly one readable number.
     Given(u64),
-    /// It was not told.
+    /// None is stated.
     Missing,
-    /// It was told more than once.
+    /// It is stated more than once.
     Repeated,
     /// It is not a whole number in decimal digits, or too large.
     Malformed,
--- a/crates/operator_commands/src/configuration.rs
+++ b/crates/operator_commands/src/configuration.rs
@@ -1,4 +1,6 @@
 //! The value of the configuration's register.
+//!
+//! Its encoding is stored on disks and sent between controllers: the order of the fields must stay.
 
 use crate::accepted_commands::{AcceptedCommand, AcceptedCommands, CommandDigest};
 use crate::command::CommandKind;
@@ -13,9 +15,9 @@
 pub struct ConfigurationRecord {
     /// The operator's version; 0 where there is none yet.
     pub version: u64,
-    /// The whole document, deflated.
+    /// The complete document, deflated.
     pub packed: Vec<u8>,
-    /// The change that led here from the value before, deflated; empty where a whole document did.
+    /// The change that led here from the value before, deflated; empty where a complete document did.
     pub change: Vec<u8>,
     /// The newest commands that were accepted.
     pub accepted: AcceptedCommands,
@@ -30,7 +32,7 @@
         Self::read_from_buffer(bytes).ok()
     }
 
-    /// The whole document; none where it cannot be unpacked.
+    /// The complete document, empty where there is no configuration yet; none where it cannot be unpacked.
     pub fn document(&self) -> Option<Vec<u8>> {
         if self.version == 0 {
             return Some(Vec::new());
--- a/crates/operator_commands/src/decision.rs
+++ b/crates/operator_commands/src/decision.rs
@@ -18,7 +18,7 @@
     NotFound,
 }
 
-/// What the operator is told.
+/// The answer to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandReply {
     /// The command is in force, or was.
@@ -27,7 +27,7 @@
     Document(Vec<u8>),
     /// The command is not in force and never will be.
     Rejected(RejectionKind, String),
-    /// It is not told whether the command was accepted, or it could not be yet; it may be sent again.
+    /// It is not known whether the command was or will be accepted; it may be sent again.
     Undecided(String),
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// An evacuation carries no identity, so a command that is sent again cannot be told from a new one. It is applied by
+/// An evacuation carries no identity, so a command that is sent again looks like a new one. It is applied by
 /// state: what is in force already is acknowledged and nothing is written.
 fn decide_evacuation(bytes: &[u8], zone: &str, is_begin: bool) -> Decision {
     let Some(evacuations) = Evacuations::read(bytes) else {
@@ -89,7 +89,7 @@
     if evacuations.is_evacuated(zone) == is_begin {
         return Decision::Reply(CommandReply::Acknowledged);
     }
-    write(&evacuations.next(zone, is_begin))
+    write_value(&evacuations.next(zone, is_begin))
 }
 
 fn decide_configuration(
@@ -100,7 +100,7 @@
     let Some(version) = command.version else {
         return reject(RejectionKind::Invalid, "the version cannot be read");
     };
-    let base = match base_of(command) {
+    let base = match base_version(command) {
         Ok(base) => base,
         Err(reason) => return reject(RejectionKind::Invalid, reason),
     };
@@ -124,11 +124,11 @@
         AcceptanceLookup::NeverAccepted if base > current.version => {
             leave_undecided("the version it builds on is not in place yet")
         }
-        AcceptanceLookup::NeverAccepted => take(command, &current, version, documents),
+        AcceptanceLookup::NeverAccepted => accept(command, &current, version, documents),
     }
 }
 
-fn base_of(command: &Command) -> Result<u64, &'static str> {
+fn base_version(command: &Command) -> Result<u64, &'static str> {
     match command.base {
         BaseVersion::Given(base) => Ok(base),
         BaseVersion::Missing => Err("it is not told on which version this builds"),
@@ -137,7 +137,7 @@
     }
 }
 
-fn take(
+fn accept(
     command: &Command,
     current: &ConfigurationRecord,
     version: u64,
@@ -148,11 +148,13 @@
     };
     match checked_document(command, &old, documents) {
         Err(fault) => reject(RejectionKind::Invalid, fault),
-        Ok(document) => write(&current.next(&command.kind, version, &document, &command.body)),
+        Ok(document) => {
+            write_value(&current.next(&command.kind, version, &document, &command.body))
+        }
     }
 }
 
-/// The whole new document, which was read and checked.
+/// The complete new document, which was read and checked.
 fn checked_document(
     command: &Command,
     old: &[u8],
@@ -166,7 +168,7 @@
     Ok(document)
 }
 
-fn write<T: Writable<speedy::LittleEndian>>(value: &T) -> Decision {
+fn write_value<T: Writable<speedy::LittleEndian>>(value: &T) -> Decision {
     match value.write_to_vec() {
         Ok(bytes) => Decision::Write(bytes),
         Err(_) => leave_undecided("the new value cannot be written"),
--- a/crates/operator_commands/src/evacuations.rs
+++ b/crates/operator_commands/src/evacuations.rs
@@ -1,4 +1,6 @@
 //! The value of the evacuations' register.
+//!
+//! Its encoding is stored on disks and sent between controllers: the order of the fields must stay.
 
 use speedy::{Readable, Writable};
 
--- a/crates/operator_commands/src/execution.rs
+++ b/crates/operator_commands/src/execution.rs
@@ -1,4 +1,4 @@
-//! One command from its arrival to its answer: read at a majority, decide, write with the expected version.
+//! The execution of one command: read at a majority, decide, write with the expected version.
 
 use crate::command::{Command, CommandKind};
 use crate::decision::{decide, CommandReply, Decision};
@@ -6,7 +6,8 @@
 use register::{ChangeOutcome, VersionedValue};
 use routing::ConfigurationFormat;
 
-/// Times that a command is decided anew because another one was faster.
+/// Times that a command is decided on, the first one included. It is decided anew where another command was committed
+/// between its read and its write, and left undecided once that has happened too often.
 pub const DECISION_ATTEMPTS_MAX: u32 = 8;
 
 /// What the driver does next.
@@ -28,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct CommandExecution {
     command: Command,
-    rounds: u32,
+    attempts: u32,
     has_written: bool,
     /// Changes of the command's zone when the command was first decided on.
     zone_changes: Option<u64>,
@@ -39,7 +40,7 @@
     pub fn new(command: Command) -> Self {
         Self {
             command,
-            rounds: 0,
+            attempts: 0,
             has_written: false,
             zone_changes: None,
         }
@@ -65,8 +66,8 @@
             // A value that was proposed may or may not be chosen later: neither an acknowledgement nor a rejection.
             _ => return undecided("it is not known whether it was taken; send it again"),
         };
-        self.rounds += 1;
-        if self.rounds > DECISION_ATTEMPTS_MAX {
+        self.attempts += 1;
+        if self.attempts > DECISION_ATTEMPTS_MAX {
             return undecided("other changes kept winning; send it again");
         }
         self.step(stored, documents)
--- a/crates/operator_commands/tests/cluster/faults.rs
+++ b/crates/operator_commands/tests/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! Troubles of members and voters.
+//! Faults of members and voters.
 
 use super::members::Member;
 use super::{Cluster, CONFIGURATION, EVACUATIONS};
@@ -6,7 +6,7 @@
 use register::{Acceptor, ClaimFloors, RegisterState};
 
 impl Cluster {
-    pub fn befall(&mut self) {
+    pub fn inject_fault(&mut self) {
         match self.random.random_range(0..400) {
             0..=2 => self.restart_member(),
             3 => self.replace_voter(),
@@ -18,8 +18,8 @@
     /// A member forgets all that it works on; its callers hear nothing more.
     fn restart_member(&mut self) {
         let place = self.random.random_range(0..self.members.len());
-        self.last_life += 1;
-        self.members[place] = Member::new(self.last_life);
+        self.last_incarnation += 1;
+        self.members[place] = Member::new(self.last_incarnation);
     }
 
     /// A voter loses its disk. The next set is installed with all that the other two hold.
@@ -48,6 +48,6 @@
         }
         self.voters[place] = replacement;
         self.set = set;
-        self.oracle.look(&self.voters);
+        self.oracle.observe(&self.voters);
     }
 }
--- a/crates/operator_commands/tests/cluster/members.rs
+++ b/crates/operator_commands/tests/cluster/members.rs
@@ -1,7 +1,7 @@
 //! Members: each executes commands over rounds of the register.
 
 use super::documents::{version_of, TestDocuments};
-use super::{Cluster, Copy, Parcel, CONFIGURATION, EVACUATIONS};
+use super::{Cluster, CommandAttempt, Envelope, CONFIGURATION, EVACUATIONS};
 use operator_commands::{CommandExecution, CommandReply, ExecutionStep};
 use rand::Rng;
 use register::{
@@ -13,29 +13,29 @@
 /// Steps after which a round that has not ended is given up.
 const ROUND_STEPS: u64 = 40;
 
-pub struct Running {
-    copy: Copy,
+pub struct RunningCommand {
+    attempt: CommandAttempt,
     execution: CommandExecution,
     proposal: Proposal,
-    ask: u64,
+    request: u64,
     began_at: u64,
     /// Set of voters that the round was begun under; it ends with it.
     set_version: SetVersion,
 }
 
 pub struct Member {
-    pub life: u64,
+    pub incarnation: u64,
     counter: u64,
-    last_ask: u64,
-    pub running: BTreeMap<u64, Running>,
+    last_request: u64,
+    pub running: BTreeMap<u64, RunningCommand>,
 }
 
 impl Member {
-    pub fn new(life: u64) -> Self {
+    pub fn new(incarnation: u64) -> Self {
         Self {
-            life,
+            incarnation,
             counter: 0,
-            last_ask: 0,
+            last_request: 0,
             running: BTreeMap::new(),
         }
     }
@@ -44,7 +44,7 @@
         self.counter = self.counter.max(above.counter) + 1;
         Ballot {
             counter: self.counter,
-            proposer: self.life,
+            proposer: self.incarnation,
         }
     }
 }
@@ -58,48 +58,59 @@
 }
 
 impl Cluster {
-    pub fn take_command(&mut self, member: usize, copy: Copy) {
-        let command = self.oracle.command(copy.command).clone();
+    pub fn handle_command(&mut self, member: usize, attempt: CommandAttempt) {
+        let command = self.oracle.command(attempt.command).clone();
         assert!(command.version == version_of(&command.body));
-        self.propose(member, copy, CommandExecution::new(command), Change::Read);
+        self.propose(
+            member,
+            attempt,
+            CommandExecution::new(command),
+            Change::Read,
+        );
     }
 
-    fn propose(&mut self, member: usize, copy: Copy, execution: CommandExecution, change: Change) {
+    fn propose(
+        &mut self,
+        member: usize,
+        attempt: CommandAttempt,
+        execution: CommandExecution,
+        change: Change,
+    ) {
         let tag = self.random.random::<u64>() | 1;
         let voters = self.voters.len();
         let ballot = self.members[member].next_ballot(Ballot::default());
         let key = key_of(&execution);
-        let (proposal, ask) = Proposal::start(key, change, tag, ballot, voters);
+        let (proposal, operation) = Proposal::start(key, change, tag, ballot, voters);
         let began_at = self.now;
-        let running = Running {
-            copy,
+        let running = RunningCommand {
+            attempt,
             execution,
             proposal,
-            ask: 0,
+            request: 0,
             began_at,
             set_version: self.set.version(),
         };
-        self.members[member].running.insert(copy.number, running);
-        self.ask_voters(member, copy.number, &ask);
+        self.members[member].running.insert(attempt.number, running);
+        self.send_to_voters(member, attempt.number, &operation);
     }
 
-    fn ask_voters(&mut self, member: usize, copy: u64, ask: &VoterOperation) {
-        let asking = &mut self.members[member];
-        asking.last_ask += 1;
-        let (life, number) = (asking.life, asking.last_ask);
-        let Some(running) = asking.running.get_mut(&copy) else {
+    fn send_to_voters(&mut self, member: usize, attempt: u64, operation: &VoterOperation) {
+        let sender = &mut self.members[member];
+        sender.last_request += 1;
+        let (incarnation, number) = (sender.incarnation, sender.last_request);
+        let Some(running) = sender.running.get_mut(&attempt) else {
             return;
         };
-        running.ask = number;
+        running.request = number;
         let set_version = running.set_version;
         for voter in 0..self.voters.len() {
             let message = VoterRequest {
                 set_version,
-                operation: ask.clone(),
+                operation: operation.clone(),
             };
-            self.send(Parcel::Ask {
+            self.send(Envelope::VoterRequest {
                 member,
-                life,
+                incarnation,
                 number,
                 voter,
                 message,
@@ -107,63 +118,63 @@
         }
     }
 
-    pub fn take_voter_answer(
+    pub fn handle_voter_response(
         &mut self,
         member: usize,
-        life: u64,
+        incarnation: u64,
         number: u64,
         voter: usize,
         reply: VoterResponse,
     ) {
-        if self.members[member].life != life {
+        if self.members[member].incarnation != incarnation {
             return;
         }
         let mut running = self.members[member].running.values_mut();
-        let Some(running) = running.find(|running| running.ask == number) else {
+        let Some(running) = running.find(|running| running.request == number) else {
             return;
         };
-        let copy = running.copy.number;
+        let attempt = running.attempt.number;
         match running.proposal.on_response(voter, reply) {
             ProposalStep::Wait => {}
-            ProposalStep::Send(ask) => self.ask_voters(member, copy, &ask),
+            ProposalStep::Send(operation) => self.send_to_voters(member, attempt, &operation),
             ProposalStep::Retry(above) => {
                 let ballot = self.members[member].next_ballot(above);
-                let Some(running) = self.members[member].running.get_mut(&copy) else {
+                let Some(running) = self.members[member].running.get_mut(&attempt) else {
                     return;
                 };
-                let ask = running.proposal.retry(ballot);
-                self.ask_voters(member, copy, &ask);
+                let operation = running.proposal.retry(ballot);
+                self.send_to_voters(member, attempt, &operation);
             }
-            ProposalStep::Done(outcome) => self.go_on(member, copy, outcome),
+            ProposalStep::Done(outcome) => self.advance_execution(member, attempt, outcome),
         }
     }
 
-    fn go_on(&mut self, member: usize, copy: u64, outcome: ChangeOutcome) {
-        let Some(mut running) = self.members[member].running.remove(&copy) else {
+    fn advance_execution(&mut self, member: usize, attempt: u64, outcome: ChangeOutcome) {
+        let Some(mut running) = self.members[member].running.remove(&attempt) else {
             return;
         };
-        let copy = running.copy;
+        let attempt = running.attempt;
         match running.execution.on_outcome(outcome, &TestDocuments) {
             ExecutionStep::Write { expected, bytes } => {
                 let change = Change::Write { expected, bytes };
-                self.propose(member, copy, running.execution, change);
+                self.propose(member, attempt, running.execution, change);
             }
             ExecutionStep::Reply(reply) => {
-                self.oracle.replied(copy.command, &reply);
-                self.send(Parcel::Answer { copy, reply });
+                self.oracle.replied(attempt.command, &reply);
+                self.send(Envelope::Reply { attempt, reply });
             }
         }
     }
 
     /// Gives up rounds that have not ended in time.
-    pub fn tend_members(&mut self) {
+    pub fn expire_rounds(&mut self) {
         for member in 0..self.members.len() {
             let running = self.members[member].running.iter();
             let late = running.filter(|(_, running)| running.began_at + ROUND_STEPS < self.now);
-            let late: Vec<u64> = late.map(|(copy, _)| *copy).collect();
-            for copy in late {
-                let outcome = self.members[member].running[&copy].proposal.abandon();
-                self.go_on(member, copy, outcome);
+            let late: Vec<u64> = late.map(|(attempt, _)| *attempt).collect();
+            for attempt in late {
+                let outcome = self.members[member].running[&attempt].proposal.abandon();
+                self.advance_execution(member, attempt, outcome);
             }
         }
     }
@@ -175,25 +186,25 @@
             proposer: 0,
         });
         let count = self.voters.len();
-        let (mut proposal, mut ask) =
+        let (mut proposal, mut operation) =
             Proposal::start(CONFIGURATION, Change::Read, 1, ballot, count);
-        'asking: loop {
+        'rounds: loop {
             for voter in 0..count {
                 let message = VoterRequest {
                     set_version: self.set.version(),
-                    operation: ask.clone(),
+                    operation: operation.clone(),
                 };
                 let (_, reply) = self.voters[voter].handle(message);
-                self.oracle.look(&self.voters);
+                self.oracle.observe(&self.voters);
                 match proposal.on_response(voter, reply) {
                     ProposalStep::Wait => {}
                     ProposalStep::Send(next) => {
-                        ask = next;
-                        continue 'asking;
+                        operation = next;
+                        continue 'rounds;
                     }
                     ProposalStep::Retry(above) => {
-                        ask = proposal.retry(self.members[member].next_ballot(above));
-                        continue 'asking;
+                        operation = proposal.retry(self.members[member].next_ballot(above));
+                        continue 'rounds;
                     }
                     ProposalStep::Done(outcome) => {
                         let mut execution = CommandExecution::new(super::operators::read_command());
--- a/crates/operator_commands/tests/cluster/mod.rs
+++ b/crates/operator_commands/tests/cluster/mod.rs
@@ -24,30 +24,30 @@
 
 /// One sending of a command to one member.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Copy {
+pub struct CommandAttempt {
     pub command: u64,
     pub number: u64,
 }
 
-pub enum Parcel {
+pub enum Envelope {
     Command {
         member: usize,
-        copy: Copy,
+        attempt: CommandAttempt,
     },
-    Answer {
-        copy: Copy,
+    Reply {
+        attempt: CommandAttempt,
         reply: operator_commands::CommandReply,
     },
-    Ask {
+    VoterRequest {
         member: usize,
-        life: u64,
+        incarnation: u64,
         number: u64,
         voter: usize,
         message: VoterRequest,
     },
-    VoterAnswer {
+    VoterResponse {
         member: usize,
-        life: u64,
+        incarnation: u64,
         number: u64,
         voter: usize,
         reply: VoterResponse,
@@ -71,12 +71,12 @@
     pub voters: Vec<Acceptor>,
     pub members: Vec<Member>,
     pub operators: Vec<Operator>,
-    pub parcels: Vec<Parcel>,
+    pub in_transit: Vec<Envelope>,
     pub oracle: Oracle,
     pub now: u64,
-    pub last_life: u64,
+    pub last_incarnation: u64,
     pub last_command: u64,
-    pub last_copy: u64,
+    pub last_attempt: u64,
     pub is_ending: bool,
 }
 
@@ -103,17 +103,17 @@
             members: (0..MEMBERS)
                 .map(|place| Member::new(place as u64 + 1))
                 .collect(),
-            parcels: Vec::new(),
+            in_transit: Vec::new(),
             oracle: Oracle::default(),
             now: 0,
-            last_life: MEMBERS as u64,
+            last_incarnation: MEMBERS as u64,
             last_command: 0,
-            last_copy: 0,
+            last_attempt: 0,
             is_ending: false,
         }
     }
 
-    /// Runs the troubled part, then lets everything come to an end and reads back.
+    /// Runs the part with faults, then lets everything come to an end and reads back.
     pub fn run(&mut self) {
         for _ in 0..self.settings.steps {
             self.step();
@@ -123,7 +123,7 @@
         self.is_ending = true;
         for _ in 0..self.settings.steps {
             self.step();
-            if self.parcels.is_empty() && self.operators.iter().all(Operator::is_idle) {
+            if self.in_transit.is_empty() && self.operators.iter().all(Operator::is_idle) {
                 break;
             }
         }
@@ -134,61 +134,61 @@
     fn step(&mut self) {
         self.now += 1;
         if self.settings.has_faults {
-            self.befall();
+            self.inject_fault();
         }
         let place = self.random.random_range(0..self.operators.len());
-        self.tend_operator(place);
+        self.advance_operator(place);
         for _ in 0..self.random.random_range(1..=24) {
             self.deliver_any();
         }
-        self.tend_members();
+        self.expire_rounds();
     }
 
     fn deliver_any(&mut self) {
-        if self.parcels.is_empty() {
+        if self.in_transit.is_empty() {
             return;
         }
-        let place = self.random.random_range(0..self.parcels.len());
-        let parcel = self.parcels.swap_remove(place);
-        self.deliver(parcel);
+        let place = self.random.random_range(0..self.in_transit.len());
+        let envelope = self.in_transit.swap_remove(place);
+        self.deliver(envelope);
     }
 
-    fn deliver(&mut self, parcel: Parcel) {
-        match parcel {
-            Parcel::Command { member, copy } => self.take_command(member, copy),
-            Parcel::Answer { copy, reply } => self.take_answer(copy, &reply),
-            Parcel::Ask {
+    fn deliver(&mut self, envelope: Envelope) {
+        match envelope {
+            Envelope::Command { member, attempt } => self.handle_command(member, attempt),
+            Envelope::Reply { attempt, reply } => self.handle_reply(attempt, &reply),
+            Envelope::VoterRequest {
                 member,
-                life,
+                incarnation,
                 number,
                 voter,
                 message,
             } => {
                 let (_, reply) = self.voters[voter].handle(message);
-                self.oracle.look(&self.voters);
-                self.send(Parcel::VoterAnswer {
+                self.oracle.observe(&self.voters);
+                self.send(Envelope::VoterResponse {
                     member,
-                    life,
+                    incarnation,
                     number,
                     voter,
                     reply,
                 });
             }
-            Parcel::VoterAnswer {
+            Envelope::VoterResponse {
                 member,
-                life,
+                incarnation,
                 number,
                 voter,
                 reply,
             } => {
-                self.take_voter_answer(member, life, number, voter, reply);
+                self.handle_voter_response(member, incarnation, number, voter, reply);
             }
         }
     }
 
-    pub fn send(&mut self, parcel: Parcel) {
+    pub fn send(&mut self, envelope: Envelope) {
         if !self.random.random_bool(self.settings.loss) {
-            self.parcels.push(parcel);
+            self.in_transit.push(envelope);
         }
     }
 
--- a/crates/operator_commands/tests/cluster/operators.rs
+++ b/crates/operator_commands/tests/cluster/operators.rs
@@ -2,19 +2,19 @@
 //! acknowledged or rejected.
 
 use super::documents::{body, dropping_body, version_of};
-use super::{Cluster, Copy, Parcel, ZONES};
+use super::{Cluster, CommandAttempt, Envelope, ZONES};
 use operator_commands::{BaseVersion, Command, CommandKind, CommandReply};
 use rand::Rng;
 
-const UNDER_WAY_MAX: usize = 8;
+const IN_FLIGHT_MAX: usize = 8;
 /// Steps of silence after which a command is sent again.
-const PATIENCE: u64 = 60;
+const RETRY_STEPS: u64 = 60;
 /// Times that an evacuation is sent at most.
 const EVACUATION_TRIES: u32 = 6;
 
 pub struct Pending {
     command: u64,
-    copy: u64,
+    attempt: u64,
     sent_at: u64,
     tries: u32,
     /// Acknowledged commands after which the operator goes on with this one.
@@ -42,8 +42,8 @@
 }
 
 impl Cluster {
-    pub fn tend_operator(&mut self, place: usize) {
-        let is_free = self.operators[place].pending.len() < UNDER_WAY_MAX;
+    pub fn advance_operator(&mut self, place: usize) {
+        let is_free = self.operators[place].pending.len() < IN_FLIGHT_MAX;
         if is_free && !self.is_ending && self.random.random_bool(0.6) {
             self.begin_command(place);
         }
@@ -52,7 +52,7 @@
         let mut due = Vec::new();
         for pending in &mut self.operators[place].pending {
             let has_resumed = is_ending || acknowledged >= pending.resumes_at;
-            if has_resumed && now >= pending.sent_at + PATIENCE {
+            if has_resumed && now >= pending.sent_at + RETRY_STEPS {
                 due.push(pending.command);
             }
         }
@@ -64,8 +64,8 @@
     fn begin_command(&mut self, place: usize) {
         self.last_command += 1;
         let number = self.last_command;
-        let command = self.draw_command(number);
-        self.oracle.begin(number, command, self.now);
+        let command = self.random_command(number);
+        self.oracle.begin(number, command);
         let pauses = self.settings.longest_pause > 0 && self.random.random_bool(0.1);
         let pause = if pauses {
             self.random.random_range(0..=self.settings.longest_pause)
@@ -75,7 +75,7 @@
         let resumes_at = self.oracle.acknowledged_count() + pause;
         let pending = Pending {
             command: number,
-            copy: 0,
+            attempt: 0,
             sent_at: 0,
             tries: 0,
             resumes_at,
@@ -84,9 +84,9 @@
         self.send_command(place, number);
     }
 
-    fn draw_command(&mut self, number: u64) -> Command {
+    fn random_command(&mut self, number: u64) -> Command {
         if self.random.random_bool(0.15) {
-            return self.draw_evacuation();
+            return self.random_evacuation();
         }
         let known = self.oracle.newest_version();
         let base = match self.random.random_range(0..20) {
@@ -113,7 +113,7 @@
         }
     }
 
-    fn draw_evacuation(&mut self) -> Command {
+    fn random_evacuation(&mut self) -> Command {
         let zone = ZONES[self.random.random_range(0..ZONES.len())].to_string();
         let kind = if self.random.random_bool(0.5) {
             CommandKind::BeginEvacuation(zone)
@@ -127,10 +127,10 @@
     }
 
     fn send_command(&mut self, place: usize, command: u64) {
-        self.last_copy += 1;
-        let copy = Copy {
+        self.last_attempt += 1;
+        let attempt = CommandAttempt {
             command,
-            number: self.last_copy,
+            number: self.last_attempt,
         };
         let is_evacuation = self.oracle.command(command).is_evacuation();
         let pending = &mut self.operators[place].pending;
@@ -144,7 +144,7 @@
             pending.swap_remove(at);
             return;
         }
-        pending[at].copy = copy.number;
+        pending[at].attempt = attempt.number;
         pending[at].sent_at = self.now;
         pending[at].tries += 1;
         let is_too_old = self.is_ending && pending[at].tries > 200;
@@ -153,24 +153,24 @@
             return;
         }
         let member = self.random.random_range(0..self.members.len());
-        self.send(Parcel::Command { member, copy });
+        self.send(Envelope::Command { member, attempt });
     }
 
-    /// The operator hears the answer to the copy that it waits for; others are lost on closed connections.
-    pub fn take_answer(&mut self, copy: Copy, reply: &CommandReply) {
+    /// The operator hears the answer to the attempt that it waits for; others are lost on closed connections.
+    pub fn handle_reply(&mut self, attempt: CommandAttempt, reply: &CommandReply) {
         let now = self.now;
         for operator in &mut self.operators {
             let mut pending = operator.pending.iter();
-            let waits = pending.position(|pending| pending.copy == copy.number);
+            let waits = pending.position(|pending| pending.attempt == attempt.number);
             let Some(at) = waits else {
                 continue;
             };
             if let CommandReply::Undecided(_) = reply {
-                operator.pending[at].sent_at = now.saturating_sub(PATIENCE / 2);
+                operator.pending[at].sent_at = now.saturating_sub(RETRY_STEPS / 2);
                 continue;
             }
             operator.pending.swap_remove(at);
-            self.oracle.answered(copy.command, reply, now);
+            self.oracle.answered(attempt.command, reply);
         }
     }
 }
--- a/crates/operator_commands/tests/cluster/oracle.rs
+++ b/crates/operator_commands/tests/cluster/oracle.rs
@@ -33,7 +33,7 @@
 }
 
 impl Oracle {
-    pub fn begin(&mut self, number: u64, command: Command, _now: u64) {
+    pub fn begin(&mut self, number: u64, command: Command) {
         let evacuations_at = self.evacuations.keys().next_back().copied().unwrap_or(0);
         self.begun.insert(
             number,
@@ -62,7 +62,7 @@
     }
 
     /// Looks for values that a majority of voters has accepted under one ballot, at once or one after the other.
-    pub fn look(&mut self, voters: &[Acceptor]) {
+    pub fn observe(&mut self, voters: &[Acceptor]) {
         for key in [CONFIGURATION, EVACUATIONS] {
             for (place, voter) in voters.iter().enumerate() {
                 let held = voter.register(key).filter(|held| held.value.version > 0);
@@ -185,7 +185,7 @@
         );
     }
 
-    pub fn answered(&mut self, number: u64, reply: &CommandReply, _now: u64) {
+    pub fn answered(&mut self, number: u64, reply: &CommandReply) {
         if matches!(reply, CommandReply::Acknowledged) {
             assert!(
                 !self.rejected.contains(&number),
--- a/crates/operator_commands/tests/decisions.rs
+++ b/crates/operator_commands/tests/decisions.rs
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn an_command_ahead_of_what_is_in_place_is_left_undecided_until_its_base_came() {
+fn a_command_ahead_of_what_is_in_place_is_left_undecided_until_its_base_came() {
     let bytes = accepted(&replace(0, 2, 1), &[]);
     let (next, ahead) = (replace(2, 4, 2), replace(4, 6, 3));
     assert!(is_undecided(&ahead, &bytes));
--- a/crates/operator_commands/tests/executions.rs
+++ b/crates/operator_commands/tests/executions.rs
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn an_command_that_always_comes_too_late_ends_without_a_clear_answer() {
+fn a_command_that_always_comes_too_late_ends_without_a_clear_answer() {
     let mut begin = evacuation(CommandKind::BeginEvacuation(ZONE.into()));
     let mut value = Evacuations::default();
     for round in 0..DECISION_ATTEMPTS_MAX {
