--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -6,8 +6,6 @@
 use event_loop::{ConnectionId, Event, EventLoop, ListenerId};
 use http1::RequestReader;
 use std::collections::HashMap;
-use std::io;
-use std::net::SocketAddr;
 use std::time::Duration;
 
 /// A runner that is probed.
@@ -40,17 +38,12 @@
 }
 
 impl Connections {
-    /// No connections yet; a peer that acknowledges nothing for `silence_ms` is taken for dead.
-    pub fn new(max_connections: usize, silence_ms: u32) -> io::Result<Self> {
-        Ok(Self {
-            event_loop: EventLoop::new(max_connections, silence_ms)?,
+    /// No connections yet; the event loop has its listeners.
+    pub fn new(event_loop: EventLoop) -> Self {
+        Self {
+            event_loop,
             roles: HashMap::new(),
-        })
-    }
-
-    /// Listens at an address; each accepted connection buffers `buffer_max` unread bytes at most.
-    pub fn listen(&mut self, address: SocketAddr, buffer_max: usize) -> io::Result<ListenerId> {
-        self.event_loop.listen(address, buffer_max)
+        }
     }
 
     /// Accepts no more connections at a listener.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -10,10 +10,9 @@
 use crate::response_times::ResponseTimes;
 use crate::retry_budgets::RetryBudgets;
 use crate::upstream_pool::UpstreamPool;
-use event_loop::{ConnectionId, ListenerId, Timers};
+use event_loop::{ConnectionId, EventLoop, ListenerId, Timers};
 use jobs::{Ends, Jobs};
-use protocol::Member;
-use protocol::RequestId;
+use protocol::{Member, RequestId};
 use seat_leases::LeaseOwner;
 
 /// Most unread bytes of a client's connection.
@@ -78,21 +77,21 @@
 impl Gateway {
     /// Binds the listening sockets; nothing is served yet.
     pub fn open(options: GatewayOptions) -> Result<Self, GatewayError> {
-        let silence = options.silence_ms() as u32;
-        let mut connections =
-            Connections::new(options.max_connections, silence).map_err(GatewayError::System)?;
-        let listeners = listen(&mut connections, &options)?;
+        let silence_ms = options.silence_ms() as u32;
+        let mut event_loop =
+            EventLoop::new(options.max_connections, silence_ms).map_err(GatewayError::System)?;
+        let listeners = listen(&mut event_loop, &options)?;
         let identity = identity(&options);
         Ok(Self {
+            peers: PeerLinks::default(),
             jobs: Jobs::new(identity.incarnation, options.job_retention_ms),
             unacknowledged_results: Ends::default(),
             identity,
-            connections,
+            connections: Connections::new(event_loop),
             listeners,
             requests: InFlightRequests::default(),
             lease_owner: LeaseOwner::default(),
             upstream_pool: UpstreamPool::default(),
-            peers: PeerLinks::default(),
             controllers: ControllerLinks::new(&options.controller_addresses),
             configuration: AppliedConfiguration::default(),
             retry_budgets: RetryBudgets::new(options.retry_ratio, options.retry_slack),
@@ -113,12 +112,9 @@
     }
 }
 
-fn listen(
-    connections: &mut Connections,
-    options: &GatewayOptions,
-) -> Result<Listeners, GatewayError> {
+fn listen(event_loop: &mut EventLoop, options: &GatewayOptions) -> Result<Listeners, GatewayError> {
     let mut listen = |address, buffer_max| {
-        let listener = connections.listen(address, buffer_max);
+        let listener = event_loop.listen(address, buffer_max);
         listener.map_err(|error| GatewayError::Listen(address, error))
     };
     let downstream = listen(options.client_address, DOWNSTREAM_BUFFER_MAX)?;
--- a/crates/gateway/src/job_messages.rs
+++ b/crates/gateway/src/job_messages.rs
@@ -6,8 +6,7 @@
 use crate::stored_response::{pack, unpack, StoredResponse};
 use http1::{Request, Response};
 use jobs::{digest, is_key, JobAction, Pass};
-use protocol::RequestId;
-use protocol::{JobCompletion, JobResult, JobVerdict, Message};
+use protocol::{JobCompletion, JobResult, JobVerdict, Message, RequestId};
 
 /// Header by which a client names the job that its request asks for.
 const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
--- a/crates/gateway/src/lease_requests.rs
+++ b/crates/gateway/src/lease_requests.rs
@@ -2,8 +2,9 @@
 
 use crate::gateway::{Gateway, TimerEvent};
 use crate::pending_request::{HeldLease, OwnerName, PendingRequest, RequestPhase};
-use protocol::RequestId;
-use protocol::{LeaseOutcome, LeaseRelease, LeaseRequest, Member, Message, RunnerLeases};
+use protocol::{
+    LeaseOutcome, LeaseRelease, LeaseRequest, Member, Message, RequestId, RunnerLeases,
+};
 use seat_leases::select_owner;
 use std::collections::BTreeSet;
 
--- a/crates/gateway/src/pending_request.rs
+++ b/crates/gateway/src/pending_request.rs
@@ -44,7 +44,7 @@
 /// A request that was read whole and has no response yet.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
-    /// Set by [`InFlightRequests`](crate::in_flight_requests::InFlightRequests).
+    /// Set as it is put in flight.
     pub id: RequestId,
     /// The client's connection; none once the client has left.
     pub downstream: Option<ConnectionId>,
--- a/crates/gateway/src/request_outcomes.rs
+++ b/crates/gateway/src/request_outcomes.rs
@@ -6,8 +6,7 @@
 use crate::upstream_session::UpstreamResponse;
 use event_loop::ConnectionId;
 use http1::{end_to_end, Response};
-use protocol::RequestId;
-use protocol::{JobResult, LeaseOutcome};
+use protocol::{JobResult, LeaseOutcome, RequestId};
 
 /// Least milliseconds after which a rejected client may come back.
 const RETRY_AFTER_MIN_MS: u64 = 150;
--- a/crates/gateway/src/upstream_requests.rs
+++ b/crates/gateway/src/upstream_requests.rs
@@ -7,8 +7,7 @@
 use crate::upstream_session::{OutstandingRequest, BODY_MAX, HEAD_MAX};
 use event_loop::ConnectionId;
 use http1::{end_to_end, write_request};
-use protocol::RequestId;
-use protocol::{LeaseOutcome, LeaseRelease, SeatLease};
+use protocol::{LeaseOutcome, LeaseRelease, RequestId, SeatLease};
 
 /// Most unread bytes of a connection to a runner.
 pub(crate) const UPSTREAM_BUFFER_MAX: usize = BODY_MAX + HEAD_MAX;
--- a/crates/gateway/src/upstream_responses.rs
+++ b/crates/gateway/src/upstream_responses.rs
@@ -5,8 +5,7 @@
 use crate::upstream_session::{SessionEvent, UpstreamResponse};
 use event_loop::{CloseReason, ConnectionId};
 use http1::idle_seconds;
-use protocol::LeaseOutcome;
-use protocol::RequestId;
+use protocol::{LeaseOutcome, RequestId};
 
 /// Milliseconds for which an idle connection is pooled where the runner names no time.
 pub(crate) const IDLE_MS: u64 = 5_000;
--- /dev/null
+++ b/crates/seat_leases/src/action.rs
@@ -0,0 +1,46 @@
+//! What an owner of seats asks its gateway to do, and what it tells of its runners.
+
+use protocol::{RequestId, SeatLease};
+
+/// What the owner asks its gateway to do.
+#[derive(Clone, Debug, PartialEq)]
+pub enum LeaseAction {
+    /// Send a lease to the gateway whose request it is for.
+    Lease {
+        /// Name of the gateway.
+        gateway: String,
+        /// The leased seat.
+        lease: SeatLease,
+    },
+    /// Tell a gateway that its request gets no seat in time.
+    Reject {
+        /// Name of the gateway.
+        gateway: String,
+        /// The request's number at that gateway.
+        request_id: RequestId,
+        /// Milliseconds after which a retry is worthwhile.
+        retry_after_ms: u32,
+    },
+    /// Check whether a starting runner accepts connections.
+    Probe {
+        /// The runner's function.
+        function: String,
+        /// Id of the runner.
+        runner: String,
+        /// Its address (ip and port).
+        address: String,
+    },
+}
+
+/// How much of one runner's quota is leased.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RunnerUsage {
+    /// Id of the runner.
+    pub id: String,
+    /// Most requests that it may hold at once.
+    pub quota: u32,
+    /// Seats that are leased now.
+    pub in_use: u32,
+    /// Whether it gets new requests.
+    pub is_serving: bool,
+}
--- /dev/null
+++ b/crates/seat_leases/src/function_seats.rs
@@ -0,0 +1,282 @@
+//! The seats of one function: its runners, the requests that wait, and what of both the scaler is told.
+
+use crate::lease_holder::LeaseHolder;
+use crate::report_state::ReportState;
+use crate::runner_set::RunnerSet;
+use crate::seat_runner::SeatRunner;
+use crate::start_block::ReceivedStartBlock;
+use crate::wait_queue::{QueuePosition, WaitQueue, WaitingRequest};
+use protocol::{
+    FunctionReport, FunctionUpdate, LeaseOutcome, LeaseRelease, LeaseRequest, RunnerLeases,
+    SeatLease, UpdateVersion, ZoneArrivals,
+};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Most requests that wait for one function.
+const WAITING_MAX: usize = 512;
+/// Part of a request's timeout within which it must expect a seat, so that there is time to run it.
+const WAIT_PART_MAX: f64 = 0.9;
+/// Milliseconds after which a rejected request may find a seat, where nothing better is known.
+pub(crate) const RETRY_AFTER_MS: u32 = 250;
+
+/// A waiting request that gets no seat in time.
+pub(crate) struct RejectedRequest {
+    pub holder: LeaseHolder,
+    pub retry_after_ms: u32,
+}
+
+/// A lease that was issued to a waiting request.
+pub(crate) struct IssuedLease {
+    pub gateway: String,
+    pub lease: SeatLease,
+}
+
+/// The runners of one function and the requests that wait for their seats.
+#[derive(Debug, Default)]
+pub(crate) struct FunctionSeats {
+    /// Version of the scaler's last update.
+    version: UpdateVersion,
+    runners: RunnerSet,
+    queue: WaitQueue,
+    /// That no new runner can be up in time, as the scaler said last.
+    start_block: Option<ReceivedStartBlock>,
+    /// First lease requests, by zone of the gateway.
+    arrivals: BTreeMap<String, u64>,
+    abandoned: u64,
+    used_at: u64,
+    report: ReportState,
+}
+
+impl FunctionSeats {
+    /// What the scaler is not told yet.
+    pub fn report_state(&mut self) -> &mut ReportState {
+        &mut self.report
+    }
+
+    /// The function was used at this time or later.
+    pub fn touch(&mut self, now: u64) {
+        self.used_at = self.used_at.max(now);
+    }
+
+    /// When the function was used last.
+    pub fn used_at(&self) -> u64 {
+        self.used_at
+    }
+
+    /// Whether requests wait.
+    pub fn has_waiting(&self) -> bool {
+        !self.queue.is_empty()
+    }
+
+    /// Whether nobody waits and no seat is leased.
+    pub fn is_idle(&self) -> bool {
+        self.queue.is_empty() && !self.runners.has_leases()
+    }
+
+    /// The runners.
+    pub fn runners(&self) -> impl Iterator<Item = &SeatRunner> {
+        self.runners.iter()
+    }
+
+    /// The runner with this id.
+    pub fn runner(&mut self, id: &str) -> Option<&mut SeatRunner> {
+        self.runners.get_mut(id)
+    }
+
+    /// Takes the runners as the scaler wants them; an older update than the last is dropped.
+    pub fn apply_update(&mut self, now: u64, update: FunctionUpdate) {
+        if update.version < self.version {
+            return;
+        }
+        self.version = update.version;
+        let block = update.start_block;
+        self.start_block = block.map(|block| ReceivedStartBlock::new(now, block));
+        self.runners.apply_updates(now, update.runners);
+        self.report.mark_changed();
+    }
+
+    /// The runner that a gateway told of; where it is not known yet it is taken for one that serves.
+    pub fn runner_or_add(&mut self, now: u64, leases: &RunnerLeases) -> &mut SeatRunner {
+        self.runners.get_or_add(now, leases)
+    }
+
+    /// Counts a request among the arrivals, unless it was at a runner before.
+    pub fn record_arrival(&mut self, zone: &str, request: &LeaseRequest) {
+        if request.excluded_runners.is_empty() {
+            *self.arrivals.entry(zone.into()).or_insert(0) += 1;
+        }
+    }
+
+    /// Milliseconds after which a request is to come back that would get no seat in time; none where it may wait.
+    pub fn rejects(
+        &self,
+        now: u64,
+        request: &LeaseRequest,
+        evacuated: &BTreeSet<String>,
+    ) -> Option<u32> {
+        let timeout_ms = request.timeout_ms;
+        let ahead = self.queue.ahead_of(request.priority);
+        let wait_ms = self.runners.expected_wait_ms(now, ahead);
+        // Where a seat is free there is nothing to wait for, and only who is sent there shows how fast it is.
+        let is_late = wait_ms.is_some_and(|wait| wait > f64::from(timeout_ms) * WAIT_PART_MAX)
+            && !self.has_free_seat(now, evacuated, &request.excluded_runners);
+        let blocked = self.retry_after_block(now, now + u64::from(timeout_ms));
+        if !is_late && blocked.is_none() && self.queue.len() < WAITING_MAX {
+            return None;
+        }
+        let retry_after_ms = wait_ms.unwrap_or(0.0).max(f64::from(RETRY_AFTER_MS));
+        Some(blocked.unwrap_or(retry_after_ms as u32))
+    }
+
+    /// A request was given up for want of a seat.
+    pub fn record_abandoned(&mut self) {
+        self.abandoned += 1;
+        self.report.mark_changed();
+    }
+
+    /// Puts a request in the queue.
+    pub fn enqueue(&mut self, now: u64, holder: LeaseHolder, zone: &str, request: LeaseRequest) {
+        let waiting = WaitingRequest {
+            holder,
+            zone: zone.into(),
+            excluded_runners: request.excluded_runners,
+            deadline: now + u64::from(request.timeout_ms),
+        };
+        self.queue.push(request.priority, waiting);
+        self.report.mark_changed();
+    }
+
+    /// A request wants no seat any more.
+    pub fn cancel(&mut self, holder: &LeaseHolder) {
+        self.queue.remove_holder(holder);
+        self.runners.remove_lease(holder);
+        self.report.mark_changed();
+    }
+
+    /// A gateway is gone, and with it its requests.
+    pub fn remove_gateway(&mut self, gateway: &str) {
+        self.queue.remove_gateway(gateway);
+        self.runners.remove_gateway(gateway);
+        self.report.mark_changed();
+    }
+
+    /// A lease ends, and with it something is known of its runner.
+    pub fn release(&mut self, now: u64, holder: &LeaseHolder, release: &LeaseRelease) {
+        self.report.mark_changed();
+        let Some(runner) = self.runners.remove_lease(holder) else {
+            return;
+        };
+        match release.outcome {
+            LeaseOutcome::Succeeded => runner.record_success(release.duration_ms),
+            LeaseOutcome::Rejected => {
+                runner.record_rejection(now);
+                self.runners.limit_if_contended(now);
+            }
+            LeaseOutcome::Gone => {
+                runner.record_gone();
+                self.report.mark_urgent();
+            }
+            // A runner that loses one response after the other is as good as gone.
+            LeaseOutcome::Unreachable | LeaseOutcome::Lost => {
+                if runner.record_miss() {
+                    self.report.mark_urgent();
+                }
+            }
+            LeaseOutcome::Unused => {}
+        }
+    }
+
+    /// Issues a lease of a free seat to the first request that may use one.
+    pub fn lease_next(&mut self, now: u64, evacuated: &BTreeSet<String>) -> Option<IssuedLease> {
+        let (position, place) = self.match_next(now, evacuated)?;
+        let waiting = self.queue.remove(position)?;
+        let runner = self.runners.at_mut(place);
+        let lease = SeatLease {
+            request_id: waiting.holder.request_id,
+            runner: runner.id().into(),
+            address: runner.address().into(),
+            zone: runner.zone().into(),
+        };
+        let gateway = waiting.holder.gateway.clone();
+        runner.add_lease(waiting.holder);
+        Some(IssuedLease { gateway, lease })
+    }
+
+    fn match_next(&self, now: u64, evacuated: &BTreeSet<String>) -> Option<(QueuePosition, usize)> {
+        if self.queue.is_empty() {
+            return None;
+        }
+        let free = self.runners.free_places(now, evacuated);
+        if free.is_empty() {
+            return None;
+        }
+        let mean_ms = self.runners.mean_response_ms();
+        self.queue.iter().find_map(|(position, waiting)| {
+            let excluded = &waiting.excluded_runners;
+            let runners = &self.runners;
+            let place = runners.cheapest(&free, &waiting.zone, excluded, mean_ms)?;
+            Some((position, place))
+        })
+    }
+
+    fn has_free_seat(&self, now: u64, evacuated: &BTreeSet<String>, excluded: &[String]) -> bool {
+        let mut free = self.runners.free_places(now, evacuated).into_iter();
+        free.any(|place| self.runners.may_use(place, excluded))
+    }
+
+    /// Milliseconds after which a request is to come back that nothing can serve before its deadline; none where a
+    /// runner that is here, pauses or starts, or a new one, may still do so.
+    fn retry_after_block(&self, now: u64, deadline: u64) -> Option<u32> {
+        let block = self.start_block?;
+        if self.runners.may_serve() || !block.rules_out(now, deadline) {
+            return None;
+        }
+        Some(block.retry_after_ms(now))
+    }
+
+    /// Takes requests out of the queue whose time is over, then those that nothing can serve in time.
+    pub fn take_hopeless(&mut self, now: u64) -> Vec<RejectedRequest> {
+        let waiting = self.queue.iter();
+        let late = waiting.filter(|(_, request)| request.deadline <= now);
+        let late = late.map(|(position, _)| (position, RETRY_AFTER_MS));
+        let blocked = self.queue.iter().filter_map(|(position, request)| {
+            let retry_after_ms = self.retry_after_block(now, request.deadline)?;
+            Some((position, retry_after_ms))
+        });
+        let hopeless: Vec<(QueuePosition, u32)> = late.chain(blocked).collect();
+        let mut rejected = Vec::new();
+        for (position, retry_after_ms) in hopeless {
+            let Some(waiting) = self.queue.remove(position) else {
+                continue;
+            };
+            self.record_abandoned();
+            rejected.push(RejectedRequest {
+                holder: waiting.holder,
+                retry_after_ms,
+            });
+        }
+        rejected
+    }
+
+    fn arrivals(&self) -> Vec<ZoneArrivals> {
+        let arrivals = self.arrivals.iter();
+        arrivals
+            .map(|(zone, count)| ZoneArrivals {
+                zone: zone.clone(),
+                count: *count,
+            })
+            .collect()
+    }
+
+    /// What the scaler is told of the function.
+    pub fn report(&self, function: &str) -> FunctionReport {
+        FunctionReport {
+            function: function.into(),
+            update_number: self.version.number,
+            arrivals: self.arrivals(),
+            waiting: self.queue.len() as u32,
+            abandoned: self.abandoned,
+            runners: self.runners.iter().map(SeatRunner::report).collect(),
+        }
+    }
+}
--- a/crates/seat_leases/src/lease_owner.rs
+++ b/crates/seat_leases/src/lease_owner.rs
@@ -1,183 +1,103 @@
-use crate::seats::Seats;
+//! The owner of the seats of all functions that fell to one gateway.
+
+use crate::action::{LeaseAction, RunnerUsage};
+use crate::function_seats::{FunctionSeats, RETRY_AFTER_MS};
+use crate::lease_holder::LeaseHolder;
+use crate::probe_schedule::{ProbeSchedule, ProbeTarget};
 use protocol::{
-    FunctionReport, FunctionUpdate, LeaseOutcome, LeaseRelease, LeaseRequest, RequestId,
-    RunnerLeases, RunnerStage, SeatLease,
+    FunctionReport, FunctionUpdate, LeaseRelease, LeaseRequest, RequestId, RunnerLeases,
 };
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeSet, HashMap};
 
-/// Most requests that wait for one function.
-const WAITING_MAX: usize = 512;
-/// Most functions that one keeper knows.
+/// Most functions that one owner knows.
 const FUNCTIONS_MAX: usize = 65_536;
-/// Milliseconds between reports of a function, where nothing is urgent.
-const REPORT_MS: u64 = 200;
-/// Milliseconds after which it is told again that requests wait.
-const REMIND_MS: u64 = 500;
-/// Milliseconds between urgent reports of a function.
-const URGENT_MS: u64 = 15;
-/// Milliseconds for which the connection of a probe may hold a seat.
-const LOOK_MS: u64 = 120;
-/// Milliseconds after which a function that nobody uses is forgotten.
-const FORGET_MS: u64 = 4_000;
-/// Milliseconds after which a refused request may find a seat, where nothing better is known.
-const RETRY_AFTER_MS: u32 = 250;
-
-/// What the owner asks its gateway to do.
-#[derive(Clone, Debug, PartialEq)]
-pub enum LeaseAction {
-    /// Send a lease to the gateway whose request it is for.
-    Lease {
-        /// Name of the gateway.
-        gateway: String,
-        /// The leased seat.
-        lease: SeatLease,
-    },
-    /// Tell a gateway that its request gets no seat in time.
-    Reject {
-        /// Name of the gateway.
-        gateway: String,
-        /// The request's number at that gateway.
-        request_id: RequestId,
-        /// Milliseconds after which a retry is worthwhile.
-        retry_after_ms: u32,
-    },
-    /// Check whether a starting runner accepts connections.
-    Probe {
-        /// The runner's function.
-        function: String,
-        /// Id of the runner.
-        runner: String,
-        /// Its address.
-        address: String,
-    },
-}
+/// Milliseconds after which a function that another gateway owns, and that nobody uses here, is evicted.
+const EVICTION_AFTER_MS: u64 = 4_000;
 
-/// How much of one runner's quota is leased.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunnerUsage {
-    /// Id of the runner.
-    pub id: String,
-    /// Most requests that it may hold at once.
-    pub quota: u32,
-    /// Seats that are leased now.
-    pub in_use: u32,
-    /// Whether it gets new requests.
-    pub is_serving: bool,
-}
-
-/// The keeper of all functions that fell to one gateway. A pure machine: `now` is a steady clock in milliseconds.
+/// The owner of the seats of all functions that fell to one gateway. It does no I/O: `now` is a steady clock in
+/// milliseconds, and what is to be done is taken out by [`take_actions`](Self::take_actions).
 #[derive(Default)]
 pub struct LeaseOwner {
-    functions: HashMap<String, Seats>,
-    tickets: HashMap<(String, RequestId), String>,
-    dirty: BTreeSet<String>,
-    awaited: BTreeMap<(String, String), u64>,
-    closed: BTreeSet<String>,
+    functions: HashMap<String, FunctionSeats>,
+    /// The function for which each request holds a lease or waits.
+    function_by_holder: HashMap<LeaseHolder, String>,
+    /// Functions of which the scaler may have something to be told.
+    unreported: BTreeSet<String>,
+    probes: ProbeSchedule,
+    evacuated_zones: BTreeSet<String>,
     actions: Vec<LeaseAction>,
 }
 
 impl LeaseOwner {
-    /// Districts that take no requests.
-    pub fn set_evacuated_zones(&mut self, closed: BTreeSet<String>) {
-        self.closed = closed;
+    /// Sets the zones whose runners get no new requests.
+    pub fn set_evacuated_zones(&mut self, zones: BTreeSet<String>) {
+        self.evacuated_zones = zones;
     }
 
-    /// What is to be done now.
+    /// Takes what is to be done now, in order.
     pub fn take_actions(&mut self) -> Vec<LeaseAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// A gateway's request wants a seat.
-    pub fn request_lease(&mut self, now: u64, gateway: &str, district: &str, bid: LeaseRequest) {
-        let is_new = !self.functions.contains_key(&bid.function);
+    /// A request of a gateway wants a seat. A lease or a rejection follows, at once or later, unless it is cancelled.
+    pub fn request_lease(&mut self, now: u64, gateway: &str, zone: &str, request: LeaseRequest) {
+        let is_new = !self.functions.contains_key(&request.function);
         if is_new && self.functions.len() >= FUNCTIONS_MAX {
-            self.reject(gateway, bid.request_id, RETRY_AFTER_MS);
+            self.reject(gateway, request.request_id, RETRY_AFTER_MS);
             return;
         }
-        let function = bid.function.clone();
+        let function = request.function.clone();
         let seats = self.functions.entry(function.clone()).or_default();
-        seats.used_at = now;
-        if bid.excluded_runners.is_empty() {
-            *seats.arrived.entry(district.into()).or_insert(0) += 1;
-        }
-        let ahead = seats.ahead_of(bid.priority);
-        let wait = seats.expected_wait(now, ahead);
-        // Where a seat is free there is nothing to wait for, and only who is sent there shows its pace.
-        let is_hopeless = wait.is_some_and(|wait| wait > f64::from(bid.timeout_ms) * 0.9)
-            && !seats.has_free(now, &self.closed, &bid.excluded_runners);
-        let blocked = seats.hopeless_until(now, now + u64::from(bid.timeout_ms));
-        if is_hopeless || blocked.is_some() || seats.waiting.len() >= WAITING_MAX {
-            seats.given_up += 1;
-            seats.is_dirty = true;
-            let back = wait.unwrap_or(0.0).max(f64::from(RETRY_AFTER_MS)) as u32;
-            let back = blocked.unwrap_or(back);
-            self.reject(gateway, bid.request_id, back);
-            self.dirty.insert(function);
+        seats.touch(now);
+        seats.record_arrival(zone, &request);
+        if let Some(retry_after_ms) = seats.rejects(now, &request, &self.evacuated_zones) {
+            seats.record_abandoned();
+            self.reject(gateway, request.request_id, retry_after_ms);
+            self.unreported.insert(function);
             return;
         }
-        let holder = (gateway.to_string(), bid.request_id);
-        self.tickets.insert(holder.clone(), function.clone());
-        seats.add(now, holder, district, bid);
-        seats.is_dirty = true;
-        self.serve(now, &function);
-        let Some(seats) = self.functions.get_mut(&function) else {
-            return;
-        };
-        seats.is_urgent |= !seats.waiting.is_empty();
-        self.dirty.insert(function);
+        let holder = LeaseHolder::new(gateway, request.request_id);
+        self.function_by_holder
+            .insert(holder.clone(), function.clone());
+        seats.enqueue(now, holder, zone, request);
+        self.issue_leases(now, &function);
+        if let Some(seats) = self.functions.get_mut(&function) {
+            if seats.has_waiting() {
+                seats.report_state().mark_urgent();
+            }
+            self.unreported.insert(function);
+        }
     }
 
-    /// A gateway's request wants no seat any more.
-    pub fn cancel(&mut self, now: u64, gateway: &str, ticket: RequestId) {
-        let holder = (gateway.to_string(), ticket);
-        let Some(function) = self.tickets.remove(&holder) else {
+    /// A request of a gateway wants no seat any more; one that was leased for it is free.
+    pub fn cancel(&mut self, now: u64, gateway: &str, request_id: RequestId) {
+        let holder = LeaseHolder::new(gateway, request_id);
+        let Some(function) = self.function_by_holder.remove(&holder) else {
             return;
         };
         if let Some(seats) = self.functions.get_mut(&function) {
-            seats.withdraw(&holder);
-            seats.is_dirty = true;
+            seats.cancel(&holder);
         }
-        self.dirty.insert(function.clone());
-        self.serve(now, &function);
+        self.unreported.insert(function.clone());
+        self.issue_leases(now, &function);
     }
 
-    /// A gateway gives a seat back.
+    /// A gateway gives a lease back. One that it does not hold changes nothing.
     pub fn release(&mut self, now: u64, gateway: &str, release: &LeaseRelease) {
-        let holder = (gateway.to_string(), release.request_id);
-        let Some(function) = self.tickets.remove(&holder) else {
+        let holder = LeaseHolder::new(gateway, release.request_id);
+        let Some(function) = self.function_by_holder.remove(&holder) else {
             return;
         };
         let Some(seats) = self.functions.get_mut(&function) else {
             return;
         };
-        seats.used_at = now;
-        seats.is_dirty = true;
-        if let Some(runner) = seats.free(&holder) {
-            match release.outcome {
-                LeaseOutcome::Succeeded => {
-                    runner.is_up = true;
-                    runner.learn(release.duration_ms);
-                }
-                LeaseOutcome::Rejected => {
-                    runner.turned_away(now);
-                    seats.heed_refusals(now);
-                }
-                LeaseOutcome::Gone => {
-                    runner.is_gone = true;
-                    seats.is_urgent = true;
-                }
-                // A runner that loses one answer after the other is as good as gone.
-                LeaseOutcome::Unreachable | LeaseOutcome::Lost => {
-                    seats.is_urgent |= runner.missed()
-                }
-                LeaseOutcome::Unused => {}
-            }
-        }
-        self.dirty.insert(function.clone());
-        self.serve(now, &function);
+        seats.touch(now);
+        seats.release(now, &holder, release);
+        self.unreported.insert(function.clone());
+        self.issue_leases(now, &function);
     }
 
-    /// A gateway tells which runners of a function it has requests at, to the function's new keeper.
+    /// A gateway tells the function's new owner at which runners it has requests.
     pub fn adopt_leases(
         &mut self,
         now: u64,
@@ -186,264 +106,226 @@
         runners: &[RunnerLeases],
     ) {
         let seats = self.functions.entry(function.to_string()).or_default();
-        seats.used_at = now;
+        seats.touch(now);
         for leases in runners {
-            let runner = seats.know(now, &leases.runner, &leases.address, &leases.zone);
-            for ticket in &leases.requests {
-                let holder = (gateway.to_string(), *ticket);
-                runner.holders.insert(holder.clone(), now);
-                self.tickets.insert(holder, function.to_string());
+            let runner = seats.runner_or_add(now, leases);
+            for request_id in &leases.requests {
+                let holder = LeaseHolder::new(gateway, *request_id);
+                runner.add_lease(holder.clone());
+                self.function_by_holder.insert(holder, function.to_string());
             }
         }
-        seats.is_dirty = true;
-        self.dirty.insert(function.to_string());
+        seats.report_state().mark_changed();
+        self.unreported.insert(function.to_string());
     }
 
     /// The scaler tells a function's runners.
-    pub fn update_runners(&mut self, now: u64, news: FunctionUpdate) {
-        let function = news.function.clone();
+    pub fn update_runners(&mut self, now: u64, update: FunctionUpdate) {
+        let function = update.function.clone();
         let seats = self.functions.entry(function.clone()).or_default();
-        seats.used_at = seats.used_at.max(now.saturating_sub(FORGET_MS / 2));
-        seats.take_news(now, news);
-        for runner in &seats.runners {
-            if runner.is_awaited() {
-                let key = (function.clone(), runner.news.id.clone());
-                self.awaited.entry(key).or_insert(runner.probe_at);
-            }
+        // An update is no use, but it keeps the function for a while.
+        seats.touch(now.saturating_sub(EVICTION_AFTER_MS / 2));
+        seats.apply_update(now, update);
+        for runner in seats.runners().filter(|one| one.is_starting()) {
+            let target = ProbeTarget {
+                function: function.clone(),
+                runner: runner.id().into(),
+            };
+            self.probes.schedule_first(target, runner.probe_at());
         }
-        self.dirty.insert(function.clone());
-        self.serve(now, &function);
-        self.refuse_hopeless(now, &function);
+        self.unreported.insert(function.clone());
+        self.issue_leases(now, &function);
+        self.reject_hopeless(now, &function);
     }
 
     /// A gateway is gone; what it held or wanted is free.
     pub fn remove_gateway(&mut self, now: u64, gateway: &str) {
-        let held = self.tickets.iter().filter(|((name, _), _)| name == gateway);
-        let functions: BTreeSet<String> = held.map(|(_, function)| function.clone()).collect();
-        self.tickets.retain(|(name, _), _| name != gateway);
+        let holders = self.function_by_holder.iter();
+        let of_gateway = holders.filter(|(holder, _)| holder.gateway == gateway);
+        let functions: BTreeSet<String> = of_gateway.map(|(_, name)| name.clone()).collect();
+        self.function_by_holder
+            .retain(|holder, _| holder.gateway != gateway);
         for function in functions {
             if let Some(seats) = self.functions.get_mut(&function) {
-                seats.forget_gateway(gateway);
-                seats.is_dirty = true;
+                seats.remove_gateway(gateway);
             }
-            self.dirty.insert(function.clone());
-            self.serve(now, &function);
+            self.unreported.insert(function.clone());
+            self.issue_leases(now, &function);
         }
     }
 
-    /// What came of a probe: whether the runner took the connection.
+    /// What came of a probe: whether the runner accepted the connection.
     pub fn record_probe(&mut self, now: u64, function: &str, runner: &str, is_up: bool) {
         let Some(seats) = self.functions.get_mut(function) else {
             return;
         };
-        let mut runners = seats.runners.iter_mut();
-        let Some(runner) = runners.find(|one| one.news.id == runner) else {
+        let Some(probed) = seats.runner(runner) else {
             return;
         };
-        runner.is_probed = false;
-        if is_up {
-            runner.is_up = true;
-            runner.looked_until = now + LOOK_MS;
-            seats.is_dirty = true;
-            self.awaited
-                .remove(&(function.to_string(), runner.news.id.clone()));
-            self.dirty.insert(function.to_string());
-            self.serve(now, function);
+        let target = ProbeTarget {
+            function: function.into(),
+            runner: runner.into(),
+        };
+        if !is_up {
+            let next_at = probed.record_probe_failure(now);
+            self.probes.schedule(target, next_at);
             return;
         }
-        // The pause grows with how long the start takes already.
-        let pause = (u64::from(runner.news.starts_in_ms) / 20).clamp(15, 150);
-        runner.probe_at = now + pause;
-        let key = (function.to_string(), runner.news.id.clone());
-        self.awaited.insert(key, now + pause);
+        probed.record_probe_success(now);
+        seats.report_state().mark_changed();
+        self.probes.cancel(&target);
+        self.unreported.insert(function.to_string());
+        self.issue_leases(now, function);
     }
 
-    /// Lends what is free, and sees to what is due; called often.
+    /// Advances the clock: probes that are due, leases of runners that paused, rejections and reminders.
     pub fn tick(&mut self, now: u64) {
-        let due: Vec<(String, String)> = self
-            .awaited
-            .iter()
-            .filter(|(_, at)| **at <= now)
-            .map(|(key, _)| key.clone())
-            .collect();
-        for (function, id) in due {
-            self.probe(&function, &id);
+        for target in self.probes.take_due(now) {
+            self.probe(target);
         }
-        let resting = self
-            .functions
-            .iter()
-            .filter(|(_, seats)| !seats.waiting.is_empty());
-        let waiting: Vec<String> = resting.map(|(function, _)| function.clone()).collect();
-        for function in waiting {
-            self.refuse_hopeless(now, &function);
-            self.serve(now, &function);
-            self.remind(now, function);
+        let functions = self.functions.iter();
+        let with_waiting = functions.filter(|(_, seats)| seats.has_waiting());
+        let names: Vec<String> = with_waiting.map(|(name, _)| name.clone()).collect();
+        for function in names {
+            self.reject_hopeless(now, &function);
+            self.issue_leases(now, &function);
+            self.remind_of_waiting(now, function);
         }
     }
 
-    // Who waits is told again and again, since the scaler forgets what it has not heard for long.
-    fn remind(&mut self, now: u64, function: String) {
+    fn remind_of_waiting(&mut self, now: u64, function: String) {
         let Some(seats) = self.functions.get_mut(&function) else {
             return;
         };
-        if !seats.waiting.is_empty() && now >= seats.told_at + REMIND_MS {
-            seats.is_dirty = true;
-            self.dirty.insert(function);
+        if seats.has_waiting() && seats.report_state().is_reminder_due(now) {
+            seats.report_state().mark_changed();
+            self.unreported.insert(function);
         }
     }
 
-    /// When there is something to do next, at the latest.
+    /// When the next probe is due, in milliseconds of the clock.
+    #[must_use]
     pub fn next_probe_at(&self) -> Option<u64> {
-        self.awaited.values().min().copied()
-    }
-
-    fn reject(&mut self, gateway: &str, request_id: RequestId, retry_after_ms: u32) {
-        self.actions.push(LeaseAction::Reject {
-            gateway: gateway.into(),
-            request_id,
-            retry_after_ms,
-        });
+        self.probes.next_at()
     }
 
-    fn probe(&mut self, function: &str, id: &str) {
-        let key = (function.to_string(), id.to_string());
-        self.awaited.remove(&key);
-        let Some(seats) = self.functions.get_mut(function) else {
+    fn probe(&mut self, target: ProbeTarget) {
+        let seats = self.functions.get_mut(&target.function);
+        let runner = seats.and_then(|seats| seats.runner(&target.runner));
+        let Some(runner) = runner.filter(|runner| runner.is_starting()) else {
             return;
         };
-        let mut runners = seats.runners.iter_mut();
-        let Some(runner) = runners.find(|one| one.news.id == id && one.is_awaited()) else {
-            return;
-        };
-        if runner.is_probed {
+        if !runner.begin_probe() {
             return;
         }
-        runner.is_probed = true;
-        let address = runner.news.address.clone();
+        let address = runner.address().into();
         self.actions.push(LeaseAction::Probe {
-            function: function.into(),
-            runner: id.into(),
+            function: target.function,
+            runner: target.runner,
             address,
         });
     }
 
-    /// Refuses requests whose time is over, and those that nothing can serve in time.
-    fn refuse_hopeless(&mut self, now: u64, function: &str) {
+    fn reject(&mut self, gateway: &str, request_id: RequestId, retry_after_ms: u32) {
+        self.actions.push(LeaseAction::Reject {
+            gateway: gateway.into(),
+            request_id,
+            retry_after_ms,
+        });
+    }
+
+    /// Rejects requests whose time is over, and those that nothing can serve in time.
+    fn reject_hopeless(&mut self, now: u64, function: &str) {
         let Some(seats) = self.functions.get_mut(function) else {
             return;
         };
-        let late = seats.waiting.iter().filter(|(_, one)| one.ends_at <= now);
-        let late = late.map(|(key, _)| (*key, RETRY_AFTER_MS));
-        let hopeless: Vec<((u8, u64), u32)> = late.chain(seats.hopeless(now)).collect();
-        for (key, retry_after_ms) in hopeless {
-            let Some(waiting) = seats.waiting.remove(&key) else {
-                continue;
-            };
-            self.tickets.remove(&waiting.holder);
-            seats.given_up += 1;
-            seats.is_dirty = true;
-            let (gateway, ticket) = waiting.holder;
-            self.actions.push(LeaseAction::Reject {
-                gateway,
-                request_id: ticket,
-                retry_after_ms,
-            });
+        for rejected in seats.take_hopeless(now) {
+            let holder = rejected.holder;
+            self.function_by_holder.remove(&holder);
+            self.reject(&holder.gateway, holder.request_id, rejected.retry_after_ms);
         }
     }
 
-    fn serve(&mut self, now: u64, function: &str) {
+    /// Leases what is free to those that wait.
+    fn issue_leases(&mut self, now: u64, function: &str) {
         let Some(seats) = self.functions.get_mut(function) else {
             return;
         };
-        while let Some((key, place)) = seats.match_next(now, &self.closed) {
-            let Some(waiting) = seats.waiting.remove(&key) else {
-                return;
-            };
-            let runner = &mut seats.runners[place];
-            runner.holders.insert(waiting.holder.clone(), now);
-            let (gateway, ticket) = waiting.holder;
-            let grant = SeatLease {
-                request_id: ticket,
-                runner: runner.news.id.clone(),
-                address: runner.news.address.clone(),
-                zone: runner.news.zone.clone(),
-            };
+        while let Some(issued) = seats.lease_next(now, &self.evacuated_zones) {
             self.actions.push(LeaseAction::Lease {
-                gateway,
-                lease: grant,
+                gateway: issued.gateway,
+                lease: issued.lease,
             });
         }
     }
 
-    /// Reports that are due. `is_all` tells all that is known, as after a new scaler was met.
+    /// Takes the reports that are due. `is_all` takes those of all functions, as after a new scaler was met.
     pub fn reports(&mut self, now: u64, is_all: bool) -> Vec<FunctionReport> {
         let names: Vec<String> = if is_all {
             self.functions.keys().cloned().collect()
         } else {
-            self.dirty.iter().cloned().collect()
+            self.unreported.iter().cloned().collect()
         };
-        let mut reports = Vec::new();
-        for name in names {
-            let Some(seats) = self.functions.get_mut(&name) else {
-                self.dirty.remove(&name);
-                continue;
-            };
-            let pause = if seats.is_urgent {
-                URGENT_MS
-            } else {
-                REPORT_MS
-            };
-            if !is_all && (!seats.is_dirty || now < seats.told_at + pause) {
-                if !seats.is_dirty {
-                    self.dirty.remove(&name);
-                }
-                continue;
+        let names = names.into_iter();
+        names
+            .filter_map(|name| self.report(now, &name, is_all))
+            .collect()
+    }
+
+    fn report(&mut self, now: u64, name: &str, is_forced: bool) -> Option<FunctionReport> {
+        let Some(seats) = self.functions.get_mut(name) else {
+            self.unreported.remove(name);
+            return None;
+        };
+        let state = seats.report_state();
+        if !is_forced && !state.is_due(now) {
+            if !state.is_changed() {
+                self.unreported.remove(name);
             }
-            seats.told_at = now;
-            seats.is_dirty = false;
-            seats.is_urgent = false;
-            self.dirty.remove(&name);
-            reports.push(seats.report(&name));
+            return None;
         }
-        reports
+        state.record_report(now);
+        self.unreported.remove(name);
+        Some(seats.report(name))
     }
 
-    /// Forgets functions that fell to another gateway and are not used here any more.
-    pub fn evict_unowned(&mut self, now: u64, is_mine: impl Fn(&str) -> bool) {
+    /// Evicts functions that another gateway owns and that are not used here any more.
+    pub fn evict_unowned(&mut self, now: u64, is_owned: impl Fn(&str) -> bool) {
         self.functions.retain(|name, seats| {
-            is_mine(name) || !seats.is_idle() || now < seats.used_at + FORGET_MS
+            let is_recent = now < seats.used_at() + EVICTION_AFTER_MS;
+            is_owned(name) || !seats.is_idle() || is_recent
         });
         let functions = &self.functions;
-        self.dirty.retain(|name| functions.contains_key(name));
-        self.awaited
-            .retain(|(name, _), _| functions.contains_key(name));
+        self.unreported.retain(|name| functions.contains_key(name));
+        self.probes
+            .retain_functions(|name| functions.contains_key(name));
     }
 
     /// Usage of a function's runners; empty where the function is not known here.
+    #[must_use]
     pub fn runner_usage(&self, function: &str) -> Vec<RunnerUsage> {
         let Some(seats) = self.functions.get(function) else {
             return Vec::new();
         };
-        let runners = seats.runners.iter();
+        let runners = seats.runners();
         runners
-            .map(|one| {
-                let is_serving = one.serves() && one.news.stage != RunnerStage::Draining;
-                RunnerUsage {
-                    id: one.news.id.clone(),
-                    quota: one.news.quota,
-                    in_use: one.in_use(),
-                    is_serving,
-                }
+            .map(|runner| RunnerUsage {
+                id: runner.id().into(),
+                quota: runner.quota(),
+                in_use: runner.in_use(),
+                is_serving: runner.is_serving(),
             })
             .collect()
     }
 
-    /// Functions known here.
+    /// Number of functions that are known here.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.functions.len()
     }
 
     /// Whether no function is known here.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.functions.is_empty()
     }
--- a/crates/seat_leases/src/lib.rs
+++ b/crates/seat_leases/src/lib.rs
@@ -1,15 +1,36 @@
-//! Seats of a function's runners, lent by one keeper: waiting requests bid, by rank and then by age, and a runner
-//! never gets more at once than its quota. A pure machine; the gateway that keeps the function runs it.
+//! Leases of the seats of a function's runners. A seat is the right to have one request at a runner; each function's
+//! seats are owned by one gateway, which leases them to the requests of all gateways, by priority and then by age, and
+//! never more of a runner at once than its quota.
+//!
+//! Everything here is a state machine without I/O: calls come in with the time, in milliseconds of a steady clock, and
+//! what is to be done is taken out as [`LeaseAction`]s.
+//!
+//! - `owner_selection`: which gateway owns a function.
+//! - `lease_owner`: the owner's entry points, over all functions that fell to it.
+//! - `function_seats`: the seats of one function: who waits, who is issued a lease, who is rejected.
+//! - `runner_set`: the runners of one function, and which of them suits a request best.
+//! - `seat_runner`, `rejection_backoff`: one runner, and how much of its quota is leased after it rejected a request.
+//! - `wait_queue`: requests that wait for a seat.
+//! - `start_block`: requests that nothing can serve in time.
+//! - `probe_schedule`, `report_state`: when starting runners are probed, and when the scaler is reported to.
+//! - `retry_budget`: how many retries a gateway may send.
 #![warn(missing_docs)]
 
+mod action;
+mod function_seats;
+mod lease_holder;
 mod lease_owner;
 mod owner_selection;
-mod refusal_backoff;
+mod probe_schedule;
+mod rejection_backoff;
+mod report_state;
 mod retry_budget;
-mod runner;
-mod seats;
+mod runner_set;
+mod seat_runner;
 mod start_block;
+mod wait_queue;
 
-pub use lease_owner::{LeaseAction, LeaseOwner, RunnerUsage};
+pub use action::{LeaseAction, RunnerUsage};
+pub use lease_owner::LeaseOwner;
 pub use owner_selection::select_owner;
 pub use retry_budget::RetryBudget;
--- a/crates/seat_leases/src/retry_budget.rs
+++ b/crates/seat_leases/src/retry_budget.rs
@@ -1,44 +1,50 @@
-/// Allowance for further tries: first tries earn it, and it never holds more than its cap, so that in any window
-/// further tries stay below cap + share x first tries.
+//! How many retries may be sent: a bounded balance that first attempts earn and retries spend.
+
+/// A balance of retries. In any window of time retries stay below the capacity plus the ratio times the first attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    held: f64,
-    cap: f64,
-    share: f64,
+    balance: f64,
+    capacity: f64,
+    ratio: f64,
 }
 
 impl RetryBudget {
-    /// An allowance that begins with one try, or with its cap where that is less.
-    pub fn new(share: f64, cap: f64) -> Self {
+    /// A budget that earns `ratio` retries with each first attempt and holds at most `capacity`. It begins with one
+    /// retry, or with its capacity where that is less.
+    #[must_use]
+    pub fn new(ratio: f64, capacity: f64) -> Self {
         Self {
-            held: cap.min(1.0),
-            cap,
-            share,
+            balance: capacity.min(1.0),
+            capacity,
+            ratio,
         }
     }
 
-    /// Changes the cap, as the number of gateways changes.
-    pub fn set_capacity(&mut self, cap: f64) {
-        self.cap = cap;
-        self.held = self.held.min(cap);
+    /// Changes the capacity, as the number of gateways that share it changes. A higher balance falls to it at once.
+    pub fn set_capacity(&mut self, capacity: f64) {
+        self.capacity = capacity;
+        self.balance = self.balance.min(capacity);
     }
 
-    /// A first try was sent.
+    /// A first attempt was sent.
     pub fn deposit(&mut self) {
-        self.held = (self.held + self.share).min(self.cap.max(self.share));
+        let most = self.capacity.max(self.ratio);
+        self.balance = (self.balance + self.ratio).min(most);
     }
 
-    /// Whether there is a further try to take.
+    /// Whether there is a retry to take.
+    #[must_use]
     pub fn has_balance(&self) -> bool {
-        self.held >= 1.0
+        self.balance >= 1.0
     }
 
-    /// Takes one further try, where there is one.
+    /// Takes a retry; false where there is none.
+    #[must_use]
     pub fn try_withdraw(&mut self) -> bool {
         if !self.has_balance() {
             return false;
         }
-        self.held -= 1.0;
+        self.balance -= 1.0;
         true
     }
 }
--- /dev/null
+++ b/crates/seat_leases/src/runner_set.rs
@@ -0,0 +1,185 @@
+//! The runners of one function, and which of their seats a request gets.
+
+use crate::lease_holder::LeaseHolder;
+use crate::seat_runner::SeatRunner;
+use protocol::{RunnerLeases, RunnerStage, RunnerUpdate};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Runners of one function that reject requests within a second where another owner must be leasing their seats too.
+const CONTENDED_RUNNERS: usize = 2;
+/// Milliseconds of a response that are assumed until one was seen.
+const RESPONSE_PRIOR_MS: f64 = 60.0;
+/// Cost of a runner in another zone, in mean response times of the function.
+const OTHER_ZONE_COST: f64 = 0.5;
+/// Cost of a runner whose quota is all leased, in its own mean response times.
+const FULL_COST: f64 = 0.5;
+/// Quota of a runner of which a gateway told before the scaler did.
+const UNKNOWN_QUOTA: u32 = 1;
+
+/// The runners of one function.
+#[derive(Debug, Default)]
+pub(crate) struct RunnerSet {
+    runners: Vec<SeatRunner>,
+}
+
+impl RunnerSet {
+    pub fn iter(&self) -> impl Iterator<Item = &SeatRunner> {
+        self.runners.iter()
+    }
+
+    /// The runner with this id.
+    pub fn get_mut(&mut self, id: &str) -> Option<&mut SeatRunner> {
+        self.runners.iter_mut().find(|runner| runner.id() == id)
+    }
+
+    /// Takes the runners as the scaler wants them. One that is not wanted any more keeps its leases until they end.
+    pub fn apply_updates(&mut self, now: u64, updates: Vec<RunnerUpdate>) {
+        let mut known: BTreeMap<String, SeatRunner> = std::mem::take(&mut self.runners)
+            .into_iter()
+            .map(|runner| (runner.id().to_string(), runner))
+            .collect();
+        for update in updates {
+            let runner = match known.remove(&update.id) {
+                None => SeatRunner::new(update, now),
+                Some(mut runner) => {
+                    runner.apply_update(update);
+                    runner
+                }
+            };
+            self.runners.push(runner);
+        }
+        for (_, mut runner) in known {
+            runner.drain();
+            if runner.has_leases() {
+                self.runners.push(runner);
+            }
+        }
+    }
+
+    /// The runner of which a gateway told; where it is not known yet it is taken for one that serves.
+    pub fn get_or_add(&mut self, now: u64, leases: &RunnerLeases) -> &mut SeatRunner {
+        let known = self
+            .runners
+            .iter()
+            .position(|runner| runner.id() == leases.runner);
+        let place = known.unwrap_or_else(|| {
+            let update = RunnerUpdate {
+                id: leases.runner.clone(),
+                address: leases.address.clone(),
+                zone: leases.zone.clone(),
+                quota: UNKNOWN_QUOTA,
+                stage: RunnerStage::Serving,
+                starts_in_ms: 0,
+            };
+            self.runners.push(SeatRunner::new(update, now));
+            self.runners.len() - 1
+        });
+        &mut self.runners[place]
+    }
+
+    /// Ends a lease; the runner whose seat is free now.
+    pub fn remove_lease(&mut self, holder: &LeaseHolder) -> Option<&mut SeatRunner> {
+        let mut runners = self.runners.iter_mut();
+        runners.find_map(|runner| runner.remove_lease(holder).then_some(runner))
+    }
+
+    /// Ends the leases of a gateway.
+    pub fn remove_gateway(&mut self, gateway: &str) {
+        for runner in &mut self.runners {
+            runner.remove_gateway(gateway);
+        }
+    }
+
+    /// Whether a seat is leased.
+    pub fn has_leases(&self) -> bool {
+        self.runners.iter().any(SeatRunner::has_leases)
+    }
+
+    /// Where several runners reject requests at a time, somebody else leases the function's seats too: none of its
+    /// runners gets more than it has for a while.
+    pub fn limit_if_contended(&mut self, now: u64) {
+        let runners = self.runners.iter();
+        let rejecting = runners.filter(|runner| runner.has_rejected_lately(now));
+        if rejecting.count() < CONTENDED_RUNNERS {
+            return;
+        }
+        for runner in &mut self.runners {
+            runner.limit_to_current(now);
+        }
+    }
+
+    /// Runners with a free seat, by place, that are in no evacuated zone.
+    pub fn free_places(&self, now: u64, evacuated: &BTreeSet<String>) -> Vec<usize> {
+        let is_free = |place: &usize| {
+            let runner = &self.runners[*place];
+            runner.has_free_seat(now) && !evacuated.contains(runner.zone())
+        };
+        (0..self.runners.len()).filter(is_free).collect()
+    }
+
+    /// Whether a request may use a runner: it did not fail the request before, or there is no other.
+    pub fn may_use(&self, place: usize, excluded: &[String]) -> bool {
+        let id = self.runners[place].id();
+        !excluded.iter().any(|one| one == id) || self.runners.len() == 1
+    }
+
+    /// Of these places the one that costs a request of this zone least.
+    pub fn cheapest(
+        &self,
+        places: &[usize],
+        zone: &str,
+        excluded: &[String],
+        mean_ms: f64,
+    ) -> Option<usize> {
+        let usable = places.iter().copied();
+        let usable = usable.filter(|place| self.may_use(*place, excluded));
+        let cost = |place: usize| self.cost(place, zone, mean_ms);
+        usable.min_by(|one, other| cost(*one).total_cmp(&cost(*other)))
+    }
+
+    /// Expected time of a response, and what the way to another zone adds.
+    fn cost(&self, place: usize, zone: &str, mean_ms: f64) -> f64 {
+        let runner = &self.runners[place];
+        let response_ms = runner.mean_response_ms().unwrap_or(mean_ms);
+        let way_ms = if runner.zone() == zone {
+            0.0
+        } else {
+            mean_ms * OTHER_ZONE_COST
+        };
+        response_ms * (1.0 + runner.utilization() * FULL_COST) + way_ms
+    }
+
+    /// The runner at a place.
+    pub fn at_mut(&mut self, place: usize) -> &mut SeatRunner {
+        &mut self.runners[place]
+    }
+
+    /// Mean milliseconds of a response, over the runners.
+    pub fn mean_response_ms(&self) -> f64 {
+        let means = self.runners.iter().filter_map(SeatRunner::mean_response_ms);
+        let (count, sum) = means.fold((0, 0.0), |(count, sum), mean| (count + 1, sum + mean));
+        if count == 0 {
+            return RESPONSE_PRIOR_MS;
+        }
+        sum / f64::from(count)
+    }
+
+    /// Milliseconds until a request with so many ahead gets a seat; none where nothing serves nor starts.
+    pub fn expected_wait_ms(&self, now: u64, ahead: usize) -> Option<f64> {
+        let serving = self.runners.iter().filter(|runner| runner.is_serving());
+        let seats: u32 = serving.map(SeatRunner::quota).sum();
+        let response_ms = self.mean_response_ms();
+        if seats > 0 {
+            return Some((ahead as f64 + 1.0) / f64::from(seats) * response_ms);
+        }
+        let starting = self.runners.iter().filter(|runner| runner.is_starting());
+        let first = starting.map(|runner| runner.probe_at().saturating_sub(now));
+        first.min().map(|wait| wait as f64)
+    }
+
+    /// Whether a runner that is here serves, pauses or may come up.
+    pub fn may_serve(&self) -> bool {
+        let mut runners = self.runners.iter();
+        runners.any(|runner| runner.is_serving() || runner.is_starting())
+    }
+}
--- a/crates/seat_leases/tests/common/mod.rs
+++ b/crates/seat_leases/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Bids, news and what the keeper did, in few words.
+//! Builders of lease requests, updates and releases, and what the owner did with them.
 #![allow(dead_code)]
 
 use protocol::{
@@ -9,36 +9,36 @@
 
 pub const FUNCTION: &str = "stamp";
 
-pub fn bid(ticket: u64, rank: u8) -> LeaseRequest {
+pub fn lease_request(request_id: u64, priority: u8) -> LeaseRequest {
     LeaseRequest {
-        request_id: RequestId(ticket),
+        request_id: RequestId(request_id),
         function: FUNCTION.into(),
-        priority: rank,
+        priority,
         timeout_ms: 5_000,
         excluded_runners: Vec::new(),
         job: None,
     }
 }
 
-pub fn avoiding(ticket: u64, runners: &[&str]) -> LeaseRequest {
+pub fn excluding(request_id: u64, runners: &[&str]) -> LeaseRequest {
     LeaseRequest {
         excluded_runners: runners.iter().map(|id| id.to_string()).collect(),
-        ..bid(ticket, 1)
+        ..lease_request(request_id, 1)
     }
 }
 
-pub fn runner(id: &str, district: &str, quota: u32) -> RunnerUpdate {
+pub fn runner(id: &str, zone: &str, quota: u32) -> RunnerUpdate {
     RunnerUpdate {
         id: id.into(),
         address: format!("{id}:1"),
-        zone: district.into(),
+        zone: zone.into(),
         quota,
         stage: RunnerStage::Serving,
         starts_in_ms: 0,
     }
 }
 
-pub fn news(number: u64, runners: &[RunnerUpdate]) -> FunctionUpdate {
+pub fn update(number: u64, runners: &[RunnerUpdate]) -> FunctionUpdate {
     FunctionUpdate {
         function: FUNCTION.into(),
         version: UpdateVersion { term: 1, number },
@@ -47,54 +47,54 @@
     }
 }
 
-pub fn release(ticket: u64, outcome: LeaseOutcome, took_ms: u32) -> LeaseRelease {
+pub fn release(request_id: u64, outcome: LeaseOutcome, took_ms: u32) -> LeaseRelease {
     LeaseRelease {
-        request_id: RequestId(ticket),
+        request_id: RequestId(request_id),
         outcome,
         duration_ms: took_ms,
     }
 }
 
-/// A keeper that knows these runners.
-pub fn keeper(runners: &[RunnerUpdate]) -> LeaseOwner {
-    let mut keeper = LeaseOwner::default();
-    keeper.update_runners(0, news(1, runners));
-    keeper
+/// An owner that knows these runners.
+pub fn owner_with(runners: &[RunnerUpdate]) -> LeaseOwner {
+    let mut owner = LeaseOwner::default();
+    owner.update_runners(0, update(1, runners));
+    owner
 }
 
-/// Tickets and runners of the seats that were lent since the last look.
-pub fn grants(keeper: &mut LeaseOwner) -> Vec<(u64, String)> {
-    let actions = keeper.take_actions().into_iter();
+/// Requests and runners of the seats that were leased since the last call.
+pub fn leases(owner: &mut LeaseOwner) -> Vec<(u64, String)> {
+    let actions = owner.take_actions().into_iter();
     let lent = actions.filter_map(|action| match action {
-        LeaseAction::Lease { lease: grant, .. } => Some((grant.request_id.0, grant.runner)),
+        LeaseAction::Lease { lease, .. } => Some((lease.request_id.0, lease.runner)),
         LeaseAction::Reject { .. } | LeaseAction::Probe { .. } => None,
     });
     lent.collect()
 }
 
-pub fn tickets(keeper: &mut LeaseOwner) -> Vec<u64> {
-    grants(keeper)
+pub fn request_ids(owner: &mut LeaseOwner) -> Vec<u64> {
+    leases(owner)
         .into_iter()
-        .map(|(ticket, _)| ticket)
+        .map(|(request_id, _)| request_id)
         .collect()
 }
 
-/// Tickets that were refused since the last look, and when each is to come back.
-pub fn refusals(keeper: &mut LeaseOwner) -> Vec<(u64, u32)> {
-    let actions = keeper.take_actions().into_iter();
-    let refused = actions.filter_map(|action| match action {
+/// Requests that were rejected since the last call, and when each is to come back.
+pub fn rejections(owner: &mut LeaseOwner) -> Vec<(u64, u32)> {
+    let actions = owner.take_actions().into_iter();
+    let rejected = actions.filter_map(|action| match action {
         LeaseAction::Reject {
-            request_id: RequestId(ticket),
+            request_id: RequestId(request_id),
             retry_after_ms: after,
             ..
-        } => Some((ticket, after)),
+        } => Some((request_id, after)),
         LeaseAction::Lease { .. } | LeaseAction::Probe { .. } => None,
     });
-    refused.collect()
+    rejected.collect()
 }
 
-pub fn in_use(keeper: &LeaseOwner, id: &str) -> Option<u32> {
-    let runners = keeper.runner_usage(FUNCTION);
+pub fn in_use(owner: &LeaseOwner, id: &str) -> Option<u32> {
+    let runners = owner.runner_usage(FUNCTION);
     let found = runners.into_iter().find(|one| one.id == id);
     found.map(|one| one.in_use)
 }
--- /dev/null
+++ b/crates/seat_leases/tests/lease_oracle.rs
@@ -0,0 +1,235 @@
+//! Random days of one function's owner, beside an oracle that knows who holds and who waits.
+
+mod common;
+
+use common::{lease_request, release, runner, update, FUNCTION};
+use fuzzing::seeded;
+use protocol::{LeaseOutcome, LeaseRequest, RequestId, RunnerStage, RunnerUpdate};
+use seat_leases::{LeaseAction, LeaseOwner, RunnerUsage};
+use std::collections::{BTreeMap, BTreeSet};
+
+type Holder = (String, u64);
+
+const GATEWAYS: [&str; 3] = ["f", "g", "h"];
+const ZONES: [&str; 2] = ["north", "south"];
+const RUNNERS: u8 = 4;
+
+/// What must hold, by what was said to the owner.
+#[derive(Default)]
+struct Oracle {
+    owner: LeaseOwner,
+    now: u64,
+    number: u64,
+    known_runners: Vec<RunnerUpdate>,
+    gone: BTreeSet<String>,
+    evacuated: BTreeSet<String>,
+    waiting: BTreeMap<(u8, u64), (Holder, Vec<String>)>,
+    held: BTreeMap<Holder, String>,
+}
+
+impl Oracle {
+    fn lease_request(&mut self, gateway: &str, priority: u8, timeout_ms: u32, excluded: &[String]) {
+        self.number += 1;
+        let request = LeaseRequest {
+            timeout_ms,
+            excluded_runners: excluded.to_vec(),
+            ..lease_request(self.number, priority)
+        };
+        let holder = (gateway.to_string(), self.number);
+        self.waiting
+            .insert((priority, self.number), (holder, excluded.to_vec()));
+        self.owner
+            .request_lease(self.now, gateway, ZONES[usize::from(priority) % 2], request);
+    }
+
+    fn update_runners(&mut self, stages: [u8; RUNNERS as usize]) {
+        self.number += 1;
+        let known_runners = (0..RUNNERS).zip(stages).filter(|(_, stage)| stage % 4 != 0);
+        self.known_runners = known_runners
+            .map(|(place, stage)| {
+                let zone = ZONES[usize::from(place) % 2];
+                let update = runner(&format!("r{place}"), zone, u32::from(stage / 4 % 4));
+                let stage = match stage % 4 {
+                    1 => RunnerStage::Draining,
+                    _ => RunnerStage::Serving,
+                };
+                RunnerUpdate { stage, ..update }
+            })
+            .collect();
+        // One that the scaler names no more, and holds nothing, is new when it comes back.
+        let is_known = |id: &String| {
+            self.known_runners.iter().any(|one| one.id == *id)
+                || self.held.values().any(|held| held == id)
+        };
+        let gone: BTreeSet<String> = self
+            .gone
+            .iter()
+            .filter(|id| is_known(id))
+            .cloned()
+            .collect();
+        self.gone = gone;
+        self.owner
+            .update_runners(self.now, update(self.number, &self.known_runners));
+    }
+
+    fn release(&mut self, place: usize, outcome: LeaseOutcome) {
+        let Some(holder) = self
+            .held
+            .keys()
+            .nth(place % self.held.len().max(1))
+            .cloned()
+        else {
+            return;
+        };
+        let id = self.held.remove(&holder).unwrap();
+        if outcome == LeaseOutcome::Gone {
+            self.gone.insert(id);
+        }
+        let release = release(holder.1, outcome, 20);
+        self.owner.release(self.now, &holder.0, &release);
+    }
+
+    fn cancel(&mut self, place: usize) {
+        let waiting = self.waiting.values().map(|(holder, _)| holder);
+        let holders: Vec<Holder> = waiting.chain(self.held.keys()).cloned().collect();
+        let Some(holder) = holders.get(place % holders.len().max(1)) else {
+            return;
+        };
+        self.waiting.retain(|_, one| one.0 != *holder);
+        self.held.remove(holder);
+        self.owner.cancel(self.now, &holder.0, RequestId(holder.1));
+    }
+
+    fn remove_gateway(&mut self, gateway: &str) {
+        self.waiting.retain(|_, one| one.0 .0 != gateway);
+        self.held.retain(|holder, _| holder.0 != gateway);
+        self.owner.remove_gateway(self.now, gateway);
+    }
+
+    fn act(&mut self, (kind, one, other): (u8, u8, u8)) {
+        let gateway = GATEWAYS[usize::from(one) % GATEWAYS.len()];
+        match kind % 12 {
+            0..=4 => {
+                let excluded = [format!("r{}", other % RUNNERS)];
+                let excluded = &excluded[..usize::from(other % 5 == 0)];
+                self.lease_request(gateway, one % 3, 50 + u32::from(other) * 20, excluded);
+            }
+            5..=6 => self.release(usize::from(one), LeaseOutcome::Succeeded),
+            7 => {
+                let outcomes = [
+                    LeaseOutcome::Rejected,
+                    LeaseOutcome::Gone,
+                    LeaseOutcome::Lost,
+                    LeaseOutcome::Unused,
+                ];
+                self.release(usize::from(one), outcomes[usize::from(other) % 4]);
+            }
+            8 => self.update_runners([one, other, one.rotate_left(3), other.rotate_left(3)]),
+            9 => self.cancel(usize::from(one)),
+            10 if other % 4 == 0 => self.remove_gateway(gateway),
+            10 => {
+                let evacuated = ZONES.iter().zip([one, other]);
+                let evacuated = evacuated.filter(|(_, draw)| draw % 3 == 0);
+                self.evacuated = evacuated.map(|(name, _)| name.to_string()).collect();
+                self.owner.set_evacuated_zones(self.evacuated.clone());
+            }
+            _ => {
+                self.now += u64::from(one);
+                self.owner.tick(self.now);
+            }
+        }
+    }
+
+    fn check(&mut self) {
+        let known = self.owner.runner_usage(FUNCTION).len();
+        for action in self.owner.take_actions() {
+            match action {
+                LeaseAction::Lease { gateway, lease } => {
+                    self.leased((gateway, lease.request_id.0), &lease.runner, known)
+                }
+                LeaseAction::Reject {
+                    gateway,
+                    request_id,
+                    retry_after_ms: after,
+                } => {
+                    assert!(after > 0, "no time to come back");
+                    let holder = (gateway, request_id.0);
+                    let key = self.waiting.iter().find(|(_, one)| one.0 == holder);
+                    let key = *key.expect("rejected though it did not wait").0;
+                    self.waiting.remove(&key);
+                }
+                LeaseAction::Probe { .. } => panic!("all runners were said to be up"),
+            }
+        }
+        for RunnerUsage { id, in_use, .. } in self.owner.runner_usage(FUNCTION) {
+            let held = self.held.values().filter(|runner| **runner == id).count();
+            assert_eq!(in_use as usize, held, "{id}");
+        }
+    }
+
+    fn leased(&mut self, holder: Holder, id: &str, known: usize) {
+        let update = self.known_runners.iter().find(|one| one.id == id);
+        let update = update.unwrap_or_else(|| panic!("{id} is not known to the owner"));
+        assert_ne!(update.stage, RunnerStage::Draining, "{id} leaves");
+        assert!(!self.gone.contains(id), "{id} is gone");
+        assert!(
+            !self.evacuated.contains(&update.zone),
+            "{id} is in an evacuated zone"
+        );
+        let held = self.held.values().filter(|runner| *runner == id).count();
+        assert!(
+            held < update.quota as usize,
+            "{id} has {held} of {}",
+            update.quota
+        );
+        let found = self.waiting.iter().find(|(_, one)| one.0 == holder);
+        let (key, (_, excluded)) = found.expect("leased to one that did not wait");
+        let key = *key;
+        assert!(
+            known == 1 || !excluded.contains(&id.to_string()),
+            "it was at {id} before"
+        );
+        // Whoever is ahead may only have stayed because it was at that runner before.
+        for (ahead, (_, excluded)) in self.waiting.range(..key) {
+            assert!(
+                excluded.contains(&id.to_string()),
+                "{ahead:?} is ahead of {key:?}"
+            );
+        }
+        self.waiting.remove(&key);
+        self.held.insert(holder, id.to_string());
+    }
+}
+
+seeded! {
+    fn leases_respect_quota_priority_and_exclusions(events: Vec<(u8, u8, u8)>) -> bool {
+        let mut oracle = Oracle::default();
+        oracle.update_runners([14, 14, 14, 0]);
+        for event in events.iter().chain(events.iter().rev()) {
+            oracle.act(*event);
+            oracle.check();
+        }
+        true
+    }
+
+    fn no_request_waits_beside_a_free_seat(events: Vec<(u8, u8, u8)>) -> bool {
+        let mut oracle = Oracle::default();
+        oracle.update_runners([14, 14, 14, 0]);
+        for event in &events {
+            oracle.act(*event);
+            oracle.check();
+        }
+        // No zone is evacuated, and a runner with many seats has come that nobody was at before.
+        oracle.evacuated.clear();
+        oracle.owner.set_evacuated_zones(BTreeSet::new());
+        oracle.now += 30;
+        let fresh = runner("fresh", ZONES[0], 1_000);
+        oracle.known_runners.push(fresh);
+        oracle.number += 1;
+        let known_runners = oracle.known_runners.clone();
+        oracle.owner.update_runners(oracle.now, update(oracle.number, &known_runners));
+        oracle.owner.tick(oracle.now);
+        oracle.check();
+        oracle.waiting.is_empty()
+    }
+}
--- a/crates/seat_leases/tests/retry_budget.rs
+++ b/crates/seat_leases/tests/retry_budget.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn every_member_keeps_some_functions() {
+fn every_member_owns_some_functions() {
     let members = members(&[1, 2, 3, 4, 5]);
     let mut kept = [0; 5];
     for function in 0..1_000 {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_member_that_does_not_pass_keeps_nothing() {
+fn a_member_that_may_not_own_is_never_selected() {
     let members = members(&[1, 2, 3]);
     for function in 0..100 {
         let name = format!("f{function}");
@@ -49,17 +49,17 @@
 }
 
 seeded! {
-    fn further_tries_stay_below_the_cap_and_the_share(events: Vec<bool>, cap: u8, share: u8) -> bool {
+    fn retries_stay_below_the_capacity_and_the_ratio(events: Vec<bool>, cap: u8, share: u8) -> bool {
         let (cap, share) = (1.0 + f64::from(cap % 8), f64::from(share % 100) / 100.0);
-        let mut credit = RetryBudget::new(share, cap);
+        let mut budget = RetryBudget::new(share, cap);
         let taken: Vec<(bool, bool)> = events
             .iter()
             .map(|is_first| {
                 if *is_first {
-                    credit.deposit();
+                    budget.deposit();
                     return (true, false);
                 }
-                (false, credit.try_withdraw())
+                (false, budget.try_withdraw())
             })
             .collect();
         (0..taken.len()).all(|start| {
@@ -72,16 +72,16 @@
         })
     }
 
-    fn a_lower_cap_holds_at_once(earned: u8, cap: u8) -> bool {
-        let mut credit = RetryBudget::new(0.5, 40.0);
-        (0..earned).for_each(|_| credit.deposit());
+    fn a_lower_capacity_holds_at_once(earned: u8, cap: u8) -> bool {
+        let mut budget = RetryBudget::new(0.5, 40.0);
+        (0..earned).for_each(|_| budget.deposit());
         let cap = f64::from(cap % 10);
-        credit.set_capacity(cap);
-        let spent = (0..100).filter(|_| credit.try_withdraw()).count();
+        budget.set_capacity(cap);
+        let spent = (0..100).filter(|_| budget.try_withdraw()).count();
         spent as f64 <= cap
     }
 
-    fn only_a_gone_members_functions_move(names: Vec<u8>, gone: usize) -> bool {
+    fn only_the_functions_of_a_removed_member_move(names: Vec<u8>, gone: usize) -> bool {
         let all = members(&names);
         if all.len() < 2 {
             return true;
@@ -95,7 +95,7 @@
         })
     }
 
-    fn the_order_of_the_roster_does_not_matter(names: Vec<u8>) -> bool {
+    fn the_order_of_the_membership_does_not_matter(names: Vec<u8>) -> bool {
         let all = members(&names);
         let turned: Vec<Member> = all.iter().rev().cloned().collect();
         (0..50).all(|function| elected(function, &all) == elected(function, &turned))
