--- a/crates/anti_entropy/src/digests.rs
+++ b/crates/anti_entropy/src/digests.rs
@@ -1,7 +1,17 @@
 /// Number of ranges that the keys are split into, by their hash.
 pub const RANGE_COUNT: usize = 256;
 
-/// A digest for each range: all (key, stamp) pairs of the range, mixed so that order is no matter.
+/// Version of what is held under a key. Two replicas that hold the same version of a key hold the same value.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct EntryVersion {
+    /// Grows with each write of the key.
+    pub counter: u64,
+    /// Id of the writer, which tells writes of the same counter apart.
+    pub writer: u64,
+}
+
+/// A digest for each range of keys: the exclusive or of the hashes of its (key, version) pairs, so that their order is no
+/// matter and a change of one key takes constant time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RangeDigests {
     ranges: Vec<u64>,
@@ -15,7 +25,8 @@
     }
 }
 
-// FNV-1a with a last stir, so that close keys do not share ranges.
+/// FNV-1a followed by part of the finalizer of MurmurHash3, so that close keys do not share ranges. Replicas compare its values over the
+/// wire, so that it must stay as it is.
 fn hash(parts: &[&[u8]]) -> u64 {
     let mut state = 0xcbf2_9ce4_8422_2325_u64;
     for byte in parts.iter().flat_map(|part| part.iter()) {
@@ -32,24 +43,25 @@
     (hash(&[key.as_bytes()]) % RANGE_COUNT as u64) as u16
 }
 
-fn mark(key: &str, stamp: (u64, u64)) -> u64 {
-    let (first, second) = (stamp.0.to_le_bytes(), stamp.1.to_le_bytes());
-    hash(&[key.as_bytes(), &first, &second])
+fn entry_hash(key: &str, version: EntryVersion) -> u64 {
+    let counter = version.counter.to_le_bytes();
+    let writer = version.writer.to_le_bytes();
+    hash(&[key.as_bytes(), &counter, &writer])
 }
 
 impl RangeDigests {
-    /// RangeDigests as another copy told them.
+    /// RangeDigests as another replica sent them.
     pub fn from_ranges(ranges: &[u64]) -> Self {
         let mut own = ranges.to_vec();
         own.resize(RANGE_COUNT, 0);
         Self { ranges: own }
     }
 
-    /// A key's stamp changed; either may be missing.
-    pub fn update(&mut self, key: &str, old: Option<(u64, u64)>, new: Option<(u64, u64)>) {
+    /// Follows the change of one key; the old or the new version may be missing.
+    pub fn update(&mut self, key: &str, old: Option<EntryVersion>, new: Option<EntryVersion>) {
         let range = &mut self.ranges[usize::from(range_of(key))];
-        for stamp in [old, new].into_iter().flatten() {
-            *range ^= mark(key, stamp);
+        for version in [old, new].into_iter().flatten() {
+            *range ^= entry_hash(key, version);
         }
     }
 
@@ -58,7 +70,7 @@
         &self.ranges
     }
 
-    /// Ranges in which another copy differs.
+    /// Ranges in which another replica differs.
     pub fn differing(&self, other: &[u64]) -> Vec<u16> {
         let pairs = self.ranges.iter().zip(other).enumerate();
         pairs
@@ -67,42 +79,3 @@
             .collect()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use fuzzing::seeded;
-    use std::collections::BTreeMap;
-
-    seeded! {
-        fn digests_follow_any_course_of_changes(changes: Vec<(u8, Option<u64>)>) -> bool {
-            let mut digests = RangeDigests::default();
-            let mut copy: BTreeMap<String, u64> = BTreeMap::new();
-            for (key, stamp) in changes {
-                let key = format!("key-{key}");
-                let old = match stamp {
-                    Some(stamp) => copy.insert(key.clone(), stamp),
-                    None => copy.remove(&key),
-                };
-                let pair = |stamp: u64| (stamp, 1);
-                digests.update(&key, old.map(pair), stamp.map(pair));
-            }
-            let mut fresh = RangeDigests::default();
-            for (key, stamp) in &copy {
-                fresh.update(key, None, Some((*stamp, 1)));
-            }
-            fresh == digests
-        }
-
-        fn a_newer_key_shows_in_its_range_alone(keys: Vec<u16>, changed: u16) -> bool {
-            let mut one = RangeDigests::default();
-            for key in &keys {
-                one.update(&key.to_string(), None, Some((1, 1)));
-            }
-            let mut other = one.clone();
-            let name = format!("other-{changed}");
-            other.update(&name, None, Some((2, 1)));
-            one.differing(other.as_slice()) == vec![range_of(&name)]
-        }
-    }
-}
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -4,7 +4,7 @@
 use crate::job::{Job, Purpose};
 use crate::leaving::MembershipState;
 use crate::message::{ConsensusMessage, Heartbeat, VoterSetUpdate};
-use register::{grown, relocated, Change, VoterRef, VoterSet, VOTERS_KEY};
+use register::{Change, VoterRef, VoterSet, VOTERS_KEY};
 use speedy::Writable;
 use std::collections::BTreeSet;
 use voter::{MembershipChange, MembershipStep};
@@ -179,7 +179,7 @@
             .decide(now, patience, &me, &set, &answering, settled);
         let next = match step {
             MembershipStep::Propose(_, next) => Some(next),
-            _ if self.may_grow(&voting) => grown(&set, me),
+            _ if self.may_grow(&voting) => set.with_member(me),
             _ => None,
         };
         let Some(next) = next else {
@@ -207,7 +207,7 @@
     /// Tells the set where this member is reached, after its disk was moved to another address.
     fn tend_relocating(&mut self, now: u64) {
         let (disk, address) = (self.options.disk_id, self.options.address.clone());
-        let Some(next) = relocated(&self.set, disk, &address) else {
+        let Some(next) = self.set.with_address(disk, &address) else {
             return;
         };
         if self.may_propose_set(now) {
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -8,7 +8,7 @@
     MembershipState, VoterSetUpdate,
 };
 use journal::{FaultKind, Folder, MemoryFolder};
-use register::{replaced, SetVersion, VoterRef, VoterSet};
+use register::{SetVersion, VoterRef, VoterSet};
 use std::io;
 use voter::VoterDisk;
 use world::World;
@@ -101,7 +101,10 @@
         disk: 77,
         address: "at-9".into(),
     };
-    let next = replaced(&world.newest_set(), world.nodes[2].disk, newcomer).unwrap();
+    let next = world
+        .newest_set()
+        .with_replacement(world.nodes[2].disk, newcomer)
+        .unwrap();
     let news = VoterSetUpdate {
         set: next,
         previous: None,
--- a/crates/core/src/joining.rs
+++ b/crates/core/src/joining.rs
@@ -3,8 +3,8 @@
 use crate::voting::Work;
 use crossbeam::channel::bounded;
 use register::{
-    merge_replicas, replaced, Change, ChangeOutcome, ClaimFloors, VersionedValue, VoterRef,
-    VoterSet, VOTERS_KEY,
+    merge_replicas, Change, ChangeOutcome, ClaimFloors, VersionedValue, VoterRef, VoterSet,
+    VOTERS_KEY,
 };
 use speedy::{Readable, Writable};
 use transport::{now_ms, Message};
@@ -75,7 +75,7 @@
         disk,
         address: new.to_string(),
     };
-    let next = replaced(&set, leaving.disk, newcomer);
+    let next = set.with_replacement(leaving.disk, newcomer);
     let next = next.ok_or_else(|| format!("the core at {new} is a voter already"))?;
     let (version, settled) =
         settled_set(shared, &set).ok_or_else(|| "no majority of voters answers".to_string())?;
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -3,9 +3,9 @@
 
 mod folder;
 mod frame;
-mod log_file;
+mod journal;
 mod memory;
 
 pub use folder::{DiskFolder, Folder};
-pub use log_file::{Journal, JournalError, Recovered, SEGMENTS_MAX};
+pub use journal::{Journal, JournalError, Recovered, SEGMENTS_MAX};
 pub use memory::{CrashOutcome, DiskFault, FaultKind, MemoryFolder};
--- a/crates/register/src/client.rs
+++ b/crates/register/src/client.rs
@@ -1,25 +1,44 @@
-use crate::message::{Ballot, VoterOperation, VoterRef, VoterRequest, VoterResponse, VoterSet};
+//! A blocking client of the registers, for daemons that have threads.
+
+use crate::message::{VoterOperation, VoterRequest, VoterResponse};
 use crate::proposal::{Proposal, ProposalStep};
 use crate::round::{Change, ChangeOutcome};
+use crate::value::Ballot;
+use crate::voter_set::{VoterRef, VoterSet};
 use crossbeam::channel::{unbounded, Receiver, Sender};
 use rand::Rng;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Port to the voters. An answer may come late, twice or never.
+/// Longest random pause, in milliseconds, before a proposer that was preempted tries again. It lets one of two proposers that
+/// preempt each other finish.
+const MAX_BACKOFF_MS: u64 = 8;
+
+/// A voter's response with what it belongs to.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NumberedResponse {
+    /// Number of the request.
+    pub number: u64,
+    /// Index of the voter in its set.
+    pub voter: usize,
+    /// What the voter answered.
+    pub response: VoterResponse,
+}
+
+/// Port to the voters. A response may come late, twice or never.
 pub trait VoterPort: Send + Sync {
-    /// Sends a message to a voter; its answer goes to `replies` with the given number and place.
-    fn ask(
+    /// Sends a request to a voter; its response goes to `responses` with the given number and index.
+    fn send(
         &self,
         voter: &VoterRef,
-        message: VoterRequest,
+        request: VoterRequest,
         number: u64,
-        place: usize,
-        replies: Sender<(u64, usize, VoterResponse)>,
+        index: usize,
+        responses: Sender<NumberedResponse>,
     );
 }
 
-/// Drives [`Proposal`]s against the voters until they end or the budget is over.
+/// Drives [`Proposal`]s against the voters until they end or the time-out is over.
 pub struct RegisterClient<P: VoterPort> {
     port: P,
     proposer: u64,
@@ -44,56 +63,70 @@
         }
     }
 
-    /// Reads or writes a key within the budget.
+    /// Reads or writes a key within the time-out. Blocks the thread.
     pub fn change(
         &self,
         set: &VoterSet,
         key: &str,
         change: Change,
-        budget: Duration,
+        timeout: Duration,
     ) -> ChangeOutcome {
-        let end = Instant::now() + budget;
+        let end = Instant::now() + timeout;
         let ballot = self.next_ballot(Ballot::default());
         let tag = rand::rng().random();
-        let (mut proposal, mut ask) = Proposal::start(key, change, tag, ballot, set.voters.len());
+        let (mut proposal, mut operation) =
+            Proposal::start(key, change, tag, ballot, set.voters.len());
         loop {
-            let number = self.counter.fetch_add(1, Ordering::SeqCst);
-            let replies = self.ask_all(set, ask, number);
-            ask = loop {
-                let Ok((reply_number, place, reply)) = replies.recv_deadline(end) else {
-                    return proposal.abandon();
-                };
-                if reply_number != number {
-                    continue;
-                }
-                match proposal.on_response(place, reply) {
-                    ProposalStep::Send(ask) => break ask,
-                    ProposalStep::Wait => {}
-                    ProposalStep::Done(outcome) => return outcome,
-                    ProposalStep::Retry(_) if Instant::now() >= end => return proposal.abandon(),
-                    ProposalStep::Retry(above) => {
-                        let pause = rand::rng().random_range(1..=8);
-                        std::thread::sleep(Duration::from_millis(pause));
-                        break proposal.retry(self.next_ballot(above));
-                    }
+            match self.run_operation(set, operation, &mut proposal, end) {
+                ProposalStep::Send(next) => operation = next,
+                ProposalStep::Done(outcome) => return outcome,
+                ProposalStep::Retry(above) if Instant::now() < end => {
+                    let pause = rand::rng().random_range(1..=MAX_BACKOFF_MS);
+                    std::thread::sleep(Duration::from_millis(pause));
+                    operation = proposal.retry(self.next_ballot(above));
                 }
-            };
+                ProposalStep::Retry(_) | ProposalStep::Wait => return proposal.abandon(),
+            }
+        }
+    }
+
+    /// Sends one operation to all voters, and feeds their responses to the proposal until it goes on.
+    /// [`ProposalStep::Wait`] tells that the time was over first.
+    fn run_operation(
+        &self,
+        set: &VoterSet,
+        operation: VoterOperation,
+        proposal: &mut Proposal,
+        end: Instant,
+    ) -> ProposalStep {
+        let number = self.counter.fetch_add(1, Ordering::SeqCst);
+        let responses = self.broadcast(set, operation, number);
+        while let Ok(answer) = responses.recv_deadline(end) {
+            if answer.number != number {
+                continue;
+            }
+            match proposal.on_response(answer.voter, answer.response) {
+                ProposalStep::Wait => {}
+                step => return step,
+            }
         }
+        ProposalStep::Wait
     }
 
-    fn ask_all(
+    fn broadcast(
         &self,
         set: &VoterSet,
-        ask: VoterOperation,
+        operation: VoterOperation,
         number: u64,
-    ) -> Receiver<(u64, usize, VoterResponse)> {
+    ) -> Receiver<NumberedResponse> {
         let (sender, receiver) = unbounded();
-        for (place, voter) in set.voters.iter().enumerate() {
-            let message = VoterRequest {
+        for (index, voter) in set.voters.iter().enumerate() {
+            let request = VoterRequest {
                 set_version: set.version(),
-                operation: ask.clone(),
+                operation: operation.clone(),
             };
-            self.port.ask(voter, message, number, place, sender.clone());
+            self.port
+                .send(voter, request, number, index, sender.clone());
         }
         receiver
     }
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -1,22 +1,44 @@
-//! A register for each key, on copies kept by voters, changed in two rounds at a majority with
-//! the expected version. There is no log of changes and no leader.
+//! Replicated registers: one compare-and-swap register for each key, kept by a small set of voters.
+//!
+//! Each change of a register runs single-decree Paxos (prepare and accept) at a majority of the voters, with the version that
+//! the proposer expects; a read asks a majority what it accepted last, and commits that value first where the majority does
+//! not agree. There is no replicated log and no leader, so that registers are independent of one another.
+//!
+//! The crate does no input or output of its own, except for [`RegisterClient`]:
+//!
+//! * [`Proposal`] is a proposer's side of one change, over as many ballots ([`Round`]) as it takes;
+//! * [`Acceptor`] is a voter's side. It gives a [`Record`] with each answer that promises or accepts something;
+//! * [`VoterSet`] is the membership, and [`merge_replicas`] what a voter that joins it must start from.
+//!
+//! What must never happen:
+//!
+//! * An answer that goes with a [`Record`] leaves before the record is durable.
+//! * A voter accepts below a ballot that it promised, or answers a request for another [`SetVersion`] than its own.
+//! * Two values are committed at one version of a register within an epoch.
+//!
+//! Begin to read at [`Round`], then [`Acceptor::handle`].
 #![warn(missing_docs)]
 
 mod acceptor;
-mod changing;
+mod claims;
 mod client;
-mod jobs;
+mod job_window;
 mod message;
 mod proposal;
+mod record;
 mod round;
+mod table;
+mod value;
+mod voter_set;
 
-pub use acceptor::{Acceptor, ClaimFloors, Record, RegisterState, MAX_KEYS};
-pub use changing::{grown, merge_replicas, relocated, replaced, VOTERS_KEY};
-pub use client::{RegisterClient, VoterPort};
-pub use jobs::{is_job_key, JOB_KEY_PREFIX};
-pub use message::{
-    Ballot, SetVersion, VersionedValue, VoterOperation, VoterRef, VoterRequest, VoterResponse,
-    VoterSet,
-};
+pub use acceptor::Acceptor;
+pub use claims::ClaimFloors;
+pub use client::{NumberedResponse, RegisterClient, VoterPort};
+pub use job_window::{is_job_key, JOB_KEY_PREFIX};
+pub use message::{VoterOperation, VoterRequest, VoterResponse};
 pub use proposal::{Proposal, ProposalStep};
+pub use record::Record;
 pub use round::{Change, ChangeOutcome, Round, RoundStep};
+pub use table::MAX_KEYS;
+pub use value::{merge_replicas, Ballot, RegisterState, VersionedValue};
+pub use voter_set::{SetVersion, VoterRef, VoterSet, VOTERS_KEY};
--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -1,5 +1,6 @@
-use crate::message::{Ballot, VersionedValue, VoterOperation, VoterResponse};
+use crate::message::{VoterOperation, VoterResponse};
 use crate::round::{Change, ChangeOutcome, Round, RoundStep};
+use crate::value::{Ballot, VersionedValue};
 
 /// What the driver of a proposal does next.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -1,4 +1,6 @@
-use crate::message::{Ballot, VersionedValue, VoterOperation, VoterResponse, VoterSet};
+use crate::message::{VoterOperation, VoterResponse};
+use crate::value::{Ballot, VersionedValue};
+use crate::voter_set::VoterSet;
 
 /// What a proposer wants of a register.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/transport/src/voters.rs
+++ b/crates/transport/src/voters.rs
@@ -1,7 +1,7 @@
 use crate::links::Links;
 use crate::message::Message;
 use crossbeam::channel::Sender;
-use register::{VoterPort, VoterRef, VoterRequest, VoterResponse};
+use register::{NumberedResponse, VoterPort, VoterRef, VoterRequest};
 use std::sync::Arc;
 
 /// Reaches voters over the links.
@@ -17,20 +17,24 @@
 }
 
 impl VoterPort for WireVoters {
-    fn ask(
+    fn send(
         &self,
         voter: &VoterRef,
-        message: VoterRequest,
+        request: VoterRequest,
         number: u64,
-        place: usize,
-        replies: Sender<(u64, usize, VoterResponse)>,
+        index: usize,
+        responses: Sender<NumberedResponse>,
     ) {
         let on_answer = Box::new(move |answer| {
-            if let Message::VoterAnswer(reply) = answer {
-                let _ = replies.send((number, place, reply));
+            if let Message::VoterAnswer(response) = answer {
+                let _ = responses.send(NumberedResponse {
+                    number,
+                    voter: index,
+                    response,
+                });
             }
         });
         self.links
-            .ask(&voter.address, Message::Voter(message), on_answer);
+            .ask(&voter.address, Message::Voter(request), on_answer);
     }
 }
--- a/crates/voter/src/lib.rs
+++ b/crates/voter/src/lib.rs
@@ -2,12 +2,12 @@
 //! daemon and the simulator run the same code.
 #![warn(missing_docs)]
 
-mod founding;
-mod joining;
-mod keeper;
+mod bootstrap;
+mod membership_change;
+mod voter;
 mod voter_disk;
 
-pub use founding::{median_wall_clock, Bootstrap, BootstrapStep, GatewayEvidence, PeerStatus};
-pub use joining::{MembershipChange, MembershipStep};
-pub use keeper::{Installation, Voter, VoterError};
+pub use bootstrap::{median_wall_clock, Bootstrap, BootstrapStep, GatewayEvidence, PeerStatus};
+pub use membership_change::{MembershipChange, MembershipStep};
+pub use voter::{Installation, Voter, VoterError};
 pub use voter_disk::{OpenFolder, VoterDisk};
--- a/crates/voter/src/voter_disk.rs
+++ b/crates/voter/src/voter_disk.rs
@@ -5,7 +5,7 @@
 //! it, the folder holds the whole former voter, and after it an empty one. Files of other identities are
 //! never read. Those of the identity that was given up are removed when there is time, all others stay.
 
-use crate::keeper::{Voter, VoterError};
+use crate::voter::{Voter, VoterError};
 use error_stack::{Report, ResultExt};
 use journal::Folder;
 use std::collections::BTreeSet;
--- /dev/null
+++ b/crates/voter/tests/bootstrap.rs
@@ -0,0 +1,126 @@
+//! When an epoch begins, and who is told of it.
+
+use configuration::Bounds;
+use register::VoterSet;
+use voter::{median_wall_clock, Bootstrap, BootstrapStep, GatewayEvidence, PeerStatus};
+
+fn empty(disk: u64) -> PeerStatus {
+    PeerStatus {
+        address: format!("at-{disk}"),
+        disk,
+        set: VoterSet::default(),
+        gateway_epoch: 0,
+    }
+}
+
+fn decide(
+    founding: &mut Bootstrap,
+    now: u64,
+    heard: &[PeerStatus],
+    held: Option<GatewayEvidence>,
+) -> BootstrapStep {
+    founding.decide(now, 1_000_000, &Bounds::default(), 1, true, 3, heard, held)
+}
+
+#[test]
+fn an_epoch_begins_above_what_fronts_hold_once_a_majority_of_them_was_heard() {
+    let heard = [empty(1), empty(2), empty(3)];
+    let mut founding = Bootstrap::default();
+    let some = |is_majority| {
+        Some(GatewayEvidence {
+            epoch: 4,
+            is_majority,
+        })
+    };
+    assert_eq!(
+        decide(&mut founding, 0, &heard, some(true)),
+        BootstrapStep::Wait
+    );
+    assert_eq!(
+        decide(&mut founding, 1_500, &heard, some(false)),
+        BootstrapStep::Wait
+    );
+    let BootstrapStep::Form(set, floor) = decide(&mut founding, 1_600, &heard, some(true)) else {
+        panic!("no epoch");
+    };
+    assert_eq!((set.epoch, set.number, set.voters.len()), (5, 1, 3));
+    assert!(floor > 1_003_000, "keys from before the loss are refused");
+    assert_eq!(
+        decide(&mut founding, 1_700, &heard[..2], some(true)),
+        BootstrapStep::Wait
+    );
+    assert_eq!(
+        decide(&mut founding, 1_800, &heard, some(true)),
+        BootstrapStep::Wait
+    );
+}
+
+#[test]
+fn no_epoch_begins_from_nothing_where_any_core_heard_of_one_before() {
+    let mut founding = Bootstrap::default();
+    let told = PeerStatus {
+        gateway_epoch: 4,
+        ..empty(3)
+    };
+    let heard = [empty(1), empty(2), told];
+    assert_eq!(decide(&mut founding, 0, &heard, None), BootstrapStep::Wait);
+    assert_eq!(
+        decide(&mut founding, 60_000, &heard, None),
+        BootstrapStep::Wait
+    );
+}
+
+#[test]
+fn one_clock_that_was_set_back_or_ahead_does_not_set_the_floor() {
+    let hour = 3_600_000;
+    let others = [hour, hour + 20, hour - 30];
+    assert_eq!(
+        median_wall_clock(10 * 3_600_000, others.into_iter()),
+        11 * 3_600_000
+    );
+    assert_eq!(median_wall_clock(5_000, [-10, hour, 10].into_iter()), 5_010);
+    assert_eq!(median_wall_clock(5_000, std::iter::empty()), 5_000);
+}
+
+#[test]
+fn a_majority_or_all_fronts_of_the_roster_tell_enough() {
+    assert!(GatewayEvidence::is_sufficient(6, 10, 3) && !GatewayEvidence::is_sufficient(5, 10, 3));
+    assert!(GatewayEvidence::is_sufficient(3, 6, 3) && !GatewayEvidence::is_sufficient(2, 6, 3));
+    assert!(!GatewayEvidence::is_sufficient(0, 3, 3));
+}
+
+#[test]
+fn an_epoch_without_values_starts_from_what_was_heard_after_a_while() {
+    let (mut founding, bounds) = (Bootstrap::default(), Bounds::default());
+    assert!(!founding.may_restore_values(0, &bounds, false));
+    assert!(!founding.may_restore_values(5_999, &bounds, false));
+    assert!(founding.may_restore_values(6_000, &bounds, false));
+    assert!(Bootstrap::default().may_restore_values(0, &bounds, true));
+}
+
+#[test]
+fn a_member_that_missed_the_founding_is_told_again() {
+    let mut founding = Bootstrap::default();
+    let heard = [empty(1), empty(2), empty(3)];
+    let BootstrapStep::Wait = decide(&mut founding, 0, &heard, None) else {
+        panic!("too early");
+    };
+    let BootstrapStep::Form(set, _) = decide(&mut founding, 1_500, &heard, None) else {
+        panic!("no epoch");
+    };
+    let formed = PeerStatus {
+        set: set.clone(),
+        ..empty(1)
+    };
+    let stranger = empty(9);
+    let other = PeerStatus {
+        disk: 3,
+        ..formed.clone()
+    };
+    let heard = [empty(1), empty(2), other];
+    let step = decide(&mut founding, 1_550, &heard, None);
+    assert_eq!(step, BootstrapStep::Wait, "an empty core knows no floor");
+    let heard = [formed, empty(2), stranger];
+    let step = decide(&mut founding, 1_600, &heard, None);
+    assert_eq!(step, BootstrapStep::Resend(set, vec!["at-2".into()]));
+}
--- a/tests/model/src/registers/exploration.rs
+++ b/tests/model/src/registers/exploration.rs
@@ -4,7 +4,7 @@
 use crate::explorer::Model;
 use crate::fingerprint::Fingerprinter;
 use consensus::DiskWork;
-use register::{replaced, Change, ChangeOutcome, VOTERS_KEY};
+use register::{Change, ChangeOutcome, VOTERS_KEY};
 use speedy::Writable;
 use std::collections::BTreeMap;
 
@@ -57,7 +57,7 @@
             add(VALUE_KEY, Change::Read);
         }
         if self.has_newcomer {
-            let next = replaced(&first_set(), REPLACED, voter(NEWCOMER));
+            let next = first_set().with_replacement(REPLACED, voter(NEWCOMER));
             let bytes = next.expect("the newcomer is new").write_to_vec();
             let bytes = bytes.expect("a set can be written");
             add(VOTERS_KEY, Change::Write { expected: 0, bytes });
