--- a/crates/autoscaler/src/function_status.rs
+++ b/crates/autoscaler/src/function_status.rs
@@ -20,7 +20,7 @@
     /// Rate that its runners carry.
     pub capacity: f64,
     /// Milliseconds that a request takes at a runner.
-    pub pace_ms: f64,
+    pub service_time_ms: f64,
     /// Runners that serve or start.
     pub runners: usize,
     /// Their quotas, summed.
@@ -45,7 +45,7 @@
         waiting: load.waiting,
         demand: load.demand,
         capacity: load.capacity,
-        pace_ms: function.service_time_ms(),
+        service_time_ms: function.service_time_ms(),
         runners: load.runners,
         seats: load.seats,
         reason: function.last_decision().to_owned(),
--- a/crates/autoscaler/tests/cluster/mod.rs
+++ b/crates/autoscaler/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a small town of workers, functions and one keeper.
+//! What the tests share: builders of workers, functions and the reports of one owner.
 #![allow(dead_code)]
 
 use autoscaler::{
@@ -7,8 +7,10 @@
 use protocol::{FunctionReport, FunctionUpdate, RunnerReport, RunnerStage, ZoneArrivals};
 use routing::{Binding, Function, RoutingConfiguration};
 
-pub const KEEPER: &str = "gateway-a/1";
+/// The gateway that owns the functions.
+pub const OWNER: &str = "gateway-a/1";
 
+/// Options under which the rate of commands bounds nothing.
 pub fn options() -> AutoscalerOptions {
     AutoscalerOptions {
         commands_per_s: 100.0,
@@ -16,7 +18,8 @@
     }
 }
 
-pub fn worker(name: &str, zone: &str, memory_mb: u64) -> WorkerListing {
+/// An empty worker.
+pub fn worker_listing(name: &str, zone: &str, memory_mb: u64) -> WorkerListing {
     WorkerListing {
         name: name.to_owned(),
         zone: zone.to_owned(),
@@ -26,7 +29,8 @@
     }
 }
 
-pub fn listed(id: &str, function: &str, worker: &str, zone: &str) -> RunnerListing {
+/// A runner that may hold four requests at once.
+pub fn runner_listing(id: &str, function: &str, worker: &str, zone: &str) -> RunnerListing {
     RunnerListing {
         id: id.to_owned(),
         function: function.to_owned(),
@@ -38,29 +42,30 @@
     }
 }
 
-/// Functions with a start of one second, a concurrency of four and an aim.
-pub fn description(functions: &[(&str, u32)]) -> RoutingConfiguration {
-    let mut described = RoutingConfiguration::default();
-    for (place, (name, aim_ms)) in functions.iter().enumerate() {
-        described.functions.push(Function {
+/// Functions with a start of one second, a concurrency of four and a latency target in milliseconds.
+pub fn configuration(functions: &[(&str, u32)]) -> RoutingConfiguration {
+    let mut configuration = RoutingConfiguration::default();
+    for (index, (name, latency_target_ms)) in functions.iter().enumerate() {
+        configuration.functions.push(Function {
             name: (*name).to_owned(),
             memory_mb: 100,
             start_ms: 1_000,
             concurrency: 4,
             ..Function::default()
         });
-        described.bindings.push(Binding {
+        configuration.bindings.push(Binding {
             name: format!("to-{name}"),
-            function_index: place,
+            function_index: index,
             timeout_ms: 10_000,
-            latency_target_ms: *aim_ms,
+            latency_target_ms: *latency_target_ms,
             ..Binding::default()
         });
     }
-    described
+    configuration
 }
 
-pub fn told(function: &str, arrived: u64, waiting: u32) -> FunctionReport {
+/// A report without runners; all requests came from zone a.
+pub fn function_report(function: &str, arrived: u64, waiting: u32) -> FunctionReport {
     FunctionReport {
         function: function.to_owned(),
         arrivals: vec![ZoneArrivals {
@@ -72,7 +77,8 @@
     }
 }
 
-pub fn held(id: &str, in_use: u32) -> RunnerReport {
+/// A report on a runner that is up.
+pub fn runner_report(id: &str, in_use: u32) -> RunnerReport {
     RunnerReport {
         id: id.to_owned(),
         in_use,
@@ -82,14 +88,14 @@
 }
 
 /// An autoscaler that knows these functions, workers and runners.
-pub fn cluster(
+pub fn autoscaler_with(
     options: AutoscalerOptions,
     functions: &[(&str, u32)],
     workers: &[WorkerListing],
     runners: &[RunnerListing],
 ) -> Autoscaler {
     let mut autoscaler = Autoscaler::new(options, 0);
-    autoscaler.apply_configuration(0, &description(functions));
+    autoscaler.apply_configuration(0, &configuration(functions));
     autoscaler.update_workers(0, workers.to_vec());
     autoscaler.update_runners(0, runners.to_vec());
     autoscaler.tick(0);
@@ -104,42 +110,57 @@
     }
 }
 
-/// Nonce, function and worker of each start.
-pub fn starts(orders: &[RunnerCommand]) -> Vec<(String, String, String)> {
-    let starts = orders.iter().filter_map(|order| match order {
+/// A start command.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Start {
+    pub nonce: String,
+    pub function: String,
+    pub worker: String,
+}
+
+/// The start commands among these.
+pub fn starts(commands: &[RunnerCommand]) -> Vec<Start> {
+    let starts = commands.iter().filter_map(|command| match command {
         RunnerCommand::Start {
             function,
             worker,
             nonce,
-        } => Some((nonce.clone(), function.clone(), worker.clone())),
+        } => Some(Start {
+            nonce: nonce.clone(),
+            function: function.clone(),
+            worker: worker.clone(),
+        }),
         RunnerCommand::Stop { .. } => None,
     });
     starts.collect()
 }
 
-pub fn stops(orders: &[RunnerCommand]) -> Vec<String> {
-    let stops = orders.iter().filter_map(|order| match order {
+/// The ids of the runners that these commands stop.
+pub fn stops(commands: &[RunnerCommand]) -> Vec<String> {
+    let stops = commands.iter().filter_map(|command| match command {
         RunnerCommand::Stop { id } => Some(id.clone()),
         RunnerCommand::Start { .. } => None,
     });
     stops.collect()
 }
 
-/// Answers every start with runner r-NONCE; gives the orders.
-pub fn serve(autoscaler: &mut Autoscaler, now: u64) -> Vec<RunnerCommand> {
-    let orders = autoscaler.take_commands();
-    for (nonce, _, _) in starts(&orders) {
-        let id = format!("r-{nonce}");
-        autoscaler.handle_start_result(now, &nonce, Ok(started(&id, 8080)));
+/// Answers every start with runner r-NONCE; gives the commands.
+pub fn answer_starts(autoscaler: &mut Autoscaler, now: u64) -> Vec<RunnerCommand> {
+    let commands = autoscaler.take_commands();
+    for start in starts(&commands) {
+        let id = format!("r-{}", start.nonce);
+        autoscaler.handle_start_result(now, &start.nonce, Ok(started(&id, 8080)));
     }
-    orders
+    commands
 }
 
-pub fn stage(news: &FunctionUpdate, id: &str) -> Option<RunnerStage> {
-    let runner = news.runners.iter().find(|runner| runner.id == id);
+/// The stage of a runner in an update.
+pub fn stage(update: &FunctionUpdate, id: &str) -> Option<RunnerStage> {
+    let runner = update.runners.iter().find(|runner| runner.id == id);
     runner.map(|runner| runner.stage)
 }
 
-pub fn quotas(news: &FunctionUpdate) -> Vec<u32> {
-    news.runners.iter().map(|runner| runner.quota).collect()
+/// The quota of each runner in an update.
+pub fn quotas(update: &FunctionUpdate) -> Vec<u32> {
+    update.runners.iter().map(|runner| runner.quota).collect()
 }
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -74,7 +74,7 @@
         "waiting": status.waiting,
         "demand": status.demand,
         "capacity": status.capacity,
-        "pace_ms": status.pace_ms,
+        "pace_ms": status.service_time_ms,
         "runners": status.runners,
         "seats": status.seats,
         "reason": status.reason,
