--- a/tests/mutations/src/entry.rs
+++ b/tests/mutations/src/entry.rs
@@ -15,9 +15,21 @@
     file: PathBuf,
     from: String,
     to: String,
+    #[serde(default)]
+    also: Vec<Replacement>,
     tests: Vec<String>,
 }
 
+/// One text of a source file and what it becomes.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Replacement {
+    /// Text that stands exactly once in the file.
+    pub from: String,
+    /// Text that replaces it.
+    pub to: String,
+}
+
 /// One safety mechanism and how to remove it.
 #[derive(Clone, Debug)]
 pub struct Entry {
@@ -29,10 +41,8 @@
     pub removes: String,
     /// Source file, from the root of the workspace.
     pub file: PathBuf,
-    /// Text that stands exactly once in the file.
-    pub from: String,
-    /// Text that replaces it.
-    pub to: String,
+    /// What changes in the file: one place, or several where the mechanism is guarded twice.
+    pub replacements: Vec<Replacement>,
     /// Arguments of `cargo test`, one run each; at least one of them must fail.
     pub tests: Vec<String>,
 }
@@ -56,27 +66,36 @@
         if description.tests.is_empty() {
             return Err(invalid("it names no test".into()));
         }
+        let first = Replacement {
+            from: description.from,
+            to: description.to,
+        };
+        let mut replacements = vec![first];
+        replacements.extend(description.also);
         Ok(Self {
             name: name.to_string(),
             number,
             removes: description.removes,
             file: description.file,
-            from: description.from,
-            to: description.to,
+            replacements,
             tests: description.tests,
         })
     }
 
     /// The mutated content of the entry's file, given its present content.
     pub fn mutated(&self, source: &str) -> Result<String, MutationError> {
-        let found = source.matches(&self.from).count();
-        if found != 1 || self.from == self.to {
-            return Err(MutationError::TextNotUnique {
-                entry: self.name.clone(),
-                found,
-            });
+        let mut mutated = source.to_string();
+        for Replacement { from, to } in &self.replacements {
+            let found = source.matches(from).count();
+            if found != 1 || from == to {
+                return Err(MutationError::TextNotUnique {
+                    entry: self.name.clone(),
+                    found,
+                });
+            }
+            mutated = mutated.replacen(from, to, 1);
         }
-        Ok(source.replacen(&self.from, &self.to, 1))
+        Ok(mutated)
     }
 
     /// Whether the entry still applies to the sources under a root.
--- a/tests/mutations/src/lib.rs
+++ b/tests/mutations/src/lib.rs
@@ -10,7 +10,7 @@
 mod workspace;
 
 pub use campaign::{Campaign, TrialResult};
-pub use entry::{load_entries, Entry};
+pub use entry::{load_entries, Entry, Replacement};
 pub use error::MutationError;
 pub use report::{is_good, table, verdict_text};
 pub use runner::{CargoOptions, CargoRunner, Trial, Verdict};
