--- a/crates/gateway/src/controller_messages.rs
+++ b/crates/gateway/src/controller_messages.rs
@@ -49,7 +49,7 @@
                 self.membership_received(version, members);
             }
             Message::JobRegisterResponse { number, response } => {
-                self.jobs.said(self.now, number, response);
+                self.jobs.register_responded(self.now, number, response);
             }
             Message::FunctionUpdates(updates) => {
                 for update in updates {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -11,7 +11,7 @@
 use crate::retry_budgets::RetryBudgets;
 use crate::upstream_pool::UpstreamPool;
 use event_loop::{ConnectionId, EventLoop, ListenerId, Timers};
-use jobs::{Ends, Jobs};
+use jobs::{JobCoordinator, UnacknowledgedResults};
 use protocol::{Member, RequestId};
 use seat_leases::LeaseOwner;
 
@@ -54,8 +54,8 @@
     pub listeners: Listeners,
     pub requests: InFlightRequests,
     pub lease_owner: LeaseOwner,
-    pub jobs: Jobs,
-    pub unacknowledged_results: Ends,
+    pub jobs: JobCoordinator,
+    pub unacknowledged_results: UnacknowledgedResults,
     pub upstream_pool: UpstreamPool,
     pub peers: PeerLinks,
     pub controllers: ControllerLinks,
@@ -84,8 +84,8 @@
         let identity = identity(&options);
         Ok(Self {
             peers: PeerLinks::default(),
-            jobs: Jobs::new(identity.incarnation, options.job_retention_ms),
-            unacknowledged_results: Ends::default(),
+            jobs: JobCoordinator::new(identity.incarnation, options.job_retention_ms),
+            unacknowledged_results: UnacknowledgedResults::default(),
             identity,
             connections: Connections::new(event_loop),
             listeners,
--- a/crates/gateway/src/job_messages.rs
+++ b/crates/gateway/src/job_messages.rs
@@ -5,7 +5,7 @@
 use crate::pending_request::{PendingRequest, RequestPhase};
 use crate::stored_response::{pack, unpack, StoredResponse};
 use http1::{Request, Response};
-use jobs::{digest, is_key, JobAction, Pass};
+use jobs::{digest, is_key, JobAction, JobAdmission};
 use protocol::{JobCompletion, JobResult, JobVerdict, Message, RequestId};
 
 /// Header by which a client names the job that its request asks for.
@@ -24,7 +24,7 @@
         &self,
         request: &Request,
         at_most_once: bool,
-    ) -> Result<Option<Box<Pass>>, InvalidIdempotencyKey> {
+    ) -> Result<Option<Box<JobAdmission>>, InvalidIdempotencyKey> {
         let mut keys = request.headers.get_all(IDEMPOTENCY_KEY);
         let Some(key) = keys.next() else {
             return Ok(None);
@@ -35,13 +35,13 @@
         }
         let digest = digest(&request.method, &request.target, &request.body);
         let incarnation = self.identity.incarnation;
-        let job = Pass::new(text.into(), digest, at_most_once, incarnation);
+        let job = JobAdmission::new(text.into(), digest, at_most_once, incarnation);
         Ok(Some(Box::new(job)))
     }
 
     /// Does what the coordination of jobs asks for; whether there was anything.
     pub fn run_job_actions(&mut self) -> bool {
-        let actions = self.jobs.actions();
+        let actions = self.jobs.take_actions();
         let has_any = !actions.is_empty();
         for action in actions {
             self.run_job_action(action);
@@ -52,32 +52,50 @@
     fn run_job_action(&mut self, action: JobAction) {
         let now = self.now;
         match action {
-            JobAction::Seat(gateway, zone, request) => {
+            JobAction::RequestLease {
+                gateway,
+                zone,
+                request,
+            } => {
                 self.lease_owner
                     .request_lease(now, &gateway, &zone, request);
             }
-            JobAction::Withdraw(gateway, id) => self.lease_owner.cancel(now, &gateway, id),
-            JobAction::Claimed {
+            JobAction::CancelLeaseRequest {
+                gateway,
+                request_id,
+            } => {
+                self.lease_owner.cancel(now, &gateway, request_id);
+            }
+            JobAction::NotifyClaimed {
                 gateway,
-                ticket,
+                request_id,
                 attempt,
-                version,
+                register_version,
             } => {
                 let message = Message::JobClaimed {
-                    request_id: ticket,
+                    request_id,
                     attempt,
-                    register_version: version,
+                    register_version,
                 };
                 self.send_job_message(&gateway, message);
             }
-            JobAction::Joined(gateway, request_id, attempt) => {
+            JobAction::NotifyJoined {
+                gateway,
+                request_id,
+                attempt,
+            } => {
                 let message = Message::JobJoined {
                     request_id,
                     attempt,
                 };
                 self.send_job_message(&gateway, message);
             }
-            JobAction::Tell(gateway, request_id, attempt, verdict) => {
+            JobAction::NotifyVerdict {
+                gateway,
+                request_id,
+                attempt,
+                verdict,
+            } => {
                 let message = Message::JobVerdict {
                     request_id,
                     attempt,
@@ -85,23 +103,26 @@
                 };
                 self.send_job_message(&gateway, message);
             }
-            JobAction::Kept(gateway, request_id) => {
+            JobAction::NotifyPersisted {
+                gateway,
+                request_id,
+            } => {
                 self.send_job_message(&gateway, Message::JobPersisted(request_id));
             }
-            JobAction::Ask {
+            JobAction::AccessRegister {
                 number,
                 key,
-                expected,
-                bytes,
-                tries,
+                expected_version,
+                value,
+                retries,
             } => {
                 let message = Message::JobRegisterRequest {
                     number,
                     key,
-                    expected_version: expected,
-                    value: bytes,
+                    expected_version,
+                    value,
                 };
-                self.send_register_request(tries, &message);
+                self.send_register_request(retries, &message);
             }
         }
     }
@@ -125,8 +146,10 @@
     /// A message about a job has come from another gateway, or from the coordination here.
     pub fn job_message(&mut self, name: &str, message: Message) {
         match message {
-            Message::JobCompletion(completion) => self.jobs.ended(self.now, name, completion),
-            Message::JobPersisted(id) => self.unacknowledged_results.kept(id),
+            Message::JobCompletion(completion) => {
+                self.jobs.attempt_completed(self.now, name, completion)
+            }
+            Message::JobPersisted(id) => self.unacknowledged_results.acknowledge(id),
             Message::JobClaimed {
                 request_id,
                 attempt,
@@ -151,7 +174,7 @@
             return;
         };
         job.claimed(register_version);
-        if !job.is_ready {
+        if !job.is_connected() {
             return;
         }
         let request = self.requests.get(id);
@@ -212,11 +235,17 @@
 
     /// The part in its job of a request that was not sent, where a message of an owner is about the lease request that
     /// stands.
-    fn job_waiting_for(&mut self, owner: &str, id: RequestId, attempt: u32) -> Option<&mut Pass> {
+    fn job_waiting_for(
+        &mut self,
+        owner: &str,
+        id: RequestId,
+        attempt: u32,
+    ) -> Option<&mut JobAdmission> {
         let request = self.requests.get(id)?;
         let is_sent = request.is_sent();
         let job = request.job.as_mut().filter(|_| !is_sent)?;
-        job.is_meant(owner, attempt).then_some(job.as_mut())
+        job.is_current_attempt(owner, attempt)
+            .then_some(job.as_mut())
     }
 
     fn end_with_error(&mut self, id: RequestId, status: u16, reason: &str) {
@@ -244,8 +273,8 @@
         let Some(job) = &request.job else {
             return;
         };
-        let completion = job.end(request.id, &request.function, result);
-        self.unacknowledged_results.note(self.now, &completion);
+        let completion = job.completion(request.id, &request.function, result);
+        self.unacknowledged_results.record(self.now, &completion);
         let lender = match &request.phase {
             RequestPhase::AwaitingLease { owner, .. } => Some(owner.clone()),
             RequestPhase::Upstream(attempt) => Some(attempt.owner.clone()),
@@ -268,7 +297,7 @@
             return;
         };
         // Work that may run twice is run anew after a failure.
-        let result = if !job.mark().at_most_once && response.status >= SERVER_ERRORS_FROM {
+        let result = if !job.attempt().at_most_once && response.status >= SERVER_ERRORS_FROM {
             JobResult::Lost
         } else {
             pack(response).map_or(JobResult::TooLarge, JobResult::Answer)
@@ -285,8 +314,8 @@
         let Some(job) = &mut request.job else {
             return;
         };
-        let completion = job.end(id, &function, JobResult::NotRun);
-        job.void();
+        let completion = job.completion(id, &function, JobResult::NotRun);
+        job.void_attempt();
         self.send_completion(owner, completion);
     }
 
@@ -294,7 +323,7 @@
     pub fn advance_jobs(&mut self) {
         let identity = &self.identity;
         let configuration = &self.configuration;
-        self.jobs.tick(self.now, |gateway, incarnation| {
+        self.jobs.advance_clock(self.now, |gateway, incarnation| {
             if gateway == identity.name {
                 return incarnation != identity.incarnation;
             }
@@ -302,7 +331,7 @@
             let is_gone = member.is_none_or(|member| member.incarnation != incarnation);
             !configuration.members().is_empty() && is_gone
         });
-        for completion in self.unacknowledged_results.due(self.now) {
+        for completion in self.unacknowledged_results.take_due(self.now) {
             if let Some(owner) = self.owner_of(&completion.function) {
                 self.send_completion(&owner, completion);
             }
--- a/crates/gateway/src/lease_requests.rs
+++ b/crates/gateway/src/lease_requests.rs
@@ -36,7 +36,7 @@
                 owner: owner.clone(),
                 since: now,
             };
-            lease_request.job = request.job.as_mut().map(|job| job.bid(&owner));
+            lease_request.job = request.job.as_mut().map(|job| job.begin_attempt(&owner));
         }
         if owner == self.options.name {
             let zone = self.options.zone.clone();
@@ -50,7 +50,7 @@
     /// A lease is requested by a gateway that may be this one. A request of a job goes to the job's coordination first.
     pub fn lease_requested(&mut self, gateway: &str, zone: &str, request: LeaseRequest) {
         if request.job.is_some() {
-            self.jobs.arrive(self.now, gateway, zone, request);
+            self.jobs.request_arrived(self.now, gateway, zone, request);
         } else {
             self.lease_owner
                 .request_lease(self.now, gateway, zone, request);
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -148,7 +148,7 @@
             self.connections.close(connection);
         }
         self.lease_owner.remove_gateway(self.now, name);
-        self.jobs.forget_gateway(self.now, name);
+        self.jobs.gateway_lost(self.now, name);
         self.move_to_new_owners();
     }
 
--- a/crates/gateway/src/pending_request.rs
+++ b/crates/gateway/src/pending_request.rs
@@ -2,7 +2,7 @@
 
 use event_loop::ConnectionId;
 use http1::Request;
-use jobs::Pass;
+use jobs::JobAdmission;
 use protocol::RequestId;
 
 /// Name of the gateway that owns the seats of a function.
@@ -69,7 +69,7 @@
     pub excluded_runners: Vec<String>,
     pub phase: RequestPhase,
     /// Its part in a job, where the client gave an idempotency key.
-    pub job: Option<Box<Pass>>,
+    pub job: Option<Box<JobAdmission>>,
 }
 
 /// Milliseconds that must be left before the deadline for another attempt.
@@ -104,17 +104,19 @@
     /// Whether it holds a lease and may not be sent yet, since its job is not claimed.
     pub fn awaits_claim(&self) -> bool {
         let is_unsent = self.attempt().is_some_and(|attempt| !attempt.is_sent);
-        is_unsent && self.job.as_ref().is_some_and(|job| !job.may_leave())
+        is_unsent && self.job.as_ref().is_some_and(|job| !job.may_be_sent())
     }
 
     /// Whether its connection is up and only the claim on its job holds it back.
     pub fn is_ready_for_claim(&self) -> bool {
-        self.job.as_ref().is_some_and(|job| job.is_ready)
+        self.job.as_ref().is_some_and(|job| job.is_connected())
     }
 
     /// Whether another copy of it may have run, as far as is known here.
     pub fn may_have_run_elsewhere(&self) -> bool {
-        self.job.as_ref().is_some_and(|job| job.is_unsure())
+        self.job
+            .as_ref()
+            .is_some_and(|job| job.may_have_run_elsewhere())
     }
 
     /// The owner from which a response is awaited, and since when.
--- a/crates/gateway/src/request_admission.rs
+++ b/crates/gateway/src/request_admission.rs
@@ -4,7 +4,7 @@
 use crate::pending_request::{PendingRequest, RequestPhase};
 use event_loop::ConnectionId;
 use http1::Request;
-use jobs::Pass;
+use jobs::JobAdmission;
 use protocol::RequestId;
 use routing::{Binding, RoutingTable};
 use std::fmt;
@@ -61,7 +61,7 @@
     priority: u8,
     max_attempts: u32,
     timeout_ms: u64,
-    job: Option<Box<Pass>>,
+    job: Option<Box<JobAdmission>>,
 }
 
 impl Gateway {
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -207,7 +207,10 @@
 
     fn reject_lease_request(&mut self, gateway: &str, request_id: RequestId, retry_after_ms: u32) {
         let now = self.now;
-        if self.jobs.refused(now, gateway, request_id, retry_after_ms) {
+        if self
+            .jobs
+            .lease_rejected(now, gateway, request_id, retry_after_ms)
+        {
             return;
         }
         if gateway == self.options.name {
--- a/crates/gateway/src/upstream_requests.rs
+++ b/crates/gateway/src/upstream_requests.rs
@@ -123,7 +123,7 @@
         if request.awaits_claim() {
             // It is sent when its job is claimed.
             if let Some(job) = &mut request.job {
-                job.is_ready = true;
+                job.connected();
             }
             return;
         }
--- a/crates/jobs/src/action.rs
+++ b/crates/jobs/src/action.rs
@@ -1,40 +1,75 @@
+//! What the coordinator asks its gateway to do.
+
 use protocol::{JobVerdict, LeaseRequest, RequestId};
 
-/// What the keeper of jobs wants done.
+/// What the coordinator asks its gateway to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobAction {
-    /// Put a copy's bid in for a seat: gateway, district, bid.
-    Seat(String, String, LeaseRequest),
-    /// Take a copy's bid back: gateway, ticket.
-    Withdraw(String, RequestId),
-    /// Tell a gateway that its request has the claim and may leave.
-    Claimed {
-        /// The gateway.
+    /// Request a lease for a request of a job.
+    RequestLease {
+        /// Name of the request's gateway.
+        gateway: String,
+        /// Zone of that gateway.
+        zone: String,
+        /// The lease request, with the time that is left.
+        request: LeaseRequest,
+    },
+    /// Cancel the lease request of a request that does not run for now.
+    CancelLeaseRequest {
+        /// Name of the request's gateway.
         gateway: String,
-        /// Its ticket.
-        ticket: RequestId,
-        /// Number of its bid.
+        /// The request.
+        request_id: RequestId,
+    },
+    /// Tell a gateway that its request holds the claim on its job and may be sent to a runner.
+    NotifyClaimed {
+        /// Name of the gateway.
+        gateway: String,
+        /// The request.
+        request_id: RequestId,
+        /// Number of its attempt.
         attempt: u32,
-        /// Version of the register that bears the claim.
-        version: u64,
+        /// Version of the register that holds the claim.
+        register_version: u64,
+    },
+    /// Tell a gateway that its request waits for the result of another.
+    NotifyJoined {
+        /// Name of the gateway.
+        gateway: String,
+        /// The request.
+        request_id: RequestId,
+        /// Number of its attempt.
+        attempt: u32,
+    },
+    /// Tell a gateway how the job of its request ended.
+    NotifyVerdict {
+        /// Name of the gateway.
+        gateway: String,
+        /// The request.
+        request_id: RequestId,
+        /// Number of its attempt.
+        attempt: u32,
+        /// How the job ended for this request.
+        verdict: JobVerdict,
+    },
+    /// Tell a gateway that the result of its request is on the disks of a majority of controllers.
+    NotifyPersisted {
+        /// Name of the gateway.
+        gateway: String,
+        /// The request.
+        request_id: RequestId,
     },
-    /// Tell a gateway that its request waits for the answer to another: gateway, ticket, number of its bid.
-    Joined(String, RequestId, u32),
-    /// Tell a gateway what came of the job: gateway, ticket, number of its bid.
-    Tell(String, RequestId, u32, JobVerdict),
-    /// Tell a gateway that the answer to its ticket is on the controllers' disks.
-    Kept(String, RequestId),
-    /// Ask a controller about a register.
-    Ask {
-        /// Number that the answer bears.
+    /// Ask a controller to read or write a job's register.
+    AccessRegister {
+        /// Number that the response repeats.
         number: u64,
         /// Key of the register.
         key: String,
-        /// Expected version of a write; none for a read.
-        expected: Option<u64>,
-        /// The new value.
-        bytes: Vec<u8>,
+        /// Version that the register must have for the write; none for a read.
+        expected_version: Option<u64>,
+        /// The new value; empty for a read.
+        value: Vec<u8>,
         /// How often this was asked before; another controller is asked each time.
-        tries: u32,
+        retries: u32,
     },
 }
--- a/crates/jobs/src/claim.rs
+++ b/crates/jobs/src/claim.rs
@@ -1,48 +1,61 @@
+//! What a job's register holds: the claim of the request that runs the job, and its result.
+
 use protocol::RequestId;
 use sha2::{Digest, Sha256};
 use speedy::{Readable, Writable};
 
-/// Most characters of a caller's key.
-pub const KEY_MAX: usize = 200;
-/// Most bytes of a packed answer that is kept.
-pub const KEPT_MAX: usize = 32 << 10;
+/// Most characters of an idempotency key; part of the public interface.
+pub const MAX_KEY_CHARS: usize = 200;
+/// Most bytes of a deflated response that is stored in a register. Larger ones reach only the requests that wait
+/// for them.
+pub const MAX_STORED_RESPONSE_BYTES: usize = 32 << 10;
 
-/// The request that has a job's claim.
+/// The request that holds a job's claim.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct RunnerId {
-    /// Its gateway.
+pub struct ClaimHolder {
+    /// Name of its gateway.
     pub gateway: String,
-    /// Life of the gateway.
+    /// Incarnation of the gateway.
+    pub incarnation: u64,
+    /// The request's id in that incarnation.
+    pub request_id: RequestId,
+}
+
+/// The coordinator that wrote a claim.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
+pub struct ClaimWriter {
+    /// Incarnation of its gateway.
     pub incarnation: u64,
-    /// Its ticket in that life.
-    pub ticket: RequestId,
+    /// Number of the claim in that incarnation; 0 for a value that is no claim.
+    pub claim_number: u64,
 }
 
-/// How far the job is.
+/// How far a job is.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub enum ClaimState {
     /// Nobody ran it under this claim, and nobody will.
     #[default]
     Free,
-    /// The request may be running.
+    /// The holder may be running it.
     Taken,
-    /// It ran; its packed answer, none where it was too large.
+    /// It ran; its deflated response, none where it was too large.
     Done(Option<Vec<u8>>),
 }
 
-/// What a job's register holds.
+/// The value of a job's register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Claim {
     /// Digest of the request.
     pub digest: [u8; 16],
-    /// The request that runs it.
-    pub runner: RunnerId,
-    /// Life of the keeper that wrote the claim, and its number there.
-    pub by: (u64, u64),
-    /// How far it is.
+    /// The request that runs the job.
+    pub holder: ClaimHolder,
+    /// The coordinator that wrote this value.
+    pub writer: ClaimWriter,
+    /// How far the job is.
     pub state: ClaimState,
 }
 
+/// Half a SHA-256 of several parts, each preceded by its length so that no two lists of parts look alike.
 fn digest_of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> [u8; 16] {
     let mut hasher = Sha256::new();
     for part in parts {
@@ -56,17 +69,20 @@
 }
 
 /// Digest of what a request asks for.
+#[must_use]
 pub fn digest(method: &str, target: &str, body: &[u8]) -> [u8; 16] {
     digest_of([method.as_bytes(), target.as_bytes(), body])
 }
 
 /// Key of a job's register.
-pub fn register_key(function: &str, key: &str) -> String {
-    let digest = digest_of([function.as_bytes(), key.as_bytes()]);
+#[must_use]
+pub fn register_key(function: &str, idempotency_key: &str) -> String {
+    let digest = digest_of([function.as_bytes(), idempotency_key.as_bytes()]);
     format!("job/{:032x}", u128::from_be_bytes(digest))
 }
 
-/// Whether a text may name a job: up to 200 visible ASCII characters.
+/// Whether a text may be an idempotency key: visible ASCII characters, up to [`MAX_KEY_CHARS`].
+#[must_use]
 pub fn is_key(text: &[u8]) -> bool {
-    (1..=KEY_MAX).contains(&text.len()) && text.iter().all(u8::is_ascii_graphic)
+    (1..=MAX_KEY_CHARS).contains(&text.len()) && text.iter().all(u8::is_ascii_graphic)
 }
--- /dev/null
+++ b/crates/jobs/src/completions.rs
@@ -0,0 +1,201 @@
+//! Attempts that end, and gateways that are lost with theirs.
+
+use crate::claim::{register_key, ClaimHolder, MAX_STORED_RESPONSE_BYTES};
+use crate::coordinator::JobCoordinator;
+use crate::job::{completed_verdict, Job, JobRequest, JobState, UnpersistedResult, WriteRetry};
+use protocol::{JobCompletion, JobResult};
+
+/// An attempt that ended, as the coordinator's states name it.
+struct EndedAttempt {
+    holder: ClaimHolder,
+    number: u32,
+    register_version: u64,
+    result: JobResult,
+}
+
+impl EndedAttempt {
+    fn has_run(&self) -> bool {
+        self.result != JobResult::NotRun
+    }
+
+    /// Whether a request is at this attempt, or at an earlier one.
+    fn ends(&self, request: &JobRequest) -> bool {
+        request.holder == self.holder && request.attempt <= self.number
+    }
+
+    /// Whether the job's run ends with this attempt.
+    fn ends_run_of(&self, job: &Job) -> bool {
+        // It ran under a claim that this coordinator does not know yet.
+        let is_newer = self.has_run() && self.register_version > job.register_version;
+        match &job.state {
+            JobState::Claiming { request, .. } | JobState::Running { request, .. }
+                if self.ends(request) =>
+            {
+                true
+            }
+            JobState::Running { .. } | JobState::Completed { .. } => false,
+            _ if is_newer => true,
+            JobState::RunningElsewhere {
+                holder, attempt, ..
+            } => *holder == self.holder && (self.has_run() || self.ends_number(*attempt)),
+            JobState::Lost => matches!(self.result, JobResult::Answer(_) | JobResult::TooLarge),
+            JobState::Idle | JobState::Claiming { .. } => false,
+        }
+    }
+
+    fn ends_number(&self, attempt: Option<u32>) -> bool {
+        attempt.is_some_and(|attempt| attempt <= self.number)
+    }
+}
+
+impl JobCoordinator {
+    /// A gateway tells how an attempt of a job ended.
+    pub fn attempt_completed(&mut self, now: u64, gateway: &str, completion: JobCompletion) {
+        let key = register_key(&completion.function, &completion.attempt.key);
+        let attempt = EndedAttempt {
+            holder: ClaimHolder {
+                gateway: gateway.into(),
+                incarnation: completion.attempt.incarnation,
+                request_id: completion.request_id,
+            },
+            number: completion.attempt.number,
+            register_version: completion.register_version,
+            result: completion.result,
+        };
+        let known = self.table.take(&key);
+        let at_most_once = completion.attempt.at_most_once;
+        let digest = completion.attempt.digest;
+        let Some(mut job) =
+            known.or_else(|| self.create_completed(now, &key, &attempt, digest, at_most_once))
+        else {
+            return;
+        };
+        job.used_at = now;
+        job.waiting.retain(|request| !attempt.ends(request));
+        if is_persisted(&job) && attempt.has_run() {
+            self.outbox.notify_persisted(attempt.holder.clone());
+        }
+        if attempt.ends_run_of(&job) {
+            self.end_run(now, &key, &mut job, attempt);
+        }
+        self.table.put(&key, job);
+    }
+
+    /// The job of an attempt that ran under another coordinator.
+    fn create_completed(
+        &mut self,
+        now: u64,
+        key: &str,
+        attempt: &EndedAttempt,
+        digest: [u8; 16],
+        at_most_once: bool,
+    ) -> Option<Job> {
+        if !attempt.has_run() {
+            return None;
+        }
+        let job = self.table.create(now, key)?;
+        Some(Job {
+            digest,
+            at_most_once,
+            register_version: attempt.register_version,
+            state: JobState::RunningElsewhere {
+                holder: attempt.holder.clone(),
+                since: now,
+                checked_at: now,
+                attempt: None,
+            },
+            ..job
+        })
+    }
+
+    fn end_run(&mut self, now: u64, key: &str, job: &mut Job, attempt: EndedAttempt) {
+        self.table.forget_request(&attempt.holder);
+        if let JobState::Claiming { request, .. } = &job.state {
+            if request.holder != attempt.holder {
+                let request = request.clone();
+                self.outbox.cancel_lease_request(&request);
+                job.waiting.insert(0, request);
+            }
+        }
+        job.register_version = job.register_version.max(attempt.register_version);
+        let response = match attempt.result {
+            JobResult::NotRun => return self.admit_next(now, key, job),
+            JobResult::Lost => return self.result_lost(now, key, job),
+            // The others can run it as well.
+            JobResult::TooLarge if !job.at_most_once => return self.admit_next(now, key, job),
+            JobResult::Answer(response) => Some(response),
+            JobResult::TooLarge => None,
+        };
+        self.complete(now, key, job, attempt.holder, response);
+    }
+
+    fn complete(
+        &mut self,
+        now: u64,
+        key: &str,
+        job: &mut Job,
+        holder: ClaimHolder,
+        response: Option<Vec<u8>>,
+    ) {
+        // Requests that wait get the response also where it is too large to be stored.
+        self.resolve_waiting(job, &completed_verdict(response.as_ref()));
+        let stored = response.filter(|response| response.len() <= MAX_STORED_RESPONSE_BYTES);
+        if !job.at_most_once && stored.is_none() {
+            job.state = JobState::Idle;
+            return;
+        }
+        let unpersisted = job.at_most_once.then(|| UnpersistedResult {
+            holder,
+            retry: WriteRetry::new(now),
+        });
+        job.state = JobState::Completed {
+            response: stored,
+            unpersisted,
+        };
+        self.store_result(now, key, job);
+    }
+
+    /// A gateway is lost: its requests need nothing any more, and those that were admitted may be running.
+    pub fn gateway_lost(&mut self, now: u64, gateway: &str) {
+        for key in self.table.forget_gateway(gateway) {
+            let Some(mut job) = self.table.take(&key) else {
+                continue;
+            };
+            job.waiting
+                .retain(|request| request.holder.gateway != gateway);
+            self.admitted_lost(now, &key, &mut job, gateway);
+            self.table.put(&key, job);
+        }
+    }
+
+    fn admitted_lost(&mut self, now: u64, key: &str, job: &mut Job, gateway: &str) {
+        let admitted = job.admitted();
+        let Some(request) = admitted.filter(|request| request.holder.gateway == gateway) else {
+            return;
+        };
+        let (holder, attempt) = (request.holder.clone(), request.attempt);
+        if matches!(job.state, JobState::Claiming { .. }) || !job.at_most_once {
+            self.admit_next(now, key, job);
+            return;
+        }
+        job.issued_claims.clear();
+        job.state = JobState::RunningElsewhere {
+            holder,
+            since: now,
+            checked_at: now,
+            attempt: Some(attempt),
+        };
+    }
+}
+
+/// Whether an at-most-once job's result is in its register.
+fn is_persisted(job: &Job) -> bool {
+    let is_persisted = matches!(
+        job.state,
+        JobState::Completed {
+            unpersisted: None,
+            ..
+        }
+    );
+    is_persisted && job.at_most_once
+}
--- /dev/null
+++ b/crates/jobs/src/coordinator.rs
@@ -0,0 +1,199 @@
+//! The coordinator of jobs, and the transitions that several events cause.
+
+use crate::action::JobAction;
+use crate::claim::{Claim, ClaimState, ClaimWriter};
+use crate::job::{Job, JobRequest, JobState, WriteRetry};
+use crate::job_table::JobTable;
+use crate::outbox::Outbox;
+use crate::register_requests::{RegisterPurpose, RegisterRequests};
+use protocol::JobVerdict;
+use speedy::Writable;
+
+/// Milliseconds after which a retry of a request that was not run is worthwhile, where nothing better is known.
+pub(crate) const RETRY_AFTER_MS: u32 = 250;
+
+/// Coordinates the jobs of all functions that one gateway owns. A state machine without I/O; `now` is a steady clock
+/// in milliseconds.
+pub struct JobCoordinator {
+    pub(crate) incarnation: u64,
+    pub(crate) table: JobTable,
+    pub(crate) registers: RegisterRequests,
+    pub(crate) outbox: Outbox,
+}
+
+impl JobCoordinator {
+    /// The coordinator of one incarnation of a gateway. Jobs are known for `retention_ms` after their last use; no job
+    /// may run for as long.
+    #[must_use]
+    pub fn new(incarnation: u64, retention_ms: u64) -> Self {
+        Self {
+            incarnation,
+            table: JobTable::new(retention_ms),
+            registers: RegisterRequests::default(),
+            outbox: Outbox::default(),
+        }
+    }
+
+    /// Takes what is to be done now, in its order.
+    pub fn take_actions(&mut self) -> Vec<JobAction> {
+        self.outbox.take()
+    }
+
+    /// Number of known jobs.
+    #[must_use]
+    pub fn len(&self) -> usize {
+        self.table.len()
+    }
+
+    /// Whether no job is known.
+    #[must_use]
+    pub fn is_empty(&self) -> bool {
+        self.table.len() == 0
+    }
+
+    /// Bytes of the responses that are kept.
+    #[must_use]
+    pub fn response_bytes(&self) -> usize {
+        self.table.response_bytes()
+    }
+
+    /// Lets a request run the job: a lease is requested for it, and its claim is written meanwhile.
+    pub(crate) fn admit(&mut self, now: u64, key: &str, job: &mut Job, request: JobRequest) {
+        self.outbox.request_lease(now, &request);
+        job.release = None;
+        if !job.at_most_once {
+            job.state = JobState::Running {
+                request,
+                checked_at: now,
+            };
+            return;
+        }
+        let claim_number = self.registers.next_number();
+        job.issued_claims.push(claim_number);
+        job.state = JobState::Claiming {
+            request,
+            claim_number,
+            asked_at: now,
+            retries: 0,
+            rejected: None,
+        };
+        self.write_claim(now, key, job);
+    }
+
+    /// The admitted request is known not to have run: the next one is admitted, or the claim is released.
+    pub(crate) fn admit_next(&mut self, now: u64, key: &str, job: &mut Job) {
+        job.state = JobState::Idle;
+        if !job.waiting.is_empty() {
+            let next = job.waiting.remove(0);
+            self.admit(now, key, job, next);
+            return;
+        }
+        let may_be_claimed = job.register_version > 0 || !job.issued_claims.is_empty();
+        if job.at_most_once && may_be_claimed {
+            job.release = Some(WriteRetry::new(now));
+            self.release_claim(now, key, job);
+        }
+    }
+
+    /// No response will come. A job that may run more than once is run by the next request.
+    pub(crate) fn result_lost(&mut self, now: u64, key: &str, job: &mut Job) {
+        if !job.at_most_once {
+            self.admit_next(now, key, job);
+            return;
+        }
+        job.state = JobState::Lost;
+        self.resolve_waiting(job, &JobVerdict::MayHaveRun);
+    }
+
+    /// Tells all requests that wait how the job ended.
+    pub(crate) fn resolve_waiting(&mut self, job: &mut Job, verdict: &JobVerdict) {
+        for request in std::mem::take(&mut job.waiting) {
+            self.table.forget_request(&request.holder);
+            self.outbox.notify_verdict(&request, verdict.clone());
+        }
+    }
+
+    /// Asks a controller to write the claim of the request that wants to run.
+    pub(crate) fn write_claim(&mut self, now: u64, key: &str, job: &Job) {
+        let JobState::Claiming {
+            request,
+            claim_number,
+            retries,
+            ..
+        } = &job.state
+        else {
+            return;
+        };
+        let claim = Claim {
+            digest: job.digest,
+            holder: request.holder.clone(),
+            writer: self.writer(*claim_number),
+            state: ClaimState::Taken,
+        };
+        let purpose = RegisterPurpose::Claim(*claim_number);
+        self.write(now, key, purpose, job.register_version, claim, *retries);
+    }
+
+    /// Asks a controller to release a claim under which nobody runs.
+    pub(crate) fn release_claim(&mut self, now: u64, key: &str, job: &Job) {
+        let retries = job.release.map_or(0, |retry| retry.retries());
+        let claim = Claim {
+            digest: job.digest,
+            writer: self.writer(0),
+            ..Claim::default()
+        };
+        let purpose = RegisterPurpose::Release;
+        self.write(now, key, purpose, job.register_version, claim, retries);
+    }
+
+    /// Asks a controller to store the result of a job.
+    pub(crate) fn store_result(&mut self, now: u64, key: &str, job: &Job) {
+        let JobState::Completed {
+            response,
+            unpersisted: Some(unpersisted),
+        } = &job.state
+        else {
+            return;
+        };
+        let claim = Claim {
+            digest: job.digest,
+            holder: unpersisted.holder.clone(),
+            writer: self.writer(0),
+            state: ClaimState::Done(response.clone()),
+        };
+        let purpose = RegisterPurpose::StoreResult;
+        let retries = unpersisted.retry.retries();
+        self.write(now, key, purpose, job.register_version, claim, retries);
+    }
+
+    /// Asks a controller what became of a job.
+    pub(crate) fn check_register(&mut self, now: u64, key: &str, is_holder_gone: bool) {
+        let purpose = RegisterPurpose::Check { is_holder_gone };
+        let number = self.registers.add(now, key, purpose);
+        self.outbox
+            .access_register(number, key, None, Vec::new(), 0);
+    }
+
+    fn write(
+        &mut self,
+        now: u64,
+        key: &str,
+        purpose: RegisterPurpose,
+        expected_version: u64,
+        claim: Claim,
+        retries: u32,
+    ) {
+        let number = self.registers.add(now, key, purpose);
+        // Writing to memory does not fail.
+        let value = claim.write_to_vec().unwrap_or_default();
+        self.outbox
+            .access_register(number, key, Some(expected_version), value, retries);
+    }
+
+    fn writer(&self, claim_number: u64) -> ClaimWriter {
+        ClaimWriter {
+            incarnation: self.incarnation,
+            claim_number,
+        }
+    }
+}
--- /dev/null
+++ b/crates/jobs/src/job_admission.rs
@@ -0,0 +1,116 @@
+//! Whether a gateway's request of a job may be sent to a runner.
+
+use protocol::{JobAttempt, JobCompletion, JobResult, RequestId};
+
+/// The part of one request's gateway in the job: it knows whether the request may be sent to a runner. Each attempt
+/// invalidates everything that was said about an earlier one.
+#[derive(Clone, Debug)]
+pub struct JobAdmission {
+    attempt: JobAttempt,
+    owner: String,
+    /// Version of the register that holds the request's claim; 0 while it holds none.
+    register_version: u64,
+    is_joined: bool,
+    is_connected: bool,
+}
+
+impl JobAdmission {
+    /// The admission of a request that has made no attempt yet.
+    #[must_use]
+    pub fn new(key: String, digest: [u8; 16], at_most_once: bool, incarnation: u64) -> Self {
+        let attempt = JobAttempt {
+            key,
+            digest,
+            at_most_once,
+            incarnation,
+            number: 0,
+        };
+        Self {
+            attempt,
+            owner: String::new(),
+            register_version: 0,
+            is_joined: false,
+            is_connected: false,
+        }
+    }
+
+    /// Begins an attempt at an owner.
+    pub fn begin_attempt(&mut self, owner: &str) -> JobAttempt {
+        self.void_attempt();
+        self.owner = owner.into();
+        self.attempt.clone()
+    }
+
+    /// Ends the current attempt: nothing that was said about it holds any more.
+    pub fn void_attempt(&mut self) {
+        self.attempt.number += 1;
+        self.register_version = 0;
+        self.is_joined = false;
+        self.is_connected = false;
+    }
+
+    /// Whether a message from an owner is about the current attempt.
+    #[must_use]
+    pub fn is_current_attempt(&self, owner: &str, attempt: u32) -> bool {
+        self.owner == owner && self.attempt.number == attempt
+    }
+
+    /// The owner says that the request holds the claim.
+    pub fn claimed(&mut self, register_version: u64) {
+        self.register_version = register_version;
+        self.is_joined = false;
+    }
+
+    /// The owner says that another request holds the claim.
+    pub fn joined(&mut self) {
+        self.register_version = 0;
+        self.is_joined = true;
+        self.is_connected = false;
+    }
+
+    /// The connection to a runner is open, and the request waits for the claim alone.
+    pub fn connected(&mut self) {
+        self.is_connected = true;
+    }
+
+    /// Whether the request waits for the claim alone.
+    #[must_use]
+    pub fn is_connected(&self) -> bool {
+        self.is_connected
+    }
+
+    /// Whether the request may be sent to a runner.
+    #[must_use]
+    pub fn may_be_sent(&self) -> bool {
+        !self.attempt.at_most_once || self.register_version > 0
+    }
+
+    /// Whether another request may have run the job, for all that is known here.
+    #[must_use]
+    pub fn may_have_run_elsewhere(&self) -> bool {
+        self.is_joined || !self.may_be_sent()
+    }
+
+    /// The current attempt.
+    #[must_use]
+    pub fn attempt(&self) -> &JobAttempt {
+        &self.attempt
+    }
+
+    /// What the owner is told at the end of the request, or of its current attempt.
+    #[must_use]
+    pub fn completion(
+        &self,
+        request_id: RequestId,
+        function: &str,
+        result: JobResult,
+    ) -> JobCompletion {
+        JobCompletion {
+            request_id,
+            function: function.into(),
+            attempt: self.attempt.clone(),
+            register_version: self.register_version,
+            result,
+        }
+    }
+}
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,21 +1,34 @@
-//! One job behind several copies of a request: the function's keeper lets one copy run it and gives all others its
-//! answer. What may run once at most is claimed in a register on the controllers' disks before it leaves for a runner.
-//! Pure machines; the daemons run them.
-#![warn(missing_docs)]
+//! Jobs: requests that clients marked with one idempotency key. The function's owner lets one request run the job and
+//! gives the others its response. A job that may run at most once is claimed in a register on the controllers' disks
+//! before its request is sent to a runner.
+//!
+//! - `claim`: what a job's register holds;
+//! - `job`, `job_table`, `register_requests`, `outbox`: the parts of the coordinator's state, each with its invariant;
+//! - `coordinator` and, on top of it, `arrivals`, `completions`, `register_responses`, `timeouts`: the transitions of a
+//!   job, by what causes them;
+//! - `job_admission`, `unacknowledged_results`: the part of the gateway whose request it is.
+//!
+//! All of them are state machines without I/O: events come in as calls, [`JobAction`]s are taken out.
 
 mod action;
+mod arrivals;
 mod claim;
-mod ending;
-mod ends;
+mod completions;
+mod coordinator;
 mod job;
-mod jobs;
-mod pass;
-mod saying;
-mod table;
-mod telling;
+mod job_admission;
+mod job_table;
+mod outbox;
+mod register_requests;
+mod register_responses;
+mod timeouts;
+mod unacknowledged_results;
 
 pub use action::JobAction;
-pub use claim::{digest, is_key, register_key, Claim, ClaimState, RunnerId, KEPT_MAX, KEY_MAX};
-pub use ends::Ends;
-pub use jobs::Jobs;
-pub use pass::Pass;
+pub use claim::{
+    digest, is_key, register_key, Claim, ClaimHolder, ClaimState, ClaimWriter, MAX_KEY_CHARS,
+    MAX_STORED_RESPONSE_BYTES,
+};
+pub use coordinator::JobCoordinator;
+pub use job_admission::JobAdmission;
+pub use unacknowledged_results::UnacknowledgedResults;
--- a/crates/jobs/tests/town/gateway.rs
+++ b/crates/jobs/tests/town/gateway.rs
@@ -1,6 +1,6 @@
 use super::oracle::is_once;
 use super::{Event, Told, Town, FUNCTION, MS};
-use jobs::{digest, Ends, Jobs, Pass};
+use jobs::{digest, JobAdmission, JobCoordinator, UnacknowledgedResults};
 use protocol::{
     FunctionUpdate, JobResult, LeaseOutcome, LeaseRequest, Message, RequestId, RunnerStage,
     RunnerUpdate, UpdateVersion,
@@ -23,7 +23,7 @@
     pub asked: usize,
     pub has_client: bool,
     pub stage: Stage,
-    pub pass: Pass,
+    pub pass: JobAdmission,
     pub ends_at: u64,
     pub sends: u32,
     pub may_have_run: bool,
@@ -34,11 +34,11 @@
     pub name: String,
     pub life: u64,
     pub is_up: bool,
-    pub jobs: Jobs,
+    pub jobs: JobCoordinator,
     pub keeper: LeaseOwner,
     pub tickets: BTreeMap<u64, Ticket>,
     pub suspects: BTreeMap<String, u64>,
-    pub ends: Ends,
+    pub ends: UnacknowledgedResults,
     last: u64,
 }
 
@@ -48,11 +48,11 @@
             name: format!("g{place}"),
             life: 0,
             is_up: false,
-            jobs: Jobs::new(0, 1),
+            jobs: JobCoordinator::new(0, 1),
             keeper: LeaseOwner::default(),
             tickets: BTreeMap::new(),
             suspects: BTreeMap::new(),
-            ends: Ends::default(),
+            ends: UnacknowledgedResults::default(),
             last: 0,
         }
     }
@@ -86,7 +86,7 @@
         let mut fresh = Node::new(place);
         fresh.life = life;
         fresh.is_up = true;
-        fresh.jobs = Jobs::new(life, remembered);
+        fresh.jobs = JobCoordinator::new(life, remembered);
         fresh.keeper.update_runners(now, runners());
         self.nodes[place] = fresh;
         self.later(300 * MS, Event::Roster);
@@ -101,11 +101,11 @@
         let roster = &self.roster;
         let node = &mut self.nodes[place];
         node.keeper.tick(now);
-        node.jobs.tick(now, |gateway, incarnation| {
+        node.jobs.advance_clock(now, |gateway, incarnation| {
             let member = roster.iter().find(|member| member.name == gateway);
             member.is_none_or(|member| member.incarnation != incarnation)
         });
-        for end in node.ends.due(now) {
+        for end in node.ends.take_due(now) {
             if let Some(keeper) = self.keeper_of(place) {
                 self.tell_end(place, &keeper, end);
             }
@@ -133,7 +133,7 @@
         node.last += 1;
         let number = node.last;
         let what = digest("POST", "/sign", format!("body {job}").as_bytes());
-        let pass = Pass::new(format!("key {job}"), what, is_once(job), node.life);
+        let pass = JobAdmission::new(format!("key {job}"), what, is_once(job), node.life);
         let ticket = Ticket {
             asked,
             has_client: true,
@@ -170,10 +170,10 @@
             priority: 0,
             timeout_ms: ticket.ends_at.saturating_sub(now) as u32,
             excluded_runners: Vec::new(),
-            job: Some(ticket.pass.bid(&keeper)),
+            job: Some(ticket.pass.begin_attempt(&keeper)),
         };
         if keeper == node.name {
-            node.jobs.arrive(now, &keeper, "", bid);
+            node.jobs.request_arrived(now, &keeper, "", bid);
             return self.run_actions(place);
         }
         let peer = self.place_of(&keeper).unwrap();
@@ -202,8 +202,8 @@
         ticket.stage = Stage::Resting;
         let end = ticket
             .pass
-            .end(RequestId(number), FUNCTION, JobResult::NotRun);
-        ticket.pass.void();
+            .completion(RequestId(number), FUNCTION, JobResult::NotRun);
+        ticket.pass.void_attempt();
         if lender == node.name {
             node.keeper.cancel(now, &lender, RequestId(number));
         } else {
@@ -239,7 +239,7 @@
         let node = &mut self.nodes[place];
         node.suspects.insert(name.clone(), now + SUSPECT_MS);
         node.keeper.remove_gateway(now, &name);
-        node.jobs.forget_gateway(now, &name);
+        node.jobs.gateway_lost(now, &name);
         self.move_waiting(place);
     }
 
@@ -259,7 +259,7 @@
             self.release(place, &lender, number, LeaseOutcome::Lost);
             return self.finish(place, number, Told::MayHaveRun, JobResult::Lost);
         }
-        let is_unsure = ticket.may_have_run || ticket.pass.is_unsure();
+        let is_unsure = ticket.may_have_run || ticket.pass.may_have_run_elsewhere();
         let told = if is_unsure {
             Told::MayHaveRun
         } else {
--- a/crates/jobs/tests/town/hearing.rs
+++ b/crates/jobs/tests/town/hearing.rs
@@ -14,10 +14,10 @@
         let node = &mut self.nodes[place];
         node.suspects.remove(&name);
         match message {
-            Message::LeaseRequest(bid) => node.jobs.arrive(now, &name, "", bid),
+            Message::LeaseRequest(bid) => node.jobs.request_arrived(now, &name, "", bid),
             Message::CancelRequest(ticket) => node.keeper.cancel(now, &name, ticket),
             Message::LeaseRelease(release) => node.keeper.release(now, &name, &release),
-            Message::JobCompletion(end) => node.jobs.ended(now, &name, end),
+            Message::JobCompletion(end) => node.jobs.attempt_completed(now, &name, end),
             Message::SeatLease(grant) => self.granted(place, &name, grant),
             Message::JobClaimed {
                 request_id: ticket,
@@ -33,7 +33,7 @@
                 attempt,
                 verdict,
             } => self.told(place, &name, ticket.0, attempt, verdict),
-            Message::JobPersisted(ticket) => node.ends.kept(RequestId(ticket.0)),
+            Message::JobPersisted(ticket) => node.ends.acknowledge(RequestId(ticket.0)),
             _ => {}
         }
         self.run_actions(place);
@@ -42,7 +42,7 @@
     pub fn run_actions(&mut self, place: usize) {
         loop {
             let node = &mut self.nodes[place];
-            let (seats, jobs) = (node.keeper.take_actions(), node.jobs.actions());
+            let (seats, jobs) = (node.keeper.take_actions(), node.jobs.take_actions());
             if seats.is_empty() && jobs.is_empty() {
                 return;
             }
@@ -69,7 +69,7 @@
             } => {
                 self.nodes[place]
                     .jobs
-                    .refused(now, &gateway, RequestId(ticket.0), after);
+                    .lease_rejected(now, &gateway, RequestId(ticket.0), after);
             }
             LeaseAction::Probe { .. } => {}
         }
@@ -88,17 +88,20 @@
         let now = self.now_ms();
         let node = &mut self.nodes[place];
         match action {
-            JobAction::Seat(gateway, district, bid) => {
-                node.keeper.request_lease(now, &gateway, &district, bid)
-            }
-            JobAction::Withdraw(gateway, ticket) => {
-                node.keeper.cancel(now, &gateway, RequestId(ticket.0))
-            }
-            JobAction::Claimed {
+            JobAction::RequestLease {
+                gateway,
+                zone: district,
+                request: bid,
+            } => node.keeper.request_lease(now, &gateway, &district, bid),
+            JobAction::CancelLeaseRequest {
+                gateway,
+                request_id: ticket,
+            } => node.keeper.cancel(now, &gateway, RequestId(ticket.0)),
+            JobAction::NotifyClaimed {
                 gateway,
-                ticket,
+                request_id: ticket,
                 attempt,
-                version,
+                register_version: version,
             } => {
                 let message = Message::JobClaimed {
                     request_id: RequestId(ticket.0),
@@ -107,7 +110,11 @@
                 };
                 self.deliver(place, &gateway, message);
             }
-            JobAction::Joined(gateway, ticket, attempt) => {
+            JobAction::NotifyJoined {
+                gateway,
+                request_id: ticket,
+                attempt,
+            } => {
                 self.deliver(
                     place,
                     &gateway,
@@ -117,7 +124,12 @@
                     },
                 );
             }
-            JobAction::Tell(gateway, ticket, attempt, verdict) => {
+            JobAction::NotifyVerdict {
+                gateway,
+                request_id: ticket,
+                attempt,
+                verdict,
+            } => {
                 let message = Message::JobVerdict {
                     request_id: RequestId(ticket.0),
                     attempt,
@@ -125,15 +137,18 @@
                 };
                 self.deliver(place, &gateway, message);
             }
-            JobAction::Kept(gateway, ticket) => {
+            JobAction::NotifyPersisted {
+                gateway,
+                request_id: ticket,
+            } => {
                 self.deliver(place, &gateway, Message::JobPersisted(RequestId(ticket.0)));
             }
-            JobAction::Ask {
+            JobAction::AccessRegister {
                 number,
                 key,
-                expected,
-                bytes,
-                tries,
+                expected_version: expected,
+                value: bytes,
+                retries: tries,
             } => {
                 let from = (place, node.life);
                 let controller = (place + tries as usize) % self.controllers.len();
@@ -151,7 +166,8 @@
 
     pub fn claimed(&mut self, place: usize, from: &str, number: u64, attempt: u32, version: u64) {
         let ticket = self.nodes[place].tickets.get_mut(&number);
-        let Some(ticket) = ticket.filter(|ticket| ticket.pass.is_meant(from, attempt)) else {
+        let Some(ticket) = ticket.filter(|ticket| ticket.pass.is_current_attempt(from, attempt))
+        else {
             return;
         };
         ticket.pass.claimed(version);
@@ -160,7 +176,8 @@
 
     pub fn joined(&mut self, place: usize, from: &str, number: u64, attempt: u32) {
         let ticket = self.nodes[place].tickets.get_mut(&number);
-        let Some(ticket) = ticket.filter(|ticket| ticket.pass.is_meant(from, attempt)) else {
+        let Some(ticket) = ticket.filter(|ticket| ticket.pass.is_current_attempt(from, attempt))
+        else {
             return;
         };
         if !matches!(ticket.stage, Stage::Sent(_, true, _)) {
@@ -178,7 +195,8 @@
         verdict: JobVerdict,
     ) {
         let ticket = self.nodes[place].tickets.get_mut(&number);
-        let Some(ticket) = ticket.filter(|ticket| ticket.pass.is_meant(from, attempt)) else {
+        let Some(ticket) = ticket.filter(|ticket| ticket.pass.is_current_attempt(from, attempt))
+        else {
             return;
         };
         if matches!(ticket.stage, Stage::Sent(_, true, _)) {
--- a/crates/jobs/tests/town/mod.rs
+++ b/crates/jobs/tests/town/mod.rs
@@ -196,7 +196,7 @@
             Event::ControllerSaid(place, life, number, said) => {
                 if self.nodes[place].life == life && self.nodes[place].is_up {
                     let now = self.now_ms();
-                    self.nodes[place].jobs.said(now, number, said);
+                    self.nodes[place].jobs.register_responded(now, number, said);
                     self.run_actions(place);
                 }
             }
@@ -246,7 +246,7 @@
     pub fn tell_end(&mut self, place: usize, to: &str, end: JobCompletion) {
         if to == self.nodes[place].name {
             let now = self.now_ms();
-            self.nodes[place].jobs.ended(now, to, end);
+            self.nodes[place].jobs.attempt_completed(now, to, end);
             self.run_actions(place);
         } else if let Some(peer) = self.place_of(to) {
             self.send(place, peer, Message::JobCompletion(end));
--- a/crates/jobs/tests/town/sending.rs
+++ b/crates/jobs/tests/town/sending.rs
@@ -18,7 +18,7 @@
             return self.release(place, lender, number, LeaseOutcome::Unused);
         };
         ticket.stage = Stage::Sent(lender.into(), false, 0);
-        let (life, attempt) = (node.life, ticket.pass.mark().number);
+        let (life, attempt) = (node.life, ticket.pass.attempt().number);
         self.later(way, Event::Line(place, life, number, attempt));
     }
 
@@ -45,11 +45,11 @@
         let Some(ticket) = node.tickets.get_mut(&number) else {
             return;
         };
-        let is_same = ticket.pass.mark().number == attempt;
+        let is_same = ticket.pass.attempt().number == attempt;
         if let Stage::Sent(_, false, opened) = &mut ticket.stage {
             if is_same {
                 *opened = now;
-                ticket.pass.is_ready = true;
+                ticket.pass.connected();
                 self.leave(place, number);
             }
         }
@@ -66,14 +66,14 @@
         let Stage::Sent(_, has_left, opened) = &mut ticket.stage else {
             return;
         };
-        if *has_left || !ticket.pass.is_ready || !ticket.pass.may_leave() {
+        if *has_left || !ticket.pass.is_connected() || !ticket.pass.may_be_sent() {
             return;
         }
         *has_left = true;
         ticket.sends += 1;
         let (from, send, waited) = ((place, node.life), ticket.sends, now - *opened);
         let asked = ticket.asked;
-        if ticket.pass.mark().at_most_once {
+        if ticket.pass.attempt().at_most_once {
             self.oracle.waits.push(waited);
         }
         self.later(way, Event::Run(asked, from, number, send));
@@ -113,7 +113,7 @@
         if ticket.sends != send {
             return;
         }
-        let is_once = ticket.pass.mark().at_most_once;
+        let is_once = ticket.pass.attempt().at_most_once;
         match reply {
             Reply::Answer(answer) => {
                 self.release(place, &lender, number, LeaseOutcome::Succeeded);
@@ -155,8 +155,8 @@
         if ticket.has_client {
             self.oracle.tell(ticket.asked, self.now, told);
         }
-        let end = ticket.pass.end(RequestId(number), FUNCTION, result);
-        self.nodes[place].ends.note(self.now / MS, &end);
+        let end = ticket.pass.completion(RequestId(number), FUNCTION, result);
+        self.nodes[place].ends.record(self.now / MS, &end);
         let lender = match &ticket.stage {
             Stage::Waiting(lender) | Stage::Sent(lender, ..) => Some(lender.clone()),
             Stage::Resting => None,
--- a/tests/compatibility/src/samples/stored.rs
+++ b/tests/compatibility/src/samples/stored.rs
@@ -4,19 +4,22 @@
 use configuration::{PeerRef, Plan, RunnerEntry, RunnerState, Version};
 use consensus::RoleHolder;
 use idempotency_keys::Claim as OnceClaim;
-use jobs::{Claim, ClaimState, RunnerId};
+use jobs::{Claim, ClaimHolder, ClaimState, ClaimWriter};
 use leader_election::Leadership;
 
 /// A job's register while a request may be running.
 pub fn taken_job() -> Claim {
     Claim {
         digest: jobs::digest("POST", "/resize?w=10", b"body"),
-        runner: RunnerId {
+        holder: ClaimHolder {
             gateway: "gw-1".into(),
             incarnation: 0x0102_0304_0506_0708,
-            ticket: protocol::RequestId(42),
+            request_id: protocol::RequestId(42),
+        },
+        writer: ClaimWriter {
+            incarnation: 0x1112_1314_1516_1718,
+            claim_number: 9,
         },
-        by: (0x1112_1314_1516_1718, 9),
         state: ClaimState::Taken,
     }
 }
