--- /dev/null
+++ b/crates/consensus/src/consensus/membership.rs
@@ -0,0 +1,263 @@
+//! The voter set: how controllers learn it, form the first one, and propose the next.
+
+use super::Consensus;
+use crate::disk_work::DiskWork;
+use crate::message::{ConsensusMessage, Heartbeat, VoterSetUpdate};
+use crate::pending_change::ChangePurpose;
+use crate::voter_sets::MembershipState;
+use register::{Change, VoterRef, VoterSet, VOTERS_KEY};
+use speedy::Writable;
+use std::collections::BTreeSet;
+use voter::{MembershipChange, MembershipStep};
+
+/// Most members whose reachability a heartbeat tells, one bit for each.
+const MAX_REACHABLE_BITS: usize = 64;
+/// An odd set grows only where this many controllers wait outside it: an even set tolerates no more losses.
+const MIN_SPARES_FOR_EVEN_SET: u8 = 2;
+
+impl Consensus {
+    /// Learns a set that is committed; an older one is ignored.
+    pub(super) fn learn_set(&mut self, now: u64, set: &VoterSet) {
+        if !self.sets.learn(set) {
+            return;
+        }
+        log::info!(
+            "consensus: set {} has {} voters",
+            set.version(),
+            set.voters.len()
+        );
+        self.copies.restart(now);
+        if !self.is_resetting() {
+            self.departure = None;
+        }
+        self.heartbeats.request();
+        for voter in &set.voters {
+            self.admit(&voter.address);
+        }
+        self.adopt_newest_set();
+        self.move_changes(now);
+    }
+
+    /// Lets this controller's own voter follow into the newest set.
+    fn adopt_newest_set(&mut self) {
+        if self.sets.needs_adoption() {
+            let set = self.sets.newest().clone();
+            self.change_own_set(DiskWork::AdoptSet(set));
+        }
+    }
+
+    /// Gives a change of the own voter's set to the disk.
+    pub(super) fn change_own_set(&mut self, work: DiskWork) {
+        self.sets.start_disk_work();
+        self.give_to_disk(work);
+    }
+
+    pub(super) fn on_voter_set_request(&mut self, from: &str) {
+        if self.sets.has_set() {
+            self.send_voter_set(from);
+        }
+    }
+
+    pub(super) fn on_voter_set(&mut self, now: u64, update: VoterSetUpdate) {
+        self.learn_set(now, &update.set);
+        self.sets.learn_previous(update);
+    }
+
+    /// Takes the first set, where it names this disk and the voter is empty.
+    pub(super) fn on_form_voter_set(&mut self, set: &VoterSet) {
+        let own_disk = self.sets.own_disk();
+        let is_named = set.voters.iter().any(|voter| voter.disk == own_disk);
+        let is_empty = self.sets.is_voter_empty() && !self.sets.has_disk_work();
+        let is_current = set.version() >= self.sets.version();
+        if is_named && is_empty && is_current && set.number == 1 {
+            self.change_own_set(DiskWork::FormSet(set.clone()));
+        }
+    }
+
+    pub(super) fn send_voter_set(&mut self, to: &str) {
+        let update = self.sets.update();
+        self.send(to, ConsensusMessage::VoterSet(update));
+    }
+
+    /// Sends all members the newest set.
+    pub(super) fn spread_voter_set(&mut self) {
+        for voter in self.sets.newest().voters.clone() {
+            let to = self.locate(&voter);
+            if to != self.options.address {
+                self.send_voter_set(&to);
+            }
+        }
+    }
+
+    /// Takes this controller's next step into the set of voters, or out of it.
+    pub(super) fn poll_membership(&mut self, now: u64) {
+        if !self.sets.is_disk_trusted() || self.sets.has_disk_work() {
+            return;
+        }
+        self.adopt_newest_set();
+        match self.membership_state() {
+            MembershipState::Bootstrapping => self.form_first_set(),
+            MembershipState::Joining => self.request_place(now),
+            MembershipState::Installing => self.poll_installation(now),
+            MembershipState::Voting => self.propose_own_address(now),
+            MembershipState::Resetting => {}
+            MembershipState::Leaving => self.poll_departure(now),
+        }
+    }
+
+    /// Forms the first set, where this controller is the first seed and all seeds say that they are empty.
+    fn form_first_set(&mut self) {
+        let mut seeds: Vec<&String> = Vec::new();
+        for seed in &self.options.seeds {
+            if !seeds.contains(&seed) {
+                seeds.push(seed);
+            }
+        }
+        let is_first = seeds.first() == Some(&&self.options.address);
+        if !self.options.is_first_start || !is_first {
+            return;
+        }
+        let voters: Option<Vec<VoterRef>> = seeds.iter().map(|seed| self.founder(seed)).collect();
+        let Some(voters) = voters else {
+            return;
+        };
+        log::info!("consensus: forms the first set of {} voters", voters.len());
+        self.change_own_set(DiskWork::FormSet(VoterSet {
+            epoch: 1,
+            number: 1,
+            voters,
+        }));
+    }
+
+    /// A seed as a voter of the first set, where it said that it is empty and starts for the first time.
+    fn founder(&self, seed: &str) -> Option<VoterRef> {
+        if seed == self.options.address {
+            return Some(self.own_ref());
+        }
+        let heartbeat = self.peers.last_heartbeat(seed)?;
+        let is_empty = heartbeat.own_set.epoch == 0 && heartbeat.known_set.epoch == 0;
+        let is_founder = is_empty && heartbeat.is_first_start;
+        is_founder.then(|| VoterRef {
+            disk: heartbeat.disk,
+            address: seed.to_string(),
+        })
+    }
+
+    fn own_ref(&self) -> VoterRef {
+        VoterRef {
+            disk: self.sets.own_disk(),
+            address: self.options.address.clone(),
+        }
+    }
+
+    /// Asks for a place in the set.
+    fn request_place(&mut self, now: u64) {
+        let voting = self.live_voting_members(now);
+        if voting.len() < self.sets.newest().majority() {
+            // A silent member is only told apart from a partition of its own by a controller that hears a majority.
+            self.membership_change = MembershipChange::default();
+            return;
+        }
+        if !self.may_propose_set(now) {
+            return;
+        }
+        let Some(next) = self.next_set_with_place(now, &voting) else {
+            return;
+        };
+        log::info!("consensus: asks for a place in set {}", next.version());
+        self.propose_set(now, &next);
+    }
+
+    /// Newest heartbeats of live members that are in the newest set.
+    fn live_voting_members(&self, now: u64) -> Vec<Heartbeat> {
+        let version = self.sets.version();
+        let live = self.peers.live(now).map(|(_, heartbeat)| heartbeat);
+        let voting = live.filter(|heartbeat| {
+            self.sets.is_member_disk(heartbeat.disk) && heartbeat.own_set == version
+        });
+        voting.cloned().collect()
+    }
+
+    /// The set that gives this controller a place: a silent member's, or a further one.
+    fn next_set_with_place(&mut self, now: u64, voting: &[Heartbeat]) -> Option<VoterSet> {
+        let me = self.own_ref();
+        let reachable = self.reachable_disks(now, voting);
+        let set = self.sets.newest();
+        let committed = (set.number - 1, set);
+        let timeout_ms = self.options.replacement_timeout_ms;
+        let step = self
+            .membership_change
+            .decide(now, timeout_ms, &me, set, &reachable, committed);
+        match step {
+            MembershipStep::Propose(_, next) => Some(next),
+            _ if self.may_grow(voting) => set.with_member(me),
+            _ => None,
+        }
+    }
+
+    /// Disks that this controller hears, and those of members that a voting member hears.
+    fn reachable_disks(&self, now: u64, voting: &[Heartbeat]) -> Vec<u64> {
+        let live = self.peers.live(now);
+        let mut reachable: BTreeSet<u64> = live.map(|(_, heartbeat)| heartbeat.disk).collect();
+        let members = self.sets.newest().voters.iter().enumerate();
+        for (place, voter) in members.take(MAX_REACHABLE_BITS) {
+            let is_heard = voting
+                .iter()
+                .any(|heartbeat| heartbeat.reachable_members >> place & 1 == 1);
+            if is_heard && voter.address != self.options.address {
+                reachable.insert(voter.disk);
+            }
+        }
+        reachable.into_iter().collect()
+    }
+
+    /// Whether the set may have another member, where every member is heard and votes.
+    fn may_grow(&self, voting: &[Heartbeat]) -> bool {
+        let count = self.sets.newest().voters.len();
+        let spares = voting.iter().map(|heartbeat| heartbeat.spare_controllers);
+        let has_spares = spares.max().unwrap_or(0) >= MIN_SPARES_FOR_EVEN_SET;
+        let is_worth_it = count.is_multiple_of(2) || count == 1 || has_spares;
+        count < self.options.target_voter_count && voting.len() == count && is_worth_it
+    }
+
+    /// Asks the members to take the set that follows theirs. It is committed at a majority of voters that
+    /// are durably in the present one, and only where none other follows yet.
+    fn propose_set(&mut self, now: u64, next: &VoterSet) {
+        let bytes = next.write_to_vec().unwrap_or_default();
+        let expected = self.sets.newest().number - 1;
+        let change = Change::Write { expected, bytes };
+        self.propose(now, ChangePurpose::VoterSet, VOTERS_KEY, change);
+    }
+
+    /// Whether this controller may propose another set now. The next change leaves live members time to install the
+    /// newest set, so that one replica is missing at most.
+    fn may_propose_set(&mut self, now: u64) -> bool {
+        let version = self.sets.version();
+        let mut live = self.peers.live(now).map(|(_, heartbeat)| heartbeat);
+        let has_uninstalled = live.any(|heartbeat| {
+            self.sets.is_member_disk(heartbeat.disk) && heartbeat.own_set != version
+        });
+        let timeout_ms = self.options.replacement_timeout_ms;
+        let must_wait = self
+            .sets
+            .awaits_installation(now, has_uninstalled, timeout_ms);
+        let is_proposing = self.changes.has(ChangePurpose::VoterSet);
+        !must_wait && now >= self.next_set_proposal_at && !is_proposing
+    }
+
+    /// Proposes the set that says where this member is reached, after its disk was moved to another address.
+    fn propose_own_address(&mut self, now: u64) {
+        let (set, own_disk) = (self.sets.newest(), self.sets.own_disk());
+        let Some(next) = set.with_address(own_disk, &self.options.address) else {
+            return;
+        };
+        if self.may_propose_set(now) {
+            log::info!(
+                "consensus: is reached at {} from set {} on",
+                self.options.address,
+                next.version()
+            );
+            self.propose_set(now, &next);
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/consensus/replication.rs
@@ -0,0 +1,127 @@
+//! How a controller learns the committed values that it missed, and how its own voter comes to hold them.
+
+use super::Consensus;
+use crate::action::ConsensusAction;
+use crate::disk_work::DiskWork;
+use crate::keys::SCALER_ROLE_KEY;
+use crate::message::ConsensusMessage;
+use crate::replicated_values::MissingValueStep;
+use crate::value::{Value, ValueId};
+use rand::Rng;
+use register::{Ballot, RegisterState, VersionedValue, VoterSet, VOTERS_KEY};
+use speedy::Readable;
+
+/// Time between comparisons of this controller's voter with what is committed, in milliseconds.
+const REPAIR_INTERVAL_MS: u64 = 6_000;
+/// Most milliseconds by which that time is longer.
+const REPAIR_JITTER_MS: u64 = 1_000;
+
+impl Consensus {
+    /// Whether a value is on its way to this controller after its start, or may be: no other controller has listed its committed values yet.
+    /// A read that begins before would make the value travel from each of the others, in each of its rounds.
+    pub(super) fn awaits_value(&self, now: u64, key: &str) -> bool {
+        self.reads.is_waiting_for_values(now)
+            && (self.values.is_missing(key) || !self.has_heard_majority(now))
+    }
+
+    fn has_heard_majority(&self, now: u64) -> bool {
+        let own = &self.options.address;
+        let set = self.sets.newest();
+        let heard = set
+            .voters
+            .iter()
+            .filter(|voter| voter.address == *own || self.peers.is_live(now, &voter.address));
+        heard.count() >= set.majority()
+    }
+
+    /// Takes committed values that have come to this controller's own voter, and requests the others.
+    pub(super) fn poll_missing_values(&mut self, now: u64) {
+        for key in self.values.missing_keys() {
+            match self.values.poll_missing(now, &key) {
+                MissingValueStep::Wait => {}
+                MissingValueStep::Found(value) => self.learn_value(now, &key, value),
+                MissingValueStep::Request { source, version } => {
+                    self.send(&source, ConsensusMessage::RequestValue { key, version });
+                }
+            }
+        }
+    }
+
+    /// Sends a committed value, with the ballot where this controller's voter accepted it.
+    pub(super) fn on_value_request(&mut self, from: &str, key: String, version: u64) {
+        let Some((ballot, value)) = self.values.committed_with_ballot(&key, version) else {
+            return;
+        };
+        let message = ConsensusMessage::Value { key, ballot, value };
+        self.send(from, message);
+    }
+
+    /// Takes a committed value, also for this controller's voter where it lags behind.
+    pub(super) fn on_value(&mut self, now: u64, key: &str, ballot: Ballot, stored: VersionedValue) {
+        self.learn_committed(now, key, &stored);
+        let is_behind = self.values.is_own_behind(key, ValueId::of(&stored));
+        if ballot == Ballot::default() || !self.sets.is_voting() || !is_behind {
+            return;
+        }
+        let state = RegisterState {
+            promised: ballot,
+            accepted: ballot,
+            value: stored,
+        };
+        self.give_to_disk(DiskWork::Repair(key.to_string(), state));
+    }
+
+    /// Requests committed values that this controller's voter lacks from other members, now and then.
+    pub(super) fn repair_own_voter(&mut self, now: u64) {
+        if now < self.next_repair_at || !self.sets.is_voting() {
+            return;
+        }
+        let jitter = self.random.random_range(0..REPAIR_JITTER_MS);
+        self.next_repair_at = now + REPAIR_INTERVAL_MS + jitter;
+        let sources = self.live_members(now);
+        if sources.is_empty() {
+            return;
+        }
+        for (key, version) in self.values.lacking() {
+            let place = self.random.random_range(0..sources.len());
+            self.send(
+                &sources[place],
+                ConsensusMessage::RequestValue { key, version },
+            );
+        }
+    }
+
+    fn live_members(&self, now: u64) -> Vec<String> {
+        let members = self.sets.newest().voters.iter();
+        let members = members.map(|voter| voter.address.clone());
+        let live = members
+            .filter(|address| *address != self.options.address && self.peers.is_live(now, address));
+        live.collect()
+    }
+
+    /// A value is known to be committed.
+    pub(super) fn learn_committed(&mut self, now: u64, key: &str, stored: &VersionedValue) {
+        if stored.version > self.values.committed_version(key) {
+            self.learn_value(now, key, Value::of(stored));
+        }
+    }
+
+    fn learn_value(&mut self, now: u64, key: &str, value: Value) {
+        let (version, bytes) = (value.version, value.bytes.clone());
+        if !self.values.commit(now, key, value) {
+            return;
+        }
+        self.heartbeats.request();
+        if key == VOTERS_KEY {
+            if let Ok(set) = VoterSet::read_from_buffer(&bytes) {
+                self.learn_set(now, &set);
+            }
+        }
+        if key == SCALER_ROLE_KEY {
+            self.on_role_holder(now, version, &bytes);
+        }
+        let key = key.to_string();
+        self.actions
+            .push(ConsensusAction::ValueCommitted { key, version });
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/consensus/scaler_role.rs
@@ -0,0 +1,181 @@
+//! The scaler role: campaigns for it, the lease on it, and what this controller's voter backs.
+
+use super::Consensus;
+use crate::action::ConsensusAction;
+use crate::keys::SCALER_ROLE_KEY;
+use crate::message::RoleLeaseAck;
+use crate::pending_change::ChangePurpose;
+use crate::role_register::{term_of, RoleHolder};
+use rand::Rng;
+use register::{Change, ChangeOutcome};
+use speedy::Writable;
+
+/// Time between the campaigns of two neighbours in the set, so that they do not race, in milliseconds.
+const CAMPAIGN_STAGGER_MS: u64 = 40;
+/// Most milliseconds that a campaign is late beyond that.
+const CAMPAIGN_JITTER_MS: u64 = 20;
+/// Pause after a campaign that was lost, in milliseconds; it is random.
+const LOST_CAMPAIGN_PAUSE_MS: std::ops::Range<u64> = 50..200;
+
+impl Consensus {
+    /// Ends contact and this controller's role lease where their time is over. A controller that was frozen does so
+    /// before anything else.
+    pub(super) fn expire_leases(&mut self, now: u64) {
+        self.update_contact(now);
+        if self.role.is_lease_over(now) {
+            self.end_role_lease(now);
+        }
+    }
+
+    pub(super) fn end_role_lease(&mut self, now: u64) {
+        let Some(ended) = self.role.end_lease(now) else {
+            return;
+        };
+        self.heartbeats.request();
+        if ended.was_announced {
+            log::info!(
+                "consensus: this controller gave up the scaler role, term {}",
+                ended.term
+            );
+            self.actions.push(ConsensusAction::RoleLost);
+        }
+    }
+
+    /// Gives the scaler role up for good, since this controller shuts down.
+    pub fn resign(&mut self, now: u64) {
+        self.role.resign();
+        self.end_role_lease(now);
+        self.heartbeats.expire(now);
+        self.send_due_heartbeats(now);
+    }
+
+    /// Whether this controller's voter would let a controller have the role.
+    pub(super) fn grants_role(&self, now: u64, to: &str) -> bool {
+        let is_idle = !self.role.has_pending_rounds() && !self.sets.has_disk_work();
+        let is_current = self.sets.is_voting() && self.sets.is_own_newest();
+        is_idle && is_current && self.role.may_promise(now, to)
+    }
+
+    /// Whether this controller's voter has accepted a holder's value and has promised nothing since.
+    pub(super) fn backs(&self, holder: &str, incarnation: u64, term: u64) -> bool {
+        let is_idle = !self.role.has_pending_rounds() && !self.sets.has_disk_work();
+        if !is_idle || !self.sets.is_voting() {
+            return false;
+        }
+        let Some(accepted) = self.values.own(SCALER_ROLE_KEY) else {
+            return false;
+        };
+        let named = accepted.role_holder();
+        let is_firm = accepted.promised == accepted.accepted;
+        let is_holder = named.address == holder && named.incarnation == incarnation;
+        is_firm && is_holder && term_of(self.sets.own().epoch, accepted.version) == term
+    }
+
+    /// A heartbeat is about to leave: it claims the role where this controller has won it.
+    pub(super) fn back_own_lease(&mut self, now: u64, number: u64) {
+        let Some(term) = self.role.claimed_term() else {
+            return;
+        };
+        let is_backed =
+            self.sets.is_own_newest() && self.backs(&self.options.address, self.incarnation, term);
+        self.role.record_sent(now, number);
+        if is_backed {
+            self.record_role_ack(now, self.sets.own_disk(), number);
+        }
+    }
+
+    /// Another controller's voter backs the claim that a heartbeat of this one made.
+    pub(super) fn on_role_lease_ack(&mut self, now: u64, ack: &RoleLeaseAck) {
+        let Some(term) = self.role.claimed_term() else {
+            return;
+        };
+        if ack.set_version == self.sets.version() && ack.term == term {
+            self.record_role_ack(now, ack.disk, ack.number);
+        }
+    }
+
+    /// Announces that this controller holds the role, once a majority has backed its claim.
+    fn record_role_ack(&mut self, now: u64, disk: u64, number: u64) {
+        let set = self.sets.newest();
+        if let Some(term) = self.role.record_ack(now, set, disk, number) {
+            log::info!("consensus: this controller holds the scaler role, term {term}");
+            self.actions.push(ConsensusAction::RoleAcquired { term });
+        }
+    }
+
+    /// Campaigns for the role where it is vacant and a majority would let this controller have it.
+    pub(super) fn poll_campaign(&mut self, now: u64) {
+        let is_free = self.grants_role(now, &self.options.address);
+        if self.role.record_free(is_free) {
+            self.heartbeats.request();
+        }
+        if !is_free || !self.may_campaign(now) {
+            return self.role.cancel_campaign();
+        }
+        let own_disk = self.sets.own_disk();
+        let mut voters = self.sets.newest().voters.iter();
+        let place = voters.position(|voter| voter.disk == own_disk);
+        let jitter = self.random.random_range(0..CAMPAIGN_JITTER_MS);
+        let pause = place.unwrap_or(0) as u64 * CAMPAIGN_STAGGER_MS + jitter;
+        if self.role.poll_campaign(now, pause) {
+            self.campaign(now);
+        }
+    }
+
+    fn may_campaign(&self, now: u64) -> bool {
+        self.has_read_required_keys()
+            && self.role.may_campaign(now)
+            && !self.changes.has(ChangePurpose::ScalerRole)
+            && self.is_granted_by_majority(now)
+    }
+
+    fn is_granted_by_majority(&self, now: u64) -> bool {
+        let version = self.sets.version();
+        let set = self.sets.newest();
+        let granting = set.voters.iter().filter(|voter| {
+            let mut live = self.peers.live(now).map(|(_, heartbeat)| heartbeat);
+            voter.disk == self.sets.own_disk()
+                || live.any(|heartbeat| {
+                    heartbeat.disk == voter.disk
+                        && heartbeat.grants_role
+                        && heartbeat.own_set == version
+                })
+        });
+        granting.count() >= set.majority()
+    }
+
+    fn campaign(&mut self, now: u64) {
+        let holder = RoleHolder {
+            address: self.options.address.clone(),
+            name: self.options.name.clone(),
+            incarnation: self.incarnation,
+        };
+        let expected = self.values.committed_version(SCALER_ROLE_KEY);
+        let bytes = holder.write_to_vec().unwrap_or_default();
+        let change = Change::Write { expected, bytes };
+        self.propose(now, ChangePurpose::ScalerRole, SCALER_ROLE_KEY, change);
+    }
+
+    pub(super) fn on_campaign_ended(&mut self, now: u64, outcome: ChangeOutcome) {
+        let ChangeOutcome::Committed(stored) = outcome else {
+            let pause = self.random.random_range(LOST_CAMPAIGN_PAUSE_MS);
+            return self.role.delay_campaigns(now + pause);
+        };
+        let is_newest = stored.version == self.values.committed_version(SCALER_ROLE_KEY);
+        let epoch = self.sets.newest().epoch;
+        if is_newest && self.role.win(now, epoch, stored.version) {
+            self.heartbeats.request_at_once();
+        }
+    }
+
+    /// A newer holder is committed. It is left time to claim the role.
+    pub(super) fn on_role_holder(&mut self, now: u64, version: u64, bytes: &[u8]) {
+        let won_version = self.role.won_version();
+        if won_version.is_some_and(|won| won < version) {
+            self.end_role_lease(now);
+        }
+        if RoleHolder::decode(bytes).address != self.options.address {
+            self.role.yield_to_winner(now);
+        }
+    }
+}
--- a/crates/consensus/src/contact.rs
+++ b/crates/consensus/src/contact_lease.rs
@@ -3,10 +3,10 @@
 use register::VoterSet;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Share of the span that counts, in fifths; the rest is left for clocks that run apart.
-const COUNTED_FIFTHS: u64 = 4;
+/// Fifths of the time span for which the lease lasts; the rest is left for clocks that run apart.
+const LEASE_FIFTHS: u64 = 4;
 /// Most heartbeats whose sending is remembered.
-const SENT_MAX: usize = 256;
+const MAX_SENT_HEARTBEATS: usize = 256;
 
 /// A heartbeat of this controller that others may still acknowledge.
 #[derive(Clone, Copy, Debug)]
@@ -23,21 +23,21 @@
 pub struct ContactLease {
     duration_ms: u64,
     sent: VecDeque<SentHeartbeat>,
-    /// By the id of the voter's disk.
+    /// When the newest acknowledged heartbeat was sent, by the voter's disk.
     acknowledged: BTreeMap<u64, u64>,
 }
 
 impl ContactLease {
-    /// No contact yet. The lease lasts four fifths of the span, counted from a heartbeat's sending.
-    pub fn new(duration_ms: u64) -> Self {
+    /// No contact yet. The lease lasts four fifths of the span (in milliseconds), counted from a heartbeat's sending.
+    pub fn new(span_ms: u64) -> Self {
         Self {
-            duration_ms: duration_ms * COUNTED_FIFTHS / 5,
+            duration_ms: span_ms * LEASE_FIFTHS / 5,
             sent: VecDeque::new(),
             acknowledged: BTreeMap::new(),
         }
     }
 
-    /// Time for which the lease lasts from a heartbeat's sending.
+    /// Time for which the lease lasts from a heartbeat's sending, in milliseconds.
     pub fn duration_ms(&self) -> u64 {
         self.duration_ms
     }
@@ -47,7 +47,7 @@
         let span = self.duration_ms;
         self.sent.retain(|heartbeat| now < heartbeat.sent_at + span);
         self.acknowledged.retain(|_, sent_at| now < *sent_at + span);
-        if self.sent.len() >= SENT_MAX {
+        if self.sent.len() >= MAX_SENT_HEARTBEATS {
             self.sent.pop_front();
         }
         let sent_at = now;
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,48 +1,51 @@
+//! What controllers say to one another. Variants and fields are encoded in their order, which must stay.
+
+use crate::value::ValueId;
 use register::{
     Ballot, ClaimFloors, RegisterState, SetVersion, VersionedValue, VoterRequest, VoterResponse,
     VoterSet,
 };
 use speedy::{Readable, Writable};
 
-/// What controllers say to one another.
+/// A message from one controller to another. Any of them may get lost, come late, or come twice.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum ConsensusMessage {
-    /// Whose link this is. The daemon says it first on each link; the consensus machine ignores it.
+    /// Whose link this is. The daemon sends it first on each link; the consensus ignores it.
     Link {
         /// Address of the controller that opened the link.
         address: String,
     },
     /// A controller lives, and knows this.
     Heartbeat(Heartbeat),
-    /// A member's voter backs the claim of a heartbeat.
+    /// A member's voter backs the role lease that a heartbeat claimed.
     RoleLeaseAck(RoleLeaseAck),
-    /// A question to a voter.
+    /// A request to a voter.
     VoterRequest {
-        /// Number that the answer bears.
+        /// Number that the response bears.
         number: u64,
-        /// Version and tag of a value that the asker has, which need not travel.
-        known: (u64, u64),
-        /// The question.
-        message: VoterRequest,
+        /// A value that the sender has, which need not travel.
+        known: ValueId,
+        /// The request.
+        request: VoterRequest,
     },
-    /// A voter's answer.
+    /// A voter's response.
     VoterResponse {
-        /// Identity of the disk that the answer was given from.
+        /// Identity of the disk that the response was given from.
         disk: u64,
-        /// Number of the question.
+        /// Number of the request.
         number: u64,
-        /// Whether the value is left out, since it is the one that the asker has.
+        /// Whether the value is left out, since it is the one that the receiver has.
         is_known: bool,
-        /// The answer.
-        reply: VoterResponse,
+        /// The response.
+        response: VoterResponse,
     },
-    /// Tell the newest set.
+    /// Asks for the newest voter set.
     RequestVoterSet,
-    /// The newest set that is known to be settled.
+    /// The newest voter set that is known to be committed.
     VoterSet(VoterSetUpdate),
-    /// The first set, to a member that is still empty.
+    /// The first voter set, to a member that is still empty.
     FormVoterSet(VoterSet),
-    /// Say so once the set of this version, or a later one, is durable at the receiver's voter.
+    /// Asks for [`ConsensusMessage::Installed`] where this set, or a later one, is durable at the receiver's voter.
     ConfirmInstalled {
         /// Version of the set.
         set_version: SetVersion,
@@ -54,23 +57,23 @@
         /// Version of the set.
         set_version: SetVersion,
     },
-    /// Tell what is held after a key, under the set of this version.
+    /// Asks for what a member holds after a key.
     RequestReplica {
-        /// Version of the set.
+        /// Version of the set that the member must be in.
         set_version: SetVersion,
         /// The last key that is known; empty at the beginning.
         after: String,
     },
     /// Part of what a member holds.
     Replica(ReplicaPage),
-    /// Tell the settled value of a key, if it is not older than this version.
+    /// Asks for the committed value of a key, if it is not older than this version.
     RequestValue {
         /// Key of the register.
         key: String,
-        /// Version that is known to be settled.
+        /// Version that is known to be committed.
         version: u64,
     },
-    /// A settled value.
+    /// A committed value.
     Value {
         /// Key of the register.
         key: String,
@@ -81,44 +84,43 @@
     },
 }
 
-/// The newest set that a controller knows to be settled.
+/// The newest voter set that a controller knows to be committed.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct VoterSetUpdate {
     /// The set.
     pub set: VoterSet,
-    /// The set before it, where that is known. Copies of a majority of its members are enough for a
-    /// newcomer.
+    /// The set before it, where that is known. Replicas of a majority of its members are enough for a newcomer.
     pub previous: Option<VoterSet>,
 }
 
-/// A controller's sign of life.
+/// What a controller says of itself at regular intervals.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct Heartbeat {
-    /// Id of the controller's disk.
+    /// Identity of the sender's disk.
     pub disk: u64,
-    /// Random id of the controller's incarnation.
+    /// Random id of the sender's incarnation.
     pub incarnation: u64,
-    /// Counted up with each heartbeat of a incarnation.
+    /// Counted up with each heartbeat of an incarnation.
     pub number: u64,
-    /// Version of the set that the controller's voter is in; epoch 0 where it is empty.
+    /// Version of the set that the sender's voter is in; epoch 0 where it is empty.
     pub own_set: SetVersion,
-    /// Version of the newest set that the controller knows.
+    /// Version of the newest set that the sender knows to be committed.
     pub known_set: SetVersion,
-    /// Version and tag of the settled values of all keys that are kept up, in their order.
-    pub committed: Vec<(u64, u64)>,
-    /// Term under which the controller holds the duty or has just won it; 0 for none.
+    /// Committed values of all replicated registers, in the order of their keys in `keys.rs`.
+    pub committed: Vec<ValueId>,
+    /// Term under which the sender holds the scaler role or has just won it; 0 for none.
     pub role_term: u64,
-    /// Whether the controller's voter would let the receiver have the duty.
+    /// Whether the sender's voter would let the receiver have the scaler role.
     pub grants_role: bool,
-    /// Places of the set whose members the controller hears, one bit for each.
+    /// Members of the set that the sender hears, one bit for each place in the set.
     pub reachable_members: u64,
-    /// Controllers outside the set that the controller hears.
+    /// Controllers outside the set that the sender hears.
     pub spare_controllers: u8,
-    /// Whether the controller takes this for the first start of the whole system.
+    /// Whether the sender takes this for the first start of the whole system.
     pub is_first_start: bool,
-    /// Whether the controller is in contact with a majority.
+    /// Whether the sender is in contact with a majority.
     pub is_in_contact: bool,
-    /// The newest heartbeat that the controller has heard from the receiver.
+    /// The newest heartbeat that the sender has heard from the receiver.
     pub acknowledged: HeartbeatAck,
 }
 
@@ -131,10 +133,10 @@
     pub number: u64,
 }
 
-/// A member's word that its voter backs a claim.
+/// Says that a member's voter backs a role lease.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct RoleLeaseAck {
-    /// Id of the member's disk.
+    /// Identity of the member's disk.
     pub disk: u64,
     /// Version of the set that the member's voter is in.
     pub set_version: SetVersion,
@@ -147,7 +149,7 @@
 /// Part of what a member holds, in the order of keys.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct ReplicaPage {
-    /// Id of the member's disk.
+    /// Identity of the member's disk.
     pub disk: u64,
     /// Version of the set that the member is in.
     pub set_version: SetVersion,
@@ -155,8 +157,8 @@
     pub claim_floors: ClaimFloors,
     /// The key after which this part begins.
     pub after: String,
-    /// Keys with what is held.
-    pub keys: Vec<(String, RegisterState)>,
+    /// Registers by key.
+    pub registers: Vec<(String, RegisterState)>,
     /// Whether nothing comes after this part.
     pub is_last: bool,
 }
--- /dev/null
+++ b/crates/consensus/src/role_register.rs
@@ -0,0 +1,45 @@
+//! The register that says which controller won the scaler role last.
+
+use crate::keys::SCALER_ROLE_KEY;
+use register::VoterOperation;
+use speedy::{Readable, Writable};
+
+/// Bits of a term below the voter set's epoch.
+const EPOCH_SHIFT: u32 = 40;
+
+/// Value of the scaler role's register: the controller that won it last.
+#[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
+pub struct RoleHolder {
+    /// Address of the holder.
+    pub address: String,
+    /// Name of the holder.
+    pub name: String,
+    /// Random id of the holder's incarnation.
+    pub incarnation: u64,
+}
+
+impl RoleHolder {
+    /// Decodes the register's value. What cannot be decoded names nobody.
+    pub(crate) fn decode(bytes: &[u8]) -> Self {
+        Self::read_from_buffer(bytes).unwrap_or_default()
+    }
+}
+
+/// Key of the register that an operation is about.
+pub(crate) fn key_of(operation: &VoterOperation) -> &str {
+    match operation {
+        VoterOperation::Query { key }
+        | VoterOperation::Prepare { key, .. }
+        | VoterOperation::Accept { key, .. } => key,
+    }
+}
+
+/// Whether an operation prepares or accepts a value of the scaler role's register.
+pub(crate) fn is_role_round(operation: &VoterOperation) -> bool {
+    key_of(operation) == SCALER_ROLE_KEY && !matches!(operation, VoterOperation::Query { .. })
+}
+
+/// Term of a holder, which fences its commands: the version at which it won, under the voter set's epoch.
+pub(crate) fn term_of(epoch: u64, version: u64) -> u64 {
+    (epoch << EPOCH_SHIFT) | version
+}
--- a/crates/consensus/tests/bad_messages.rs
+++ b/crates/consensus/tests/bad_messages.rs
@@ -1,25 +1,29 @@
-//! Messages that are told again, late, cut or garbled: no controller panics, and nothing that is settled moves back.
+//! Messages that come again, late, cut or garbled: no controller panics, and nothing that is committed moves back.
 
 #[allow(dead_code)]
 mod world;
 
-use consensus::{Consensus, ConsensusMessage, CONFIGURATION_KEY, EVACUATIONS_KEY, SCALER_ROLE_KEY};
+use consensus::{
+    execute_batch_on_disk, Consensus, ConsensusAction, ConsensusMessage, CONFIGURATION_KEY,
+    EVACUATIONS_KEY, SCALER_ROLE_KEY,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use register::VOTERS_KEY;
 use speedy::{Readable, Writable};
+use voter::VoterDisk;
 use world::World;
 
-const REQUIRED_KEYS: [&str; 4] = [
+const REPLICATED_KEYS: [&str; 4] = [
     CONFIGURATION_KEY,
     EVACUATIONS_KEY,
     SCALER_ROLE_KEY,
     VOTERS_KEY,
 ];
 
-fn settled(consensus: &Consensus) -> Vec<u64> {
+fn committed(consensus: &Consensus) -> Vec<u64> {
     let version = |key: &&str| consensus.committed(key).map_or(0, |(version, _)| version);
-    REQUIRED_KEYS.iter().map(version).collect()
+    REPLICATED_KEYS.iter().map(version).collect()
 }
 
 /// Changes some bytes of a message, or cuts it.
@@ -64,6 +68,65 @@
     }
 }
 
+/// A consensus with its voter, taken out of a world.
+struct Victim {
+    consensus: Consensus,
+    voter: VoterDisk,
+    local: u64,
+}
+
+impl Victim {
+    /// Takes the first controller out of a world.
+    fn take(world: &mut World) -> Self {
+        let node = &mut world.nodes[0];
+        Self {
+            consensus: node.consensus.take().unwrap(),
+            voter: node.voter.take().unwrap(),
+            local: node.clock(world.now),
+        }
+    }
+
+    /// Gives it a message and lets time pass; nothing that it has committed or promised may move back.
+    fn feed(&mut self, from: &str, message: ConsensusMessage, pause: u64) {
+        let before = (
+            committed(&self.consensus),
+            self.consensus.voter_set().version(),
+        );
+        self.consensus.on_message(self.local, from, message);
+        self.local += pause;
+        self.consensus.tick(self.local);
+        self.execute_disk_work();
+        let after = (
+            committed(&self.consensus),
+            self.consensus.voter_set().version(),
+        );
+        let mut versions = before.0.iter().zip(&after.0);
+        assert!(versions.all(|(old, new)| old <= new), "a value moved back");
+        assert!(before.1 <= after.1, "the set moved back");
+        assert!(
+            self.consensus.known_controllers().len() <= 80,
+            "addresses are bounded"
+        );
+    }
+
+    fn execute_disk_work(&mut self) {
+        let actions = self.consensus.take_actions().into_iter();
+        let work = actions.filter_map(|action| match action {
+            ConsensusAction::Disk(work) => Some(work),
+            _ => None,
+        });
+        let before = self.voter.voter().acceptor().clone();
+        for completion in execute_batch_on_disk(&mut self.voter, work.collect()) {
+            self.consensus.on_disk(self.local, completion);
+        }
+        let registers = before.registers_after("");
+        for (key, old) in registers.filter(|(key, _)| REPLICATED_KEYS.contains(&key.as_str())) {
+            let new = self.voter.voter().acceptor().register(key).unwrap();
+            assert!(new.promised >= old.promised && new.accepted >= old.accepted);
+        }
+    }
+}
+
 #[test]
 fn garbled_messages_in_any_order_never_panic_and_move_nothing_back() {
     let mut fed = 0;
@@ -74,46 +137,14 @@
         world.is_writing = false;
         let past = world.past.take().unwrap();
         let mut random = StdRng::seed_from_u64(seed);
-        let node = &mut world.nodes[0];
-        let mut local = node.clock(world.now);
-        let (mut consensus, mut voter) =
-            (node.consensus.take().unwrap(), node.voter.take().unwrap());
+        let mut victim = Victim::take(&mut world);
         for _ in 0..3_000 {
             let (_, from, message) = &past[random.random_range(0..past.len())];
             let Some(message) = garbled(message, &mut random) else {
                 continue;
             };
-            let before = (settled(&consensus), consensus.voter_set().version());
             fed += 1;
-            consensus.on_message(local, from, message);
-            local += random.random_range(0..40);
-            consensus.tick(local);
-            let works = consensus
-                .take_actions()
-                .into_iter()
-                .filter_map(|action| match action {
-                    consensus::ConsensusAction::Disk(work) => Some(work),
-                    _ => None,
-                });
-            let promised = voter.voter().acceptor().clone();
-            for done in consensus::execute_batch_on_disk(&mut voter, works.collect()) {
-                consensus.on_disk(local, done);
-            }
-            let after = (settled(&consensus), consensus.voter_set().version());
-            let mut versions = before.0.iter().zip(&after.0);
-            assert!(versions.all(|(old, new)| old <= new), "a value moved back");
-            assert!(before.1 <= after.1, "the set moved back");
-            for (key, held) in promised
-                .registers_after("")
-                .filter(|(key, _)| REQUIRED_KEYS.contains(&key.as_str()))
-            {
-                let now = voter.voter().acceptor().register(key).unwrap();
-                assert!(now.promised >= held.promised && now.accepted >= held.accepted);
-            }
-            assert!(
-                consensus.known_controllers().len() <= 80,
-                "addresses are bounded"
-            );
+            victim.feed(from, message, random.random_range(0..40));
         }
     }
     println!("{fed} garbled messages");
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -39,55 +39,34 @@
     DiskWork::ConfirmInstalled { to, set_version }
 }
 
-fn is_confirmed(dones: &[DiskCompletion]) -> bool {
-    let is_installed =
-        |done: &DiskCompletion| matches!(done, DiskCompletion::InstallationConfirmed { .. });
-    dones.iter().any(is_installed)
+/// Whether a batch of work that ends with a request for confirmation brings one.
+fn is_confirmed(disk: &mut VoterDisk, batch: Vec<DiskWork>) -> bool {
+    let completions = execute_batch_on_disk(disk, batch);
+    completions
+        .iter()
+        .any(|completion| matches!(completion, DiskCompletion::InstallationConfirmed { .. }))
 }
 
 #[test]
 fn a_set_is_confirmed_once_it_is_synced_and_not_before() {
     let folder = MemoryFolder::default();
     let mut disk = opened(&folder);
-    assert!(!is_confirmed(&execute_batch_on_disk(
-        &mut disk,
-        vec![confirm(FIRST)]
-    )));
+    assert!(!is_confirmed(&mut disk, vec![confirm(FIRST)]));
     let form = DiskWork::FormSet(set(1));
-    assert!(is_confirmed(&execute_batch_on_disk(
-        &mut disk,
-        vec![form, confirm(FIRST)]
-    )));
-    assert!(!is_confirmed(&execute_batch_on_disk(
-        &mut disk,
-        vec![confirm(SECOND)]
-    )));
-    assert!(!is_confirmed(&execute_batch_on_disk(
-        &mut disk,
-        vec![confirm(SetVersion::new(2, 1))]
-    )));
+    assert!(is_confirmed(&mut disk, vec![form, confirm(FIRST)]));
+    assert!(!is_confirmed(&mut disk, vec![confirm(SECOND)]));
+    let of_next_epoch = confirm(SetVersion::new(2, 1));
+    assert!(!is_confirmed(&mut disk, vec![of_next_epoch]));
     folder.inject(FaultKind::Full);
     let adopt = DiskWork::AdoptSet(set(2));
-    assert!(!is_confirmed(&execute_batch_on_disk(
-        &mut disk,
-        vec![adopt, confirm(SECOND)]
-    )));
+    assert!(!is_confirmed(&mut disk, vec![adopt, confirm(SECOND)]));
     folder.inject(FaultKind::Room);
     disk.reopen().unwrap();
-    assert!(!is_confirmed(&execute_batch_on_disk(
-        &mut disk,
-        vec![confirm(SECOND)]
-    )));
+    assert!(!is_confirmed(&mut disk, vec![confirm(SECOND)]));
     let adopt = DiskWork::AdoptSet(set(2));
     execute_batch_on_disk(&mut disk, vec![adopt]);
-    assert!(is_confirmed(&execute_batch_on_disk(
-        &mut disk,
-        vec![confirm(FIRST)]
-    )));
-    assert!(is_confirmed(&execute_batch_on_disk(
-        &mut disk,
-        vec![confirm(SECOND)]
-    )));
+    assert!(is_confirmed(&mut disk, vec![confirm(FIRST)]));
+    assert!(is_confirmed(&mut disk, vec![confirm(SECOND)]));
 }
 
 #[test]
--- a/crates/consensus/tests/granting.rs
+++ b/crates/consensus/tests/granting.rs
@@ -2,7 +2,7 @@
 
 use consensus::{
     Consensus, ConsensusAction, ConsensusMessage, ConsensusOptions, DiskWork, Heartbeat,
-    RegisterSnapshot, RoleHolder, VoterSnapshot, SCALER_ROLE_KEY,
+    RegisterSnapshot, RoleHolder, ValueId, VoterSnapshot, SCALER_ROLE_KEY,
 };
 use register::{
     Ballot, SetVersion, VersionedValue, VoterOperation, VoterRef, VoterRequest, VoterResponse,
@@ -106,8 +106,8 @@
     };
     let message = ConsensusMessage::VoterRequest {
         number: 1,
-        known: (0, 0),
-        message: VoterRequest {
+        known: ValueId::default(),
+        request: VoterRequest {
             set_version: SetVersion::new(1, 1),
             operation: ask,
         },
@@ -115,8 +115,8 @@
     consensus.on_message(now, OTHER, message);
     let actions = consensus.take_actions();
     let is_refused = actions.iter().any(|action| {
-        matches!(action, ConsensusAction::Send { to, message: ConsensusMessage::VoterResponse { reply, .. } }
-            if to == OTHER && matches!(reply, VoterResponse::Unavailable { .. }))
+        matches!(action, ConsensusAction::Send { to, message: ConsensusMessage::VoterResponse { response, .. } }
+            if to == OTHER && matches!(response, VoterResponse::Unavailable { .. }))
     });
     let is_passed_on = actions.iter().any(
         |action| matches!(action, ConsensusAction::Disk(DiskWork::VoterRequest { to, .. }) if to == OTHER),
@@ -144,7 +144,7 @@
     let mut consensus = started(ballot(1));
     let late = STARTED_AT + 400;
     consensus.on_message(late, HOLDER, holders_claim());
-    consensus.take_actions();
+    let _ = consensus.take_actions();
     assert!(!passes_promise_on(&mut consensus, late + LEASE_MS - 1));
     assert!(passes_promise_on(&mut consensus, late + LEASE_MS));
 }
@@ -164,6 +164,6 @@
     let later = STARTED_AT + LEASE_MS;
     consensus.on_message(later, OTHER, successor);
     consensus.on_message(later, HOLDER, holders_claim());
-    consensus.take_actions();
+    let _ = consensus.take_actions();
     assert!(passes_promise_on(&mut consensus, later + 1));
 }
--- a/crates/consensus/tests/identities.rs
+++ b/crates/consensus/tests/identities.rs
@@ -24,10 +24,10 @@
 }
 
 fn is_accept(message: &ConsensusMessage) -> bool {
-    let ConsensusMessage::VoterRequest { message, .. } = message else {
+    let ConsensusMessage::VoterRequest { request, .. } = message else {
         return false;
     };
-    matches!(message.operation, VoterOperation::Accept { .. })
+    matches!(request.operation, VoterOperation::Accept { .. })
 }
 
 #[test]
@@ -36,7 +36,7 @@
     let local = world.nodes[0].clock(world.now);
     let disks: Vec<u64> = world.nodes.iter().map(|node| node.disk).collect();
     let consensus = world.nodes[0].consensus.as_mut().unwrap();
-    consensus.take_actions();
+    let _ = consensus.take_actions();
     consensus.write(local, 9_999, CONFIGURATION_KEY, 0, vec![1]);
     let asks = sent(consensus);
     let number = asks.iter().find_map(|message| match message {
@@ -48,7 +48,7 @@
         disk,
         number,
         is_known: false,
-        reply: VoterResponse::LastAccepted {
+        response: VoterResponse::LastAccepted {
             ballot: Ballot::default(),
             value: VersionedValue::default(),
         },
@@ -85,7 +85,7 @@
     };
     consensus.on_message(local, "at-9", heartbeat(5, 100, SetVersion::new(1, 1)));
     consensus.on_message(local, "at-9", heartbeat(6, 1, SetVersion::new(1, 1)));
-    consensus.take_actions();
+    let _ = consensus.take_actions();
     consensus.on_message(local, "at-9", heartbeat(5, 101, SetVersion::new(1, 2)));
     let wants_set = |message: &ConsensusMessage| *message == ConsensusMessage::RequestVoterSet;
     assert!(!sent(consensus).iter().any(wants_set));
--- a/crates/consensus/tests/installing.rs
+++ b/crates/consensus/tests/installing.rs
@@ -50,7 +50,7 @@
         previous: None,
     };
     consensus.on_message(STARTED_AT, MEMBERS[0], ConsensusMessage::VoterSet(update));
-    consensus.take_actions();
+    let _ = consensus.take_actions();
     consensus
 }
 
@@ -63,7 +63,7 @@
             set_version,
             claim_floors: ClaimFloors::default(),
             after: String::new(),
-            keys: Vec::new(),
+            registers: Vec::new(),
             is_last: true,
         };
         consensus.on_message(STARTED_AT, address, ConsensusMessage::Replica(page));
--- a/crates/consensus/tests/world/machines.rs
+++ b/crates/consensus/tests/world/machines.rs
@@ -111,10 +111,10 @@
     }
 
     pub fn note_proposal(&mut self, from: usize, message: &ConsensusMessage) {
-        let ConsensusMessage::VoterRequest { message, .. } = message else {
+        let ConsensusMessage::VoterRequest { request, .. } = message else {
             return;
         };
-        if matches!(&message.operation, VoterOperation::Prepare { key, .. } if key == VOTERS_KEY) {
+        if matches!(&request.operation, VoterOperation::Prepare { key, .. } if key == VOTERS_KEY) {
             self.set_proposals.push((self.now, from));
         }
     }
--- a/tests/compatibility/src/controller_folder.rs
+++ b/tests/compatibility/src/controller_folder.rs
@@ -3,7 +3,7 @@
 use crate::samples::operator_commands::{replaced_configuration, two_zones, updated_configuration};
 use crate::samples::register::voter;
 use crate::samples::stored::{done_job, role_lease, taken_job};
-use consensus::{execute_batch_on_disk, DiskWork};
+use consensus::{execute_batch_on_disk, DiskWork, ValueId};
 use journal::{Folder, MemoryFolder};
 use register::{
     Ballot, ClaimFloors, RegisterState, VersionedValue, VoterOperation, VoterRequest, VoterSet,
@@ -150,8 +150,8 @@
     DiskWork::VoterRequest {
         to: "10.0.0.2:7000".into(),
         number: 1,
-        known: (0, 0),
-        message: VoterRequest {
+        known: ValueId::default(),
+        request: VoterRequest {
             set_version: set.version(),
             operation: ask,
         },
--- a/tests/compatibility/src/samples/consensus.rs
+++ b/tests/compatibility/src/samples/consensus.rs
@@ -5,7 +5,7 @@
     answers, ballot, questions, register_state, versioned_value, voter_set,
 };
 use consensus::{
-    ConsensusMessage, Heartbeat, HeartbeatAck, ReplicaPage, RoleLeaseAck, VoterSetUpdate,
+    ConsensusMessage, Heartbeat, HeartbeatAck, ReplicaPage, RoleLeaseAck, ValueId, VoterSetUpdate,
 };
 use register::{ClaimFloors, SetVersion, VoterRequest, VoterResponse, VoterSet};
 
@@ -44,7 +44,12 @@
         number: 401,
         own_set: SetVersion::new(2, 5),
         known_set: SetVersion::new(2, 6),
-        committed: vec![(9, 0xfeed), (3, 7), (12, 1), (0, 0)],
+        committed: vec![
+            ValueId::new(9, 0xfeed),
+            ValueId::new(3, 7),
+            ValueId::new(12, 1),
+            ValueId::default(),
+        ],
         role_term: (2 << 40) | 12,
         grants_role: true,
         reachable_members: 0b101,
@@ -75,20 +80,20 @@
     ]
 }
 
-fn ask(message: VoterRequest) -> ConsensusMessage {
+fn ask(request: VoterRequest) -> ConsensusMessage {
     ConsensusMessage::VoterRequest {
         number: 77,
-        known: (9, 0xfeed_beef_0000_0001),
-        message,
+        known: ValueId::new(9, 0xfeed_beef_0000_0001),
+        request,
     }
 }
 
-fn answer(is_known: bool, reply: VoterResponse) -> ConsensusMessage {
+fn answer(is_known: bool, response: VoterResponse) -> ConsensusMessage {
     ConsensusMessage::VoterResponse {
         disk: 0x1112_1314_1516_1718,
         number: 77,
         is_known,
-        reply,
+        response,
     }
 }
 
@@ -153,7 +158,7 @@
             refused_before: 1_700_000_000_001,
         },
         after: "closures".into(),
-        keys: vec![
+        registers: vec![
             ("description".into(), register_state()),
             ("job/00ff".into(), register_state()),
         ],
--- a/tests/model/src/registers/disk.rs
+++ b/tests/model/src/registers/disk.rs
@@ -1,5 +1,5 @@
 use crate::fingerprint::Fingerprinter;
-use consensus::{execute_batch, DiskCompletion, DiskWork, ReplicaPage};
+use consensus::{execute_batch, DiskCompletion, DiskWork, ReplicaPage, ValueId};
 use journal::{FaultKind, MemoryFolder};
 use register::{Acceptor, SetVersion, VoterRequest, VoterResponse};
 use speedy::Writable;
@@ -45,17 +45,17 @@
         dones
     }
 
-    /// The voter's answer to a question.
-    pub fn ask(&mut self, message: VoterRequest) -> Option<VoterResponse> {
+    /// The voter's response to a request.
+    pub fn ask(&mut self, request: VoterRequest) -> Option<VoterResponse> {
         let work = DiskWork::VoterRequest {
             to: String::new(),
             number: 0,
-            known: (0, 0),
-            message,
+            known: ValueId::default(),
+            request,
         };
         let mut dones = self.work(work).into_iter();
         dones.find_map(|done| match done {
-            DiskCompletion::VoterResponse { reply, .. } => Some(reply),
+            DiskCompletion::VoterResponse { response, .. } => Some(response),
             _ => None,
         })
     }
--- a/tests/model/src/registers/state.rs
+++ b/tests/model/src/registers/state.rs
@@ -205,7 +205,7 @@
         let installation = Installation {
             set: self.set.clone(),
             claim_floors,
-            registers: merge_replicas(pages.into_values().map(|page| page.keys).collect()),
+            registers: merge_replicas(pages.into_values().map(|page| page.registers).collect()),
         };
         if let Some(disk) = self.disks.get_mut(&NEWCOMER) {
             disk.work(DiskWork::Install(installation));
