--- a/crates/autoscaler/src/quotas.rs
+++ b/crates/autoscaler/src/quotas.rs
@@ -5,24 +5,28 @@
 use crate::function::Function;
 use crate::runner::{DrainReason, Runner, RunnerState};
 use crate::state::ClusterState;
-use scaler::Pod;
+use scaler::RunnerQuota;
 
 /// Runners whose quotas may rise: those that count as capacity, and those that can be taken back.
-pub(crate) fn growable(state: &ClusterState, function: &Function) -> Vec<Pod> {
+pub(crate) fn growable(state: &ClusterState, function: &Function) -> Vec<RunnerQuota> {
     let can_grow = |runner: &Runner| runner.is_capacity() || runner.can_be_revived();
     pods(state, function, can_grow)
 }
 
 /// Runners whose quotas may fall: those that count as capacity and are known to exist.
-pub(crate) fn shrinkable(state: &ClusterState, function: &Function) -> Vec<Pod> {
+pub(crate) fn shrinkable(state: &ClusterState, function: &Function) -> Vec<RunnerQuota> {
     let can_shrink = |runner: &Runner| runner.is_capacity() && runner.id.is_some();
     pods(state, function, can_shrink)
 }
 
-fn pods(state: &ClusterState, function: &Function, accepts: impl Fn(&Runner) -> bool) -> Vec<Pod> {
+fn pods(
+    state: &ClusterState,
+    function: &Function,
+    accepts: impl Fn(&Runner) -> bool,
+) -> Vec<RunnerQuota> {
     let runners = state.runners_of(function);
     let accepted = runners.filter(|(_, runner)| accepts(runner));
-    let pods = accepted.map(|(serial, runner)| Pod {
+    let pods = accepted.map(|(serial, runner)| RunnerQuota {
         // The serials in equal lengths, so that ties go by age.
         id: format!("{serial:020}"),
         quota: runner.quota,
@@ -33,7 +37,7 @@
 }
 
 /// Takes the quotas that were decided, in that order. Tells whether any is another one than before.
-pub(crate) fn apply(state: &mut ClusterState, pods: &[Pod]) -> bool {
+pub(crate) fn apply(state: &mut ClusterState, pods: &[RunnerQuota]) -> bool {
     let mut has_changed = false;
     for pod in pods {
         let Ok(serial) = pod.id.parse() else {
--- a/crates/autoscaler/src/scaling_decision.rs
+++ b/crates/autoscaler/src/scaling_decision.rs
@@ -12,7 +12,7 @@
 use crate::start_queue::StartUrgency;
 use crate::starts::add_start;
 use crate::state::ClusterState;
-use scaler::{grow, shrink, Pod};
+use scaler::{grow, shrink, RunnerQuota};
 
 /// Runners are bounded by what serves so many times the demand.
 const MAX_OVERPROVISIONING: f64 = 4.0;
@@ -163,7 +163,7 @@
         return;
     };
     let mut pods = quotas::shrinkable(state, function);
-    let whole = |pod: &Pod| f64::from(pod.most) * pod.seat_rate;
+    let whole = |pod: &RunnerQuota| f64::from(pod.most) * pod.seat_rate;
     let minimal = pods.iter().map(whole).fold(0.0, f64::max);
     let Some(fastest) = pods.iter().map(|pod| pod.seat_rate).max_by(f64::total_cmp) else {
         return;
--- a/crates/configuration/src/bounds.rs
+++ b/crates/configuration/src/bounds.rs
@@ -6,11 +6,11 @@
 pub struct Bounds {
     /// An acknowledged change holds everywhere within this time, in milliseconds.
     pub change_ms: u64,
-    /// An evacuated district gets no more work after this time, in milliseconds.
+    /// An evacuated zone gets no more work after this time, in milliseconds.
     pub evacuation_ms: u64,
     /// Window over which retries are counted, in milliseconds.
     pub retry_window_ms: u64,
-    /// Share of first tries that retries may reach in the window.
+    /// Share of first attempts that retries may reach in the window.
     pub retry_share: f64,
     /// Retries allowed in the window beside the share, over all fronts.
     pub retry_floor: u32,
@@ -26,8 +26,9 @@
     pub worker_memory_mb: u64,
     /// Starts that one worker may have under way at once.
     pub worker_starts: u32,
-    /// Most tickets that one front holds for one function.
-    pub holding_max: u32,
+    /// Most requests that one front holds for one function.
+    #[serde(rename = "holding_max")]
+    pub queue_max: u32,
     /// Largest request or answer body, in bytes.
     pub body_max: u64,
     /// How long an idempotency key is remembered, in milliseconds.
@@ -48,7 +49,7 @@
             cooldown_ms: 30_000,
             worker_memory_mb: 8_000,
             worker_starts: 4,
-            holding_max: 256,
+            queue_max: 256,
             body_max: 1 << 20,
             claim_ms: 600_000,
         }
@@ -56,14 +57,14 @@
 }
 
 impl Bounds {
-    /// Lease of a front's standing: half the bound on changes, so that a cut-off front is quiet
+    /// A front's quorum lease: half the bound on changes, so that a cut-off front is quiet
     /// well before a change must hold everywhere.
     pub fn lease_ms(&self) -> u64 {
         self.change_ms / 2
     }
 
     /// Time between heartbeats: a fifth of the lease, so that four may be lost.
-    pub fn beat_ms(&self) -> u64 {
+    pub fn heartbeat_ms(&self) -> u64 {
         (self.lease_ms() / 5).max(1)
     }
 
@@ -92,8 +93,8 @@
         self.change_ms * 2 / 3
     }
 
-    /// Time that a duty's holder may be silent before the duty is vacant: the same as the lease.
-    pub fn duty_ms(&self) -> u64 {
+    /// Time that a role's holder may be silent before the role is vacant: the same as the lease.
+    pub fn role_lease_ms(&self) -> u64 {
         self.lease_ms()
     }
 }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,4 +1,4 @@
-//! What operators write: the blueprint, its checks, and the daemons' own settings.
+//! What operators write: the configuration, its checks, and the daemons' own settings.
 #![warn(missing_docs)]
 
 mod bounds;
@@ -8,7 +8,7 @@
 mod settings;
 
 pub use bounds::Bounds;
-pub use checks::{check, parse, Fault, TEXT_MAX};
-pub use model::{Blueprint, District, DistrictState, Kind, Listing};
+pub use checks::{check, parse, ValidationError, MAX_TEXT_BYTES};
+pub use model::{Configuration, FunctionSpec, RequestKind, Zone, ZoneState};
 pub use plan::{PeerRef, Plan, RunnerEntry, RunnerState, Version};
-pub use settings::{read_settings, CoreSettings, FrontSettings, SettingsFault};
+pub use settings::{read_settings, CoreSettings, DaemonSettingsError, FrontSettings};
--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -1,38 +1,39 @@
 use serde::Serialize;
 use speedy::{Readable, Writable};
 
-/// Version of a value that is carried to all: a higher era wins, then a higher number.
+/// Version of a value that is carried to all: a higher epoch wins, then a higher number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Readable, Writable, Serialize,
 )]
 pub struct Version {
-    /// Era of the voters that settled it.
-    pub era: u64,
+    /// Epoch of the voters that settled it.
+    #[serde(rename = "era")]
+    pub epoch: u64,
     /// Version of the register.
     pub no: u64,
 }
 
-/// A daemon in one of its lives.
+/// A daemon in one of its incarnations.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize,
 )]
 pub struct PeerRef {
     /// Name from its settings.
     pub name: String,
-    /// Random number of this life.
+    /// Random number of this incarnation.
     pub incarnation: u64,
 }
 
-/// What the scaler wants: every runner with its keeper and quota, and the roster of fronts.
+/// What the scaler wants: every runner with its owner and quota, and the membership of fronts.
 /// It is one value of the register, so an old scaler's write loses by the expected version.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct Plan {
-    /// Term of the scaler's duty under which it was written.
+    /// Term of the scaler's role under which it was written.
     pub term: u64,
-    /// Version of the plan that last changed the roster.
-    pub roster_since: Version,
-    /// Names of the fronts whose majority gives standing.
-    pub roster: Vec<String>,
+    /// Version of the plan that last changed the membership.
+    pub membership_since: Version,
+    /// Names of the fronts whose majority gives quorum lease.
+    pub membership: Vec<String>,
     /// All runners that are wanted, draining, or whose address rests.
     pub runners: Vec<RunnerEntry>,
 }
@@ -46,8 +47,8 @@
     pub function: String,
     /// Worker that it is placed on.
     pub worker: String,
-    /// District of that worker.
-    pub district: String,
+    /// Zone of that worker.
+    pub zone: String,
     /// Address (ip and port) chosen for it.
     pub address: String,
     /// Key that it seals its answers with.
@@ -55,20 +56,20 @@
     /// Memory that it takes, in megabytes.
     pub memory_mb: u64,
     /// Milliseconds that one of its answers takes, as learnt from routed requests; 0 until seen.
-    pub pace_ms: u32,
+    pub response_time_ms: u32,
     /// Requests that it may hold at once, never above its listing's concurrency.
     pub quota: u32,
     /// The front that alone hands out its seats.
-    pub keeper: PeerRef,
-    /// Grows with each new keeper; 1 is the first.
-    pub keeper_epoch: u64,
-    /// Version of the plan that named this keeper.
-    pub keeper_since: Version,
-    /// Where it is in its life.
+    pub owner: PeerRef,
+    /// Grows with each new owner; 1 is the first.
+    pub owner_epoch: u64,
+    /// Version of the plan that named this owner.
+    pub owner_since: Version,
+    /// Where it is in its incarnation.
     pub state: RunnerState,
 }
 
-/// Where a runner is in its life.
+/// Where a runner is in its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum RunnerState {
     /// Wanted: it is started and serves as soon as it answers.
--- a/crates/configuration/src/settings.rs
+++ b/crates/configuration/src/settings.rs
@@ -7,15 +7,15 @@
 
 /// A fault in a daemon's settings, in one sentence.
 #[derive(Debug)]
-pub struct SettingsFault(pub String);
+pub struct DaemonSettingsError(pub String);
 
-impl fmt::Display for SettingsFault {
+impl fmt::Display for DaemonSettingsError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "settings: {}", self.0)
     }
 }
 
-impl std::error::Error for SettingsFault {}
+impl std::error::Error for DaemonSettingsError {}
 
 /// Settings of `hallkeel-front`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -23,8 +23,9 @@
 pub struct FrontSettings {
     /// Name of this front, one of its own in the fleet.
     pub name: String,
-    /// District that it stands in.
-    pub district: String,
+    /// Zone that it stands in.
+    #[serde(rename = "district")]
+    pub zone: String,
     /// Address for callers and operators (HTTP).
     pub http: SocketAddr,
     /// Address for the other daemons.
@@ -34,9 +35,10 @@
     pub advertise: Option<SocketAddr>,
     /// Wire addresses of the three cores with a disk.
     pub seeds: Vec<SocketAddr>,
-    /// Tries that may run at once in this front.
-    #[serde(default = "default_tries")]
-    pub tries_max: usize,
+    /// Attempts that may run at once in this front.
+    #[serde(default = "default_attempts")]
+    #[serde(rename = "tries_max")]
+    pub max_attempts: usize,
     /// Callers' connections at once.
     #[serde(default = "default_connections")]
     pub connections_max: usize,
@@ -48,8 +50,9 @@
 pub struct CoreSettings {
     /// Name of this core, one of its own in the fleet.
     pub name: String,
-    /// District that it stands in.
-    pub district: String,
+    /// Zone that it stands in.
+    #[serde(rename = "district")]
+    pub zone: String,
     /// Address for operators (HTTP).
     pub http: SocketAddr,
     /// Address for the other daemons.
@@ -65,7 +68,7 @@
     pub platform: SocketAddr,
 }
 
-fn default_tries() -> usize {
+fn default_attempts() -> usize {
     256
 }
 
@@ -77,29 +80,32 @@
 pub fn read_settings<T: DeserializeOwned>(
     file: Option<&Path>,
     flags: impl Serialize,
-) -> Result<T, SettingsFault> {
+) -> Result<T, DaemonSettingsError> {
     let mut figment = Figment::new();
     if let Some(path) = file {
         if !path.is_file() {
-            return Err(SettingsFault(format!("no file at {}", path.display())));
+            return Err(DaemonSettingsError(format!(
+                "no file at {}",
+                path.display()
+            )));
         }
         figment = figment.merge(Toml::file_exact(path));
     }
     figment
         .merge(Serialized::defaults(flags))
         .extract()
-        .map_err(|fault| SettingsFault(fault.to_string()))
+        .map_err(|validation_error| DaemonSettingsError(validation_error.to_string()))
 }
 
-fn check_common(name: &str, district: &str, seeds: &[SocketAddr]) -> Result<(), SettingsFault> {
-    for (field, text) in [("name", name), ("district", district)] {
+fn check_common(name: &str, zone: &str, seeds: &[SocketAddr]) -> Result<(), DaemonSettingsError> {
+    for (field, text) in [("name", name), ("district", zone)] {
         let fits = !text.is_empty()
             && text.len() <= 64
             && text
                 .bytes()
                 .all(|byte| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_');
         if !fits {
-            return Err(SettingsFault(format!(
+            return Err(DaemonSettingsError(format!(
                 "{field} must be 1 to 64 letters, digits, '-' or '_', found {text:?}"
             )));
         }
@@ -108,7 +114,7 @@
     distinct.sort();
     distinct.dedup();
     if distinct.len() != 3 || seeds.len() != 3 {
-        return Err(SettingsFault(format!(
+        return Err(DaemonSettingsError(format!(
             "seeds must be three different addresses, found {}",
             seeds.len()
         )));
@@ -123,10 +129,10 @@
     }
 
     /// Checks what the types cannot.
-    pub fn check(&self) -> Result<(), SettingsFault> {
-        check_common(&self.name, &self.district, &self.seeds)?;
-        if self.tries_max == 0 || self.connections_max == 0 {
-            return Err(SettingsFault(
+    pub fn check(&self) -> Result<(), DaemonSettingsError> {
+        check_common(&self.name, &self.zone, &self.seeds)?;
+        if self.max_attempts == 0 || self.connections_max == 0 {
+            return Err(DaemonSettingsError(
                 "tries_max and connections_max must be above zero".into(),
             ));
         }
@@ -141,7 +147,7 @@
     }
 
     /// Checks what the types cannot.
-    pub fn check(&self) -> Result<(), SettingsFault> {
-        check_common(&self.name, &self.district, &self.seeds)
+    pub fn check(&self) -> Result<(), DaemonSettingsError> {
+        check_common(&self.name, &self.zone, &self.seeds)
     }
 }
--- a/crates/configuration/tests/checks.rs
+++ b/crates/configuration/tests/checks.rs
@@ -1,6 +1,6 @@
-//! Blueprints that must be refused whole, each fault with its path, and texts of any kind.
+//! Configurations that must be refused whole, each fault with its path, and texts of any kind.
 
-use configuration::{check, parse, Blueprint, Fault, TEXT_MAX};
+use configuration::{check, parse, Configuration, ValidationError, MAX_TEXT_BYTES};
 use fuzzing::seeded;
 use serde_json::{json, Value};
 
@@ -17,22 +17,24 @@
     })
 }
 
-fn faults_of(blueprint: &Value) -> Vec<Fault> {
-    parse(&blueprint.to_string()).expect_err("the blueprint was taken")
+fn faults_of(configuration: &Value) -> Vec<ValidationError> {
+    parse(&configuration.to_string()).expect_err("the blueprint was taken")
 }
 
 #[test]
-fn a_good_blueprint_is_read_as_written() {
-    let blueprint = parse(&good().to_string()).unwrap();
-    assert_eq!(blueprint.kind("urgent").unwrap().0, 0);
-    assert!(blueprint.kind("urgent").unwrap().1.once);
-    assert!(blueprint.is_open("a") && !blueprint.is_open("b") && !blueprint.is_open("c"));
-    let again = parse(&serde_json::to_string(&blueprint).unwrap()).unwrap();
-    assert_eq!(again, blueprint);
+fn a_good_configuration_is_read_as_written() {
+    let configuration = parse(&good().to_string()).unwrap();
+    assert_eq!(configuration.kind("urgent").unwrap().0, 0);
+    assert!(configuration.kind("urgent").unwrap().1.once);
+    assert!(
+        configuration.is_open("a") && !configuration.is_open("b") && !configuration.is_open("c")
+    );
+    let again = parse(&serde_json::to_string(&configuration).unwrap()).unwrap();
+    assert_eq!(again, configuration);
 }
 
 #[test]
-fn each_fault_is_told_with_its_path() {
+fn each_error_is_reported_with_its_path() {
     let cases = [
         ("/listings/0/memory_mb", json!(0), "listings[0].memory_mb"),
         (
@@ -60,16 +62,18 @@
         ("/districts", json!([]), "districts"),
     ];
     for (pointer, value, path) in cases {
-        let mut blueprint = good();
-        *blueprint.pointer_mut(pointer).unwrap() = value.clone();
-        let faults = faults_of(&blueprint);
-        let is_told = faults.iter().any(|fault| fault.path == path);
-        assert!(is_told, "{pointer} = {value}: {faults:?}");
+        let mut configuration = good();
+        *configuration.pointer_mut(pointer).unwrap() = value.clone();
+        let errors = faults_of(&configuration);
+        let is_told = errors
+            .iter()
+            .any(|validation_error| validation_error.path == path);
+        assert!(is_told, "{pointer} = {value}: {errors:?}");
     }
 }
 
 #[test]
-fn fields_of_the_wrong_name_or_type_are_refused() {
+fn fields_of_the_wrong_name_or_type_are_rejected() {
     let mut unknown = good();
     unknown["listings"][0]["memmory"] = json!(1);
     assert!(faults_of(&unknown)[0].reason.contains("memmory"));
@@ -85,17 +89,17 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once() {
-    let mut blueprint = good();
-    blueprint["listings"][0]["memory_mb"] = json!(0);
-    blueprint["listings"][1]["concurrency"] = json!(0);
-    blueprint["bounds"] = json!({ "alpha": 0.4, "beta": 0.5 });
-    assert_eq!(faults_of(&blueprint).len(), 3);
+fn all_errors_are_reported_at_once() {
+    let mut configuration = good();
+    configuration["listings"][0]["memory_mb"] = json!(0);
+    configuration["listings"][1]["concurrency"] = json!(0);
+    configuration["bounds"] = json!({ "alpha": 0.4, "beta": 0.5 });
+    assert_eq!(faults_of(&configuration).len(), 3);
 }
 
 #[test]
-fn too_long_and_broken_texts_are_refused() {
-    let long = " ".repeat(TEXT_MAX + 1);
+fn too_long_and_malformed_texts_are_rejected() {
+    let long = " ".repeat(MAX_TEXT_BYTES + 1);
     assert!(parse(&long).unwrap_err()[0].reason.contains("over"));
     for text in ["", "{", "[]", "null", "{\"listings\": 3}"] {
         assert!(parse(text).is_err(), "{text:?}");
@@ -112,11 +116,11 @@
         let place = place % bytes.len();
         bytes[place] = byte;
         let text = String::from_utf8_lossy(&bytes).into_owned();
-        parse(&text).map_or(true, |blueprint| check(&blueprint).is_empty())
+        parse(&text).map_or(true, |configuration| check(&configuration).is_empty())
     }
 }
 
 #[test]
-fn the_empty_blueprint_is_good() {
-    assert!(check(&Blueprint::empty()).is_empty());
+fn the_empty_configuration_is_good() {
+    assert!(check(&Configuration::empty()).is_empty());
 }
--- a/crates/core/src/joining.rs
+++ b/crates/core/src/joining.rs
@@ -1,13 +1,13 @@
-use crate::mending::{copy_of, pull};
+use crate::repair::{copy_of, pull};
 use crate::shared::Shared;
-use crate::voting::Work;
+use crate::voting::VoterTask;
 use crossbeam::channel::bounded;
 use register::{
     merge_replicas, Change, ChangeOutcome, ClaimFloors, VersionedValue, VoterRef, VoterSet,
     VOTERS_KEY,
 };
 use speedy::{Readable, Writable};
-use transport::{now_ms, Message};
+use transport::{now_ms, PeerMessage};
 use voter::{Installation, MembershipChange, MembershipStep, PeerStatus};
 
 /// Takes the next step of an empty core into the set of voters.
@@ -19,10 +19,10 @@
         disk: shared.disk,
         address: shared.settings.address().to_string(),
     };
-    let patience = shared.store.settled().blueprint.bounds.return_ms;
+    let timeout = shared.store.committed().configuration.bounds.return_ms;
     let answering: Vec<u64> = heard.iter().map(|one| one.disk).collect();
-    let settled = (version, &newest);
-    match joining.decide(now_ms(), patience, &me, set, &answering, settled) {
+    let committed = (version, &newest);
+    match joining.decide(now_ms(), timeout, &me, set, &answering, committed) {
         MembershipStep::Wait => {}
         MembershipStep::Adopt(next) => {
             adopt(shared, set, &next);
@@ -32,7 +32,7 @@
             log::warn!("set: this empty core takes the place of a voter");
             let bytes = next.write_to_vec().unwrap_or_default();
             let change = Change::Write { expected, bytes };
-            let (_, outcome) = shared.store.change(VOTERS_KEY, change, shared.patience());
+            let (_, outcome) = shared.store.change(VOTERS_KEY, change, shared.timeout());
             if let ChangeOutcome::Committed(_) = outcome {
                 adopt(shared, set, &next);
             }
@@ -59,8 +59,8 @@
     }
     let hello = shared
         .links
-        .ask_wait(new, Message::Hello, shared.patience());
-    let Some(Message::HelloAnswer {
+        .ask_wait(new, PeerMessage::Hello, shared.timeout());
+    let Some(PeerMessage::HelloResponse {
         disk,
         set: their_set,
         ..
@@ -77,17 +77,17 @@
     };
     let next = set.with_replacement(leaving.disk, newcomer);
     let next = next.ok_or_else(|| format!("the core at {new} is a voter already"))?;
-    let (version, settled) =
+    let (version, committed) =
         settled_set(shared, &set).ok_or_else(|| "no majority of voters answers".to_string())?;
-    if settled.version() > set.version() {
-        adopt(shared, &set, &settled);
+    if committed.version() > set.version() {
+        adopt(shared, &set, &committed);
         return Err("another change of the voters was under way; ask again".into());
     }
     let change = Change::Write {
         expected: version,
         bytes: next.write_to_vec().unwrap_or_default(),
     };
-    match shared.store.change(VOTERS_KEY, change, shared.patience()) {
+    match shared.store.change(VOTERS_KEY, change, shared.timeout()) {
         (_, ChangeOutcome::Committed(_)) if adopt(shared, &set, &next) => Ok(next),
         (_, outcome) => Err(format!("the change did not go through: {outcome:?}")),
     }
@@ -97,7 +97,7 @@
 pub fn settled_set(shared: &Shared, set: &VoterSet) -> Option<(u64, VoterSet)> {
     let (_, outcome) = shared
         .store
-        .change(VOTERS_KEY, Change::Read, shared.patience());
+        .change(VOTERS_KEY, Change::Read, shared.timeout());
     let ChangeOutcome::Committed(stored) = outcome else {
         return None;
     };
@@ -112,11 +112,11 @@
 pub fn adopt(shared: &Shared, old: &VoterSet, next: &VoterSet) -> bool {
     let mut adopted = 0;
     for voter in &old.voters {
-        let question = Message::Adopt(next.clone());
+        let question = PeerMessage::Adopt(next.clone());
         let answer = shared
             .links
-            .ask_wait(&voter.address, question, shared.patience());
-        if let Some(Message::Adopted(set)) = answer {
+            .ask_wait(&voter.address, question, shared.timeout());
+        if let Some(PeerMessage::Adopted(set)) = answer {
             adopted += usize::from(set.version() >= next.version());
         }
     }
@@ -146,14 +146,18 @@
     }
     let keys = merge_replicas(copies);
     let count = keys.len();
-    let (told, answer) = bounded(1);
+    let (reported, answer) = bounded(1);
     let set = set.clone();
     let given = Installation {
         set,
         claim_floors,
         registers: keys,
     };
-    if shared.voter.send(Work::Install(given, told)).is_err() {
+    if shared
+        .voter
+        .send(VoterTask::Install(given, reported))
+        .is_err()
+    {
         return;
     }
     if let Ok(set) = answer.recv() {
--- a/crates/core/src/main.rs
+++ b/crates/core/src/main.rs
@@ -1,23 +1,23 @@
 //! `hallkeel-core`: the control plane. It keeps the blueprint and the ledger, knows fronts, workers
 //! and runners, and scales.
 
-mod duty;
 mod identity;
 mod joining;
-mod mending;
-mod news;
 mod operators;
 mod platform;
 mod puts;
+mod repair;
+mod scaler_role;
 mod scaling;
 mod set;
 mod shared;
 mod store;
+mod update;
 mod voting;
 mod witness;
 
 use clap::Parser;
-use configuration::{read_settings, CoreSettings, SettingsFault};
+use configuration::{read_settings, CoreSettings, DaemonSettingsError};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -40,9 +40,10 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     name: Option<String>,
     /// District that it stands in
-    #[arg(long)]
+    #[arg(long = "district", value_name = "DISTRICT")]
     #[serde(skip_serializing_if = "Option::is_none")]
-    district: Option<String>,
+    #[serde(rename = "district")]
+    zone: Option<String>,
     /// Address for operators
     #[arg(long)]
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -69,7 +70,7 @@
     platform: Option<SocketAddr>,
 }
 
-fn settings(flags: &Flags) -> Result<CoreSettings, SettingsFault> {
+fn settings(flags: &Flags) -> Result<CoreSettings, DaemonSettingsError> {
     let settings: CoreSettings = read_settings(flags.settings.as_deref(), flags)?;
     settings.check()?;
     Ok(settings)
--- a/crates/core/src/operators.rs
+++ b/crates/core/src/operators.rs
@@ -1,9 +1,9 @@
 use crate::joining;
-use crate::mending;
 use crate::puts;
+use crate::repair;
 use crate::shared::Shared;
-use crate::voting::Work;
-use configuration::{RunnerEntry, TEXT_MAX};
+use crate::voting::VoterTask;
+use configuration::{RunnerEntry, MAX_TEXT_BYTES};
 use crossbeam::channel::bounded;
 use oxhttp::model::{Body, Method, Request, Response};
 use std::collections::HashMap;
@@ -36,7 +36,7 @@
     let path = request.uri().path().to_string();
     let query = query_of(request.uri().query().unwrap_or_default());
     match (request.method().clone(), path.as_str()) {
-        (Method::GET, "/blueprint") => blueprint(shared),
+        (Method::GET, "/blueprint") => configuration(shared),
         (Method::GET, "/blueprint/history") => history(shared),
         (Method::POST, "/blueprint/check") => checked(shared, request),
         (Method::PUT, "/blueprint") => put(shared, request, &query),
@@ -59,28 +59,28 @@
 }
 
 fn read_text(request: &mut Request<Body>) -> Result<String, Box<Response<Body>>> {
-    let body = read_body(request, TEXT_MAX as u64)?;
+    let body = read_body(request, MAX_TEXT_BYTES as u64)?;
     String::from_utf8(body).map_err(|_| Box::new(text(400, "the body is not UTF-8")))
 }
 
-fn blueprint(shared: &Shared) -> Response<Body> {
+fn configuration(shared: &Shared) -> Response<Body> {
     // Read at a majority first, so that an operator sees every put that was acknowledged.
-    let lease = shared.store.settled().blueprint.bounds.lease_ms();
+    let lease = shared.store.committed().configuration.bounds.lease_ms();
     let is_certain = shared.store.refresh(Duration::from_millis(lease / 3));
-    let settled = shared.store.settled();
+    let committed = shared.store.committed();
     json(
         200,
         &serde_json::json!({
-            "version": settled.blueprint_version.no,
-            "era": settled.blueprint_version.era,
+            "version": committed.configuration_version.no,
+            "era": committed.configuration_version.epoch,
             "certain": is_certain,
-            "blueprint": &*settled.blueprint,
+            "blueprint": &*committed.configuration,
         }),
     )
 }
 
 fn history(shared: &Shared) -> Response<Body> {
-    json(200, &shared.store.settled().value.history)
+    json(200, &shared.store.committed().value.history)
 }
 
 fn checked(shared: &Shared, request: &mut Request<Body>) -> Response<Body> {
@@ -89,9 +89,9 @@
         Err(response) => return *response,
     };
     match puts::check(shared, &body) {
-        Ok(blueprint) => json(
+        Ok(configuration) => json(
             200,
-            &serde_json::json!({ "outcome": "good", "listings": blueprint.listings.len() }),
+            &serde_json::json!({ "outcome": "good", "listings": configuration.function_specs.len() }),
         ),
         Err(faults) => puts::refused(&faults),
     }
@@ -122,7 +122,7 @@
         .voters
         .iter()
         .map(|voter| {
-            let copy = mending::copy_of(shared, &voter.address);
+            let copy = repair::copy_of(shared, &voter.address);
             serde_json::json!({
                 "address": voter.address,
                 "disk": format!("{:x}", voter.disk),
@@ -154,16 +154,16 @@
 }
 
 fn explain(shared: &Shared, function: &str) -> Response<Body> {
-    let settled = shared.store.settled();
-    if settled.blueprint.listing(function).is_none() {
+    let committed = shared.store.committed();
+    if committed.configuration.function_spec(function).is_none() {
         return text(404, "no function of this name is listed");
     }
-    if shared.duty.load().term.is_none() {
-        let holder = &shared.duty.load().tenure.leader.name;
+    if shared.scaler_role.load().term.is_none() {
+        let holder = &shared.scaler_role.load().tenure.leader.name;
         let sentence = format!("this core does not scale; ask {holder:?}");
         return text(421, &sentence);
     }
-    let entries = settled.plan.runners.iter();
+    let entries = committed.plan.runners.iter();
     let runners: Vec<_> = entries
         .filter(|entry| entry.function == function)
         .map(|entry| runner_line(shared, entry))
@@ -172,20 +172,20 @@
         200,
         &serde_json::json!({
             "function": function,
-            "note": shared.notes.load().get(function),
+            "note": shared.decisions.load().get(function),
             "runners": runners,
         }),
     )
 }
 
-/// What a runner's keeper says of it, in one word.
+/// What a runner's owner says of it, in one word.
 fn fitness(shared: &Shared, entry: &RunnerEntry) -> &'static str {
     let fronts = shared.fronts.lock();
-    let keeper = fronts.get(&entry.keeper.name);
-    let report = keeper
-        .filter(|known| known.sight.peer == entry.keeper)
+    let owner = fronts.get(&entry.owner.name);
+    let report = owner
+        .filter(|known| known.observation.peer == entry.owner)
         .and_then(|known| {
-            let mut runners = known.sight.report.runners.iter();
+            let mut runners = known.observation.report.runners.iter();
             runners.find(|runner| runner.runner == entry.id)
         });
     match report {
@@ -204,78 +204,78 @@
         "id": entry.id,
         "function": entry.function,
         "worker": entry.worker,
-        "district": entry.district,
+        "district": entry.zone,
         "address": entry.address,
         "quota": entry.quota,
-        "pace_ms": entry.pace_ms,
-        "keeper": entry.keeper.name,
-        "epoch": entry.keeper_epoch,
+        "pace_ms": entry.response_time_ms,
+        "keeper": entry.owner.name,
+        "epoch": entry.owner_epoch,
         "state": format!("{:?}", entry.state),
         "fitness": fitness(shared, entry),
     })
 }
 
 fn status(shared: &Shared) -> serde_json::Value {
-    let settled = shared.store.settled();
-    let duty = shared.duty.load();
+    let committed = shared.store.committed();
+    let scaler_role = shared.scaler_role.load();
     let now = now_ms();
-    let (told, answer) = bounded(1);
-    let _ = shared.voter.try_send(Work::Tell(told));
-    let keys = answer.recv_timeout(shared.patience()).ok();
+    let (reported, answer) = bounded(1);
+    let _ = shared.voter.try_send(VoterTask::Report(reported));
+    let keys = answer.recv_timeout(shared.timeout()).ok();
     let fronts = shared.fronts.lock();
     let own_fronts = fronts
         .values()
-        .filter(|known| !known.sight.report.is_witness);
+        .filter(|known| !known.observation.report.is_witness);
     let front_lines: Vec<_> = own_fronts
         .map(|known| {
-            let report = &known.sight.report;
+            let report = &known.observation.report;
             serde_json::json!({
-                "name": known.sight.peer.name,
-                "district": report.district,
+                "name": known.observation.peer.name,
+                "district": report.zone,
                 "http": report.http,
-                "heard_ms_ago": now.saturating_sub(known.sight.heard_at),
-                "standing": report.has_standing,
+                "heard_ms_ago": now.saturating_sub(known.observation.heard_at),
+                "standing": report.has_quorum,
                 "draining": report.is_draining,
-                "blueprint": report.blueprint.no,
+                "blueprint": report.configuration.no,
                 "plan": report.plan.no,
                 "waiting": report.functions.iter().map(|one| one.waiting).sum::<u32>(),
             })
         })
         .collect();
-    let clocks = fronts
-        .values()
-        .map(|known| serde_json::json!({ "name": known.sight.peer.name, "off_ms": known.off_ms }));
+    let clocks = fronts.values().map(
+        |known| serde_json::json!({ "name": known.observation.peer.name, "off_ms": known.off_ms }),
+    );
     let clocks: Vec<_> = clocks.collect();
     drop(fronts);
-    let runners = settled.plan.runners.iter();
+    let runners = committed.plan.runners.iter();
     let runners: Vec<_> = runners.map(|entry| runner_line(shared, entry)).collect();
     let set = shared.store.set();
     serde_json::json!({
         "role": "core",
         "name": shared.settings.name,
-        "district": shared.settings.district,
+        "district": shared.settings.zone,
         "era": set.epoch,
         "voters": set.voters.iter().map(|voter| &voter.address).collect::<Vec<_>>(),
         "keys": keys.map(|(_, count)| count),
-        "blueprint": settled.blueprint_version.no,
-        "held": { "blueprint": settled.blueprint_version, "plan": settled.plan_version },
-        "plan": settled.plan_version.no,
-        "duty": { "holder": duty.tenure.leader.name, "term": duty.tenure.term, "here": duty.term.is_some() },
-        "roster": settled.plan.roster,
+        "blueprint": committed.configuration_version.no,
+        "held": { "blueprint": committed.configuration_version, "plan": committed.plan_version },
+        "plan": committed.plan_version.no,
+        "duty": { "holder": scaler_role.tenure.leader.name, "term": scaler_role.tenure.term, "here": scaler_role.term.is_some() },
+        "roster": committed.plan.membership,
         "fronts": front_lines,
         "clocks": clocks,
         "workers": shared.platform.load().workers,
         "runners": runners,
-        "functions": &**shared.notes.load(),
+        "functions": &**shared.decisions.load(),
     })
 }
 
 fn metrics(shared: &Shared) -> serde_json::Value {
     let wire = shared.links.counts();
-    let settled = shared.store.settled();
+    let committed = shared.store.committed();
     serde_json::json!({
-        "blueprint_version": settled.blueprint_version.no,
-        "plan_version": settled.plan_version.no,
+        "blueprint_version": committed.configuration_version.no,
+        "plan_version": committed.plan_version.no,
         "wire_taken": wire.taken.load(Ordering::Relaxed),
         "wire_refused": wire.refused.load(Ordering::Relaxed),
         "wire_dropped": wire.dropped.load(Ordering::Relaxed),
--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -1,7 +1,7 @@
 use crate::shared::Shared;
 use configuration::RunnerEntry;
 use oxhttp::model::Method;
-use scaler::{ListedRunner, ListedState, Order, OrderResult, Worker};
+use scaler::{CommandResult, ListedRunner, ListedState, PlatformCommand, Worker};
 use serde::Deserialize;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -22,7 +22,8 @@
 #[derive(Deserialize)]
 struct WorkerLine {
     name: String,
-    district: String,
+    #[serde(rename = "district")]
+    zone: String,
     host: String,
     memory_mb: u64,
     first_port: u16,
@@ -53,19 +54,19 @@
 fn get<T: for<'a> Deserialize<'a>>(
     platform: SocketAddr,
     path: &str,
-    patience: Duration,
+    timeout: Duration,
 ) -> Option<T> {
     let uri = format!("http://{platform}{path}");
-    let answer = call(Method::GET, &uri, &[], Vec::new(), patience, LIST_MAX).ok()?;
+    let answer = call(Method::GET, &uri, &[], Vec::new(), timeout, LIST_MAX).ok()?;
     if answer.status != 200 {
         return None;
     }
     serde_json::from_slice(&answer.body).ok()
 }
 
-fn read_lists(platform: SocketAddr, patience: Duration) -> Option<Lists> {
-    let workers: WorkerList = get(platform, "/v1/workers", patience)?;
-    let runners: RunnerList = get(platform, "/v1/runners", patience)?;
+fn read_lists(platform: SocketAddr, timeout: Duration) -> Option<Lists> {
+    let workers: WorkerList = get(platform, "/v1/workers", timeout)?;
+    let runners: RunnerList = get(platform, "/v1/runners", timeout)?;
     let is_leaving = |state: &str| state == "leaving";
     let address_of = |line: &RunnerLine| {
         let mut workers = workers.workers.iter();
@@ -89,7 +90,7 @@
             .map(|line| Worker {
                 is_leaving: is_leaving(&line.state),
                 name: line.name,
-                district: line.district,
+                zone: line.zone,
                 host: line.host,
                 memory_mb: line.memory_mb,
                 first_port: line.first_port,
@@ -103,30 +104,30 @@
 /// Reads the platform's lists again and again. Where it does not answer the last lists stay.
 pub fn follow(shared: &Shared) {
     loop {
-        let bounds = shared.store.settled().blueprint.bounds.clone();
-        let patience = Duration::from_millis(bounds.lease_ms());
-        match read_lists(shared.settings.platform, patience) {
+        let bounds = shared.store.committed().configuration.bounds.clone();
+        let timeout = Duration::from_millis(bounds.lease_ms());
+        match read_lists(shared.settings.platform, timeout) {
             Some(lists) => shared.platform.store(Arc::new(lists)),
             None => log::warn!("platform: lists could not be read"),
         }
-        thread::sleep(Duration::from_millis(bounds.beat_ms()));
+        thread::sleep(Duration::from_millis(bounds.heartbeat_ms()));
     }
 }
 
 /// Carries out one call to the platform.
 pub fn carry_out(
     platform: SocketAddr,
-    order: &Order,
+    command: &PlatformCommand,
     term: u64,
-    patience: Duration,
-) -> OrderResult {
-    let (method, path, body) = match order {
-        Order::Start(entry) => (
+    timeout: Duration,
+) -> CommandResult {
+    let (method, path, body) = match command {
+        PlatformCommand::Start(entry) => (
             Method::PUT,
             format!("/v1/runners/{}?term={term}", entry.id),
             start_body(entry),
         ),
-        Order::Stop(id) => (
+        PlatformCommand::Stop(id) => (
             Method::DELETE,
             format!("/v1/runners/{id}?term={term}"),
             Vec::new(),
@@ -134,16 +135,16 @@
     };
     let uri = format!("http://{platform}{path}");
     let headers = [("content-type", "application/json")];
-    let Ok(answer) = call(method, &uri, &headers, body, patience, LIST_MAX) else {
-        return OrderResult::Silent;
+    let Ok(answer) = call(method, &uri, &headers, body, timeout, LIST_MAX) else {
+        return CommandResult::Silent;
     };
-    match (order, answer.status) {
-        (_, 409) => OrderResult::OldTerm,
-        (Order::Start(_), 200..=299) => OrderResult::Taken,
-        (Order::Start(_), 400..=499) => OrderResult::Refused,
-        (Order::Stop(_), 200 | 404) => OrderResult::Gone,
-        (Order::Stop(_), 202) => OrderResult::Taken,
-        _ => OrderResult::Silent,
+    match (command, answer.status) {
+        (_, 409) => CommandResult::OldTerm,
+        (PlatformCommand::Start(_), 200..=299) => CommandResult::Taken,
+        (PlatformCommand::Start(_), 400..=499) => CommandResult::Refused,
+        (PlatformCommand::Stop(_), 200 | 404) => CommandResult::Gone,
+        (PlatformCommand::Stop(_), 202) => CommandResult::Taken,
+        _ => CommandResult::Silent,
     }
 }
 
--- a/crates/core/src/puts.rs
+++ b/crates/core/src/puts.rs
@@ -1,7 +1,7 @@
-use crate::news;
 use crate::shared::Shared;
-use crate::store::{BlueprintValue, HistoryLine, BLUEPRINT};
-use configuration::{Blueprint, Fault, Version};
+use crate::store::{ConfigurationValue, HistoryEntry, CONFIGURATION};
+use crate::update;
+use configuration::{Configuration, ValidationError, Version};
 use oxhttp::model::{Body, Response};
 use register::{Change, ChangeOutcome, VersionedValue};
 use speedy::{Readable, Writable};
@@ -10,35 +10,35 @@
 use transport::{json, now_ms, text, unix_ms};
 
 /// Checks a text as a put would, also against the workers that are known now.
-pub fn check(shared: &Shared, body: &str) -> Result<Blueprint, Vec<Fault>> {
-    let blueprint = configuration::parse(body)?;
+pub fn check(shared: &Shared, body: &str) -> Result<Configuration, Vec<ValidationError>> {
+    let configuration = configuration::parse(body)?;
     let lists = shared.platform.load();
     let largest = lists.workers.iter().map(|worker| worker.memory_mb).max();
     let Some(largest) = largest else {
-        return Ok(blueprint);
+        return Ok(configuration);
     };
-    let too_large = blueprint
-        .listings
+    let too_large = configuration
+        .function_specs
         .iter()
         .enumerate()
-        .filter(|(_, listing)| listing.memory_mb > largest)
-        .map(|(place, listing)| Fault {
+        .filter(|(_, function_spec)| function_spec.memory_mb > largest)
+        .map(|(place, function_spec)| ValidationError {
             path: format!("listings[{place}].memory_mb"),
             reason: format!(
                 "{} MB fit no worker; the largest has {largest} MB",
-                listing.memory_mb
+                function_spec.memory_mb
             ),
         });
-    let faults: Vec<Fault> = too_large.collect();
+    let faults: Vec<ValidationError> = too_large.collect();
     if faults.is_empty() {
-        Ok(blueprint)
+        Ok(configuration)
     } else {
         Err(faults)
     }
 }
 
 /// The answer that tells all faults.
-pub fn refused(faults: &[Fault]) -> Response<Body> {
+pub fn refused(faults: &[ValidationError]) -> Response<Body> {
     json(
         422,
         &serde_json::json!({
@@ -67,22 +67,22 @@
     )
 }
 
-/// Takes a whole blueprint where the version in force is the expected one.
+/// Takes a whole configuration where the version in force is the expected one.
 pub fn put(shared: &Shared, body: &str, expected: u64, note: &str) -> Response<Body> {
     if let Err(faults) = check(shared, body) {
         return refused(&faults);
     }
     let began = now_ms();
-    let bounds = shared.store.settled().blueprint.bounds.clone();
-    let patience = Duration::from_millis(bounds.lease_ms());
-    let (_, outcome) = shared.store.change(BLUEPRINT, Change::Read, patience);
+    let bounds = shared.store.committed().configuration.bounds.clone();
+    let timeout = Duration::from_millis(bounds.lease_ms());
+    let (_, outcome) = shared.store.change(CONFIGURATION, Change::Read, timeout);
     let ChangeOutcome::Committed(current) = outcome else {
         return text(503, "no majority of voters answered; nothing was changed");
     };
     if current.version != expected {
         return stale(current.version);
     }
-    let line = HistoryLine {
+    let line = HistoryEntry {
         version: expected + 1,
         at_unix_ms: unix_ms(),
         core: shared.settings.name.clone(),
@@ -91,13 +91,13 @@
     let value = value_of(&current).next(body.to_string(), line);
     let bytes = value.write_to_vec().unwrap_or_default();
     let change = Change::Write { expected, bytes };
-    let (era, outcome) = shared.store.change(BLUEPRINT, change, patience);
+    let (epoch, outcome) = shared.store.change(CONFIGURATION, change, timeout);
     match outcome {
         ChangeOutcome::Committed(stored) => {
-            shared.store.put_in_force(BLUEPRINT, era, &stored);
-            news::answer_all(shared);
+            shared.store.put_in_force(CONFIGURATION, epoch, &stored);
+            update::answer_all(shared);
             let version = Version {
-                era,
+                epoch,
                 no: stored.version,
             };
             acknowledge(shared, version, began, began + bounds.change_ms)
@@ -111,23 +111,23 @@
     }
 }
 
-fn value_of(stored: &VersionedValue) -> BlueprintValue {
-    BlueprintValue::read_from_buffer(&stored.bytes).unwrap_or_default()
+fn value_of(stored: &VersionedValue) -> ConfigurationValue {
+    ConfigurationValue::read_from_buffer(&stored.bytes).unwrap_or_default()
 }
 
-/// Waits until a majority of the roster's fronts holds the version.
+/// Waits until a majority of the membership's fronts holds the version.
 fn acknowledge(shared: &Shared, version: Version, began: u64, until: u64) -> Response<Body> {
     loop {
-        let (holding, roster) = holders(shared, version);
-        if roster > 0 && holding > roster / 2 {
+        let (holding, membership) = holders(shared, version);
+        if membership > 0 && holding > membership / 2 {
             return json(
                 200,
                 &serde_json::json!({
                     "outcome": "in-force",
                     "version": version.no,
-                    "era": version.era,
+                    "era": version.epoch,
                     "fronts": holding,
-                    "roster": roster,
+                    "roster": membership,
                     "took_ms": now_ms().saturating_sub(began),
                 }),
             );
@@ -142,20 +142,20 @@
     }
 }
 
-/// How many fronts of the roster hold a version, and how many there are.
+/// How many fronts of the membership hold a version, and how many there are.
 pub fn holders(shared: &Shared, version: Version) -> (usize, usize) {
-    let settled = shared.store.settled();
+    let committed = shared.store.committed();
     let fronts = shared.fronts.lock();
     let holds = |name: &&String| {
         fronts
             .get(name.as_str())
-            .is_some_and(|known| known.sight.report.blueprint >= version)
+            .is_some_and(|known| known.observation.report.configuration >= version)
     };
     let is_front = |name: &&String| {
         fronts
             .get(name.as_str())
-            .is_none_or(|known| !known.sight.report.is_witness)
+            .is_none_or(|known| !known.observation.report.is_witness)
     };
-    let roster = settled.plan.roster.iter().filter(is_front);
-    (roster.clone().filter(holds).count(), roster.count())
+    let membership = committed.plan.membership.iter().filter(is_front);
+    (membership.clone().filter(holds).count(), membership.count())
 }
--- a/crates/core/src/mending.rs
+++ b/crates/core/src/repair.rs
@@ -1,17 +1,17 @@
 use crate::set;
 use crate::shared::Shared;
-use crate::voting::Work;
+use crate::voting::VoterTask;
 use anti_entropy::RangeDigests;
 use crossbeam::channel::bounded;
 use register::RegisterState;
 use std::thread;
 use std::time::Duration;
-use transport::{Copy, Message, Responder};
+use transport::{PeerMessage, ReplicaDigest, Responder};
 
 /// Takes the messages that have to do with sets and copies.
-pub fn on_message(shared: &Shared, message: Message, responder: Option<Responder>) {
+pub fn on_message(shared: &Shared, message: PeerMessage, responder: Option<Responder>) {
     match (message, responder) {
-        (Message::Form(set, floor), None) => {
+        (PeerMessage::Form(set, floor), None) => {
             let names_us = set.voters.iter().any(|voter| voter.disk == shared.disk);
             if names_us {
                 if let Some(set) = set::form_here(shared, set, floor) {
@@ -19,37 +19,37 @@
                 }
             }
         }
-        (Message::Adopt(set), Some(responder)) => {
+        (PeerMessage::Adopt(set), Some(responder)) => {
             shared.store.learn_set(&set);
-            let _ = shared.voter.try_send(Work::Adopt(set, responder));
+            let _ = shared.voter.try_send(VoterTask::Adopt(set, responder));
         }
-        (Message::Digests, Some(responder)) => {
-            let _ = shared.voter.try_send(Work::Copy(responder));
+        (PeerMessage::Digests, Some(responder)) => {
+            let _ = shared.voter.try_send(VoterTask::ReplicaDigest(responder));
         }
-        (Message::Range(range), Some(responder)) => {
-            let _ = shared.voter.try_send(Work::Range(range, responder));
+        (PeerMessage::Range(range), Some(responder)) => {
+            let _ = shared.voter.try_send(VoterTask::Range(range, responder));
         }
-        (Message::Remembered(keys), None) => {
-            let _ = shared.voter.try_send(Work::Mend(keys));
+        (PeerMessage::RememberedClaims(keys), None) => {
+            let _ = shared.voter.try_send(VoterTask::Repair(keys));
         }
         _ => {}
     }
 }
 
 /// This core's own copy in short.
-pub fn own_copy(shared: &Shared) -> Option<Copy> {
-    let (told, answer) = bounded(1);
-    shared.voter.try_send(Work::Digests(told)).ok()?;
-    answer.recv_timeout(shared.patience()).ok()
+pub fn own_copy(shared: &Shared) -> Option<ReplicaDigest> {
+    let (reported, answer) = bounded(1);
+    shared.voter.try_send(VoterTask::Digests(reported)).ok()?;
+    answer.recv_timeout(shared.timeout()).ok()
 }
 
 /// A voter's copy in short; none where it does not answer.
-pub fn copy_of(shared: &Shared, address: &str) -> Option<Copy> {
+pub fn copy_of(shared: &Shared, address: &str) -> Option<ReplicaDigest> {
     match shared
         .links
-        .ask_wait(address, Message::Digests, shared.patience())
+        .ask_wait(address, PeerMessage::Digests, shared.timeout())
     {
-        Some(Message::DigestsAnswer(copy)) => Some(copy),
+        Some(PeerMessage::DigestsResponse(copy)) => Some(copy),
         _ => None,
     }
 }
@@ -59,7 +59,7 @@
     shared: &Shared,
     address: &str,
     known: Option<&[u64]>,
-) -> Option<(Copy, Vec<(String, RegisterState)>)> {
+) -> Option<(ReplicaDigest, Vec<(String, RegisterState)>)> {
     let copy = copy_of(shared, address)?;
     let own = known.map_or_else(RangeDigests::default, RangeDigests::from_ranges);
     let differing = own.differing(&copy.ranges);
@@ -67,8 +67,8 @@
     for range in differing {
         let answer = shared
             .links
-            .ask_wait(address, Message::Range(range), shared.patience());
-        let Some(Message::RangeAnswer(held)) = answer else {
+            .ask_wait(address, PeerMessage::Range(range), shared.timeout());
+        let Some(PeerMessage::RangeResponse(held)) = answer else {
             return None;
         };
         keys.extend(held);
@@ -79,7 +79,7 @@
 /// Compares this core's copy with the other voters' now and then and mends it from the newer.
 pub fn keep(shared: &Shared) {
     loop {
-        let bounds = shared.store.settled().blueprint.bounds.clone();
+        let bounds = shared.store.committed().configuration.bounds.clone();
         thread::sleep(Duration::from_millis(2 * bounds.change_ms));
         let set = shared.store.set();
         let is_member = set.voters.iter().any(|voter| voter.disk == shared.disk);
@@ -95,7 +95,7 @@
                 continue;
             };
             if copy.set.version() == set.version() && !keys.is_empty() {
-                let _ = shared.voter.try_send(Work::Mend(keys));
+                let _ = shared.voter.try_send(VoterTask::Repair(keys));
             }
         }
     }
--- a/crates/core/src/duty.rs
+++ b/crates/core/src/scaler_role.rs
@@ -15,24 +15,29 @@
     let fronts = shared.fronts.lock();
     let mut heard = fronts
         .values()
-        .filter(|known| !known.sight.report.is_witness);
-    let hears = heard.any(|known| now < known.sight.heard_at + lease);
+        .filter(|known| !known.observation.report.is_witness);
+    let hears = heard.any(|known| now < known.observation.heard_at + lease);
     votes && hears
 }
 
-/// Wins and keeps the scaler's duty, or watches who has it.
+/// Wins and keeps the scaler's role, or watches who has it.
 pub fn keep(shared: &Shared) {
-    let lease = shared.store.settled().blueprint.bounds.duty_ms();
-    let patience = Duration::from_millis(lease / 3);
-    let mut duty = LeaderElection::new(shared.links.me().clone(), lease, now_ms());
+    let lease = shared
+        .store
+        .committed()
+        .configuration
+        .bounds
+        .role_lease_ms();
+    let timeout = Duration::from_millis(lease / 3);
+    let mut scaler_role = LeaderElection::new(shared.links.me().clone(), lease, now_ms());
     loop {
         let began = now_ms();
-        duty.enter_epoch(shared.store.set().epoch);
-        let mut next = duty.next_step(began);
+        scaler_role.enter_epoch(shared.store.set().epoch);
+        let mut next = scaler_role.next_step(began);
         let is_blind = !sees_fleet(shared, began, lease);
-        if is_blind && duty.term(began).is_some() {
-            log::warn!("duty: this core hears no front and gives the duty up");
-            duty.step_down(began);
+        if is_blind && scaler_role.term(began).is_some() {
+            log::warn!("role: this core hears no front and gives the role up");
+            scaler_role.step_down(began);
         }
         if is_blind && matches!(next, ElectionStep::Write(..)) {
             next = ElectionStep::Read;
@@ -40,7 +45,7 @@
         let (change, tenure) = match next {
             ElectionStep::Wait => {
                 thread::sleep(Duration::from_millis(lease / 50));
-                shared.set_tenure(&duty, now_ms());
+                shared.set_tenure(&scaler_role, now_ms());
                 continue;
             }
             ElectionStep::Read => (Change::Read, None),
@@ -49,20 +54,20 @@
                 (Change::Write { expected, bytes }, Some(tenure))
             }
         };
-        let (_, outcome) = shared.store.change(KEY, change, patience);
+        let (_, outcome) = shared.store.change(KEY, change, timeout);
         match (outcome, tenure) {
             (ChangeOutcome::Committed(stored), Some(tenure)) => {
-                if duty.leadership() != &tenure {
-                    log::info!("duty: this core scales, term {}", tenure.term);
+                if scaler_role.leadership() != &tenure {
+                    log::info!("role: this core scales, term {}", tenure.term);
                 }
-                duty.on_elected(now_ms(), began, stored.version, tenure);
+                scaler_role.on_elected(now_ms(), began, stored.version, tenure);
             }
             (ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored), _) => {
                 let seen = Leadership::read_from_buffer(&stored.bytes).unwrap_or_default();
-                duty.observe(now_ms(), stored.version, seen);
+                scaler_role.observe(now_ms(), stored.version, seen);
             }
             _ => {}
         }
-        shared.set_tenure(&duty, now_ms());
+        shared.set_tenure(&scaler_role, now_ms());
     }
 }
--- a/crates/core/src/set.rs
+++ b/crates/core/src/set.rs
@@ -1,18 +1,18 @@
 use crate::joining;
-use crate::mending;
+use crate::repair;
 use crate::shared::Shared;
-use crate::voting::Work;
+use crate::voting::VoterTask;
 use configuration::Version;
 use crossbeam::channel::bounded;
 use register::VoterSet;
 use std::net::SocketAddr;
 use std::thread;
 use std::time::Instant;
-use transport::{now_ms, Message, News};
+use transport::{now_ms, PeerMessage, StateUpdate};
 use voter::{Bootstrap, BootstrapStep, GatewayEvidence, MembershipChange, PeerStatus};
 
 /// Finds out which voters count, again and again. Where all three seeds say that they are empty,
-/// the first of them forms a new era; a core that is empty beside others joins them.
+/// the first of them forms a new epoch; a core that is empty beside others joins them.
 pub fn settle_set(shared: &Shared) {
     let mut founding = Bootstrap::default();
     let mut joining = MembershipChange::default();
@@ -26,7 +26,7 @@
         found(shared, &mut founding, &heard, newest.epoch == 0);
         if newest.epoch > 0 {
             shared.store.learn_set(&newest);
-            tell_laggards(shared, &newest, &heard);
+            log_lagging_fronts(shared, &newest, &heard);
             let own = heard.iter().find(|one| one.disk == shared.disk);
             if own.is_none_or(|one| one.set.epoch == 0) {
                 joining::step(shared, &mut joining, &newest, &heard);
@@ -35,60 +35,59 @@
             }
         }
         let is_settled = shared.store.set().epoch > 0;
-        let patience = shared.patience();
-        let pause = if is_settled { patience } else { patience / 5 };
+        let timeout = shared.timeout();
+        let pause = if is_settled { timeout } else { timeout / 5 };
         thread::sleep(pause);
     }
 }
 
-/// Takes the next step of an era's founding.
+/// Takes the next step of an epoch's founding.
 fn found(shared: &Shared, founding: &mut Bootstrap, heard: &[PeerStatus], is_empty: bool) {
     let gathered = if is_empty { gather(shared) } else { Ok(None) };
     let Ok(gathered) = gathered else {
         return;
     };
     let held = gathered.as_ref().map(|found| GatewayEvidence {
-        epoch: found.era(),
+        epoch: found.epoch(),
         is_majority: found.is_majority,
     });
-    let bounds = shared.store.settled().blueprint.bounds.clone();
+    let bounds = shared.store.committed().configuration.bounds.clone();
     let is_first = shared.settings.seeds[0] == shared.settings.address();
     let seeds = shared.settings.seeds.len();
     let (now, wall, own) = (now_ms(), shared.median_wall_clock(), shared.disk);
     match founding.decide(now, wall, &bounds, own, is_first, seeds, heard, held) {
         BootstrapStep::Wait => {}
-        BootstrapStep::Form(set, floor) => form_era(shared, set, floor, gathered.as_ref()),
+        BootstrapStep::Form(set, floor) => form_epoch(shared, set, floor, gathered.as_ref()),
         BootstrapStep::Resend(set, addresses) => {
-            let Some(floor) =
-                mending::own_copy(shared).map(|copy| copy.claim_floors.refused_before)
+            let Some(floor) = repair::own_copy(shared).map(|copy| copy.claim_floors.refused_before)
             else {
                 return;
             };
             for address in addresses {
-                let form = Message::Form(set.clone(), floor);
+                let form = PeerMessage::Form(set.clone(), floor);
                 shared.links.cast(&address, form);
             }
         }
     }
 }
 
-/// Gives the values that fronts hold of an earlier era to this one, where nobody has done so yet.
+/// Gives the values that fronts hold of an earlier epoch to this one, where nobody has done so yet.
 fn start_from_fronts(shared: &Shared, founding: &mut Bootstrap) {
     let Ok(Some(found)) = gather(shared) else {
         return;
     };
-    let bounds = shared.store.settled().blueprint.bounds.clone();
+    let bounds = shared.store.committed().configuration.bounds.clone();
     if founding.may_restore_values(now_ms(), &bounds, found.is_majority) {
-        shared.store.start_from(&found.news);
+        shared.store.start_from(&found.update);
     }
 }
 
-/// A member that missed a change of the set is told of it: what another member has taken is settled.
-fn tell_laggards(shared: &Shared, newest: &VoterSet, heard: &[PeerStatus]) {
+/// A member that missed a change of the set is notified of it: what another member has taken is settled.
+fn log_lagging_fronts(shared: &Shared, newest: &VoterSet, heard: &[PeerStatus]) {
     for one in heard {
         let is_member = newest.voters.iter().any(|voter| voter.disk == one.disk);
         if is_member && one.set.epoch == newest.epoch && one.set.number < newest.number {
-            let question = Message::Adopt(newest.clone());
+            let question = PeerMessage::Adopt(newest.clone());
             shared
                 .links
                 .ask(&one.address, question, Box::new(|_adopted| {}));
@@ -109,10 +108,10 @@
     for address in &addresses {
         let (sender, from) = (sender.clone(), address.clone());
         let on_answer = Box::new(move |answer| {
-            if let Message::HelloAnswer {
+            if let PeerMessage::HelloResponse {
                 disk,
                 set,
-                fronts_era,
+                fronts_epoch,
             } = answer
             {
                 let address = from;
@@ -120,14 +119,14 @@
                     address,
                     disk,
                     set,
-                    gateway_epoch: fronts_era,
+                    gateway_epoch: fronts_epoch,
                 });
             }
         });
-        shared.links.ask(address, Message::Hello, on_answer);
+        shared.links.ask(address, PeerMessage::Hello, on_answer);
     }
     drop(sender);
-    let end = Instant::now() + shared.patience();
+    let end = Instant::now() + shared.timeout();
     let mut heard = Vec::new();
     while heard.len() < addresses.len() {
         let Ok(one) = receiver.recv_deadline(end) else {
@@ -141,7 +140,7 @@
 /// What the fronts still hold after all voters lost their state.
 struct Gathered {
     version: Version,
-    news: News,
+    update: StateUpdate,
     is_majority: bool,
 }
 
@@ -149,73 +148,74 @@
 struct Unheard;
 
 impl Gathered {
-    /// The newest era of which fronts hold a value.
-    fn era(&self) -> u64 {
-        let plan = self.news.plan.as_ref();
-        let plan_era = plan.map_or(0, |news| news.version.era);
-        self.version.era.max(plan_era)
+    /// The newest epoch of which fronts hold a value.
+    fn epoch(&self) -> u64 {
+        let plan = self.update.plan.as_ref();
+        let plan_epoch = plan.map_or(0, |update| update.version.epoch);
+        self.version.epoch.max(plan_epoch)
     }
 }
 
-/// What the fronts hold of earlier eras, or none where they say that they hold nothing. `Err` where they hold
-/// something that they could not be asked for now: an era must not begin without it.
+/// What the fronts hold of earlier epochs, or none where they say that they hold nothing. `Err` where they hold
+/// something that they could not be asked for now: an epoch must not begin without it.
 fn gather(shared: &Shared) -> Result<Option<Gathered>, Unheard> {
-    let lease = shared.store.settled().blueprint.bounds.lease_ms();
+    let lease = shared.store.committed().configuration.bounds.lease_ms();
     let now = now_ms();
     let holders: Vec<(String, Version, Version)> = {
         let fronts = shared.fronts.lock();
         let fresh = fronts
             .values()
-            .filter(|known| now < known.sight.heard_at + lease)
-            .filter(|known| !known.sight.report.is_witness);
+            .filter(|known| now < known.observation.heard_at + lease)
+            .filter(|known| !known.observation.report.is_witness);
         fresh
             .map(|known| {
-                let report = &known.sight.report;
-                (known.address.clone(), report.blueprint, report.plan)
+                let report = &known.observation.report;
+                (known.address.clone(), report.configuration, report.plan)
             })
             .collect()
     };
     let by_plan = holders.iter().max_by_key(|(_, _, plan)| *plan);
-    let by_blueprint = holders.iter().max_by_key(|(_, blueprint, _)| *blueprint);
-    let Some((by_plan, by_blueprint)) = by_plan.zip(by_blueprint) else {
+    let by_configuration = holders
+        .iter()
+        .max_by_key(|(_, configuration, _)| *configuration);
+    let Some((by_plan, by_configuration)) = by_plan.zip(by_configuration) else {
         return Ok(None);
     };
-    if by_blueprint.1.era == 0 && by_plan.2.era == 0 {
+    if by_configuration.1.epoch == 0 && by_plan.2.epoch == 0 {
         return Ok(None);
     }
-    let question = || Message::Ask {
-        blueprint: Version::default(),
+    let question = || PeerMessage::AwaitUpdate {
+        configuration: Version::default(),
         plan: Version::default(),
         wants_certain: false,
     };
-    let ask = |address: &str| {
-        shared
-            .links
-            .ask_wait(address, question(), shared.patience())
-    };
-    let (Some(Message::News(plan)), Some(Message::News(blueprint))) =
-        (ask(&by_plan.0), ask(&by_blueprint.0))
+    let ask = |address: &str| shared.links.ask_wait(address, question(), shared.timeout());
+    let (Some(PeerMessage::StateUpdate(plan)), Some(PeerMessage::StateUpdate(configuration))) =
+        (ask(&by_plan.0), ask(&by_configuration.0))
     else {
         return Err(Unheard);
     };
-    let roster = plan.plan.as_ref().map_or(0, |news| news.plan.roster.len());
+    let membership = plan
+        .plan
+        .as_ref()
+        .map_or(0, |update| update.plan.membership.len());
     Ok(Some(Gathered {
-        version: by_blueprint.1,
-        news: News {
-            blueprint: blueprint.blueprint,
+        version: by_configuration.1,
+        update: StateUpdate {
+            configuration: configuration.configuration,
             plan: plan.plan,
-            ..News::default()
+            ..StateUpdate::default()
         },
         is_majority: GatewayEvidence::is_sufficient(
             holders.len(),
-            roster,
+            membership,
             shared.settings.seeds.len(),
         ),
     }))
 }
 
-/// Forms an era on this core's own disk, tells its members, and starts it from what fronts hold.
-fn form_era(shared: &Shared, set: VoterSet, floor: u64, gathered: Option<&Gathered>) {
+/// Forms an epoch on this core's own disk, tells its members, and starts it from what fronts hold.
+fn form_epoch(shared: &Shared, set: VoterSet, floor: u64, gathered: Option<&Gathered>) {
     let Some(set) = form_here(shared, set, floor) else {
         return;
     };
@@ -228,21 +228,24 @@
             found.is_majority
         );
     } else {
-        log::info!("set: formed era 1 with {} voters", set.voters.len());
+        log::info!("set: formed epoch 1 with {} voters", set.voters.len());
     }
     for voter in &set.voters {
-        let form = Message::Form(set.clone(), floor);
+        let form = PeerMessage::Form(set.clone(), floor);
         shared.links.cast(&voter.address, form);
     }
     shared.store.learn_set(&set);
     if let Some(found) = gathered {
-        shared.store.start_from(&found.news);
+        shared.store.start_from(&found.update);
     }
 }
 
 /// Takes a first set on this core's own disk.
 pub fn form_here(shared: &Shared, set: VoterSet, floor: u64) -> Option<VoterSet> {
-    let (told, answer) = bounded(1);
-    shared.voter.send(Work::Form(set, floor, told)).ok()?;
+    let (reported, answer) = bounded(1);
+    shared
+        .voter
+        .send(VoterTask::Form(set, floor, reported))
+        .ok()?;
     answer.recv().ok().filter(|set| set.epoch > 0)
 }
--- a/crates/core/src/shared.rs
+++ b/crates/core/src/shared.rs
@@ -1,7 +1,7 @@
-use crate::news::{self, Askers};
 use crate::store::Store;
-use crate::voting::{self, Work};
-use crate::{duty, identity, mending, operators, platform, scaling, set, witness};
+use crate::update::{self, UpdateSubscribers};
+use crate::voting::{self, VoterTask};
+use crate::{identity, operators, platform, repair, scaler_role, scaling, set, witness};
 use arc_swap::ArcSwap;
 use configuration::{CoreSettings, PeerRef, Version};
 use crossbeam::channel::{bounded, Receiver, Sender};
@@ -9,15 +9,15 @@
 use leader_election::{LeaderElection, Leadership};
 use parking_lot::Mutex;
 use rand::Rng;
-use request_queue::{DeskMessage, FrontReport};
-use scaler::{FrontSight, FunctionNote};
+use request_queue::{FrontMessage, FrontReport};
+use scaler::{FrontObservation, FunctionDecision};
 use std::collections::BTreeMap;
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 use std::{fmt, io, thread};
-use transport::{now_ms, unix_ms, Envelope, Handler, Links, Message, Responder, Role};
+use transport::{now_ms, unix_ms, Envelope, Handler, Links, PeerMessage, PeerRole, Responder};
 use voter::median_wall_clock;
 use voter::VoterError;
 
@@ -51,15 +51,15 @@
 
 /// A front as this core knows it.
 pub struct KnownFront {
-    pub sight: FrontSight,
+    pub observation: FrontObservation,
     pub address: String,
-    /// How far its wall clock was ahead of this core's when it last told, in milliseconds.
+    /// How far its wall clock was ahead of this core's when it last notified, in milliseconds.
     pub off_ms: i64,
 }
 
-/// The scaler's duty as this core sees it.
+/// The scaler's role as this core sees it.
 #[derive(Clone, Default)]
-pub struct DutyView {
+pub struct RoleView {
     pub tenure: Leadership,
     pub term: Option<u64>,
 }
@@ -70,14 +70,14 @@
     pub disk: u64,
     pub links: Arc<Links>,
     pub store: Store,
-    pub voter: Sender<Work>,
-    pub askers: Askers,
+    pub voter: Sender<VoterTask>,
+    pub subscribers: UpdateSubscribers,
     pub fronts: Mutex<BTreeMap<String, KnownFront>>,
     pub platform: ArcSwap<platform::Lists>,
-    pub duty: ArcSwap<DutyView>,
-    pub notes: ArcSwap<BTreeMap<String, FunctionNote>>,
-    /// Whether this life has read the plan at a majority, so that it cannot tell an older one than
-    /// it told before.
+    pub scaler_role: ArcSwap<RoleView>,
+    pub decisions: ArcSwap<BTreeMap<String, FunctionDecision>>,
+    /// Whether this incarnation has read the plan at a majority, so that it cannot tell an older one than
+    /// it notified before.
     pub is_certain: AtomicBool,
     /// Operators' requests that are being handled.
     pub handling: AtomicUsize,
@@ -85,45 +85,46 @@
 }
 
 impl Shared {
-    pub fn set_tenure(&self, duty: &LeaderElection, now: u64) {
-        let term = duty.term(now);
-        let known = self.duty.load();
-        if known.term != term || known.tenure != *duty.leadership() {
-            let tenure = duty.leadership().clone();
-            self.duty.store(Arc::new(DutyView { tenure, term }));
+    pub fn set_tenure(&self, scaler_role: &LeaderElection, now: u64) {
+        let term = scaler_role.term(now);
+        let known = self.scaler_role.load();
+        if known.term != term || known.tenure != *scaler_role.leadership() {
+            let tenure = scaler_role.leadership().clone();
+            self.scaler_role.store(Arc::new(RoleView { tenure, term }));
         }
     }
 
     /// How long one question to another daemon may take.
-    pub fn patience(&self) -> Duration {
-        Duration::from_millis(self.store.settled().blueprint.bounds.ask_ms())
+    pub fn timeout(&self) -> Duration {
+        Duration::from_millis(self.store.committed().configuration.bounds.ask_ms())
     }
 
-    /// A front asks again as soon as it holds news, well before its next report. The plan's version
+    /// A front asks again as soon as it holds updates, well before its next report. The plan's version
     /// is left as it was reported, since what the report says of seats goes with it.
-    fn note_blueprint(&self, from: &PeerRef, blueprint: Version) {
+    fn note_configuration(&self, from: &PeerRef, configuration: Version) {
         let mut fronts = self.fronts.lock();
         let known = fronts.get_mut(&from.name);
-        if let Some(known) = known.filter(|known| known.sight.peer == *from) {
-            let report = &mut known.sight.report;
-            report.blueprint = report.blueprint.max(blueprint);
+        if let Some(known) = known.filter(|known| known.observation.peer == *from) {
+            let report = &mut known.observation.report;
+            report.configuration = report.configuration.max(configuration);
         }
     }
 
     /// The wall time that this core's and the fronts' clocks agree on.
     pub fn median_wall_clock(&self) -> u64 {
         let fronts = self.fronts.lock();
-        let told = fronts.values();
-        let told = told.filter(|known| !known.sight.report.is_witness);
-        median_wall_clock(unix_ms(), told.map(|known| known.off_ms))
+        let reported = fronts.values();
+        let reported = reported.filter(|known| !known.observation.report.is_witness);
+        median_wall_clock(unix_ms(), reported.map(|known| known.off_ms))
     }
 
-    /// The newest era of which a front told this core that it holds a value, also one that is silent now.
-    pub fn fronts_era(&self) -> u64 {
+    /// The newest epoch of which a front notified this core that it holds a value, also one that is silent now.
+    pub fn fronts_epoch(&self) -> u64 {
         let fronts = self.fronts.lock();
-        let reports = fronts.values().map(|known| &known.sight.report);
-        let told = reports.filter(|report| !report.is_witness);
-        told.map(|report| report.blueprint.era.max(report.plan.era))
+        let reports = fronts.values().map(|known| &known.observation.report);
+        let reported = reports.filter(|report| !report.is_witness);
+        reported
+            .map(|report| report.configuration.epoch.max(report.plan.epoch))
             .max()
             .unwrap_or(0)
     }
@@ -134,7 +135,7 @@
             return;
         }
         let off_ms = report.wall_ms as i64 - unix_ms() as i64;
-        let sight = FrontSight {
+        let observation = FrontObservation {
             peer: envelope_from.clone(),
             heard_at: now_ms(),
             report,
@@ -142,7 +143,7 @@
         fronts.insert(
             envelope_from.name,
             KnownFront {
-                sight,
+                observation,
                 address,
                 off_ms,
             },
@@ -156,45 +157,48 @@
     fn on_message(&self, envelope: Envelope, responder: Option<Responder>) {
         let shared = &self.0;
         match (envelope.body, responder) {
-            (Message::Voter(message), Some(responder)) => {
+            (PeerMessage::Voter(message), Some(responder)) => {
                 // Where the voter cannot keep up the question is dropped, as on a lossy link.
-                let _ = shared.voter.try_send(Work::Ask(message, responder));
+                let _ = shared.voter.try_send(VoterTask::Ask(message, responder));
             }
             (
-                Message::Ask {
-                    blueprint,
+                PeerMessage::AwaitUpdate {
+                    configuration,
                     plan,
                     wants_certain,
                 },
                 Some(responder),
             ) => {
-                shared.note_blueprint(&envelope.from, blueprint);
+                shared.note_configuration(&envelope.from, configuration);
                 if wants_certain {
-                    let _ = shared.certain.try_send((blueprint, plan, responder));
+                    let _ = shared.certain.try_send((configuration, plan, responder));
                 } else {
-                    shared.askers.ask(shared, blueprint, plan, responder);
+                    shared
+                        .subscribers
+                        .ask(shared, configuration, plan, responder);
                 }
             }
-            (Message::Desk(DeskMessage::Beat { stamp, .. }), None) => {
+            (PeerMessage::Front(FrontMessage::Heartbeat { stamp, .. }), None) => {
                 witness::answer(shared, &envelope.address, stamp);
             }
-            (Message::Report(report), None)
-                if report.is_witness == (envelope.role == Role::Core) =>
+            (PeerMessage::Report(report), None)
+                if report.is_witness == (envelope.role == PeerRole::Core) =>
             {
                 shared.take_report(envelope.from, envelope.address, report);
             }
-            (Message::Hello, Some(responder)) => {
-                let _ =
-                    shared
-                        .voter
-                        .try_send(Work::Hello(shared.disk, shared.fronts_era(), responder));
+            (PeerMessage::Hello, Some(responder)) => {
+                let _ = shared.voter.try_send(VoterTask::Hello(
+                    shared.disk,
+                    shared.fronts_epoch(),
+                    responder,
+                ));
             }
-            (message, responder) => mending::on_message(shared, message, responder),
+            (message, responder) => repair::on_message(shared, message, responder),
         }
     }
 }
 
-/// Runs a core until it is told to stop.
+/// Runs a core until it is notified to stop.
 pub fn run(settings: CoreSettings) -> Result<(), CoreError> {
     let (identity, _lock) = identity::open(&settings.data, &settings.name)?;
     let voter = voting::open(&settings.data)?;
@@ -203,7 +207,7 @@
         name: settings.name.clone(),
         incarnation: rand::rng().random(),
     };
-    let links = Arc::new(Links::new(me, settings.address(), Role::Core));
+    let links = Arc::new(Links::new(me, settings.address(), PeerRole::Core));
     let (voter_work, asked) = bounded(VOTER_WORK_MAX);
     let (certain, wanted) = bounded(256);
     let shared = Arc::new(Shared {
@@ -211,11 +215,11 @@
         store: Store::new(links.clone()),
         links: links.clone(),
         voter: voter_work,
-        askers: Askers::default(),
+        subscribers: UpdateSubscribers::default(),
         fronts: Mutex::default(),
         platform: ArcSwap::default(),
-        duty: ArcSwap::default(),
-        notes: ArcSwap::default(),
+        scaler_role: ArcSwap::default(),
+        decisions: ArcSwap::default(),
         is_certain: AtomicBool::new(false),
         handling: AtomicUsize::new(0),
         certain,
@@ -227,8 +231,8 @@
         .listen(listener, Arc::new(Incoming(shared.clone())))
         .map_err(CoreError::Io)?;
     with(&shared, "core-set", set::settle_set)?;
-    with(&shared, "core-mending", mending::keep)?;
-    with(&shared, "core-duty", duty::keep)?;
+    with(&shared, "core-repair", repair::keep)?;
+    with(&shared, "core-scaler-role", scaler_role::keep)?;
     with(&shared, "core-lists", platform::follow)?;
     with(&shared, "core-scaler", scaling::run)?;
     let certain = shared.clone();
@@ -246,7 +250,7 @@
     let mut refreshed_at = 0;
     let mut aged_at = now_ms();
     loop {
-        let bounds = shared.store.settled().blueprint.bounds.clone();
+        let bounds = shared.store.committed().configuration.bounds.clone();
         if stopped
             .recv_timeout(Duration::from_millis(bounds.tick_ms()))
             .is_ok()
@@ -254,27 +258,27 @@
             return end_in_order(&shared);
         }
         let now = now_ms();
-        if now >= refreshed_at + bounds.beat_ms() {
+        if now >= refreshed_at + bounds.heartbeat_ms() {
             refreshed_at = now;
-            let patience = Duration::from_millis(bounds.beat_ms());
-            if shared.store.refresh(patience) {
+            let timeout = Duration::from_millis(bounds.heartbeat_ms());
+            if shared.store.refresh(timeout) {
                 shared.is_certain.store(true, Ordering::SeqCst);
             }
         }
         witness::report(&shared);
         if now >= aged_at + bounds.retry_window_ms {
             aged_at = now;
-            let work = Work::AgeOut(unix_ms(), bounds.claim_ms);
+            let work = VoterTask::AgeOut(unix_ms(), bounds.claim_ms);
             let _ = shared.voter.try_send(work);
         }
-        news::answer_all(&shared);
+        update::answer_all(&shared);
     }
 }
 
 /// Lets the operators' requests that are under way end. All that was promised is synced already.
 fn end_in_order(shared: &Shared) -> Result<(), CoreError> {
     log::info!("core: stops");
-    let bounds = shared.store.settled().blueprint.bounds.clone();
+    let bounds = shared.store.committed().configuration.bounds.clone();
     if !transport::close_door(shared.settings.http) {
         log::warn!("core: new connections could not be kept out");
     }
@@ -288,8 +292,8 @@
 }
 
 fn answer_certain(shared: &Shared, wanted: &Receiver<(Version, Version, Responder)>) {
-    for (blueprint, plan, responder) in wanted {
-        news::answer_certain(shared, blueprint, plan, responder);
+    for (configuration, plan, responder) in wanted {
+        update::answer_certain(shared, configuration, plan, responder);
     }
 }
 
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -1,31 +1,31 @@
 use arc_swap::ArcSwap;
-use configuration::{Blueprint, Plan, Version};
+use configuration::{Configuration, Plan, Version};
 use register::{Change, ChangeOutcome, RegisterClient, VersionedValue, VoterSet};
 use serde::Serialize;
 use speedy::{Readable, Writable};
 use std::sync::Arc;
 use std::time::Duration;
-use transport::{Links, News, WireVoters};
+use transport::{Links, StateUpdate, WireVoters};
 
-/// Key of the blueprint's register.
-pub const BLUEPRINT: &str = "blueprint";
+/// Key of the configuration's register.
+pub const CONFIGURATION: &str = "blueprint";
 /// Key of the plan's register.
 pub const PLAN: &str = "plan";
-/// Lines of history kept with a blueprint.
-const HISTORY_MAX: usize = 32;
+/// Lines of history kept with a configuration.
+const MAX_HISTORY_ENTRIES: usize = 32;
 
-/// What the blueprint's register holds.
+/// What the configuration's register holds.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
-pub struct BlueprintValue {
+pub struct ConfigurationValue {
     /// JSON text as it was put.
     pub text: String,
     /// How it came to be, the oldest first; the last line is this one.
-    pub history: Vec<HistoryLine>,
+    pub history: Vec<HistoryEntry>,
 }
 
-/// One put in a blueprint's history.
+/// One put in a configuration's history.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable, Serialize)]
-pub struct HistoryLine {
+pub struct HistoryEntry {
     /// Version that the put made.
     pub version: u64,
     /// When, in milliseconds since 1970 by the core's wall clock.
@@ -36,12 +36,12 @@
     pub note: String,
 }
 
-impl BlueprintValue {
+impl ConfigurationValue {
     /// The next value, with its line added to the history.
-    pub fn next(&self, text: String, line: HistoryLine) -> Self {
+    pub fn next(&self, text: String, line: HistoryEntry) -> Self {
         let mut history = self.history.clone();
         history.push(line);
-        let surplus = history.len().saturating_sub(HISTORY_MAX);
+        let surplus = history.len().saturating_sub(MAX_HISTORY_ENTRIES);
         history.drain(..surplus);
         Self { text, history }
     }
@@ -49,19 +49,19 @@
 
 /// Values that are known to be settled.
 #[derive(Clone)]
-pub struct Settled {
-    pub blueprint_version: Version,
-    pub blueprint: Arc<Blueprint>,
-    pub value: Arc<BlueprintValue>,
+pub struct CommittedState {
+    pub configuration_version: Version,
+    pub configuration: Arc<Configuration>,
+    pub value: Arc<ConfigurationValue>,
     pub plan_version: Version,
     pub plan: Arc<Plan>,
 }
 
-impl Default for Settled {
+impl Default for CommittedState {
     fn default() -> Self {
         Self {
-            blueprint_version: Version::default(),
-            blueprint: Arc::new(Blueprint::empty()),
+            configuration_version: Version::default(),
+            configuration: Arc::new(Configuration::empty()),
             value: Arc::default(),
             plan_version: Version::default(),
             plan: Arc::default(),
@@ -73,7 +73,7 @@
 pub struct Store {
     client: RegisterClient<WireVoters>,
     set: ArcSwap<VoterSet>,
-    settled: ArcSwap<Settled>,
+    committed: ArcSwap<CommittedState>,
 }
 
 impl Store {
@@ -81,11 +81,11 @@
         Self {
             client: RegisterClient::new(WireVoters::new(links)),
             set: ArcSwap::default(),
-            settled: ArcSwap::default(),
+            committed: ArcSwap::default(),
         }
     }
 
-    /// The voters that count, as far as is known; era 0 where none are.
+    /// The voters that count, as far as is known; epoch 0 where none are.
     pub fn set(&self) -> Arc<VoterSet> {
         self.set.load_full()
     }
@@ -98,8 +98,8 @@
     }
 
     /// Values in force.
-    pub fn settled(&self) -> Arc<Settled> {
-        self.settled.load_full()
+    pub fn committed(&self) -> Arc<CommittedState> {
+        self.committed.load_full()
     }
 
     /// Reads or writes a register.
@@ -116,55 +116,58 @@
         (set.epoch, outcome)
     }
 
-    /// Starts a new era from the values that the fronts held. Where another core was faster its
+    /// Starts a new epoch from the values that the fronts held. Where another core was faster its
     /// values stay.
-    pub fn start_from(&self, news: &News) {
-        let patience = Duration::from_secs(2);
-        let blueprint = news.blueprint.as_ref().map(|news| {
-            let line = HistoryLine {
+    pub fn start_from(&self, update: &StateUpdate) {
+        let timeout = Duration::from_secs(2);
+        let configuration = update.configuration.as_ref().map(|update| {
+            let line = HistoryEntry {
                 version: 1,
-                note: format!("from era {} version {}", news.version.era, news.version.no),
-                ..HistoryLine::default()
+                note: format!(
+                    "from era {} version {}",
+                    update.version.epoch, update.version.no
+                ),
+                ..HistoryEntry::default()
             };
-            let value = BlueprintValue::default().next(news.text.clone(), line);
-            (BLUEPRINT, value.write_to_vec().unwrap_or_default())
+            let value = ConfigurationValue::default().next(update.text.clone(), line);
+            (CONFIGURATION, value.write_to_vec().unwrap_or_default())
         });
-        let plan = news.plan.as_ref();
-        let plan = plan.map(|news| (PLAN, news.plan.write_to_vec().unwrap_or_default()));
-        for (key, bytes) in blueprint.into_iter().chain(plan) {
+        let plan = update.plan.as_ref();
+        let plan = plan.map(|update| (PLAN, update.plan.write_to_vec().unwrap_or_default()));
+        for (key, bytes) in configuration.into_iter().chain(plan) {
             let change = Change::Write { expected: 0, bytes };
-            let (era, outcome) = self.change(key, change, patience);
+            let (epoch, outcome) = self.change(key, change, timeout);
             match outcome {
                 ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) => {
-                    self.put_in_force(key, era, &stored);
+                    self.put_in_force(key, epoch, &stored);
                 }
-                other => log::error!("store: {key} of the last era was not taken: {other:?}"),
+                other => log::error!("store: {key} of the last epoch was not taken: {other:?}"),
             }
         }
     }
 
-    /// Whether an era after a loss has not got its values back yet; nothing is planned until then.
+    /// Whether an epoch after a loss has not got its values back yet; nothing is planned until then.
     pub fn is_blank(&self) -> bool {
-        let era = self.set().epoch;
-        era > 1 && self.settled().blueprint_version.era < era
+        let epoch = self.set().epoch;
+        epoch > 1 && self.committed().configuration_version.epoch < epoch
     }
 
-    /// Reads blueprint and plan at a majority and puts them in force. Gives whether both were read.
+    /// Reads configuration and plan at a majority and puts them in force. Gives whether both were read.
     pub fn refresh(&self, budget: Duration) -> bool {
-        [BLUEPRINT, PLAN].into_iter().all(|key| {
-            let (era, outcome) = self.change(key, Change::Read, budget);
+        [CONFIGURATION, PLAN].into_iter().all(|key| {
+            let (epoch, outcome) = self.change(key, Change::Read, budget);
             let ChangeOutcome::Committed(stored) = outcome else {
                 return false;
             };
-            self.put_in_force(key, era, &stored);
+            self.put_in_force(key, epoch, &stored);
             true
         })
     }
 
     /// Puts a settled value in force where it is newer.
-    pub fn put_in_force(&self, key: &str, era: u64, stored: &VersionedValue) {
+    pub fn put_in_force(&self, key: &str, epoch: u64, stored: &VersionedValue) {
         let version = Version {
-            era,
+            epoch,
             no: stored.version,
         };
         if stored.version == 0 {
@@ -173,7 +176,7 @@
         if key == PLAN {
             self.plan_in_force(version, stored);
         } else {
-            self.blueprint_in_force(version, stored);
+            self.configuration_in_force(version, stored);
         }
     }
 
@@ -183,35 +186,35 @@
             return;
         };
         let plan = Arc::new(plan);
-        self.settled.rcu(|settled| {
-            let mut settled = Settled::clone(settled);
-            if version > settled.plan_version {
-                settled.plan_version = version;
-                settled.plan = plan.clone();
+        self.committed.rcu(|committed| {
+            let mut committed = CommittedState::clone(committed);
+            if version > committed.plan_version {
+                committed.plan_version = version;
+                committed.plan = plan.clone();
             }
-            settled
+            committed
         });
     }
 
-    fn blueprint_in_force(&self, version: Version, stored: &VersionedValue) {
-        if version <= self.settled.load().blueprint_version {
+    fn configuration_in_force(&self, version: Version, stored: &VersionedValue) {
+        if version <= self.committed.load().configuration_version {
             return;
         }
-        let value = BlueprintValue::read_from_buffer(&stored.bytes).unwrap_or_default();
-        let Ok(blueprint) = configuration::parse(&value.text) else {
-            log::error!("store: settled blueprint {} cannot be read", version.no);
+        let value = ConfigurationValue::read_from_buffer(&stored.bytes).unwrap_or_default();
+        let Ok(configuration) = configuration::parse(&value.text) else {
+            log::error!("store: settled configuration {} cannot be read", version.no);
             return;
         };
-        log::info!("store: blueprint {} is in force", version.no);
-        let (blueprint, value) = (Arc::new(blueprint), Arc::new(value));
-        self.settled.rcu(|settled| {
-            let mut settled = Settled::clone(settled);
-            if version > settled.blueprint_version {
-                settled.blueprint_version = version;
-                settled.blueprint = blueprint.clone();
-                settled.value = value.clone();
+        log::info!("store: configuration {} is in force", version.no);
+        let (configuration, value) = (Arc::new(configuration), Arc::new(value));
+        self.committed.rcu(|committed| {
+            let mut committed = CommittedState::clone(committed);
+            if version > committed.configuration_version {
+                committed.configuration_version = version;
+                committed.configuration = configuration.clone();
+                committed.value = value.clone();
             }
-            settled
+            committed
         });
     }
 }
--- a/crates/core/src/voting.rs
+++ b/crates/core/src/voting.rs
@@ -4,14 +4,14 @@
 use register::{RegisterState, VoterRequest, VoterResponse, VoterSet};
 use std::path::Path;
 use std::time::{Duration, Instant};
-use transport::{Copy, Message, Responder};
+use transport::{PeerMessage, ReplicaDigest, Responder};
 use voter::{Installation, Voter};
 
 /// Most questions that are answered with one sync.
 const BATCH_MAX: usize = 256;
 
 /// What the voter's thread is asked.
-pub enum Work {
+pub enum VoterTask {
     /// A question from the wire.
     Ask(VoterRequest, Responder),
     /// Take this first set with its floor, and tell what is held then.
@@ -21,26 +21,26 @@
     /// Take a set with all that its other members hold, into an empty voter.
     Install(Installation, Sender<VoterSet>),
     /// Take newer values from another copy.
-    Mend(Vec<(String, RegisterState)>),
-    /// Tell who this is, with the id of the disk and the newest era that fronts told of.
+    Repair(Vec<(String, RegisterState)>),
+    /// Tell who this is, with the id of the disk and the newest epoch that fronts notified of.
     Hello(u64, u64, Responder),
     /// Tell the copy in short, to another core.
-    Copy(Responder),
+    ReplicaDigest(Responder),
     /// Tell the copy in short, here.
-    Digests(Sender<Copy>),
+    Digests(Sender<ReplicaDigest>),
     /// Tell all that is held in a range.
     Range(u16, Responder),
     /// Forget claims, by this wall clock and the time for which they are remembered.
     AgeOut(u64, u64),
     /// Tell the set and how many keys are held.
-    Tell(Sender<(VoterSet, usize)>),
+    Report(Sender<(VoterSet, usize)>),
 }
 
 /// What came of the work that is synced together.
 #[derive(Default)]
 struct Batch {
     replies: Vec<(Responder, VoterResponse)>,
-    told_set: Vec<Sender<VoterSet>>,
+    set_waiters: Vec<Sender<VoterSet>>,
     adopted: Vec<Responder>,
 }
 
@@ -51,7 +51,11 @@
 }
 
 /// What comes next; nothing after a pause, where the disk has failed and may be tried again.
-fn next(voter: &Voter, work: &Receiver<Work>, pause: Duration) -> Result<Option<Work>, ()> {
+fn next(
+    voter: &Voter,
+    work: &Receiver<VoterTask>,
+    pause: Duration,
+) -> Result<Option<VoterTask>, ()> {
     if !voter.can_reopen() {
         return work.recv().map(Some).map_err(|_| ());
     }
@@ -72,8 +76,9 @@
 
 /// Works until nobody asks any more: one sync for all that has come in meanwhile. A disk that failed
 /// is tried again three times in a bound on changes.
-pub fn run(shared: &Shared, mut voter: Voter, work: &Receiver<Work>) {
-    let pause = || Duration::from_millis(shared.store.settled().blueprint.bounds.change_ms / 3);
+pub fn run(shared: &Shared, mut voter: Voter, work: &Receiver<VoterTask>) {
+    let pause =
+        || Duration::from_millis(shared.store.committed().configuration.bounds.change_ms / 3);
     let mut tried_at = Instant::now();
     while let Ok(first) = next(&voter, work, pause()) {
         if voter.can_reopen() && tried_at.elapsed() >= pause() {
@@ -94,73 +99,73 @@
             } else {
                 Voter::disk_failed_response()
             };
-            responder.answer(Message::VoterAnswer(reply));
+            responder.answer(PeerMessage::VoterResponse(reply));
         }
         voter.compact();
         if !is_synced {
             continue;
         }
         let set = voter.acceptor().set();
-        for told in batch.told_set {
-            let _ = told.send(set.clone());
+        for reported in batch.set_waiters {
+            let _ = reported.send(set.clone());
         }
         for responder in batch.adopted {
-            responder.answer(Message::Adopted(set.clone()));
+            responder.answer(PeerMessage::Adopted(set.clone()));
         }
     }
 }
 
-fn take(voter: &mut Voter, item: Work, batch: &mut Batch) {
+fn take(voter: &mut Voter, item: VoterTask, batch: &mut Batch) {
     match item {
-        Work::Ask(message, responder) => {
+        VoterTask::Ask(message, responder) => {
             let reply = voter.handle(message);
             batch.replies.push((responder, reply));
         }
-        Work::Form(set, floor, told) => {
+        VoterTask::Form(set, floor, reported) => {
             voter.bootstrap(set, floor);
-            batch.told_set.push(told);
+            batch.set_waiters.push(reported);
         }
-        Work::Adopt(set, responder) => {
+        VoterTask::Adopt(set, responder) => {
             voter.adopt_set(set);
             if voter.is_open() {
                 batch.adopted.push(responder);
             }
         }
-        Work::Install(given, told) => {
+        VoterTask::Install(given, reported) => {
             voter.install(given);
-            batch.told_set.push(told);
+            batch.set_waiters.push(reported);
         }
-        Work::Mend(keys) => voter.repair(keys),
-        Work::AgeOut(wall, remembered) => voter.expire_claims(wall, remembered),
-        Work::Hello(disk, fronts_era, responder) => {
+        VoterTask::Repair(keys) => voter.repair(keys),
+        VoterTask::AgeOut(wall, remembered) => voter.expire_claims(wall, remembered),
+        VoterTask::Hello(disk, fronts_epoch, responder) => {
             let set = voter.acceptor().set().clone();
-            responder.answer(Message::HelloAnswer {
+            responder.answer(PeerMessage::HelloResponse {
                 disk,
                 set,
-                fronts_era,
+                fronts_epoch,
             });
         }
-        Work::Copy(responder) => {
-            responder.answer(Message::DigestsAnswer(copy_of(voter)));
+        VoterTask::ReplicaDigest(responder) => {
+            responder.answer(PeerMessage::DigestsResponse(copy_of(voter)));
         }
-        Work::Digests(told) => {
-            let _ = told.send(copy_of(voter));
+        VoterTask::Digests(reported) => {
+            let _ = reported.send(copy_of(voter));
         }
-        Work::Range(range, responder) => {
-            responder.answer(Message::RangeAnswer(
+        VoterTask::Range(range, responder) => {
+            responder.answer(PeerMessage::RangeResponse(
                 voter.acceptor().registers_in_range(range),
             ));
         }
-        Work::Tell(told) => {
+        VoterTask::Report(reported) => {
             let held = voter.acceptor();
-            let _ = told.send((held.set().clone(), held.len()));
+            let _ = reported.send((held.set().clone(), held.len()));
         }
     }
 }
 
-fn copy_of(voter: &Voter) -> Copy {
+fn copy_of(voter: &Voter) -> ReplicaDigest {
     let held = voter.acceptor();
-    Copy {
+    ReplicaDigest {
         is_open: voter.is_open(),
         set: held.set().clone(),
         claim_floors: held.claim_floors(),
--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -1,12 +1,12 @@
-use crate::continuations::{Call, Ending};
-use crate::once::Claimed;
+use crate::claims::Claimed;
+use crate::continuations::{Call, CallOutcome};
 use crate::operators;
 use crate::shared::{refusal_words, Shared};
-use configuration::{Blueprint, Listing};
-use idempotency_keys::{digest_hex, Claim, OnceKey};
+use configuration::{Configuration, FunctionSpec};
+use idempotency_keys::{digest_hex, Claim, IdempotencyKey};
 use oxhttp::model::{Body, HeaderValue, Method, Request, Response, StatusCode};
 use rand::Rng;
-use request_queue::{Refusal, Ticket};
+use request_queue::{QueuedRequest, Rejection};
 use std::io;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -89,12 +89,15 @@
 }
 
 /// Budget of a call: the listing's, or less where the caller asks for less.
-fn budget_of(request: &Request<Body>, listing: &Listing) -> Result<u64, Box<Response<Body>>> {
+fn budget_of(
+    request: &Request<Body>,
+    function_spec: &FunctionSpec,
+) -> Result<u64, Box<Response<Body>>> {
     let Some(wanted) = header(request, "hallkeel-budget-ms") else {
-        return Ok(listing.budget_ms);
+        return Ok(function_spec.budget_ms);
     };
     match wanted.parse::<u64>() {
-        Ok(wanted) if wanted > 0 => Ok(wanted.min(listing.budget_ms)),
+        Ok(wanted) if wanted > 0 => Ok(wanted.min(function_spec.budget_ms)),
         _ => Err(refused(
             400,
             "bad-budget",
@@ -103,17 +106,20 @@
     }
 }
 
-fn once_key(
+fn idempotency_key(
     request: &Request<Body>,
-    blueprint: &Blueprint,
+    configuration: &Configuration,
     function: &str,
-) -> Result<(String, OnceKey), Box<Response<Body>>> {
+) -> Result<(String, IdempotencyKey), Box<Response<Body>>> {
     let Some(key) = header(request, "idempotency-key") else {
         let sentence = "work of this kind needs an Idempotency-Key";
         return Err(refused(400, "missing-key", sentence));
     };
-    let (remembered, ahead) = (blueprint.bounds.claim_ms, blueprint.bounds.change_ms);
-    OnceKey::read(key, function, unix_ms(), remembered, ahead)
+    let (remembered, ahead) = (
+        configuration.bounds.claim_ms,
+        configuration.bounds.change_ms,
+    );
+    IdempotencyKey::read(key, function, unix_ms(), remembered, ahead)
         .map(|read| (key.to_string(), read))
         .map_err(|fault| refused(400, "bad-key", &fault.to_string()))
 }
@@ -124,30 +130,33 @@
     function: &str,
 ) -> Result<Response<Body>, Box<Response<Body>>> {
     let arrived = now_ms();
-    let blueprint = shared.blueprint.load_full();
-    // A front that does not yet know the blueprint cannot say what exists.
-    if let Err(refusal) = shared.with_desk(|desk, now| desk.may_take(now, function)) {
-        return Err(turned_away(shared, refusal));
+    let configuration = shared.configuration.load_full();
+    // A front that does not yet know the configuration cannot say what exists.
+    if let Err(rejection) =
+        shared.with_scheduler(|scheduler, now| scheduler.may_take(now, function))
+    {
+        return Err(turned_away(shared, rejection));
     }
-    let Some(listing) = blueprint.listing(function) else {
-        return Err(turned_away(shared, Refusal::Unlisted));
+    let Some(function_spec) = configuration.function_spec(function) else {
+        return Err(turned_away(shared, Rejection::Unlisted));
     };
-    let kind_name = header(request, "hallkeel-kind").unwrap_or(&listing.kinds[0]);
-    let known = blueprint.kind(kind_name);
-    let Some((rank, kind)) = known.filter(|_| listing.kinds.iter().any(|name| name == kind_name))
+    let kind_name = header(request, "hallkeel-kind").unwrap_or(&function_spec.kinds[0]);
+    let known = configuration.kind(kind_name);
+    let Some((priority, kind)) =
+        known.filter(|_| function_spec.kinds.iter().any(|name| name == kind_name))
     else {
         let sentence = format!("function {function:?} takes no work of kind {kind_name:?}");
         return Err(refused(400, "unknown-kind", &sentence));
     };
-    let budget_end = arrived + budget_of(request, listing)?;
+    let budget_end = arrived + budget_of(request, function_spec)?;
     let key = match kind.once {
-        true => Some(once_key(request, &blueprint, function)?),
+        true => Some(idempotency_key(request, &configuration, function)?),
         false => None,
     };
     let content_type = header(request, "content-type")
         .unwrap_or("application/octet-stream")
         .to_string();
-    let body = read_body(request, blueprint.bounds.body_max)?;
+    let body = read_body(request, configuration.bounds.body_max)?;
     let digest = digest_hex(&body);
     let call = Arc::new(Call {
         function: function.to_string(),
@@ -155,9 +164,9 @@
         is_once: kind.once,
         content_type,
         body,
-        once_key: key.as_ref().map(|(text, _)| text.clone()),
+        idempotency_key: key.as_ref().map(|(text, _)| text.clone()),
     });
-    let (slot, ending) = shared.continuations.open(call.clone());
+    let (slot, outcome_receiver) = shared.continuations.open(call.clone());
     let claimed = match &key {
         None => None,
         Some((_, key)) => match claim(shared, key, slot, &digest, budget_end) {
@@ -168,28 +177,28 @@
             }
         },
     };
-    let ticket = Ticket {
+    let queued_request = QueuedRequest {
         slot,
         function: call.function.clone(),
-        rank,
+        priority,
         arrived,
         budget_end,
         unsent: 0,
     };
-    shared.with_desk(|desk, now| {
-        desk.count_arrival(&ticket.function);
-        desk.arrive(now, ticket);
+    shared.with_scheduler(|scheduler, now| {
+        scheduler.count_arrival(&queued_request.function);
+        scheduler.arrive(now, queued_request);
     });
-    let patience = Duration::from_millis(budget_end.saturating_sub(now_ms()));
-    let mut end = ending.recv_timeout(patience).ok();
+    let timeout = Duration::from_millis(budget_end.saturating_sub(now_ms()));
+    let mut end = outcome_receiver.recv_timeout(timeout).ok();
     if end.is_none() {
         end = match shared.continuations.abandon(slot) {
-            Some(true) => Some(Ending::Failed("budget-over")),
-            Some(false) => Some(Ending::Refused(Refusal::BudgetOver)),
-            None => ending.recv().ok(),
+            Some(true) => Some(CallOutcome::Failed("budget-over")),
+            Some(false) => Some(CallOutcome::Refused(Rejection::BudgetOver)),
+            None => outcome_receiver.recv().ok(),
         };
     }
-    let end = end.unwrap_or(Ending::Failed("answer-lost"));
+    let end = end.unwrap_or(CallOutcome::Failed("answer-lost"));
     if let Some((key, version)) = claimed {
         note_claim(shared, key, version, &digest, &end);
     }
@@ -198,15 +207,15 @@
 
 fn claim(
     shared: &Shared,
-    key: &OnceKey,
+    key: &IdempotencyKey,
     slot: u64,
     digest: &str,
     budget_end: u64,
 ) -> Result<u64, Box<Response<Body>>> {
-    let bounds = &shared.blueprint.load().bounds;
+    let bounds = &shared.configuration.load().bounds;
     let most = bounds.lease_ms();
-    let patience = Duration::from_millis(budget_end.saturating_sub(now_ms()).min(most));
-    match shared.ledger.claim(key, slot, digest, patience) {
+    let timeout = Duration::from_millis(budget_end.saturating_sub(now_ms()).min(most));
+    match shared.claim_store.claim(key, slot, digest, timeout) {
         Claimed::Ours(version) => Ok(version),
         Claimed::AgedOut => Err(Box::new(outcome(
             409,
@@ -249,13 +258,19 @@
     }
 }
 
-fn note_claim(shared: &Shared, key: &OnceKey, version: u64, digest: &str, end: &Ending) {
+fn note_claim(
+    shared: &Shared,
+    key: &IdempotencyKey,
+    version: u64,
+    digest: &str,
+    end: &CallOutcome,
+) {
     let digest = digest.to_string();
-    let patience = Duration::from_millis(shared.blueprint.load().bounds.lease_ms() / 3);
+    let timeout = Duration::from_millis(shared.configuration.load().bounds.lease_ms() / 3);
     let claim = match end {
-        Ending::Refused(_) => return shared.ledger.free(key, version, patience),
-        Ending::Failed(_) => Claim::Unknown { digest },
-        Ending::Answered {
+        CallOutcome::Refused(_) => return shared.claim_store.free(key, version, timeout),
+        CallOutcome::Failed(_) => Claim::Unknown { digest },
+        CallOutcome::Answered {
             status,
             content_type,
             body,
@@ -266,26 +281,26 @@
             body: Some(body.clone()),
         },
     };
-    shared.ledger.note(key, version, claim, patience);
+    shared.claim_store.note(key, version, claim, timeout);
 }
 
-fn turned_away(shared: &Shared, refusal: Refusal) -> Box<Response<Body>> {
+fn turned_away(shared: &Shared, rejection: Rejection) -> Box<Response<Body>> {
     shared.counts.refused.fetch_add(1, Ordering::Relaxed);
-    let (status, reason) = refusal_words(refusal);
-    let sentence = match refusal {
-        Refusal::Unlisted => "no function of this name is listed",
-        Refusal::HoldingFull | Refusal::Shed => "too much work waits for this function",
-        Refusal::BudgetOver => "the budget was over before a seat was free",
-        Refusal::NoStanding => "this front is cut off or has just started; try another",
-        Refusal::Draining => "this front is about to stop; try another",
-        Refusal::Unreachable => "no runner of the function could be reached",
+    let (status, reason) = refusal_words(rejection);
+    let sentence = match rejection {
+        Rejection::Unlisted => "no function of this name is listed",
+        Rejection::QueueFull | Rejection::Shed => "too much work waits for this function",
+        Rejection::BudgetOver => "the budget was over before a seat was free",
+        Rejection::NoQuorum => "this front is cut off or has just started; try another",
+        Rejection::Draining => "this front is about to stop; try another",
+        Rejection::Unreachable => "no runner of the function could be reached",
     };
     refused(status, reason, sentence)
 }
 
-fn respond(shared: &Shared, end: Ending) -> Response<Body> {
+fn respond(shared: &Shared, end: CallOutcome) -> Response<Body> {
     match end {
-        Ending::Answered {
+        CallOutcome::Answered {
             status,
             content_type,
             body,
@@ -293,8 +308,8 @@
             shared.counts.answered.fetch_add(1, Ordering::Relaxed);
             answered(status, &content_type, body)
         }
-        Ending::Refused(refusal) => *turned_away(shared, refusal),
-        Ending::Failed(reason) => {
+        CallOutcome::Refused(rejection) => *turned_away(shared, rejection),
+        CallOutcome::Failed(reason) => {
             shared.counts.unknown.fetch_add(1, Ordering::Relaxed);
             let status = if reason == "budget-over" { 504 } else { 502 };
             let sentence = "the work was sent to a runner and no good answer came; it may have run";
--- a/crates/front/src/once.rs
+++ b/crates/front/src/claims.rs
@@ -1,7 +1,7 @@
 use arc_swap::ArcSwap;
 use configuration::PeerRef;
 use crossbeam::channel::{bounded, Receiver, Sender};
-use idempotency_keys::{Claim, OnceKey};
+use idempotency_keys::{Claim, IdempotencyKey};
 use parking_lot::Mutex;
 use register::{
     Ballot, Change, ChangeOutcome, RegisterClient, RegisterState, VersionedValue, VoterSet,
@@ -11,23 +11,23 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use transport::{Links, Message, WireVoters};
+use transport::{Links, PeerMessage, WireVoters};
 
 /// Largest answer that is kept with a claim, in bytes.
-const KEPT_BODY_MAX: usize = 32 * 1024;
-const LEFTOVERS_MAX: usize = 10_000;
+const MAX_STORED_BODY_BYTES: usize = 32 * 1024;
+const MAX_ABANDONED_CLAIMS: usize = 10_000;
 /// Pauses within a claim's time while the set of voters changes.
 const SET_PAUSES: u32 = 50;
 /// Claims that a front remembers.
-const REMEMBERED_MAX: usize = 20_000;
+const MAX_REMEMBERED_CLAIMS: usize = 20_000;
 /// Remembered claims in one message.
 const REMEMBERED_PART: usize = 100;
 
 /// What asking for a claim gave.
 pub enum Claimed {
-    /// This ticket alone may send the work; the version of its claim goes with it.
+    /// This request alone may send the work; the version of its claim goes with it.
     Ours(u64),
-    /// Another ticket has or had the key.
+    /// Another request has or had the key.
     Theirs(Claim),
     /// The key is older than what the ledger knows, so it is not claimed any more.
     AgedOut,
@@ -37,15 +37,15 @@
 
 /// Claims of this front that it still knows, for voters that lose theirs.
 #[derive(Default)]
-struct Remembered {
+struct RememberedClaims {
     claims: BTreeMap<String, (u64, Vec<u8>)>,
 }
 
-impl Remembered {
+impl RememberedClaims {
     fn note(&mut self, register: &str, version: u64, bytes: Vec<u8>) {
         self.claims.insert(register.to_string(), (version, bytes));
         // Keys begin with the time at which they were issued, so the first is the oldest.
-        if self.claims.len() > REMEMBERED_MAX {
+        if self.claims.len() > MAX_REMEMBERED_CLAIMS {
             self.claims.pop_first();
         }
     }
@@ -75,23 +75,23 @@
 }
 
 /// The ledger of once-work, kept at the voters: one register for each key.
-pub struct Ledger {
+pub struct ClaimStore {
     client: RegisterClient<WireVoters>,
     set: ArcSwap<VoterSet>,
     me: PeerRef,
-    remembered: Mutex<Remembered>,
+    remembered: Mutex<RememberedClaims>,
     links: Arc<Links>,
-    leftovers: (Sender<Leftover>, Receiver<Leftover>),
+    abandoned_claims: (Sender<AbandonedClaim>, Receiver<AbandonedClaim>),
 }
 
 /// Register and version of a claim of which nothing was sent.
-type Leftover = (String, u64);
+type AbandonedClaim = (String, u64);
 
 fn bytes_of(claim: &Claim) -> Vec<u8> {
     claim.write_to_vec().unwrap_or_default()
 }
 
-impl Ledger {
+impl ClaimStore {
     pub fn new(links: Arc<Links>) -> Self {
         Self {
             me: links.me().clone(),
@@ -99,11 +99,11 @@
             remembered: Mutex::default(),
             links,
             set: ArcSwap::default(),
-            leftovers: bounded(LEFTOVERS_MAX),
+            abandoned_claims: bounded(MAX_ABANDONED_CLAIMS),
         }
     }
 
-    /// Learns which voters count; an older set is ignored. Voters of a new era are told the claims
+    /// Learns which voters count; an older set is ignored. Voters of a new epoch are notified the claims
     /// that this front still knows.
     pub fn learn_set(&self, set: &VoterSet) {
         let known = self.set.load_full();
@@ -116,13 +116,13 @@
         }
         let held = self.remembered.lock().held(self.me.incarnation);
         log::warn!(
-            "front: era {} began; its voters are told {} claims",
+            "front: epoch {} began; its voters are notified {} claims",
             set.epoch,
             held.len()
         );
         for part in held.chunks(REMEMBERED_PART) {
             for voter in &set.voters {
-                let message = Message::Remembered(part.to_vec());
+                let message = PeerMessage::RememberedClaims(part.to_vec());
                 self.links.cast(&voter.address, message);
             }
         }
@@ -157,8 +157,14 @@
         outcome
     }
 
-    /// Claims a key for a ticket.
-    pub fn claim(&self, key: &OnceKey, slot: u64, digest: &str, budget: Duration) -> Claimed {
+    /// Claims a key for a request.
+    pub fn claim(
+        &self,
+        key: &IdempotencyKey,
+        slot: u64,
+        digest: &str,
+        budget: Duration,
+    ) -> Claimed {
         let claim = Claim::Taken {
             by: self.me.clone(),
             slot,
@@ -199,12 +205,15 @@
     }
 
     fn leave_over(&self, register: &str, version: u64) {
-        let _ = self.leftovers.0.try_send((register.to_string(), version));
+        let _ = self
+            .abandoned_claims
+            .0
+            .try_send((register.to_string(), version));
     }
 
     /// Gives a claim back, of which nothing was sent, so that the caller may ask elsewhere as soon as
-    /// it is told. Where voters do not answer now it is done later.
-    pub fn free(&self, key: &OnceKey, version: u64, budget: Duration) {
+    /// it is notified. Where voters do not answer now it is done later.
+    pub fn free(&self, key: &IdempotencyKey, version: u64, budget: Duration) {
         match self.write(&key.register, version, &Claim::Free, budget) {
             ChangeOutcome::Committed(_) | ChangeOutcome::Conflict(_) => {}
             _ => self.leave_over(&key.register, version),
@@ -213,15 +222,15 @@
 
     /// Whether claims are still to be given back.
     pub fn has_leftovers(&self) -> bool {
-        !self.leftovers.1.is_empty()
+        !self.abandoned_claims.1.is_empty()
     }
 
     /// Notes the answer, or that it was lost.
-    pub fn note(&self, key: &OnceKey, version: u64, mut claim: Claim, budget: Duration) {
+    pub fn note(&self, key: &IdempotencyKey, version: u64, mut claim: Claim, budget: Duration) {
         if let Claim::Done { body, .. } = &mut claim {
             if body
                 .as_ref()
-                .is_some_and(|bytes| bytes.len() > KEPT_BODY_MAX)
+                .is_some_and(|bytes| bytes.len() > MAX_STORED_BODY_BYTES)
             {
                 *body = None;
             }
@@ -234,9 +243,9 @@
 
     /// Frees claims of which nothing was sent, until the process ends.
     pub fn free_leftovers(&self) {
-        for (register, version) in &self.leftovers.1 {
-            let patience = Duration::from_secs(2);
-            match self.write(&register, version, &Claim::Free, patience) {
+        for (register, version) in &self.abandoned_claims.1 {
+            let timeout = Duration::from_secs(2);
+            match self.write(&register, version, &Claim::Free, timeout) {
                 ChangeOutcome::Committed(_) | ChangeOutcome::Conflict(_) => {}
                 _ => {
                     self.leave_over(&register, version);
--- a/crates/front/src/continuations.rs
+++ b/crates/front/src/continuations.rs
@@ -1,6 +1,6 @@
 use crossbeam::channel::{bounded, Receiver, Sender};
 use parking_lot::Mutex;
-use request_queue::Refusal;
+use request_queue::Rejection;
 use slab::Slab;
 use std::sync::Arc;
 
@@ -12,18 +12,18 @@
     pub is_once: bool,
     pub content_type: String,
     pub body: Vec<u8>,
-    pub once_key: Option<String>,
+    pub idempotency_key: Option<String>,
 }
 
-/// How a ticket ended.
+/// How a request ended.
 #[derive(Debug)]
-pub enum Ending {
+pub enum CallOutcome {
     Answered {
         status: u16,
         content_type: String,
         body: Vec<u8>,
     },
-    Refused(Refusal),
+    Refused(Rejection),
     /// Sent, and no good answer came.
     Failed(&'static str),
 }
@@ -31,11 +31,11 @@
 struct Continuation {
     generation: u32,
     call: Arc<Call>,
-    waker: Sender<Ending>,
+    waker: Sender<CallOutcome>,
     is_sent: bool,
 }
 
-/// Continuations of all tickets, by slot: index and generation. A slot that was ended is gone, so
+/// Continuations of all requests, by slot: index and generation. A slot that was ended is gone, so
 /// that whoever comes late with it finds nothing.
 #[derive(Default)]
 pub struct Continuations {
@@ -47,8 +47,8 @@
 }
 
 impl Continuations {
-    pub fn open(&self, call: Arc<Call>) -> (u64, Receiver<Ending>) {
-        let (waker, ending) = bounded(1);
+    pub fn open(&self, call: Arc<Call>) -> (u64, Receiver<CallOutcome>) {
+        let (waker, outcome) = bounded(1);
         let mut table = self.table.lock();
         table.1 = table.1.wrapping_add(1);
         let generation = table.1;
@@ -58,7 +58,7 @@
             waker,
             is_sent: false,
         });
-        (index as u64 | u64::from(generation) << 32, ending)
+        (index as u64 | u64::from(generation) << 32, outcome)
     }
 
     pub fn call(&self, slot: u64) -> Option<Arc<Call>> {
@@ -70,7 +70,7 @@
             .map(|found| found.call.clone())
     }
 
-    /// Marks that bytes may leave from now on; none where the ticket has ended already. Gives
+    /// Marks that bytes may leave from now on; none where the request has ended already. Gives
     /// whether it was marked before.
     pub fn mark_sent(&self, slot: u64, is_sent: bool) -> Option<bool> {
         let (index, generation) = split(slot);
@@ -80,9 +80,9 @@
         Some(std::mem::replace(&mut found.is_sent, is_sent))
     }
 
-    /// Ends a ticket and wakes its caller. A refusal is a promise that nothing ran, so it is not
-    /// given for a ticket of which an earlier try may have run.
-    pub fn end(&self, slot: u64, ending: Ending) {
+    /// Ends a request and wakes its caller. A rejection is a promise that nothing ran, so it is not
+    /// given for a request of which an earlier try may have run.
+    pub fn end(&self, slot: u64, outcome: CallOutcome) {
         let (index, generation) = split(slot);
         let mut table = self.table.lock();
         let is_there = table
@@ -91,18 +91,20 @@
             .is_some_and(|found| found.generation == generation);
         if is_there {
             let continuation = table.0.remove(index);
-            let ending = match ending {
-                Ending::Refused(Refusal::BudgetOver) if continuation.is_sent => {
-                    Ending::Failed("budget-over")
+            let outcome = match outcome {
+                CallOutcome::Refused(Rejection::BudgetOver) if continuation.is_sent => {
+                    CallOutcome::Failed("budget-over")
                 }
-                Ending::Refused(_) if continuation.is_sent => Ending::Failed("answer-lost"),
-                ending => ending,
+                CallOutcome::Refused(_) if continuation.is_sent => {
+                    CallOutcome::Failed("answer-lost")
+                }
+                outcome => outcome,
             };
-            let _ = continuation.waker.try_send(ending);
+            let _ = continuation.waker.try_send(outcome);
         }
     }
 
-    /// Takes a ticket out on the caller's side. Gives whether bytes may have left; none where it
+    /// Takes a request out on the caller's side. Gives whether bytes may have left; none where it
     /// has just been ended.
     pub fn abandon(&self, slot: u64) -> Option<bool> {
         let (index, generation) = split(slot);
@@ -130,12 +132,12 @@
             is_once: false,
             content_type: String::new(),
             body: Vec::new(),
-            once_key: None,
+            idempotency_key: None,
         })
     }
 
     #[test]
-    fn nothing_is_sent_after_the_caller_was_told_so() {
+    fn nothing_is_sent_after_the_caller_was_notified() {
         let table = Continuations::default();
         let (slot, _ending) = table.open(call());
         assert_eq!(table.abandon(slot), Some(false));
@@ -143,23 +145,23 @@
     }
 
     #[test]
-    fn a_ticket_that_was_sent_is_not_refused_with_a_promise() {
+    fn a_sent_request_is_not_rejected_as_not_run() {
         let table = Continuations::default();
-        let (slot, ending) = table.open(call());
+        let (slot, outcome) = table.open(call());
         assert_eq!(table.mark_sent(slot, true), Some(false));
-        table.end(slot, Ending::Refused(Refusal::Shed));
-        assert!(matches!(ending.try_recv(), Ok(Ending::Failed(_))));
+        table.end(slot, CallOutcome::Refused(Rejection::Shed));
+        assert!(matches!(outcome.try_recv(), Ok(CallOutcome::Failed(_))));
     }
 
     #[test]
-    fn a_late_answer_does_not_reach_the_next_ticket_in_the_slot() {
+    fn a_late_response_does_not_reach_the_next_request_in_the_slot() {
         let table = Continuations::default();
         let (old, _) = table.open(call());
         table.abandon(old);
-        let (new, ending) = table.open(call());
+        let (new, outcome) = table.open(call());
         assert_eq!(old & 0xffff_ffff, new & 0xffff_ffff);
-        table.end(old, Ending::Failed("late"));
-        assert!(ending.try_recv().is_err());
+        table.end(old, CallOutcome::Failed("late"));
+        assert!(outcome.try_recv().is_err());
         assert_eq!(table.len(), 1);
     }
 }
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -1,16 +1,16 @@
 //! `hallkeel-front`: the data plane. It takes callers' requests and carries them to runners.
 
+mod attempts;
 mod callers;
+mod claims;
 mod continuations;
-mod news;
-mod once;
 mod operators;
+mod peer_view;
 mod shared;
-mod tries;
-mod viewing;
+mod update;
 
 use clap::Parser;
-use configuration::{read_settings, FrontSettings, SettingsFault};
+use configuration::{read_settings, DaemonSettingsError, FrontSettings};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -32,9 +32,10 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     name: Option<String>,
     /// District that it stands in
-    #[arg(long)]
+    #[arg(long = "district", value_name = "DISTRICT")]
     #[serde(skip_serializing_if = "Option::is_none")]
-    district: Option<String>,
+    #[serde(rename = "district")]
+    zone: Option<String>,
     /// Address for callers and operators
     #[arg(long)]
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -53,7 +54,7 @@
     seeds: Option<Vec<SocketAddr>>,
 }
 
-fn settings(flags: &Flags) -> Result<FrontSettings, SettingsFault> {
+fn settings(flags: &Flags) -> Result<FrontSettings, DaemonSettingsError> {
     let settings: FrontSettings = read_settings(flags.settings.as_deref(), flags)?;
     settings.check()?;
     Ok(settings)
--- a/crates/front/src/operators.rs
+++ b/crates/front/src/operators.rs
@@ -1,8 +1,8 @@
 use crate::shared::Shared;
-use configuration::{Blueprint, RunnerState};
+use configuration::{Configuration, RunnerState};
 use oxhttp::model::{Body, Method, Request, Response};
 use std::sync::atomic::Ordering;
-use transport::{json, now_ms, text, unix_ms, Message};
+use transport::{json, now_ms, text, unix_ms, PeerMessage};
 
 /// Answers what operators ask of a front.
 pub fn handle(shared: &Shared, request: &Request<Body>, path: &str) -> Response<Body> {
@@ -13,14 +13,15 @@
             let _ = shared.stop.try_send(());
             json(202, &serde_json::json!({ "state": "draining" }))
         }
-        (&Method::GET, "/blueprint") => json(200, &*shared.blueprint.load_full()),
+        (&Method::GET, "/blueprint") => json(200, &*shared.configuration.load_full()),
         _ => text(404, "no such path; callers use POST /call/<function>"),
     }
 }
 
 fn status(shared: &Shared) -> serde_json::Value {
-    let district = &shared.settings.district;
-    let (report, plan) = shared.with_desk(|desk, now| (desk.report(now, district), desk.plan()));
+    let zone = &shared.settings.zone;
+    let (report, plan) =
+        shared.with_scheduler(|scheduler, now| (scheduler.report(now, zone), scheduler.plan()));
     let runners: Vec<_> = report
         .runners
         .iter()
@@ -32,7 +33,7 @@
                 "active": runner.is_active,
                 "warm": runner.is_warm,
                 "quota": quota,
-                "lent": runner.lent,
+                "lent": runner.leased,
                 "unfit": runner.is_unfit,
                 "absent_ms": runner.absent_ms,
                 "answered": runner.answered,
@@ -49,13 +50,13 @@
     serde_json::json!({
         "role": "front",
         "name": shared.settings.name,
-        "district": district,
+        "district": zone,
         "incarnation": format!("{:x}", shared.links.me().incarnation),
-        "standing": report.has_standing,
+        "standing": report.has_quorum,
         "draining": report.is_draining,
-        "blueprint": report.blueprint,
+        "blueprint": report.configuration,
         "plan": report.plan,
-        "roster": plan.roster,
+        "roster": plan.membership,
         "view": shared.view.lock().known().iter().map(|one| &one.peer.name).collect::<Vec<_>>(),
         "runners": runners,
         "waiting": waiting,
@@ -69,7 +70,7 @@
         "answered": counts.answered.load(Ordering::Relaxed),
         "refused": counts.refused.load(Ordering::Relaxed),
         "unknown": counts.unknown.load(Ordering::Relaxed),
-        "tries": counts.tries.load(Ordering::Relaxed),
+        "tries": counts.attempts.load(Ordering::Relaxed),
         "retries": counts.retries.load(Ordering::Relaxed),
         "bad_seals": counts.bad_seals.load(Ordering::Relaxed),
         "in_flight": shared.continuations.len(),
@@ -81,23 +82,24 @@
 
 /// Tells every core what this front sees.
 pub fn report(shared: &Shared) {
-    let mut report = shared.with_desk(|desk, now| desk.report(now, &shared.settings.district));
+    let mut report =
+        shared.with_scheduler(|scheduler, now| scheduler.report(now, &shared.settings.zone));
     report.http = shared.settings.http.to_string();
     report.wall_ms = unix_ms();
     for core in shared.cores() {
-        let message = Message::Report(report.clone());
+        let message = PeerMessage::Report(report.clone());
         shared.links.cast(&core, message);
     }
 }
 
-/// Whether a draining front has no work left: no ticket, and no runner in its keeping.
+/// Whether a draining front has no work left: no request, and no runner in its keeping.
 pub fn has_drained(shared: &Shared) -> bool {
-    shared.with_desk(|desk, _| {
-        let keeps = desk.plan().runners.iter().any(|entry| {
+    shared.with_scheduler(|scheduler, _| {
+        let keeps = scheduler.plan().runners.iter().any(|entry| {
             let is_served = matches!(entry.state, RunnerState::Wanted | RunnerState::Draining);
-            is_served && entry.keeper == *shared.links.me()
+            is_served && entry.owner == *shared.links.me()
         });
-        desk.is_idle() && !keeps
+        scheduler.is_idle() && !keeps
     })
 }
 
@@ -105,14 +107,14 @@
 pub fn has_answered(shared: &Shared) -> bool {
     // The library writes an answer after its handler has returned, so a little time is left for it.
     let answers_have_left = shared.handled_at.load(Ordering::SeqCst)
-        + shared.blueprint.load().bounds.slack_ms()
+        + shared.configuration.load().bounds.slack_ms()
         < now_ms();
     shared.handling.load(Ordering::SeqCst) == 0
         && answers_have_left
-        && !shared.ledger.has_leftovers()
+        && !shared.claim_store.has_leftovers()
 }
 
 /// Longest time that a drain may take when cores cannot move its runners away.
-pub fn drain_limit_ms(blueprint: &Blueprint) -> u64 {
-    blueprint.longest_budget_ms() + blueprint.bounds.return_ms
+pub fn drain_limit_ms(configuration: &Configuration) -> u64 {
+    configuration.longest_budget_ms() + configuration.bounds.return_ms
 }
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -1,13 +1,15 @@
-use crate::continuations::{Continuations, Ending};
-use crate::once::Ledger;
-use crate::{callers, news, operators, tries, viewing};
+use crate::claims::ClaimStore;
+use crate::continuations::{CallOutcome, Continuations};
+use crate::{attempts, callers, operators, peer_view, update};
 use arc_swap::ArcSwap;
-use configuration::{Blueprint, FrontSettings, PeerRef};
+use configuration::{Configuration, FrontSettings, PeerRef};
 use crossbeam::channel::{bounded, Receiver, Sender};
 use parking_lot::Mutex;
-use peer_sampling::View;
+use peer_sampling::PartialView;
 use rand::Rng;
-use request_queue::{Action, Desk, DeskMessage, Refusal, SeatGrant, Ticket, TryEnd};
+use request_queue::{
+    Action, AttemptOutcome, FrontMessage, QueuedRequest, Rejection, SeatGrant, SeatScheduler,
+};
 use std::collections::HashMap;
 use std::io;
 use std::net::TcpListener;
@@ -15,10 +17,10 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use transport::{now_ms, Envelope, Handler, Links, Message, Responder, Role};
+use transport::{now_ms, Envelope, Handler, Links, PeerMessage, PeerRole, Responder};
 
 /// Probes that may wait at once.
-const PROBES_MAX: usize = 1_024;
+const MAX_PENDING_PROBES: usize = 1_024;
 
 /// Counts for `/metrics`.
 #[derive(Default)]
@@ -28,60 +30,60 @@
     pub unknown: AtomicU64,
     pub bad_seals: AtomicU64,
     pub retries: AtomicU64,
-    pub tries: AtomicU64,
+    pub attempts: AtomicU64,
 }
 
-/// What all threads of a front share. Lock order: desk, then continuations;
+/// What all threads of a front share. Lock order: scheduler, then continuations;
 /// the view's lock is held alone.
 pub struct Shared {
     pub settings: FrontSettings,
     pub links: Arc<Links>,
-    pub blueprint: ArcSwap<Blueprint>,
+    pub configuration: ArcSwap<Configuration>,
     pub peers: ArcSwap<HashMap<String, (PeerRef, String)>>,
     pub continuations: Continuations,
-    pub ledger: Ledger,
+    pub claim_store: ClaimStore,
     pub counts: Counts,
     pub is_stopping: AtomicBool,
     /// Callers' requests that are being handled, and when the last that was taken ended.
     pub handling: AtomicUsize,
     pub handled_at: AtomicU64,
     pub asked: Mutex<HashMap<String, u64>>,
-    pub view: Mutex<View>,
+    pub view: Mutex<PartialView>,
     pub stop: Sender<()>,
-    desk: Mutex<Desk>,
-    tries: Sender<(Ticket, SeatGrant)>,
+    scheduler: Mutex<SeatScheduler>,
+    attempts: Sender<(QueuedRequest, SeatGrant)>,
     probes: Sender<(String, String)>,
 }
 
 impl Shared {
-    /// Lets the desk decide something and carries its actions out, in the order it gave them.
-    pub fn with_desk<T>(&self, decide: impl FnOnce(&mut Desk, u64) -> T) -> T {
-        let mut desk = self.desk.lock();
-        let result = decide(&mut desk, now_ms());
+    /// Lets the scheduler decide something and carries its actions out, in the order it gave them.
+    pub fn with_scheduler<T>(&self, decide: impl FnOnce(&mut SeatScheduler, u64) -> T) -> T {
+        let mut scheduler = self.scheduler.lock();
+        let result = decide(&mut scheduler, now_ms());
         loop {
-            let actions = desk.take_actions();
+            let actions = scheduler.take_actions();
             if actions.is_empty() {
                 return result;
             }
             for action in actions {
-                self.carry_out(&mut desk, action);
+                self.carry_out(&mut scheduler, action);
             }
         }
     }
 
-    fn carry_out(&self, desk: &mut Desk, action: Action) {
+    fn carry_out(&self, scheduler: &mut SeatScheduler, action: Action) {
         match action {
             Action::Send(name, message) => self.send(&name, message),
-            Action::Launch(ticket, seat) => {
-                if let Err(error) = self.tries.try_send((ticket, seat)) {
-                    let (ticket, seat) = error.into_inner();
-                    desk.try_done(now_ms(), &seat, TryEnd::Unsent);
-                    desk.hold_again(now_ms(), ticket);
+            Action::Launch(queued_request, seat) => {
+                if let Err(error) = self.attempts.try_send((queued_request, seat)) {
+                    let (queued_request, seat) = error.into_inner();
+                    scheduler.attempt_done(now_ms(), &seat, AttemptOutcome::Unsent);
+                    scheduler.hold_again(now_ms(), queued_request);
                 }
             }
-            Action::Refuse(ticket, refusal) => {
+            Action::Refuse(queued_request, rejection) => {
                 self.continuations
-                    .end(ticket.slot, Ending::Refused(refusal));
+                    .end(queued_request.slot, CallOutcome::Refused(rejection));
             }
             Action::Probe { runner, address } => {
                 let _ = self.probes.try_send((runner, address));
@@ -89,9 +91,9 @@
         }
     }
 
-    fn send(&self, name: &str, message: DeskMessage) {
+    fn send(&self, name: &str, message: FrontMessage) {
         if let Some((_, address)) = self.peers.load().get(name) {
-            self.links.cast(address, Message::Desk(message));
+            self.links.cast(address, PeerMessage::Front(message));
         }
     }
 
@@ -99,13 +101,13 @@
     pub fn cores(&self) -> Vec<String> {
         let seeds = self.settings.seeds.iter();
         let mut cores: Vec<String> = seeds.map(ToString::to_string).collect();
-        cores.extend(self.ledger.voters());
+        cores.extend(self.claim_store.voters());
         cores.sort();
         cores.dedup();
         cores
     }
 
-    /// Learns where a front is reached, by its newest life.
+    /// Learns where a front is reached, by its newest incarnation.
     pub fn meet(&self, peer: &PeerRef, address: &str) {
         let is_known = self
             .peers
@@ -129,46 +131,53 @@
     fn on_message(&self, envelope: Envelope, responder: Option<Responder>) {
         let shared = &self.0;
         match (envelope.body, responder) {
-            (Message::Desk(message), _)
-                if envelope.role == Role::Front
-                    || matches!(message, DeskMessage::BeatAnswer { .. }) =>
+            (PeerMessage::Front(message), _)
+                if envelope.role == PeerRole::Front
+                    || matches!(message, FrontMessage::HeartbeatResponse { .. }) =>
             {
                 shared.meet(&envelope.from, &envelope.address);
-                news::ask_if_newer(shared, &envelope.address, &message);
-                shared.with_desk(|desk, now| desk.on_message(now, &envelope.from, message));
+                update::ask_if_newer(shared, &envelope.address, &message);
+                shared.with_scheduler(|scheduler, now| {
+                    scheduler.on_message(now, &envelope.from, message)
+                });
             }
             (
-                Message::Ask {
-                    blueprint, plan, ..
+                PeerMessage::AwaitUpdate {
+                    configuration,
+                    plan,
+                    ..
                 },
                 Some(responder),
-            ) => news::answer(shared, blueprint, plan, responder),
-            (Message::Shuffle(part), Some(responder)) => {
-                let answer = viewing::take_in(shared, part);
-                responder.answer(Message::Shuffle(answer));
+            ) => update::answer(shared, configuration, plan, responder),
+            (PeerMessage::Shuffle(part), Some(responder)) => {
+                let answer = peer_view::take_in(shared, part);
+                responder.answer(PeerMessage::Shuffle(answer));
             }
             _ => {}
         }
     }
 }
 
-/// Runs a front until it is told to stop and has drained.
+/// Runs a front until it is notified to stop and has drained.
 pub fn run(settings: FrontSettings) -> io::Result<()> {
     let me = PeerRef {
         name: settings.name.clone(),
         incarnation: rand::rng().random(),
     };
     let listener = TcpListener::bind(settings.wire)?;
-    let links = Arc::new(Links::new(me.clone(), settings.address(), Role::Front));
-    let (tries, launched) = bounded(settings.tries_max);
-    let (probes, wanted_probes) = bounded(PROBES_MAX);
+    let links = Arc::new(Links::new(me.clone(), settings.address(), PeerRole::Front));
+    let (attempts, launched) = bounded(settings.max_attempts);
+    let (probes, wanted_probes) = bounded(MAX_PENDING_PROBES);
     let (stop, stopped) = bounded(1);
     let shared = Arc::new(Shared {
         stop: stop.clone(),
-        view: Mutex::new(View::new(me.clone(), &settings.address().to_string())),
-        ledger: Ledger::new(links.clone()),
+        view: Mutex::new(PartialView::new(
+            me.clone(),
+            &settings.address().to_string(),
+        )),
+        claim_store: ClaimStore::new(links.clone()),
         links: links.clone(),
-        blueprint: ArcSwap::from_pointee(Blueprint::empty()),
+        configuration: ArcSwap::from_pointee(Configuration::empty()),
         peers: ArcSwap::default(),
         continuations: Continuations::default(),
         counts: Counts::default(),
@@ -176,30 +185,32 @@
         handling: AtomicUsize::new(0),
         handled_at: AtomicU64::new(0),
         asked: Mutex::default(),
-        desk: Mutex::new(Desk::new(me)),
-        tries,
+        scheduler: Mutex::new(SeatScheduler::new(me)),
+        attempts,
         probes,
         settings,
     });
     links.listen(listener, Arc::new(Incoming(shared.clone())))?;
-    for _ in 0..shared.settings.tries_max {
+    for _ in 0..shared.settings.max_attempts {
         let (shared, launched) = (shared.clone(), launched.clone());
         spawn("front-try", move || {
-            for (ticket, seat) in &launched {
-                tries::run(&shared, ticket, &seat);
+            for (queued_request, seat) in &launched {
+                attempts::run(&shared, queued_request, &seat);
             }
         })?;
     }
     for _ in 0..4 {
         let (shared, wanted) = (shared.clone(), wanted_probes.clone());
-        spawn("front-probe", move || tries::probe(&shared, &wanted))?;
+        spawn("front-probe", move || attempts::probe(&shared, &wanted))?;
     }
     let following = shared.clone();
-    spawn("front-news", move || news::follow_all(&following))?;
-    let viewing = shared.clone();
-    spawn("front-views", move || viewing::keep(&viewing))?;
-    let ledger = shared.clone();
-    spawn("front-ledger", move || ledger.ledger.free_leftovers())?;
+    spawn("front-news", move || update::follow_all(&following))?;
+    let peer_view = shared.clone();
+    spawn("front-views", move || peer_view::keep(&peer_view))?;
+    let claim_store = shared.clone();
+    spawn("front-ledger", move || {
+        claim_store.claim_store.free_leftovers()
+    })?;
     callers::serve(&shared)?;
     log::info!(
         "front: {} serves callers on {}",
@@ -212,9 +223,9 @@
     tend(&shared, &stopped)
 }
 
-/// Lets time go on, until the front is told to stop and has drained.
+/// Lets time go on, until the front is notified to stop and has drained.
 fn tend(shared: &Shared, stopped: &Receiver<()>) -> io::Result<()> {
-    let bounds = Blueprint::empty().bounds;
+    let bounds = Configuration::empty().bounds;
     let mut told_at = None;
     let mut shut_at = None;
     loop {
@@ -226,21 +237,21 @@
             log::info!("front: drains before it stops");
             shared.is_stopping.store(true, Ordering::SeqCst);
             told_at = Some(now_ms());
-            shared.with_desk(|desk, _| desk.drain());
+            shared.with_scheduler(|scheduler, _| scheduler.drain());
         }
-        shared.with_desk(|desk, now| desk.tick(now));
+        shared.with_scheduler(|scheduler, now| scheduler.tick(now));
         operators::report(shared);
         let Some(since) = told_at else {
             continue;
         };
         let now = now_ms();
-        if now >= since + operators::drain_limit_ms(&shared.blueprint.load()) {
+        if now >= since + operators::drain_limit_ms(&shared.configuration.load()) {
             log::warn!("front: stops with work left, since the drain took too long");
             return Ok(());
         }
-        // Callers on connections that they keep are told for the length of a lease that it drains.
-        let is_told = now >= since + bounds.lease_ms();
-        if shut_at.is_none() && is_told && operators::has_drained(shared) {
+        // Callers on connections that they keep are notified for the length of a lease that it drains.
+        let is_notified = now >= since + bounds.lease_ms();
+        if shut_at.is_none() && is_notified && operators::has_drained(shared) {
             if !transport::close_door(shared.settings.http) {
                 log::warn!("front: new connections could not be kept out");
             }
@@ -262,15 +273,15 @@
         .map(|_| ())
 }
 
-/// Words for why a ticket was not run, and the status that goes with them.
-pub fn refusal_words(refusal: Refusal) -> (u16, &'static str) {
-    match refusal {
-        Refusal::HoldingFull => (503, "holding-full"),
-        Refusal::Shed => (503, "shed-for-urgent-work"),
-        Refusal::BudgetOver => (504, "budget-over"),
-        Refusal::NoStanding => (503, "no-standing"),
-        Refusal::Unlisted => (404, "unknown-function"),
-        Refusal::Draining => (503, "draining"),
-        Refusal::Unreachable => (503, "no-runner-reached"),
+/// Words for why a request was not run, and the status that goes with them.
+pub fn refusal_words(rejection: Rejection) -> (u16, &'static str) {
+    match rejection {
+        Rejection::QueueFull => (503, "holding-full"),
+        Rejection::Shed => (503, "shed-for-urgent-work"),
+        Rejection::BudgetOver => (504, "budget-over"),
+        Rejection::NoQuorum => (503, "no-standing"),
+        Rejection::Unlisted => (404, "unknown-function"),
+        Rejection::Draining => (503, "draining"),
+        Rejection::Unreachable => (503, "no-runner-reached"),
     }
 }
--- a/crates/hallkeel/src/changes.rs
+++ b/crates/hallkeel/src/changes.rs
@@ -1,14 +1,14 @@
-use crate::cores::{ask, Cores, ToolFault};
+use crate::cores::{ask, CliError, Cores};
 use oxhttp::model::Method;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
 
 /// Times that a small change is tried again when another operator was faster.
-const RACES_MAX: usize = 5;
+const MAX_CONFLICTS: usize = 5;
 
-fn read_file(file: &Path) -> Result<Vec<u8>, ToolFault> {
-    std::fs::read(file).map_err(|error| ToolFault::Input(format!("{}: {error}", file.display())))
+fn read_file(file: &Path) -> Result<Vec<u8>, CliError> {
+    std::fs::read(file).map_err(|error| CliError::Input(format!("{}: {error}", file.display())))
 }
 
 fn print_pretty(value: &Value) {
@@ -18,24 +18,24 @@
     );
 }
 
-fn in_force(cores: &Cores) -> Result<(u64, Value), ToolFault> {
-    let told = cores.ask_good(Method::GET, "/blueprint", &[])?;
-    let version = told["version"].as_u64().unwrap_or(0);
-    Ok((version, told["blueprint"].clone()))
+fn in_force(cores: &Cores) -> Result<(u64, Value), CliError> {
+    let reported = cores.ask_good(Method::GET, "/blueprint", &[])?;
+    let version = reported["version"].as_u64().unwrap_or(0);
+    Ok((version, reported["blueprint"].clone()))
 }
 
 /// Prints the blueprint in force.
-pub fn get(cores: &Cores) -> Result<(), ToolFault> {
-    let (version, blueprint) = in_force(cores)?;
+pub fn get(cores: &Cores) -> Result<(), CliError> {
+    let (version, configuration) = in_force(cores)?;
     eprintln!("version {version}");
-    print_pretty(&blueprint);
+    print_pretty(&configuration);
     Ok(())
 }
 
 /// Prints how the blueprint came to be.
-pub fn history(cores: &Cores) -> Result<(), ToolFault> {
-    let told = cores.ask_good(Method::GET, "/blueprint/history", &[])?;
-    for line in told.as_array().into_iter().flatten() {
+pub fn history(cores: &Cores) -> Result<(), CliError> {
+    let reported = cores.ask_good(Method::GET, "/blueprint/history", &[])?;
+    for line in reported.as_array().into_iter().flatten() {
         println!(
             "version {} at {} ms by {} {}",
             line["version"],
@@ -48,9 +48,9 @@
 }
 
 /// Checks a file without putting it.
-pub fn check(cores: &Cores, file: &Path) -> Result<(), ToolFault> {
-    let told = cores.ask_good(Method::POST, "/blueprint/check", &read_file(file)?)?;
-    println!("good: {} listings", told["listings"]);
+pub fn check(cores: &Cores, file: &Path) -> Result<(), CliError> {
+    let reported = cores.ask_good(Method::POST, "/blueprint/check", &read_file(file)?)?;
+    println!("good: {} listings", reported["listings"]);
     Ok(())
 }
 
@@ -69,22 +69,22 @@
     format!("/blueprint?expected={expected}&note={plain}")
 }
 
-fn told_in_force(told: &Value) {
+fn reported_in_force(reported: &Value) {
     println!(
         "version {} is in force: held by {} of {} fronts after {} ms",
-        told["version"], told["fronts"], told["roster"], told["took_ms"]
+        reported["version"], reported["fronts"], reported["roster"], reported["took_ms"]
     );
 }
 
 /// Puts a file.
-pub fn put(cores: &Cores, file: &Path, expected: Option<u64>, note: &str) -> Result<(), ToolFault> {
+pub fn put(cores: &Cores, file: &Path, expected: Option<u64>, note: &str) -> Result<(), CliError> {
     let text = read_file(file)?;
     let expected = match expected {
         Some(expected) => expected,
         None => in_force(cores)?.0,
     };
-    let told = cores.ask_good(Method::PUT, &put_path(expected, note), &text)?;
-    told_in_force(&told);
+    let reported = cores.ask_good(Method::PUT, &put_path(expected, note), &text)?;
+    reported_in_force(&reported);
     Ok(())
 }
 
@@ -92,36 +92,36 @@
 fn rewrite(
     cores: &Cores,
     note: &str,
-    edit: impl Fn(&mut Value) -> Result<(), ToolFault>,
-) -> Result<(), ToolFault> {
-    for _ in 0..RACES_MAX {
-        let (expected, mut blueprint) = in_force(cores)?;
-        edit(&mut blueprint)?;
-        let body = serde_json::to_vec(&blueprint).unwrap_or_default();
+    edit: impl Fn(&mut Value) -> Result<(), CliError>,
+) -> Result<(), CliError> {
+    for _ in 0..MAX_CONFLICTS {
+        let (expected, mut configuration) = in_force(cores)?;
+        edit(&mut configuration)?;
+        let body = serde_json::to_vec(&configuration).unwrap_or_default();
         let path = put_path(expected, note);
-        let (status, told) = cores.ask(Method::PUT, &path, &body)?;
+        let (status, reported) = cores.ask(Method::PUT, &path, &body)?;
         match status {
             200 => {
-                told_in_force(&told);
+                reported_in_force(&reported);
                 return Ok(());
             }
             409 => continue,
             _ => {
                 return cores
                     .ask_good(Method::PUT, &path, &body)
-                    .map(|told| told_in_force(&told))
+                    .map(|reported| reported_in_force(&reported))
             }
         }
     }
-    Err(ToolFault::Refused(
+    Err(CliError::Refused(
         "other operators were faster each time; nothing was changed".into(),
     ))
 }
 
 /// The place that a path names; lists of named things are gone into by name.
-fn place<'a>(blueprint: &'a mut Value, path: &str) -> Option<&'a mut Value> {
+fn place<'a>(configuration: &'a mut Value, path: &str) -> Option<&'a mut Value> {
     path.split('.')
-        .try_fold(blueprint, |here, step| match here {
+        .try_fold(configuration, |here, step| match here {
             Value::Object(fields) => fields.get_mut(step),
             Value::Array(items) => items.iter_mut().find(|item| item["name"] == step),
             _ => None,
@@ -129,20 +129,20 @@
 }
 
 /// Changes single fields.
-pub fn change(cores: &Cores, fields: &[String]) -> Result<(), ToolFault> {
+pub fn change(cores: &Cores, fields: &[String]) -> Result<(), CliError> {
     let mut edits = Vec::new();
     for field in fields {
         let Some((path, value)) = field.split_once('=') else {
             let text = format!("{field:?} is not of the form path=value");
-            return Err(ToolFault::Input(text));
+            return Err(CliError::Input(text));
         };
         let value = serde_json::from_str(value).unwrap_or_else(|_| Value::String(value.into()));
         edits.push((path, value));
     }
-    rewrite(cores, &fields.join("."), |blueprint| {
+    rewrite(cores, &fields.join("."), |configuration| {
         for (path, value) in &edits {
-            let Some(found) = place(blueprint, path) else {
-                return Err(ToolFault::Input(format!("the blueprint has no {path}")));
+            let Some(found) = place(configuration, path) else {
+                return Err(CliError::Input(format!("the blueprint has no {path}")));
             };
             *found = value.clone();
         }
@@ -151,10 +151,10 @@
 }
 
 /// Sets the state of a district.
-pub fn district(cores: &Cores, name: &str, state: &str) -> Result<(), ToolFault> {
-    rewrite(cores, &format!("{name}.{state}"), |blueprint| {
-        let Some(found) = place(blueprint, &format!("districts.{name}")) else {
-            return Err(ToolFault::Input(format!("there is no district {name:?}")));
+pub fn zone(cores: &Cores, name: &str, state: &str) -> Result<(), CliError> {
+    rewrite(cores, &format!("{name}.{state}"), |configuration| {
+        let Some(found) = place(configuration, &format!("districts.{name}")) else {
+            return Err(CliError::Input(format!("there is no district {name:?}")));
         };
         found["state"] = state.into();
         Ok(())
@@ -162,31 +162,31 @@
 }
 
 /// Tells a front to drain and stop.
-pub fn drain(cores: &Cores, name: &str) -> Result<(), ToolFault> {
+pub fn drain(cores: &Cores, name: &str) -> Result<(), CliError> {
     let status = cores.ask_good(Method::GET, "/status", &[])?;
     let fronts = status["fronts"].as_array().cloned().unwrap_or_default();
     let found = fronts.iter().find(|front| front["name"] == name);
     let address: Option<SocketAddr> = found.and_then(|front| front["http"].as_str()?.parse().ok());
     let Some(address) = address else {
-        return Err(ToolFault::Input(format!("no front {name:?} is known")));
+        return Err(CliError::Input(format!("no front {name:?} is known")));
     };
     match ask(Method::POST, address, "/drain", &[]) {
         Some((202, _)) => {
             println!("{name} drains; it stops when its work is done");
             Ok(())
         }
-        Some((_, told)) => Err(ToolFault::Refused(told.to_string())),
-        None => Err(ToolFault::Unreached(format!("{name} does not answer"))),
+        Some((_, reported)) => Err(CliError::Refused(reported.to_string())),
+        None => Err(CliError::Unreached(format!("{name} does not answer"))),
     }
 }
 
 /// Puts an empty core in the place of a voter.
-pub fn replace_voter(cores: &Cores, old: SocketAddr, new: SocketAddr) -> Result<(), ToolFault> {
+pub fn replace_voter(cores: &Cores, old: SocketAddr, new: SocketAddr) -> Result<(), CliError> {
     let path = format!("/voters/replace?old={old}&new={new}");
-    let told = cores.ask_good(Method::POST, &path, &[])?;
+    let reported = cores.ask_good(Method::POST, &path, &[])?;
     println!(
         "{new} takes the place of {old}: era {}, set {}",
-        told["era"], told["no"]
+        reported["era"], reported["no"]
     );
     Ok(())
 }
--- a/crates/hallkeel/src/cores.rs
+++ b/crates/hallkeel/src/cores.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 use transport::call;
 
-const PATIENCE: Duration = Duration::from_secs(8);
-const ANSWER_MAX: u64 = 32 << 20;
-const DUTY_ASKS: usize = 8;
-const DUTY_PAUSE: Duration = Duration::from_millis(500);
+const TIMEOUT: Duration = Duration::from_secs(8);
+const MAX_RESPONSE_BYTES: u64 = 32 << 20;
+const ROLE_ATTEMPTS: usize = 8;
+const ROLE_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// Why the tool did not do what it was asked.
 #[derive(Debug)]
-pub enum ToolFault {
+pub enum CliError {
     /// The fleet refused, or could not say.
     Refused(String),
     /// Arguments or a file are no good.
@@ -22,7 +22,7 @@
     Unreached(String),
 }
 
-impl ToolFault {
+impl CliError {
     /// The process's exit code.
     pub fn code(&self) -> u8 {
         match self {
@@ -33,7 +33,7 @@
     }
 }
 
-impl fmt::Display for ToolFault {
+impl fmt::Display for CliError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Refused(text) | Self::Input(text) | Self::Unreached(text) => {
@@ -51,16 +51,24 @@
 /// Asks one daemon; none where it does not answer.
 pub fn ask(method: Method, address: SocketAddr, path: &str, body: &[u8]) -> Option<(u16, Value)> {
     let uri = format!("http://{address}{path}");
-    let answer = call(method, &uri, &[], body.to_vec(), PATIENCE, ANSWER_MAX).ok()?;
-    let told = serde_json::from_slice(&answer.body).unwrap_or_default();
-    Some((answer.status, told))
+    let answer = call(
+        method,
+        &uri,
+        &[],
+        body.to_vec(),
+        TIMEOUT,
+        MAX_RESPONSE_BYTES,
+    )
+    .ok()?;
+    let reported = serde_json::from_slice(&answer.body).unwrap_or_default();
+    Some((answer.status, reported))
 }
 
 impl Cores {
-    pub fn new(addresses: Vec<SocketAddr>) -> Result<Self, ToolFault> {
+    pub fn new(addresses: Vec<SocketAddr>) -> Result<Self, CliError> {
         if addresses.is_empty() {
             let text = "name the cores' operator ports with --cores or HALLKEEL_CORES";
-            return Err(ToolFault::Input(text.into()));
+            return Err(CliError::Input(text.into()));
         }
         Ok(Self { addresses })
     }
@@ -71,57 +79,52 @@
 
     /// Asks the cores one after the other until one answers other than that it cannot. While the
     /// duty is between two cores none can tell what it decides, so they are asked again.
-    pub fn ask(&self, method: Method, path: &str, body: &[u8]) -> Result<(u16, Value), ToolFault> {
-        for _ in 0..DUTY_ASKS {
+    pub fn ask(&self, method: Method, path: &str, body: &[u8]) -> Result<(u16, Value), CliError> {
+        for _ in 0..ROLE_ATTEMPTS {
             let answer = self.ask_once(&method, path, body)?;
             if answer.0 != 421 {
                 return Ok(answer);
             }
-            thread::sleep(DUTY_PAUSE);
+            thread::sleep(ROLE_RETRY_PAUSE);
         }
         self.ask_once(&method, path, body)
     }
 
-    fn ask_once(
-        &self,
-        method: &Method,
-        path: &str,
-        body: &[u8],
-    ) -> Result<(u16, Value), ToolFault> {
+    fn ask_once(&self, method: &Method, path: &str, body: &[u8]) -> Result<(u16, Value), CliError> {
         let mut last = None;
         for address in &self.addresses {
             let answer = ask(method.clone(), *address, path, body);
             match answer {
-                Some((status, told)) if status != 503 && status != 421 => {
-                    return Ok((status, told))
+                Some((status, reported)) if status != 503 && status != 421 => {
+                    return Ok((status, reported))
                 }
                 other => last = other.or(last),
             }
         }
         match last {
-            Some((status, told)) => Ok((status, told)),
-            None => Err(ToolFault::Unreached("no core answered".into())),
+            Some((status, reported)) => Ok((status, reported)),
+            None => Err(CliError::Unreached("no core answered".into())),
         }
     }
 
     /// Asks and takes any answer but a good one as a refusal.
-    pub fn ask_good(&self, method: Method, path: &str, body: &[u8]) -> Result<Value, ToolFault> {
-        let (status, told) = self.ask(method, path, body)?;
+    pub fn ask_good(&self, method: Method, path: &str, body: &[u8]) -> Result<Value, CliError> {
+        let (status, reported) = self.ask(method, path, body)?;
         if status == 200 {
-            return Ok(told);
+            return Ok(reported);
         }
-        let mut text = told["error"]
+        let mut text = reported["error"]
             .as_str()
             .unwrap_or("the core refused")
             .to_string();
-        if let Some(version) = told["version"].as_u64() {
+        if let Some(version) = reported["version"].as_u64() {
             text.push_str(&format!(" (version {version})"));
         }
-        for fault in told["faults"].as_array().into_iter().flatten() {
+        for fault in reported["faults"].as_array().into_iter().flatten() {
             let path = fault["path"].as_str().unwrap_or_default();
             let reason = fault["reason"].as_str().unwrap_or_default();
             text.push_str(&format!("\n  {path}: {reason}"));
         }
-        Err(ToolFault::Refused(text))
+        Err(CliError::Refused(text))
     }
 }
--- a/crates/hallkeel/src/fleet.rs
+++ b/crates/hallkeel/src/fleet.rs
@@ -1,54 +1,50 @@
-use crate::cores::ToolFault;
+use crate::cores::CliError;
 use protocol::{frame, Frames, Message};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(2);
-const ANSWER_MAX: usize = 32 << 20;
+const TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
 
 /// Shows what gateways and controllers tell of themselves at their wire addresses; with a function's name, what the
 /// scaler thinks of it.
-pub fn show(
-    daemons: &[SocketAddr],
-    function: Option<&str>,
-    is_json: bool,
-) -> Result<(), ToolFault> {
+pub fn show(daemons: &[SocketAddr], function: Option<&str>, is_json: bool) -> Result<(), CliError> {
     if daemons.is_empty() {
         let text = "name at least one daemon's wire address".to_string();
-        return Err(ToolFault::Input(text));
+        return Err(CliError::Input(text));
     }
     let mut answers = 0;
     for address in daemons {
         match ask(address) {
-            Ok(told) => {
+            Ok(reported) => {
                 answers += 1;
                 match function {
-                    None => print(address, &told, is_json),
-                    Some(name) => explain(&told, name),
+                    None => print(address, &reported, is_json),
+                    Some(name) => explain(&reported, name),
                 }
             }
             Err(reason) => eprintln!("{address}: {reason}"),
         }
     }
     if answers == 0 {
-        return Err(ToolFault::Unreached("no daemon answered".to_string()));
+        return Err(CliError::Unreached("no daemon answered".to_string()));
     }
     Ok(())
 }
 
 fn ask(address: &SocketAddr) -> Result<Value, String> {
-    let told = |error: std::io::Error| error.to_string();
-    let mut line = TcpStream::connect_timeout(address, PATIENCE).map_err(told)?;
-    line.set_read_timeout(Some(PATIENCE)).map_err(told)?;
+    let reported = |error: std::io::Error| error.to_string();
+    let mut line = TcpStream::connect_timeout(address, TIMEOUT).map_err(reported)?;
+    line.set_read_timeout(Some(TIMEOUT)).map_err(reported)?;
     line.write_all(&frame(&Message::RequestStatus))
-        .map_err(told)?;
+        .map_err(reported)?;
     let mut bytes = Vec::new();
     let mut part = [0; 16 << 10];
     loop {
-        let count = line.read(&mut part).map_err(told)?;
-        if count == 0 || bytes.len() > ANSWER_MAX {
+        let count = line.read(&mut part).map_err(reported)?;
+        if count == 0 || bytes.len() > MAX_RESPONSE_BYTES {
             return Err("it does not tell its state".to_string());
         }
         bytes.extend_from_slice(&part[..count]);
@@ -63,12 +59,12 @@
     }
 }
 
-fn print(address: &SocketAddr, told: &Value, is_json: bool) {
+fn print(address: &SocketAddr, reported: &Value, is_json: bool) {
     if is_json {
-        println!("{told}");
+        println!("{reported}");
         return;
     }
-    let fields = told.as_object().into_iter().flatten();
+    let fields = reported.as_object().into_iter().flatten();
     let fields = fields.filter(|(name, _)| *name != "functions");
     let text: Vec<String> = fields
         .map(|(name, value)| format!("{name} {value}"))
@@ -76,8 +72,8 @@
     println!("{address}  {}", text.join("  "));
 }
 
-fn explain(told: &Value, name: &str) {
-    let functions = told["functions"].as_array().into_iter().flatten();
+fn explain(reported: &Value, name: &str) {
+    let functions = reported["functions"].as_array().into_iter().flatten();
     for function in functions.filter(|function| function["function"] == name) {
         let fields = function.as_object().into_iter().flatten();
         for (field, value) in fields {
--- a/crates/hallkeel/src/main.rs
+++ b/crates/hallkeel/src/main.rs
@@ -6,7 +6,7 @@
 mod show;
 
 use clap::{Parser, Subcommand};
-use cores::{Cores, ToolFault};
+use cores::{CliError, Cores};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -81,12 +81,14 @@
     /// Take all work out of a district
     Evacuate {
         /// Name of the district
-        district: String,
+        #[arg(value_name = "DISTRICT")]
+        zone: String,
     },
     /// Let work into a district again
     Reopen {
         /// Name of the district
-        district: String,
+        #[arg(value_name = "DISTRICT")]
+        zone: String,
     },
     /// Let a front finish its work, hand its runners over and stop
     Drain {
@@ -120,7 +122,7 @@
     },
 }
 
-fn run(flags: Flags) -> Result<(), ToolFault> {
+fn run(flags: Flags) -> Result<(), CliError> {
     // Only gateways and controllers are asked without cores.
     let cores = Cores::new(flags.cores);
     match flags.command {
@@ -140,8 +142,8 @@
         Command::Check { file } => changes::check(&cores?, &file),
         Command::History => changes::history(&cores?),
         Command::Change { fields } => changes::change(&cores?, &fields),
-        Command::Evacuate { district } => changes::district(&cores?, &district, "evacuated"),
-        Command::Reopen { district } => changes::district(&cores?, &district, "open"),
+        Command::Evacuate { zone } => changes::zone(&cores?, &zone, "evacuated"),
+        Command::Reopen { zone } => changes::zone(&cores?, &zone, "open"),
         Command::Drain { front } => changes::drain(&cores?, &front),
         Command::Explain { function } => show::explain(&cores?, &function),
         Command::Voters {
--- a/crates/hallkeel/src/show.rs
+++ b/crates/hallkeel/src/show.rs
@@ -1,4 +1,4 @@
-use crate::cores::{ask, Cores, ToolFault};
+use crate::cores::{ask, CliError, Cores};
 use oxhttp::model::Method;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// A clock that is off by less is not worth a word, in milliseconds.
-const CLOCK_OFF_MS: i64 = 1_000;
+const MAX_CLOCK_SKEW_MS: i64 = 1_000;
 
 /// Everything that the daemons tell of themselves.
 struct Fleet {
@@ -14,23 +14,23 @@
     fronts: Vec<(String, Option<Value>)>,
 }
 
-fn look(cores: &Cores, path: &str) -> Result<Fleet, ToolFault> {
-    let told = |address: SocketAddr, path: &str| {
+fn look(cores: &Cores, path: &str) -> Result<Fleet, CliError> {
+    let reported = |address: SocketAddr, path: &str| {
         let answer = ask(Method::GET, address, path, &[]);
         answer
             .filter(|(status, _)| *status == 200)
-            .map(|(_, told)| told)
+            .map(|(_, reported)| reported)
     };
     let status = cores.ask_good(Method::GET, "/status", &[])?;
     let asked = cores.addresses().iter();
     let core_lines = asked
-        .map(|address| (*address, told(*address, path)))
+        .map(|address| (*address, reported(*address, path)))
         .collect();
     let fronts = status["fronts"].as_array().cloned().unwrap_or_default();
     let front_lines = fronts.iter().map(|front| {
         let name = front["name"].as_str().unwrap_or("?").to_string();
         let address = front["http"].as_str().and_then(|text| text.parse().ok());
-        (name, address.and_then(|address| told(address, path)))
+        (name, address.and_then(|address| reported(address, path)))
     });
     Ok(Fleet {
         cores: core_lines,
@@ -45,18 +45,20 @@
 }
 
 /// Shows the fleet once.
-pub fn status(cores: &Cores, as_json: bool, with_runners: bool) -> Result<(), ToolFault> {
+pub fn status(cores: &Cores, as_json: bool, with_runners: bool) -> Result<(), CliError> {
     let fleet = look(cores, "/status")?;
     if as_json {
         let all: Vec<Value> = fleet
             .cores
             .iter()
-            .map(|(address, told)| json!({ "address": address.to_string(), "status": told }))
+            .map(
+                |(address, reported)| json!({ "address": address.to_string(), "status": reported }),
+            )
             .collect();
         let fronts: Vec<Value> = fleet
             .fronts
             .iter()
-            .map(|(name, told)| json!({ "name": name, "status": told }))
+            .map(|(name, reported)| json!({ "name": name, "status": reported }))
             .collect();
         let whole = json!({ "cores": all, "fronts": fronts });
         println!(
@@ -69,8 +71,8 @@
     let scaling = fleet
         .cores
         .iter()
-        .filter_map(|(_, told)| told.as_ref())
-        .find(|told| told["duty"]["here"] == true);
+        .filter_map(|(_, reported)| reported.as_ref())
+        .find(|reported| reported["duty"]["here"] == true);
     let Some(core) = scaling else {
         println!("no core scales now");
         return Ok(());
@@ -88,44 +90,44 @@
         "{:<12} {:<9} {:>9} {:>7}  state",
         "daemon", "district", "blueprint", "plan"
     );
-    for (address, told) in &fleet.cores {
-        match told {
+    for (address, reported) in &fleet.cores {
+        match reported {
             None => println!("{address:<12} does not answer"),
-            Some(told) => println!(
+            Some(reported) => println!(
                 "{:<12} {:<9} {:>9} {:>7}  era {}, {} keys{}",
-                text(&told["name"]),
-                text(&told["district"]),
-                text(&told["blueprint"]),
-                text(&told["plan"]),
-                told["era"],
-                told["keys"],
-                if told["duty"]["here"] == true {
-                    format!(", scales (term {})", told["duty"]["term"])
+                text(&reported["name"]),
+                text(&reported["district"]),
+                text(&reported["blueprint"]),
+                text(&reported["plan"]),
+                reported["era"],
+                reported["keys"],
+                if reported["duty"]["here"] == true {
+                    format!(", scales (term {})", reported["duty"]["term"])
                 } else {
                     String::new()
                 }
             ),
         }
     }
-    for (name, told) in &fleet.fronts {
-        match told {
+    for (name, reported) in &fleet.fronts {
+        match reported {
             None => println!("{name:<12} does not answer"),
-            Some(told) => println!(
+            Some(reported) => println!(
                 "{name:<12} {:<9} {:>9} {:>7}  {}{}, keeps {} runners",
-                text(&told["district"]),
-                text(&told["blueprint"]["no"]),
-                text(&told["plan"]["no"]),
-                if told["standing"] == true {
+                text(&reported["district"]),
+                text(&reported["blueprint"]["no"]),
+                text(&reported["plan"]["no"]),
+                if reported["standing"] == true {
                     "standing"
                 } else {
                     "no standing"
                 },
-                if told["draining"] == true {
+                if reported["draining"] == true {
                     ", draining"
                 } else {
                     ""
                 },
-                told["runners"].as_array().map_or(0, Vec::len)
+                reported["runners"].as_array().map_or(0, Vec::len)
             ),
         }
     }
@@ -135,7 +137,7 @@
 fn show_clocks(core: &Value) {
     for clock in core["clocks"].as_array().into_iter().flatten() {
         let off_ms = clock["off_ms"].as_i64().unwrap_or(0);
-        if off_ms.abs() >= CLOCK_OFF_MS {
+        if off_ms.abs() >= MAX_CLOCK_SKEW_MS {
             let name = text(&clock["name"]);
             println!("{name}: its clock is off by {off_ms} ms; it refuses once-keys or soon will");
         }
@@ -185,7 +187,7 @@
 }
 
 /// Shows the fleet until Ctrl-C.
-pub fn watch(cores: &Cores, every: u64) -> Result<(), ToolFault> {
+pub fn watch(cores: &Cores, every: u64) -> Result<(), CliError> {
     loop {
         print!("\x1b[2J\x1b[H");
         status(cores, false, false)?;
@@ -194,9 +196,9 @@
 }
 
 /// Tells why a function has what it has.
-pub fn explain(cores: &Cores, function: &str) -> Result<(), ToolFault> {
-    let told = cores.ask_good(Method::GET, &format!("/explain/{function}"), &[])?;
-    let note = &told["note"];
+pub fn explain(cores: &Cores, function: &str) -> Result<(), CliError> {
+    let reported = cores.ask_good(Method::GET, &format!("/explain/{function}"), &[])?;
+    let note = &reported["note"];
     let number = |field: &str| note[field].as_f64().unwrap_or(0.0);
     println!("function   {function}");
     println!("measured   {:.2} requests a second", number("measured"));
@@ -217,7 +219,7 @@
         None => println!("pace       not learnt yet"),
     }
     println!("decision   {}", text(&note["reason"]));
-    for runner in told["runners"].as_array().into_iter().flatten() {
+    for runner in reported["runners"].as_array().into_iter().flatten() {
         println!(
             "runner     {} on {} ({}), quota {}, keeper {} epoch {}, {}, {}",
             text(&runner["id"]),
@@ -234,25 +236,25 @@
 }
 
 /// Prints every daemon's counts.
-pub fn metrics(cores: &Cores) -> Result<(), ToolFault> {
+pub fn metrics(cores: &Cores) -> Result<(), CliError> {
     let fleet = look(cores, "/metrics")?;
     let core_counts = fleet
         .cores
         .into_iter()
-        .map(|(address, told)| (address.to_string(), told));
+        .map(|(address, reported)| (address.to_string(), reported));
     let all: serde_json::Map<String, Value> = core_counts
         .chain(fleet.fronts)
-        .map(|(name, told)| (name, told.unwrap_or(Value::Null)))
+        .map(|(name, reported)| (name, reported.unwrap_or(Value::Null)))
         .collect();
     println!("{}", serde_json::to_string_pretty(&all).unwrap_or_default());
     Ok(())
 }
 
 /// Shows the voters.
-pub fn voters(cores: &Cores) -> Result<(), ToolFault> {
-    let told = cores.ask_good(Method::GET, "/voters", &[])?;
-    println!("era {}, set {}", told["era"], told["no"]);
-    for voter in told["voters"].as_array().into_iter().flatten() {
+pub fn voters(cores: &Cores) -> Result<(), CliError> {
+    let reported = cores.ask_good(Method::GET, "/voters", &[])?;
+    println!("era {}, set {}", reported["era"], reported["no"]);
+    for voter in reported["voters"].as_array().into_iter().flatten() {
         let state = match (voter["answers"].as_bool(), voter["votes"].as_bool()) {
             (Some(true), Some(true)) => "votes",
             (Some(true), _) => "answers, but does not vote",
--- a/crates/idempotency_keys/src/claim.rs
+++ b/crates/idempotency_keys/src/claim.rs
@@ -8,9 +8,9 @@
     Free,
     /// A front claimed it, and may have sent the work.
     Taken {
-        /// The front, in that life.
+        /// The front, in that incarnation.
         by: PeerRef,
-        /// Slot of the ticket there.
+        /// Slot of the request there.
         slot: u64,
         /// Digest of the body.
         digest: String,
--- a/crates/idempotency_keys/src/key.rs
+++ b/crates/idempotency_keys/src/key.rs
@@ -5,7 +5,7 @@
 
 /// An idempotency key: the time at which the caller made it, and the caller's own text.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OnceKey {
+pub struct IdempotencyKey {
     /// Milliseconds since 1970, as in the key.
     pub issued_ms: u64,
     /// Key of its register.
@@ -14,7 +14,7 @@
 
 /// What is wrong with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OnceKeyFault {
+pub enum IdempotencyKeyError {
     /// It is not `<milliseconds since 1970>-<text>`.
     Malformed,
     /// It was issued longer ago than keys are remembered.
@@ -23,7 +23,7 @@
     TooNew,
 }
 
-impl fmt::Display for OnceKeyFault {
+impl fmt::Display for IdempotencyKeyError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Malformed => {
@@ -35,7 +35,7 @@
     }
 }
 
-impl OnceKey {
+impl IdempotencyKey {
     /// Reads a key for a function, from a caller whose clock may be `ahead_ms` ahead. Keys older than half of what voters remember are refused, so
     /// that none is taken while its claim may be ageing out.
     pub fn read(
@@ -44,19 +44,19 @@
         now_ms: u64,
         remembered_ms: u64,
         ahead_ms: u64,
-    ) -> Result<Self, OnceKeyFault> {
-        let (digits, own_text) = text.split_once('-').ok_or(OnceKeyFault::Malformed)?;
+    ) -> Result<Self, IdempotencyKeyError> {
+        let (digits, own_text) = text.split_once('-').ok_or(IdempotencyKeyError::Malformed)?;
         let is_time =
             (1..=14).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
         if !is_time || own_text.is_empty() || text.len() > KEY_MAX {
-            return Err(OnceKeyFault::Malformed);
+            return Err(IdempotencyKeyError::Malformed);
         }
-        let issued_ms: u64 = digits.parse().map_err(|_| OnceKeyFault::Malformed)?;
+        let issued_ms: u64 = digits.parse().map_err(|_| IdempotencyKeyError::Malformed)?;
         if issued_ms + remembered_ms / 2 < now_ms {
-            return Err(OnceKeyFault::TooOld);
+            return Err(IdempotencyKeyError::TooOld);
         }
         if issued_ms > now_ms + ahead_ms {
-            return Err(OnceKeyFault::TooNew);
+            return Err(IdempotencyKeyError::TooNew);
         }
         let digest = digest_hex(text.as_bytes());
         Ok(Self {
@@ -74,14 +74,14 @@
 
     #[test]
     fn keys_out_of_shape_or_time_are_refused() {
-        let read = |text: &str| OnceKey::read(text, "sign", 10 * HOUR, HOUR, HOUR / 10);
+        let read = |text: &str| IdempotencyKey::read(text, "sign", 10 * HOUR, HOUR, HOUR / 10);
         for text in ["", "-", "12", "12-", "a-b", "-x", "99999999999999999-x"] {
-            assert_eq!(read(text), Err(OnceKeyFault::Malformed), "{text}");
+            assert_eq!(read(text), Err(IdempotencyKeyError::Malformed), "{text}");
         }
         let old = format!("{}-x", 9 * HOUR);
-        assert_eq!(read(&old), Err(OnceKeyFault::TooOld));
+        assert_eq!(read(&old), Err(IdempotencyKeyError::TooOld));
         let new = format!("{}-x", 11 * HOUR);
-        assert_eq!(read(&new), Err(OnceKeyFault::TooNew));
+        assert_eq!(read(&new), Err(IdempotencyKeyError::TooNew));
         let good = read(&format!("{}-x-y", 10 * HOUR)).unwrap();
         assert!(good.register.starts_with("once/00000036000000/sign/"));
     }
--- a/crates/idempotency_keys/src/lib.rs
+++ b/crates/idempotency_keys/src/lib.rs
@@ -6,5 +6,5 @@
 mod seal;
 
 pub use claim::Claim;
-pub use key::{OnceKey, OnceKeyFault};
+pub use key::{IdempotencyKey, IdempotencyKeyError};
 pub use seal::{digest_hex, seal};
--- a/crates/peer_sampling/src/lib.rs
+++ b/crates/peer_sampling/src/lib.rs
@@ -4,4 +4,4 @@
 
 mod view;
 
-pub use view::{Neighbour, View, VIEW_MAX};
+pub use view::{PartialView, PeerDescriptor, MAX_VIEW_SIZE};
--- a/crates/peer_sampling/src/view.rs
+++ b/crates/peer_sampling/src/view.rs
@@ -2,16 +2,16 @@
 use speedy::{Readable, Writable};
 
 /// Most neighbours in a view.
-pub const VIEW_MAX: usize = 12;
+pub const MAX_VIEW_SIZE: usize = 12;
 /// Neighbours that one shuffle carries.
-const SHUFFLE_MAX: usize = 6;
+const MAX_SHUFFLE_SIZE: usize = 6;
 /// Shuffles after which a neighbour that nobody renewed is forgotten.
-const AGE_MAX: u32 = 60;
+const MAX_AGE: u32 = 60;
 
 /// A daemon as a neighbour knows it.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub struct Neighbour {
-    /// The daemon, in one of its lives.
+pub struct PeerDescriptor {
+    /// The daemon, in one of its incarnations.
     pub peer: PeerRef,
     /// Its wire address.
     pub address: String,
@@ -21,15 +21,15 @@
 
 /// A bounded view of other daemons. A pure machine: what is random comes in as numbers.
 #[derive(Debug)]
-pub struct View {
-    me: Neighbour,
-    known: Vec<Neighbour>,
+pub struct PartialView {
+    me: PeerDescriptor,
+    known: Vec<PeerDescriptor>,
 }
 
-impl View {
+impl PartialView {
     /// The view of a daemon that knows nobody yet.
     pub fn new(peer: PeerRef, address: &str) -> Self {
-        let me = Neighbour {
+        let me = PeerDescriptor {
             peer,
             address: address.to_string(),
             age: 0,
@@ -41,50 +41,50 @@
     }
 
     /// All neighbours.
-    pub fn known(&self) -> &[Neighbour] {
+    pub fn known(&self) -> &[PeerDescriptor] {
         &self.known
     }
 
-    /// Begins a shuffle: the oldest neighbour is taken out of the view and told a part of it. If it
-    /// still lives it comes back with its answer.
-    pub fn begin(&mut self, random: u64) -> Option<(Neighbour, Vec<Neighbour>)> {
-        for neighbour in &mut self.known {
-            neighbour.age += 1;
+    /// Begins a shuffle: the oldest neighbour is taken out of the view and notified a part of it. If it
+    /// still incarnations it comes back with its answer.
+    pub fn begin(&mut self, random: u64) -> Option<(PeerDescriptor, Vec<PeerDescriptor>)> {
+        for descriptor in &mut self.known {
+            descriptor.age += 1;
         }
-        self.known.retain(|neighbour| neighbour.age <= AGE_MAX);
+        self.known.retain(|descriptor| descriptor.age <= MAX_AGE);
         let ages = self.known.iter().enumerate();
-        let (oldest, _) = ages.max_by_key(|(_, neighbour)| neighbour.age)?;
+        let (oldest, _) = ages.max_by_key(|(_, descriptor)| descriptor.age)?;
         let target = self.known.remove(oldest);
-        Some((target, self.part(random)))
+        Some((target, self.sample(random)))
     }
 
     /// A part of the view with this daemon itself, fresh.
-    pub fn part(&self, random: u64) -> Vec<Neighbour> {
+    pub fn sample(&self, random: u64) -> Vec<PeerDescriptor> {
         let count = self.known.len();
-        let chosen = (0..count.min(SHUFFLE_MAX - 1))
+        let chosen = (0..count.min(MAX_SHUFFLE_SIZE - 1))
             .map(|step| self.known[(random as usize % count + step) % count].clone());
         chosen.chain([self.me.clone()]).collect()
     }
 
-    /// Takes in what another daemon told. Newer lives and younger words win; where the view is full
+    /// Takes in what another daemon notified. Newer incarnations and younger words win; where the view is full
     /// the oldest go.
-    pub fn take_in(&mut self, told: Vec<Neighbour>) {
-        for neighbour in told.into_iter().take(SHUFFLE_MAX) {
-            if neighbour.peer.name == self.me.peer.name {
+    pub fn merge(&mut self, received: Vec<PeerDescriptor>) {
+        for descriptor in received.into_iter().take(MAX_SHUFFLE_SIZE) {
+            if descriptor.peer.name == self.me.peer.name {
                 continue;
             }
             let known = self
                 .known
                 .iter_mut()
-                .find(|known| known.peer.name == neighbour.peer.name);
+                .find(|known| known.peer.name == descriptor.peer.name);
             match known {
-                Some(known) if neighbour.age <= known.age => *known = neighbour,
+                Some(known) if descriptor.age <= known.age => *known = descriptor,
                 Some(_) => {}
-                None => self.known.push(neighbour),
+                None => self.known.push(descriptor),
             }
         }
-        self.known.sort_by_key(|neighbour| neighbour.age);
-        self.known.truncate(VIEW_MAX);
+        self.known.sort_by_key(|descriptor| descriptor.age);
+        self.known.truncate(MAX_VIEW_SIZE);
     }
 }
 
@@ -95,46 +95,46 @@
     use rand::{Rng, SeedableRng};
     use std::collections::BTreeSet;
 
-    fn view(number: usize) -> View {
+    fn view(number: usize) -> PartialView {
         let peer = PeerRef {
             name: number.to_string(),
             incarnation: 1,
         };
-        View::new(peer, &number.to_string())
+        PartialView::new(peer, &number.to_string())
     }
 
-    fn shuffle(views: &mut [View], alive: &[bool], random: &mut StdRng) {
+    fn shuffle(views: &mut [PartialView], alive: &[bool], random: &mut StdRng) {
         for place in 0..views.len() {
             if !alive[place] {
                 continue;
             }
-            let Some((target, part)) = views[place].begin(random.random()) else {
+            let Some((target, sample)) = views[place].begin(random.random()) else {
                 continue;
             };
             let other: usize = target.address.parse().unwrap();
             if alive[other] {
-                let answer = views[other].part(random.random());
-                views[other].take_in(part);
-                views[place].take_in(answer);
+                let answer = views[other].sample(random.random());
+                views[other].merge(sample);
+                views[place].merge(answer);
             }
         }
     }
 
     #[test]
-    fn all_hear_of_all_and_the_dead_are_forgotten() {
+    fn every_daemon_learns_of_every_other_and_forgets_the_dead() {
         for seed in 0..20 {
             let mut random = StdRng::seed_from_u64(seed);
-            let mut views: Vec<View> = (0..40).map(view).collect();
+            let mut views: Vec<PartialView> = (0..40).map(view).collect();
             let mut alive = vec![true; 40];
             for place in 1..40 {
-                let seed_view = views[0].part(0);
-                views[place].take_in(seed_view);
+                let seed_view = views[0].sample(0);
+                views[place].merge(seed_view);
             }
             let mut heard: Vec<BTreeSet<String>> = vec![BTreeSet::new(); 40];
             for _ in 0..200 {
                 shuffle(&mut views, &alive, &mut random);
                 for (place, view) in views.iter().enumerate() {
-                    assert!(view.known().len() <= VIEW_MAX);
+                    assert!(view.known().len() <= MAX_VIEW_SIZE);
                     heard[place].extend(view.known().iter().map(|one| one.peer.name.clone()));
                 }
             }
@@ -144,7 +144,7 @@
                 shuffle(&mut views, &alive, &mut random);
             }
             for view in &views[10..] {
-                let is_dead = |one: &Neighbour| one.address.parse::<usize>().unwrap() < 10;
+                let is_dead = |one: &PeerDescriptor| one.address.parse::<usize>().unwrap() < 10;
                 assert!(!view.known().iter().any(is_dead), "seed {seed}");
                 assert!(!view.known().is_empty());
             }
@@ -152,9 +152,9 @@
     }
 
     #[test]
-    fn a_newer_life_takes_the_place_of_the_old_one() {
+    fn a_newer_incarnation_replaces_the_old_one() {
         let mut view = view(0);
-        let neighbour = |incarnation, age| Neighbour {
+        let descriptor = |incarnation, age| PeerDescriptor {
             peer: PeerRef {
                 name: "1".into(),
                 incarnation,
@@ -162,9 +162,9 @@
             address: "1".into(),
             age,
         };
-        view.take_in(vec![neighbour(1, 5)]);
-        view.take_in(vec![neighbour(2, 0)]);
-        view.take_in(vec![neighbour(1, 6)]);
+        view.merge(vec![descriptor(1, 5)]);
+        view.merge(vec![descriptor(2, 0)]);
+        view.merge(vec![descriptor(1, 6)]);
         assert_eq!(view.known()[0].peer.incarnation, 2);
         assert_eq!(view.known().len(), 1);
     }
--- a/crates/request_queue/src/action.rs
+++ b/crates/request_queue/src/action.rs
@@ -1,38 +1,38 @@
 use configuration::PeerRef;
 
-/// A ticket as the desk knows it.
+/// A request as the scheduler knows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ticket {
+pub struct QueuedRequest {
     /// Key of its continuation in the front's slab, with the generation.
     pub slot: u64,
     /// Function that it is for.
     pub function: String,
-    /// Rank of its kind; 0 is the most urgent.
-    pub rank: u8,
+    /// Priority of its kind; 0 is the most urgent.
+    pub priority: u8,
     /// When it came in.
     pub arrived: u64,
     /// When its budget is over.
     pub budget_end: u64,
-    /// Tries that provably never reached a runner.
+    /// Attempts that provably never reached a runner.
     pub unsent: u32,
 }
 
-/// Why a ticket was not run.
+/// Why a request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    /// The holding was full and nothing in it ranked lower.
-    HoldingFull,
-    /// It was shed from a full holding for one of a higher rank.
+pub enum Rejection {
+    /// The queue was full and nothing in it ranked lower.
+    QueueFull,
+    /// It was shed from a full queue for one of a higher priority.
     Shed,
     /// Its budget was over before a seat was free.
     BudgetOver,
     /// This front is cut off from the majority of fronts.
-    NoStanding,
+    NoQuorum,
     /// The function is not listed (any more).
     Unlisted,
     /// This front is draining.
     Draining,
-    /// Its tries could not reach any runner.
+    /// Its attempts could not reach any runner.
     Unreachable,
 }
 
@@ -48,10 +48,10 @@
     /// Key that the runner seals with.
     pub key: Vec<u8>,
     /// Front that lent it.
-    pub keeper: PeerRef,
-    /// Epoch of that keeper.
+    pub owner: PeerRef,
+    /// Epoch of that owner.
     pub epoch: u64,
-    /// Number among the keeper's seats.
+    /// Number among the owner's seats.
     pub seat_no: u64,
     /// It must start before this time.
     pub start_by: u64,
@@ -59,7 +59,7 @@
 
 /// How a try ended, as far as its seat goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum AttemptOutcome {
     /// A whole answer came; it took so many milliseconds.
     Answered(u64),
     /// A whole answer came that was not good (unsealed, garbage).
@@ -79,12 +79,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message to another front.
-    Send(String, crate::DeskMessage),
-    /// Start a try of the ticket on the seat.
-    Launch(Ticket, SeatGrant),
-    /// Tell the caller at once that the ticket was not run.
-    Refuse(Ticket, Refusal),
-    /// See whether the runner takes connections, then call [`crate::Desk::probed`].
+    Send(String, crate::FrontMessage),
+    /// Start a try of the request on the seat.
+    Launch(QueuedRequest, SeatGrant),
+    /// Tell the caller at once that the request was not run.
+    Refuse(QueuedRequest, Rejection),
+    /// See whether the runner takes connections, then call [`crate::SeatScheduler::probed`].
     Probe {
         /// Runner to look at.
         runner: String,
--- a/crates/request_queue/src/index.rs
+++ b/crates/request_queue/src/index.rs
@@ -1,7 +1,7 @@
 use configuration::{Plan, RunnerEntry, RunnerState};
 use std::collections::HashMap;
 
-/// Where things stand in a plan, made once for each plan, since every ticket asks.
+/// Where things stand in a plan, made once for each plan, since every request asks.
 #[derive(Debug, Default)]
 pub(crate) struct Index {
     by_id: HashMap<String, usize>,
@@ -19,8 +19,10 @@
         }
         for (function, places) in &index.by_function {
             let entries = places.iter().map(|place| &plan.runners[*place]);
-            if let Some(good_pace) = good_pace(entries) {
-                index.good_paces.insert(function.clone(), good_pace);
+            if let Some(typical_response_time) = typical_response_time(entries) {
+                index
+                    .good_paces
+                    .insert(function.clone(), typical_response_time);
             }
         }
         index
@@ -42,16 +44,17 @@
     }
 
     /// A good pace of the function's runners; 0 where none is known.
-    pub fn good_pace(&self, function: &str) -> u32 {
+    pub fn typical_response_time(&self, function: &str) -> u32 {
         self.good_paces.get(function).copied().unwrap_or(0)
     }
 }
 
 /// A good pace of a function's runners, a third of the way from the fastest: of two or three the
 /// fastest's. None until one is known. Runners of a slow worker may be the most of a function's.
-fn good_pace<'a>(entries: impl Iterator<Item = &'a RunnerEntry>) -> Option<u32> {
-    let known = entries.filter(|entry| entry.state == RunnerState::Wanted && entry.pace_ms > 0);
-    let mut paces: Vec<u32> = known.map(|entry| entry.pace_ms).collect();
+fn typical_response_time<'a>(entries: impl Iterator<Item = &'a RunnerEntry>) -> Option<u32> {
+    let known =
+        entries.filter(|entry| entry.state == RunnerState::Wanted && entry.response_time_ms > 0);
+    let mut paces: Vec<u32> = known.map(|entry| entry.response_time_ms).collect();
     paces.sort_unstable();
     paces.get(paces.len().saturating_sub(1) / 3).copied()
 }
--- a/crates/request_queue/src/lib.rs
+++ b/crates/request_queue/src/lib.rs
@@ -1,28 +1,28 @@
-//! The ticket's way through a front: holdings by rank, bids for seats, keepers that lend them,
-//! standing, and the retry allowance. Pure state machines: events and time in, actions out.
+//! The request's way through a front: queues by priority, seat requests for seats, owners that lend them,
+//! quorum lease, and the retry allowance. Pure state machines: events and time in, actions out.
 #![warn(missing_docs)]
 
 mod action;
-mod allowance;
-mod bids;
-mod desk;
-mod holding;
 mod index;
-mod keeping;
-mod kept;
-mod lending;
 mod message;
+mod owned;
+mod ownership;
+mod queue;
+mod quorum_lease;
 mod reporting;
-mod sending_again;
-mod standing;
+mod resending;
+mod retry_budget;
+mod scheduler;
+mod seat_leasing;
+mod seat_requests;
 
-pub use action::{Action, Refusal, SeatGrant, Ticket, TryEnd};
-pub use allowance::Allowance;
-pub use desk::Desk;
-pub use holding::{Admission, Holding};
+pub use action::{Action, AttemptOutcome, QueuedRequest, Rejection, SeatGrant};
+pub use queue::{Admission, RequestQueue};
+pub use retry_budget::RetryBudget;
+pub use scheduler::SeatScheduler;
 
 pub use message::{
-    Award, DeskMessage, FrontReport, FunctionReport, RankCount, Return, RunnerReport,
-    DESK_LISTS_MAX,
+    FrontMessage, FrontReport, FunctionReport, PriorityCount, Return, RunnerReport, SeatAssignment,
+    MAX_LIST_ENTRIES,
 };
-pub use standing::Standing;
+pub use quorum_lease::QuorumLease;
