--- a/crates/request_queue/src/message.rs
+++ b/crates/request_queue/src/message.rs
@@ -2,35 +2,35 @@
 use speedy::{Readable, Writable};
 
 /// Longest list within a message between fronts.
-pub const DESK_LISTS_MAX: usize = 20_000;
+pub const MAX_LIST_ENTRIES: usize = 20_000;
 
-/// Tickets of one rank that wait at a front.
+/// Requests of one priority that wait at a front.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub struct RankCount {
-    /// The rank.
-    pub rank: u8,
+pub struct PriorityCount {
+    /// The priority.
+    pub priority: u8,
     /// How many wait.
     pub count: u32,
     /// Age of the oldest, in milliseconds.
     pub oldest_ms: u64,
 }
 
-/// A seat that a keeper lends.
+/// A seat that an owner lends.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub struct Award {
-    /// Stamp of the newest bid that the keeper had.
+pub struct SeatAssignment {
+    /// Stamp of the newest seat request that the owner had.
     pub stamp: u64,
     /// The function.
     pub function: String,
     /// The runner.
     pub runner: String,
-    /// Epoch of the keeper.
+    /// Epoch of the owner.
     pub epoch: u64,
     /// Number of the seat; it grows with each seat lent to the same front.
     pub seat_no: u64,
 }
 
-/// A seat that goes back to its keeper.
+/// A seat that goes back to its owner.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct Return {
     /// The runner.
@@ -47,78 +47,82 @@
 
 /// Messages between fronts. Each may be lost, doubled or late.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub enum DeskMessage {
+pub enum FrontMessage {
     /// Heartbeat, with the sender's clock.
-    Beat {
+    Heartbeat {
         /// The sender's time.
         stamp: u64,
         /// Version of the plan that the sender holds.
         plan: Version,
-        /// Version of the blueprint that the sender holds.
-        blueprint: Version,
+        /// Version of the configuration that the sender holds.
+        configuration: Version,
         /// Number of the last seat that the sender lent to the receiver.
-        last_award: u64,
+        last_assignment: u64,
     },
     /// Answer to a heartbeat, with its stamp.
-    BeatAnswer {
+    HeartbeatResponse {
         /// Stamp of the heartbeat.
         stamp: u64,
         /// Version of the plan that the answerer holds.
         plan: Version,
-        /// Version of the blueprint that the answerer holds.
-        blueprint: Version,
+        /// Version of the configuration that the answerer holds.
+        configuration: Version,
     },
-    /// Standing bid for seats of a function; it replaces the one before.
-    Bid {
+    /// Quorum lease seat request for seats of a function; it replaces the one before.
+    SeatRequest {
         /// The bidder's time.
         stamp: u64,
-        /// Life of the keeper whose seats are meant.
-        life: u64,
-        /// Highest seat number seen from the keeper in that life.
-        seen_award: u64,
+        /// Incarnation of the owner whose seats are meant.
+        incarnation: u64,
+        /// Highest seat number seen from the owner in that incarnation.
+        seen_assignment: u64,
         /// The function.
         function: String,
-        /// What waits, by rank.
-        ranks: Vec<RankCount>,
+        /// What waits, by priority.
+        priorities: Vec<PriorityCount>,
     },
     /// A seat is lent.
-    Award(Award),
+    SeatAssignment(SeatAssignment),
     /// A seat goes back.
     Return(Return),
     /// All seats that the sender holds of the receiver's.
     Holds {
         /// The sender's time.
         stamp: u64,
-        /// Life of the keeper whose seats are meant.
-        life: u64,
-        /// Highest seat number seen from the keeper in that life.
-        seen_award: u64,
+        /// Incarnation of the owner whose seats are meant.
+        incarnation: u64,
+        /// Highest seat number seen from the owner in that incarnation.
+        seen_assignment: u64,
         /// Numbers of the seats held.
         seats: Vec<u64>,
     },
-    /// A former keeper tells the next one how many seats are still out.
+    /// A former owner tells the next one how many seats are still out.
     Handover {
         /// The runner.
         runner: String,
-        /// Epoch of the former keeper.
+        /// Epoch of the former owner.
         epoch: u64,
         /// Seats still out.
-        lent: u32,
+        leased: u32,
         /// The last of them is surely over after this time, in milliseconds.
         over_in_ms: u64,
     },
 }
 
-impl DeskMessage {
-    /// Versions of blueprint and plan that the sender holds, where the message tells them.
+impl FrontMessage {
+    /// Versions of configuration and plan that the sender holds, where the message tells them.
     pub fn versions(&self) -> Option<(Version, Version)> {
         match self {
-            Self::Beat {
-                plan, blueprint, ..
+            Self::Heartbeat {
+                plan,
+                configuration,
+                ..
             }
-            | Self::BeatAnswer {
-                plan, blueprint, ..
-            } => Some((*blueprint, *plan)),
+            | Self::HeartbeatResponse {
+                plan,
+                configuration,
+                ..
+            } => Some((*configuration, *plan)),
             _ => None,
         }
     }
@@ -127,22 +131,22 @@
 /// What a front tells the scaler.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct FrontReport {
-    /// Its district.
-    pub district: String,
+    /// Its zone.
+    pub zone: String,
     /// Address at which it serves callers and operators.
     pub http: String,
     /// Its wall clock, in milliseconds since 1970.
     pub wall_ms: u64,
-    /// Whether it is a core, that only bears witness to standing and never keeps a runner.
+    /// Whether it is a core, that only bears witness to quorum lease and never keeps a runner.
     pub is_witness: bool,
     /// Whether it drains.
     pub is_draining: bool,
-    /// Whether it has standing.
-    pub has_standing: bool,
+    /// Whether it has quorum lease.
+    pub has_quorum: bool,
     /// Version of the plan it holds.
     pub plan: Version,
-    /// Version of the blueprint it holds.
-    pub blueprint: Version,
+    /// Version of the configuration it holds.
+    pub configuration: Version,
     /// Functions with traffic.
     pub functions: Vec<FunctionReport>,
     /// Runners that it keeps.
@@ -154,30 +158,30 @@
 pub struct FunctionReport {
     /// The function.
     pub function: String,
-    /// Tickets that came in.
+    /// Requests that came in.
     pub arrived: u64,
-    /// Tickets that were answered.
+    /// Requests that were answered.
     pub answered: u64,
-    /// Tickets that were refused.
+    /// Requests that were refused.
     pub refused: u64,
-    /// Tickets that wait now.
+    /// Requests that wait now.
     pub waiting: u32,
 }
 
-/// One runner as its keeper sees it.
+/// One runner as its owner sees it.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct RunnerReport {
     /// The runner.
     pub runner: String,
-    /// Epoch of this keeper.
+    /// Epoch of this owner.
     pub epoch: u64,
-    /// Whether this keeper may lend its seats yet.
+    /// Whether this owner may lend its seats yet.
     pub is_active: bool,
     /// Whether it takes connections.
     pub is_warm: bool,
     /// Seats out.
-    pub lent: u32,
-    /// Good answers since this keeper began.
+    pub leased: u32,
+    /// Good answers since this owner began.
     pub answered: u64,
     /// Milliseconds that they took in all.
     pub took_ms: u64,
--- a/crates/request_queue/src/kept.rs
+++ b/crates/request_queue/src/owned.rs
@@ -4,28 +4,28 @@
 /// Faults in a row after which a runner is left out.
 const FAULTS_MAX: u32 = 3;
 /// Answers over which a runner's pace is taken; the newest weigh most, so that it can mend.
-const PACE_SPAN: f64 = 20.0;
+const RESPONSE_TIME_SPAN: f64 = 20.0;
 /// A runner this many times as slow as a good one of its function is left out as slow.
 const SLOW_TIMES: f64 = 3.0;
 /// Answers until which a runner is not called slow.
 const SLOW_ANSWERS: u64 = 3;
 /// A slow runner is tried once in so many seats that others of its function are lent.
 const SLOW_PASSED: u32 = 100;
-/// Answers over which a slow runner's pace is taken, so that few trials show that it has mended.
+/// Answers over which a slow runner's pace is taken, so that few trials show that it has recovered.
 const SLOW_SPAN: f64 = 4.0;
 
 #[derive(Clone, Debug)]
-pub(crate) struct Lent {
+pub(crate) struct LeasedSeat {
     pub to: PeerRef,
     pub reclaim_at: u64,
 }
 
-/// One runner as its keeper holds it: what is lent, what is blocked, and how it fares.
+/// One runner as its owner holds it: what is lent, what is blocked, and how it fares.
 #[derive(Debug)]
-pub struct Kept {
+pub struct OwnedRunner {
     pub(crate) entry: RunnerEntry,
     pub(crate) active_at: Option<u64>,
-    pub(crate) lent: BTreeMap<u64, Lent>,
+    pub(crate) leased: BTreeMap<u64, LeasedSeat>,
     blocked: u32,
     blocked_until: u64,
     is_warm: bool,
@@ -35,20 +35,20 @@
     ejections: u32,
     unfit_until: u64,
     probe_at: u64,
-    pace_ms: f64,
+    response_time_ms: f64,
     passed_over: u32,
     pub(crate) answered: u64,
     pub(crate) took_ms: u64,
 }
 
-impl Kept {
+impl OwnedRunner {
     pub(crate) fn new(entry: RunnerEntry, now: u64) -> Self {
         Self {
-            active_at: (entry.keeper_epoch == 1).then_some(now),
-            pace_ms: f64::from(entry.pace_ms),
+            active_at: (entry.owner_epoch == 1).then_some(now),
+            response_time_ms: f64::from(entry.response_time_ms),
             passed_over: 0,
             entry,
-            lent: BTreeMap::new(),
+            leased: BTreeMap::new(),
             blocked: 0,
             blocked_until: 0,
             is_warm: false,
@@ -80,14 +80,14 @@
             .map_or(0, |since| now.saturating_sub(since))
     }
 
-    /// Seats out, also those that a former keeper lent.
+    /// Seats out, also those that a former owner lent.
     pub(crate) fn out(&self, now: u64) -> u32 {
         let blocked = if now < self.blocked_until {
             self.blocked
         } else {
             0
         };
-        self.lent.len() as u32 + blocked
+        self.leased.len() as u32 + blocked
     }
 
     /// Seats that may be lent now, under the listing's concurrency as it stands. A runner that is
@@ -105,24 +105,26 @@
     }
 
     /// Milliseconds that one answer takes, from the newest answers; the prior until any was seen.
-    pub(crate) fn pace_ms(&self, prior: u32) -> f64 {
-        if self.pace_ms > 0.0 {
-            self.pace_ms
+    pub(crate) fn response_time_ms(&self, prior: u32) -> f64 {
+        if self.response_time_ms > 0.0 {
+            self.response_time_ms
         } else {
             f64::from(prior)
         }
     }
 
     /// Whether it is far slower than a good one of its function's runners.
-    pub(crate) fn is_slow(&self, good_pace: u32) -> bool {
-        let is_known = self.answered >= SLOW_ANSWERS || self.entry.pace_ms > 0;
-        is_known && good_pace > 0 && self.pace_ms > SLOW_TIMES * f64::from(good_pace)
+    pub(crate) fn is_slow(&self, typical_response_time: u32) -> bool {
+        let is_known = self.answered >= SLOW_ANSWERS || self.entry.response_time_ms > 0;
+        is_known
+            && typical_response_time > 0
+            && self.response_time_ms > SLOW_TIMES * f64::from(typical_response_time)
     }
 
-    /// Whether a slow runner may be lent a seat: every so often one, to see whether it has mended,
+    /// Whether a slow runner may be lent a seat: every so often one, to see whether it has recovered,
     /// and wherever work has already waited for longer than it takes.
     pub(crate) fn may_try_slow(&self, now: u64, waited_ms: u64) -> bool {
-        waited_ms as f64 > self.pace_ms || self.is_trial_due(now)
+        waited_ms as f64 > self.response_time_ms || self.is_trial_due(now)
     }
 
     pub(crate) fn is_trial_due(&self, now: u64) -> bool {
@@ -134,9 +136,9 @@
         self.passed_over = self.passed_over.saturating_add(1);
     }
 
-    pub(crate) fn lend(&mut self, seat_no: u64, to: PeerRef, reclaim_at: u64) {
+    pub(crate) fn lease_seat(&mut self, seat_no: u64, to: PeerRef, reclaim_at: u64) {
         self.passed_over = 0;
-        self.lent.insert(seat_no, Lent { to, reclaim_at });
+        self.leased.insert(seat_no, LeasedSeat { to, reclaim_at });
     }
 
     /// Takes a seat back from whom it was lent to; the ramp rises by one with each good answer.
@@ -145,22 +147,26 @@
         from: &PeerRef,
         seat_no: u64,
         took_ms: Option<u64>,
-        good_pace: u32,
+        typical_response_time: u32,
     ) -> bool {
-        if self.lent.get(&seat_no).is_none_or(|lent| lent.to != *from) {
+        if self
+            .leased
+            .get(&seat_no)
+            .is_none_or(|leased| leased.to != *from)
+        {
             return false;
         }
-        self.lent.remove(&seat_no);
+        self.leased.remove(&seat_no);
         if let Some(took_ms) = took_ms {
             self.answered += 1;
             self.took_ms += took_ms;
-            let is_first = self.pace_ms == 0.0;
-            let weight = match self.is_slow(good_pace) {
+            let is_first = self.response_time_ms == 0.0;
+            let weight = match self.is_slow(typical_response_time) {
                 _ if is_first => 1.0,
                 true => 1.0 / SLOW_SPAN,
-                false => 1.0 / PACE_SPAN,
+                false => 1.0 / RESPONSE_TIME_SPAN,
             };
-            self.pace_ms += weight * (took_ms.max(1) as f64 - self.pace_ms);
+            self.response_time_ms += weight * (took_ms.max(1) as f64 - self.response_time_ms);
             self.faults = 0;
             self.ejections = 0;
             self.ramp = self.ramp.saturating_add(1);
@@ -208,7 +214,7 @@
         is_due
     }
 
-    /// Seats that the former keeper still has out.
+    /// Seats that the former owner still has out.
     pub(crate) fn block(&mut self, count: u32, until: u64) {
         self.blocked = count;
         self.blocked_until = until;
@@ -216,6 +222,6 @@
 
     /// Takes back every seat that nobody can be using any more.
     pub(crate) fn reclaim(&mut self, now: u64) {
-        self.lent.retain(|_, lent| now < lent.reclaim_at);
+        self.leased.retain(|_, leased| now < leased.reclaim_at);
     }
 }
--- a/crates/request_queue/src/allowance.rs
+++ b/crates/request_queue/src/retry_budget.rs
@@ -1,13 +1,13 @@
-/// Keeps retries below a share of first tries, plus a small floor, in every window of time: credit
+/// Keeps retries below a share of first attempts, plus a small floor, in every window of time: credit
 /// grows by the share with each first try, up to the floor, and each retry takes one. What any
 /// window holds of retries is at most the credit that it began with and what it earned.
 #[derive(Debug, Default)]
-pub struct Allowance {
+pub struct RetryBudget {
     credit: f64,
 }
 
-impl Allowance {
-    /// Counts a first try. A life begins with nothing, so that a front that is killed and started
+impl RetryBudget {
+    /// Counts a first try. An incarnation begins with nothing, so that a front that is killed and started
     /// again has not its floor a second time.
     pub fn first(&mut self, share: f64, floor: f64) {
         self.credit = (self.credit + share).min(floor.max(1.0));
--- /dev/null
+++ b/crates/request_queue/src/seat_leasing.rs
@@ -0,0 +1,382 @@
+use crate::action::{Action, AttemptOutcome, SeatGrant};
+use crate::message::{FrontMessage, PriorityCount, Return, SeatAssignment};
+use crate::owned::OwnedRunner;
+use crate::scheduler::{HeldSeat, SeatScheduler};
+use configuration::{PeerRef, RunnerEntry, RunnerState};
+use std::collections::BTreeMap;
+
+/// Who is served next by an owner: this front's own queue, or another front's seat request.
+struct Candidate {
+    priority: u8,
+    since: u64,
+    front: Option<String>,
+}
+
+impl SeatScheduler {
+    /// Lends what is free to what waits, and seat requests at other owners for the rest.
+    pub(crate) fn settle(&mut self, now: u64) {
+        let dirty = std::mem::take(&mut self.dirty);
+        if !self.has_quorum(now) {
+            return;
+        }
+        for function in dirty {
+            self.refuse_hopeless(now, &function);
+            while self.lend_one(now, &function) {}
+            self.send_seat_requests(now, &function);
+        }
+    }
+
+    fn lend_one(&mut self, now: u64, function: &str) -> bool {
+        let Some(candidate) = self.elect_candidate(now, function) else {
+            return false;
+        };
+        let waited_ms = now.saturating_sub(candidate.since);
+        let Some(elected_runner) = self.elect_runner(now, function, waited_ms) else {
+            return false;
+        };
+        for owned in self.owned.values_mut() {
+            if owned.entry.function == function && owned.entry.id != elected_runner {
+                owned.pass_over();
+            }
+        }
+        let seat_no = self.next_seat;
+        self.next_seat += 1;
+        match candidate.front {
+            None => self.lend_own(now, function, &elected_runner, seat_no),
+            Some(front) => {
+                self.lend_other(
+                    now,
+                    function,
+                    &elected_runner,
+                    seat_no,
+                    &front,
+                    candidate.priority,
+                );
+            }
+        }
+        true
+    }
+
+    /// The runner of this owner with the most predicted throughput to spare.
+    fn elect_runner(&self, now: u64, function: &str, waited_ms: u64) -> Option<String> {
+        let function_spec = self.configuration.function_spec(function)?;
+        let last_resort = self.last_resort(function);
+        let typical_response_time = self.index.typical_response_time(function);
+        let spare = |owned: &OwnedRunner, free: u32| {
+            let may_lend = free > 0
+                && self.configuration.is_open(&owned.entry.zone)
+                && (!owned.is_slow(typical_response_time) || owned.may_try_slow(now, waited_ms));
+            let spare = (f64::from(free) * 1e6
+                / owned.response_time_ms(typical_response_time).max(1.0))
+                as u64;
+            let is_trial = owned.is_slow(typical_response_time) && owned.is_trial_due(now);
+            may_lend.then_some(if is_trial { u64::MAX } else { spare })
+        };
+        let scored = self.owned.iter().filter_map(|(runner, owned)| {
+            if owned.entry.function != function {
+                return None;
+            }
+            let is_last = last_resort.as_ref() == Some(runner);
+            let free = owned.free(now, function_spec.concurrency, is_last);
+            Some((spare(owned, free)?, runner))
+        });
+        scored.max().map(|(_, runner)| runner.clone())
+    }
+
+    /// One wanted runner of each function is never left out as unfit.
+    fn last_resort(&self, function: &str) -> Option<String> {
+        let entries = self.index.entries(&self.plan, function);
+        let wanted = entries.filter(|entry| self.may_run_on(entry));
+        wanted.map(|entry| &entry.id).min().cloned()
+    }
+
+    fn elect_candidate(&self, now: u64, function: &str) -> Option<Candidate> {
+        let own = self.queues.get(function).map(|queue| queue.priorities(now));
+        let own = own.into_iter().flatten().map(|count| Candidate {
+            priority: count.priority,
+            since: now.saturating_sub(count.oldest_ms),
+            front: None,
+        });
+        let heard_since = now.saturating_sub(self.configuration.bounds.lease_ms());
+        let seat_requests = self
+            .seat_requests
+            .of(function, heard_since)
+            .flat_map(|seat_request| {
+                seat_request.priorities.iter().map(|count| Candidate {
+                    priority: count.priority,
+                    since: seat_request.heard_at.saturating_sub(count.oldest_ms),
+                    front: Some(seat_request.from.name.clone()),
+                })
+            });
+        let by_age = self.next_seat.is_multiple_of(crate::queue::AGEING_SHARE);
+        own.chain(seat_requests).min_by_key(|candidate| {
+            let priority = if by_age { 0 } else { candidate.priority };
+            (priority, candidate.since)
+        })
+    }
+
+    /// When a seat that is lent now can surely not be in use any more.
+    fn reclaim_at(&self, now: u64, function: &str) -> u64 {
+        let bounds = &self.configuration.bounds;
+        now + bounds.seat_window_ms() + self.longest_budget(function) + 2 * bounds.slack_ms()
+    }
+
+    fn lend_own(&mut self, now: u64, function: &str, runner: &str, seat_no: u64) {
+        let reclaim_at = self.reclaim_at(now, function);
+        let Some(queued_request) = self.queues.get_mut(function).and_then(|held| held.take())
+        else {
+            return;
+        };
+        let me = self.me.clone();
+        let Some(owned) = self.owned.get_mut(runner) else {
+            return;
+        };
+        owned.lease_seat(seat_no, me.clone(), reclaim_at);
+        let entry = owned.entry.clone();
+        let grant = self.grant(now, &entry, me, seat_no);
+        self.launch(queued_request, grant);
+    }
+
+    fn lend_other(
+        &mut self,
+        now: u64,
+        function: &str,
+        runner: &str,
+        seat_no: u64,
+        front: &str,
+        priority: u8,
+    ) {
+        let reclaim_at = self.reclaim_at(now, function);
+        let heard_since = now.saturating_sub(self.configuration.bounds.lease_ms());
+        let bidder = self
+            .seat_requests
+            .of(function, heard_since)
+            .find(|seat_request| seat_request.from.name == front)
+            .map(|seat_request| seat_request.from.clone());
+        let Some((bidder, stamp)) = bidder.zip(self.seat_requests.serve(function, front, priority))
+        else {
+            return;
+        };
+        let Some(owned) = self.owned.get_mut(runner) else {
+            return;
+        };
+        owned.lease_seat(seat_no, bidder.clone(), reclaim_at);
+        let epoch = owned.entry.owner_epoch;
+        self.seat_requests
+            .note_assignment(&bidder, seat_no, function);
+        let assignment = FrontMessage::SeatAssignment(SeatAssignment {
+            stamp,
+            function: function.to_string(),
+            runner: runner.to_string(),
+            epoch,
+            seat_no,
+        });
+        self.actions
+            .push(Action::Send(front.to_string(), assignment));
+    }
+
+    fn grant(&self, start: u64, entry: &RunnerEntry, owner: PeerRef, seat_no: u64) -> SeatGrant {
+        SeatGrant {
+            runner: entry.id.clone(),
+            function: entry.function.clone(),
+            address: entry.address.clone(),
+            key: entry.key.clone(),
+            owner,
+            epoch: entry.owner_epoch,
+            seat_no,
+            start_by: start + self.configuration.bounds.seat_window_ms(),
+        }
+    }
+
+    fn launch(&mut self, queued_request: crate::QueuedRequest, grant: SeatGrant) {
+        let key = (grant.owner.name.clone(), grant.seat_no);
+        let held = HeldSeat {
+            grant: grant.clone(),
+            lost_until: None,
+        };
+        self.seats.insert(key, held);
+        self.actions.push(Action::Launch(queued_request, grant));
+    }
+
+    /// A seat was lent to this front: the best waiting request takes it, or it goes back.
+    pub(crate) fn on_assignment(&mut self, now: u64, from: &PeerRef, assignment: &SeatAssignment) {
+        if !self.seat_requests.see(from, assignment.seat_no) {
+            return;
+        }
+        let entry = self.index.runner(&self.plan, &assignment.runner);
+        let entry = entry.cloned().filter(|entry| {
+            entry.owner == *from
+                && entry.owner_epoch == assignment.epoch
+                && entry.function == assignment.function
+                && self.may_run_on(entry)
+        });
+        let is_fresh = now < assignment.stamp + self.configuration.bounds.seat_window_ms();
+        let usable = entry.filter(|_| is_fresh && self.has_quorum(now));
+        self.refuse_hopeless(now, &assignment.function);
+        let queued_request = usable
+            .is_some()
+            .then(|| self.queues.get_mut(&assignment.function)?.take())
+            .flatten();
+        self.dirty.insert(assignment.function.clone());
+        let Some((entry, queued_request)) = usable.zip(queued_request) else {
+            let give_back = returning(
+                &assignment.runner,
+                assignment.seat_no,
+                AttemptOutcome::Unsent,
+            );
+            self.actions
+                .push(Action::Send(from.name.clone(), give_back));
+            return;
+        };
+        let grant = self.grant(assignment.stamp, &entry, from.clone(), assignment.seat_no);
+        self.launch(queued_request, grant);
+    }
+
+    /// Whether new work may go to a runner by plan and configuration.
+    pub(crate) fn may_run_on(&self, entry: &RunnerEntry) -> bool {
+        entry.state == RunnerState::Wanted && self.configuration.is_open(&entry.zone)
+    }
+
+    /// Gives a seat back to its owner, which may be this front.
+    pub(crate) fn give_back(&mut self, now: u64, grant: &SeatGrant, end: AttemptOutcome) {
+        let message = returning(&grant.runner, grant.seat_no, end);
+        if grant.owner == self.me {
+            self.on_message(now, &self.me.clone(), message);
+        } else {
+            let owner = grant.owner.name.clone();
+            self.actions.push(Action::Send(owner, message));
+        }
+    }
+
+    /// Seat requests at other owners for what waits, shared out by the predicted throughput of their runners.
+    fn send_seat_requests(&mut self, now: u64, function: &str) {
+        let lease = self.configuration.bounds.lease_ms();
+        let typical_response_time = self.index.typical_response_time(function).max(1);
+        let mut weights: BTreeMap<String, u64> = BTreeMap::new();
+        for entry in self.index.entries(&self.plan, function) {
+            let is_candidate = self.may_run_on(entry)
+                && (entry.owner == self.me
+                    || self
+                        .quorum_lease
+                        .heard_within(&entry.owner.name, now, lease));
+            if is_candidate {
+                let pace = if entry.response_time_ms > 0 {
+                    entry.response_time_ms
+                } else {
+                    typical_response_time
+                };
+                let throughput = u64::from(entry.quota) * 1_000_000 / u64::from(pace);
+                *weights.entry(entry.owner.name.clone()).or_default() += throughput;
+            }
+        }
+        let priorities = self
+            .queues
+            .get(function)
+            .map_or_else(Vec::new, |queue| queue.priorities(now));
+        let waiting: u32 = priorities.iter().map(|count| count.count).sum();
+        let total: u64 = weights.values().sum::<u64>().max(1);
+        for name in self.seat_requests.sent_to(function) {
+            weights.entry(name).or_default();
+        }
+        weights.remove(&self.me.name);
+        for (owner, weight) in weights {
+            let share = (u64::from(waiting) * weight).div_ceil(total);
+            let seat_request = first_of(&priorities, share as u32);
+            let (incarnation, seen_assignment) = self.seat_requests.seen(&owner);
+            if !self.is_update(function, &owner, &seat_request, seen_assignment) {
+                continue;
+            }
+            let message = FrontMessage::SeatRequest {
+                stamp: now,
+                incarnation,
+                seen_assignment,
+                function: function.to_string(),
+                priorities: seat_request,
+            };
+            self.actions.push(Action::Send(owner, message));
+        }
+    }
+
+    /// Whether a seat request says anything that the last one to this owner did not. Seat requests answer seat requests, so
+    /// that repeating them at once would never end.
+    fn is_update(
+        &mut self,
+        function: &str,
+        owner: &str,
+        seat_request: &[PriorityCount],
+        seen: u64,
+    ) -> bool {
+        let place = (function.to_string(), owner.to_string());
+        let counts: Vec<(u8, u32)> = seat_request
+            .iter()
+            .map(|one| (one.priority, one.count))
+            .collect();
+        let last = self.seat_requests.sent.get(&place);
+        if counts.is_empty() {
+            return self.seat_requests.sent.remove(&place).is_some();
+        }
+        if !self.refreshes_seat_requests && last == Some(&(counts.clone(), seen)) {
+            return false;
+        }
+        self.seat_requests.sent.insert(place, (counts, seen));
+        true
+    }
+
+    pub(crate) fn report_holds(&mut self, now: u64) {
+        let mut held: BTreeMap<String, Vec<u64>> = BTreeMap::new();
+        for entry in &self.plan.runners {
+            if entry.owner != self.me {
+                held.entry(entry.owner.name.clone()).or_default();
+            }
+        }
+        for (owner, seat_no) in self.seats.keys() {
+            if let Some(seats) = held.get_mut(owner) {
+                seats.push(*seat_no);
+            }
+        }
+        for (owner, seats) in held {
+            let (incarnation, seen_assignment) = self.seat_requests.seen(&owner);
+            let message = FrontMessage::Holds {
+                stamp: now,
+                incarnation,
+                seen_assignment,
+                seats,
+            };
+            self.actions.push(Action::Send(owner, message));
+        }
+    }
+}
+
+fn returning(runner: &str, seat_no: u64, end: AttemptOutcome) -> FrontMessage {
+    let took_ms = match end {
+        AttemptOutcome::Answered(took_ms) => Some(took_ms),
+        _ => None,
+    };
+    FrontMessage::Return(Return {
+        runner: runner.to_string(),
+        seat_no,
+        took_ms,
+        is_bad: matches!(
+            end,
+            AttemptOutcome::Bad | AttemptOutcome::Broken | AttemptOutcome::Lost
+        ),
+        is_absent: end == AttemptOutcome::Absent,
+    })
+}
+
+/// The first `share` requests of what waits.
+fn first_of(priorities: &[PriorityCount], share: u32) -> Vec<PriorityCount> {
+    let mut left = share;
+    let mut first = Vec::new();
+    for count in priorities {
+        let taken = count.count.min(left);
+        left -= taken;
+        if taken > 0 {
+            first.push(PriorityCount {
+                count: taken,
+                ..count.clone()
+            });
+        }
+    }
+    first
+}
--- a/crates/request_queue/tests/oracles.rs
+++ b/crates/request_queue/tests/oracles.rs
@@ -1,32 +1,32 @@
-//! Holdings and the retry allowance against plain lists.
+//! Queues and the retry allowance against plain lists.
 
 mod fixtures;
 
-use fixtures::ticket;
+use fixtures::queued_request;
 use fuzzing::seeded;
-use request_queue::{Admission, Allowance, Holding};
+use request_queue::{Admission, RequestQueue, RetryBudget};
 
 seeded! {
-    fn a_holding_agrees_with_a_sorted_list(steps: Vec<(u8, u8)>) -> bool {
-        let mut holding = Holding::default();
+    fn a_queue_agrees_with_a_sorted_list(steps: Vec<(u8, u8)>) -> bool {
+        let mut queue = RequestQueue::default();
         let mut list: Vec<(u8, u64)> = Vec::new();
-        for (number, (step, rank)) in steps.into_iter().enumerate() {
+        for (number, (step, priority)) in steps.into_iter().enumerate() {
             let number = number as u64;
-            let rank = rank % 3;
+            let priority = priority % 3;
             if step % 3 > 0 {
                 let worst = list.iter().max().copied();
-                match holding.admit(ticket(number, rank, number), 8) {
-                    Admission::Held if list.len() < 8 => list.push((rank, number)),
-                    Admission::HeldFor(shed) if list.len() == 8 => {
+                match queue.admit(queued_request(number, priority, number), 8) {
+                    Admission::Held if list.len() < 8 => list.push((priority, number)),
+                    Admission::HeldAfterShedding(shed) if list.len() == 8 => {
                         let Some(worst) = worst else { return false };
-                        if worst != (shed.rank, shed.slot) || worst.0 <= rank {
+                        if worst != (shed.priority, shed.slot) || worst.0 <= priority {
                             return false;
                         }
                         list.retain(|held| *held != worst);
-                        list.push((rank, number));
+                        list.push((priority, number));
                     }
                     Admission::Full(back) if list.len() == 8 => {
-                        let is_lower = worst.is_some_and(|worst| worst.0 > rank);
+                        let is_lower = worst.is_some_and(|worst| worst.0 > priority);
                         if is_lower || back.slot != number {
                             return false;
                         }
@@ -34,43 +34,43 @@
                     _ => return false,
                 }
             } else {
-                let taken = holding.take().map(|taken| (taken.rank, taken.slot));
-                let by_rank = list.iter().min().copied();
+                let taken = queue.take().map(|taken| (taken.priority, taken.slot));
+                let by_priority = list.iter().min().copied();
                 let by_age = list.iter().min_by_key(|held| held.1).copied();
-                if taken != by_rank && taken != by_age {
+                if taken != by_priority && taken != by_age {
                     return false;
                 }
                 list.retain(|held| Some(*held) != taken);
             }
-            if holding.len() != list.len() {
+            if queue.len() != list.len() {
                 return false;
             }
         }
         true
     }
 
-    fn low_ranks_do_not_starve(urgent: u8) -> bool {
-        let mut holding = Holding::default();
-        holding.admit(ticket(0, 1, 0), 10_000);
+    fn low_priorities_do_not_starve(urgent: u8) -> bool {
+        let mut queue = RequestQueue::default();
+        queue.admit(queued_request(0, 1, 0), 10_000);
         for slot in 1..=u64::from(urgent) + 20 {
-            holding.admit(ticket(slot, 0, slot), 10_000);
+            queue.admit(queued_request(slot, 0, slot), 10_000);
         }
-        (0..8).any(|_| holding.take().is_some_and(|taken| taken.slot == 0))
+        (0..8).any(|_| queue.take().is_some_and(|taken| taken.slot == 0))
     }
 
     fn retries_stay_below_share_and_floor_in_every_window(steps: Vec<(u8, u8)>) -> bool {
         let (share, floor, span) = (0.2, 2.0, 1_000);
-        let mut allowance = Allowance::default();
+        let mut retry_budget = RetryBudget::default();
         let (mut now, mut firsts, mut retries) = (0u64, Vec::new(), Vec::new());
         for (pause, step) in steps {
             now += u64::from(pause % 32);
             match step % 2 {
                 // The front is killed and started again, all in one window.
-                0 if step > 240 => allowance = Allowance::default(),
-                0 if allowance.take() => retries.push(now),
+                0 if step > 240 => retry_budget = RetryBudget::default(),
+                0 if retry_budget.take() => retries.push(now),
                 0 => {}
                 _ => {
-                    allowance.first(share, floor);
+                    retry_budget.first(share, floor);
                     firsts.push(now);
                 }
             }
--- a/crates/scaler/src/orders.rs
+++ b/crates/scaler/src/commands.rs
@@ -1,10 +1,10 @@
-use crate::sight::ListedRunner;
+use crate::observation::ListedRunner;
 use configuration::{Plan, RunnerEntry, RunnerState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A call to the platform.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum PlatformCommand {
     /// Start this runner.
     Start(RunnerEntry),
     /// Stop the runner of this id.
@@ -13,7 +13,7 @@
 
 /// How a call to the platform ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderResult {
+pub enum CommandResult {
     /// Taken; it is under way.
     Taken,
     /// The runner is surely gone.
@@ -28,7 +28,7 @@
 
 /// Works out the calls between the settled plan and what the platform is known to have.
 #[derive(Debug, Default)]
-pub struct Orders {
+pub struct CommandPlanner {
     started: BTreeSet<String>,
     refused: BTreeSet<String>,
     gone: BTreeSet<String>,
@@ -36,7 +36,7 @@
     strange_since: BTreeMap<String, u64>,
 }
 
-impl Orders {
+impl CommandPlanner {
     /// Calls that are due; each is asked again after `pause` where no answer came.
     pub fn due(
         &mut self,
@@ -45,8 +45,8 @@
         listed: &[ListedRunner],
         pause: u64,
         grace: u64,
-    ) -> Vec<Order> {
-        let mut orders = Vec::new();
+    ) -> Vec<PlatformCommand> {
+        let mut commands = Vec::new();
         for entry in &plan.runners {
             let is_listed = listed.iter().any(|runner| runner.id == entry.id);
             let wants_start = entry.state == RunnerState::Wanted
@@ -55,9 +55,9 @@
                 && !self.refused.contains(&entry.id);
             let wants_stop = entry.state == RunnerState::Stopping && !self.gone.contains(&entry.id);
             if wants_start && self.may_ask(now, &entry.id, pause) {
-                orders.push(Order::Start(entry.clone()));
+                commands.push(PlatformCommand::Start(entry.clone()));
             } else if wants_stop && self.may_ask(now, &entry.id, pause) {
-                orders.push(Order::Stop(entry.id.clone()));
+                commands.push(PlatformCommand::Stop(entry.id.clone()));
             }
         }
         self.strange_since
@@ -69,7 +69,7 @@
             }
             let since = *self.strange_since.entry(runner.id.clone()).or_insert(now);
             if since + grace <= now && self.may_ask(now, &runner.id, pause) {
-                orders.push(Order::Stop(runner.id.clone()));
+                commands.push(PlatformCommand::Stop(runner.id.clone()));
             }
         }
         let is_known = |id: &String| plan.runner(id).is_some();
@@ -77,7 +77,7 @@
         self.refused.retain(is_known);
         self.gone.retain(is_known);
         self.asked_at.retain(|_, asked_at| *asked_at + grace > now);
-        orders
+        commands
     }
 
     fn may_ask(&mut self, now: u64, id: &str, pause: u64) -> bool {
@@ -93,16 +93,16 @@
     }
 
     /// Takes the end of a call.
-    pub fn on_result(&mut self, order: &Order, result: OrderResult) {
-        match (order, result) {
-            (Order::Start(entry), OrderResult::Taken) => {
+    pub fn on_result(&mut self, command: &PlatformCommand, result: CommandResult) {
+        match (command, result) {
+            (PlatformCommand::Start(entry), CommandResult::Taken) => {
                 self.started.insert(entry.id.clone());
                 self.asked_at.remove(&entry.id);
             }
-            (Order::Start(entry), OrderResult::Refused) => {
+            (PlatformCommand::Start(entry), CommandResult::Refused) => {
                 self.refused.insert(entry.id.clone());
             }
-            (Order::Stop(id), OrderResult::Gone) => {
+            (PlatformCommand::Stop(id), CommandResult::Gone) => {
                 self.gone.insert(id.clone());
             }
             _ => {}
--- a/crates/scaler/src/demand.rs
+++ b/crates/scaler/src/demand.rs
@@ -1,14 +1,14 @@
 use crate::forecast::Forecast;
-use crate::sight::Sight;
+use crate::observation::Observation;
 use configuration::{Bounds, PeerRef};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 /// Milliseconds of one answer that are assumed until answers were seen.
-const PACE_PRIOR_MS: f64 = 100.0;
+const INITIAL_RESPONSE_TIME_MS: f64 = 100.0;
 /// Answers over which a runner's pace is taken; the newest weigh most.
-const PACE_SPAN: f64 = 20.0;
+const RESPONSE_TIME_SPAN: f64 = 20.0;
 /// Answers until which a runner goes by its function's pace.
-const PACE_ANSWERS: u64 = 3;
+const MIN_RESPONSES: u64 = 3;
 
 /// What is known of one function's demand and pace.
 #[derive(Debug, Default)]
@@ -16,7 +16,7 @@
     pub forecast: Forecast,
     pub measured: f64,
     pub waiting: u32,
-    pub pace_ms: Option<f64>,
+    pub response_time_ms: Option<f64>,
     pub last_arrival: u64,
     pub calm_since: Option<u64>,
     arrivals: VecDeque<(u64, u64)>,
@@ -32,7 +32,11 @@
 
     /// Requests a second that one seat carries.
     pub fn seat_rate(&self) -> f64 {
-        1_000.0 / self.pace_ms.unwrap_or(PACE_PRIOR_MS).max(1.0)
+        1_000.0
+            / self
+                .response_time_ms
+                .unwrap_or(INITIAL_RESPONSE_TIME_MS)
+                .max(1.0)
     }
 }
 
@@ -42,20 +46,20 @@
     pub functions: BTreeMap<String, Demand>,
     arrived: BTreeMap<(PeerRef, String), u64>,
     answered: BTreeMap<(String, u64), (u64, u64)>,
-    paces: BTreeMap<String, Pace>,
+    paces: BTreeMap<String, ResponseTime>,
     sampled_at: u64,
 }
 
 /// What one runner's answers took.
 #[derive(Debug, Default)]
-struct Pace {
+struct ResponseTime {
     answers: u64,
     mean_ms: f64,
 }
 
-impl Pace {
+impl ResponseTime {
     fn learn(&mut self, answers: u64, mean_ms: f64) {
-        let known = (self.answers as f64).min(PACE_SPAN);
+        let known = (self.answers as f64).min(RESPONSE_TIME_SPAN);
         let weight = answers as f64 / (known + answers as f64);
         self.mean_ms += weight * (mean_ms - self.mean_ms);
         self.answers += answers;
@@ -63,20 +67,25 @@
 }
 
 impl DemandTable {
-    pub fn observe(&mut self, sight: &Sight) {
-        let window = sight.blueprint.bounds.change_ms / 3;
-        for listing in &sight.blueprint.listings {
-            self.functions.entry(listing.name.clone()).or_default();
+    pub fn observe(&mut self, observation: &Observation) {
+        let window = observation.configuration.bounds.change_ms / 3;
+        for function_spec in &observation.configuration.function_specs {
+            self.functions
+                .entry(function_spec.name.clone())
+                .or_default();
         }
-        let listed = sight.blueprint.listings.iter();
-        let listed: HashSet<&str> = listed.map(|listing| listing.name.as_str()).collect();
+        let listed = observation.configuration.function_specs.iter();
+        let listed: HashSet<&str> = listed
+            .map(|function_spec| function_spec.name.as_str())
+            .collect();
         self.functions
             .retain(|name, _| listed.contains(name.as_str()));
         for demand in self.functions.values_mut() {
             demand.waiting = 0;
         }
-        for front in sight.fronts.values() {
-            let is_heard = sight.now < front.heard_at + sight.blueprint.bounds.lease_ms();
+        for front in observation.fronts.values() {
+            let is_heard =
+                observation.now < front.heard_at + observation.configuration.bounds.lease_ms();
             for report in &front.report.functions {
                 let Some(demand) = self.functions.get_mut(&report.function) else {
                     continue;
@@ -85,7 +94,7 @@
                 let known = self.arrived.entry(key).or_insert(0);
                 if report.arrived > *known {
                     demand.total += report.arrived - *known;
-                    demand.last_arrival = sight.now;
+                    demand.last_arrival = observation.now;
                     *known = report.arrived;
                 }
                 if is_heard {
@@ -93,10 +102,10 @@
                 }
             }
         }
-        self.learn_pace(sight);
-        self.sample(sight.now, window);
+        self.learn_response_time(observation);
+        self.sample(observation.now, window);
         self.arrived.retain(|(peer, _), _| {
-            sight
+            observation
                 .fronts
                 .get(&peer.name)
                 .is_some_and(|front| front.peer == *peer)
@@ -123,22 +132,24 @@
     }
 
     /// Milliseconds that an answer of this runner takes, once enough were seen.
-    pub fn pace_of(&self, runner: &str) -> Option<f64> {
-        let pace = self.paces.get(runner)?;
-        (pace.answers >= PACE_ANSWERS).then_some(pace.mean_ms.max(1.0))
+    pub fn response_time_of(&self, runner: &str) -> Option<f64> {
+        let response_time = self.paces.get(runner)?;
+        (response_time.answers >= MIN_RESPONSES).then_some(response_time.mean_ms.max(1.0))
     }
 
     /// Requests a second that one seat of this runner carries; its function's until it was seen.
     pub fn seat_rate(&self, function: &str, runner: &str) -> f64 {
-        let own = self.pace_of(runner).map(|pace| 1_000.0 / pace);
+        let own = self
+            .response_time_of(runner)
+            .map(|response_time| 1_000.0 / response_time);
         let prior = self.functions.get(function).map_or(0.0, Demand::seat_rate);
         own.unwrap_or(prior)
     }
 
-    fn learn_pace(&mut self, sight: &Sight) {
-        for front in sight.fronts.values() {
+    fn learn_response_time(&mut self, observation: &Observation) {
+        for front in observation.fronts.values() {
             for report in &front.report.runners {
-                let Some(entry) = sight.plan.runner(&report.runner) else {
+                let Some(entry) = observation.plan.runner(&report.runner) else {
                     continue;
                 };
                 let key = (report.runner.clone(), report.epoch);
@@ -149,29 +160,33 @@
                 }
                 let mean = report.took_ms.saturating_sub(known.1) as f64 / answers as f64;
                 *known = (report.answered, report.took_ms);
-                let pace = self.paces.entry(entry.id.clone());
-                pace.or_insert_with(|| Pace {
-                    answers: 0,
-                    mean_ms: f64::from(entry.pace_ms),
-                })
-                .learn(answers, mean);
+                let response_time = self.paces.entry(entry.id.clone());
+                response_time
+                    .or_insert_with(|| ResponseTime {
+                        answers: 0,
+                        mean_ms: f64::from(entry.response_time_ms),
+                    })
+                    .learn(answers, mean);
             }
         }
         self.answered
-            .retain(|(runner, _), _| sight.plan.runner(runner).is_some());
+            .retain(|(runner, _), _| observation.plan.runner(runner).is_some());
         self.paces
-            .retain(|runner, _| sight.plan.runner(runner).is_some());
+            .retain(|runner, _| observation.plan.runner(runner).is_some());
         let mut paces: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
-        for entry in &sight.plan.runners {
-            if let Some(pace) = self.paces.get(&entry.id) {
-                paces.entry(&entry.function).or_default().push(pace.mean_ms);
+        for entry in &observation.plan.runners {
+            if let Some(response_time) = self.paces.get(&entry.id) {
+                paces
+                    .entry(&entry.function)
+                    .or_default()
+                    .push(response_time.mean_ms);
             }
         }
         // The runner in the middle stands for those that were not seen yet.
         for (function, mut paces) in paces {
             paces.sort_by(f64::total_cmp);
             if let Some(demand) = self.functions.get_mut(function) {
-                demand.pace_ms = Some(paces[(paces.len() - 1) / 2]);
+                demand.response_time_ms = Some(paces[(paces.len() - 1) / 2]);
             }
         }
     }
--- a/crates/scaler/src/lib.rs
+++ b/crates/scaler/src/lib.rs
@@ -2,20 +2,20 @@
 //! worker, calm shrinking. A pure state machine that turns what is seen into the next plan.
 #![warn(missing_docs)]
 
+mod commands;
 mod demand;
 mod forecast;
-mod keepers;
-mod life;
-mod orders;
+mod memory_pool;
+mod observation;
+mod owners;
 mod placing;
-mod room;
+mod quota_steps;
+mod runner_states;
 mod scaler;
-mod sight;
-mod steps;
 
+pub use commands::{CommandPlanner, CommandResult, PlatformCommand};
 pub use forecast::Forecast;
-pub use keepers::tend_keepers;
-pub use orders::{Order, OrderResult, Orders};
-pub use scaler::{FunctionNote, Scaler};
-pub use sight::{FrontSight, ListedRunner, ListedState, Sight, Worker};
-pub use steps::{grow, shrink, Pod};
+pub use observation::{FrontObservation, ListedRunner, ListedState, Observation, Worker};
+pub use owners::update_owners;
+pub use quota_steps::{grow, shrink, RunnerQuota};
+pub use scaler::{FunctionDecision, Scaler};
--- a/crates/scaler/src/sight.rs
+++ b/crates/scaler/src/observation.rs
@@ -1,4 +1,4 @@
-use configuration::{Blueprint, PeerRef, Plan, Version};
+use configuration::{Configuration, PeerRef, Plan, Version};
 use request_queue::FrontReport;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -8,8 +8,9 @@
 pub struct Worker {
     /// Its name.
     pub name: String,
-    /// Its district.
-    pub district: String,
+    /// Its zone.
+    #[serde(rename = "district")]
+    pub zone: String,
     /// IP number that its runners are reached at.
     pub host: String,
     /// Memory for runners, in megabytes.
@@ -27,7 +28,7 @@
 pub enum ListedState {
     /// Starting or up.
     Up,
-    /// Told to leave by the platform.
+    /// Notified to leave by the platform.
     Leaving,
 }
 
@@ -44,8 +45,8 @@
 
 /// A front as the scaler knows it.
 #[derive(Clone, Debug)]
-pub struct FrontSight {
-    /// Which front, in which of its lives.
+pub struct FrontObservation {
+    /// Which front, in which of its incarnations.
     pub peer: PeerRef,
     /// When it was last heard.
     pub heard_at: u64,
@@ -54,15 +55,15 @@
 }
 
 /// All that the scaler sees at one moment.
-pub struct Sight<'a> {
+pub struct Observation<'a> {
     /// Now.
     pub now: u64,
     /// Version that a plan written now would have.
     pub next: Version,
-    /// Term of the duty.
+    /// Term of the role.
     pub term: u64,
-    /// The blueprint in force.
-    pub blueprint: &'a Blueprint,
+    /// The configuration in force.
+    pub configuration: &'a Configuration,
     /// The plan in force.
     pub plan: &'a Plan,
     /// Workers by the platform's list; it lags.
@@ -70,13 +71,13 @@
     /// Runners by the platform's list; it lags.
     pub listed: &'a [ListedRunner],
     /// Fronts by name.
-    pub fronts: &'a BTreeMap<String, FrontSight>,
+    pub fronts: &'a BTreeMap<String, FrontObservation>,
 }
 
-impl Sight<'_> {
-    /// Whether a front is heard, keeps its life and does not drain.
-    pub fn is_live(&self, front: &FrontSight) -> bool {
-        let lease = self.blueprint.bounds.lease_ms();
+impl Observation<'_> {
+    /// Whether a front is heard, keeps its incarnation and does not drain.
+    pub fn is_live(&self, front: &FrontObservation) -> bool {
+        let lease = self.configuration.bounds.lease_ms();
         self.now < front.heard_at + lease && !front.report.is_draining
     }
 
--- a/crates/scaler/src/placing.rs
+++ b/crates/scaler/src/placing.rs
@@ -1,9 +1,9 @@
-use crate::sight::{Sight, Worker};
+use crate::observation::{Observation, Worker};
 use configuration::{Plan, RunnerState};
 use std::collections::HashSet;
 
 /// Where a new runner goes.
-pub(crate) struct Place<'a> {
+pub(crate) struct Placement<'a> {
     pub worker: &'a Worker,
     pub port: u16,
 }
@@ -17,17 +17,17 @@
 }
 
 /// Occupancy after the paper: each runner's share of the worker times its share of its quota.
-pub(crate) fn occupancy(sight: &Sight, plan: &Plan, worker: &Worker) -> f64 {
+pub(crate) fn occupancy(observation: &Observation, plan: &Plan, worker: &Worker) -> f64 {
     let entries = plan
         .runners
         .iter()
         .filter(|entry| entry.worker == worker.name);
     let taken: f64 = entries
         .map(|entry| {
-            let most = sight
-                .blueprint
-                .listing(&entry.function)
-                .map_or(1, |listing| listing.concurrency);
+            let most = observation
+                .configuration
+                .function_spec(&entry.function)
+                .map_or(1, |function_spec| function_spec.concurrency);
             entry.memory_mb as f64 * f64::from(entry.quota) / f64::from(most.max(1))
         })
         .sum();
@@ -44,10 +44,10 @@
 }
 
 /// A port that no runner of the plan has, nor one that is listed though nobody planned it.
-fn free_port(sight: &Sight, plan: &Plan, worker: &Worker) -> Option<u16> {
+fn free_port(observation: &Observation, plan: &Plan, worker: &Worker) -> Option<u16> {
     let address = |port: u16| format!("{}:{port}", worker.host);
     let planned = plan.runners.iter().map(|entry| entry.address.as_str());
-    let listed = sight.listed.iter();
+    let listed = observation.listed.iter();
     let listed = listed.filter_map(|runner| runner.address.as_deref());
     let taken: HashSet<&str> = planned.chain(listed).collect();
     (worker.first_port..worker.first_port.saturating_add(worker.ports))
@@ -56,37 +56,39 @@
 
 /// Why no place was found.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum NoPlace {
+pub(crate) enum PlacementError {
     /// All workers with room have their most starts under way.
     Busy,
     /// No worker has the memory.
-    NoRoom,
+    NoMemory,
 }
 
 /// The least-occupied worker in use that has room; a fresh one only where none has.
 pub(crate) fn place<'a>(
-    sight: &'a Sight,
+    observation: &'a Observation,
     plan: &Plan,
     memory_mb: u64,
     is_warm: impl Fn(&str) -> bool,
-) -> Result<Place<'a>, NoPlace> {
-    let mut reason = NoPlace::NoRoom;
+) -> Result<Placement<'a>, PlacementError> {
+    let mut reason = PlacementError::NoMemory;
     let mut elected: Option<(bool, f64, &Worker, u16)> = None;
-    for worker in sight.workers {
-        let is_open = !worker.is_leaving && sight.blueprint.is_open(&worker.district);
+    for worker in observation.workers {
+        let is_open = !worker.is_leaving && observation.configuration.is_open(&worker.zone);
         let used = memory_used(plan, &worker.name);
         if !is_open || used + memory_mb > worker.memory_mb {
             continue;
         }
-        if starting(plan, &is_warm, &worker.name) >= sight.blueprint.bounds.worker_starts as usize {
-            reason = NoPlace::Busy;
+        if starting(plan, &is_warm, &worker.name)
+            >= observation.configuration.bounds.worker_starts as usize
+        {
+            reason = PlacementError::Busy;
             continue;
         }
-        let Some(port) = free_port(sight, plan, worker) else {
+        let Some(port) = free_port(observation, plan, worker) else {
             continue;
         };
         let is_fresh = used == 0;
-        let occupied = occupancy(sight, plan, worker);
+        let occupied = occupancy(observation, plan, worker);
         let is_better = elected
             .as_ref()
             .is_none_or(|(fresh, least, ..)| (is_fresh, occupied) < (*fresh, *least));
@@ -97,5 +99,5 @@
     let Some((_, _, worker, port)) = elected else {
         return Err(reason);
     };
-    Ok(Place { worker, port })
+    Ok(Placement { worker, port })
 }
--- a/crates/scaler/src/scaler.rs
+++ b/crates/scaler/src/scaler.rs
@@ -1,35 +1,36 @@
+use crate::commands::CommandPlanner;
 use crate::demand::DemandTable;
-use crate::keepers::{elect_keeper, tend_keepers};
-use crate::life::Lives;
-use crate::orders::Orders;
-use crate::placing::{place, NoPlace};
-use crate::room::{Room, Share};
-use crate::sight::Sight;
-use crate::steps::{grow, shrink, Pod};
-use configuration::{Listing, Plan, RunnerEntry, RunnerState};
+use crate::memory_pool::{MemoryPool, MemoryShare};
+use crate::observation::Observation;
+use crate::owners::{choose_owner, update_owners};
+use crate::placing::{place, PlacementError};
+use crate::quota_steps::{grow, shrink, RunnerQuota};
+use crate::runner_states::RunnerStates;
+use configuration::{FunctionSpec, Plan, RunnerEntry, RunnerState};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Rate below which a function counts as without demand, in requests a second.
-const QUIET_RATE: f64 = 0.2;
-/// A runner's pace is told anew when it has changed by this factor.
-const PACE_STEP: f64 = 1.25;
+const MIN_DEMAND_RATE: f64 = 0.2;
+/// A runner's pace is notified anew when it has changed by this factor.
+const RESPONSE_TIME_STEP: f64 = 1.25;
 
 /// Why a function has the runners and quotas that it has.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct FunctionNote {
+pub struct FunctionDecision {
     /// Requests a second that came in.
     pub measured: f64,
     /// Requests a second that are expected.
     pub forecast: f64,
-    /// Tickets that wait at the fronts.
+    /// Requests that wait at the fronts.
     pub waiting: u32,
     /// Demand that is scaled for: the forecast and what waits.
     pub demand: f64,
     /// Requests a second that the runners carry.
     pub capacity: f64,
     /// Milliseconds of one answer, as learnt.
-    pub pace_ms: Option<f64>,
+    #[serde(rename = "pace_ms")]
+    pub response_time_ms: Option<f64>,
     /// Runners that count.
     pub runners: usize,
     /// Seats of these runners.
@@ -41,12 +42,12 @@
 /// The scaler's memory between runs. All that must outlast it is in the plan.
 pub struct Scaler {
     demand: DemandTable,
-    lives: Lives,
-    notes: BTreeMap<String, FunctionNote>,
+    runner_states: RunnerStates,
+    decisions: BTreeMap<String, FunctionDecision>,
     asleep_since: BTreeMap<String, u64>,
-    paces_told_at: u64,
+    response_times_reported_at: u64,
     /// Why nothing of a size found a place in this run.
-    no_place: BTreeMap<u64, NoPlace>,
+    placement_errors: BTreeMap<u64, PlacementError>,
     /// Places in this run's plan of each function's runners.
     places: HashMap<String, Vec<usize>>,
     fresh_key: Box<dyn FnMut() -> Vec<u8> + Send>,
@@ -58,11 +59,11 @@
     pub fn new(fresh_key: Box<dyn FnMut() -> Vec<u8> + Send>) -> Self {
         Self {
             demand: DemandTable::default(),
-            lives: Lives::default(),
-            notes: BTreeMap::new(),
+            runner_states: RunnerStates::default(),
+            decisions: BTreeMap::new(),
             asleep_since: BTreeMap::new(),
-            paces_told_at: 0,
-            no_place: BTreeMap::new(),
+            response_times_reported_at: 0,
+            placement_errors: BTreeMap::new(),
             places: HashMap::new(),
             fresh_key,
             named: 0,
@@ -70,172 +71,210 @@
     }
 
     /// Why each function has what it has.
-    pub fn notes(&self) -> &BTreeMap<String, FunctionNote> {
-        &self.notes
+    pub fn decisions(&self) -> &BTreeMap<String, FunctionDecision> {
+        &self.decisions
     }
 
-    /// Takes in what is seen without deciding anything, as a core does that has not the duty.
-    pub fn observe(&mut self, sight: &Sight) {
-        self.demand.observe(sight);
+    /// Takes in what is seen without deciding anything, as a core does that has not the role.
+    pub fn observe(&mut self, observation: &Observation) {
+        self.demand.observe(observation);
     }
 
     /// Decides the next plan; none where the plan in force is right as it is.
-    pub fn run(&mut self, sight: &Sight, orders: &Orders) -> Option<Plan> {
-        self.demand.observe(sight);
-        self.no_place.clear();
-        let mut plan = sight.plan.clone();
-        tend_keepers(sight, &mut plan);
-        self.lives.tend(sight, orders, &mut plan);
+    pub fn run(&mut self, observation: &Observation, commands: &CommandPlanner) -> Option<Plan> {
+        self.demand.observe(observation);
+        self.placement_errors.clear();
+        let mut plan = observation.plan.clone();
+        update_owners(observation, &mut plan);
+        self.runner_states.advance(observation, commands, &mut plan);
         self.places.clear();
         for (place, entry) in plan.runners.iter().enumerate() {
             let places = self.places.entry(entry.function.clone());
             places.or_default().push(place);
         }
-        let mut listings: Vec<&Listing> = sight.blueprint.listings.iter().collect();
-        // Who is called goes first, by rank, and within a rank who has been without a runner longest.
-        listings.sort_by_cached_key(|listing| {
-            let demand = self.demand.functions.get(&listing.name);
+        let mut function_specs: Vec<&FunctionSpec> =
+            observation.configuration.function_specs.iter().collect();
+        // Who is called goes first, by priority, and within a priority who has been without a runner longest.
+        function_specs.sort_by_cached_key(|function_spec| {
+            let demand = self.demand.functions.get(&function_spec.name);
             let is_called = demand.is_some_and(|demand| demand.waiting > 0);
-            let since = self.asleep_since.get(&listing.name).copied();
-            let rank = rank_of(sight, listing);
-            (!is_called, rank, since.unwrap_or(u64::MAX))
+            let since = self.asleep_since.get(&function_spec.name).copied();
+            let priority = priority_of(observation, function_spec);
+            (!is_called, priority, since.unwrap_or(u64::MAX))
         });
-        let mut room = Room::new(sight, &plan, self.shares(sight, &plan));
-        for listing in &listings {
-            self.keep_minimal(sight, &mut plan, listing, &mut room);
+        let mut memory_pool = MemoryPool::new(observation, &plan, self.shares(observation, &plan));
+        for function_spec in &function_specs {
+            self.keep_minimal(observation, &mut plan, function_spec, &mut memory_pool);
         }
-        // Where memory is short, within a rank the function that lacks most is served first.
-        listings.sort_by_cached_key(|listing| {
-            let note = self.notes.get(&listing.name);
-            let met = note.map_or(1.0, |note| note.capacity / note.demand.max(QUIET_RATE));
-            (rank_of(sight, listing), (met.min(1_000.0) * 1_000.0) as u64)
+        // Where memory is short, within a priority the function that lacks most is served first.
+        function_specs.sort_by_cached_key(|function_spec| {
+            let note = self.decisions.get(&function_spec.name);
+            let met = note.map_or(1.0, |note| note.capacity / note.demand.max(MIN_DEMAND_RATE));
+            (
+                priority_of(observation, function_spec),
+                (met.min(1_000.0) * 1_000.0) as u64,
+            )
         });
-        for listing in &listings {
-            self.scale(sight, &mut plan, listing, &mut room);
+        for function_spec in &function_specs {
+            self.scale(observation, &mut plan, function_spec, &mut memory_pool);
         }
-        let is_due = self.paces_told_at + sight.blueprint.bounds.change_ms <= sight.now;
-        if is_due || plan != *sight.plan {
-            self.paces_told_at = sight.now;
-            self.tell_paces(&mut plan);
+        let is_due = self.response_times_reported_at + observation.configuration.bounds.change_ms
+            <= observation.now;
+        if is_due || plan != *observation.plan {
+            self.response_times_reported_at = observation.now;
+            self.report_response_times(&mut plan);
         }
-        let names = listings.iter().map(|listing| listing.name.as_str());
+        let names = function_specs
+            .iter()
+            .map(|function_spec| function_spec.name.as_str());
         let names: HashSet<&str> = names.collect();
-        self.notes
+        self.decisions
             .retain(|function, _| names.contains(function.as_str()));
         self.asleep_since
             .retain(|function, _| names.contains(function.as_str()));
-        if plan == *sight.plan {
+        if plan == *observation.plan {
             return None;
         }
-        plan.term = sight.term;
+        plan.term = observation.term;
         Some(plan)
     }
 
     /// One minimal runner of each function is kept; it sleeps only where memory has no room.
-    fn keep_minimal(&mut self, sight: &Sight, plan: &mut Plan, listing: &Listing, room: &mut Room) {
-        if !self.pods(sight, plan, listing).is_empty() {
-            self.asleep_since.remove(&listing.name);
+    fn keep_minimal(
+        &mut self,
+        observation: &Observation,
+        plan: &mut Plan,
+        function_spec: &FunctionSpec,
+        memory_pool: &mut MemoryPool,
+    ) {
+        if !self
+            .runner_quotas(observation, plan, function_spec)
+            .is_empty()
+        {
+            self.asleep_since.remove(&function_spec.name);
             return;
         }
-        let since = self.asleep_since.entry(listing.name.clone());
-        since.or_insert(sight.now);
-        let started = self.start(sight, plan, listing, 1);
-        let demand = self.demand.functions.get(&listing.name);
+        let since = self.asleep_since.entry(function_spec.name.clone());
+        since.or_insert(observation.now);
+        let started = self.start(observation, plan, function_spec, 1);
+        let demand = self.demand.functions.get(&function_spec.name);
         let is_wanted = demand.is_some_and(|demand| demand.waiting > 0);
         let reason = match started {
             Ok(()) => "no runner counts: one minimal runner starts",
-            Err(NoPlace::Busy) => "waits for a worker with a free start",
-            Err(NoPlace::NoRoom) if is_wanted && room.make(sight, plan, listing, &self.lives) => {
+            Err(PlacementError::Busy) => "waits for a worker with a free start",
+            Err(PlacementError::NoMemory)
+                if is_wanted
+                    && memory_pool.make(observation, plan, function_spec, &self.runner_states) =>
+            {
                 "no memory: other functions' runners are drained for it"
             }
-            Err(NoPlace::NoRoom) => "sleeps: no worker has the memory",
+            Err(PlacementError::NoMemory) => "sleeps: no worker has the memory",
         };
-        self.note(&listing.name).reason = reason.into();
+        self.note(&function_spec.name).reason = reason.into();
     }
 
-    /// The plan tells each runner's pace, so that fronts know what other keepers' runners carry. It
-    /// is told again only where it has changed by a quarter, since each plan goes to all.
-    fn tell_paces(&self, plan: &mut Plan) {
+    /// The plan tells each runner's pace, so that fronts know what other owners' runners carry. It
+    /// is notified again only where it has changed by a quarter, since each plan goes to all.
+    fn report_response_times(&self, plan: &mut Plan) {
         for entry in &mut plan.runners {
-            let Some(pace) = self.demand.pace_of(&entry.id) else {
+            let Some(response_time) = self.demand.response_time_of(&entry.id) else {
                 continue;
             };
-            let told = f64::from(entry.pace_ms);
-            if pace > told * PACE_STEP || told > pace * PACE_STEP {
-                entry.pace_ms = pace.round() as u32;
+            let reported = f64::from(entry.response_time_ms);
+            if response_time > reported * RESPONSE_TIME_STEP
+                || reported > response_time * RESPONSE_TIME_STEP
+            {
+                entry.response_time_ms = response_time.round() as u32;
             }
         }
     }
 
-    fn note(&mut self, function: &str) -> &mut FunctionNote {
-        self.notes.entry(function.to_string()).or_default()
+    fn note(&mut self, function: &str) -> &mut FunctionDecision {
+        self.decisions.entry(function.to_string()).or_default()
     }
 
     /// The runners that count towards the function's capacity.
-    fn pods(&self, sight: &Sight, plan: &Plan, listing: &Listing) -> Vec<Pod> {
-        let places = self.places.get(&listing.name).into_iter().flatten();
+    fn runner_quotas(
+        &self,
+        observation: &Observation,
+        plan: &Plan,
+        function_spec: &FunctionSpec,
+    ) -> Vec<RunnerQuota> {
+        let places = self.places.get(&function_spec.name).into_iter().flatten();
         let own = places.filter_map(|place| plan.runners.get(*place));
-        let counted = own
-            .filter(|entry| entry.state == RunnerState::Wanted && self.lives.counts(sight, entry));
+        let counted = own.filter(|entry| {
+            entry.state == RunnerState::Wanted && self.runner_states.counts(observation, entry)
+        });
         counted
-            .map(|entry| Pod {
+            .map(|entry| RunnerQuota {
                 id: entry.id.clone(),
-                quota: entry.quota.min(listing.concurrency),
-                most: listing.concurrency,
-                seat_rate: self.demand.seat_rate(&listing.name, &entry.id),
+                quota: entry.quota.min(function_spec.concurrency),
+                most: function_spec.concurrency,
+                seat_rate: self.demand.seat_rate(&function_spec.name, &entry.id),
             })
             .collect()
     }
 
-    fn scale(&mut self, sight: &Sight, plan: &mut Plan, listing: &Listing, room: &mut Room) {
-        let bounds = &sight.blueprint.bounds;
-        let mut pods = self.pods(sight, plan, listing);
-        let Some(demand) = self.demand.functions.get(&listing.name) else {
+    fn scale(
+        &mut self,
+        observation: &Observation,
+        plan: &mut Plan,
+        function_spec: &FunctionSpec,
+        memory_pool: &mut MemoryPool,
+    ) {
+        let bounds = &observation.configuration.bounds;
+        let mut runner_quotas = self.runner_quotas(observation, plan, function_spec);
+        let Some(demand) = self.demand.functions.get(&function_spec.name) else {
             return;
         };
         let wanted = demand.wanted(bounds);
         let seat_rate = demand.seat_rate();
-        let capacity: f64 = pods.iter().map(Pod::capacity).sum();
-        let note = FunctionNote {
+        let capacity: f64 = runner_quotas.iter().map(RunnerQuota::capacity).sum();
+        let note = FunctionDecision {
             measured: demand.measured,
             forecast: demand.forecast.rate(),
             waiting: demand.waiting,
             demand: wanted,
             capacity,
-            pace_ms: demand.pace_ms,
-            runners: pods.len(),
-            seats: pods.iter().map(|pod| pod.quota).sum(),
+            response_time_ms: demand.response_time_ms,
+            runners: runner_quotas.len(),
+            seats: runner_quotas
+                .iter()
+                .map(|runner_quota| runner_quota.quota)
+                .sum(),
             reason: String::new(),
         };
-        let known = self.note(&listing.name);
-        *known = FunctionNote {
+        let known = self.note(&function_spec.name);
+        *known = FunctionDecision {
             reason: std::mem::take(&mut known.reason),
             ..note
         };
-        if pods.is_empty() {
+        if runner_quotas.is_empty() {
             return;
         }
         if wanted > capacity * bounds.alpha {
             let gap = wanted - capacity * bounds.alpha;
-            let rest = grow(&mut pods, gap);
-            set_quotas(plan, &pods);
-            let (started, lacks_room) = self.start_for(sight, plan, listing, rest, seat_rate);
-            let makes_room = lacks_room && room.make(sight, plan, listing, &self.lives);
+            let rest = grow(&mut runner_quotas, gap);
+            set_quotas(plan, &runner_quotas);
+            let (started, lacks_room) =
+                self.start_for(observation, plan, function_spec, rest, seat_rate);
+            let makes_room = lacks_room
+                && memory_pool.make(observation, plan, function_spec, &self.runner_states);
             let remark = match (lacks_room, makes_room) {
                 (true, true) => "; others give way",
                 (true, false) => "; no memory",
                 _ => "",
             };
-            self.calm(&listing.name, None);
-            self.note(&listing.name).reason = format!(
+            self.calm(&function_spec.name, None);
+            self.note(&function_spec.name).reason = format!(
                 "grew: demand {wanted:.1}/s is over alpha of {capacity:.1}/s; quotas first, \
                  {started} new runners for {:.1}/s{remark}",
                 rest.max(0.0)
             );
         } else if wanted < capacity * bounds.beta {
-            self.shrink_calmly(sight, plan, listing, pods, wanted);
+            self.shrink_calmly(observation, plan, function_spec, runner_quotas, wanted);
         } else {
-            self.calm(&listing.name, None);
+            self.calm(&function_spec.name, None);
         }
     }
 
@@ -247,20 +286,20 @@
 
     fn start_for(
         &mut self,
-        sight: &Sight,
+        observation: &Observation,
         plan: &mut Plan,
-        listing: &Listing,
+        function_spec: &FunctionSpec,
         mut gap: f64,
         seat_rate: f64,
     ) -> (usize, bool) {
         let mut started = 0;
         while gap > 0.0 {
             let seats = (gap / seat_rate).ceil().max(1.0) as u32;
-            let quota = seats.min(listing.concurrency);
-            match self.start(sight, plan, listing, quota) {
+            let quota = seats.min(function_spec.concurrency);
+            match self.start(observation, plan, function_spec, quota) {
                 Ok(()) => started += 1,
-                Err(NoPlace::Busy) => break,
-                Err(NoPlace::NoRoom) => return (started, true),
+                Err(PlacementError::Busy) => break,
+                Err(PlacementError::NoMemory) => return (started, true),
             }
             gap -= f64::from(quota) * seat_rate;
         }
@@ -269,32 +308,37 @@
 
     fn shrink_calmly(
         &mut self,
-        sight: &Sight,
+        observation: &Observation,
         plan: &mut Plan,
-        listing: &Listing,
-        mut pods: Vec<Pod>,
+        function_spec: &FunctionSpec,
+        mut runner_quotas: Vec<RunnerQuota>,
         wanted: f64,
     ) {
-        let bounds = &sight.blueprint.bounds;
-        let Some(demand) = self.demand.functions.get_mut(&listing.name) else {
+        let bounds = &observation.configuration.bounds;
+        let Some(demand) = self.demand.functions.get_mut(&function_spec.name) else {
             return;
         };
-        let since = *demand.calm_since.get_or_insert(sight.now);
-        if sight.now < since + bounds.cooldown_ms {
+        let since = *demand.calm_since.get_or_insert(observation.now);
+        if observation.now < since + bounds.cooldown_ms {
             return;
         }
-        demand.calm_since = Some(sight.now);
-        let capacity: f64 = pods.iter().map(Pod::capacity).sum();
-        let slowest = pods.iter().map(|pod| pod.seat_rate);
+        demand.calm_since = Some(observation.now);
+        let capacity: f64 = runner_quotas.iter().map(RunnerQuota::capacity).sum();
+        let slowest = runner_quotas
+            .iter()
+            .map(|runner_quota| runner_quota.seat_rate);
         let least = slowest.fold(f64::INFINITY, f64::min) * bounds.alpha;
         // What is left must carry the demand without growing again at once.
         let surplus = capacity - wanted.max(least) / bounds.alpha;
-        if !shrink(&mut pods, surplus) {
+        if !shrink(&mut runner_quotas, surplus) {
             return;
         }
-        set_quotas(plan, &pods);
-        let drained = pods.iter().filter(|pod| pod.quota == 0).count();
-        self.note(&listing.name).reason = format!(
+        set_quotas(plan, &runner_quotas);
+        let drained = runner_quotas
+            .iter()
+            .filter(|runner_quota| runner_quota.quota == 0)
+            .count();
+        self.note(&function_spec.name).reason = format!(
             "shrank after a calm cooldown: demand {wanted:.1}/s is under beta of \
              {capacity:.1}/s; {drained} runners drain"
         );
@@ -302,64 +346,66 @@
 
     fn start(
         &mut self,
-        sight: &Sight,
+        observation: &Observation,
         plan: &mut Plan,
-        listing: &Listing,
+        function_spec: &FunctionSpec,
         quota: u32,
-    ) -> Result<(), NoPlace> {
+    ) -> Result<(), PlacementError> {
         // Within one run memory and starts are only taken, so what found no place finds none.
-        if let Some(reason) = self.no_place.get(&listing.memory_mb) {
+        if let Some(reason) = self.placement_errors.get(&function_spec.memory_mb) {
             return Err(*reason);
         }
-        let lives = &self.lives;
-        let is_warm = |id: &str| lives.is_warm(id);
-        let found = place(sight, plan, listing.memory_mb, is_warm);
+        let runner_states = &self.runner_states;
+        let is_warm = |id: &str| runner_states.is_warm(id);
+        let found = place(observation, plan, function_spec.memory_mb, is_warm);
         if let Err(reason) = &found {
-            self.no_place.insert(listing.memory_mb, *reason);
+            self.placement_errors
+                .insert(function_spec.memory_mb, *reason);
         }
         let found = found?;
-        let Some(elected) = elect_keeper(sight, plan, &found.worker.district) else {
-            return Err(NoPlace::Busy);
+        let Some(elected) = choose_owner(observation, plan, &found.worker.zone) else {
+            return Err(PlacementError::Busy);
         };
         self.named += 1;
-        let places = self.places.entry(listing.name.clone());
+        let places = self.places.entry(function_spec.name.clone());
         places.or_default().push(plan.runners.len());
         plan.runners.push(RunnerEntry {
-            id: format!("{}.{}.{}", listing.name, sight.term, self.named),
-            function: listing.name.clone(),
+            id: format!("{}.{}.{}", function_spec.name, observation.term, self.named),
+            function: function_spec.name.clone(),
             worker: found.worker.name.clone(),
-            district: found.worker.district.clone(),
+            zone: found.worker.zone.clone(),
             address: format!("{}:{}", found.worker.host, found.port),
             key: (self.fresh_key)(),
-            memory_mb: listing.memory_mb,
+            memory_mb: function_spec.memory_mb,
             quota,
-            pace_ms: 0,
-            keeper: elected.peer.clone(),
-            keeper_epoch: 1,
-            keeper_since: sight.next,
+            response_time_ms: 0,
+            owner: elected.peer.clone(),
+            owner_epoch: 1,
+            owner_since: observation.next,
             state: RunnerState::Wanted,
         });
         Ok(())
     }
 
     /// What each function has and wants, for sharing memory where it is short.
-    fn shares(&self, sight: &Sight, plan: &Plan) -> BTreeMap<String, Share> {
-        let listings = sight.blueprint.listings.iter();
-        let mut shares: BTreeMap<String, Share> = listings
-            .filter_map(|listing| {
-                let demand = self.demand.functions.get(&listing.name)?;
-                let share = Share {
-                    rank: rank_of(sight, listing),
-                    demand: demand.wanted(&sight.blueprint.bounds),
-                    is_idle: demand.waiting == 0 && demand.measured < QUIET_RATE,
+    fn shares(&self, observation: &Observation, plan: &Plan) -> BTreeMap<String, MemoryShare> {
+        let function_specs = observation.configuration.function_specs.iter();
+        let mut shares: BTreeMap<String, MemoryShare> = function_specs
+            .filter_map(|function_spec| {
+                let demand = self.demand.functions.get(&function_spec.name)?;
+                let share = MemoryShare {
+                    priority: priority_of(observation, function_spec),
+                    demand: demand.wanted(&observation.configuration.bounds),
+                    is_idle: demand.waiting == 0 && demand.measured < MIN_DEMAND_RATE,
                     last_arrival: demand.last_arrival,
-                    ..Share::default()
+                    ..MemoryShare::default()
                 };
-                Some((listing.name.clone(), share))
+                Some((function_spec.name.clone(), share))
             })
             .collect();
         for entry in &plan.runners {
-            if entry.state != RunnerState::Wanted || !self.lives.counts(sight, entry) {
+            if entry.state != RunnerState::Wanted || !self.runner_states.counts(observation, entry)
+            {
                 continue;
             }
             let seat_rate = self.demand.seat_rate(&entry.function, &entry.id);
@@ -372,21 +418,28 @@
     }
 }
 
-fn rank_of(sight: &Sight, listing: &Listing) -> u8 {
-    let ranks = listing
+fn priority_of(observation: &Observation, function_spec: &FunctionSpec) -> u8 {
+    let priorities = function_spec
         .kinds
         .iter()
-        .filter_map(|kind| sight.blueprint.kind(kind));
-    ranks.map(|(rank, _)| rank).min().unwrap_or(u8::MAX)
+        .filter_map(|kind| observation.configuration.kind(kind));
+    priorities
+        .map(|(priority, _)| priority)
+        .min()
+        .unwrap_or(u8::MAX)
 }
 
-fn set_quotas(plan: &mut Plan, pods: &[Pod]) {
-    for pod in pods {
-        let Some(entry) = plan.runners.iter_mut().find(|entry| entry.id == pod.id) else {
+fn set_quotas(plan: &mut Plan, runner_quotas: &[RunnerQuota]) {
+    for runner_quota in runner_quotas {
+        let Some(entry) = plan
+            .runners
+            .iter_mut()
+            .find(|entry| entry.id == runner_quota.id)
+        else {
             continue;
         };
-        entry.quota = pod.quota;
-        if pod.quota == 0 {
+        entry.quota = runner_quota.quota;
+        if runner_quota.quota == 0 {
             entry.state = RunnerState::Draining;
         }
     }
--- a/crates/scaler/tests/algorithm.rs
+++ b/crates/scaler/tests/algorithm.rs
@@ -1,15 +1,18 @@
 //! The ordinary path of Algorithm 1, and where the scaler leaves it.
 
 use configuration::{
-    Blueprint, District, DistrictState, Kind, Listing, PeerRef, Plan, RunnerState, Version,
+    Configuration, FunctionSpec, PeerRef, Plan, RequestKind, RunnerState, Version, Zone, ZoneState,
 };
 use fuzzing::{seeded, TestResult};
 use request_queue::{FrontReport, FunctionReport, RunnerReport};
-use scaler::{grow, shrink, FrontSight, Order, OrderResult, Orders, Pod, Scaler, Sight, Worker};
+use scaler::{
+    grow, shrink, CommandPlanner, CommandResult, FrontObservation, Observation, PlatformCommand,
+    RunnerQuota, Scaler, Worker,
+};
 use std::collections::BTreeMap;
 
-fn pod(id: &str, quota: u32, most: u32, seat_rate: f64) -> Pod {
-    Pod {
+fn runner_quota(id: &str, quota: u32, most: u32, seat_rate: f64) -> RunnerQuota {
+    RunnerQuota {
         id: id.into(),
         quota,
         most,
@@ -19,50 +22,56 @@
 
 #[test]
 fn quotas_rise_stepwise_on_the_fastest_runner_first() {
-    let mut pods = vec![pod("slow", 1, 4, 5.0), pod("fast", 1, 4, 10.0)];
-    let rest = grow(&mut pods, 12.0);
+    let mut runner_quotas = vec![
+        runner_quota("slow", 1, 4, 5.0),
+        runner_quota("fast", 1, 4, 10.0),
+    ];
+    let rest = grow(&mut runner_quotas, 12.0);
     assert!(rest <= 0.0);
-    assert_eq!((pods[0].id.as_str(), pods[0].quota), ("fast", 3));
-    assert_eq!(pods[1].quota, 1);
+    assert_eq!(
+        (runner_quotas[0].id.as_str(), runner_quotas[0].quota),
+        ("fast", 3)
+    );
+    assert_eq!(runner_quotas[1].quota, 1);
 }
 
 seeded! {
     fn growing_closes_the_gap_or_uses_all_quotas(quotas: Vec<(u8, u8)>, gap: u16) -> bool {
-        let mut pods: Vec<Pod> = quotas
+        let mut runner_quotas: Vec<RunnerQuota> = quotas
             .iter()
             .enumerate()
             .map(|(place, (quota, more))| {
                 let quota = u32::from(*quota % 8);
-                pod(&place.to_string(), quota, quota + u32::from(*more % 8), 3.0)
+                runner_quota(&place.to_string(), quota, quota + u32::from(*more % 8), 3.0)
             })
             .collect();
-        let rest = grow(&mut pods, f64::from(gap));
-        let is_full = pods.iter().all(|pod| pod.quota == pod.most);
-        pods.iter().all(|pod| pod.quota <= pod.most) && (rest <= 0.0 || is_full)
+        let rest = grow(&mut runner_quotas, f64::from(gap));
+        let is_full = runner_quotas.iter().all(|runner_quota| runner_quota.quota == runner_quota.most);
+        runner_quotas.iter().all(|runner_quota| runner_quota.quota <= runner_quota.most) && (rest <= 0.0 || is_full)
     }
 
     fn shrinking_keeps_a_seat_and_takes_no_more_than_the_surplus(
         quotas: Vec<u8>, surplus: u16
     ) -> TestResult {
-        let mut pods: Vec<Pod> = quotas
+        let mut runner_quotas: Vec<RunnerQuota> = quotas
             .iter()
             .enumerate()
-            .map(|(place, quota)| pod(&place.to_string(), u32::from(*quota % 8), 8, 3.0))
+            .map(|(place, quota)| runner_quota(&place.to_string(), u32::from(*quota % 8), 8, 3.0))
             .collect();
-        let before: u32 = pods.iter().map(|pod| pod.quota).sum();
+        let before: u32 = runner_quotas.iter().map(|runner_quota| runner_quota.quota).sum();
         if before == 0 {
             return TestResult::discard();
         }
-        shrink(&mut pods, f64::from(surplus));
-        let after: u32 = pods.iter().map(|pod| pod.quota).sum();
+        shrink(&mut runner_quotas, f64::from(surplus));
+        let after: u32 = runner_quotas.iter().map(|runner_quota| runner_quota.quota).sum();
         let taken = f64::from(before - after) * 3.0;
         TestResult::from_bool(after >= 1 && taken <= f64::from(surplus))
     }
 }
 
-/// A small fleet whose platform and keepers do at once what the plan says.
+/// A small fleet whose platform and owners do at once what the plan says.
 struct Yard {
-    blueprint: Blueprint,
+    configuration: Configuration,
     plan: Plan,
     no: u64,
     workers: Vec<Worker>,
@@ -75,9 +84,9 @@
 
 impl Yard {
     fn new(functions: usize, memory_mb: u64) -> Self {
-        let mut blueprint = Blueprint::empty();
+        let mut configuration = Configuration::empty();
         for number in 0..functions {
-            blueprint.listings.push(Listing {
+            configuration.function_specs.push(FunctionSpec {
                 name: format!("f{number}"),
                 memory_mb: 400,
                 start_ms: 100,
@@ -86,14 +95,14 @@
                 kinds: vec!["k".into()],
             });
         }
-        blueprint.ranking.push(Kind {
+        configuration.priority_order.push(RequestKind {
             name: "k".into(),
             once: false,
         });
         let workers = ["a", "a", "b"].iter().enumerate();
-        let workers = workers.map(|(place, district)| Worker {
+        let workers = workers.map(|(place, zone)| Worker {
             name: format!("w{place}"),
-            district: district.to_string(),
+            zone: zone.to_string(),
             host: format!("10.0.0.{place}"),
             memory_mb,
             first_port: 1,
@@ -101,13 +110,13 @@
             is_leaving: false,
         });
         for name in ["a", "b"] {
-            blueprint.districts.push(District {
+            configuration.zones.push(Zone {
                 name: name.into(),
-                state: DistrictState::Open,
+                state: ZoneState::Open,
             });
         }
         Self {
-            blueprint,
+            configuration,
             plan: Plan::default(),
             no: 0,
             workers: workers.collect(),
@@ -119,14 +128,14 @@
         }
     }
 
-    fn fronts(&self) -> BTreeMap<String, FrontSight> {
+    fn fronts(&self) -> BTreeMap<String, FrontObservation> {
         let peer = PeerRef {
             name: "front".into(),
             incarnation: 1,
         };
         let runners = self.plan.runners.iter().map(|entry| RunnerReport {
             runner: entry.id.clone(),
-            epoch: entry.keeper_epoch,
+            epoch: entry.owner_epoch,
             is_active: true,
             is_warm: true,
             answered: self.answered,
@@ -135,7 +144,7 @@
         });
         let report = FrontReport {
             plan: Version {
-                era: 1,
+                epoch: 1,
                 no: self.no,
             },
             functions: vec![FunctionReport {
@@ -147,17 +156,17 @@
             runners: runners.collect(),
             ..FrontReport::default()
         };
-        let sight = FrontSight {
+        let observation = FrontObservation {
             peer,
             heard_at: self.now,
             report,
         };
-        BTreeMap::from([("front".to_string(), sight)])
+        BTreeMap::from([("front".to_string(), observation)])
     }
 
     /// Lets time pass with so many arrivals a second at the first function.
     fn run(&mut self, milliseconds: u64, rate: u64) {
-        let mut orders = Orders::default();
+        let mut commands = CommandPlanner::default();
         let end = self.now + milliseconds;
         while self.now < end {
             self.now += 100;
@@ -165,24 +174,27 @@
             self.answered += rate / 10;
             for entry in &self.plan.runners {
                 if entry.state == RunnerState::Stopping {
-                    orders.on_result(&Order::Stop(entry.id.clone()), OrderResult::Gone);
+                    commands.on_result(
+                        &PlatformCommand::Stop(entry.id.clone()),
+                        CommandResult::Gone,
+                    );
                 }
             }
             let fronts = self.fronts();
-            let sight = Sight {
+            let observation = Observation {
                 now: self.now,
                 next: Version {
-                    era: 1,
+                    epoch: 1,
                     no: self.no + 1,
                 },
                 term: 7,
-                blueprint: &self.blueprint,
+                configuration: &self.configuration,
                 plan: &self.plan,
                 workers: &self.workers,
                 listed: &[],
                 fronts: &fronts,
             };
-            if let Some(plan) = self.scaler.run(&sight, &orders) {
+            if let Some(plan) = self.scaler.run(&observation, &commands) {
                 self.plan = plan;
                 self.no += 1;
             }
@@ -234,7 +246,7 @@
 }
 
 #[test]
-fn a_standing_holding_counts_as_demand_before_the_forecast_rises() {
+fn queued_requests_count_as_demand_before_the_forecast_rises() {
     let mut yard = Yard::new(1, 2_000);
     yard.run(1_000, 0);
     yard.waiting = 40;
@@ -257,9 +269,9 @@
         .find(|n| yard.wanted(&format!("f{n}")).is_empty())
         .unwrap();
     assert_eq!(sleeping, 6);
-    yard.blueprint.listings.swap(0, 6);
-    yard.blueprint.listings[6].name = "g".into();
-    yard.blueprint.listings[0].name = "f0".into();
+    yard.configuration.function_specs.swap(0, 6);
+    yard.configuration.function_specs[6].name = "g".into();
+    yard.configuration.function_specs[0].name = "f0".into();
     yard.waiting = 3;
     yard.run(8_000, 0);
     assert!(!yard.wanted("f0").is_empty());
@@ -277,14 +289,14 @@
         "all memory but the others' minimal runners"
     );
     assert!(!yard.wanted("f1").is_empty() && !yard.wanted("f2").is_empty());
-    // A function is listed anew, in the first place, where the waiting work is told.
-    yard.blueprint.listings[0].name = "g".into();
+    // A function is listed anew, in the first place, where the waiting work is notified.
+    yard.configuration.function_specs[0].name = "g".into();
     for entry in &mut yard.plan.runners {
         entry.function = entry.function.replace("f0", "g");
     }
-    let mut fresh = yard.blueprint.listings[0].clone();
+    let mut fresh = yard.configuration.function_specs[0].clone();
     fresh.name = "f0".into();
-    yard.blueprint.listings.push(fresh);
+    yard.configuration.function_specs.push(fresh);
     yard.waiting = 3;
     yard.run(12_000, 0);
     let (fresh, grown) = (yard.wanted("f0").len(), yard.wanted("g").len());
@@ -295,10 +307,10 @@
 }
 
 #[test]
-fn an_evacuated_district_is_left_and_nothing_starts_there() {
+fn an_evacuated_zone_is_left_and_nothing_starts_there() {
     let mut yard = Yard::new(2, 2_000);
     yard.run(2_000, 10);
-    yard.blueprint.districts[0].state = DistrictState::Evacuated;
+    yard.configuration.zones[0].state = ZoneState::Evacuated;
     yard.run(500, 10);
     let wanted = yard.wanted("f0");
     assert!(
--- a/crates/scaler/tests/shortage.rs
+++ b/crates/scaler/tests/shortage.rs
@@ -2,10 +2,12 @@
 //! given rates, whose platform starts what the plan says, and whose work waits where seats lack.
 
 use configuration::{
-    Blueprint, District, DistrictState, Kind, Listing, PeerRef, Plan, RunnerState, Version,
+    Configuration, FunctionSpec, PeerRef, Plan, RequestKind, RunnerState, Version, Zone, ZoneState,
 };
 use request_queue::{FrontReport, FunctionReport, RunnerReport};
-use scaler::{FrontSight, Order, OrderResult, Orders, Scaler, Sight, Worker};
+use scaler::{
+    CommandPlanner, CommandResult, FrontObservation, Observation, PlatformCommand, Scaler, Worker,
+};
 use std::collections::BTreeMap;
 
 const TICK: u64 = 100;
@@ -30,7 +32,7 @@
 }
 
 struct Town {
-    blueprint: Blueprint,
+    configuration: Configuration,
     plan: Plan,
     no: u64,
     workers: Vec<Worker>,
@@ -38,22 +40,22 @@
     now: u64,
     works: BTreeMap<String, Work>,
     alive: BTreeMap<String, Alive>,
-    orders: Orders,
+    commands: CommandPlanner,
     /// Milliseconds of an answer on each worker.
-    pace_ms: BTreeMap<String, f64>,
+    response_time_ms: BTreeMap<String, f64>,
 }
 
 impl Town {
     fn new(functions: &[(&str, &str)], workers: usize, memory_mb: u64) -> Self {
-        let mut blueprint = Blueprint::empty();
+        let mut configuration = Configuration::empty();
         for kind in ["urgent", "batch"] {
-            blueprint.ranking.push(Kind {
+            configuration.priority_order.push(RequestKind {
                 name: kind.into(),
                 once: false,
             });
         }
         for (name, kind) in functions {
-            blueprint.listings.push(Listing {
+            configuration.function_specs.push(FunctionSpec {
                 name: name.to_string(),
                 memory_mb: 400,
                 start_ms: START,
@@ -62,13 +64,13 @@
                 kinds: vec![kind.to_string()],
             });
         }
-        blueprint.districts.push(District {
+        configuration.zones.push(Zone {
             name: "a".into(),
-            state: DistrictState::Open,
+            state: ZoneState::Open,
         });
         let workers = (0..workers).map(|place| Worker {
             name: format!("w{place}"),
-            district: "a".into(),
+            zone: "a".into(),
             host: format!("10.0.0.{place}"),
             memory_mb,
             first_port: 1,
@@ -80,15 +82,15 @@
                 .iter()
                 .map(|(name, _)| (name.to_string(), Work::default()))
                 .collect(),
-            blueprint,
+            configuration,
             plan: Plan::default(),
             no: 0,
             workers: workers.collect(),
             scaler: Scaler::new(Box::new(|| vec![0])),
             now: 1_000,
             alive: BTreeMap::new(),
-            orders: Orders::default(),
-            pace_ms: BTreeMap::new(),
+            commands: CommandPlanner::default(),
+            response_time_ms: BTreeMap::new(),
         }
     }
 
@@ -109,20 +111,20 @@
                 && self.is_warm(&entry.id)
         });
         entries
-            .map(|entry| f64::from(entry.quota) * 1_000.0 / self.pace(&entry.worker))
+            .map(|entry| f64::from(entry.quota) * 1_000.0 / self.response_time(&entry.worker))
             .sum()
     }
 
-    fn pace(&self, worker: &str) -> f64 {
-        self.pace_ms.get(worker).copied().unwrap_or(100.0)
+    fn response_time(&self, worker: &str) -> f64 {
+        self.response_time_ms.get(worker).copied().unwrap_or(100.0)
     }
 
-    fn fronts(&self) -> BTreeMap<String, FrontSight> {
+    fn fronts(&self) -> BTreeMap<String, FrontObservation> {
         let runners = self.plan.runners.iter().map(|entry| {
             let alive = self.alive.get(&entry.id);
             RunnerReport {
                 runner: entry.id.clone(),
-                epoch: entry.keeper_epoch,
+                epoch: entry.owner_epoch,
                 is_active: true,
                 is_warm: self.is_warm(&entry.id),
                 answered: alive.map_or(0, |alive| alive.answered as u64),
@@ -138,7 +140,7 @@
         });
         let report = FrontReport {
             plan: Version {
-                era: 1,
+                epoch: 1,
                 no: self.no,
             },
             functions: functions.collect(),
@@ -149,12 +151,12 @@
             name: "front".into(),
             incarnation: 1,
         };
-        let sight = FrontSight {
+        let observation = FrontObservation {
             peer,
             heard_at: self.now,
             report,
         };
-        BTreeMap::from([("front".to_string(), sight)])
+        BTreeMap::from([("front".to_string(), observation)])
     }
 
     fn run(&mut self, milliseconds: u64) {
@@ -166,39 +168,39 @@
             self.now += TICK;
             self.serve();
             let fronts = self.fronts();
-            let sight = Sight {
+            let observation = Observation {
                 now: self.now,
                 next: Version {
-                    era: 1,
+                    epoch: 1,
                     no: self.no + 1,
                 },
                 term: 7,
-                blueprint: &self.blueprint,
+                configuration: &self.configuration,
                 plan: &self.plan,
                 workers: &self.workers,
                 listed: &[],
                 fronts: &fronts,
             };
-            if let Some(plan) = self.scaler.run(&sight, &self.orders) {
+            if let Some(plan) = self.scaler.run(&observation, &self.commands) {
                 self.plan = plan;
                 self.no += 1;
             }
-            for order in self.orders.due(self.now, &self.plan, &[], 1_000, 10_000) {
-                let result = match &order {
-                    Order::Start(entry) => {
+            for command in self.commands.due(self.now, &self.plan, &[], 1_000, 10_000) {
+                let result = match &command {
+                    PlatformCommand::Start(entry) => {
                         let alive = Alive {
                             since: self.now,
                             ..Alive::default()
                         };
                         self.alive.insert(entry.id.clone(), alive);
-                        OrderResult::Taken
+                        CommandResult::Taken
                     }
-                    Order::Stop(id) => {
+                    PlatformCommand::Stop(id) => {
                         self.alive.remove(id);
-                        OrderResult::Gone
+                        CommandResult::Gone
                     }
                 };
-                self.orders.on_result(&order, result);
+                self.commands.on_result(&command, result);
             }
         }
     }
@@ -226,15 +228,18 @@
                         && self.is_warm(&entry.id)
                 })
                 .map(|entry| {
-                    let pace = self.pace(&entry.worker);
-                    (entry.id.clone(), pace)
+                    let response_time = self.response_time(&entry.worker);
+                    (entry.id.clone(), response_time)
                 })
                 .collect();
-            let quotas: f64 = warm.iter().map(|(_, pace)| 1.0 / pace).sum();
-            for (id, pace) in warm {
+            let quotas: f64 = warm
+                .iter()
+                .map(|(_, response_time)| 1.0 / response_time)
+                .sum();
+            for (id, response_time) in warm {
                 let alive = self.alive.entry(id).or_default();
-                alive.answered += served * (1.0 / pace) / quotas;
-                alive.took_ms = pace;
+                alive.answered += served * (1.0 / response_time) / quotas;
+                alive.took_ms = response_time;
             }
         }
     }
@@ -255,27 +260,32 @@
 #[test]
 fn capacity_is_the_sum_of_what_each_runner_carries() {
     let mut town = Town::new(&[("f", "batch")], 3, 800);
-    for (worker, pace) in [("w0", 60.0), ("w1", 180.0), ("w2", 600.0)] {
-        town.pace_ms.insert(worker.into(), pace);
+    for (worker, response_time) in [("w0", 60.0), ("w1", 180.0), ("w2", 600.0)] {
+        town.response_time_ms.insert(worker.into(), response_time);
     }
     town.call("f", 90.0);
     town.run(30_000);
-    let (told, real) = (town.scaler.notes()["f"].capacity, town.capacity("f"));
-    let off = 100.0 * (told - real).abs() / real;
+    let (reported, real) = (town.scaler.decisions()["f"].capacity, town.capacity("f"));
+    let off = 100.0 * (reported - real).abs() / real;
     assert!(
         off < 5.0,
-        "{told:.1}/s were predicted, {real:.1}/s are carried"
+        "{reported:.1}/s were predicted, {real:.1}/s are carried"
     );
     assert!(real > 90.0 && town.runners("f") >= 3, "{real:.1}/s");
-    let paces: Vec<u32> = town.plan.runners.iter().map(|one| one.pace_ms).collect();
+    let paces: Vec<u32> = town
+        .plan
+        .runners
+        .iter()
+        .map(|one| one.response_time_ms)
+        .collect();
     assert!(
-        paces.contains(&60) && paces.iter().any(|pace| *pace > 100),
+        paces.contains(&60) && paces.iter().any(|response_time| *response_time > 100),
         "{paces:?}"
     );
 }
 
 #[test]
-fn a_higher_rank_takes_memory_from_a_lower_one_but_not_its_last_runner() {
+fn a_higher_priority_takes_memory_from_a_lower_one_but_not_its_last_runner() {
     let functions = [("low", "batch"), ("high", "urgent")];
     let mut town = Town::new(&functions, 2, 1_200);
     town.call("low", 500.0);
@@ -287,7 +297,7 @@
 }
 
 #[test]
-fn functions_of_one_rank_share_memory_by_what_they_need() {
+fn functions_of_one_priority_share_memory_by_what_they_need() {
     let functions = [("first", "batch"), ("second", "batch"), ("third", "batch")];
     let mut town = Town::new(&functions, 3, 1_600);
     town.call("first", 480.0);
--- a/crates/simulator/src/config.rs
+++ b/crates/simulator/src/config.rs
@@ -11,11 +11,11 @@
     /// Wishes a second over all functions.
     pub rate: f64,
     /// Milliseconds that a run takes, within a factor of two.
-    pub pace_ms: u64,
+    pub response_time_ms: u64,
     /// Share of runs whose answers are lost.
     pub answer_loss: f64,
     /// Share of answers that are cut, unsealed, or another request's.
-    pub mischief: f64,
+    pub runner_fault: f64,
     /// How many times slower than others each worker's runners are; empty where all are alike.
     pub slowness: Vec<u64>,
     /// How long once-keys are remembered, in milliseconds.
@@ -34,9 +34,9 @@
             fronts: 5,
             functions: 6,
             rate: 60.0,
-            pace_ms: 60,
+            response_time_ms: 60,
             answer_loss: 0.01,
-            mischief: 0.01,
+            runner_fault: 0.01,
             slowness: Vec::new(),
             claim_ms: 600_000,
             only: None,
@@ -57,7 +57,7 @@
     pub runs: usize,
     /// Puts that were acknowledged.
     pub puts: usize,
-    /// Wishes by what the callers were told.
+    /// Wishes by what the callers were notified.
     pub outcomes: BTreeMap<&'static str, usize>,
     /// The failures that were brought about.
     pub faults: Vec<(u64, Fault)>,
--- a/crates/simulator/src/core_joining.rs
+++ b/crates/simulator/src/core_joining.rs
@@ -1,5 +1,5 @@
 use crate::core_node::{CoreNode, Purpose};
-use crate::net::{Net, Parcel};
+use crate::net::{Net, Packet};
 use crate::oracle::Oracle;
 use register::{
     merge_replicas, Change, ChangeOutcome, ClaimFloors, RegisterState, VoterRef, VoterSet,
@@ -7,19 +7,19 @@
 };
 use speedy::{Readable, Writable};
 use std::collections::{BTreeMap, BTreeSet};
-use transport::{Copy, Message};
+use transport::{PeerMessage, ReplicaDigest};
 use voter::{Installation, MembershipChange, MembershipStep, PeerStatus};
 
 const CYCLE: u64 = 500;
 /// Time between comparisons with the other members' copies.
 const REPAIR: u64 = 3_000;
-const PATIENCE: u64 = 12_000;
+const TIMEOUT: u64 = 12_000;
 /// Numbers of questions for ranges begin here.
 const RANGE_BASE: u64 = 1 << 40;
 const REPAIR_BASE: u64 = 1 << 41;
 
 #[derive(Default)]
-struct Pulled {
+struct PulledReplica {
     claim_floors: ClaimFloors,
     missing: BTreeSet<u16>,
     keys: Vec<(String, RegisterState)>,
@@ -27,12 +27,12 @@
 
 /// An empty core's way into the set, as far as it has come.
 #[derive(Default)]
-pub(crate) struct Join {
+pub(crate) struct Joining {
     joining: MembershipChange,
     next_at: u64,
     repair_at: u64,
     heard: BTreeMap<String, PeerStatus>,
-    pulled: BTreeMap<String, Pulled>,
+    pulled: BTreeMap<String, PulledReplica>,
 }
 
 impl CoreNode {
@@ -43,19 +43,19 @@
         }
     }
 
-    fn say(&self, net: &mut Net, to: &str, number: u64, body: Message) {
-        let parcel = self.parcel(number, body);
-        net.send(&self.peer.name, to, parcel);
+    fn say(&self, net: &mut Net, to: &str, number: u64, body: PeerMessage) {
+        let packet = self.packet(number, body);
+        net.send(&self.peer.name, to, packet);
     }
 
-    pub fn tell_adopt(&self, net: &mut Net, next: &VoterSet) {
+    pub fn announce_adoption(&self, net: &mut Net, next: &VoterSet) {
         for voter in &self.set.voters {
-            self.say(net, &voter.address, 2, Message::Adopt(next.clone()));
+            self.say(net, &voter.address, 2, PeerMessage::Adopt(next.clone()));
         }
     }
 
     /// Asks who is there, and goes on from what was heard since the last time.
-    pub fn tend_membership(&mut self, net: &mut Net, oracle: &mut Oracle) {
+    pub fn advance_membership(&mut self, net: &mut Net, oracle: &mut Oracle) {
         if net.now < self.join.next_at || !self.voter.is_open() {
             return;
         }
@@ -69,16 +69,16 @@
         cores.sort();
         cores.dedup();
         for core in cores {
-            self.say(net, &core, 2, Message::Hello);
+            self.say(net, &core, 2, PeerMessage::Hello);
         }
         let known: Vec<PeerStatus> = heard.into_values().collect();
-        self.tend_founding(net, oracle, &known);
-        self.tend_repair(net);
+        self.advance_founding(net, oracle, &known);
+        self.advance_repair(net);
         for one in &known {
             let (name, set) = (&one.address, &one.set);
             let is_member = self.set.voters.iter().any(|voter| voter.disk == one.disk);
             if is_member && set.epoch == self.set.epoch && set.number < self.set.number {
-                self.say(net, name, 2, Message::Adopt(self.set.clone()));
+                self.say(net, name, 2, PeerMessage::Adopt(self.set.clone()));
             }
         }
         if self.voter.acceptor().set().epoch != 0 || self.set.epoch == 0 {
@@ -92,7 +92,7 @@
     }
 
     /// Asks the other members for their digests, now and then.
-    fn tend_repair(&mut self, net: &mut Net) {
+    fn advance_repair(&mut self, net: &mut Net) {
         if net.now < self.join.repair_at || self.voter.acceptor().set().epoch == 0 {
             return;
         }
@@ -103,19 +103,19 @@
             .iter()
             .filter(|voter| voter.disk != self.disk)
         {
-            self.say(net, &voter.address, 2, Message::Digests);
+            self.say(net, &voter.address, 2, PeerMessage::Digests);
         }
     }
 
     /// Asks for the ranges in which another member's copy differs.
-    fn compare(&self, net: &mut Net, from: &str, copy: &Copy) {
+    fn compare(&self, net: &mut Net, from: &str, copy: &ReplicaDigest) {
         let held = self.voter.acceptor();
         if held.set().epoch == 0 || copy.set.version() != held.set().version() {
             return;
         }
         for range in held.digests().differing(&copy.ranges) {
             let number = REPAIR_BASE + u64::from(range);
-            self.say(net, from, number, Message::Range(range));
+            self.say(net, from, number, PeerMessage::Range(range));
         }
     }
 
@@ -137,15 +137,15 @@
             disk: self.disk,
             address: self.peer.name.clone(),
         };
-        let settled = (stored.version, &newest);
+        let committed = (stored.version, &newest);
         let now = net.now;
         let step = self
             .join
             .joining
-            .decide(now, PATIENCE, &me, &set, answering, settled);
+            .decide(now, TIMEOUT, &me, &set, answering, committed);
         match step {
             MembershipStep::Wait => {}
-            MembershipStep::Adopt(next) => self.tell_adopt(net, &next),
+            MembershipStep::Adopt(next) => self.announce_adoption(net, &next),
             MembershipStep::Propose(expected, next) => {
                 let bytes = next.write_to_vec().unwrap_or_default();
                 let change = Change::Write { expected, bytes };
@@ -163,11 +163,11 @@
     /// long as the member was in the set by then.
     fn ask_for_copy(&self, net: &mut Net, member: &str) {
         let Some(pulled) = self.join.pulled.get(member) else {
-            return self.say(net, member, 2, Message::Digests);
+            return self.say(net, member, 2, PeerMessage::Digests);
         };
         for range in &pulled.missing {
             let number = RANGE_BASE + u64::from(*range);
-            self.say(net, member, number, Message::Range(*range));
+            self.say(net, member, number, PeerMessage::Range(*range));
         }
     }
 
@@ -176,67 +176,74 @@
         &mut self,
         net: &mut Net,
         oracle: &mut Oracle,
-        parcel: &Parcel,
-        message: Message,
+        packet: &Packet,
+        message: PeerMessage,
     ) {
-        let from = parcel.from.name.clone();
+        let from = packet.from.name.clone();
         let held = self.voter.acceptor();
         match message {
-            Message::Hello => {
-                let answer = Message::HelloAnswer {
+            PeerMessage::Hello => {
+                let answer = PeerMessage::HelloResponse {
                     disk: self.disk,
                     set: held.set().clone(),
-                    fronts_era: self.fronts_era(),
+                    fronts_epoch: self.fronts_epoch(),
                 };
-                self.say(net, &from, parcel.number, answer);
+                self.say(net, &from, packet.number, answer);
             }
-            Message::HelloAnswer {
+            PeerMessage::HelloResponse {
                 disk,
                 set,
-                fronts_era,
+                fronts_epoch,
             } => {
                 let heard = PeerStatus {
                     address: from.clone(),
                     disk,
                     set,
-                    gateway_epoch: fronts_era,
+                    gateway_epoch: fronts_epoch,
                 };
                 self.join.heard.insert(from, heard);
             }
-            Message::Adopt(set) => {
+            PeerMessage::Adopt(set) => {
                 self.voter.adopt_set(set.clone());
                 if self.voter.sync() {
                     self.learn_set(&set);
                 }
             }
-            Message::Digests => {
-                let copy = Copy {
+            PeerMessage::Digests => {
+                let copy = ReplicaDigest {
                     is_open: self.voter.is_open(),
                     set: held.set().clone(),
                     claim_floors: held.claim_floors(),
                     ranges: held.digests().as_slice().to_vec(),
                 };
-                self.say(net, &from, parcel.number, Message::DigestsAnswer(copy));
+                self.say(
+                    net,
+                    &from,
+                    packet.number,
+                    PeerMessage::DigestsResponse(copy),
+                );
             }
-            Message::Form(set, floor) if set.voters.iter().any(|voter| voter.disk == self.disk) => {
+            PeerMessage::Form(set, floor)
+                if set.voters.iter().any(|voter| voter.disk == self.disk) =>
+            {
                 self.voter.bootstrap(set.clone(), floor);
                 if self.voter.sync() {
                     self.learn_set(&set);
                 }
             }
-            Message::DigestsAnswer(copy) => {
+            PeerMessage::DigestsResponse(copy) => {
                 self.compare(net, &from, &copy);
                 self.pull(net, &from, &copy);
             }
-            Message::Range(range) => {
-                let answer = Message::RangeAnswer(held.registers_in_range(range));
-                self.say(net, &from, parcel.number, answer);
+            PeerMessage::Range(range) => {
+                let answer = PeerMessage::RangeResponse(held.registers_in_range(range));
+                self.say(net, &from, packet.number, answer);
             }
-            Message::RangeAnswer(keys) if parcel.number >= REPAIR_BASE => {
+            PeerMessage::RangeResponse(keys) if packet.number >= REPAIR_BASE => {
                 self.mend(oracle, keys);
             }
-            Message::RangeAnswer(keys) => {
-                let range = parcel.number.wrapping_sub(RANGE_BASE) as u16;
+            PeerMessage::RangeResponse(keys) => {
+                let range = packet.number.wrapping_sub(RANGE_BASE) as u16;
                 if let Some(pulled) = self.join.pulled.get_mut(&from) {
                     if pulled.missing.remove(&range) {
                         pulled.keys.extend(keys);
@@ -248,7 +255,7 @@
         }
     }
 
-    fn pull(&mut self, net: &mut Net, from: &str, copy: &Copy) {
+    fn pull(&mut self, net: &mut Net, from: &str, copy: &ReplicaDigest) {
         let is_wanted =
             self.voter.acceptor().set().epoch == 0 && copy.set.version() == self.set.version();
         if !is_wanted || self.join.pulled.contains_key(from) {
@@ -259,7 +266,7 @@
             .filter(|(_, digest)| **digest != 0)
             .map(|(range, _)| range as u16)
             .collect();
-        let pulled = Pulled {
+        let pulled = PulledReplica {
             claim_floors: copy.claim_floors,
             missing,
             keys: Vec::new(),
@@ -272,7 +279,7 @@
     fn install(&mut self) {
         let is_member = self.set.voters.iter().any(|voter| voter.disk == self.disk);
         let whole = self.join.pulled.values();
-        let whole: Vec<&Pulled> = whole.filter(|pulled| pulled.missing.is_empty()).collect();
+        let whole: Vec<&PulledReplica> = whole.filter(|pulled| pulled.missing.is_empty()).collect();
         if !is_member || whole.len() < self.set.majority() {
             return;
         }
--- a/crates/simulator/src/core_node.rs
+++ b/crates/simulator/src/core_node.rs
@@ -1,33 +1,33 @@
-use crate::core_founding::Found;
-use crate::core_joining::Join;
-use crate::core_puts::Put;
-use crate::net::{Event, Net, Parcel};
+use crate::core_founding::FoundingDecision;
+use crate::core_joining::Joining;
+use crate::core_puts::PendingPut;
+use crate::net::{Event, Net, Packet};
 use crate::oracle::Oracle;
-use crate::yard::Yard;
-use configuration::{Blueprint, PeerRef, Plan, Version};
+use crate::platform::SimulatedPlatform;
+use configuration::{Configuration, PeerRef, Plan, Version};
 use journal::MemoryFolder;
 use leader_election::{ElectionStep, LeaderElection, Leadership};
 use rand::Rng;
 use register::{Ballot, Change, ChangeOutcome, Proposal, ProposalStep, VoterOperation, VoterSet};
-use request_queue::DeskMessage;
-use scaler::{FrontSight, Orders, Scaler};
+use request_queue::FrontMessage;
+use scaler::{CommandPlanner, FrontObservation, Scaler};
 use speedy::Writable;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use transport::{BlueprintNews, Message, News, PlanNews};
+use transport::{ConfigurationUpdate, PeerMessage, PlanUpdate, StateUpdate};
 use voter::Voter;
 
-const PATIENCE: u64 = 500;
+const TIMEOUT: u64 = 500;
 
 pub(crate) enum Purpose {
     JoinRead(Vec<u64>),
     JoinWrite(VoterSet),
-    Duty(u64, Option<Leadership>),
+    Role(u64, Option<Leadership>),
     Refresh,
-    Certain(Box<Parcel>),
+    Certain(Box<Packet>),
     Plan,
-    PutRead(Put),
-    PutWrite(Put),
+    PutRead(PendingPut),
+    PutWrite(PendingPut),
 }
 
 struct Running {
@@ -43,36 +43,36 @@
 /// Values in force at a core.
 #[derive(Clone)]
 pub(crate) struct InForce {
-    pub blueprint_version: Version,
-    pub blueprint: Arc<Blueprint>,
+    pub configuration_version: Version,
+    pub configuration: Arc<Configuration>,
     pub text: String,
     pub plan_version: Version,
     pub plan: Arc<Plan>,
 }
 
-/// A core in the simulation: voter, duty and scaler with the least glue around them.
+/// A core in the simulation: voter, role and scaler with the least glue around them.
 pub(crate) struct CoreNode {
     pub peer: PeerRef,
     pub voter: Voter,
     /// The disk, which outlives the daemon, and the id made with it.
     pub folder: MemoryFolder,
     pub disk: u64,
-    pub join: Join,
-    pub found: Found,
+    pub join: Joining,
+    pub found: FoundingDecision,
     pub set: VoterSet,
     pub seeds: Vec<String>,
     pub in_force: InForce,
-    pub fronts: BTreeMap<String, FrontSight>,
-    pub puts: Vec<(Put, Version, u64)>,
+    pub fronts: BTreeMap<String, FrontObservation>,
+    pub puts: Vec<(PendingPut, Version, u64)>,
     running: BTreeMap<u64, Running>,
-    pub duty: LeaderElection,
+    pub scaler_role: LeaderElection,
     pub scaler: Scaler,
-    pub orders: Orders,
+    pub commands: CommandPlanner,
     counter: u64,
     refreshed_at: u64,
     pub aged_at: u64,
     pub is_planning: bool,
-    /// Whether the plan was read at a majority in this life.
+    /// Whether the plan was read at a majority in this incarnation.
     pub is_certain: bool,
 }
 
@@ -86,25 +86,25 @@
     ) -> Self {
         // A disk that is full at this moment is opened at the next start, once it has room.
         let voter = Voter::open(Box::new(folder.clone())).unwrap_or_else(|_| Voter::unreadable());
-        let lease = Blueprint::empty().bounds.duty_ms();
+        let lease = Configuration::empty().bounds.role_lease_ms();
         let mut fresh = 0u64;
         let fresh_key = move || {
             fresh += 1;
             fresh.to_le_bytes().to_vec()
         };
         Self {
-            duty: LeaderElection::new(peer.clone(), lease, now),
+            scaler_role: LeaderElection::new(peer.clone(), lease, now),
             peer,
             folder,
             disk,
-            join: Join::default(),
-            found: Found::default(),
+            join: Joining::default(),
+            found: FoundingDecision::default(),
             set: voter.acceptor().set().clone(),
             seeds,
             voter,
             in_force: InForce {
-                blueprint_version: Version::default(),
-                blueprint: Arc::new(Blueprint::empty()),
+                configuration_version: Version::default(),
+                configuration: Arc::new(Configuration::empty()),
                 text: String::new(),
                 plan_version: Version::default(),
                 plan: Arc::default(),
@@ -113,7 +113,7 @@
             puts: Vec::new(),
             running: BTreeMap::new(),
             scaler: Scaler::new(Box::new(fresh_key)),
-            orders: Orders::default(),
+            commands: CommandPlanner::default(),
             counter: 0,
             refreshed_at: now,
             aged_at: now,
@@ -122,45 +122,51 @@
         }
     }
 
-    pub fn handle(&mut self, net: &mut Net, oracle: &mut Oracle, yard: &Yard, event: Event) {
+    pub fn handle(
+        &mut self,
+        net: &mut Net,
+        oracle: &mut Oracle,
+        platform: &SimulatedPlatform,
+        event: Event,
+    ) {
         match event {
-            Event::Tick(_) => self.tick(net, oracle, yard),
-            Event::Deliver(parcel) => self.deliver(net, oracle, parcel),
-            Event::Ordered(order, result) => self.orders.on_result(&order, result),
-            Event::Put => self.begin_put(net),
+            Event::Tick(_) => self.tick(net, oracle, platform),
+            Event::Deliver(packet) => self.deliver(net, oracle, packet),
+            Event::Ordered(command, result) => self.commands.on_result(&command, result),
+            Event::PendingPut => self.begin_put(net),
             _ => {}
         }
     }
 
-    pub fn parcel(&self, number: u64, body: Message) -> Parcel {
-        Parcel {
+    pub fn packet(&self, number: u64, body: PeerMessage) -> Packet {
+        Packet {
             from: self.peer.clone(),
             number,
             body,
         }
     }
 
-    fn deliver(&mut self, net: &mut Net, oracle: &mut Oracle, parcel: Parcel) {
-        match parcel.body.clone() {
-            Message::Voter(message) => {
+    fn deliver(&mut self, net: &mut Net, oracle: &mut Oracle, packet: Packet) {
+        match packet.body.clone() {
+            PeerMessage::Voter(message) => {
                 let reply = self.voter.handle(message);
                 let reply = if self.voter.sync() {
                     reply
                 } else {
                     Voter::disk_failed_response()
                 };
-                let answer = self.parcel(parcel.number, Message::VoterAnswer(reply));
-                net.send(&self.peer.name, &parcel.from.name, answer);
+                let answer = self.packet(packet.number, PeerMessage::VoterResponse(reply));
+                net.send(&self.peer.name, &packet.from.name, answer);
             }
-            Message::VoterAnswer(reply) => {
+            PeerMessage::VoterResponse(reply) => {
                 let mut found = self.running.iter_mut();
-                let found = found.find(|(_, running)| running.number == parcel.number);
+                let found = found.find(|(_, running)| running.number == packet.number);
                 let Some((id, running)) = found else {
                     return;
                 };
                 let id = *id;
                 let mut voters = running.set.voters.iter();
-                let place = voters.position(|voter| voter.address == parcel.from.name);
+                let place = voters.position(|voter| voter.address == packet.from.name);
                 let Some(place) = place else {
                     return;
                 };
@@ -178,62 +184,64 @@
                     ProposalStep::Done(outcome) => self.ended(net, oracle, id, outcome),
                 }
             }
-            Message::Ask {
-                blueprint,
+            PeerMessage::AwaitUpdate {
+                configuration,
                 plan,
                 wants_certain,
             } => {
                 if wants_certain {
-                    let purpose = Purpose::Certain(Box::new(parcel));
+                    let purpose = Purpose::Certain(Box::new(packet));
                     self.propose(net, "blueprint", Change::Read, purpose);
                 } else {
-                    self.answer_ask(net, &parcel, blueprint, plan, false);
+                    self.answer_ask(net, &packet, configuration, plan, false);
                 }
             }
-            Message::Desk(DeskMessage::Beat { stamp, .. }) => {
-                self.bear_witness(net, &parcel, stamp)
+            PeerMessage::Front(FrontMessage::Heartbeat { stamp, .. }) => {
+                self.answer_as_witness(net, &packet, stamp)
             }
-            Message::News(news) => self.on_news(news),
-            Message::Report(report) => {
+            PeerMessage::StateUpdate(update) => self.on_update(update),
+            PeerMessage::Report(report) => {
                 if !report.is_witness {
                     let ahead = report.wall_ms as i64 - net.wall as i64;
-                    self.found.note_clock(&parcel.from.name, ahead);
+                    self.found.note_clock(&packet.from.name, ahead);
                 }
-                let sight = FrontSight {
-                    peer: parcel.from.clone(),
+                let observation = FrontObservation {
+                    peer: packet.from.clone(),
                     heard_at: net.now,
                     report,
                 };
-                self.fronts.insert(parcel.from.name, sight);
+                self.fronts.insert(packet.from.name, observation);
             }
-            message => self.on_membership(net, oracle, &parcel, message),
+            message => self.on_membership(net, oracle, &packet, message),
         }
     }
 
     fn answer_ask(
         &mut self,
         net: &mut Net,
-        parcel: &Parcel,
-        blueprint: Version,
+        packet: &Packet,
+        configuration: Version,
         plan: Version,
         is_certain: bool,
     ) {
         let in_force = &self.in_force;
-        let news = News {
-            blueprint: (in_force.blueprint_version > blueprint).then(|| BlueprintNews {
-                version: in_force.blueprint_version,
-                text: in_force.text.clone(),
+        let update = StateUpdate {
+            configuration: (in_force.configuration_version > configuration).then(|| {
+                ConfigurationUpdate {
+                    version: in_force.configuration_version,
+                    text: in_force.text.clone(),
+                }
             }),
-            plan: (in_force.plan_version > plan).then(|| PlanNews {
+            plan: (in_force.plan_version > plan).then(|| PlanUpdate {
                 version: in_force.plan_version,
                 plan: (*in_force.plan).clone(),
             }),
             set: self.set.clone(),
             is_certain,
-            ..News::default()
+            ..StateUpdate::default()
         };
-        let answer = self.parcel(parcel.number, Message::News(news));
-        net.send(&self.peer.name, &parcel.from.name, answer);
+        let answer = self.packet(packet.number, PeerMessage::StateUpdate(update));
+        net.send(&self.peer.name, &packet.from.name, answer);
     }
 
     fn next_ballot(&mut self) -> Ballot {
@@ -264,14 +272,14 @@
             set: self.set.clone(),
             key: key.to_string(),
             number: 0,
-            deadline: net.now + PATIENCE,
+            deadline: net.now + TIMEOUT,
             purpose,
         };
         self.running.insert(ballot.counter, running);
         self.ask_voters(net, ballot.counter, &ask);
     }
 
-    fn tick(&mut self, net: &mut Net, oracle: &mut Oracle, yard: &Yard) {
+    fn tick(&mut self, net: &mut Net, oracle: &mut Oracle, platform: &SimulatedPlatform) {
         let now = net.now;
         let over = self.running.iter();
         let over: Vec<u64> = over
@@ -292,21 +300,21 @@
             }
         }
         let key = "duty/scaler";
-        self.duty.enter_epoch(self.set.epoch);
+        self.scaler_role.enter_epoch(self.set.epoch);
         self.age_claims(net, oracle);
-        match self.duty.next_step(now) {
+        match self.scaler_role.next_step(now) {
             ElectionStep::Wait => {}
-            ElectionStep::Read => self.propose(net, key, Change::Read, Purpose::Duty(now, None)),
+            ElectionStep::Read => self.propose(net, key, Change::Read, Purpose::Role(now, None)),
             ElectionStep::Write(expected, tenure) => {
                 let bytes = tenure.write_to_vec().unwrap_or_default();
                 let change = Change::Write { expected, bytes };
-                self.propose(net, key, change, Purpose::Duty(now, Some(tenure)));
+                self.propose(net, key, change, Purpose::Role(now, Some(tenure)));
             }
         }
         self.report_witness(net);
-        self.tend_membership(net, oracle);
+        self.advance_membership(net, oracle);
         self.acknowledge(net, oracle);
-        self.scale(net, yard);
+        self.scale(net, platform);
     }
 
     fn ended(&mut self, net: &mut Net, oracle: &mut Oracle, id: u64, outcome: ChangeOutcome) {
@@ -318,9 +326,9 @@
             self.learn_set(set);
         }
         if let ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) = &outcome {
-            let era = running.set.epoch;
-            oracle.settled(&key, era, stored.version, stored.tag, &stored.bytes);
-            self.put_in_force(&key, era, stored);
+            let epoch = running.set.epoch;
+            oracle.committed(&key, epoch, stored.version, stored.tag, &stored.bytes);
+            self.put_in_force(&key, epoch, stored);
         }
         match running.purpose {
             Purpose::Refresh => {
@@ -329,25 +337,27 @@
             Purpose::JoinRead(answering) => self.join_read(net, &answering, &outcome),
             Purpose::JoinWrite(next) => {
                 if matches!(outcome, ChangeOutcome::Committed(_)) {
-                    self.tell_adopt(net, &next);
+                    self.announce_adoption(net, &next);
                 }
             }
             Purpose::Plan => self.is_planning = false,
-            Purpose::Duty(began, tenure) => self.duty_ended(net.now, began, tenure, outcome),
-            Purpose::Certain(parcel) if key == "blueprint" => {
+            Purpose::Role(began, tenure) => self.role_ended(net.now, began, tenure, outcome),
+            Purpose::Certain(packet) if key == "blueprint" => {
                 if matches!(outcome, ChangeOutcome::Committed(_)) {
-                    self.propose(net, "plan", Change::Read, Purpose::Certain(parcel));
+                    self.propose(net, "plan", Change::Read, Purpose::Certain(packet));
                 }
             }
-            Purpose::Certain(parcel) => {
-                let Message::Ask {
-                    blueprint, plan, ..
-                } = parcel.body.clone()
+            Purpose::Certain(packet) => {
+                let PeerMessage::AwaitUpdate {
+                    configuration,
+                    plan,
+                    ..
+                } = packet.body.clone()
                 else {
                     return;
                 };
                 let is_certain = matches!(outcome, ChangeOutcome::Committed(_));
-                self.answer_ask(net, &parcel, blueprint, plan, is_certain);
+                self.answer_ask(net, &packet, configuration, plan, is_certain);
             }
             Purpose::PutRead(put) => self.put_read(net, oracle, put, outcome),
             Purpose::PutWrite(put) => self.put_written(net, oracle, put, outcome),
--- a/crates/simulator/src/core_puts.rs
+++ b/crates/simulator/src/core_puts.rs
@@ -1,7 +1,7 @@
 use crate::core_node::{CoreNode, Purpose};
 use crate::net::Net;
 use crate::oracle::Oracle;
-use configuration::{check, Blueprint, DistrictState, Version};
+use configuration::{check, Configuration, Version, ZoneState};
 use register::{Change, ChangeOutcome};
 
 /// Longest time until a put is answered.
@@ -9,34 +9,34 @@
 
 /// An operator's put under way at a core.
 #[derive(Clone)]
-pub(crate) struct Put {
+pub(crate) struct PendingPut {
     pub began: u64,
     pub text: String,
     pub seed: u64,
 }
 
-/// The blueprint that the operator of this number wants, from the one in force: a valid change, an
-/// evacuation or its end, or a blueprint that must be refused.
-fn edited(current: &Blueprint, seed: u64) -> Blueprint {
+/// The configuration that the operator of this number wants, from the one in force: a valid change, an
+/// evacuation or its end, or a configuration that must be refused.
+fn edited(current: &Configuration, seed: u64) -> Configuration {
     let mut next = current.clone();
     let place = (seed >> 8) as usize;
     match seed % 5 {
-        0 if !next.districts.is_empty() => {
-            let place = place % next.districts.len();
+        0 if !next.zones.is_empty() => {
+            let place = place % next.zones.len();
             let open = next
-                .districts
+                .zones
                 .iter()
-                .filter(|one| one.state == DistrictState::Open)
+                .filter(|one| one.state == ZoneState::Open)
                 .count();
-            let district = &mut next.districts[place];
-            district.state = match district.state {
-                DistrictState::Open if open > 2 => DistrictState::Evacuated,
-                _ => DistrictState::Open,
+            let zone = &mut next.zones[place];
+            zone.state = match zone.state {
+                ZoneState::Open if open > 2 => ZoneState::Evacuated,
+                _ => ZoneState::Open,
             };
         }
-        1 if !next.listings.is_empty() => {
-            let place = place % next.listings.len();
-            next.listings[place].memory_mb = 0;
+        1 if !next.function_specs.is_empty() => {
+            let place = place % next.function_specs.len();
+            next.function_specs[place].memory_mb = 0;
         }
         _ => next.bounds.cooldown_ms = 30_000 + seed % 1_000_000,
     }
@@ -46,7 +46,7 @@
 impl CoreNode {
     pub fn begin_put(&mut self, net: &mut Net) {
         let seed = self.put_seed(net);
-        let put = Put {
+        let put = PendingPut {
             began: net.now,
             text: String::new(),
             seed,
@@ -58,7 +58,7 @@
         &mut self,
         net: &mut Net,
         oracle: &mut Oracle,
-        mut put: Put,
+        mut put: PendingPut,
         outcome: ChangeOutcome,
     ) {
         let ChangeOutcome::Committed(stored) = outcome else {
@@ -85,13 +85,13 @@
         &mut self,
         net: &mut Net,
         oracle: &mut Oracle,
-        put: Put,
+        put: PendingPut,
         outcome: ChangeOutcome,
     ) {
         match outcome {
             ChangeOutcome::Committed(stored) => {
                 let version = Version {
-                    era: self.set.epoch,
+                    epoch: self.set.epoch,
                     no: stored.version,
                 };
                 let until = put.began + ANSWER_MS;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Answers puts whose version a majority of the roster's fronts holds.
+    /// Answers puts whose version a majority of the membership's fronts holds.
     pub fn acknowledge(&mut self, net: &mut Net, oracle: &mut Oracle) {
         let now = net.now;
         let fronts = &self.fronts;
@@ -115,23 +115,23 @@
                 .get(name.as_str())
                 .is_none_or(|known| !known.report.is_witness)
         };
-        let roster = self.in_force.plan.roster.iter().filter(is_front);
-        let roster: Vec<String> = roster.cloned().collect();
+        let membership = self.in_force.plan.membership.iter().filter(is_front);
+        let membership: Vec<String> = membership.cloned().collect();
         let puts = std::mem::take(&mut self.puts);
         for (put, version, until) in puts {
             let holds = |name: &&String| {
                 fronts
                     .get(name.as_str())
-                    .is_some_and(|front| front.report.blueprint >= version)
+                    .is_some_and(|front| front.report.configuration >= version)
             };
-            let holding = roster.iter().filter(holds).count();
-            if holding > roster.len() / 2 {
-                let blueprint =
-                    configuration::parse(&put.text).unwrap_or_else(|_| Blueprint::empty());
-                let evacuated = blueprint.districts.iter();
+            let queue = membership.iter().filter(holds).count();
+            if queue > membership.len() / 2 {
+                let configuration =
+                    configuration::parse(&put.text).unwrap_or_else(|_| Configuration::empty());
+                let evacuated = configuration.zones.iter();
                 let evacuated: Vec<String> = evacuated
-                    .filter(|district| district.state == DistrictState::Evacuated)
-                    .map(|district| district.name.clone())
+                    .filter(|zone| zone.state == ZoneState::Evacuated)
+                    .map(|zone| zone.name.clone())
                     .collect();
                 oracle.acknowledged(version, &evacuated);
             } else if now < until {
--- a/crates/simulator/src/core_duties.rs
+++ b/crates/simulator/src/core_roles.rs
@@ -1,25 +1,25 @@
 use crate::core_node::{CoreNode, Purpose};
-use crate::net::{Happening, Net};
+use crate::net::{Net, ScheduledEvent};
 use crate::oracle::Oracle;
-use crate::yard::Yard;
+use crate::platform::SimulatedPlatform;
 use configuration::Version;
 use register::Change;
-use scaler::Sight;
+use scaler::Observation;
 use speedy::Writable;
 
 impl CoreNode {
-    pub fn scale(&mut self, net: &mut Net, yard: &Yard) {
-        let (workers, listed) = yard.lists();
+    pub fn scale(&mut self, net: &mut Net, platform: &SimulatedPlatform) {
+        let (workers, listed) = platform.lists();
         let in_force = self.in_force.clone();
-        let term = self.duty.term(net.now);
-        let sight = Sight {
+        let term = self.scaler_role.term(net.now);
+        let observation = Observation {
             now: net.now,
             next: Version {
-                era: self.set.epoch,
+                epoch: self.set.epoch,
                 no: in_force.plan_version.no + 1,
             },
             term: term.unwrap_or_default(),
-            blueprint: &in_force.blueprint,
+            configuration: &in_force.configuration,
             plan: &in_force.plan,
             workers: &workers,
             listed: &listed,
@@ -27,9 +27,9 @@
         };
         let holds = term.is_some_and(|term| term >= in_force.plan.term);
         if !holds || self.is_planning || self.is_blank() {
-            return self.scaler.observe(&sight);
+            return self.scaler.observe(&observation);
         }
-        if let Some(plan) = self.scaler.run(&sight, &self.orders) {
+        if let Some(plan) = self.scaler.run(&observation, &self.commands) {
             let bytes = plan.write_to_vec().unwrap_or_default();
             let expected = in_force.plan_version.no;
             self.is_planning = true;
@@ -41,12 +41,13 @@
             );
         }
         let due = self
-            .orders
+            .commands
             .due(net.now, &in_force.plan, &listed, 1_500, 6_000);
-        for order in due {
+        for command in due {
             let time = net.soon(20);
-            let sent = Box::new((order, sight.term));
-            let call = Happening::Platform(self.peer.name.clone(), self.peer.incarnation, sent);
+            let sent = Box::new((command, observation.term));
+            let call =
+                ScheduledEvent::Platform(self.peer.name.clone(), self.peer.incarnation, sent);
             net.at(time, call);
         }
     }
@@ -58,7 +59,7 @@
         }
         self.aged_at = net.now;
         let water = self.voter.acceptor().claim_floors().forgotten_before;
-        let remembered = self.in_force.blueprint.bounds.claim_ms;
+        let remembered = self.in_force.configuration.bounds.claim_ms;
         self.voter.expire_claims(net.wall, remembered);
         self.voter.sync();
         if self.voter.acceptor().claim_floors().forgotten_before > water {
--- a/crates/simulator/src/core_news.rs
+++ b/crates/simulator/src/core_update.rs
@@ -1,26 +1,26 @@
 use crate::core_node::CoreNode;
-use crate::net::{Net, Parcel};
+use crate::net::{Net, Packet};
 use configuration::{parse, Plan, Version};
 use leader_election::Leadership;
 use register::{ChangeOutcome, VersionedValue};
-use request_queue::{DeskMessage, FrontReport};
+use request_queue::{FrontMessage, FrontReport};
 use speedy::Readable;
 use std::sync::Arc;
-use transport::Message;
+use transport::PeerMessage;
 
 impl CoreNode {
     /// Answers a front's heartbeat.
-    pub fn bear_witness(&self, net: &mut Net, beat: &Parcel, stamp: u64) {
+    pub fn answer_as_witness(&self, net: &mut Net, heartbeat: &Packet, stamp: u64) {
         if !self.is_certain || self.is_blank() {
             return;
         }
-        let answer = DeskMessage::BeatAnswer {
+        let answer = FrontMessage::HeartbeatResponse {
             stamp,
             plan: self.in_force.plan_version,
-            blueprint: self.in_force.blueprint_version,
+            configuration: self.in_force.configuration_version,
         };
-        let parcel = self.parcel(0, Message::Desk(answer));
-        net.send(&self.peer.name, &beat.from.name, parcel);
+        let packet = self.packet(0, PeerMessage::Front(answer));
+        net.send(&self.peer.name, &heartbeat.from.name, packet);
     }
 
     /// Tells all cores which versions this one holds.
@@ -31,16 +31,16 @@
         let report = FrontReport {
             is_witness: true,
             plan: self.in_force.plan_version,
-            blueprint: self.in_force.blueprint_version,
+            configuration: self.in_force.configuration_version,
             ..FrontReport::default()
         };
         for core in &self.seeds {
-            let parcel = self.parcel(0, Message::Report(report.clone()));
-            net.send(&self.peer.name, core, parcel);
+            let packet = self.packet(0, PeerMessage::Report(report.clone()));
+            net.send(&self.peer.name, core, packet);
         }
     }
 
-    pub fn duty_ended(
+    pub fn role_ended(
         &mut self,
         now: u64,
         began: u64,
@@ -49,19 +49,20 @@
     ) {
         match (outcome, tenure) {
             (ChangeOutcome::Committed(stored), Some(tenure)) => {
-                self.duty.on_elected(now, began, stored.version, tenure);
+                self.scaler_role
+                    .on_elected(now, began, stored.version, tenure);
             }
             (ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored), _) => {
                 let seen = Leadership::read_from_buffer(&stored.bytes).unwrap_or_default();
-                self.duty.observe(now, stored.version, seen);
+                self.scaler_role.observe(now, stored.version, seen);
             }
             _ => {}
         }
     }
 
-    pub fn put_in_force(&mut self, key: &str, era: u64, stored: &VersionedValue) {
+    pub fn put_in_force(&mut self, key: &str, epoch: u64, stored: &VersionedValue) {
         let version = Version {
-            era,
+            epoch,
             no: stored.version,
         };
         if stored.version == 0 {
@@ -73,12 +74,12 @@
                 self.in_force.plan_version = version;
             }
         }
-        if key == "blueprint" && version > self.in_force.blueprint_version {
+        if key == "blueprint" && version > self.in_force.configuration_version {
             let text = String::from_utf8_lossy(&stored.bytes).into_owned();
-            if let Ok(blueprint) = parse(&text) {
-                self.in_force.blueprint = Arc::new(blueprint);
+            if let Ok(configuration) = parse(&text) {
+                self.in_force.configuration = Arc::new(configuration);
                 self.in_force.text = text;
-                self.in_force.blueprint_version = version;
+                self.in_force.configuration_version = version;
             }
         }
     }
--- a/crates/simulator/src/failing.rs
+++ b/crates/simulator/src/failing.rs
@@ -1,9 +1,9 @@
 use crate::core_node::CoreNode;
 use crate::faults::Fault;
 use crate::front_node::FrontNode;
-use crate::net::{Event, Happening};
+use crate::net::{Event, ScheduledEvent};
+use crate::platform::LIST_LAG_MS;
 use crate::world::World;
-use crate::yard::LAG;
 use journal::FaultKind;
 use rand::Rng;
 
@@ -13,19 +13,22 @@
         let now = self.net.now;
         match fault {
             Fault::Kill(name, lasts) => {
-                let is_up = self.lives.get(&name).is_some_and(|life| life.is_up);
-                if let Some(life) = self.lives.get_mut(&name).filter(|_| is_up) {
-                    life.is_up = false;
-                    let back = Happening::Fault(Fault::Kill(name, 0));
+                let is_up = self
+                    .incarnations
+                    .get(&name)
+                    .is_some_and(|incarnation| incarnation.is_up);
+                if let Some(incarnation) = self.incarnations.get_mut(&name).filter(|_| is_up) {
+                    incarnation.is_up = false;
+                    let back = ScheduledEvent::Fault(Fault::Kill(name, 0));
                     self.net.at(now + lasts, back);
                 } else if lasts == 0 {
                     self.come_back(&name);
                 }
             }
-            Fault::KillDuty(lasts) => {
+            Fault::KillScaler(lasts) => {
                 let holds = |core: &&CoreNode| {
                     let local = self.clocks[&core.peer.name].now(now);
-                    core.duty.term(local).is_some()
+                    core.scaler_role.term(local).is_some()
                 };
                 let holder = self.cores.values().find(holds);
                 if let Some(name) = holder.map(|core| core.peer.name.clone()) {
@@ -34,8 +37,8 @@
                 }
             }
             Fault::Freeze(name, lasts) => {
-                if let Some(life) = self.lives.get_mut(&name) {
-                    life.frozen_until = life.frozen_until.max(now + lasts);
+                if let Some(incarnation) = self.incarnations.get_mut(&name) {
+                    incarnation.frozen_until = incarnation.frozen_until.max(now + lasts);
                 }
             }
             Fault::PowerLoss(name, lasts) => {
@@ -51,12 +54,12 @@
             }
             Fault::FullDisk(name, lasts) => {
                 self.cores[&name].folder.inject(FaultKind::Full);
-                let room = Happening::Fault(Fault::FullDisk(name, 0));
+                let room = ScheduledEvent::Fault(Fault::FullDisk(name, 0));
                 self.net.at(now + lasts, room);
             }
             Fault::StallDisk(name, lasts) => {
-                if let Some(life) = self.lives.get_mut(&name) {
-                    life.stalled_until = now + lasts;
+                if let Some(incarnation) = self.incarnations.get_mut(&name) {
+                    incarnation.stalled_until = now + lasts;
                 }
             }
             Fault::EmptyDisk(name, lasts) => {
@@ -71,25 +74,25 @@
                 self.net.cuts.insert((from, to));
             }
             Fault::CutOff(name) => {
-                for other in self.lives.keys() {
+                for other in self.incarnations.keys() {
                     self.net.cuts.insert((name.clone(), other.clone()));
                     self.net.cuts.insert((other.clone(), name.clone()));
                 }
             }
             Fault::Heal => self.net.cuts.clear(),
-            Fault::CrashWorker(worker) => self.yard.crash(&worker, true),
-            Fault::ReturnWorker(worker) => self.yard.crash(&worker, false),
+            Fault::CrashWorker(worker) => self.platform.crash(&worker, true),
+            Fault::ReturnWorker(worker) => self.platform.crash(&worker, false),
             Fault::LeaveWorker(worker) => {
-                self.yard.leave(&worker, true);
-                self.oracle.leaving(&worker, Some(now + LAG));
+                self.platform.leave(&worker, true);
+                self.oracle.leaving(&worker, Some(now + LIST_LAG_MS));
             }
             Fault::StayWorker(worker) => {
-                self.yard.leave(&worker, false);
+                self.platform.leave(&worker, false);
                 self.oracle.leaving(&worker, None);
             }
-            Fault::Replace(number) => self.yard.replace(now, number),
+            Fault::Replace(number) => self.platform.replace(now, number),
             Fault::SlowWorker(worker, times) => {
-                self.yard.slowness.insert(worker, times);
+                self.platform.slowness.insert(worker, times);
             }
             Fault::JumpWall(name, jump) => {
                 if let Some(clock) = self.clocks.get_mut(&name) {
@@ -102,22 +105,22 @@
                     self.fault(Fault::EmptyDisk(name, lasts));
                 }
             }
-            Fault::Put(core) => {
-                self.net.event(now, &core, 0, Event::Put);
+            Fault::PendingPut(core) => {
+                self.net.event(now, &core, 0, Event::PendingPut);
             }
         }
     }
 
     fn come_back(&mut self, name: &str) {
         let now = self.net.now;
-        let peer = self.new_life(name);
+        let peer = self.new_incarnation(name);
         if let Some(core) = self.cores.get_mut(name) {
             let (folder, disk, seeds) = (core.folder.clone(), core.disk, core.seeds.clone());
             let now = self.clocks[name].now(now);
             *core = CoreNode::new(peer, folder, disk, seeds, now);
         } else if let Some(front) = self.fronts.get_mut(name) {
-            let (district, cores) = (front.district.clone(), front.cores.clone());
-            *front = FrontNode::new(peer, &district, cores);
+            let (zone, cores) = (front.zone.clone(), front.cores.clone());
+            *front = FrontNode::new(peer, &zone, cores);
         }
     }
 }
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -7,7 +7,7 @@
     /// A daemon is killed; it comes back after so many milliseconds.
     Kill(String, u64),
     /// The core that scales now is killed; it comes back after so many milliseconds.
-    KillDuty(u64),
+    KillScaler(u64),
     /// A daemon stands still for so many milliseconds, while its clock goes on.
     Freeze(String, u64),
     /// Nothing passes from the first daemon to the second.
@@ -40,8 +40,8 @@
     JumpWall(String, i64),
     /// All cores lose their disks, and come back empty after so many milliseconds.
     Wipe(u64),
-    /// An operator puts a blueprint at a core.
-    Put(String),
+    /// An operator puts a configuration at a core.
+    PendingPut(String),
 }
 
 /// Failures with the times at which they come.
@@ -100,7 +100,7 @@
                 9 => faults.push((at, Fault::FullDisk(any(random, cores), lasts))),
                 10 => faults.push((at, Fault::StallDisk(any(random, cores), lasts))),
                 11 if !has_emptied => {
-                    // A second disk must not be emptied before the first is mended.
+                    // A second disk must not be emptied before the first is recovered.
                     has_emptied = true;
                     faults.push((at, Fault::EmptyDisk(any(random, cores), lasts)));
                 }
@@ -135,7 +135,7 @@
         }
         for _ in 0..random.random_range(0..=6) {
             let at = random.random_range(from..until);
-            faults.push((at, Fault::Put(any(random, cores))));
+            faults.push((at, Fault::PendingPut(any(random, cores))));
         }
         faults.sort_by_key(|(at, _)| *at);
         Self {
--- a/crates/simulator/src/front_claims.rs
+++ b/crates/simulator/src/front_claims.rs
@@ -1,5 +1,5 @@
-use crate::front_node::{Claiming, FrontNode, Purpose};
-use crate::net::{Net, Parcel};
+use crate::front_node::{FrontNode, PendingClaim, Purpose};
+use crate::net::{Net, Packet};
 use crate::oracle::Oracle;
 use idempotency_keys::Claim;
 use register::{
@@ -7,23 +7,23 @@
 };
 use speedy::Writable;
 
-const CLAIM_PATIENCE: u64 = 500;
+const CLAIM_TIMEOUT: u64 = 500;
 
 impl FrontNode {
     pub fn voter_answer(
         &mut self,
         net: &mut Net,
         oracle: &mut Oracle,
-        parcel: &Parcel,
+        packet: &Packet,
         reply: VoterResponse,
     ) {
         let mut found = self.claiming.iter_mut();
-        let found = found.find(|(_, claiming)| claiming.number == parcel.number);
+        let found = found.find(|(_, claiming)| claiming.number == packet.number);
         let Some((id, claiming)) = found else {
             return;
         };
         let mut voters = claiming.set.voters.iter();
-        let place = voters.position(|voter| voter.address == parcel.from.name);
+        let place = voters.position(|voter| voter.address == packet.from.name);
         let Some(place) = place else {
             return;
         };
@@ -80,11 +80,11 @@
         let voters = self.set.voters.len();
         let (proposal, ask) = Proposal::start(register, change, tag, ballot, voters);
         let id = ballot.counter;
-        let claiming = Claiming {
+        let claiming = PendingClaim {
             proposal,
             set: self.set.clone(),
             number: 0,
-            deadline: net.now + CLAIM_PATIENCE,
+            deadline: net.now + CLAIM_TIMEOUT,
             purpose,
         };
         self.claiming.insert(id, claiming);
--- a/crates/simulator/src/front_node.rs
+++ b/crates/simulator/src/front_node.rs
@@ -1,23 +1,25 @@
-use crate::net::{Event, Happening, Net, Parcel, Wish};
+use crate::net::{CallerRequest, Event, Net, Packet, ScheduledEvent};
 use crate::oracle::Oracle;
-use crate::yard::{ticket_id, Answer, Request};
-use configuration::{parse, Blueprint, PeerRef, Version};
+use crate::platform::{attempt_id, RunnerRequest, RunnerResponse};
+use configuration::{parse, Configuration, PeerRef, Version};
 use idempotency_keys::Claim;
 use register::{Proposal, VoterSet};
-use request_queue::{Action, Desk, DeskMessage, SeatGrant, Ticket, TryEnd};
+use request_queue::{
+    Action, AttemptOutcome, FrontMessage, QueuedRequest, SeatGrant, SeatScheduler,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use transport::{BlueprintNews, Message, News, PlanNews};
+use transport::{ConfigurationUpdate, PeerMessage, PlanUpdate, StateUpdate};
 
-pub(crate) struct Open {
-    pub wish: Wish,
-    /// Tries whose bytes may have reached a runner.
+pub(crate) struct OpenCall {
+    pub caller_request: CallerRequest,
+    /// Attempts whose bytes may have reached a runner.
     pub sent: u32,
     pub claimed: Option<u64>,
     pub register: String,
 }
 
-pub(crate) struct Claiming {
+pub(crate) struct PendingClaim {
     pub proposal: Proposal,
     pub set: VoterSet,
     pub number: u64,
@@ -30,24 +32,24 @@
     Note,
 }
 
-/// A front in the simulation: the desk with the least glue around it.
+/// A front in the simulation: the scheduler with the least glue around it.
 pub(crate) struct FrontNode {
     pub peer: PeerRef,
-    pub district: String,
-    pub desk: Desk,
+    pub zone: String,
+    pub scheduler: SeatScheduler,
     pub cores: Vec<String>,
     pub set: VoterSet,
-    pub open: BTreeMap<u64, Open>,
-    pub claiming: BTreeMap<u64, Claiming>,
+    pub open: BTreeMap<u64, OpenCall>,
+    pub claiming: BTreeMap<u64, PendingClaim>,
     pub next_slot: u64,
     pub counter: u64,
 }
 
 impl FrontNode {
-    pub fn new(peer: PeerRef, district: &str, cores: Vec<String>) -> Self {
+    pub fn new(peer: PeerRef, zone: &str, cores: Vec<String>) -> Self {
         Self {
-            desk: Desk::new(peer.clone()),
-            district: district.to_string(),
+            scheduler: SeatScheduler::new(peer.clone()),
+            zone: zone.to_string(),
             peer,
             cores,
             set: VoterSet::default(),
@@ -58,8 +60,8 @@
         }
     }
 
-    pub fn parcel(&self, number: u64, body: Message) -> Parcel {
-        Parcel {
+    pub fn packet(&self, number: u64, body: PeerMessage) -> Packet {
+        Packet {
             from: self.peer.clone(),
             number,
             body,
@@ -70,14 +72,18 @@
         let now = net.now;
         match event {
             Event::Tick(_) => self.tick(net, oracle),
-            Event::Deliver(parcel) => self.deliver(net, oracle, parcel),
-            Event::Wish(wish) => self.wish(net, oracle, wish),
-            Event::TryStart(ticket, seat) => self.try_start(net, &ticket, &seat),
-            Event::TryEnd(ticket, seat, end, answer) => {
-                self.try_end(net, oracle, ticket, &seat, end, answer);
+            Event::Deliver(packet) => self.deliver(net, oracle, packet),
+            Event::CallerRequest(caller_request) => {
+                self.caller_request(net, oracle, caller_request)
+            }
+            Event::AttemptStart(queued_request, seat) => {
+                self.try_start(net, &queued_request, &seat)
+            }
+            Event::AttemptOutcome(queued_request, seat, end, answer) => {
+                self.attempt_outcome(net, oracle, queued_request, &seat, end, answer);
             }
             Event::BudgetOver(slot) => self.budget_over(oracle, slot),
-            Event::Probed(runner, is_there) => self.desk.probed(now, &runner, is_there),
+            Event::Probed(runner, is_there) => self.scheduler.probed(now, &runner, is_there),
             _ => {}
         }
         self.carry_out(net, oracle);
@@ -85,25 +91,25 @@
 
     fn tick(&mut self, net: &mut Net, oracle: &mut Oracle) {
         let now = net.now;
-        self.desk.tick(now);
-        let (blueprint, plan) = self.desk.versions();
-        let wants_certain = !self.desk.is_ready();
-        let mut report = self.desk.report(now, &self.district);
+        self.scheduler.tick(now);
+        let (configuration, plan) = self.scheduler.versions();
+        let wants_certain = !self.scheduler.is_ready();
+        let mut report = self.scheduler.report(now, &self.zone);
         report.wall_ms = net.wall;
         for core in self.cores.clone() {
-            let ask = Message::Ask {
-                blueprint,
+            let ask = PeerMessage::AwaitUpdate {
+                configuration,
                 plan,
                 wants_certain,
             };
-            let parcel = self.parcel(1, ask);
-            net.send(&self.peer.name, &core, parcel);
-            let parcel = self.parcel(0, Message::Report(report.clone()));
-            net.send(&self.peer.name, &core, parcel);
+            let packet = self.packet(1, ask);
+            net.send(&self.peer.name, &core, packet);
+            let packet = self.packet(0, PeerMessage::Report(report.clone()));
+            net.send(&self.peer.name, &core, packet);
         }
-        if self.desk.has_standing(now) {
-            oracle.serves(&self.peer.name, blueprint);
-            oracle.works(&self.peer.name, blueprint);
+        if self.scheduler.has_quorum(now) {
+            oracle.serves(&self.peer.name, configuration);
+            oracle.works(&self.peer.name, configuration);
         }
         let over = self.claiming.iter();
         let over: Vec<u64> = over
@@ -118,131 +124,142 @@
         }
     }
 
-    fn deliver(&mut self, net: &mut Net, oracle: &mut Oracle, parcel: Parcel) {
+    fn deliver(&mut self, net: &mut Net, oracle: &mut Oracle, packet: Packet) {
         let now = net.now;
-        match parcel.body.clone() {
-            Message::Desk(message) => {
-                self.ask_if_newer(net, &parcel.from.name, &message);
-                self.desk.on_message(now, &parcel.from, message);
+        match packet.body.clone() {
+            PeerMessage::Front(message) => {
+                self.ask_if_newer(net, &packet.from.name, &message);
+                self.scheduler.on_message(now, &packet.from, message);
             }
-            Message::News(news) => self.news(now, oracle, news),
-            Message::Ask {
-                blueprint, plan, ..
+            PeerMessage::StateUpdate(update) => self.update(now, oracle, update),
+            PeerMessage::AwaitUpdate {
+                configuration,
+                plan,
+                ..
             } => {
-                let news = self.news_for(blueprint, plan);
-                let answer = self.parcel(parcel.number, Message::News(news));
-                net.send(&self.peer.name, &parcel.from.name, answer);
+                let update = self.update_for(configuration, plan);
+                let answer = self.packet(packet.number, PeerMessage::StateUpdate(update));
+                net.send(&self.peer.name, &packet.from.name, answer);
             }
-            Message::VoterAnswer(reply) => self.voter_answer(net, oracle, &parcel, reply),
+            PeerMessage::VoterResponse(reply) => self.voter_answer(net, oracle, &packet, reply),
             _ => {}
         }
     }
 
     /// A heartbeat tells of newer versions: whoever has them is asked.
-    fn ask_if_newer(&mut self, net: &mut Net, from: &str, message: &DeskMessage) {
-        let Some((blueprint, plan)) = message.versions() else {
+    fn ask_if_newer(&mut self, net: &mut Net, from: &str, message: &FrontMessage) {
+        let Some((configuration, plan)) = message.versions() else {
             return;
         };
-        let own = self.desk.versions();
-        if blueprint > own.0 || plan > own.1 {
-            let ask = Message::Ask {
-                blueprint: own.0,
+        let own = self.scheduler.versions();
+        if configuration > own.0 || plan > own.1 {
+            let ask = PeerMessage::AwaitUpdate {
+                configuration: own.0,
                 plan: own.1,
                 wants_certain: false,
             };
-            let parcel = self.parcel(1, ask);
-            net.send(&self.peer.name, from, parcel);
+            let packet = self.packet(1, ask);
+            net.send(&self.peer.name, from, packet);
         }
     }
 
-    fn news(&mut self, now: u64, oracle: &mut Oracle, news: News) {
-        if let Some(newer) = news.blueprint {
-            if let Ok(blueprint) = parse(&newer.text) {
+    fn update(&mut self, now: u64, oracle: &mut Oracle, update: StateUpdate) {
+        if let Some(newer) = update.configuration {
+            if let Ok(configuration) = parse(&newer.text) {
                 oracle.holds_text(&self.peer.name, &newer.text);
-                self.desk
-                    .set_blueprint(now, Arc::new(blueprint), newer.version);
+                self.scheduler
+                    .set_configuration(now, Arc::new(configuration), newer.version);
             }
         }
-        if let Some(newer) = news.plan {
-            self.desk.set_plan(now, Arc::new(newer.plan), newer.version);
+        if let Some(newer) = update.plan {
+            self.scheduler
+                .set_plan(now, Arc::new(newer.plan), newer.version);
         }
-        if news.set.version() > self.set.version() {
-            self.set = news.set;
+        if update.set.version() > self.set.version() {
+            self.set = update.set;
         }
-        if news.is_certain {
-            self.desk.set_ready();
+        if update.is_certain {
+            self.scheduler.set_ready();
         }
     }
 
-    fn news_for(&self, blueprint: Version, plan: Version) -> News {
-        let (own_blueprint, own_plan) = self.desk.versions();
-        let text = |blueprint: &Blueprint| serde_json::to_string(blueprint).unwrap_or_default();
-        News {
-            blueprint: (own_blueprint > blueprint).then(|| BlueprintNews {
-                version: own_blueprint,
-                text: text(&self.desk.blueprint()),
+    fn update_for(&self, configuration: Version, plan: Version) -> StateUpdate {
+        let (own_configuration, own_plan) = self.scheduler.versions();
+        let text = |configuration: &Configuration| {
+            serde_json::to_string(configuration).unwrap_or_default()
+        };
+        StateUpdate {
+            configuration: (own_configuration > configuration).then(|| ConfigurationUpdate {
+                version: own_configuration,
+                text: text(&self.scheduler.configuration()),
             }),
-            plan: (own_plan > plan).then(|| PlanNews {
+            plan: (own_plan > plan).then(|| PlanUpdate {
                 version: own_plan,
-                plan: (*self.desk.plan()).clone(),
+                plan: (*self.scheduler.plan()).clone(),
             }),
-            ..News::default()
+            ..StateUpdate::default()
         }
     }
 
-    fn try_start(&mut self, net: &mut Net, ticket: &Ticket, seat: &SeatGrant) {
+    fn try_start(&mut self, net: &mut Net, queued_request: &QueuedRequest, seat: &SeatGrant) {
         let now = net.now;
-        let may_send = self.desk.permit(now, ticket, seat);
-        let Some(open) = self.open.get_mut(&ticket.slot) else {
-            return self.desk.try_done(now, seat, TryEnd::Unsent);
+        let may_send = self.scheduler.permit(now, queued_request, seat);
+        let Some(open) = self.open.get_mut(&queued_request.slot) else {
+            return self
+                .scheduler
+                .attempt_done(now, seat, AttemptOutcome::Unsent);
         };
         if !may_send {
-            self.desk.try_done(now, seat, TryEnd::Unsent);
-            return self.desk.hold_again(now, ticket.clone());
+            self.scheduler
+                .attempt_done(now, seat, AttemptOutcome::Unsent);
+            return self.scheduler.hold_again(now, queued_request.clone());
         }
         if open.sent == 0 {
-            self.desk.count_first(now);
+            self.scheduler.count_first(now);
         }
         open.sent += 1;
-        let request = Request {
+        let request = RunnerRequest {
             front: self.peer.name.clone(),
-            life: self.peer.incarnation,
-            ticket: ticket.clone(),
+            incarnation: self.peer.incarnation,
+            queued_request: queued_request.clone(),
             seat: seat.clone(),
-            call: open.wish.call,
-            once_key: open.wish.once_key,
-            budget_ms: ticket.budget_end.saturating_sub(now).max(1),
+            call: open.caller_request.call,
+            idempotency_key: open.caller_request.idempotency_key,
+            budget_ms: queued_request.budget_end.saturating_sub(now).max(1),
         };
         let time = net.soon(4);
-        net.at(time, Happening::Request(Box::new(request)));
+        net.at(time, ScheduledEvent::RunnerRequest(Box::new(request)));
     }
 
-    fn try_end(
+    fn attempt_outcome(
         &mut self,
         net: &mut Net,
         oracle: &mut Oracle,
-        ticket: Ticket,
+        queued_request: QueuedRequest,
         seat: &SeatGrant,
-        end: TryEnd,
-        answer: Option<Answer>,
+        end: AttemptOutcome,
+        answer: Option<RunnerResponse>,
     ) {
         let now = net.now;
-        let call = self.open.get(&ticket.slot).map(|open| open.wish.call);
+        let call = self
+            .open
+            .get(&queued_request.slot)
+            .map(|open| open.caller_request.call);
         let end = match answer.as_ref().zip(call) {
-            Some((answer, call)) if !is_sealed(answer, call, seat) => TryEnd::Bad,
+            Some((answer, call)) if !is_sealed(answer, call, seat) => AttemptOutcome::Bad,
             _ => end,
         };
-        self.desk.try_done(now, seat, end);
-        let slot = ticket.slot;
+        self.scheduler.attempt_done(now, seat, end);
+        let slot = queued_request.slot;
         let Some(open) = self.open.get_mut(&slot) else {
             return;
         };
-        let (key, claimed) = (open.wish.once_key, open.claimed);
+        let (key, claimed) = (open.caller_request.idempotency_key, open.claimed);
         let register = open.register.clone();
         match end {
-            TryEnd::Answered(_) => {
+            AttemptOutcome::Answered(_) => {
                 if let Some(answer) = &answer {
-                    oracle.answer(open.wish.call, answer.call, answer.took_ms);
+                    oracle.answer(open.caller_request.call, answer.call, answer.took_ms);
                 }
                 self.tell(oracle, slot, "answered");
                 if let Some(version) = claimed {
@@ -251,13 +268,13 @@
                     self.propose(net, &register, version, &claim, Purpose::Note);
                 }
             }
-            TryEnd::Absent => {
+            AttemptOutcome::Absent => {
                 open.sent -= 1;
-                self.desk.send_again(now, ticket);
+                self.scheduler.send_again(now, queued_request);
             }
-            TryEnd::Unsent => self.desk.hold_again(now, ticket),
-            TryEnd::Lost | TryEnd::Broken | TryEnd::Bad => {
-                if key.is_some() || !self.desk.retry(now, ticket) {
+            AttemptOutcome::Unsent => self.scheduler.hold_again(now, queued_request),
+            AttemptOutcome::Lost | AttemptOutcome::Broken | AttemptOutcome::Bad => {
+                if key.is_some() || !self.scheduler.retry(now, queued_request) {
                     self.tell(oracle, slot, "unknown");
                 }
             }
@@ -266,7 +283,7 @@
 
     fn carry_out(&mut self, net: &mut Net, oracle: &mut Oracle) {
         loop {
-            let actions = self.desk.take_actions();
+            let actions = self.scheduler.take_actions();
             if actions.is_empty() {
                 return;
             }
@@ -279,32 +296,32 @@
     fn carry_out_one(&mut self, net: &mut Net, oracle: &mut Oracle, action: Action) {
         match action {
             Action::Send(to, message) => {
-                if let DeskMessage::Award(award) = &message {
-                    oracle.lends(&award.runner, award.epoch);
+                if let FrontMessage::SeatAssignment(assignment) = &message {
+                    oracle.leases_seats(&assignment.runner, assignment.epoch);
                 }
-                let parcel = self.parcel(0, Message::Desk(message));
-                net.send(&self.peer.name.clone(), &to, parcel);
+                let packet = self.packet(0, PeerMessage::Front(message));
+                net.send(&self.peer.name.clone(), &to, packet);
             }
-            Action::Launch(ticket, seat) => {
-                if seat.keeper == self.peer {
-                    oracle.lends(&seat.runner, seat.epoch);
+            Action::Launch(queued_request, seat) => {
+                if seat.owner == self.peer {
+                    oracle.leases_seats(&seat.runner, seat.epoch);
                 }
                 let time = net.soon(3);
-                let life = self.peer.incarnation;
-                let event = Event::TryStart(ticket, seat);
-                net.event(time, &self.peer.name, life, event);
+                let incarnation = self.peer.incarnation;
+                let event = Event::AttemptStart(queued_request, seat);
+                net.event(time, &self.peer.name, incarnation, event);
             }
-            Action::Refuse(ticket, _) => {
+            Action::Refuse(queued_request, _) => {
                 let is_sent = self
                     .open
-                    .get(&ticket.slot)
+                    .get(&queued_request.slot)
                     .is_some_and(|open| open.sent > 0);
                 let outcome = if is_sent { "unknown" } else { "not-run" };
-                self.tell(oracle, ticket.slot, outcome);
+                self.tell(oracle, queued_request.slot, outcome);
             }
             Action::Probe { runner, address } => {
                 let time = net.soon(5);
-                let probe = Happening::Probe(self.peer.name.clone(), runner, address);
+                let probe = ScheduledEvent::Probe(self.peer.name.clone(), runner, address);
                 net.at(time, probe);
             }
         }
@@ -312,7 +329,7 @@
 }
 
 /// Looks at the seal as a front does, over what came back.
-fn is_sealed(answer: &Answer, call: u64, seat: &SeatGrant) -> bool {
-    let (name, body) = (ticket_id(call, seat), answer.call.to_le_bytes());
+fn is_sealed(answer: &RunnerResponse, call: u64, seat: &SeatGrant) -> bool {
+    let (name, body) = (attempt_id(call, seat), answer.call.to_le_bytes());
     idempotency_keys::seal(&seat.key, &name, &seat.runner, 200, "", &body) == answer.seal
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -3,22 +3,22 @@
 #![warn(missing_docs)]
 
 mod config;
-mod core_duties;
 mod core_founding;
 mod core_joining;
-mod core_news;
 mod core_node;
 mod core_puts;
+mod core_roles;
+mod core_update;
 mod failing;
 mod faults;
 mod front_claims;
 mod front_node;
-mod front_wishes;
+mod front_requests;
 mod net;
 mod oracle;
+mod platform;
 mod start;
 mod world;
-mod yard;
 
 pub use config::{Config, Verdict};
 pub use faults::{Fault, FaultPlan};
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -2,58 +2,63 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 use register::{VoterOperation, VoterRequest, VoterSet};
-use request_queue::{SeatGrant, Ticket, TryEnd};
-use scaler::{Order, OrderResult};
+use request_queue::{AttemptOutcome, QueuedRequest, SeatGrant};
+use scaler::{CommandResult, PlatformCommand};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use transport::Message;
+use transport::PeerMessage;
 
 use crate::faults::Fault;
-use crate::yard::Answer;
+use crate::platform::RunnerResponse;
 
 /// A message on its way.
 #[derive(Clone, Debug)]
-pub(crate) struct Parcel {
+pub(crate) struct Packet {
     pub from: PeerRef,
     pub number: u64,
-    pub body: Message,
+    pub body: PeerMessage,
 }
 
 /// What a caller wants.
 #[derive(Clone, Debug)]
-pub(crate) struct Wish {
+pub(crate) struct CallerRequest {
     pub call: u64,
     pub function: String,
     pub kind: String,
-    pub once_key: Option<u64>,
+    pub idempotency_key: Option<u64>,
 }
 
 /// What happens at one moment.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    Deliver(Parcel),
+    Deliver(Packet),
     Tick(u64),
-    Wish(Wish),
-    TryStart(Ticket, SeatGrant),
-    TryEnd(Ticket, SeatGrant, TryEnd, Option<Answer>),
+    CallerRequest(CallerRequest),
+    AttemptStart(QueuedRequest, SeatGrant),
+    AttemptOutcome(
+        QueuedRequest,
+        SeatGrant,
+        AttemptOutcome,
+        Option<RunnerResponse>,
+    ),
     BudgetOver(u64),
     Probed(String, bool),
-    Ordered(Order, OrderResult),
-    Put,
+    Ordered(PlatformCommand, CommandResult),
+    PendingPut,
 }
 
 #[derive(Debug)]
-pub(crate) enum Happening {
-    /// At a node, in one of its lives; 0 is any life.
+pub(crate) enum ScheduledEvent {
+    /// At a node, in one of its incarnations; 0 is any incarnation.
     At(String, u64, Box<Event>),
     /// Bytes of a try reach an address.
-    Request(Box<crate::yard::Request>),
+    RunnerRequest(Box<crate::platform::RunnerRequest>),
     /// A front looks whether a runner is there.
     Probe(String, String, String),
     /// A run ends.
     RunEnd(u64),
     /// A call reaches the platform.
-    Platform(String, u64, Box<(Order, u64)>),
+    Platform(String, u64, Box<(PlatformCommand, u64)>),
     /// The platform notes its lists.
     PlatformTick,
     /// A failure begins or ends.
@@ -90,7 +95,7 @@
     clock: Clock,
     pub random: StdRng,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    events: BTreeMap<u64, Happening>,
+    events: BTreeMap<u64, ScheduledEvent>,
     next: u64,
     /// Pairs (from, to) between which nothing passes.
     pub cuts: BTreeSet<(String, String)>,
@@ -121,38 +126,38 @@
         self.wall = wall.max(0) as u64;
     }
 
-    /// Something happens at a time, told by the clock of whoever acts now.
-    pub fn at(&mut self, time: u64, happening: Happening) {
+    /// Something happens at a time, notified by the clock of whoever acts now.
+    pub fn at(&mut self, time: u64, scheduled_event: ScheduledEvent) {
         let after = time.saturating_sub(self.now);
         let after = after * 1_000_000 / 1_000_000_u64.saturating_add_signed(self.clock.ppm);
         let time = self.time + after;
         let number = self.next;
         self.next += 1;
-        self.events.insert(number, happening);
+        self.events.insert(number, scheduled_event);
         self.queue.push(Reverse((time, number)));
     }
 
     /// Puts an event back for a later time, in its old place among others.
-    pub fn put_back(&mut self, time: u64, number: u64, happening: Happening) {
-        self.events.insert(number, happening);
+    pub fn put_back(&mut self, time: u64, number: u64, scheduled_event: ScheduledEvent) {
+        self.events.insert(number, scheduled_event);
         self.queue.push(Reverse((time, number)));
     }
 
-    pub fn pop(&mut self) -> Option<(u64, Happening)> {
+    pub fn pop(&mut self) -> Option<(u64, ScheduledEvent)> {
         let Reverse((time, number)) = self.queue.pop()?;
         self.time = self.time.max(time);
         self.look_by(Clock::default());
-        let happening = self.events.remove(&number)?;
-        Some((number, happening))
+        let scheduled_event = self.events.remove(&number)?;
+        Some((number, scheduled_event))
     }
 
     pub fn soon(&mut self, most: u64) -> u64 {
         self.now + self.random.random_range(1..=most)
     }
 
-    pub fn event(&mut self, time: u64, node: &str, life: u64, event: Event) {
-        let happening = Happening::At(node.to_string(), life, Box::new(event));
-        self.at(time, happening);
+    pub fn event(&mut self, time: u64, node: &str, incarnation: u64, event: Event) {
+        let scheduled_event = ScheduledEvent::At(node.to_string(), incarnation, Box::new(event));
+        self.at(time, scheduled_event);
     }
 
     /// Asks every voter of a set.
@@ -168,17 +173,17 @@
                 set_version: set.version(),
                 operation: ask.clone(),
             };
-            let parcel = Parcel {
+            let packet = Packet {
                 from: from.clone(),
                 number,
-                body: Message::Voter(message),
+                body: PeerMessage::Voter(message),
             };
-            self.send(&from.name, &voter.address, parcel);
+            self.send(&from.name, &voter.address, packet);
         }
     }
 
     /// Sends a message; it may be lost, doubled or overtaken.
-    pub fn send(&mut self, from: &str, to: &str, parcel: Parcel) {
+    pub fn send(&mut self, from: &str, to: &str, packet: Packet) {
         if self.cuts.contains(&(from.to_string(), to.to_string())) {
             return;
         }
@@ -187,10 +192,10 @@
         }
         if self.random.random_bool(0.01) {
             let late = self.soon(80);
-            self.event(late, to, 0, Event::Deliver(parcel.clone()));
+            self.event(late, to, 0, Event::Deliver(packet.clone()));
         }
         let most = if self.random.random_bool(0.02) { 60 } else { 8 };
         let time = self.soon(most);
-        self.event(time, to, 0, Event::Deliver(parcel));
+        self.event(time, to, 0, Event::Deliver(packet));
     }
 }
--- a/crates/simulator/src/oracle.rs
+++ b/crates/simulator/src/oracle.rs
@@ -2,22 +2,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most lines that are kept of what is broken.
-const BROKEN_MAX: usize = 10;
+const MAX_VIOLATIONS: usize = 10;
 
 /// Looks on and notes what must never happen. It knows only what went over the wire, what ran, and
-/// what callers and operators were told.
+/// what callers and operators were notified.
 #[derive(Default)]
 pub struct Oracle {
     /// True time, which no daemon knows.
     pub now: u64,
     /// What must never happen and did, with the time.
     pub broken: Vec<String>,
-    settled: BTreeMap<(String, u64, u64), (u64, Vec<u8>)>,
+    committed: BTreeMap<(String, u64, u64), (u64, Vec<u8>)>,
     once_runs: BTreeMap<u64, u32>,
-    told: BTreeMap<u64, &'static str>,
+    notified: BTreeMap<u64, &'static str>,
     ran: BTreeSet<u64>,
     serving: BTreeMap<String, Version>,
-    lent: BTreeMap<String, u64>,
+    leased: BTreeMap<String, u64>,
     refused_texts: BTreeSet<String>,
     acknowledged: Option<(Version, u64)>,
     evacuated: BTreeMap<String, u64>,
@@ -36,32 +36,32 @@
     pub runs: usize,
     /// Puts that were acknowledged.
     pub puts: usize,
-    /// Wishes that were told of each outcome.
+    /// Wishes that were notified of each outcome.
     pub outcomes: BTreeMap<&'static str, usize>,
 }
 
 impl Oracle {
     fn note(&mut self, text: String) {
-        if self.broken.len() < BROKEN_MAX {
+        if self.broken.len() < MAX_VIOLATIONS {
             self.broken.push(format!("at {} ms: {text}", self.now));
         }
     }
 
     /// A register's value was called settled.
-    pub fn settled(&mut self, key: &str, era: u64, version: u64, tag: u64, bytes: &[u8]) {
+    pub fn committed(&mut self, key: &str, epoch: u64, version: u64, tag: u64, bytes: &[u8]) {
         if version == 0 {
             return;
         }
-        // A put that was never acknowledged may be in force all the same, and open a district again.
-        let newest = self.acknowledged.map(|(known, _)| (known.era, known.no));
-        if key == "blueprint" && newest.is_none_or(|newest| (era, version) > newest) {
-            for district in open_districts(bytes) {
-                self.evacuated.remove(&district);
+        // A put that was never acknowledged may be in force all the same, and open a zone again.
+        let newest = self.acknowledged.map(|(known, _)| (known.epoch, known.no));
+        if key == "blueprint" && newest.is_none_or(|newest| (epoch, version) > newest) {
+            for zone in open_zones(bytes) {
+                self.evacuated.remove(&zone);
             }
         }
-        let place = (key.to_string(), era, version);
+        let place = (key.to_string(), epoch, version);
         let known = self
-            .settled
+            .committed
             .entry(place)
             .or_insert_with(|| (tag, bytes.to_vec()));
         if known.0 != tag || known.1 != bytes {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// All disks are lost: what was settled before says nothing of the next era.
+    /// All disks are lost: what was settled before says nothing of the next epoch.
     pub fn wiped(&mut self) {
         self.look("wiped");
     }
@@ -126,7 +126,7 @@
     }
 
     /// A runner begins to run a call.
-    pub fn run(&mut self, call: u64, key: Option<u64>, district: &str, worker: &str) {
+    pub fn run(&mut self, call: u64, key: Option<u64>, zone: &str, worker: &str) {
         self.runs += 1;
         self.ran.insert(call);
         if let Some(since) = self
@@ -140,7 +140,7 @@
                 self.note(format!("work runs on the leaving {worker}"));
             }
         }
-        if self.told.get(&call) == Some(&"not-run") {
+        if self.notified.get(&call) == Some(&"not-run") {
             self.note(format!("call {call} runs after 'not run'"));
         }
         if let Some(key) = key {
@@ -150,9 +150,9 @@
                 self.note(format!("once-key {key} runs a second time"));
             }
         }
-        if let Some(since) = self.evacuated.get(district) {
+        if let Some(since) = self.evacuated.get(zone) {
             if self.now > since + 5_000 {
-                self.note(format!("work runs in evacuated district {district}"));
+                self.note(format!("work runs in evacuated district {zone}"));
             }
         }
     }
@@ -165,7 +165,7 @@
         }
     }
 
-    /// A caller was told how its call ended.
+    /// A caller was notified how its call ended.
     pub fn tell(&mut self, call: u64, outcome: &'static str, function: &str) {
         *self.outcomes.entry(outcome).or_default() += 1;
         if outcome == "not-run" && self.ran.contains(&call) {
@@ -177,10 +177,10 @@
             }
             self.answered.push((self.now, function.to_string()));
         }
-        self.told.insert(call, outcome);
+        self.notified.insert(call, outcome);
     }
 
-    /// A front serves under a blueprint.
+    /// A front serves under a configuration.
     pub fn serves(&mut self, front: &str, version: Version) {
         let known = self.serving.entry(front.to_string()).or_default();
         if version < *known {
@@ -199,7 +199,7 @@
         }
     }
 
-    /// A put was answered with a refusal.
+    /// A put was answered with a rejection.
     pub fn refused(&mut self, text: &str) {
         self.refused_texts.insert(text.to_string());
     }
@@ -209,15 +209,14 @@
         self.puts += 1;
         if self.acknowledged.is_none_or(|(newest, _)| version > newest) {
             self.acknowledged = Some((version, self.now));
-            self.evacuated
-                .retain(|district, _| evacuated.contains(district));
-            for district in evacuated {
-                self.evacuated.entry(district.clone()).or_insert(self.now);
+            self.evacuated.retain(|zone, _| evacuated.contains(zone));
+            for zone in evacuated {
+                self.evacuated.entry(zone.clone()).or_insert(self.now);
             }
         }
     }
 
-    /// A front that works under an older blueprint 3 s after the newest was acknowledged.
+    /// A front that works under an older configuration 3 s after the newest was acknowledged.
     pub fn works(&mut self, front: &str, version: Version) {
         let Some((newest, at)) = self.acknowledged else {
             return;
@@ -228,9 +227,9 @@
         }
     }
 
-    /// A keeper lends a seat.
-    pub fn lends(&mut self, runner: &str, epoch: u64) {
-        let newest = self.lent.entry(runner.to_string()).or_default();
+    /// An owner lends a seat.
+    pub fn leases_seats(&mut self, runner: &str, epoch: u64) {
+        let newest = self.leased.entry(runner.to_string()).or_default();
         if epoch < *newest {
             let text = format!("keeper of epoch {epoch} lends {runner} after epoch {newest}");
             self.note(text);
@@ -259,10 +258,13 @@
     }
 }
 
-fn open_districts(text: &[u8]) -> Vec<String> {
-    let told: serde_json::Value = serde_json::from_slice(text).unwrap_or_default();
-    let districts = told["districts"].as_array().cloned().unwrap_or_default();
-    let open = districts.iter().filter(|one| one["state"] != "evacuated");
+fn open_zones(text: &[u8]) -> Vec<String> {
+    let notified: serde_json::Value = serde_json::from_slice(text).unwrap_or_default();
+    let zones = notified["districts"]
+        .as_array()
+        .cloned()
+        .unwrap_or_default();
+    let open = zones.iter().filter(|one| one["state"] != "evacuated");
     open.filter_map(|one| Some(one["name"].as_str()?.to_string()))
         .collect()
 }
