--- a/crates/simulator/src/yard.rs
+++ b/crates/simulator/src/platform.rs
@@ -1,29 +1,29 @@
-use crate::net::{Event, Happening, Net};
+use crate::net::{Event, Net, ScheduledEvent};
 use crate::oracle::Oracle;
 use configuration::RunnerEntry;
 use rand::Rng;
-use request_queue::{SeatGrant, Ticket, TryEnd};
-use scaler::{ListedRunner, ListedState, Order, OrderResult, Worker};
+use request_queue::{AttemptOutcome, QueuedRequest, SeatGrant};
+use scaler::{CommandResult, ListedRunner, ListedState, PlatformCommand, Worker};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Lag of the platform's lists.
-pub(crate) const LAG: u64 = 1_500;
+pub(crate) const LIST_LAG_MS: u64 = 1_500;
 
 /// Bytes of a try on their way to an address.
 #[derive(Clone, Debug)]
-pub(crate) struct Request {
+pub(crate) struct RunnerRequest {
     pub front: String,
-    pub life: u64,
-    pub ticket: Ticket,
+    pub incarnation: u64,
+    pub queued_request: QueuedRequest,
     pub seat: SeatGrant,
     pub call: u64,
-    pub once_key: Option<u64>,
+    pub idempotency_key: Option<u64>,
     pub budget_ms: u64,
 }
 
 /// What a runner sends back: the call that it ran, and its seal over it.
 #[derive(Clone, Debug)]
-pub(crate) struct Answer {
+pub(crate) struct RunnerResponse {
     pub call: u64,
     pub seal: String,
     pub took_ms: u64,
@@ -31,7 +31,7 @@
 
 /// What becomes of a run's answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Mischief {
+enum RunnerFault {
     None,
     Lost,
     /// The connection breaks early, as the front has seen, and the runner works on.
@@ -44,13 +44,13 @@
 }
 
 struct Run {
-    request: Request,
+    request: RunnerRequest,
     runner: String,
-    mischief: Mischief,
+    runner_fault: RunnerFault,
     began: u64,
 }
 
-struct StandIn {
+struct SimulatedRunner {
     entry: RunnerEntry,
     up_at: u64,
     in_flight: u32,
@@ -60,34 +60,34 @@
 }
 
 /// Name of a try, over which its answer is sealed.
-pub(crate) fn ticket_id(request_call: u64, seat: &SeatGrant) -> String {
-    format!("{request_call}-{}-{}", seat.keeper.name, seat.seat_no)
+pub(crate) fn attempt_id(request_call: u64, seat: &SeatGrant) -> String {
+    format!("{request_call}-{}-{}", seat.owner.name, seat.seat_no)
 }
 
 /// Workers, runners and the platform, as the daemons meet them.
-pub(crate) struct Yard {
+pub(crate) struct SimulatedPlatform {
     pub workers: Vec<Worker>,
     pub dead_workers: Vec<String>,
     pub concurrency: BTreeMap<String, u32>,
     pub start_ms: u64,
-    pub pace_ms: u64,
+    pub response_time_ms: u64,
     pub loss: f64,
     /// Share of answers that are cut, unsealed, or another's.
-    pub mischief: f64,
+    pub runner_fault: f64,
     /// How many times slower than others a worker's runners are.
     pub slowness: BTreeMap<String, u64>,
-    runners: BTreeMap<String, StandIn>,
+    runners: BTreeMap<String, SimulatedRunner>,
     runs: BTreeMap<u64, Run>,
     next_run: u64,
     past: VecDeque<(u64, Vec<Worker>, Vec<ListedRunner>)>,
     term: u64,
 }
 
-impl Yard {
+impl SimulatedPlatform {
     pub fn new(
         workers: Vec<Worker>,
         concurrency: BTreeMap<String, u32>,
-        pace_ms: u64,
+        response_time_ms: u64,
         loss: f64,
     ) -> Self {
         Self {
@@ -95,9 +95,9 @@
             dead_workers: Vec::new(),
             concurrency,
             start_ms: 700,
-            pace_ms,
+            response_time_ms,
             loss,
-            mischief: 0.0,
+            runner_fault: 0.0,
             slowness: BTreeMap::new(),
             runners: BTreeMap::new(),
             runs: BTreeMap::new(),
@@ -107,7 +107,7 @@
         }
     }
 
-    fn at_address(&mut self, now: u64, address: &str) -> Option<&mut StandIn> {
+    fn at_address(&mut self, now: u64, address: &str) -> Option<&mut SimulatedRunner> {
         let mut there = self.runners.values_mut();
         there.find(|runner| runner.entry.address == address && runner.up_at <= now)
     }
@@ -118,7 +118,7 @@
     }
 
     /// A request reaches an address.
-    pub fn request(&mut self, net: &mut Net, oracle: &mut Oracle, request: Request) {
+    pub fn request(&mut self, net: &mut Net, oracle: &mut Oracle, request: RunnerRequest) {
         let now = net.now;
         oracle.attempt(request.call);
         let concurrency = self.concurrency.get(&request.seat.function).copied();
@@ -131,56 +131,65 @@
         }
         let Some(runner) = found.filter(|runner| runner.entry.id == wanted) else {
             let back = net.soon(5);
-            let end = Event::TryEnd(request.ticket, request.seat, TryEnd::Absent, None);
-            net.event(back, &request.front, request.life, end);
+            let end = Event::AttemptOutcome(
+                request.queued_request,
+                request.seat,
+                AttemptOutcome::Absent,
+                None,
+            );
+            net.event(back, &request.front, request.incarnation, end);
             return;
         };
         runner.in_flight += 1;
         oracle.in_flight(&wanted, runner.in_flight, concurrency.unwrap_or(0));
         oracle.warming(&wanted, runner.in_flight, runner.ended);
-        let (district, worker) = (runner.entry.district.clone(), runner.entry.worker.clone());
-        oracle.run(request.call, request.once_key, &district, &worker);
+        let (zone, worker) = (runner.entry.zone.clone(), runner.entry.worker.clone());
+        oracle.run(request.call, request.idempotency_key, &zone, &worker);
         let spread = net.random.random_range(0.5..2.0);
         let times = slowness.get(&worker).copied().unwrap_or(1);
-        let mut takes = (self.pace_ms as f64 * spread) as u64 * times;
+        let mut takes = (self.response_time_ms as f64 * spread) as u64 * times;
         if net.random.random_bool(0.01) {
             takes = request.budget_ms;
         }
-        let mischief = self.draw(net);
+        let runner_fault = self.draw(net);
         let number = self.next_run;
         self.next_run += 1;
         let mut ends = now + takes.clamp(1, request.budget_ms);
-        if mischief == Mischief::Broken {
+        if runner_fault == RunnerFault::Broken {
             ends = now + request.budget_ms;
             let broken = net.soon(takes.max(1));
-            let (ticket, seat) = (request.ticket.clone(), request.seat.clone());
-            let event = Event::TryEnd(ticket, seat, TryEnd::Lost, None);
-            net.event(broken, &request.front, request.life, event);
+            let (queued_request, seat) = (request.queued_request.clone(), request.seat.clone());
+            let event = Event::AttemptOutcome(queued_request, seat, AttemptOutcome::Lost, None);
+            net.event(broken, &request.front, request.incarnation, event);
         }
         let run = Run {
             request,
             runner: wanted,
-            mischief,
+            runner_fault,
             began: now,
         };
         self.runs.insert(number, run);
-        net.at(ends, Happening::RunEnd(number));
+        net.at(ends, ScheduledEvent::RunEnd(number));
     }
 
-    fn draw(&self, net: &mut Net) -> Mischief {
+    fn draw(&self, net: &mut Net) -> RunnerFault {
         if net.random.random_bool(self.loss) {
             let is_early = net.random.random_bool(0.5);
             return if is_early {
-                Mischief::Broken
+                RunnerFault::Broken
             } else {
-                Mischief::Lost
+                RunnerFault::Lost
             };
         }
-        if net.random.random_bool(self.mischief) {
-            let kinds = [Mischief::Cut, Mischief::Unsealed, Mischief::Foreign];
+        if net.random.random_bool(self.runner_fault) {
+            let kinds = [
+                RunnerFault::Cut,
+                RunnerFault::Unsealed,
+                RunnerFault::Foreign,
+            ];
             return kinds[net.random.random_range(0..kinds.len())];
         }
-        Mischief::None
+        RunnerFault::None
     }
 
     /// A run ends and its answer leaves.
@@ -194,66 +203,68 @@
             runner.ended += 1;
             runner.entry.key.clone()
         });
-        if run.mischief == Mischief::Broken {
+        if run.runner_fault == RunnerFault::Broken {
             return;
         }
         let (request, took_ms) = (run.request, net.now - run.began);
         let sealed = |call: u64| {
-            let name = ticket_id(request.call, &request.seat);
+            let name = attempt_id(request.call, &request.seat);
             let body = call.to_le_bytes();
             let key = key.clone().unwrap_or_default();
             idempotency_keys::seal(&key, &name, &run.runner, 200, "", &body)
         };
         let answer = |call: u64, seal: String| {
-            Some(Answer {
+            Some(RunnerResponse {
                 call,
                 seal,
                 took_ms,
             })
         };
-        let (end, answer) = match (run.mischief, &key) {
-            (_, None) | (Mischief::Lost | Mischief::Broken, _) => (TryEnd::Lost, None),
-            (Mischief::Cut, _) => (TryEnd::Broken, None),
-            (Mischief::Unsealed, _) => {
+        let (end, answer) = match (run.runner_fault, &key) {
+            (_, None) | (RunnerFault::Lost | RunnerFault::Broken, _) => {
+                (AttemptOutcome::Lost, None)
+            }
+            (RunnerFault::Cut, _) => (AttemptOutcome::Broken, None),
+            (RunnerFault::Unsealed, _) => {
                 let answer = answer(request.call, String::new());
-                (TryEnd::Answered(took_ms), answer)
+                (AttemptOutcome::Answered(took_ms), answer)
             }
-            (Mischief::Foreign, _) => {
+            (RunnerFault::Foreign, _) => {
                 let answer = answer(request.call + 1_000_000, sealed(request.call));
-                (TryEnd::Answered(took_ms), answer)
+                (AttemptOutcome::Answered(took_ms), answer)
             }
-            (Mischief::None, _) => {
+            (RunnerFault::None, _) => {
                 let answer = answer(request.call, sealed(request.call));
-                (TryEnd::Answered(took_ms), answer)
+                (AttemptOutcome::Answered(took_ms), answer)
             }
         };
         let back = net.soon(5);
-        let event = Event::TryEnd(request.ticket, request.seat, end, answer);
-        net.event(back, &request.front, request.life, event);
+        let event = Event::AttemptOutcome(request.queued_request, request.seat, end, answer);
+        net.event(back, &request.front, request.incarnation, event);
     }
 
     /// A call reaches the platform.
-    pub fn order(&mut self, now: u64, order: &Order, term: u64) -> OrderResult {
+    pub fn command(&mut self, now: u64, command: &PlatformCommand, term: u64) -> CommandResult {
         if term < self.term {
-            return OrderResult::OldTerm;
+            return CommandResult::OldTerm;
         }
         self.term = term;
-        match order {
-            Order::Stop(id) => {
+        match command {
+            PlatformCommand::Stop(id) => {
                 self.runners.remove(id);
-                OrderResult::Gone
+                CommandResult::Gone
             }
-            Order::Start(entry) => self.start(now, entry),
+            PlatformCommand::Start(entry) => self.start(now, entry),
         }
     }
 
-    fn start(&mut self, now: u64, entry: &RunnerEntry) -> OrderResult {
+    fn start(&mut self, now: u64, entry: &RunnerEntry) -> CommandResult {
         if self.runners.contains_key(&entry.id) {
-            return OrderResult::Taken;
+            return CommandResult::Taken;
         }
         let worker = self.workers.iter().find(|one| one.name == entry.worker);
         let Some(worker) = worker.filter(|one| !self.dead_workers.contains(&one.name)) else {
-            return OrderResult::Refused;
+            return CommandResult::Refused;
         };
         let there = self.runners.values();
         let used: u64 = there
@@ -261,9 +272,9 @@
             .map(|runner| runner.entry.memory_mb)
             .sum();
         if used + entry.memory_mb > worker.memory_mb {
-            return OrderResult::Refused;
+            return CommandResult::Refused;
         }
-        let runner = StandIn {
+        let runner = SimulatedRunner {
             entry: entry.clone(),
             up_at: now + self.start_ms,
             in_flight: 0,
@@ -271,7 +282,7 @@
             is_stranger: false,
         };
         self.runners.insert(entry.id.clone(), runner);
-        OrderResult::Taken
+        CommandResult::Taken
     }
 
     /// A worker crashes with its runners, or comes back empty.
@@ -321,7 +332,7 @@
         });
         let lists = (now, alive.cloned().collect(), listed.collect());
         self.past.push_back(lists);
-        while self.past.len() > 1 && self.past[1].0 + LAG <= now {
+        while self.past.len() > 1 && self.past[1].0 + LIST_LAG_MS <= now {
             self.past.pop_front();
         }
     }
--- a/crates/simulator/src/start.rs
+++ b/crates/simulator/src/start.rs
@@ -1,13 +1,13 @@
 use crate::config::Config;
-use configuration::{Blueprint, District, Kind, Listing};
+use configuration::{Configuration, FunctionSpec, RequestKind, Zone};
 
-pub(crate) fn district(place: usize) -> String {
+pub(crate) fn zone(place: usize) -> String {
     ["a", "b", "c"][place % 3].to_string()
 }
 
-/// The blueprint that a simulated fleet starts with.
-pub(crate) fn first_blueprint(config: &Config) -> Blueprint {
-    let listings = (0..config.functions).map(|number| Listing {
+/// The configuration that a simulated fleet starts with.
+pub(crate) fn first_configuration(config: &Config) -> Configuration {
+    let function_specs = (0..config.functions).map(|number| FunctionSpec {
         name: format!("f{number}"),
         memory_mb: 300,
         start_ms: 700,
@@ -16,21 +16,21 @@
         kinds: vec!["urgent".into(), "plain".into()],
     });
     let kinds = [("urgent", true), ("plain", false)];
-    let districts = (0..3).map(|place| District {
-        name: district(place),
+    let zones = (0..3).map(|place| Zone {
+        name: zone(place),
         state: Default::default(),
     });
-    let mut blueprint = Blueprint::empty();
-    blueprint.listings = listings.collect();
-    blueprint.ranking = kinds
+    let mut configuration = Configuration::empty();
+    configuration.function_specs = function_specs.collect();
+    configuration.priority_order = kinds
         .iter()
-        .map(|(name, once)| Kind {
+        .map(|(name, once)| RequestKind {
             name: name.to_string(),
             once: *once,
         })
         .collect();
-    blueprint.districts = districts.collect();
-    blueprint.bounds.worker_memory_mb = 2_000;
-    blueprint.bounds.claim_ms = config.claim_ms;
-    blueprint
+    configuration.zones = zones.collect();
+    configuration.bounds.worker_memory_mb = 2_000;
+    configuration.bounds.claim_ms = config.claim_ms;
+    configuration
 }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -2,11 +2,11 @@
 use crate::core_node::CoreNode;
 use crate::faults::FaultPlan;
 use crate::front_node::FrontNode;
-use crate::net::{Clock, Event, Happening, Net, Parcel, Wish};
+use crate::net::{CallerRequest, Clock, Event, Net, Packet, ScheduledEvent};
 use crate::oracle::Oracle;
-use crate::start::{district, first_blueprint};
-use crate::yard::Yard;
-use configuration::{Blueprint, PeerRef};
+use crate::platform::SimulatedPlatform;
+use crate::start::{first_configuration, zone};
+use configuration::{Configuration, PeerRef};
 use journal::MemoryFolder;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -14,7 +14,7 @@
 use scaler::Worker;
 use std::collections::BTreeMap;
 
-use transport::Message;
+use transport::PeerMessage;
 
 const TICK: u64 = 100;
 /// Some callers' clocks are off by so much.
@@ -22,9 +22,9 @@
 /// Clocks run fast or slow by so much, in millionths.
 const DRIFT: i64 = 1_000;
 /// More events than this in one second are a storm that feeds itself.
-const STORM: u32 = 50_000;
+const MAX_EVENTS: u32 = 50_000;
 
-pub(crate) struct Life {
+pub(crate) struct RunningNode {
     number: u64,
     pub is_up: bool,
     pub frozen_until: u64,
@@ -37,10 +37,10 @@
     config: Config,
     pub(crate) net: Net,
     pub(crate) oracle: Oracle,
-    pub(crate) yard: Yard,
+    pub(crate) platform: SimulatedPlatform,
     pub(crate) fronts: BTreeMap<String, FrontNode>,
     pub(crate) cores: BTreeMap<String, CoreNode>,
-    pub(crate) lives: BTreeMap<String, Life>,
+    pub(crate) incarnations: BTreeMap<String, RunningNode>,
     pub(crate) clocks: BTreeMap<String, Clock>,
     faults: FaultPlan,
     seed: u64,
@@ -58,7 +58,7 @@
         let workers: Vec<Worker> = (0..6)
             .map(|place| Worker {
                 name: format!("worker-{place}"),
-                district: district(place),
+                zone: zone(place),
                 host: format!("10.0.0.{place}"),
                 memory_mb: 2_000,
                 first_port: 1_000,
@@ -79,8 +79,8 @@
         if let Some(only) = &config.only {
             faults.faults = only.clone();
         }
-        let blueprint = first_blueprint(&config);
-        let text = serde_json::to_string(&blueprint).unwrap_or_default();
+        let configuration = first_configuration(&config);
+        let text = serde_json::to_string(&configuration).unwrap_or_default();
         let voters = core_names.iter().enumerate().map(|(place, name)| VoterRef {
             disk: place as u64 + 1,
             address: name.clone(),
@@ -105,26 +105,31 @@
                 },
             },
         };
-        let concurrency = blueprint.listings.iter();
+        let concurrency = configuration.function_specs.iter();
         let concurrency = concurrency
-            .map(|listing| (listing.name.clone(), listing.concurrency))
+            .map(|function_spec| (function_spec.name.clone(), function_spec.concurrency))
             .collect();
         let mut world = Self {
             net: Net::new(random),
             oracle: Oracle::default(),
-            yard: Yard::new(workers, concurrency, config.pace_ms, config.answer_loss),
+            platform: SimulatedPlatform::new(
+                workers,
+                concurrency,
+                config.response_time_ms,
+                config.answer_loss,
+            ),
             fronts: BTreeMap::new(),
             cores: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             clocks: BTreeMap::new(),
             faults,
             seed,
             calls: 0,
             config,
         };
-        world.yard.mischief = world.config.mischief;
+        world.platform.runner_fault = world.config.runner_fault;
         let names = worker_names.into_iter();
-        world.yard.slowness = names.zip(world.config.slowness.clone()).collect();
+        world.platform.slowness = names.zip(world.config.slowness.clone()).collect();
         for name in core_names.iter().chain(&front_names) {
             let random = &mut world.net.random;
             let clock = Clock {
@@ -135,7 +140,7 @@
             world.clocks.insert(name.clone(), clock);
         }
         for (place, name) in core_names.iter().enumerate() {
-            let peer = world.new_life(name);
+            let peer = world.new_incarnation(name);
             let folder = MemoryFolder::default();
             let now = world.clocks[name].now(0);
             let mut core = CoreNode::new(peer, folder, place as u64 + 1, core_names.clone(), now);
@@ -146,27 +151,27 @@
             world.cores.insert(name.clone(), core);
         }
         for (place, name) in front_names.iter().enumerate() {
-            let peer = world.new_life(name);
-            let front = FrontNode::new(peer, &district(place), core_names.clone());
+            let peer = world.new_incarnation(name);
+            let front = FrontNode::new(peer, &zone(place), core_names.clone());
             world.fronts.insert(name.clone(), front);
         }
-        world.net.at(0, Happening::PlatformTick);
-        world.net.at(3_000, Happening::Caller);
+        world.net.at(0, ScheduledEvent::PlatformTick);
+        world.net.at(3_000, ScheduledEvent::Caller);
         for (time, fault) in world.faults.faults.clone() {
-            world.net.at(time, Happening::Fault(fault));
+            world.net.at(time, ScheduledEvent::Fault(fault));
         }
         world
     }
 
-    pub(crate) fn new_life(&mut self, name: &str) -> PeerRef {
+    pub(crate) fn new_incarnation(&mut self, name: &str) -> PeerRef {
         let number = self.net.random.random_range(1..u64::MAX);
-        let life = Life {
+        let incarnation = RunningNode {
             number,
             is_up: true,
             frozen_until: 0,
             stalled_until: 0,
         };
-        self.lives.insert(name.to_string(), life);
+        self.incarnations.insert(name.to_string(), incarnation);
         let time = self.net.soon(TICK);
         self.net.event(time, name, number, Event::Tick(number));
         PeerRef {
@@ -179,7 +184,7 @@
     pub fn run(mut self) -> Verdict {
         let mut since = 0;
         let mut events = 0;
-        while let Some((number, happening)) = self.net.pop() {
+        while let Some((number, scheduled_event)) = self.net.pop() {
             if self.net.now > self.config.until {
                 break;
             }
@@ -188,73 +193,77 @@
                 events = 0;
             }
             events += 1;
-            if events > STORM {
-                let text = format!("over {STORM} events in the second from {since} ms");
+            if events > MAX_EVENTS {
+                let text = format!("over {MAX_EVENTS} events in the second from {since} ms");
                 self.oracle.broken.push(text);
                 break;
             }
-            self.step(number, happening);
+            self.step(number, scheduled_event);
         }
         self.judge()
     }
 
-    fn step(&mut self, number: u64, happening: Happening) {
+    fn step(&mut self, number: u64, scheduled_event: ScheduledEvent) {
         let now = self.net.now;
         self.oracle.now = now;
-        match happening {
-            Happening::At(node, life, event) => self.at_node(number, node, life, event),
-            Happening::Request(request) => {
-                self.yard.request(&mut self.net, &mut self.oracle, *request);
+        match scheduled_event {
+            ScheduledEvent::At(node, incarnation, event) => {
+                self.at_node(number, node, incarnation, event)
             }
-            Happening::Probe(front, runner, address) => {
-                let is_there = self.yard.is_there(now, &address);
+            ScheduledEvent::RunnerRequest(request) => {
+                self.platform
+                    .request(&mut self.net, &mut self.oracle, *request);
+            }
+            ScheduledEvent::Probe(front, runner, address) => {
+                let is_there = self.platform.is_there(now, &address);
                 let event = Event::Probed(runner, is_there);
                 self.net.event(now + 1, &front, 0, event);
             }
-            Happening::RunEnd(run) => self.yard.run_end(&mut self.net, run),
-            Happening::Platform(core, life, order) => {
-                let (order, term) = *order;
-                let result = self.yard.order(now, &order, term);
+            ScheduledEvent::RunEnd(run) => self.platform.run_end(&mut self.net, run),
+            ScheduledEvent::Platform(core, incarnation, command) => {
+                let (command, term) = *command;
+                let result = self.platform.command(now, &command, term);
                 let time = self.net.soon(20);
                 self.net
-                    .event(time, &core, life, Event::Ordered(order, result));
+                    .event(time, &core, incarnation, Event::Ordered(command, result));
             }
-            Happening::PlatformTick => {
-                self.yard.tick(now);
-                self.net.at(now + 200, Happening::PlatformTick);
+            ScheduledEvent::PlatformTick => {
+                self.platform.tick(now);
+                self.net.at(now + 200, ScheduledEvent::PlatformTick);
             }
-            Happening::Fault(fault) => self.fault(fault),
-            Happening::Caller => self.caller(),
+            ScheduledEvent::Fault(fault) => self.fault(fault),
+            ScheduledEvent::Caller => self.caller(),
         }
     }
 
-    fn at_node(&mut self, number: u64, node: String, life: u64, event: Box<Event>) {
+    fn at_node(&mut self, number: u64, node: String, incarnation: u64, event: Box<Event>) {
         let now = self.net.now;
-        let Some(current) = self.lives.get(&node) else {
+        let Some(current) = self.incarnations.get(&node) else {
             return;
         };
-        if !current.is_up || (life != 0 && life != current.number) {
+        if !current.is_up || (incarnation != 0 && incarnation != current.number) {
             return;
         }
         let until = match *event {
-            Event::Deliver(Parcel {
-                body: Message::Voter(_),
+            Event::Deliver(Packet {
+                body: PeerMessage::Voter(_),
                 ..
             }) => current.frozen_until.max(current.stalled_until),
             _ => current.frozen_until,
         };
         if now < until {
-            let again = Happening::At(node, life, event);
+            let again = ScheduledEvent::At(node, incarnation, event);
             return self.net.put_back(until, number, again);
         }
-        if let Event::Tick(life) = *event {
-            self.net.event(now + TICK, &node, life, Event::Tick(life));
+        if let Event::Tick(incarnation) = *event {
+            self.net
+                .event(now + TICK, &node, incarnation, Event::Tick(incarnation));
         }
         self.net.look_by(self.clocks[&node]);
         if let Some(front) = self.fronts.get_mut(&node) {
             front.handle(&mut self.net, &mut self.oracle, *event);
         } else if let Some(core) = self.cores.get_mut(&node) {
-            core.handle(&mut self.net, &mut self.oracle, &self.yard, *event);
+            core.handle(&mut self.net, &mut self.oracle, &self.platform, *event);
         }
     }
 
@@ -275,28 +284,29 @@
             wall_jump: off,
             ..Clock::default()
         });
-        let wish = Wish {
+        let caller_request = CallerRequest {
             call: self.calls * 2,
             function,
             kind: if is_once { "urgent" } else { "plain" }.into(),
-            once_key: is_once.then_some(self.net.wall * 1_000 + self.calls % 1_000),
+            idempotency_key: is_once.then_some(self.net.wall * 1_000 + self.calls % 1_000),
         };
         // Every so often a caller asks a second front for the same work under the same key.
         if is_once && self.net.random.random_bool(0.3) {
-            let twin = Wish {
-                call: wish.call + 1,
-                ..wish.clone()
+            let twin = CallerRequest {
+                call: caller_request.call + 1,
+                ..caller_request.clone()
             };
             let is_late = self.net.random.random_bool(0.3);
             let time = self.net.soon(if is_late { 15_000 } else { 400 });
-            self.net.event(time, &other, 0, Event::Wish(twin));
+            self.net.event(time, &other, 0, Event::CallerRequest(twin));
         }
-        self.net.event(now, &front, 0, Event::Wish(wish));
-        self.net.at(now + pause, Happening::Caller);
+        self.net
+            .event(now, &front, 0, Event::CallerRequest(caller_request));
+        self.net.at(now + pause, ScheduledEvent::Caller);
     }
 
     fn judge(mut self) -> Verdict {
-        let bounds = Blueprint::empty().bounds;
+        let bounds = Configuration::empty().bounds;
         let floor = f64::from(bounds.retry_floor);
         self.oracle
             .check_retries(bounds.retry_window_ms, bounds.retry_share, floor);
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -68,7 +68,7 @@
 fn no_line_is_broken_when_seats_are_short_and_answers_are_lost() {
     let config = Config {
         rate: 120.0,
-        pace_ms: 250,
+        response_time_ms: 250,
         answer_loss: 0.2,
         ..Config::default()
     };
@@ -78,7 +78,7 @@
 #[test]
 fn no_answer_is_taken_that_is_not_the_runners_own() {
     let config = Config {
-        mischief: 0.3,
+        runner_fault: 0.3,
         ..Config::default()
     };
     sweep(4_000..4_020, &config, &["answers", "retries"]);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn eras_begin_after_a_wipe_from_what_fronts_hold() {
+fn epochs_begin_after_a_wipe_from_what_fronts_hold() {
     let mut founded = 0;
     for seed in 6_000..6_024 {
         let at = 9_000 + (seed - 6_000) * 100;
@@ -105,7 +105,7 @@
             0 => faults.push((at + 2_500, Fault::Freeze("core-0".into(), 3_000))),
             1 => faults.push((at + 2_500, Fault::Kill("core-0".into(), 400))),
             2 => faults.push((at + 100, Fault::Kill("front-1".into(), 2_000))),
-            _ => faults.push((at - 100, Fault::Put("core-1".into()))),
+            _ => faults.push((at - 100, Fault::PendingPut("core-1".into()))),
         }
         let config = Config {
             only: Some(faults),
@@ -121,14 +121,14 @@
 /// A worker that leaves makes runners drain, stop and start elsewhere; the scaling core is killed a
 /// little later into it with each seed.
 #[test]
-fn the_duty_holder_is_killed_in_each_step_of_a_drain_a_stop_and_a_start() {
+fn the_scaler_is_killed_in_each_step_of_a_drain_a_stop_and_a_start() {
     let (mut killed, mut left) = (0, 0);
     for seed in 7_000..7_030 {
         let config = Config {
             only: Some(vec![
                 (9_000, Fault::LeaveWorker("worker-0".into())),
                 (9_000, Fault::LeaveWorker("worker-1".into())),
-                (10_400 + 50 * (seed - 7_000), Fault::KillDuty(1_000)),
+                (10_400 + 50 * (seed - 7_000), Fault::KillScaler(1_000)),
                 (15_500, Fault::StayWorker("worker-0".into())),
                 (15_500, Fault::StayWorker("worker-1".into())),
             ]),
@@ -154,7 +154,9 @@
             0 => (9_000, Fault::CutOff("front-1".into())),
             _ => (9_000, Fault::Freeze("front-1".into(), 3_000)),
         }];
-        faults.extend((0..8).map(|number| (9_300 + number * 400, Fault::Put("core-1".into()))));
+        faults.extend(
+            (0..8).map(|number| (9_300 + number * 400, Fault::PendingPut("core-1".into()))),
+        );
         faults.push((16_000, Fault::Heal));
         let config = Config {
             only: Some(faults),
--- a/crates/transport/src/frame.rs
+++ b/crates/transport/src/frame.rs
@@ -6,14 +6,14 @@
 /// Version of the messages; another one is refused.
 pub const WIRE_VERSION: u8 = 1;
 /// Longest frame, in bytes.
-pub const FRAME_MAX: usize = 8 << 20;
+pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
 /// Why a frame was refused.
 #[derive(Debug)]
 pub enum FrameError {
     /// The connection broke or ended.
     Io(io::Error),
-    /// The frame is longer than [`FRAME_MAX`].
+    /// The frame is longer than [`MAX_FRAME_BYTES`].
     TooLong(usize),
     /// The frame is of another version.
     OtherVersion(u8),
@@ -37,7 +37,7 @@
 /// A whole frame for a message; none where it is over the bound.
 pub fn encode(envelope: &Envelope) -> Option<Vec<u8>> {
     let payload = envelope.write_to_vec().ok()?;
-    if payload.len() >= FRAME_MAX {
+    if payload.len() >= MAX_FRAME_BYTES {
         return None;
     }
     let mut frame = Vec::with_capacity(payload.len() + 5);
@@ -52,7 +52,7 @@
     let mut head = [0; 5];
     reader.read_exact(&mut head).map_err(FrameError::Io)?;
     let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    if length > FRAME_MAX {
+    if length > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(length));
     }
     if head[4] != WIRE_VERSION {
--- a/crates/transport/src/http.rs
+++ b/crates/transport/src/http.rs
@@ -8,7 +8,7 @@
 
 /// How a call over HTTP failed.
 #[derive(Debug)]
-pub enum HttpError {
+pub enum CallError {
     /// No connection: provably nothing was sent.
     NotConnected(io::Error),
     /// The connection broke, was too slow, or the answer was no HTTP.
@@ -17,7 +17,7 @@
     TooLarge,
 }
 
-impl fmt::Display for HttpError {
+impl fmt::Display for CallError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotConnected(error) => write!(formatter, "no connection: {error}"),
@@ -27,11 +27,11 @@
     }
 }
 
-impl std::error::Error for HttpError {}
+impl std::error::Error for CallError {}
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct CallResponse {
     /// Status code.
     pub status: u16,
     /// Headers.
@@ -93,26 +93,26 @@
     uri: &str,
     headers: &[(&str, &str)],
     body: Vec<u8>,
-    patience: Duration,
+    timeout: Duration,
     most: u64,
-) -> Result<Answer, HttpError> {
-    let end = Instant::now() + patience;
+) -> Result<CallResponse, CallError> {
+    let end = Instant::now() + timeout;
     let uri: Uri = uri
         .parse()
-        .map_err(|error| HttpError::NotConnected(io::Error::other(format!("{error}"))))?;
+        .map_err(|error| CallError::NotConnected(io::Error::other(format!("{error}"))))?;
     let mut builder = Request::builder().method(method).uri(uri);
     for (name, value) in headers {
         builder = builder.header(*name, *value);
     }
     let request = builder
         .body(body)
-        .map_err(|error| HttpError::NotConnected(io::Error::other(error)))?;
+        .map_err(|error| CallError::NotConnected(io::Error::other(error)))?;
     let response = Client::new()
-        .with_global_timeout(patience)
+        .with_global_timeout(timeout)
         .request(request)
         .map_err(|error| match error.kind() {
-            io::ErrorKind::ConnectionRefused => HttpError::NotConnected(error),
-            _ => HttpError::Broken(error),
+            io::ErrorKind::ConnectionRefused => CallError::NotConnected(error),
+            _ => CallError::Broken(error),
         })?;
     let (parts, mut stream) = response.into_parts();
     let declared = parts
@@ -123,21 +123,21 @@
     let mut part = [0; 16 * 1024];
     loop {
         if Instant::now() >= end {
-            return Err(HttpError::Broken(io::ErrorKind::TimedOut.into()));
+            return Err(CallError::Broken(io::ErrorKind::TimedOut.into()));
         }
-        let read = stream.read(&mut part).map_err(HttpError::Broken)?;
+        let read = stream.read(&mut part).map_err(CallError::Broken)?;
         if read == 0 {
             break;
         }
         body.extend_from_slice(&part[..read]);
         if body.len() as u64 > most {
-            return Err(HttpError::TooLarge);
+            return Err(CallError::TooLarge);
         }
     }
     if declared.is_some_and(|length| length != body.len() as u64) {
-        return Err(HttpError::Broken(io::ErrorKind::UnexpectedEof.into()));
+        return Err(CallError::Broken(io::ErrorKind::UnexpectedEof.into()));
     }
-    Ok(Answer {
+    Ok(CallResponse {
         status: parts.status.as_u16(),
         headers: parts.headers,
         body,
--- a/crates/transport/src/inbound.rs
+++ b/crates/transport/src/inbound.rs
@@ -1,5 +1,5 @@
 use crate::frame::{decode, encode, FrameError};
-use crate::message::{Envelope, Message, Role};
+use crate::message::{Envelope, PeerMessage, PeerRole};
 use configuration::PeerRef;
 use crossbeam::channel::{bounded, Sender};
 use std::io::{self, BufReader, BufWriter, Write};
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::Duration;
 
-const CONNECTIONS_MAX: usize = 512;
-const ANSWERS_MAX: usize = 4_096;
+const MAX_CONNECTIONS: usize = 512;
+const MAX_QUEUED_RESPONSES: usize = 4_096;
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Counts of what came over the wire.
@@ -20,7 +20,7 @@
     pub taken: AtomicU64,
     /// Connections closed for a frame that was no good.
     pub refused: AtomicU64,
-    /// Messages not sent for a full holding or a broken link.
+    /// Messages not sent for a full queue or a broken link.
     pub dropped: AtomicU64,
 }
 
@@ -33,13 +33,13 @@
 /// Answers one question, at once or later, from any thread.
 pub struct Responder {
     number: u64,
-    me: (PeerRef, String, Role),
+    me: (PeerRef, String, PeerRole),
     answers: Sender<Envelope>,
 }
 
 impl Responder {
     /// Sends the answer.
-    pub fn answer(self, body: Message) {
+    pub fn answer(self, body: PeerMessage) {
         let (from, address, role) = self.me;
         let envelope = Envelope {
             from,
@@ -55,7 +55,7 @@
 
 pub(crate) fn listen(
     listener: TcpListener,
-    me: (PeerRef, String, Role),
+    me: (PeerRef, String, PeerRole),
     handler: Arc<dyn Handler>,
     counts: Arc<WireCounts>,
 ) -> io::Result<()> {
@@ -65,7 +65,7 @@
             let Ok(stream) = stream else {
                 continue;
             };
-            if open.load(Ordering::Relaxed) >= CONNECTIONS_MAX {
+            if open.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
                 counts.refused.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
@@ -90,7 +90,7 @@
 
 fn serve_connection(
     stream: TcpStream,
-    me: (PeerRef, String, Role),
+    me: (PeerRef, String, PeerRole),
     handler: &dyn Handler,
     counts: &WireCounts,
 ) {
@@ -99,7 +99,7 @@
     let Ok(writer) = stream.try_clone() else {
         return;
     };
-    let (answers, outgoing) = bounded::<Envelope>(ANSWERS_MAX);
+    let (answers, outgoing) = bounded::<Envelope>(MAX_QUEUED_RESPONSES);
     let write = move || {
         let mut buffer = BufWriter::new(&writer);
         while let Ok(first) = outgoing.recv() {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -12,10 +12,12 @@
 mod voters;
 
 pub use clock::{now_ms, unix_ms};
-pub use frame::{decode, encode, FrameError, FRAME_MAX, WIRE_VERSION};
-pub use http::{call, json, read_body, serve, text, Answer, HttpError};
+pub use frame::{decode, encode, FrameError, MAX_FRAME_BYTES, WIRE_VERSION};
+pub use http::{call, json, read_body, serve, text, CallError, CallResponse};
 pub use inbound::{Handler, Responder, WireCounts};
 pub use links::Links;
 pub use listening::close_door;
-pub use message::{BlueprintNews, Copy, Envelope, Message, News, PlanNews, Role};
+pub use message::{
+    ConfigurationUpdate, Envelope, PeerMessage, PeerRole, PlanUpdate, ReplicaDigest, StateUpdate,
+};
 pub use voters::WireVoters;
--- a/crates/transport/src/links.rs
+++ b/crates/transport/src/links.rs
@@ -1,6 +1,6 @@
 use crate::frame::{decode, encode};
 use crate::inbound::{listen, Handler, WireCounts};
-use crate::message::{Envelope, Message, Role};
+use crate::message::{Envelope, PeerMessage, PeerRole};
 use configuration::PeerRef;
 use crossbeam::channel::{bounded, Receiver, Sender};
 use parking_lot::Mutex;
@@ -12,28 +12,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const LINKS_MAX: usize = 256;
-const OUTGOING_MAX: usize = 4_096;
-const PENDING_MAX: usize = 8_192;
+const MAX_LINKS: usize = 256;
+const MAX_QUEUED_MESSAGES: usize = 4_096;
+const MAX_PENDING_CALLS: usize = 8_192;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 /// Questions that were not answered by then are forgotten.
-const ANSWER_PATIENCE: Duration = Duration::from_secs(10);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-type OnAnswer = Box<dyn FnOnce(Message) + Send>;
+type OnAnswer = Box<dyn FnOnce(PeerMessage) + Send>;
 
 #[derive(Default)]
-struct Pending {
+struct PendingCall {
     waiting: Mutex<HashMap<u64, (Instant, OnAnswer)>>,
 }
 
-impl Pending {
+impl PendingCall {
     fn add(&self, number: u64, on_answer: OnAnswer) -> bool {
         let mut waiting = self.waiting.lock();
-        if waiting.len() >= PENDING_MAX {
-            waiting.retain(|_, (asked, _)| asked.elapsed() < ANSWER_PATIENCE);
-            if waiting.len() >= PENDING_MAX {
+        if waiting.len() >= MAX_PENDING_CALLS {
+            waiting.retain(|_, (asked, _)| asked.elapsed() < RESPONSE_TIMEOUT);
+            if waiting.len() >= MAX_PENDING_CALLS {
                 return false;
             }
         }
@@ -41,7 +41,7 @@
         true
     }
 
-    fn answer(&self, number: u64, body: Message) {
+    fn answer(&self, number: u64, body: PeerMessage) {
         let found = self.waiting.lock().remove(&number);
         if let Some((_, on_answer)) = found {
             on_answer(body);
@@ -51,16 +51,16 @@
 
 /// Links to the other daemons: one connection to each, kept up while there is something to say.
 pub struct Links {
-    me: (PeerRef, String, Role),
+    me: (PeerRef, String, PeerRole),
     outgoing: Mutex<HashMap<String, Sender<Envelope>>>,
-    pending: Arc<Pending>,
+    pending: Arc<PendingCall>,
     numbers: AtomicU64,
     counts: Arc<WireCounts>,
 }
 
 impl Links {
     /// Links of a daemon that is reached at `address`.
-    pub fn new(me: PeerRef, address: SocketAddr, role: Role) -> Self {
+    pub fn new(me: PeerRef, address: SocketAddr, role: PeerRole) -> Self {
         Self {
             me: (me, address.to_string(), role),
             outgoing: Mutex::default(),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// This daemon in this life.
+    /// This daemon in this incarnation.
     pub fn me(&self) -> &PeerRef {
         &self.me.0
     }
@@ -86,12 +86,12 @@
     }
 
     /// Sends a message that wants no answer. It may be lost; it never waits.
-    pub fn cast(&self, address: &str, body: Message) {
+    pub fn cast(&self, address: &str, body: PeerMessage) {
         self.send(address, 0, body);
     }
 
     /// Asks a question. The answer may never come; it is taken on the link's own thread.
-    pub fn ask(&self, address: &str, body: Message, on_answer: OnAnswer) {
+    pub fn ask(&self, address: &str, body: PeerMessage, on_answer: OnAnswer) {
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
         if self.pending.add(number, on_answer) {
             self.send(address, number, body);
@@ -99,16 +99,21 @@
     }
 
     /// Asks a question and waits for the answer.
-    pub fn ask_wait(&self, address: &str, body: Message, patience: Duration) -> Option<Message> {
+    pub fn ask_wait(
+        &self,
+        address: &str,
+        body: PeerMessage,
+        timeout: Duration,
+    ) -> Option<PeerMessage> {
         let (sender, receiver) = bounded(1);
         let on_answer = Box::new(move |answer| {
             let _ = sender.try_send(answer);
         });
         self.ask(address, body, on_answer);
-        receiver.recv_timeout(patience).ok()
+        receiver.recv_timeout(timeout).ok()
     }
 
-    fn send(&self, address: &str, number: u64, body: Message) {
+    fn send(&self, address: &str, number: u64, body: PeerMessage) {
         let (from, own_address, role) = self.me.clone();
         let envelope = Envelope {
             from,
@@ -132,10 +137,10 @@
             return Some(link.clone());
         }
         let socket: SocketAddr = address.parse().ok()?;
-        if outgoing.len() >= LINKS_MAX {
+        if outgoing.len() >= MAX_LINKS {
             return None;
         }
-        let (sender, receiver) = bounded(OUTGOING_MAX);
+        let (sender, receiver) = bounded(MAX_QUEUED_MESSAGES);
         let (pending, counts) = (self.pending.clone(), self.counts.clone());
         thread::Builder::new()
             .name("wire-link".into())
@@ -146,18 +151,18 @@
     }
 }
 
-struct Connection {
+struct PeerConnection {
     writer: BufWriter<TcpStream>,
     is_broken: Arc<AtomicBool>,
 }
 
-impl Drop for Connection {
+impl Drop for PeerConnection {
     fn drop(&mut self) {
         let _ = self.writer.get_ref().shutdown(Shutdown::Both);
     }
 }
 
-fn connect(socket: SocketAddr, pending: &Arc<Pending>) -> io::Result<Connection> {
+fn connect(socket: SocketAddr, pending: &Arc<PendingCall>) -> io::Result<PeerConnection> {
     let stream = TcpStream::connect_timeout(&socket, CONNECT_TIMEOUT)?;
     stream.set_nodelay(true)?;
     stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
@@ -176,7 +181,7 @@
     thread::Builder::new()
         .name("wire-answers".into())
         .spawn(read)?;
-    Ok(Connection {
+    Ok(PeerConnection {
         writer: BufWriter::new(stream),
         is_broken,
     })
@@ -185,10 +190,10 @@
 fn run_link(
     socket: SocketAddr,
     outgoing: &Receiver<Envelope>,
-    pending: &Arc<Pending>,
+    pending: &Arc<PendingCall>,
     counts: &WireCounts,
 ) {
-    let mut connection: Option<Connection> = None;
+    let mut connection: Option<PeerConnection> = None;
     let mut failed_at: Option<Instant> = None;
     while let Ok(first) = outgoing.recv() {
         if connection
@@ -197,7 +202,7 @@
         {
             connection = None;
         }
-        let may_connect = failed_at.is_none_or(|time| time.elapsed() >= RETRY_PAUSE);
+        let may_connect = failed_at.is_none_or(|time| time.elapsed() >= RECONNECT_PAUSE);
         if connection.is_none() && may_connect {
             connection = connect(socket, pending).ok();
             failed_at = connection.is_none().then(Instant::now);
@@ -213,7 +218,7 @@
 }
 
 fn write_batch(
-    open: &mut Connection,
+    open: &mut PeerConnection,
     first: Envelope,
     outgoing: &Receiver<Envelope>,
 ) -> io::Result<()> {
--- a/crates/transport/src/listening.rs
+++ b/crates/transport/src/listening.rs
@@ -10,7 +10,7 @@
     numbers.find(|number| {
         let mut is_listening: libc::c_int = 0;
         let mut size = mem::size_of::<libc::c_int>() as libc::socklen_t;
-        // SAFETY: the call writes an int of the size that it is told, and fails on what is no socket.
+        // SAFETY: the call writes an int of the size that it is notified, and fails on what is no socket.
         let code = unsafe {
             libc::getsockopt(
                 *number,
@@ -75,8 +75,8 @@
         let address = listener.local_addr().unwrap();
         let mut early = TcpStream::connect(address).unwrap();
         assert!(close_door(address));
-        let patience = Duration::from_millis(100);
-        assert!(TcpStream::connect_timeout(&address, patience).is_err());
+        let timeout = Duration::from_millis(100);
+        assert!(TcpStream::connect_timeout(&address, timeout).is_err());
         let (mut taken, _) = listener.accept().unwrap();
         taken.write_all(b"well").unwrap();
         let mut answer = [0; 4];
--- a/crates/transport/src/message.rs
+++ b/crates/transport/src/message.rs
@@ -1,12 +1,12 @@
 use configuration::{PeerRef, Plan, Version};
-use peer_sampling::Neighbour;
+use peer_sampling::PeerDescriptor;
 use register::{ClaimFloors, RegisterState, VoterRequest, VoterResponse, VoterSet};
-use request_queue::{DeskMessage, FrontReport};
+use request_queue::{FrontMessage, FrontReport};
 use speedy::{Readable, Writable};
 
 /// What a daemon is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub enum Role {
+pub enum PeerRole {
     /// Carries traffic.
     Front,
     /// Keeps state and scales.
@@ -16,23 +16,23 @@
 /// One message with what is needed to answer it.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct Envelope {
-    /// Who sends it, in which of its lives.
+    /// Who sends it, in which of its incarnations.
     pub from: PeerRef,
     /// Wire address at which the sender is reached.
     pub address: String,
     /// What the sender is.
-    pub role: Role,
+    pub role: PeerRole,
     /// Number of the question; 0 where no answer is wanted.
     pub number: u64,
     /// Whether this is the answer to the question of that number.
     pub is_answer: bool,
     /// The message.
-    pub body: Message,
+    pub body: PeerMessage,
 }
 
-/// A blueprint that is known to be settled, as JSON text.
+/// A configuration that is known to be settled, as JSON text.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub struct BlueprintNews {
+pub struct ConfigurationUpdate {
     /// Its version.
     pub version: Version,
     /// Its text.
@@ -41,7 +41,7 @@
 
 /// A plan that is known to be settled.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub struct PlanNews {
+pub struct PlanUpdate {
     /// Its version.
     pub version: Version,
     /// The plan.
@@ -50,11 +50,11 @@
 
 /// Settled values that are newer than what the asker has.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
-pub struct News {
-    /// The blueprint, where it is newer.
-    pub blueprint: Option<BlueprintNews>,
+pub struct StateUpdate {
+    /// The configuration, where it is newer.
+    pub configuration: Option<ConfigurationUpdate>,
     /// The plan, where it is newer.
-    pub plan: Option<PlanNews>,
+    pub plan: Option<PlanUpdate>,
     /// The voters as the answerer knows them.
     pub set: VoterSet,
     /// Addresses of all fronts that the answerer knows.
@@ -67,39 +67,39 @@
 
 /// Everything that daemons say to each other.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub enum Message {
+pub enum PeerMessage {
     /// Between fronts.
-    Desk(DeskMessage),
+    Front(FrontMessage),
     /// To a voter.
     Voter(VoterRequest),
     /// From a voter.
-    VoterAnswer(VoterResponse),
-    /// Question for news; it is answered when there is some, or after a while.
-    Ask {
-        /// Blueprint version that the asker has.
-        blueprint: Version,
+    VoterResponse(VoterResponse),
+    /// Question for updates; it is answered when there is some, or after a while.
+    AwaitUpdate {
+        /// Configuration version that the asker has.
+        configuration: Version,
         /// Plan version that the asker has.
         plan: Version,
         /// Whether the answer must be read at a majority of voters.
         wants_certain: bool,
     },
-    /// Answer to a question for news.
-    News(News),
+    /// Answer to a question for updates.
+    StateUpdate(StateUpdate),
     /// A front's report for the scaler.
     Report(FrontReport),
     /// Who are you?
     Hello,
     /// Answer to a hello.
-    HelloAnswer {
+    HelloResponse {
         /// Id of the disk.
         disk: u64,
-        /// The set that it believes in; era 0 where it is empty.
+        /// The set that it believes in; epoch 0 where it is empty.
         set: VoterSet,
-        /// The newest era of which a front told it that it holds a value.
-        fronts_era: u64,
+        /// The newest epoch of which a front notified it that it holds a value.
+        fronts_epoch: u64,
     },
     /// A part of the sender's view; the answer is a part of the receiver's.
-    Shuffle(Vec<Neighbour>),
+    Shuffle(Vec<PeerDescriptor>),
     /// Take this first set; claims that were issued before the time stay refused.
     Form(VoterSet, u64),
     /// Take this set, which was settled as the one that follows.
@@ -109,18 +109,18 @@
     /// What are the digests of your ranges?
     Digests,
     /// Answer: the voter's set, its floors, and a digest for each range.
-    DigestsAnswer(Copy),
+    DigestsResponse(ReplicaDigest),
     /// What do you hold in this range?
     Range(u16),
     /// Answer: all keys of the range.
-    RangeAnswer(Vec<(String, RegisterState)>),
+    RangeResponse(Vec<(String, RegisterState)>),
     /// Claims that a front still knows after the ledger was lost.
-    Remembered(Vec<(String, RegisterState)>),
+    RememberedClaims(Vec<(String, RegisterState)>),
 }
 
 /// A voter's copy in short.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
-pub struct Copy {
+pub struct ReplicaDigest {
     /// Whether its disk can be trusted, so that it votes.
     pub is_open: bool,
     /// The set that it is in.
--- a/crates/transport/src/voters.rs
+++ b/crates/transport/src/voters.rs
@@ -1,5 +1,5 @@
 use crate::links::Links;
-use crate::message::Message;
+use crate::message::PeerMessage;
 use crossbeam::channel::Sender;
 use register::{NumberedResponse, VoterPort, VoterRef, VoterRequest};
 use std::sync::Arc;
@@ -26,7 +26,7 @@
         responses: Sender<NumberedResponse>,
     ) {
         let on_answer = Box::new(move |answer| {
-            if let Message::VoterAnswer(response) = answer {
+            if let PeerMessage::VoterResponse(response) = answer {
                 let _ = responses.send(NumberedResponse {
                     number,
                     voter: index,
@@ -35,6 +35,6 @@
             }
         });
         self.links
-            .ask(&voter.address, Message::Voter(request), on_answer);
+            .ask(&voter.address, PeerMessage::Voter(request), on_answer);
     }
 }
--- a/crates/transport/tests/frames.rs
+++ b/crates/transport/tests/frames.rs
@@ -3,25 +3,28 @@
 use configuration::{PeerRef, Version};
 use fuzzing::{seeded, TestResult};
 use register::{Ballot, SetVersion, VersionedValue, VoterOperation, VoterRequest, VoterResponse};
-use request_queue::{DeskMessage, RankCount};
-use transport::{decode, encode, Envelope, FrameError, Message, Role, FRAME_MAX};
+use request_queue::{FrontMessage, PriorityCount};
+use transport::{decode, encode, Envelope, FrameError, PeerMessage, PeerRole, MAX_FRAME_BYTES};
 
-fn envelope(body: Message, number: u64) -> Envelope {
+fn envelope(body: PeerMessage, number: u64) -> Envelope {
     Envelope {
         from: PeerRef {
             name: "front-1".into(),
             incarnation: number,
         },
         address: "127.0.0.1:1".into(),
-        role: Role::Front,
+        role: PeerRole::Front,
         number,
         is_answer: number.is_multiple_of(2),
         body,
     }
 }
 
-fn bodies(text: &str, number: u64, bytes: &[u8]) -> Vec<Message> {
-    let version = Version { era: 1, no: number };
+fn bodies(text: &str, number: u64, bytes: &[u8]) -> Vec<PeerMessage> {
+    let version = Version {
+        epoch: 1,
+        no: number,
+    };
     let ballot = Ballot {
         counter: number,
         proposer: 3,
@@ -32,13 +35,13 @@
         bytes: bytes.to_vec(),
     };
     vec![
-        Message::Hello,
-        Message::Ask {
-            blueprint: version,
+        PeerMessage::Hello,
+        PeerMessage::AwaitUpdate {
+            configuration: version,
             plan: version,
             wants_certain: true,
         },
-        Message::Voter(VoterRequest {
+        PeerMessage::Voter(VoterRequest {
             set_version: SetVersion::new(1, number),
             operation: VoterOperation::Accept {
                 key: text.into(),
@@ -46,25 +49,25 @@
                 value: stored.clone(),
             },
         }),
-        Message::VoterAnswer(VoterResponse::LastAccepted {
+        PeerMessage::VoterResponse(VoterResponse::LastAccepted {
             ballot,
             value: stored,
         }),
-        Message::Desk(DeskMessage::Bid {
-            life: 3,
+        PeerMessage::Front(FrontMessage::SeatRequest {
+            incarnation: 3,
             stamp: number,
-            seen_award: 2,
+            seen_assignment: 2,
             function: text.into(),
-            ranks: vec![RankCount {
-                rank: 1,
+            priorities: vec![PriorityCount {
+                priority: 1,
                 count: 2,
                 oldest_ms: number,
             }],
         }),
-        Message::Desk(DeskMessage::Holds {
-            life: 3,
+        PeerMessage::Front(FrontMessage::Holds {
+            incarnation: 3,
             stamp: 1,
-            seen_award: 2,
+            seen_assignment: 2,
             seats: bytes.iter().map(|byte| u64::from(*byte)).collect(),
         }),
     ]
@@ -107,13 +110,13 @@
 
 #[test]
 fn oversized_and_foreign_frames_are_refused() {
-    let mut long = (FRAME_MAX as u32 + 1).to_le_bytes().to_vec();
+    let mut long = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes().to_vec();
     long.push(transport::WIRE_VERSION);
     assert!(matches!(
         decode(&mut long.as_slice()),
         Err(FrameError::TooLong(_))
     ));
-    let mut frame = encode(&envelope(Message::Hello, 1)).unwrap();
+    let mut frame = encode(&envelope(PeerMessage::Hello, 1)).unwrap();
     frame[4] = transport::WIRE_VERSION + 1;
     assert!(matches!(
         decode(&mut frame.as_slice()),
--- a/tests/compatibility/src/samples/daemons.rs
+++ b/tests/compatibility/src/samples/daemons.rs
@@ -3,12 +3,14 @@
 use crate::sample::{sample, Sample};
 use crate::samples::register::{answers, questions, register_state, voter_set};
 use crate::samples::stored::{peer, plan, version};
-use peer_sampling::Neighbour;
+use peer_sampling::PeerDescriptor;
 use register::ClaimFloors;
 use request_queue::{
-    Award, DeskMessage, FrontReport, FunctionReport, RankCount, Return, RunnerReport,
+    FrontMessage, FrontReport, FunctionReport, PriorityCount, Return, RunnerReport, SeatAssignment,
+};
+use transport::{
+    ConfigurationUpdate, Envelope, PeerMessage, PeerRole, PlanUpdate, ReplicaDigest, StateUpdate,
 };
-use transport::{BlueprintNews, Copy, Envelope, Message, News, PlanNews, Role};
 
 /// Every message between the older daemons, in envelopes.
 pub fn envelopes() -> Vec<Sample<Envelope>> {
@@ -18,47 +20,54 @@
     bodies.extend(updates());
     bodies.extend(membership());
     bodies.extend(repair());
-    let enclose = |body: Sample<Message>| sample(body.name, envelope(body.value));
+    let enclose = |body: Sample<PeerMessage>| sample(body.name, envelope(body.value));
     bodies.into_iter().map(enclose).collect()
 }
 
-fn envelope(body: Message) -> Envelope {
-    let is_answer = matches!(body, Message::News(_) | Message::VoterAnswer(_));
+fn envelope(body: PeerMessage) -> Envelope {
+    let is_answer = matches!(
+        body,
+        PeerMessage::StateUpdate(_) | PeerMessage::VoterResponse(_)
+    );
     Envelope {
         from: peer(),
         address: "10.0.0.1:7200".into(),
-        role: if is_answer { Role::Core } else { Role::Front },
+        role: if is_answer {
+            PeerRole::Core
+        } else {
+            PeerRole::Front
+        },
         number: 81,
         is_answer,
         body,
     }
 }
 
-fn between_fronts() -> Vec<Sample<Message>> {
-    let heartbeat = DeskMessage::Beat {
+fn between_fronts() -> Vec<Sample<PeerMessage>> {
+    let heartbeat = FrontMessage::Heartbeat {
         stamp: 100,
         plan: version(),
-        blueprint: version(),
-        last_award: 7,
+        configuration: version(),
+        last_assignment: 7,
     };
-    let heartbeat_answer = DeskMessage::BeatAnswer {
+    let heartbeat_answer = FrontMessage::HeartbeatResponse {
         stamp: 100,
         plan: version(),
-        blueprint: version(),
+        configuration: version(),
     };
-    let rank = RankCount {
-        rank: 1,
+    let priority = PriorityCount {
+        priority: 1,
         count: 12,
         oldest_ms: 340,
     };
-    let seat_request = DeskMessage::Bid {
+    let seat_request = FrontMessage::SeatRequest {
         stamp: 101,
-        life: 9,
-        seen_award: 7,
+        incarnation: 9,
+        seen_assignment: 7,
         function: "resize".into(),
-        ranks: vec![rank],
+        priorities: vec![priority],
     };
-    let lease = DeskMessage::Award(Award {
+    let lease = FrontMessage::SeatAssignment(SeatAssignment {
         stamp: 101,
         function: "resize".into(),
         runner: "r-1".into(),
@@ -66,67 +75,76 @@
         seat_no: 8,
     });
     vec![
-        sample("desk_heartbeat", Message::Desk(heartbeat)),
-        sample("desk_heartbeat_answer", Message::Desk(heartbeat_answer)),
-        sample("desk_seat_request", Message::Desk(seat_request)),
-        sample("desk_seat_lease", Message::Desk(lease)),
+        sample("desk_heartbeat", PeerMessage::Front(heartbeat)),
+        sample(
+            "desk_heartbeat_answer",
+            PeerMessage::Front(heartbeat_answer),
+        ),
+        sample("desk_seat_request", PeerMessage::Front(seat_request)),
+        sample("desk_seat_lease", PeerMessage::Front(lease)),
     ]
 }
 
-fn returned_seats() -> Vec<Sample<Message>> {
-    let returned = DeskMessage::Return(Return {
+fn returned_seats() -> Vec<Sample<PeerMessage>> {
+    let returned = FrontMessage::Return(Return {
         runner: "r-1".into(),
         seat_no: 8,
         took_ms: Some(35),
         is_bad: true,
         is_absent: false,
     });
-    let holds = DeskMessage::Holds {
+    let holds = FrontMessage::Holds {
         stamp: 102,
-        life: 9,
-        seen_award: 8,
+        incarnation: 9,
+        seen_assignment: 8,
         seats: vec![3, 8],
     };
-    let handover = DeskMessage::Handover {
+    let handover = FrontMessage::Handover {
         runner: "r-1".into(),
         epoch: 2,
-        lent: 3,
+        leased: 3,
         over_in_ms: 900,
     };
     vec![
-        sample("desk_return", Message::Desk(returned)),
-        sample("desk_holds", Message::Desk(holds)),
-        sample("desk_handover", Message::Desk(handover)),
+        sample("desk_return", PeerMessage::Front(returned)),
+        sample("desk_holds", PeerMessage::Front(holds)),
+        sample("desk_handover", PeerMessage::Front(handover)),
     ]
 }
 
-fn to_voters() -> Vec<Sample<Message>> {
+fn to_voters() -> Vec<Sample<PeerMessage>> {
     let [peek, promise, accept] = questions().try_into().expect("there are three questions");
     let [holds, .., closed] = answers()
         .try_into()
         .map(|answers: [_; 6]| answers)
         .expect("there are six answers");
     vec![
-        sample("voter_peek", Message::Voter(peek.value)),
-        sample("voter_promise", Message::Voter(promise.value)),
-        sample("voter_accept", Message::Voter(accept.value)),
-        sample("voter_answer_holds", Message::VoterAnswer(holds.value)),
-        sample("voter_answer_closed", Message::VoterAnswer(closed.value)),
+        sample("voter_peek", PeerMessage::Voter(peek.value)),
+        sample("voter_promise", PeerMessage::Voter(promise.value)),
+        sample("voter_accept", PeerMessage::Voter(accept.value)),
+        sample(
+            "voter_answer_holds",
+            PeerMessage::VoterResponse(holds.value),
+        ),
+        sample(
+            "voter_answer_closed",
+            PeerMessage::VoterResponse(closed.value),
+        ),
     ]
 }
 
-fn updates() -> Vec<Sample<Message>> {
-    let ask = Message::Ask {
-        blueprint: version(),
+fn updates() -> Vec<Sample<PeerMessage>> {
+    let ask = PeerMessage::AwaitUpdate {
+        configuration: version(),
         plan: version(),
         wants_certain: true,
     };
-    let all = News {
-        blueprint: Some(BlueprintNews {
+    let all = StateUpdate {
+        configuration: Some(ConfigurationUpdate {
             version: version(),
             text: "{}".into(),
         }),
-        plan: Some(PlanNews {
+        plan: Some(PlanUpdate {
             version: version(),
             plan: plan(),
         }),
@@ -137,9 +155,12 @@
     };
     vec![
         sample("ask", ask),
-        sample("news", Message::News(all)),
-        sample("news_blank", Message::News(News::default())),
-        sample("report", Message::Report(front_report())),
+        sample("news", PeerMessage::StateUpdate(all)),
+        sample(
+            "news_blank",
+            PeerMessage::StateUpdate(StateUpdate::default()),
+        ),
+        sample("report", PeerMessage::Report(front_report())),
     ]
 }
 
@@ -156,7 +177,7 @@
         epoch: 2,
         is_active: true,
         is_warm: true,
-        lent: 3,
+        leased: 3,
         answered: 90,
         took_ms: 3_600,
         is_unfit: false,
@@ -164,43 +185,43 @@
         absent_ms: 12,
     };
     FrontReport {
-        district: "north".into(),
+        zone: "north".into(),
         http: "10.0.0.9:8080".into(),
         wall_ms: 1_700_000_000_000,
         is_witness: false,
         is_draining: true,
-        has_standing: true,
+        has_quorum: true,
         plan: version(),
-        blueprint: version(),
+        configuration: version(),
         functions: vec![function],
         runners: vec![runner],
     }
 }
 
-fn membership() -> Vec<Sample<Message>> {
-    let hello_answer = Message::HelloAnswer {
+fn membership() -> Vec<Sample<PeerMessage>> {
+    let hello_answer = PeerMessage::HelloResponse {
         disk: 0x0102_0304_0506_0708,
         set: voter_set(),
-        fronts_era: 2,
+        fronts_epoch: 2,
     };
-    let neighbour = Neighbour {
+    let descriptor = PeerDescriptor {
         peer: peer(),
         address: "10.0.0.9:7200".into(),
         age: 4,
     };
-    let form = Message::Form(voter_set(), 1_700_000_000_000);
+    let form = PeerMessage::Form(voter_set(), 1_700_000_000_000);
     vec![
-        sample("hello", Message::Hello),
+        sample("hello", PeerMessage::Hello),
         sample("hello_answer", hello_answer),
-        sample("shuffle", Message::Shuffle(vec![neighbour])),
+        sample("shuffle", PeerMessage::Shuffle(vec![descriptor])),
         sample("form", form),
-        sample("adopt", Message::Adopt(voter_set())),
-        sample("adopted", Message::Adopted(voter_set())),
+        sample("adopt", PeerMessage::Adopt(voter_set())),
+        sample("adopted", PeerMessage::Adopted(voter_set())),
     ]
 }
 
-fn repair() -> Vec<Sample<Message>> {
-    let digests = Message::DigestsAnswer(Copy {
+fn repair() -> Vec<Sample<PeerMessage>> {
+    let digests = PeerMessage::DigestsResponse(ReplicaDigest {
         is_open: true,
         set: voter_set(),
         claim_floors: ClaimFloors {
@@ -211,10 +232,10 @@
     });
     let held = vec![("plan".to_string(), register_state())];
     vec![
-        sample("digests", Message::Digests),
+        sample("digests", PeerMessage::Digests),
         sample("digests_answer", digests),
-        sample("range", Message::Range(513)),
-        sample("range_answer", Message::RangeAnswer(held.clone())),
-        sample("remembered", Message::Remembered(held)),
+        sample("range", PeerMessage::Range(513)),
+        sample("range_answer", PeerMessage::RangeResponse(held.clone())),
+        sample("remembered", PeerMessage::RememberedClaims(held)),
     ]
 }
--- a/tests/compatibility/src/samples/stored.rs
+++ b/tests/compatibility/src/samples/stored.rs
@@ -113,7 +113,7 @@
 
 /// A version within an epoch.
 pub fn version() -> Version {
-    Version { era: 2, no: 31 }
+    Version { epoch: 2, no: 31 }
 }
 
 /// The older daemons' plan with a runner in each state.
@@ -126,8 +126,8 @@
     ];
     Plan {
         term: (2 << 40) | 3,
-        roster_since: version(),
-        roster: vec!["front-1".into(), "front-2".into()],
+        membership_since: version(),
+        membership: vec!["front-1".into(), "front-2".into()],
         runners: states.into_iter().map(runner).collect(),
     }
 }
@@ -137,15 +137,15 @@
         id: "r-1".into(),
         function: "resize".into(),
         worker: "w-1".into(),
-        district: "north".into(),
+        zone: "north".into(),
         address: "10.0.2.1:9000".into(),
         key: vec![1, 2, 3, 4],
         memory_mb: 256,
-        pace_ms: 40,
+        response_time_ms: 40,
         quota: 8,
-        keeper: peer(),
-        keeper_epoch: 2,
-        keeper_since: version(),
+        owner: peer(),
+        owner_epoch: 2,
+        owner_since: version(),
         state,
     }
 }
--- a/tests/lab/src/callers.rs
+++ b/tests/lab/src/callers.rs
@@ -1,5 +1,5 @@
 use crate::deployment::{Deployment, Stream};
-use crate::ledger::unix_now_ms;
+use crate::run_log::unix_now_ms;
 use crossbeam::channel::unbounded;
 use oxhttp::model::Method;
 use parking_lot::Mutex;
@@ -10,20 +10,20 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use transport::{call, Answer, HttpError};
+use transport::{call, CallError, CallResponse};
 
 /// Callers at once in ordinary traffic. The load is open-loop below this bound.
 const CALLERS: usize = 800;
 const STACK: usize = 128 * 1024;
 /// How long a caller goes on asking for one piece of work.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One HTTP request of a caller and what it was told.
+/// One HTTP request of a caller and what it was notified.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct AttemptRecord {
     /// Its number, which the runner writes down.
     pub call: String,
-    /// Outcome that it was told: `answered`, `not-run`, `unknown`; without an answer `refused`, where
+    /// Outcome that it was notified: `answered`, `not-run`, `unknown`; without an answer `refused`, where
     /// nothing was sent, or `cut`, where the connection broke after that.
     pub outcome: String,
     /// Reason that went with it.
@@ -34,7 +34,7 @@
 
 /// One piece of work that a caller wanted done, over all its requests.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct PlannedCall {
     pub kind: String,
     pub function: String,
     /// When it was due, in milliseconds since 1970.
@@ -43,7 +43,7 @@
     pub late: Duration,
     /// From when it was due until the last answer.
     pub took: Duration,
-    pub asks: Vec<Ask>,
+    pub attempts: Vec<AttemptRecord>,
     pub is_done: bool,
 }
 
@@ -98,7 +98,7 @@
     seconds: u64,
     with_crowd: bool,
     seed: u64,
-) -> Vec<Wish> {
+) -> Vec<PlannedCall> {
     send_by(CALLERS, deployment, fronts, seconds, with_crowd, seed)
 }
 
@@ -110,22 +110,22 @@
     seconds: u64,
     with_crowd: bool,
     seed: u64,
-) -> Vec<Wish> {
+) -> Vec<PlannedCall> {
     let (sender, receiver) = unbounded::<Due>();
-    let wishes = Arc::new(Mutex::new(Vec::new()));
+    let planned_calls = Arc::new(Mutex::new(Vec::new()));
     let deployment = Arc::new(deployment.clone());
     let numbers = Arc::new(AtomicU64::new(0));
     let fronts: Arc<Vec<SocketAddr>> = Arc::new(fronts.to_vec());
     let callers: Vec<_> = (0..callers)
         .filter_map(|_| {
-            let (receiver, wishes) = (receiver.clone(), wishes.clone());
+            let (receiver, planned_calls) = (receiver.clone(), planned_calls.clone());
             let (deployment, numbers) = (deployment.clone(), numbers.clone());
             let fronts = fronts.clone();
             let caller = move || {
                 for due in &receiver {
                     let stream = &deployment.streams[due.stream];
-                    let wish = pursue(&deployment, stream, &due, &fronts, &numbers, seed);
-                    wishes.lock().push(wish);
+                    let planned_call = pursue(&deployment, stream, &due, &fronts, &numbers, seed);
+                    planned_calls.lock().push(planned_call);
                 }
             };
             let builder = thread::Builder::new().stack_size(STACK);
@@ -145,8 +145,8 @@
     for caller in callers {
         let _ = caller.join();
     }
-    let wishes = std::mem::take(&mut *wishes.lock());
-    wishes
+    let planned_calls = std::mem::take(&mut *planned_calls.lock());
+    planned_calls
 }
 
 fn is_once(deployment: &Deployment, kind: &str) -> bool {
@@ -161,17 +161,17 @@
     fronts: &[SocketAddr],
     numbers: &AtomicU64,
     seed: u64,
-) -> Wish {
+) -> PlannedCall {
     let number = numbers.fetch_add(1, Ordering::Relaxed);
     let key =
         is_once(deployment, &stream.kind).then(|| format!("{}-{seed}-{number}", unix_now_ms()));
-    let mut wish = Wish {
+    let mut planned_call = PlannedCall {
         kind: stream.kind.clone(),
         function: due.function.clone(),
         due_ms: due.at_unix_ms,
         late: due.at.elapsed(),
         took: Duration::ZERO,
-        asks: Vec::new(),
+        attempts: Vec::new(),
         is_done: false,
     };
     let most = if stream.is_hasty { 6 } else { 4 };
@@ -180,20 +180,20 @@
         let call_no = format!("{seed}-{number}-{ask_no}");
         let (ask, pause) = ask_once(due, stream, key.as_deref(), front, &call_no);
         let is_answered = ask.outcome == "answered";
-        wish.is_done = is_answered && ask.is_right;
+        planned_call.is_done = is_answered && ask.is_right;
         let is_elsewhere = matches!(ask.reason.as_str(), "draining" | "no-standing")
             || matches!(ask.outcome.as_str(), "refused" | "cut");
         let is_over = is_answered || (ask.outcome == "unknown" && key.is_none());
-        wish.asks.push(ask);
-        if is_over || due.at.elapsed() > PATIENCE {
+        planned_call.attempts.push(ask);
+        if is_over || due.at.elapsed() > TIMEOUT {
             break;
         }
         if !stream.is_hasty && !is_elsewhere {
             thread::sleep(pause);
         }
     }
-    wish.took = due.at.elapsed();
-    wish
+    planned_call.took = due.at.elapsed();
+    planned_call
 }
 
 fn ask_once(
@@ -202,7 +202,7 @@
     key: Option<&str>,
     front: SocketAddr,
     call_no: &str,
-) -> (Ask, Duration) {
+) -> (AttemptRecord, Duration) {
     // Work under one key must keep one body, so the number of the request is not in it.
     let body_no = key.unwrap_or(call_no);
     let body = serde_json::json!({ "call": body_no, "function": due.function });
@@ -213,8 +213,8 @@
         ("hallkeel-kind", stream.kind.as_str()),
     ];
     headers.extend(key.map(|key| ("idempotency-key", key)));
-    let answer = call(Method::POST, &uri, &headers, body, PATIENCE, 1 << 20);
-    let mut ask = Ask {
+    let answer = call(Method::POST, &uri, &headers, body, TIMEOUT, 1 << 20);
+    let mut ask = AttemptRecord {
         call: body_no.to_string(),
         outcome: "cut".into(),
         reason: String::new(),
@@ -223,23 +223,23 @@
     let answer = match answer {
         Ok(answer) => answer,
         Err(error) => {
-            if matches!(error, HttpError::NotConnected(_)) {
+            if matches!(error, CallError::NotConnected(_)) {
                 ask.outcome = "refused".into();
             }
             return (ask, Duration::from_millis(200));
         }
     };
-    let told: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+    let reported: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     ask.outcome = outcome_of(&answer);
-    ask.reason = told["reason"].as_str().unwrap_or_default().to_string();
+    ask.reason = reported["reason"].as_str().unwrap_or_default().to_string();
     ask.is_right = answer.status == 200
-        && told["call"] == body_no
-        && told["function"] == due.function.as_str();
-    let pause = told["retry_after_ms"].as_u64().unwrap_or(1_000);
+        && reported["call"] == body_no
+        && reported["function"] == due.function.as_str();
+    let pause = reported["retry_after_ms"].as_u64().unwrap_or(1_000);
     (ask, Duration::from_millis(pause))
 }
 
-fn outcome_of(answer: &Answer) -> String {
+fn outcome_of(answer: &CallResponse) -> String {
     let outcome = answer.headers.get("hallkeel-outcome");
     let outcome = outcome.and_then(|value| value.to_str().ok());
     outcome.unwrap_or("none").to_string()
--- a/tests/lab/src/cost.rs
+++ b/tests/lab/src/cost.rs
@@ -1,9 +1,9 @@
 use crate::callers;
-use crate::deployment::{Deployment, LabFault};
+use crate::deployment::{Deployment, LabError};
 use crate::fleet::Needs;
 use crate::judge::percentile;
-use crate::ledger::unix_now_ms;
 use crate::member::Member;
+use crate::run_log::unix_now_ms;
 use crate::session::{make_ready, Ready};
 use oxhttp::model::Method;
 use std::net::SocketAddr;
@@ -13,12 +13,12 @@
 use std::time::{Duration, Instant};
 use transport::call;
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 const CALLS: usize = 400;
 const CLOSED_LOOP: usize = 48;
 
 /// Measures what a front adds to a call, what a call costs, and what daemons take.
-pub fn run(file: &Path, dir: &Path, report: Option<&Path>) -> Result<(), LabFault> {
+pub fn run(file: &Path, dir: &Path, report: Option<&Path>) -> Result<(), LabError> {
     let deployment = Deployment::read(file)?;
     let ready = make_ready(&deployment, file, dir, Needs::default())?;
     let mut lines = vec![memory(&ready, "at rest")];
@@ -76,27 +76,27 @@
                 .open(path);
             opened
                 .and_then(|mut file| writeln!(file, "{text}\n"))
-                .map_err(|error| LabFault::Input(format!("{}: {error}", path.display())))?;
+                .map_err(|error| LabError::Input(format!("{}: {error}", path.display())))?;
         }
     }
     Ok(())
 }
 
 /// Address and id of a function's runner.
-fn runner_of(ready: &Ready, function: &str) -> Result<(String, String), LabFault> {
+fn runner_of(ready: &Ready, function: &str) -> Result<(String, String), LabError> {
     let mut runners = ready.fleet.cores.iter().flat_map(Member::runners);
     let found = runners.find(|runner| runner["function"] == function);
-    let found = found.ok_or_else(|| LabFault::Fleet(format!("no runner of {function}")))?;
+    let found = found.ok_or_else(|| LabError::Fleet(format!("no runner of {function}")))?;
     let text = |field: &str| found[field].as_str().unwrap_or_default().to_string();
     Ok((text("address"), text("id")))
 }
 
-fn once_key(number: u64) -> String {
+fn idempotency_key(number: u64) -> String {
     format!("{}-cost-{number}", unix_now_ms())
 }
 
 fn ask(front: SocketAddr, function: &str, kind: &str, number: u64) -> bool {
-    let key = once_key(number);
+    let key = idempotency_key(number);
     let mut headers = vec![
         ("hallkeel-kind", kind),
         ("content-type", "application/json"),
@@ -106,7 +106,7 @@
     }
     let uri = format!("http://{front}/call/{function}");
     let body = format!("{{\"call\":\"{number}\"}}").into_bytes();
-    let answer = call(Method::POST, &uri, &headers, body, PATIENCE, 1 << 20);
+    let answer = call(Method::POST, &uri, &headers, body, TIMEOUT, 1 << 20);
     answer.is_ok_and(|answer| answer.status == 200)
 }
 
@@ -132,15 +132,15 @@
     function: &str,
 ) -> Vec<String> {
     let direct = timed(|number| {
-        let ticket = format!("direct-{number}");
+        let queued_request = format!("direct-{number}");
         let headers = [
             ("hallkeel-runner", id.as_str()),
-            ("hallkeel-ticket", ticket.as_str()),
+            ("hallkeel-ticket", queued_request.as_str()),
             ("hallkeel-budget-ms", "1000"),
         ];
         let uri = format!("http://{address}/invoke");
         let body = b"{\"call\":\"-\"}".to_vec();
-        call(Method::POST, &uri, &headers, body, PATIENCE, 1 << 20).is_ok()
+        call(Method::POST, &uri, &headers, body, TIMEOUT, 1 << 20).is_ok()
     });
     let plain = timed(|number| ask(front, function, "plain", number));
     let once = timed(|number| ask(front, function, "urgent", number));
@@ -230,7 +230,7 @@
 }
 
 /// A core's start with the journal that the load has left.
-fn restart(mut ready: Ready) -> Result<String, LabFault> {
+fn restart(mut ready: Ready) -> Result<String, LabError> {
     let dir = ready.fleet.dir.clone();
     let status = ready.fleet.cores[0].get_json("/status").unwrap_or_default();
     let keys = status["keys"].as_u64().unwrap_or(0);
--- a/tests/lab/src/deployment.rs
+++ b/tests/lab/src/deployment.rs
@@ -1,4 +1,4 @@
-use configuration::{Blueprint, Bounds, District, DistrictState, Kind, Listing};
+use configuration::{Bounds, Configuration, FunctionSpec, RequestKind, Zone, ZoneState};
 use figment::providers::{Format, Toml};
 use figment::Figment;
 use serde::Deserialize;
@@ -7,7 +7,7 @@
 
 /// Why the lab stopped.
 #[derive(Debug)]
-pub enum LabFault {
+pub enum LabError {
     /// A check was broken.
     Broken(String),
     /// Arguments or a file are no good.
@@ -16,7 +16,7 @@
     Fleet(String),
 }
 
-impl LabFault {
+impl LabError {
     /// The process's exit code.
     pub fn code(&self) -> u8 {
         match self {
@@ -27,7 +27,7 @@
     }
 }
 
-impl fmt::Display for LabFault {
+impl fmt::Display for LabError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Broken(text) | Self::Input(text) | Self::Fleet(text) => formatter.write_str(text),
@@ -43,23 +43,24 @@
     pub base_port: u16,
     /// How far the platform's lists lag, in milliseconds.
     pub list_lag_ms: u64,
-    /// Names of the districts.
-    pub districts: Vec<String>,
-    /// District of each core.
+    /// Names of the zones.
+    #[serde(rename = "districts")]
+    pub zones: Vec<String>,
+    /// Zone of each core.
     pub cores: Vec<String>,
-    /// District of each front.
+    /// Zone of each front.
     pub fronts: Vec<String>,
-    /// Workers in each district.
+    /// Workers in each zone.
     pub workers_each: usize,
     /// Memory of each worker.
     pub worker_memory_mb: u64,
-    /// Kinds of tickets, the most urgent first.
-    pub kinds: Vec<Kind>,
+    /// Kinds of requests, the most urgent first.
+    pub kinds: Vec<RequestKind>,
     /// Groups of functions.
     pub groups: Vec<Group>,
     /// Streams of calls.
     pub streams: Vec<Stream>,
-    /// Bounds for the blueprint.
+    /// Bounds for the configuration.
     #[serde(default)]
     pub bounds: Bounds,
 }
@@ -90,7 +91,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stream {
-    /// Kind of its tickets.
+    /// Kind of its requests.
     pub kind: String,
     /// Prefix of the group.
     pub group: String,
@@ -105,17 +106,17 @@
 
 impl Deployment {
     /// Reads a deployment file.
-    pub fn read(path: &Path) -> Result<Self, LabFault> {
+    pub fn read(path: &Path) -> Result<Self, LabError> {
         if !path.is_file() {
-            return Err(LabFault::Input(format!("no file at {}", path.display())));
+            return Err(LabError::Input(format!("no file at {}", path.display())));
         }
         let read: Result<Self, _> = Figment::from(Toml::file_exact(path)).extract();
         let deployment =
-            read.map_err(|fault| LabFault::Input(format!("{}: {fault}", path.display())))?;
-        let faults = configuration::check(&deployment.blueprint());
+            read.map_err(|fault| LabError::Input(format!("{}: {fault}", path.display())))?;
+        let faults = configuration::check(&deployment.configuration());
         if !faults.is_empty() {
             let text = format!("{}: {faults:?}", path.display());
-            return Err(LabFault::Input(text));
+            return Err(LabError::Input(text));
         }
         Ok(deployment)
     }
@@ -135,11 +136,11 @@
         self.groups.iter().find(|group| group.prefix == prefix)
     }
 
-    /// The blueprint that operators would put.
-    pub fn blueprint(&self) -> Blueprint {
-        let listings = self.groups.iter().flat_map(|group| {
+    /// The configuration that operators would put.
+    pub fn configuration(&self) -> Configuration {
+        let function_specs = self.groups.iter().flat_map(|group| {
             let names = self.functions(&group.prefix).into_iter();
-            names.map(|name| Listing {
+            names.map(|name| FunctionSpec {
                 name,
                 memory_mb: group.memory_mb,
                 start_ms: group.start_ms,
@@ -148,14 +149,14 @@
                 kinds: group.kinds.clone(),
             })
         });
-        let districts = self.districts.iter().map(|name| District {
+        let zones = self.zones.iter().map(|name| Zone {
             name: name.clone(),
-            state: DistrictState::Open,
+            state: ZoneState::Open,
         });
-        Blueprint {
-            listings: listings.collect(),
-            ranking: self.kinds.clone(),
-            districts: districts.collect(),
+        Configuration {
+            function_specs: function_specs.collect(),
+            priority_order: self.kinds.clone(),
+            zones: zones.collect(),
             bounds: Bounds {
                 worker_memory_mb: self.worker_memory_mb,
                 ..self.bounds.clone()
--- a/tests/lab/src/failing_platform.rs
+++ b/tests/lab/src/failing_platform.rs
@@ -1,66 +1,69 @@
-use crate::deployment::LabFault;
+use crate::context::ScenarioContext;
+use crate::deployment::LabError;
 use crate::member::Member;
-use crate::stage::Stage;
 use std::collections::BTreeSet;
 
-/// The platform is in trouble for twelve seconds.
-pub fn platform(stage: &mut Stage, trouble: &str) -> Result<(), LabFault> {
-    stage.fails();
-    make_trouble(stage, trouble, 12);
-    stage.until(1.0);
-    let before = warm_runners(stage);
-    stage.until(12.0);
-    stage.closes();
-    let after = warm_runners(stage);
+/// The platform is in fault for twelve seconds.
+pub fn platform(context: &mut ScenarioContext, injected_fault: &str) -> Result<(), LabError> {
+    context.fails();
+    inject_fault(context, injected_fault, 12);
+    context.until(1.0);
+    let before = warm_runners(context);
+    context.until(12.0);
+    context.closes();
+    let after = warm_runners(context);
     let lost: Vec<&String> = before.difference(&after).collect();
-    stage.note(format!(
+    context.note(format!(
         "{} of {} warm runners were given up, {} are new",
         lost.len(),
         before.len(),
         after.difference(&before).count()
     ));
-    stage.expect(!before.is_empty(), "no runner was warm");
-    stage.expect(
+    context.expect(!before.is_empty(), "no runner was warm");
+    context.expect(
         lost.is_empty(),
         "healthy runners were stopped for the platform's sake",
     );
-    stage.may_lose = false;
+    context.may_lose = false;
     Ok(())
 }
 
 /// Workers crash while the platform's lists go on naming what ran there.
-pub fn ghosts(stage: &mut Stage) -> Result<(), LabFault> {
-    make_trouble(stage, "ghosts", 20);
-    stage.until(3.0);
-    stage.fails();
-    stage.fleet.workers[0].kill();
-    stage.until(8.0);
-    let dir = stage.fleet.dir.clone();
-    stage.fleet.workers[0].start(&dir)?;
-    stage.closes();
+pub fn ghosts(context: &mut ScenarioContext) -> Result<(), LabError> {
+    inject_fault(context, "ghosts", 20);
+    context.until(3.0);
+    context.fails();
+    context.fleet.workers[0].kill();
+    context.until(8.0);
+    let dir = context.fleet.dir.clone();
+    context.fleet.workers[0].start(&dir)?;
+    context.closes();
     Ok(())
 }
 
 /// The platform stands still, as a process, while everyone arrives at once.
-pub fn platform_down(stage: &mut Stage) -> Result<(), LabFault> {
-    stage.fails();
-    stage.fleet.platform.signal(libc::SIGSTOP);
-    stage.until(20.0);
-    stage.fleet.platform.signal(libc::SIGCONT);
-    stage.closes();
+pub fn platform_down(context: &mut ScenarioContext) -> Result<(), LabError> {
+    context.fails();
+    context.fleet.platform.signal(libc::SIGSTOP);
+    context.until(20.0);
+    context.fleet.platform.signal(libc::SIGCONT);
+    context.closes();
     Ok(())
 }
 
-fn make_trouble(stage: &mut Stage, trouble: &str, seconds: u64) {
-    let platform = stage.fleet.platform.http;
-    let uri = format!("http://{platform}/lab/trouble/{trouble}/{seconds}");
-    let told = stage.post(&uri, Vec::new());
-    stage.expect(told == Some(200), "the platform did not take the trouble");
+fn inject_fault(context: &mut ScenarioContext, injected_fault: &str, seconds: u64) {
+    let platform = context.fleet.platform.http;
+    let uri = format!("http://{platform}/lab/trouble/{injected_fault}/{seconds}");
+    let reported = context.post(&uri, Vec::new());
+    context.expect(
+        reported == Some(200),
+        "the platform did not take the trouble",
+    );
 }
 
-/// Runners that their keepers call warm.
-fn warm_runners(stage: &Stage) -> BTreeSet<String> {
-    let runners = stage.fleet.fronts.iter().flat_map(Member::runners);
+/// Runners that their owners call warm.
+fn warm_runners(context: &ScenarioContext) -> BTreeSet<String> {
+    let runners = context.fleet.fronts.iter().flat_map(Member::runners);
     runners
         .filter(|runner| runner["warm"] == true)
         .map(|runner| runner["runner"].as_str().unwrap_or_default().to_string())
--- a/tests/lab/src/failing_runners.rs
+++ b/tests/lab/src/failing_runners.rs
@@ -1,102 +1,106 @@
-use crate::deployment::LabFault;
+use crate::context::ScenarioContext;
+use crate::deployment::LabError;
 use crate::judge;
-use crate::ledger::unix_now_ms;
-use crate::stage::Stage;
+use crate::run_log::unix_now_ms;
 
-pub fn misbehave(stage: &mut Stage, mischief: &str, share: f64) -> Result<(), LabFault> {
-    stage.until(4.0);
+pub fn misbehave(
+    context: &mut ScenarioContext,
+    runner_fault: &str,
+    share: f64,
+) -> Result<(), LabError> {
+    context.until(4.0);
     // A runner that never answers, or late, ends its try with the budget, so that none is tried again.
-    if !matches!(mischief, "slow" | "stall") {
-        stage.wanted.push(judge::RETRIES);
+    if !matches!(runner_fault, "slow" | "stall") {
+        context.wanted.push(judge::RETRIES);
     }
-    let groups = stage.deployment.groups.clone();
+    let groups = context.deployment.groups.clone();
     let functions = groups.iter().flat_map(|group| {
-        let names = stage.deployment.functions(&group.prefix);
+        let names = context.deployment.functions(&group.prefix);
         names.into_iter().take(2)
     });
     let functions: Vec<String> = functions.collect();
-    stage.fails();
+    context.fails();
     for function in &functions {
-        stage.mischief(function, Some(mischief), share);
+        context.runner_fault(function, Some(runner_fault), share);
     }
-    stage.until(12.0);
+    context.until(12.0);
     for function in &functions {
-        stage.mischief(function, None, 0.0);
+        context.runner_fault(function, None, 0.0);
     }
-    stage.closes();
+    context.closes();
     Ok(())
 }
 
 /// Everyone arrives at once; the failure closes with the arrival.
-pub fn rush(stage: &mut Stage) -> Result<(), LabFault> {
-    stage.fails();
-    stage.until(1.0);
-    stage.closes();
+pub fn rush(context: &mut ScenarioContext) -> Result<(), LabError> {
+    context.fails();
+    context.until(1.0);
+    context.closes();
     Ok(())
 }
 
-pub fn zone_lost(stage: &mut Stage) -> Result<(), LabFault> {
-    stage.until(5.0);
-    lose_zone(stage);
+pub fn zone_lost(context: &mut ScenarioContext) -> Result<(), LabError> {
+    context.until(5.0);
+    lose_zone(context);
     Ok(())
 }
 
-pub fn zone_lost_rush(stage: &mut Stage) -> Result<(), LabFault> {
-    stage.until(0.3);
-    lose_zone(stage);
+pub fn zone_lost_rush(context: &mut ScenarioContext) -> Result<(), LabError> {
+    context.until(0.3);
+    lose_zone(context);
     Ok(())
 }
 
-fn lose_zone(stage: &mut Stage) {
-    stage.fails();
-    let deployment = stage.deployment.clone();
-    for (place, district) in deployment.cores.iter().enumerate() {
-        if district == "c" {
-            stage.fleet.cores[place].kill();
+fn lose_zone(context: &mut ScenarioContext) {
+    context.fails();
+    let deployment = context.deployment.clone();
+    for (place, zone) in deployment.cores.iter().enumerate() {
+        if zone == "c" {
+            context.fleet.cores[place].kill();
         }
     }
-    for (place, district) in deployment.fronts.iter().enumerate() {
-        if district == "c" {
-            stage.fleet.fronts[place].kill();
+    for (place, zone) in deployment.fronts.iter().enumerate() {
+        if zone == "c" {
+            context.fleet.fronts[place].kill();
         }
     }
-    for worker in &mut stage.fleet.workers {
+    for worker in &mut context.fleet.workers {
         if worker.name.starts_with("worker-c") {
             worker.kill();
         }
     }
-    stage.closes();
+    context.closes();
 }
 
-pub fn workers_crash(stage: &mut Stage) -> Result<(), LabFault> {
-    stage.until(5.0);
-    stage.fails();
+pub fn workers_crash(context: &mut ScenarioContext) -> Result<(), LabError> {
+    context.until(5.0);
+    context.fails();
     for place in [0, 1] {
-        stage.fleet.workers[place].kill();
+        context.fleet.workers[place].kill();
     }
-    stage.until(10.0);
-    let dir = stage.fleet.dir.clone();
+    context.until(10.0);
+    let dir = context.fleet.dir.clone();
     for place in [0, 1] {
-        stage.fleet.workers[place].start(&dir)?;
+        context.fleet.workers[place].start(&dir)?;
     }
-    stage.closes();
+    context.closes();
     Ok(())
 }
 
-pub fn worker_leaving(stage: &mut Stage) -> Result<(), LabFault> {
-    stage.until(5.0);
-    stage.fails();
-    let name = stage.fleet.workers[0].name.clone();
-    let uri = format!("http://{}/lab/leave/{name}", stage.fleet.platform.http);
-    let told = stage.post(&uri, Vec::new());
-    stage.expect(told == Some(200), "the platform did not take the leave");
-    stage.closes();
+pub fn worker_leaving(context: &mut ScenarioContext) -> Result<(), LabError> {
+    context.until(5.0);
+    context.fails();
+    let name = context.fleet.workers[0].name.clone();
+    let uri = format!("http://{}/lab/leave/{name}", context.fleet.platform.http);
+    let reported = context.post(&uri, Vec::new());
+    context.expect(reported == Some(200), "the platform did not take the leave");
+    context.closes();
     // The platform's lists lag; the bound counts from when they tell it.
-    let lag = stage.deployment.list_lag_ms;
-    let since = unix_now_ms() + lag + stage.deployment.bounds.change_ms;
-    stage.until(20.0);
-    let ledger = stage.fleet.dir.join("ledgers").join(&name);
-    let text = std::fs::read_to_string(ledger).unwrap_or_default();
+    let lag = context.deployment.list_lag_ms;
+    let since = unix_now_ms() + lag + context.deployment.bounds.change_ms;
+    context.until(20.0);
+    let run_log = context.fleet.dir.join("ledgers").join(&name);
+    let text = std::fs::read_to_string(run_log).unwrap_or_default();
     let late = text.lines().filter(|line| {
         let time = line
             .split(' ')
@@ -105,28 +109,28 @@
         time.is_some_and(|time| time > since)
     });
     let count = late.count();
-    stage.note(format!(
+    context.note(format!(
         "{count} runs on the leaving worker after the bound"
     ));
-    stage.expect(count == 0, "a leaving worker got new work after the bound");
+    context.expect(count == 0, "a leaving worker got new work after the bound");
     Ok(())
 }
 
-pub fn address_reused(stage: &mut Stage) -> Result<(), LabFault> {
-    stage.until(5.0);
-    let holder = stage.duty_holder().unwrap_or(0);
-    let runners = stage.fleet.cores[holder].runners();
-    let groups = stage.deployment.groups.clone();
+pub fn address_reused(context: &mut ScenarioContext) -> Result<(), LabError> {
+    context.until(5.0);
+    let holder = context.role_holder().unwrap_or(0);
+    let runners = context.fleet.cores[holder].runners();
+    let groups = context.deployment.groups.clone();
     let (busy, rare) = (&groups[0].prefix, &groups[1].prefix);
     let found = runners.iter().find(|runner| {
         let function = runner["function"].as_str().unwrap_or_default();
         function == format!("{busy}-000")
     });
     let Some(runner) = found else {
-        return Err(LabFault::Fleet("no runner of the first function".into()));
+        return Err(LabError::Fleet("no runner of the first function".into()));
     };
     let text = |field: &str| runner[field].as_str().unwrap_or_default().to_string();
-    let worker = stage
+    let worker = context
         .fleet
         .workers
         .iter()
@@ -134,16 +138,16 @@
     let control = worker
         .map(|worker| worker.http.to_string())
         .unwrap_or_default();
-    stage.fails();
-    stage.post(&format!("http://{control}/stop/{}", text("id")), Vec::new());
-    let order = serde_json::json!({
+    context.fails();
+    context.post(&format!("http://{control}/stop/{}", text("id")), Vec::new());
+    let command = serde_json::json!({
         "id": "stranger.1", "function": format!("{rare}-000"),
         "address": text("address"), "key": "00",
     });
-    let body = serde_json::to_vec(&order).unwrap_or_default();
-    let told = stage.post(&format!("http://{control}/start"), body);
-    stage.expect(told == Some(202), "the stranger did not start");
-    stage.wanted.push(judge::MISDIRECTED);
-    stage.closes();
+    let body = serde_json::to_vec(&command).unwrap_or_default();
+    let reported = context.post(&format!("http://{control}/start"), body);
+    context.expect(reported == Some(202), "the stranger did not start");
+    context.wanted.push(judge::MISDIRECTED);
+    context.closes();
     Ok(())
 }
--- a/tests/lab/src/failing_speeds.rs
+++ b/tests/lab/src/failing_speeds.rs
@@ -1,24 +1,24 @@
-use crate::callers::Wish;
-use crate::deployment::LabFault;
+use crate::callers::PlannedCall;
+use crate::context::ScenarioContext;
+use crate::deployment::LabError;
 use crate::judge::percentile;
-use crate::ledger::RunLine;
-use crate::stage::Stage;
+use crate::run_log::RunRecord;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Runners of three speeds, by the worker that they are on, and one worker that turns slow later.
-pub fn speeds(stage: &mut Stage) -> Result<(), LabFault> {
-    stage.look = Some(judge);
-    let workers = stage.fleet.workers.len();
+pub fn speeds(context: &mut ScenarioContext) -> Result<(), LabError> {
+    context.look = Some(judge);
+    let workers = context.fleet.workers.len();
     for place in 0..workers {
-        slow(stage, place, times_of(place, false));
+        slow(context, place, times_of(place, false));
     }
-    stage.until(20.0);
-    stage.fails();
-    slow(stage, 0, times_of(0, true));
-    stage.until(30.0);
-    stage.closes();
-    tell_capacity(stage);
+    context.until(20.0);
+    context.fails();
+    slow(context, 0, times_of(0, true));
+    context.until(30.0);
+    context.closes();
+    tell_capacity(context);
     Ok(())
 }
 
@@ -31,62 +31,62 @@
     [1, 3, 10][place % 3]
 }
 
-fn slow(stage: &Stage, place: usize, times: u32) {
-    let control = stage.fleet.workers[place].http;
-    stage.post(&format!("http://{control}/slow/{times}"), Vec::new());
+fn slow(context: &ScenarioContext, place: usize, times: u32) {
+    let control = context.fleet.workers[place].http;
+    context.post(&format!("http://{control}/slow/{times}"), Vec::new());
 }
 
 /// What the scaler believes of each runner's pace, against what the stand-in takes, in percent.
-fn tell_capacity(stage: &mut Stage) {
-    let Some(holder) = stage.duty_holder() else {
+fn tell_capacity(context: &mut ScenarioContext) {
+    let Some(holder) = context.role_holder() else {
         return;
     };
-    let runners = stage.fleet.cores[holder].runners();
+    let runners = context.fleet.cores[holder].runners();
     let mut off: Vec<f64> = Vec::new();
     let (mut told_capacity, mut real_capacity) = (0.0, 0.0);
     for runner in &runners {
         let text = |field: &str| runner[field].as_str().unwrap_or_default();
-        let group = stage.deployment.group_of(text("function"));
-        let mut workers = stage.fleet.workers.iter();
+        let group = context.deployment.group_of(text("function"));
+        let mut workers = context.fleet.workers.iter();
         let place = workers.position(|worker| worker.name == text("worker"));
-        let told = runner["pace_ms"].as_f64().unwrap_or(0.0);
-        let (Some(group), Some(place), true) = (group, place, told > 0.0) else {
+        let reported = runner["pace_ms"].as_f64().unwrap_or(0.0);
+        let (Some(group), Some(place), true) = (group, place, reported > 0.0) else {
             continue;
         };
         let times = times_of(place, true);
         let real = (group.pace_ms * u64::from(times)) as f64;
-        off.push(100.0 * (told - real).abs() / real);
+        off.push(100.0 * (reported - real).abs() / real);
         let quota = runner["quota"].as_f64().unwrap_or(0.0);
-        told_capacity += quota / told;
+        told_capacity += quota / reported;
         real_capacity += quota / real;
     }
     off.sort_by(f64::total_cmp);
     let at = |share: f64| off.get((off.len() as f64 * share) as usize).copied();
-    stage.note(format!(
+    context.note(format!(
         "told paces of {} runners are off by {:.0} % at the median, {:.0} % at the 90th percentile",
         off.len(),
         at(0.5).unwrap_or(f64::NAN),
         at(0.9).unwrap_or(f64::NAN)
     ));
-    stage.note(format!(
+    context.note(format!(
         "their capacity together is told {:+.1} % off",
         100.0 * (told_capacity / real_capacity - 1.0)
     ));
-    stage.expect(off.len() > 100, "too few runners have a pace");
+    context.expect(off.len() > 100, "too few runners have a pace");
 }
 
 /// Share of runs by the speed of their worker, before and after one turned slow, and how long
 /// callers waited.
 pub fn judge(
-    stage: &mut Stage,
-    wishes: &[Wish],
-    runs: &[RunLine],
+    context: &mut ScenarioContext,
+    planned_calls: &[PlannedCall],
+    runs: &[RunRecord],
     worker_of: &BTreeMap<String, String>,
 ) {
-    let Some((began, closed)) = stage.failed else {
+    let Some((began, closed)) = context.failed else {
         return;
     };
-    let prefix = stage.deployment.groups[0].prefix.clone();
+    let prefix = context.deployment.groups[0].prefix.clone();
     for (name, from, until) in [
         ("before", began - 8_000, began),
         ("turning", began, began + 8_000),
@@ -98,18 +98,20 @@
         });
         for run in there {
             let worker = worker_of.get(&run.runner).cloned().unwrap_or_default();
-            let mut workers = stage.fleet.workers.iter();
+            let mut workers = context.fleet.workers.iter();
             let place = workers.position(|one| one.name == worker).unwrap_or(0);
             *counts.entry(times_of(place, name != "before")).or_default() += 1;
         }
-        let mut times: Vec<Duration> = wishes
+        let mut times: Vec<Duration> = planned_calls
             .iter()
-            .filter(|wish| wish.due_ms >= from && wish.due_ms < until && wish.is_done)
-            .filter(|wish| wish.function.starts_with(&prefix))
-            .map(|wish| wish.took)
+            .filter(|planned_call| {
+                planned_call.due_ms >= from && planned_call.due_ms < until && planned_call.is_done
+            })
+            .filter(|planned_call| planned_call.function.starts_with(&prefix))
+            .map(|planned_call| planned_call.took)
             .collect();
         times.sort();
-        stage.note(format!(
+        context.note(format!(
             "{name}: runs by speed {counts:?}, p50 {} ms, p99 {} ms",
             percentile(&times, 0.5).as_millis(),
             percentile(&times, 0.99).as_millis()
@@ -119,8 +121,8 @@
             continue;
         }
         let slow = counts.get(&10).copied().unwrap_or(0);
-        stage.expect(all > 100, "too few runs to speak of shares");
-        stage.expect(
+        context.expect(all > 100, "too few runs to speak of shares");
+        context.expect(
             slow * 20 < all,
             "the slowest runners got over a twentieth of the work",
         );
--- a/tests/lab/src/fault_injection.rs
+++ b/tests/lab/src/fault_injection.rs
@@ -1,4 +1,4 @@
-use crate::deployment::LabFault;
+use crate::deployment::LabError;
 use crate::member::Member;
 use std::collections::HashMap;
 use std::fs;
@@ -7,8 +7,8 @@
 /// The library that is loaded into daemons whose calls to the system are to fail.
 const LIBRARY: &str = "libfault_injection.so";
 
-fn fault(error: impl std::fmt::Display) -> LabFault {
-    LabFault::Fleet(format!("fault_injection: {error}"))
+fn fault(error: impl std::fmt::Display) -> LabError {
+    LabError::Fleet(format!("fault_injection: {error}"))
 }
 
 fn orders_of(dir: &Path, name: &str) -> PathBuf {
@@ -20,7 +20,7 @@
 }
 
 /// Loads the library into a daemon, from its next start on.
-pub fn load_into(member: &mut Member, dir: &Path) -> Result<(), LabFault> {
+pub fn load_into(member: &mut Member, dir: &Path) -> Result<(), LabError> {
     let own = std::env::current_exe().map_err(fault)?;
     let library = own.with_file_name(LIBRARY);
     if !library.is_file() {
@@ -28,22 +28,22 @@
             "{} is not there; build the whole workspace",
             library.display()
         );
-        return Err(LabFault::Input(text));
+        return Err(LabError::Input(text));
     }
-    let orders = orders_of(dir, &member.name);
-    fs::create_dir_all(&orders).map_err(fault)?;
+    let commands = orders_of(dir, &member.name);
+    fs::create_dir_all(&commands).map_err(fault)?;
     let dir = fs::canonicalize(dir).map_err(fault)?;
-    let (data, orders) = (data_of(&dir, &member.name), orders_of(&dir, &member.name));
+    let (data, commands) = (data_of(&dir, &member.name), orders_of(&dir, &member.name));
     member.set_environment(vec![
         ("LD_PRELOAD".into(), library.display().to_string()),
         ("MISHAPS_DATA".into(), data.display().to_string()),
-        ("MISHAPS_ORDERS".into(), orders.display().to_string()),
+        ("MISHAPS_ORDERS".into(), commands.display().to_string()),
     ]);
     Ok(())
 }
 
 /// What befalls a daemon from now on; an empty text ends it.
-pub fn order(dir: &Path, name: &str, words: &str) -> Result<(), LabFault> {
+pub fn command(dir: &Path, name: &str, words: &str) -> Result<(), LabError> {
     let path = orders_of(dir, name).join("orders");
     let next = path.with_extension("next");
     fs::write(&next, words).map_err(fault)?;
@@ -51,7 +51,7 @@
 }
 
 /// Takes from a killed daemon's files all that was not synced. Gives how many bytes went.
-pub fn lose_unsynced(dir: &Path, name: &str) -> Result<u64, LabFault> {
+pub fn lose_unsynced(dir: &Path, name: &str) -> Result<u64, LabError> {
     let notes = fs::read_to_string(orders_of(dir, name).join("synced")).map_err(fault)?;
     let lines = notes.lines().filter_map(|line| line.split_once(' '));
     let lasting: HashMap<PathBuf, u64> = lines
--- a/tests/lab/src/fleet.rs
+++ b/tests/lab/src/fleet.rs
@@ -1,7 +1,7 @@
-use crate::deployment::{Deployment, LabFault};
+use crate::deployment::{Deployment, LabError};
 use crate::fault_injection;
 use crate::member::Member;
-use crate::platform::WorkerLine;
+use crate::platform::WorkerRecord;
 use crate::relay::Relays;
 use oxhttp::model::Method;
 use std::fs;
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use transport::call;
 
-const UP_PATIENCE: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 const PORTS_EACH: u16 = 400;
 /// Relays listen so far above the ports that they stand before.
 pub const RELAY_STEP: u16 = 100;
@@ -42,8 +42,8 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn fleet_fault(error: impl std::fmt::Display) -> LabFault {
-    LabFault::Fleet(error.to_string())
+fn fleet_fault(error: impl std::fmt::Display) -> LabError {
+    LabError::Fleet(error.to_string())
 }
 
 /// Port that a daemon listens on for other daemons.
@@ -65,7 +65,7 @@
 fn core_member(
     base: u16,
     place: usize,
-    district: &str,
+    zone: &str,
     seeds: &str,
     dir: &Path,
     with_relays: bool,
@@ -75,7 +75,7 @@
     let data = dir.join("data").join(&name).display().to_string();
     let flags = [
         ("--name", name.clone()),
-        ("--district", district.to_string()),
+        ("--district", zone.to_string()),
         ("--http", http.to_string()),
         ("--wire", wire_port(base, &name).to_string()),
         (
@@ -94,13 +94,13 @@
 }
 
 impl Fleet {
-    /// Brings a fleet up in an emptied folder and puts the deployment's blueprint.
+    /// Brings a fleet up in an emptied folder and puts the deployment's configuration.
     pub fn up(
         deployment: &Deployment,
         file: &Path,
         dir: &Path,
         needs: Needs,
-    ) -> Result<Self, LabFault> {
+    ) -> Result<Self, LabError> {
         let with_relays = needs.relays;
         if dir.exists() {
             fs::remove_dir_all(dir).map_err(fleet_fault)?;
@@ -146,17 +146,17 @@
         let platform_http = local(base);
         let mut lines = Vec::new();
         let mut workers = Vec::new();
-        for (place, district) in deployment.districts.iter().enumerate() {
+        for (place, zone) in deployment.zones.iter().enumerate() {
             for number in 0..deployment.workers_each {
-                let order = (place * deployment.workers_each + number) as u16;
-                let name = format!("worker-{district}{number}");
-                let control = local(base + 80 + order);
-                lines.push(WorkerLine {
+                let command = (place * deployment.workers_each + number) as u16;
+                let name = format!("worker-{zone}{number}");
+                let control = local(base + 80 + command);
+                lines.push(WorkerRecord {
                     name: name.clone(),
-                    district: district.clone(),
+                    zone: zone.clone(),
                     host: "127.0.0.1".into(),
                     memory_mb: deployment.worker_memory_mb,
-                    first_port: base + 200 + order * PORTS_EACH,
+                    first_port: base + 200 + command * PORTS_EACH,
                     ports: PORTS_EACH,
                     state: "up".into(),
                     control,
@@ -183,29 +183,23 @@
             .cores
             .iter()
             .enumerate()
-            .map(|(place, district)| {
-                core_member(base, place, district, &all_seeds, dir, with_relays)
-            });
-        let fronts = deployment
-            .fronts
-            .iter()
-            .enumerate()
-            .map(|(place, district)| {
-                let name = format!("front-{place}");
-                let http = local(base + 40 + place as u16);
-                let flags = [
-                    ("--name", name.clone()),
-                    ("--district", district.clone()),
-                    ("--http", http.to_string()),
-                    ("--wire", wire_port(base, &name).to_string()),
-                    (
-                        "--advertise",
-                        reached_at(base, &name, with_relays).to_string(),
-                    ),
-                    ("--seeds", all_seeds.clone()),
-                ];
-                Member::new(&name, http, "hallkeel-front", arguments(&flags))
-            });
+            .map(|(place, zone)| core_member(base, place, zone, &all_seeds, dir, with_relays));
+        let fronts = deployment.fronts.iter().enumerate().map(|(place, zone)| {
+            let name = format!("front-{place}");
+            let http = local(base + 40 + place as u16);
+            let flags = [
+                ("--name", name.clone()),
+                ("--district", zone.clone()),
+                ("--http", http.to_string()),
+                ("--wire", wire_port(base, &name).to_string()),
+                (
+                    "--advertise",
+                    reached_at(base, &name, with_relays).to_string(),
+                ),
+                ("--seeds", all_seeds.clone()),
+            ];
+            Member::new(&name, http, "hallkeel-front", arguments(&flags))
+        });
         Self {
             cores: cores.collect(),
             fronts: fronts.collect(),
@@ -224,11 +218,11 @@
     }
 
     /// An empty core at a new address, that stands in the place of another among the seeds.
-    pub fn add_core(&mut self, instead_of: usize, district: &str) -> Result<(), LabFault> {
+    pub fn add_core(&mut self, instead_of: usize, zone: &str) -> Result<(), LabError> {
         let place = self.cores.len();
         self.seeds[instead_of] = self.wire_address(place);
         let seeds = self.seeds.join(",");
-        let mut core = core_member(self.base, place, district, &seeds, &self.dir, false);
+        let mut core = core_member(self.base, place, zone, &seeds, &self.dir, false);
         core.start(&self.dir)?;
         self.cores.push(core);
         Ok(())
@@ -249,23 +243,23 @@
         &self,
         what: &str,
         is_so: impl Fn(&Self) -> bool,
-    ) -> Result<Duration, LabFault> {
+    ) -> Result<Duration, LabError> {
         let began = Instant::now();
         while !is_so(self) {
-            if began.elapsed() > UP_PATIENCE {
-                return Err(LabFault::Fleet(format!("waited in vain until {what}")));
+            if began.elapsed() > START_TIMEOUT {
+                return Err(LabError::Fleet(format!("waited in vain until {what}")));
             }
             thread::sleep(Duration::from_millis(20));
         }
         Ok(began.elapsed())
     }
 
-    /// Puts a blueprint and gives the answer's status and body.
+    /// Puts a configuration and gives the answer's status and body.
     pub fn put(&self, text: &str, expected: u64) -> Option<(u16, serde_json::Value)> {
         (0..self.cores.len()).find_map(|place| self.put_at(place, text, expected))
     }
 
-    /// Puts a blueprint at one core.
+    /// Puts a configuration at one core.
     pub fn put_at(
         &self,
         place: usize,
@@ -274,14 +268,14 @@
     ) -> Option<(u16, serde_json::Value)> {
         let core = &self.cores[place];
         let uri = format!("http://{}/blueprint?expected={expected}", core.http);
-        let patience = Duration::from_secs(10);
+        let timeout = Duration::from_secs(10);
         let body = text.as_bytes().to_vec();
-        let answer = call(Method::PUT, &uri, &[], body, patience, 1 << 20).ok()?;
-        let told = serde_json::from_slice(&answer.body).unwrap_or_default();
-        Some((answer.status, told))
+        let answer = call(Method::PUT, &uri, &[], body, timeout, 1 << 20).ok()?;
+        let reported = serde_json::from_slice(&answer.body).unwrap_or_default();
+        Some((answer.status, reported))
     }
 
-    /// Whether every runner that the plan wants is warm at its keeper.
+    /// Whether every runner that the plan wants is warm at its owner.
     pub fn is_warm(&self, functions: usize) -> bool {
         let mut warm = std::collections::HashSet::new();
         for front in &self.fronts {
--- a/tests/lab/src/interface.rs
+++ b/tests/lab/src/interface.rs
@@ -1,29 +1,29 @@
-use crate::deployment::{Deployment, LabFault};
+use crate::context::ScenarioContext;
+use crate::deployment::{Deployment, LabError};
 use crate::fleet::{Fleet, Needs};
 use crate::interface_operators as operators;
-use crate::ledger::{self, unix_now_ms};
+use crate::run_log::{self, unix_now_ms};
 use crate::session::make_ready;
-use crate::stage::Stage;
 use oxhttp::model::Method;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use transport::{call, Answer};
+use transport::{call, CallResponse};
 
 /// What the checks act on.
-pub struct Desk {
-    pub stage: Stage,
+pub struct InterfaceClient {
+    pub context: ScenarioContext,
     pub dir: PathBuf,
 }
 
-type Check = fn(&mut Desk) -> Result<(), String>;
+type Check = fn(&mut InterfaceClient) -> Result<(), String>;
 
 /// Checks every answer that callers and operators are promised, against real processes.
-pub fn run(file: &Path, dir: &Path) -> Result<(), LabFault> {
+pub fn run(file: &Path, dir: &Path) -> Result<(), LabError> {
     let deployment = Deployment::read(file)?;
     let ready = make_ready(&deployment, file, dir, Needs::default())?;
-    let mut desk = Desk {
-        stage: Stage::new(ready.fleet, deployment),
+    let mut client = InterfaceClient {
+        context: ScenarioContext::new(ready.fleet, deployment),
         dir: dir.to_path_buf(),
     };
     let checks: Vec<(&str, Check)> = vec![
@@ -36,7 +36,10 @@
         ),
         ("a budget that is over is told as what it was", budget_over),
         ("an answer without a seal is no success", not_sealed),
-        ("bad blueprints change nothing", operators::bad_blueprints),
+        (
+            "bad blueprints change nothing",
+            operators::bad_configurations,
+        ),
         ("a stale put is told the version", operators::stale_put),
         ("garbage between daemons is refused", operators::garbage),
         (
@@ -52,7 +55,7 @@
     ];
     let mut broken = Vec::new();
     for (name, check) in checks {
-        match check(&mut desk) {
+        match check(&mut client) {
             Ok(()) => println!("good    {name}"),
             Err(why) => {
                 println!("BROKEN  {name}: {why}");
@@ -63,7 +66,7 @@
     if broken.is_empty() {
         return Ok(());
     }
-    Err(LabFault::Broken(format!("broken: {}", broken.join(", "))))
+    Err(LabError::Broken(format!("broken: {}", broken.join(", "))))
 }
 
 /// Calls a front.
@@ -73,31 +76,29 @@
     path: &str,
     headers: &[(&str, &str)],
     body: &[u8],
-) -> Result<Answer, String> {
+) -> Result<CallResponse, String> {
     let uri = format!("http://{}{path}", fleet.fronts[front].http);
-    let patience = Duration::from_secs(8);
-    call(
-        Method::POST,
-        &uri,
-        headers,
-        body.to_vec(),
-        patience,
-        1 << 20,
-    )
-    .map_err(|error| error.to_string())
+    let timeout = Duration::from_secs(8);
+    call(Method::POST, &uri, headers, body.to_vec(), timeout, 1 << 20)
+        .map_err(|error| error.to_string())
 }
 
 /// Holds an answer against what was promised: status, outcome, reason.
-pub fn expect(answer: &Answer, status: u16, outcome: &str, reason: &str) -> Result<(), String> {
-    let told: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+pub fn expect(
+    answer: &CallResponse,
+    status: u16,
+    outcome: &str,
+    reason: &str,
+) -> Result<(), String> {
+    let reported: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     let header = answer.headers.get("hallkeel-outcome");
-    let told_outcome = header.and_then(|value| value.to_str().ok()).unwrap_or("");
-    let told_reason = told["reason"].as_str().unwrap_or("");
-    if (answer.status, told_outcome, told_reason) == (status, outcome, reason) {
+    let reported_outcome = header.and_then(|value| value.to_str().ok()).unwrap_or("");
+    let reported_reason = reported["reason"].as_str().unwrap_or("");
+    if (answer.status, reported_outcome, reported_reason) == (status, outcome, reason) {
         return Ok(());
     }
     Err(format!(
-        "wanted {status} {outcome:?} {reason:?}, got {} {told_outcome:?} {told_reason:?}",
+        "wanted {status} {outcome:?} {reason:?}, got {} {reported_outcome:?} {reported_reason:?}",
         answer.status
     ))
 }
@@ -106,32 +107,32 @@
     format!("{}-{text}", unix_now_ms())
 }
 
-fn answered(desk: &mut Desk) -> Result<(), String> {
-    let fleet = &desk.stage.fleet;
+fn answered(client: &mut InterfaceClient) -> Result<(), String> {
+    let fleet = &client.context.fleet;
     for front in 0..fleet.fronts.len() {
         let body = format!(r#"{{"call":"plain-{front}"}}"#);
         let answer = ask(fleet, front, "/call/quick-000", &[], body.as_bytes())?;
         expect(&answer, 200, "answered", "")?;
-        let told: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-        if told["call"] != format!("plain-{front}") || told["function"] != "quick-000" {
-            return Err(format!("another answer: {told}"));
+        let reported: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+        if reported["call"] != format!("plain-{front}") || reported["function"] != "quick-000" {
+            return Err(format!("another answer: {reported}"));
         }
     }
     Ok(())
 }
 
-fn runs_of(desk: &Desk, key: &str) -> usize {
-    let runs = ledger::read_all(&desk.dir.join("ledgers")).unwrap_or_default();
+fn runs_of(client: &InterfaceClient, key: &str) -> usize {
+    let runs = run_log::read_all(&client.dir.join("ledgers")).unwrap_or_default();
     runs.iter().filter(|run| run.key == key).count()
 }
 
-fn once(desk: &mut Desk) -> Result<(), String> {
+fn once(client: &mut InterfaceClient) -> Result<(), String> {
     let key = fresh_key("once");
     let headers = [
         ("hallkeel-kind", "urgent"),
         ("idempotency-key", key.as_str()),
     ];
-    let fleet = &desk.stage.fleet;
+    let fleet = &client.context.fleet;
     let first = ask(fleet, 0, "/call/quick-000", &headers, br#"{"call":"o"}"#)?;
     expect(&first, 200, "answered", "")?;
     for front in 0..fleet.fronts.len() {
@@ -155,7 +156,7 @@
         )?;
         expect(&other, 422, "not-run", "other-body")?;
     }
-    match runs_of(desk, &key) {
+    match runs_of(client, &key) {
         1 => Ok(()),
         runs => Err(format!("{runs} runs")),
     }
@@ -164,8 +165,8 @@
 /// Path, headers, status and reason.
 type BadRequest<'a> = (&'a str, &'a [(&'a str, &'a str)], u16, &'a str);
 
-fn bad_requests(desk: &mut Desk) -> Result<(), String> {
-    let fleet = &desk.stage.fleet;
+fn bad_requests(client: &mut InterfaceClient) -> Result<(), String> {
+    let fleet = &client.context.fleet;
     let old_key = format!("{}-old", unix_now_ms() - 3_600_000);
     let early_key = format!("{}-early", unix_now_ms() + 60_000);
     let cases: [BadRequest; 8] = [
@@ -224,15 +225,15 @@
     Ok(())
 }
 
-fn full_holding(desk: &mut Desk) -> Result<(), String> {
-    let fleet = &desk.stage.fleet;
-    let answers: Vec<Result<Answer, String>> = std::thread::scope(|scope| {
-        let asks: Vec<_> = (0..40)
+fn full_holding(client: &mut InterfaceClient) -> Result<(), String> {
+    let fleet = &client.context.fleet;
+    let answers: Vec<Result<CallResponse, String>> = std::thread::scope(|scope| {
+        let attempts: Vec<_> = (0..40)
             .map(|_| scope.spawn(|| ask(fleet, 0, "/call/slow-000", &[], b"{}")))
             .collect();
-        let joined = asks.into_iter().map(|ask| ask.join());
+        let joined = attempts.into_iter().map(|ask| ask.join());
         joined
-            .map(|told| told.unwrap_or_else(|_| Err("a caller failed".into())))
+            .map(|reported| reported.unwrap_or_else(|_| Err("a caller failed".into())))
             .collect()
     });
     let mut counts: BTreeMap<u16, usize> = BTreeMap::new();
@@ -256,8 +257,8 @@
     Ok(())
 }
 
-fn budget_over(desk: &mut Desk) -> Result<(), String> {
-    let fleet = &desk.stage.fleet;
+fn budget_over(client: &mut InterfaceClient) -> Result<(), String> {
+    let fleet = &client.context.fleet;
     let headers = [("hallkeel-budget-ms", "20")];
     let answer = ask(fleet, 2, "/call/slow-000", &headers, b"{}")?;
     let is_sent = expect(&answer, 504, "unknown", "budget-over");
@@ -265,20 +266,22 @@
     is_sent.or(is_unsent)
 }
 
-fn not_sealed(desk: &mut Desk) -> Result<(), String> {
-    desk.stage.mischief("quick-001", Some("no-seal"), 1.0);
+fn not_sealed(client: &mut InterfaceClient) -> Result<(), String> {
+    client
+        .context
+        .runner_fault("quick-001", Some("no-seal"), 1.0);
     let key = fresh_key("no-seal");
     let headers = [
         ("hallkeel-kind", "urgent"),
         ("idempotency-key", key.as_str()),
     ];
-    let fleet = &desk.stage.fleet;
+    let fleet = &client.context.fleet;
     let first = ask(fleet, 0, "/call/quick-001", &headers, b"{}")?;
     expect(&first, 502, "unknown", "answer-not-sealed")?;
     let again = ask(fleet, 1, "/call/quick-001", &headers, b"{}")?;
     expect(&again, 409, "unknown", "answer-lost")?;
-    desk.stage.mischief("quick-001", None, 0.0);
-    match runs_of(desk, &key) {
+    client.context.runner_fault("quick-001", None, 0.0);
+    match runs_of(client, &key) {
         1 => Ok(()),
         runs => Err(format!("{runs} runs")),
     }
--- a/tests/lab/src/interface_operators.rs
+++ b/tests/lab/src/interface_operators.rs
@@ -1,5 +1,5 @@
 use crate::fleet::wire_port;
-use crate::interface::Desk;
+use crate::interface::InterfaceClient;
 use crate::member::Member;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -17,17 +17,20 @@
 }
 
 fn code_of(program: &str, arguments: &[&str]) -> Result<(i32, String), String> {
-    let told = output(own_program(program)?.args(arguments))?;
-    let text = String::from_utf8_lossy(&told.stderr).into_owned();
-    Ok((told.status.code().unwrap_or(-1), text))
+    let reported = output(own_program(program)?.args(arguments))?;
+    let text = String::from_utf8_lossy(&reported.stderr).into_owned();
+    Ok((reported.status.code().unwrap_or(-1), text))
 }
 
-fn in_force(desk: &Desk) -> Result<(u64, Value), String> {
-    desk.stage.blueprint().map_err(|fault| fault.to_string())
+fn in_force(client: &InterfaceClient) -> Result<(u64, Value), String> {
+    client
+        .context
+        .configuration()
+        .map_err(|fault| fault.to_string())
 }
 
-pub fn bad_blueprints(desk: &mut Desk) -> Result<(), String> {
-    let (version, blueprint) = in_force(desk)?;
+pub fn bad_configurations(client: &mut InterfaceClient) -> Result<(), String> {
+    let (version, configuration) = in_force(client)?;
     let mut cases: Vec<(String, &str)> = vec![("{".into(), ""), ("[]".into(), "")];
     for (field, value, path) in [
         ("memory_mb", json!(0), "listings[0].memory_mb"),
@@ -36,32 +39,35 @@
         ("kinds", json!(["odd"]), "listings[0].kinds[0]"),
         ("odd", json!(1), ""),
     ] {
-        let mut bad = blueprint.clone();
+        let mut bad = configuration.clone();
         bad["listings"][0][field] = value;
         cases.push((bad.to_string(), path));
     }
     for (text, path) in cases {
-        let told = desk.stage.fleet.put(&text, version);
-        let Some((422, told)) = told else {
-            return Err(format!("a bad blueprint was told {told:?}"));
+        let reported = client.context.fleet.put(&text, version);
+        let Some((422, reported)) = reported else {
+            return Err(format!("a bad blueprint was told {reported:?}"));
         };
-        let faults = told["faults"].as_array().cloned().unwrap_or_default();
-        let is_told = faults.iter().any(|fault| fault["path"] == path);
-        if faults.is_empty() || (!path.is_empty() && !is_told) {
+        let faults = reported["faults"].as_array().cloned().unwrap_or_default();
+        let is_reported = faults.iter().any(|fault| fault["path"] == path);
+        if faults.is_empty() || (!path.is_empty() && !is_reported) {
             return Err(format!("{path:?} is not among {faults:?}"));
         }
     }
-    if in_force(desk)? != (version, blueprint) {
+    if in_force(client)? != (version, configuration) {
         return Err("the blueprint in force changed".into());
     }
     Ok(())
 }
 
-pub fn stale_put(desk: &mut Desk) -> Result<(), String> {
-    let (version, blueprint) = in_force(desk)?;
-    let told = desk.stage.fleet.put(&blueprint.to_string(), version + 7);
-    match told {
-        Some((409, told)) if told["version"] == version => Ok(()),
+pub fn stale_put(client: &mut InterfaceClient) -> Result<(), String> {
+    let (version, configuration) = in_force(client)?;
+    let reported = client
+        .context
+        .fleet
+        .put(&configuration.to_string(), version + 7);
+    match reported {
+        Some((409, reported)) if reported["version"] == version => Ok(()),
         other => Err(format!("{other:?}")),
     }
 }
@@ -71,9 +77,12 @@
     metrics["wire_refused"].as_u64().ok_or("no count".into())
 }
 
-pub fn garbage(desk: &mut Desk) -> Result<(), String> {
-    let base = desk.stage.deployment.base_port;
-    for member in [&desk.stage.fleet.cores[0], &desk.stage.fleet.fronts[0]] {
+pub fn garbage(client: &mut InterfaceClient) -> Result<(), String> {
+    let base = client.context.deployment.base_port;
+    for member in [
+        &client.context.fleet.cores[0],
+        &client.context.fleet.fronts[0],
+    ] {
         let before = refused(member)?;
         let oversized = [0xff, 0xff, 0xff, 0x7f, 1];
         let foreign = *b"GET / HTTP/1.1\r\n\r\n";
@@ -95,8 +104,8 @@
     Ok(())
 }
 
-pub fn bad_settings(desk: &mut Desk) -> Result<(), String> {
-    let file = desk.dir.join("bad.toml");
+pub fn bad_settings(client: &mut InterfaceClient) -> Result<(), String> {
+    let file = client.dir.join("bad.toml");
     std::fs::write(&file, "name = 3\nodd = true\n").map_err(|error| error.to_string())?;
     let file = file.display().to_string();
     let place = ["--http", "127.0.0.1:1", "--wire", "127.0.0.1:2"];
@@ -118,8 +127,8 @@
     Ok(())
 }
 
-pub fn data_folder(desk: &mut Desk) -> Result<(), String> {
-    let data = desk.dir.join("data").join("core-0").display().to_string();
+pub fn data_folder(client: &mut InterfaceClient) -> Result<(), String> {
+    let data = client.dir.join("data").join("core-0").display().to_string();
     let seeds = "127.0.0.1:3,127.0.0.1:4,127.0.0.1:5";
     let start = |name: &str| {
         let place = ["--http", "127.0.0.1:1", "--wire", "127.0.0.1:2"];
@@ -142,8 +151,8 @@
     if code != 2 || !text.contains("in use") {
         return Err(format!("a folder in use: code {code}, {text:?}"));
     }
-    let dir = desk.stage.fleet.dir.clone();
-    desk.stage.fleet.cores[0].kill();
+    let dir = client.context.fleet.dir.clone();
+    client.context.fleet.cores[0].kill();
     let (code, text) = start("stranger")?;
     let identity = std::path::Path::new(&data).join("identity.json");
     let own = std::fs::read(&identity).map_err(|error| error.to_string())?;
@@ -151,7 +160,7 @@
     std::fs::write(&identity, newer).map_err(|error| error.to_string())?;
     let (newer_code, newer_text) = start("core-0")?;
     std::fs::write(&identity, own).map_err(|error| error.to_string())?;
-    let started = desk.stage.fleet.cores[0].start(&dir);
+    let started = client.context.fleet.cores[0].start(&dir);
     started.map_err(|fault| fault.to_string())?;
     if code != 2 || !text.contains("belongs to") {
         return Err(format!("another's folder: code {code}, {text:?}"));
@@ -159,26 +168,29 @@
     if newer_code != 2 || !newer_text.contains("newer") {
         return Err(format!("a newer format: code {newer_code}, {newer_text:?}"));
     }
-    let back = desk.stage.fleet.wait_until("the core is back", |fleet| {
-        let status = fleet.cores[0].get_json("/status");
-        status.is_some_and(|status| status["blueprint"].as_u64() > Some(0))
-    });
+    let back = client
+        .context
+        .fleet
+        .wait_until("the core is back", |fleet| {
+            let status = fleet.cores[0].get_json("/status");
+            status.is_some_and(|status| status["blueprint"].as_u64() > Some(0))
+        });
     back.map(|_| ()).map_err(|fault| fault.to_string())
 }
 
-pub fn tool(desk: &mut Desk) -> Result<(), String> {
-    let cores: Vec<String> = desk
-        .stage
+pub fn tool(client: &mut InterfaceClient) -> Result<(), String> {
+    let cores: Vec<String> = client
+        .context
         .fleet
         .cores
         .iter()
         .map(|core| core.http.to_string())
         .collect();
     let cores = cores.join(",");
-    let file = desk.dir.join("put.json");
-    let (version, blueprint) = in_force(desk)?;
-    std::fs::write(&file, blueprint.to_string()).map_err(|error| error.to_string())?;
-    let bad = desk.dir.join("bad.json");
+    let file = client.dir.join("put.json");
+    let (version, configuration) = in_force(client)?;
+    std::fs::write(&file, configuration.to_string()).map_err(|error| error.to_string())?;
+    let bad = client.dir.join("bad.json");
     std::fs::write(&bad, "{}").map_err(|error| error.to_string())?;
     let (file, bad) = (file.display().to_string(), bad.display().to_string());
     let stale = (version + 9).to_string();
@@ -205,27 +217,30 @@
     ];
     for (arguments, code, text) in cases {
         let mut command = own_program("hallkeel")?;
-        let told = output(command.args(["--cores", &cores]).args(arguments))?;
-        let said = String::from_utf8_lossy(&told.stdout);
-        if told.status.code() != Some(code) || !said.contains(text) {
-            let errors = String::from_utf8_lossy(&told.stderr);
-            return Err(format!("{arguments:?}: {:?} {said} {errors}", told.status));
+        let reported = output(command.args(["--cores", &cores]).args(arguments))?;
+        let said = String::from_utf8_lossy(&reported.stdout);
+        if reported.status.code() != Some(code) || !said.contains(text) {
+            let errors = String::from_utf8_lossy(&reported.stderr);
+            return Err(format!(
+                "{arguments:?}: {:?} {said} {errors}",
+                reported.status
+            ));
         }
     }
-    let (_, changed) = in_force(desk)?;
+    let (_, changed) = in_force(client)?;
     match changed["listings"][2]["budget_ms"].as_u64() {
         Some(3_500) => Ok(()),
         other => Err(format!("the change left {other:?}")),
     }
 }
 
-pub fn drain(desk: &mut Desk) -> Result<(), String> {
-    let fleet = &mut desk.stage.fleet;
+pub fn drain(client: &mut InterfaceClient) -> Result<(), String> {
+    let fleet = &mut client.context.fleet;
     let cores = fleet.cores[0].http.to_string();
     let mut command = own_program("hallkeel")?;
-    let told = output(command.args(["--cores", &cores, "drain", "front-2"]))?;
-    if !told.status.success() {
-        return Err(String::from_utf8_lossy(&told.stderr).into_owned());
+    let reported = output(command.args(["--cores", &cores, "drain", "front-2"]))?;
+    if !reported.status.success() {
+        return Err(String::from_utf8_lossy(&reported.stderr).into_owned());
     }
     match fleet.fronts[2].wait() {
         Some(0) => Ok(()),
--- a/tests/lab/src/judge.rs
+++ b/tests/lab/src/judge.rs
@@ -1,6 +1,6 @@
-use crate::callers::Wish;
+use crate::callers::PlannedCall;
 use crate::deployment::Deployment;
-use crate::ledger::RunLine;
+use crate::run_log::RunRecord;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
@@ -23,9 +23,9 @@
 pub const RETRIES: &str = "retries in the worst window";
 
 /// What the callers of one kind saw.
-pub struct KindLine {
+pub struct KindSummary {
     pub kind: String,
-    pub wishes: usize,
+    pub planned_calls: usize,
     pub done: usize,
     pub p50: Duration,
     pub p99: Duration,
@@ -41,29 +41,40 @@
 }
 
 /// Sums up each kind.
-pub fn kinds(wishes: &[Wish]) -> Vec<KindLine> {
-    let mut by_kind: BTreeMap<&str, Vec<&Wish>> = BTreeMap::new();
-    for wish in wishes {
-        by_kind.entry(&wish.kind).or_default().push(wish);
+pub fn kinds(planned_calls: &[PlannedCall]) -> Vec<KindSummary> {
+    let mut by_kind: BTreeMap<&str, Vec<&PlannedCall>> = BTreeMap::new();
+    for planned_call in planned_calls {
+        by_kind
+            .entry(&planned_call.kind)
+            .or_default()
+            .push(planned_call);
     }
-    let lines = by_kind.into_iter().map(|(kind, wishes)| {
-        let done = wishes.iter().filter(|wish| wish.is_done);
-        let mut dues: Vec<u64> = done.clone().map(|wish| wish.due_ms).collect();
+    let lines = by_kind.into_iter().map(|(kind, planned_calls)| {
+        let done = planned_calls
+            .iter()
+            .filter(|planned_call| planned_call.is_done);
+        let mut dues: Vec<u64> = done
+            .clone()
+            .map(|planned_call| planned_call.due_ms)
+            .collect();
         dues.sort_unstable();
         let gaps = dues.windows(2).map(|pair| pair[1] - pair[0]);
         let gap_ms = gaps.max().unwrap_or(0);
-        let mut times: Vec<Duration> = done.map(|wish| wish.took).collect();
+        let mut times: Vec<Duration> = done.map(|planned_call| planned_call.took).collect();
         times.sort();
         let mut reasons: BTreeMap<String, usize> = BTreeMap::new();
-        for ask in wishes.iter().flat_map(|wish| &wish.asks) {
+        for ask in planned_calls
+            .iter()
+            .flat_map(|planned_call| &planned_call.attempts)
+        {
             if ask.outcome != "answered" || !ask.is_right {
                 let reason = format!("{}/{}", ask.outcome, ask.reason);
                 *reasons.entry(reason).or_default() += 1;
             }
         }
-        KindLine {
+        KindSummary {
             kind: kind.to_string(),
-            wishes: wishes.len(),
+            planned_calls: planned_calls.len(),
             done: times.len(),
             p50: percentile(&times, 0.50),
             p99: percentile(&times, 0.99),
@@ -74,9 +85,13 @@
     lines.collect()
 }
 
-/// Holds what callers were told against what the runners wrote down.
-pub fn checks(deployment: &Deployment, wishes: &[Wish], lines: &[RunLine]) -> Vec<Check> {
-    let runs: Vec<RunLine> = lines
+/// Holds what callers were notified against what the runners wrote down.
+pub fn checks(
+    deployment: &Deployment,
+    planned_calls: &[PlannedCall],
+    lines: &[RunRecord],
+) -> Vec<Check> {
+    let runs: Vec<RunRecord> = lines
         .iter()
         .filter(|line| line.in_flight > 0)
         .cloned()
@@ -84,17 +99,17 @@
     let runs = runs.as_slice();
     vec![
         once_runs(runs),
-        runs_after_refusal(wishes, runs),
+        runs_after_refusal(planned_calls, runs),
         in_flight(deployment, runs),
         warming(runs),
-        wrong_successes(wishes),
-        unrun_successes(wishes, runs),
-        misdirected(wishes, lines),
+        wrong_successes(planned_calls),
+        unrun_successes(planned_calls, runs),
+        misdirected(planned_calls, lines),
         retries(deployment, lines),
     ]
 }
 
-fn once_runs(runs: &[RunLine]) -> Check {
+fn once_runs(runs: &[RunRecord]) -> Check {
     let mut counts: HashMap<&str, usize> = HashMap::new();
     for run in runs.iter().filter(|run| run.key != "-") {
         *counts.entry(&run.key).or_default() += 1;
@@ -108,12 +123,15 @@
     }
 }
 
-fn runs_after_refusal(wishes: &[Wish], runs: &[RunLine]) -> Check {
+fn runs_after_refusal(planned_calls: &[PlannedCall], runs: &[RunRecord]) -> Check {
     let ran: HashSet<&str> = runs.iter().map(|run| run.call.as_str()).collect();
     // Work under one key keeps its number; it is promised not to have run only where every request
-    // with the number was told so.
+    // with the number was notified so.
     let mut promised: HashMap<&str, bool> = HashMap::new();
-    for ask in wishes.iter().flat_map(|wish| &wish.asks) {
+    for ask in planned_calls
+        .iter()
+        .flat_map(|planned_call| &planned_call.attempts)
+    {
         *promised.entry(&ask.call).or_insert(true) &= ask.outcome == "not-run";
     }
     let promised = promised.into_iter().filter(|(_, is_promised)| *is_promised);
@@ -127,7 +145,7 @@
     }
 }
 
-fn in_flight(deployment: &Deployment, runs: &[RunLine]) -> Check {
+fn in_flight(deployment: &Deployment, runs: &[RunRecord]) -> Check {
     let mut worst = (0.0, String::from("no runs"));
     for run in runs {
         let most = deployment
@@ -149,7 +167,7 @@
 
 /// The stated ramp is one seat at first and one more with each answer. Of a runner's first `n` runs,
 /// with `k` in flight as the last begins, `n - k` have ended; so `k` is at most `1 + n - k`.
-fn warming(runs: &[RunLine]) -> Check {
+fn warming(runs: &[RunRecord]) -> Check {
     let mut begun: HashMap<&str, u32> = HashMap::new();
     let (mut counted, mut flooded) = (0, Vec::new());
     for run in runs {
@@ -172,9 +190,11 @@
     }
 }
 
-fn wrong_successes(wishes: &[Wish]) -> Check {
-    let asks = wishes.iter().flat_map(|wish| &wish.asks);
-    let answered: Vec<_> = asks.filter(|ask| ask.outcome == "answered").collect();
+fn wrong_successes(planned_calls: &[PlannedCall]) -> Check {
+    let attempts = planned_calls
+        .iter()
+        .flat_map(|planned_call| &planned_call.attempts);
+    let answered: Vec<_> = attempts.filter(|ask| ask.outcome == "answered").collect();
     let wrong = answered.iter().filter(|ask| !ask.is_right).count();
     Check {
         name: WRONG,
@@ -184,10 +204,12 @@
     }
 }
 
-fn unrun_successes(wishes: &[Wish], runs: &[RunLine]) -> Check {
+fn unrun_successes(planned_calls: &[PlannedCall], runs: &[RunRecord]) -> Check {
     let ran: HashSet<&str> = runs.iter().map(|run| run.call.as_str()).collect();
-    let asks = wishes.iter().flat_map(|wish| &wish.asks);
-    let answered: Vec<_> = asks.filter(|ask| ask.outcome == "answered").collect();
+    let attempts = planned_calls
+        .iter()
+        .flat_map(|planned_call| &planned_call.attempts);
+    let answered: Vec<_> = attempts.filter(|ask| ask.outcome == "answered").collect();
     let unrun = answered
         .iter()
         .filter(|ask| !ran.contains(ask.call.as_str()));
@@ -202,12 +224,12 @@
 
 /// Requests that came to a runner of another function. One that was turned away there proves that
 /// the failure came about; one that ran breaks the line.
-fn misdirected(wishes: &[Wish], lines: &[RunLine]) -> Check {
-    let meant: HashMap<&str, &str> = wishes
+fn misdirected(planned_calls: &[PlannedCall], lines: &[RunRecord]) -> Check {
+    let meant: HashMap<&str, &str> = planned_calls
         .iter()
-        .flat_map(|wish| {
-            let asks = wish.asks.iter();
-            asks.map(|ask| (ask.call.as_str(), wish.function.as_str()))
+        .flat_map(|planned_call| {
+            let attempts = planned_call.attempts.iter();
+            attempts.map(|ask| (ask.call.as_str(), planned_call.function.as_str()))
         })
         .collect();
     let astray = lines.iter().filter(|line| {
@@ -225,7 +247,7 @@
 
 /// Requests of a call that came to any runner beyond its first, in the worst 10 s, against the
 /// allowance.
-fn retries(deployment: &Deployment, lines: &[RunLine]) -> Check {
+fn retries(deployment: &Deployment, lines: &[RunRecord]) -> Check {
     let bounds = &deployment.bounds;
     let window = bounds.retry_window_ms;
     let mut seen: HashSet<&str> = HashSet::new();
--- a/tests/lab/src/keeping_on.rs
+++ b/tests/lab/src/keeping_on.rs
@@ -5,7 +5,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Callers for each front.
 const CALLERS_EACH: usize = 2;
 
@@ -59,9 +59,13 @@
         for caller in self.callers {
             let _ = caller.join();
         }
-        let told = |count: &AtomicUsize| count.load(Ordering::SeqCst);
+        let reported = |count: &AtomicUsize| count.load(Ordering::SeqCst);
         let counts = &self.counts;
-        (told(&counts.asked), told(&counts.kept), told(&counts.cut))
+        (
+            reported(&counts.asked),
+            reported(&counts.kept),
+            reported(&counts.cut),
+        )
     }
 }
 
@@ -69,7 +73,7 @@
     let Ok(mut stream) = TcpStream::connect_timeout(&front, Duration::from_secs(2)) else {
         return;
     };
-    let _ = stream.set_read_timeout(Some(PATIENCE));
+    let _ = stream.set_read_timeout(Some(TIMEOUT));
     let mut is_kept = false;
     while !is_over.load(Ordering::SeqCst) {
         counts.asked.fetch_add(1, Ordering::SeqCst);
--- a/tests/lab/src/load.rs
+++ b/tests/lab/src/load.rs
@@ -1,8 +1,8 @@
-use crate::callers::{self, Wish};
-use crate::deployment::{Deployment, LabFault};
+use crate::callers::{self, PlannedCall};
+use crate::deployment::{Deployment, LabError};
 use crate::fleet::Needs;
 use crate::judge::{self, percentile};
-use crate::ledger;
+use crate::run_log;
 use crate::session::{make_ready, Ready};
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -21,15 +21,15 @@
     seconds: u64,
     dir: &Path,
     report: Option<&Path>,
-) -> Result<(), LabFault> {
+) -> Result<(), LabError> {
     let deployment = Deployment::read(file)?;
     if crowds.is_empty() && rates.is_empty() {
-        return Err(LabFault::Input("name --crowds, --rates, or both".into()));
+        return Err(LabError::Input("name --crowds, --rates, or both".into()));
     }
     let is_bad = |factor: &f64| !(0.1..=20.0).contains(factor);
     if crowds.iter().chain(rates).any(is_bad) || !(5..=600).contains(&seconds) {
         let text = "factors are 0.1 to 20, seconds 5 to 600";
-        return Err(LabFault::Input(text.into()));
+        return Err(LabError::Input(text.into()));
     }
     let mut text = format!(
         "# {}\n\n| load | kind | wanted | done | share | p50 ms | p99 ms | told to come back | late ms |\n\
@@ -52,14 +52,21 @@
         log::info!("lab: {name} for {seconds} s");
         let ready = make_ready(&deployment, file, dir, Needs::default())?;
         let fronts: Vec<SocketAddr> = ready.fleet.fronts.iter().map(|front| front.http).collect();
-        let began = ledger::unix_now_ms();
-        let wishes = callers::send_by(CALLERS, &loaded, &fronts, seconds, is_crowd, 1);
-        describe(&mut text, &name, &wishes);
+        let began = run_log::unix_now_ms();
+        let planned_calls = callers::send_by(CALLERS, &loaded, &fronts, seconds, is_crowd, 1);
+        describe(&mut text, &name, &planned_calls);
         let capacity = capacity(&ready);
-        sum_up(&mut closing, &name, seconds, began, &wishes, capacity);
-        let lines = ledger::read_all(&dir.join("ledgers"));
-        let lines = lines.map_err(|error| LabFault::Fleet(error.to_string()))?;
-        let checks = judge::checks(&deployment, &wishes, &lines);
+        sum_up(
+            &mut closing,
+            &name,
+            seconds,
+            began,
+            &planned_calls,
+            capacity,
+        );
+        let lines = run_log::read_all(&dir.join("ledgers"));
+        let lines = lines.map_err(|error| LabError::Fleet(error.to_string()))?;
+        let checks = judge::checks(&deployment, &planned_calls, &lines);
         let wanted = [judge::ONCE, judge::IN_FLIGHT, judge::WARMING, judge::WRONG];
         let faults = judge::faults(&checks, &wanted);
         broken.extend(faults.into_iter().map(|fault| format!("{name}: {fault}")));
@@ -71,19 +78,22 @@
     match report {
         None => println!("{text}"),
         Some(path) => std::fs::write(path, &text)
-            .map_err(|error| LabFault::Input(format!("{}: {error}", path.display())))?,
+            .map_err(|error| LabError::Input(format!("{}: {error}", path.display())))?,
     }
     if broken.is_empty() {
         return Ok(());
     }
-    Err(LabFault::Broken(broken.join("; ")))
+    Err(LabError::Broken(broken.join("; ")))
 }
 
-fn describe(text: &mut String, name: &str, wishes: &[Wish]) {
-    let mut late: Vec<Duration> = wishes.iter().map(|wish| wish.late).collect();
+fn describe(text: &mut String, name: &str, planned_calls: &[PlannedCall]) {
+    let mut late: Vec<Duration> = planned_calls
+        .iter()
+        .map(|planned_call| planned_call.late)
+        .collect();
     late.sort();
-    for line in judge::kinds(wishes) {
-        let share = 100.0 * line.done as f64 / line.wishes.max(1) as f64;
+    for line in judge::kinds(planned_calls) {
+        let share = 100.0 * line.done as f64 / line.planned_calls.max(1) as f64;
         let back: usize = line
             .reasons
             .iter()
@@ -94,7 +104,7 @@
             text,
             "| {name} | {} | {} | {} | {share:.1} % | {} | {} | {back} | {} |",
             line.kind,
-            line.wishes,
+            line.planned_calls,
             line.done,
             line.p50.as_millis(),
             line.p99.as_millis(),
@@ -116,17 +126,27 @@
     notes.filter_map(|note| note["capacity"].as_f64()).sum()
 }
 
-fn sum_up(text: &mut String, name: &str, seconds: u64, began: u64, wishes: &[Wish], capacity: f64) {
-    // What was done while the load lasted; callers that were told to come back go on for longer.
+fn sum_up(
+    text: &mut String,
+    name: &str,
+    seconds: u64,
+    began: u64,
+    planned_calls: &[PlannedCall],
+    capacity: f64,
+) {
+    // What was done while the load lasted; callers that were notified to come back go on for longer.
     let until = began + seconds * 1_000;
-    let is_in_time =
-        |wish: &&Wish| wish.is_done && wish.due_ms + wish.took.as_millis() as u64 <= until;
-    let done = wishes.iter().filter(is_in_time).count();
-    let failed = wishes.iter().filter(|wish| {
-        let first = wish.asks.first();
+    let is_in_time = |planned_call: &&PlannedCall| {
+        planned_call.is_done && planned_call.due_ms + planned_call.took.as_millis() as u64 <= until
+    };
+    let done = planned_calls.iter().filter(is_in_time).count();
+    let failed = planned_calls.iter().filter(|planned_call| {
+        let first = planned_call.attempts.first();
         first.is_none_or(|ask| !ask.is_right)
     });
-    let last = failed.map(|wish| wish.due_ms.saturating_sub(began)).max();
+    let last = failed
+        .map(|planned_call| planned_call.due_ms.saturating_sub(began))
+        .max();
     let last = last.map_or("none".into(), |last| format!("{last} ms"));
     let _ = writeln!(
         text,
--- a/tests/lab/src/main.rs
+++ b/tests/lab/src/main.rs
@@ -2,6 +2,7 @@
 //! one machine. It is for trying and testing, never for operating.
 
 mod callers;
+mod context;
 mod cost;
 mod deployment;
 mod failing_daemons;
@@ -16,7 +17,6 @@
 mod interface_operators;
 mod judge;
 mod keeping_on;
-mod ledger;
 mod load;
 mod member;
 mod operating;
@@ -24,12 +24,12 @@
 mod platform;
 mod relay;
 mod replay;
+mod run_log;
 mod runner;
 mod scenario;
 mod scenarios;
 mod session;
 mod soak;
-mod stage;
 mod watch;
 mod worker;
 
@@ -51,7 +51,8 @@
 #[derive(Subcommand)]
 enum Command {
     /// Print the blueprint that a deployment file describes
-    Blueprint {
+    #[command(name = "blueprint")]
+    Configuration {
         /// Deployment file
         deployment: PathBuf,
     },
@@ -189,15 +190,15 @@
         http: SocketAddr,
         #[arg(long)]
         deployment: PathBuf,
-        #[arg(long)]
-        ledger: PathBuf,
+        #[arg(long = "ledger", value_name = "LEDGER")]
+        run_log: PathBuf,
     },
 }
 
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
     let result = match Flags::parse().command {
-        Command::Blueprint { deployment } => session::print_blueprint(&deployment),
+        Command::Configuration { deployment } => session::print_configuration(&deployment),
         Command::Fleet { deployment, dir } => session::keep_fleet(&deployment, &dir),
         Command::Run {
             deployment,
@@ -259,8 +260,8 @@
         Command::Worker {
             http,
             deployment,
-            ledger,
-        } => worker::run(http, &deployment, &ledger),
+            run_log,
+        } => worker::run(http, &deployment, &run_log),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/tests/lab/src/member.rs
+++ b/tests/lab/src/member.rs
@@ -1,4 +1,4 @@
-use crate::deployment::LabFault;
+use crate::deployment::LabError;
 use oxhttp::model::Method;
 use std::fs::File;
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
-use transport::{call, Answer};
+use transport::{call, CallResponse};
 
-fn fleet_fault(error: impl std::fmt::Display) -> LabFault {
-    LabFault::Fleet(error.to_string())
+fn fleet_fault(error: impl std::fmt::Display) -> LabError {
+    LabError::Fleet(error.to_string())
 }
 
 /// One process of the fleet.
@@ -46,7 +46,7 @@
     }
 
     /// Starts the process; its output goes to a log file in the fleet's folder.
-    pub fn start(&mut self, dir: &Path) -> Result<(), LabFault> {
+    pub fn start(&mut self, dir: &Path) -> Result<(), LabError> {
         let own = std::env::current_exe().map_err(fleet_fault)?;
         let program = own.with_file_name(self.program);
         let log_path = dir.join("logs").join(format!("{}.log", self.name));
@@ -72,7 +72,7 @@
         }
         let child = command
             .spawn()
-            .map_err(|error| LabFault::Fleet(format!("{}: {error}", program.display())))?;
+            .map_err(|error| LabError::Fleet(format!("{}: {error}", program.display())))?;
         self.child = Some(child);
         Ok(())
     }
@@ -118,10 +118,10 @@
     }
 
     /// Asks the process over HTTP.
-    pub fn get(&self, path: &str) -> Option<Answer> {
+    pub fn get(&self, path: &str) -> Option<CallResponse> {
         let uri = format!("http://{}{path}", self.http);
-        let patience = Duration::from_secs(2);
-        call(Method::GET, &uri, &[], Vec::new(), patience, 16 << 20).ok()
+        let timeout = Duration::from_secs(2);
+        call(Method::GET, &uri, &[], Vec::new(), timeout, 16 << 20).ok()
     }
 
     /// Runners in the status of a daemon; none where it does not answer.
--- a/tests/lab/src/operating.rs
+++ b/tests/lab/src/operating.rs
@@ -1,43 +1,47 @@
-use crate::deployment::LabFault;
+use crate::context::ScenarioContext;
+use crate::deployment::LabError;
 use crate::failing_disks::put_figures;
-use crate::ledger::unix_now_ms;
-use crate::stage::Stage;
+use crate::run_log::unix_now_ms;
 use serde_json::Value;
 
-pub fn set_state(blueprint: &mut Value, district: &str, state: &str) {
-    for known in blueprint["districts"].as_array_mut().into_iter().flatten() {
-        if known["name"] == district {
+pub fn set_state(configuration: &mut Value, zone: &str, state: &str) {
+    for known in configuration["districts"]
+        .as_array_mut()
+        .into_iter()
+        .flatten()
+    {
+        if known["name"] == zone {
             known["state"] = state.into();
         }
     }
 }
 
-pub fn evacuate(stage: &mut Stage) -> Result<(), LabFault> {
-    stage.until(5.0);
-    stage.fails();
+pub fn evacuate(context: &mut ScenarioContext) -> Result<(), LabError> {
+    context.until(5.0);
+    context.fails();
     let began = unix_now_ms();
     let (acknowledged, held) =
-        stage.put_edited(|blueprint| set_state(blueprint, "a", "evacuated"))?;
-    stage.closes();
-    put_figures(stage, acknowledged, held);
-    let bound = stage.deployment.bounds.evacuation_ms;
-    stage.no_work.push(("a".into(), began + bound, u64::MAX));
+        context.put_edited(|configuration| set_state(configuration, "a", "evacuated"))?;
+    context.closes();
+    put_figures(context, acknowledged, held);
+    let bound = context.deployment.bounds.evacuation_ms;
+    context.no_work.push(("a".into(), began + bound, u64::MAX));
     Ok(())
 }
 
-pub fn puts_race(stage: &mut Stage) -> Result<(), LabFault> {
-    stage.until(2.0);
+pub fn puts_race(context: &mut ScenarioContext) -> Result<(), LabError> {
+    context.until(2.0);
     let mut stale = 0;
     for round in 0..10u64 {
-        let (version, blueprint) = stage.blueprint()?;
+        let (version, configuration) = context.configuration()?;
         let texts: Vec<String> = (0..2u64)
             .map(|writer| {
-                let mut own = blueprint.clone();
+                let mut own = configuration.clone();
                 own["bounds"]["claim_ms"] = (600_000 + round * 10 + writer).into();
                 own.to_string()
             })
             .collect();
-        let fleet = &stage.fleet;
+        let fleet = &context.fleet;
         let answers: Vec<u16> = std::thread::scope(|scope| {
             let puts: Vec<_> = texts
                 .iter()
@@ -46,61 +50,61 @@
                 .collect();
             let joined = puts.into_iter().map(|put| put.join().ok().flatten());
             joined
-                .map(|told| told.map_or(0, |(status, _)| status))
+                .map(|reported| reported.map_or(0, |(status, _)| status))
                 .collect()
         });
         let won = answers.iter().filter(|status| **status == 200).count();
         stale += answers.iter().filter(|status| **status == 409).count();
         let text = format!("round {round}: {won} puts won, answers {answers:?}");
-        stage.expect(won <= 1, &text);
+        context.expect(won <= 1, &text);
     }
-    stage.note(format!("10 races: {stale} losers were told 409"));
+    context.note(format!("10 races: {stale} losers were told 409"));
     Ok(())
 }
 
-pub fn puts_storm(stage: &mut Stage) -> Result<(), LabFault> {
-    stage.until(2.0);
+pub fn puts_storm(context: &mut ScenarioContext) -> Result<(), LabError> {
+    context.until(2.0);
     let mut acknowledged = Vec::new();
     let mut held = Vec::new();
     for round in 0..60u64 {
-        let (first, second) = stage.put_edited(|blueprint| {
-            blueprint["bounds"]["claim_ms"] = (600_000 + round).into();
+        let (first, second) = context.put_edited(|configuration| {
+            configuration["bounds"]["claim_ms"] = (600_000 + round).into();
         })?;
         acknowledged.push(first.as_millis());
         held.push(second.as_millis());
     }
     acknowledged.sort_unstable();
     held.sort_unstable();
-    stage.note(format!(
+    context.note(format!(
         "60 puts: acknowledged in {} ms at the median and {} at most; held by all in {} and {}",
         acknowledged[30], acknowledged[59], held[30], held[59]
     ));
-    let bound = u128::from(stage.deployment.bounds.change_ms);
-    stage.expect(
+    let bound = u128::from(context.deployment.bounds.change_ms);
+    context.expect(
         held[59] <= bound,
         "a put was not held by all within the bound",
     );
     Ok(())
 }
 
-pub fn blueprint_bound(stage: &mut Stage) -> Result<(), LabFault> {
-    stage.until(3.0);
+pub fn configuration_bound(context: &mut ScenarioContext) -> Result<(), LabError> {
+    context.until(3.0);
     for size in [500, 1_000, 2_000] {
-        let (acknowledged, held) = stage.put_edited(|blueprint| {
-            let Some(listings) = blueprint["listings"].as_array_mut() else {
+        let (acknowledged, held) = context.put_edited(|configuration| {
+            let Some(function_specs) = configuration["listings"].as_array_mut() else {
                 return;
             };
-            let Some(last) = listings.last().cloned() else {
+            let Some(last) = function_specs.last().cloned() else {
                 return;
             };
-            for number in listings.len()..size {
-                let mut listing = last.clone();
-                listing["name"] = format!("grown-{number}").into();
-                listings.push(listing);
+            for number in function_specs.len()..size {
+                let mut function_spec = last.clone();
+                function_spec["name"] = format!("grown-{number}").into();
+                function_specs.push(function_spec);
             }
         })?;
-        stage.note(format!("{size} listings"));
-        put_figures(stage, acknowledged, held);
+        context.note(format!("{size} listings"));
+        put_figures(context, acknowledged, held);
     }
     Ok(())
 }
--- a/tests/lab/src/platform.rs
+++ b/tests/lab/src/platform.rs
@@ -1,4 +1,4 @@
-use crate::deployment::LabFault;
+use crate::deployment::LabError;
 use oxhttp::model::{Body, Method, Request, Response};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -9,16 +9,17 @@
 use std::time::{Duration, Instant};
 use transport::{call, json, read_body, serve, text};
 
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Age of the lists while they are late.
 const LATE: Duration = Duration::from_secs(10);
 const TOO_SLOW: Duration = Duration::from_secs(4);
 
 /// A worker as the stand-in platform knows it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct WorkerLine {
+pub struct WorkerRecord {
     pub name: String,
-    pub district: String,
+    #[serde(rename = "district")]
+    pub zone: String,
     pub host: String,
     pub memory_mb: u64,
     pub first_port: u16,
@@ -29,7 +30,7 @@
 }
 
 #[derive(Clone, Debug, Serialize)]
-struct RunnerLine {
+struct RunnerRecord {
     id: String,
     function: String,
     worker: String,
@@ -41,7 +42,7 @@
 }
 
 #[derive(Deserialize)]
-struct StartOrder {
+struct RunnerStartRequest {
     function: String,
     worker: String,
     port: u16,
@@ -51,8 +52,8 @@
 
 #[derive(Clone, Default)]
 struct Lists {
-    workers: Vec<WorkerLine>,
-    runners: BTreeMap<String, RunnerLine>,
+    workers: Vec<WorkerRecord>,
+    runners: BTreeMap<String, RunnerRecord>,
 }
 
 #[derive(Default)]
@@ -61,13 +62,13 @@
     /// Lists as they were, the oldest first.
     past: VecDeque<(Instant, Lists)>,
     term: u64,
-    trouble: Option<(Trouble, Instant)>,
+    injected_fault: Option<(InjectedFault, Instant)>,
 }
 
 /// What is wrong with the platform for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum InjectedFault {
     /// It answers after longer than anyone waits.
     Slow,
     /// It refuses every call with 503.
@@ -76,25 +77,25 @@
     Garbage,
     /// Its lists are ten seconds old.
     Late,
-    /// Its lists miss the first worker, which lives, and all that runs there.
+    /// Its lists miss the first worker, which incarnations, and all that runs there.
     Forget,
     /// Its lists go on naming runners that are gone.
     Ghosts,
-    /// It does what it is told, and answers 503.
+    /// It does what it is notified, and answers 503.
     Unheard,
 }
 
 impl State {
-    fn trouble(&self) -> Option<Trouble> {
-        let (trouble, until) = self.trouble?;
-        (Instant::now() < until).then_some(trouble)
+    fn injected_fault(&self) -> Option<InjectedFault> {
+        let (injected_fault, until) = self.injected_fault?;
+        (Instant::now() < until).then_some(injected_fault)
     }
 }
 
-/// Stands in for the platform: it starts and stops runners where it is told, and its lists lag.
-pub fn run(http: SocketAddr, workers: &str, lag_ms: u64) -> Result<(), LabFault> {
-    let workers: Vec<WorkerLine> =
-        serde_json::from_str(workers).map_err(|error| LabFault::Input(error.to_string()))?;
+/// Stands in for the platform: it starts and stops runners where it is notified, and its lists lag.
+pub fn run(http: SocketAddr, workers: &str, lag_ms: u64) -> Result<(), LabError> {
+    let workers: Vec<WorkerRecord> =
+        serde_json::from_str(workers).map_err(|error| LabError::Input(error.to_string()))?;
     let state = Arc::new(Mutex::new(State {
         lists: Lists {
             workers,
@@ -109,7 +110,7 @@
     serve(http, 256, Duration::from_secs(30), move |request| {
         handle(&serving, lag, request)
     })
-    .map_err(|error| LabFault::Fleet(error.to_string()))?;
+    .map_err(|error| LabError::Fleet(error.to_string()))?;
     loop {
         thread::sleep(lag / 4 + Duration::from_millis(5));
         let mut state = state.lock();
@@ -128,19 +129,20 @@
     loop {
         for worker in &all {
             let uri = format!("http://{}/runners", worker.control);
-            let answer = call(Method::GET, &uri, &[], Vec::new(), PATIENCE / 3, 1 << 20);
+            let answer = call(Method::GET, &uri, &[], Vec::new(), TIMEOUT / 3, 1 << 20);
             let alive: Option<Vec<String>> = answer
                 .ok()
                 .and_then(|answer| serde_json::from_slice(&answer.body).ok());
             let mut state = state.lock();
-            let trouble = state.trouble();
+            let injected_fault = state.injected_fault();
             let lists = &mut state.lists;
             let is_listed = lists.workers.iter().any(|known| known.name == worker.name);
             match alive {
                 None => {
                     lists.workers.retain(|known| known.name != worker.name);
                     lists.runners.retain(|_, runner| {
-                        runner.worker != worker.name || trouble == Some(Trouble::Ghosts)
+                        runner.worker != worker.name
+                            || injected_fault == Some(InjectedFault::Ghosts)
                     });
                 }
                 Some(ids) => {
@@ -148,8 +150,8 @@
                     lists.runners.retain(|id, runner| {
                         runner.worker != worker.name
                             || ids.contains(id)
-                            || trouble == Some(Trouble::Ghosts)
-                            || runner.since.elapsed() < 2 * PATIENCE
+                            || injected_fault == Some(InjectedFault::Ghosts)
+                            || runner.since.elapsed() < 2 * TIMEOUT
                     });
                     if !is_listed {
                         lists.workers.push(worker.clone());
@@ -169,20 +171,20 @@
         Err(response) => return *response,
     };
     let method = request.method().clone();
-    if let Some(trouble) = path.strip_prefix("/lab/trouble/") {
-        return make_trouble(state, trouble);
+    if let Some(injected_fault) = path.strip_prefix("/lab/trouble/") {
+        return inject_fault(state, injected_fault);
     }
-    let trouble = state.lock().trouble();
-    match trouble {
-        Some(Trouble::Slow) => thread::sleep(TOO_SLOW),
-        Some(Trouble::Refuse) => return text(503, "not now"),
-        Some(Trouble::Garbage) if method == Method::GET => return json(200, &"}{"),
-        Some(Trouble::Garbage) => return text(500, "}{"),
+    let injected_fault = state.lock().injected_fault();
+    match injected_fault {
+        Some(InjectedFault::Slow) => thread::sleep(TOO_SLOW),
+        Some(InjectedFault::Refuse) => return text(503, "not now"),
+        Some(InjectedFault::Garbage) if method == Method::GET => return json(200, &"}{"),
+        Some(InjectedFault::Garbage) => return text(500, "}{"),
         _ => {}
     }
     if method == Method::GET {
         let state = state.lock();
-        let age = if trouble == Some(Trouble::Late) {
+        let age = if injected_fault == Some(InjectedFault::Late) {
             LATE
         } else {
             lag
@@ -190,7 +192,7 @@
         let mut lagging = state.past.iter().rev();
         let lagging = lagging.find(|(at, _)| at.elapsed() >= age);
         let mut lists = lagging.map_or_else(Lists::default, |(_, lists)| lists.clone());
-        if trouble == Some(Trouble::Forget) && !lists.workers.is_empty() {
+        if injected_fault == Some(InjectedFault::Forget) && !lists.workers.is_empty() {
             let name = lists.workers.remove(0).name;
             lists.runners.retain(|_, runner| runner.worker != name);
         }
@@ -227,23 +229,23 @@
         Method::DELETE => stop(state, id),
         _ => text(405, "start with PUT and stop with DELETE"),
     };
-    if trouble == Some(Trouble::Unheard) {
+    if injected_fault == Some(InjectedFault::Unheard) {
         return text(503, "done, and not told");
     }
     answer
 }
 
-/// `<trouble>/<seconds>`
-fn make_trouble(state: &Mutex<State>, order: &str) -> Response<Body> {
-    let Some((name, seconds)) = order.split_once('/') else {
+/// `<fault>/<seconds>`
+fn inject_fault(state: &Mutex<State>, command: &str) -> Response<Body> {
+    let Some((name, seconds)) = command.split_once('/') else {
         return text(400, "say the trouble and for how many seconds");
     };
-    let trouble = serde_json::from_value(serde_json::Value::from(name));
-    let (Ok(trouble), Ok(seconds)) = (trouble, seconds.parse()) else {
+    let injected_fault = serde_json::from_value(serde_json::Value::from(name));
+    let (Ok(injected_fault), Ok(seconds)) = (injected_fault, seconds.parse()) else {
         return text(400, "no such trouble");
     };
     let until = Instant::now() + Duration::from_secs(seconds);
-    state.lock().trouble = Some((trouble, until));
+    state.lock().injected_fault = Some((injected_fault, until));
     json(200, &serde_json::json!({}))
 }
 
@@ -258,7 +260,7 @@
 }
 
 fn start(state: &Mutex<State>, id: &str, body: &[u8]) -> Response<Body> {
-    let Ok(order) = serde_json::from_slice::<StartOrder>(body) else {
+    let Ok(command) = serde_json::from_slice::<RunnerStartRequest>(body) else {
         return text(400, "no start order");
     };
     let (control, host) = {
@@ -270,7 +272,7 @@
         let found = lists
             .workers
             .iter()
-            .find(|known| known.name == order.worker);
+            .find(|known| known.name == command.worker);
         let Some(worker) = found else {
             return text(422, "no such worker");
         };
@@ -279,32 +281,32 @@
             .values()
             .filter(|runner| runner.worker == worker.name);
         let used: u64 = there.map(|runner| runner.memory_mb).sum();
-        if used + order.memory_mb > worker.memory_mb {
+        if used + command.memory_mb > worker.memory_mb {
             return text(422, "the worker has not the memory");
         }
         let (control, host) = (worker.control, worker.host.clone());
-        let line = RunnerLine {
+        let line = RunnerRecord {
             id: id.to_string(),
-            function: order.function.clone(),
-            worker: order.worker.clone(),
-            port: order.port,
-            memory_mb: order.memory_mb,
+            function: command.function.clone(),
+            worker: command.worker.clone(),
+            port: command.port,
+            memory_mb: command.memory_mb,
             state: "up".into(),
             since: Instant::now(),
         };
         lists.runners.insert(id.to_string(), line);
         (control, host)
     };
-    let told = serde_json::json!({
+    let reported = serde_json::json!({
         "id": id,
-        "function": order.function,
-        "address": format!("{host}:{}", order.port),
-        "key": order.key,
+        "function": command.function,
+        "address": format!("{host}:{}", command.port),
+        "key": command.key,
     });
-    let body = serde_json::to_vec(&told).unwrap_or_default();
+    let body = serde_json::to_vec(&reported).unwrap_or_default();
     let uri = format!("http://{control}/start");
-    match call(Method::POST, &uri, &[], body, PATIENCE, 1 << 16) {
-        Ok(answer) if answer.status == 202 => json(202, &told),
+    match call(Method::POST, &uri, &[], body, TIMEOUT, 1 << 16) {
+        Ok(answer) if answer.status == 202 => json(202, &reported),
         _ => {
             state.lock().lists.runners.remove(id);
             text(503, "the worker did not answer")
@@ -324,7 +326,7 @@
     };
     let is_stopped = control.is_none_or(|control| {
         let uri = format!("http://{control}/stop/{id}");
-        call(Method::POST, &uri, &[], Vec::new(), PATIENCE, 1 << 16)
+        call(Method::POST, &uri, &[], Vec::new(), TIMEOUT, 1 << 16)
             .is_ok_and(|answer| answer.status == 200)
     });
     if !is_stopped {
--- a/tests/lab/src/replay.rs
+++ b/tests/lab/src/replay.rs
@@ -1,6 +1,6 @@
-use crate::deployment::LabFault;
+use crate::deployment::LabError;
 use crate::judge::percentile;
-use crate::ledger::unix_now_ms;
+use crate::run_log::unix_now_ms;
 use crossbeam::channel::unbounded;
 use har::{Har, Spec};
 use oxhttp::model::{Method, Uri};
@@ -16,7 +16,7 @@
 
 const ENTRIES_MAX: usize = 100_000;
 const CALLERS: usize = 64;
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 /// Headers that belong to the recorded connection, not to the request.
 const LEFT_OUT: [&str; 5] = [
     "host",
@@ -34,18 +34,18 @@
     body: Vec<u8>,
 }
 
-fn input(text: impl Into<String>) -> LabFault {
-    LabFault::Input(text.into())
+fn input(text: impl Into<String>) -> LabError {
+    LabError::Input(text.into())
 }
 
-fn entries_of(har: Har) -> Result<Vec<har::v1_2::Entries>, LabFault> {
+fn entries_of(har: Har) -> Result<Vec<har::v1_2::Entries>, LabError> {
     match har.log {
         Spec::V1_2(log) => Ok(log.entries),
         Spec::V1_3(_) => Err(input("only HAR 1.2 is replayed")),
     }
 }
 
-fn read(file: &Path) -> Result<Vec<Recorded>, LabFault> {
+fn read(file: &Path) -> Result<Vec<Recorded>, LabError> {
     let broken =
         |place: usize, why: &str| input(format!("{}: entry {place}: {why}", file.display()));
     let har =
@@ -94,7 +94,7 @@
 }
 
 /// Sends a recorded file's requests to a front, paced as they were recorded, and tells what came.
-pub fn run(file: &Path, front: SocketAddr) -> Result<(), LabFault> {
+pub fn run(file: &Path, front: SocketAddr) -> Result<(), LabError> {
     if !front.ip().is_loopback() {
         return Err(input("a recording is replayed on loopback only"));
     }
@@ -108,9 +108,9 @@
             let (receiver, results) = (receiver.clone(), &results);
             scope.spawn(move || {
                 for entry in &receiver {
-                    let told = send(&entry, front);
+                    let reported = send(&entry, front);
                     let took = began.elapsed().saturating_sub(entry.after);
-                    results.lock().push((told, took));
+                    results.lock().push((reported, took));
                 }
             });
         }
@@ -124,12 +124,12 @@
     let mut times: Vec<Duration> = results.iter().map(|(_, took)| *took).collect();
     times.sort();
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-    for (told, _) in &results {
-        *counts.entry(told).or_default() += 1;
+    for (reported, _) in &results {
+        *counts.entry(reported).or_default() += 1;
     }
     println!("{count} requests in {:.1} s", began.elapsed().as_secs_f64());
-    for (told, count) in counts {
-        println!("{count:>8}  {told}");
+    for (reported, count) in counts {
+        println!("{count:>8}  {reported}");
     }
     println!(
         "p50 {} ms, p99 {} ms",
@@ -157,7 +157,7 @@
         &uri,
         &headers,
         entry.body.clone(),
-        PATIENCE,
+        TIMEOUT,
         16 << 20,
     ) {
         Ok(answer) => {
--- a/tests/lab/src/ledger.rs
+++ b/tests/lab/src/run_log.rs
@@ -7,13 +7,13 @@
 
 /// The stand-in runners' own record of every run, one line each, written before the work begins so
 /// that a killed worker leaves it behind. It shares no code with hallkeel.
-pub struct RunLedger {
+pub struct RunLog {
     file: Mutex<File>,
 }
 
 /// One run as a runner saw it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RunLine {
+pub struct RunRecord {
     /// When it began, in milliseconds since 1970.
     pub at_ms: u64,
     /// Runner that ran it.
@@ -34,7 +34,7 @@
     now.map_or(0, |time| time.as_millis() as u64)
 }
 
-impl RunLedger {
+impl RunLog {
     /// Opens a ledger file and goes on at its end.
     pub fn open(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
@@ -60,7 +60,7 @@
 }
 
 /// Reads all ledgers below a folder.
-pub fn read_all(folder: &Path) -> io::Result<Vec<RunLine>> {
+pub fn read_all(folder: &Path) -> io::Result<Vec<RunRecord>> {
     let mut lines = Vec::new();
     for entry in std::fs::read_dir(folder)? {
         let text = std::fs::read_to_string(entry?.path())?;
@@ -70,9 +70,9 @@
     Ok(lines)
 }
 
-fn read_line(text: &str) -> Option<RunLine> {
+fn read_line(text: &str) -> Option<RunRecord> {
     let mut words = text.split(' ');
-    Some(RunLine {
+    Some(RunRecord {
         at_ms: words.next()?.parse().ok()?,
         runner: words.next()?.to_string(),
         function: words.next()?.to_string(),
--- a/tests/lab/src/runner.rs
+++ b/tests/lab/src/runner.rs
@@ -1,4 +1,4 @@
-use crate::ledger::RunLedger;
+use crate::run_log::RunLog;
 use hmac::{Hmac, Mac};
 use parking_lot::Mutex;
 use rand::Rng;
@@ -18,7 +18,7 @@
 /// How a stand-in runner misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Mischief {
+pub enum RunnerFault {
     /// It runs the request and closes the connection.
     LoseAnswer,
     /// It runs the request and sends bytes that are no HTTP.
@@ -36,11 +36,11 @@
 }
 
 /// What a function's runners do wrong, and in which share of requests.
-pub type Mischiefs = Arc<Mutex<HashMap<String, (Mischief, f64)>>>;
+pub type RunnerFaults = Arc<Mutex<HashMap<String, (RunnerFault, f64)>>>;
 
 /// What a runner is started with.
 #[derive(Clone, Debug, Deserialize)]
-pub struct RunnerOrder {
+pub struct RunnerStart {
     /// Its id.
     pub id: String,
     /// Its function.
@@ -56,16 +56,16 @@
 
 /// A runner that serves until it is stopped.
 pub struct Runner {
-    pub order: RunnerOrder,
+    pub command: RunnerStart,
     is_stopped: Arc<AtomicBool>,
 }
 
 struct Inside {
-    order: RunnerOrder,
+    command: RunnerStart,
     key: Vec<u8>,
     pace_ms: u64,
-    ledger: Arc<RunLedger>,
-    mischiefs: Mischiefs,
+    run_log: Arc<RunLog>,
+    runner_faults: RunnerFaults,
     times: Arc<AtomicU32>,
     in_flight: AtomicU32,
 }
@@ -89,20 +89,20 @@
 impl Runner {
     /// Starts a runner that takes connections after its start time.
     pub fn start(
-        order: RunnerOrder,
+        command: RunnerStart,
         start_ms: u64,
         pace_ms: u64,
-        ledger: Arc<RunLedger>,
-        mischiefs: Mischiefs,
+        run_log: Arc<RunLog>,
+        runner_faults: RunnerFaults,
         times: Arc<AtomicU32>,
     ) -> Self {
         let is_stopped = Arc::new(AtomicBool::new(false));
         let inside = Arc::new(Inside {
-            key: unhex(&order.key),
-            order: order.clone(),
+            key: unhex(&command.key),
+            command: command.clone(),
             pace_ms,
-            ledger,
-            mischiefs,
+            run_log,
+            runner_faults,
             times,
             in_flight: AtomicU32::new(0),
         });
@@ -110,16 +110,19 @@
         thread::spawn(move || {
             thread::sleep(Duration::from_millis(start_ms));
             if let Err(error) = accept(&inside, &stopped) {
-                log::error!("lab: runner {} cannot listen: {error}", inside.order.id);
+                log::error!("lab: runner {} cannot listen: {error}", inside.command.id);
             }
         });
-        Self { order, is_stopped }
+        Self {
+            command,
+            is_stopped,
+        }
     }
 
     /// Stops taking connections; what runs goes on.
     pub fn stop(&self) {
         self.is_stopped.store(true, Ordering::SeqCst);
-        let _ = TcpStream::connect_timeout(&self.order.address, Duration::from_millis(200));
+        let _ = TcpStream::connect_timeout(&self.command.address, Duration::from_millis(200));
     }
 }
 
@@ -127,7 +130,7 @@
     if is_stopped.load(Ordering::SeqCst) {
         return Ok(());
     }
-    let listener = TcpListener::bind(inside.order.address)?;
+    let listener = TcpListener::bind(inside.command.address)?;
     for stream in listener.incoming() {
         if is_stopped.load(Ordering::SeqCst) {
             return Ok(());
@@ -193,10 +196,10 @@
     stream.write_all(body)
 }
 
-fn seal_of(key: &[u8], ticket: &str, runner: &str, body: &[u8]) -> String {
+fn seal_of(key: &[u8], queued_request: &str, runner: &str, body: &[u8]) -> String {
     let digest = hex(&Sha256::digest(body));
     let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("any length is a key");
-    mac.update(format!("{ticket}\n{runner}\n200\napplication/json\n{digest}").as_bytes());
+    mac.update(format!("{queued_request}\n{runner}\n200\napplication/json\n{digest}").as_bytes());
     hex(&mac.finalize().into_bytes())
 }
 
@@ -206,18 +209,18 @@
     let Some(asked) = read_request(&mut stream)? else {
         return Ok(());
     };
-    if header(&asked, "hallkeel-runner") != inside.order.id && !inside.order.takes_any {
-        let order = &inside.order;
+    if header(&asked, "hallkeel-runner") != inside.command.id && !inside.command.takes_any {
+        let command = &inside.command;
         let call = call_of(&asked);
         inside
-            .ledger
-            .note_misdirected(&order.id, &order.function, &call);
+            .run_log
+            .note_misdirected(&command.id, &command.function, &call);
         return respond(&mut stream, "421 Misdirected Request", "", b"{}");
     }
-    let mischief = work(inside, &asked);
+    let runner_fault = work(inside, &asked);
     // The work is over before its answer leaves: whoever has the answer may send the next request.
     inside.in_flight.fetch_sub(1, Ordering::SeqCst);
-    let result = answer(inside, &mut stream, &asked, mischief);
+    let result = answer(inside, &mut stream, &asked, runner_fault);
     let _ = stream.shutdown(Shutdown::Both);
     result
 }
@@ -232,54 +235,58 @@
 }
 
 /// Runs a request, and gives what will go wrong with its answer.
-fn work(inside: &Inside, asked: &Asked) -> Option<Mischief> {
+fn work(inside: &Inside, asked: &Asked) -> Option<RunnerFault> {
     let call = call_of(asked);
     let key = asked
         .headers
         .get("idempotency-key")
         .cloned()
         .unwrap_or_else(|| "-".into());
-    let order = &inside.order;
-    inside
-        .ledger
-        .note(&order.id, &order.function, &call, &key, &inside.in_flight);
-    let mischief = inside.mischiefs.lock().get(&order.function).copied();
-    let mischief = mischief
+    let command = &inside.command;
+    inside.run_log.note(
+        &command.id,
+        &command.function,
+        &call,
+        &key,
+        &inside.in_flight,
+    );
+    let runner_fault = inside.runner_faults.lock().get(&command.function).copied();
+    let runner_fault = runner_fault
         .filter(|(_, share)| rand::rng().random_bool(share.clamp(0.0, 1.0)))
-        .map(|(mischief, _)| mischief);
+        .map(|(runner_fault, _)| runner_fault);
     let spread = rand::rng().random_range(0.67..1.33);
     let times = f64::from(inside.times.load(Ordering::Relaxed));
-    let factor = if mischief == Some(Mischief::Slow) {
+    let factor = if runner_fault == Some(RunnerFault::Slow) {
         10.0 * times
     } else {
         times
     };
     let budget_ms: u64 = header(asked, "hallkeel-budget-ms").parse().unwrap_or(1_000);
-    let work_ms = match mischief {
-        Some(Mischief::Stall) => budget_ms,
+    let work_ms = match runner_fault {
+        Some(RunnerFault::Stall) => budget_ms,
         _ => ((inside.pace_ms as f64 * spread * factor) as u64).min(budget_ms),
     };
     thread::sleep(Duration::from_millis(work_ms));
-    mischief
+    runner_fault
 }
 
 fn answer(
     inside: &Inside,
     stream: &mut TcpStream,
     asked: &Asked,
-    mischief: Option<Mischief>,
+    runner_fault: Option<RunnerFault>,
 ) -> io::Result<()> {
-    let order = &inside.order;
-    let answer = serde_json::json!({ "call": call_of(asked), "function": order.function });
+    let command = &inside.command;
+    let answer = serde_json::json!({ "call": call_of(asked), "function": command.function });
     let body = serde_json::to_vec(&answer).unwrap_or_default();
-    let ticket = header(asked, "hallkeel-ticket");
-    let seal = seal_of(&inside.key, &ticket, &order.id, &body);
+    let queued_request = header(asked, "hallkeel-ticket");
+    let seal = seal_of(&inside.key, &queued_request, &command.id, &body);
     let sealed = format!("hallkeel-seal: {seal}\r\n");
-    match mischief {
-        None | Some(Mischief::Slow) => respond(stream, "200 OK", &sealed, &body),
-        Some(Mischief::LoseAnswer | Mischief::Stall) => Ok(()),
-        Some(Mischief::Garbage) => stream.write_all(&[0xde, 0xad, 0xbe, 0xef, 0x0a]),
-        Some(Mischief::Truncate) => {
+    match runner_fault {
+        None | Some(RunnerFault::Slow) => respond(stream, "200 OK", &sealed, &body),
+        Some(RunnerFault::LoseAnswer | RunnerFault::Stall) => Ok(()),
+        Some(RunnerFault::Garbage) => stream.write_all(&[0xde, 0xad, 0xbe, 0xef, 0x0a]),
+        Some(RunnerFault::Truncate) => {
             let head = format!(
                 "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: {}\r\n{sealed}\r\n",
                 body.len()
@@ -287,9 +294,9 @@
             stream.write_all(head.as_bytes())?;
             stream.write_all(&body[..body.len() / 2])
         }
-        Some(Mischief::NoSeal) => respond(stream, "200 OK", "", &body),
-        Some(Mischief::Foreign) => {
-            let foreign = serde_json::json!({ "call": "foreign", "function": order.function });
+        Some(RunnerFault::NoSeal) => respond(stream, "200 OK", "", &body),
+        Some(RunnerFault::Foreign) => {
+            let foreign = serde_json::json!({ "call": "foreign", "function": command.function });
             let foreign = serde_json::to_vec(&foreign).unwrap_or_default();
             respond(stream, "200 OK", &sealed, &foreign)
         }
--- a/tests/lab/src/scenario.rs
+++ b/tests/lab/src/scenario.rs
@@ -1,11 +1,11 @@
 use crate::callers;
-use crate::deployment::{Deployment, LabFault};
+use crate::context::ScenarioContext;
+use crate::deployment::{Deployment, LabError};
 use crate::fleet::Needs;
 use crate::scenarios::all;
 use crate::session::make_ready;
-use crate::stage::Stage;
 use crate::watch::Watch;
-use crate::{judge, ledger};
+use crate::{judge, run_log};
 use std::collections::BTreeMap;
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -14,7 +14,7 @@
 use std::thread;
 
 /// Lists all scenarios.
-pub fn list() -> Result<(), LabFault> {
+pub fn list() -> Result<(), LabError> {
     for scenario in all() {
         println!("{:<22} {}", scenario.name, scenario.about);
     }
@@ -22,11 +22,11 @@
 }
 
 /// Runs one scenario under traffic and judges it.
-pub fn run(name: &str, file: &Path, dir: &Path, report: Option<&Path>) -> Result<(), LabFault> {
+pub fn run(name: &str, file: &Path, dir: &Path, report: Option<&Path>) -> Result<(), LabError> {
     let scenarios = all();
     let Some(scenario) = scenarios.iter().find(|known| known.name == name) else {
         let text = format!("there is no scenario {name:?}; `scenario` alone lists them");
-        return Err(LabFault::Input(text));
+        return Err(LabError::Input(text));
     };
     let part = Part {
         name: scenario.name.to_string(),
@@ -43,12 +43,12 @@
     dir: &Path,
     report: Option<&Path>,
     repeat: u32,
-) -> Result<(), LabFault> {
+) -> Result<(), LabError> {
     let mut broken = Vec::new();
     for round in 0..repeat {
         for scenario in all() {
             match run(scenario.name, file, dir, report) {
-                Err(LabFault::Input(text)) => return Err(LabFault::Input(text)),
+                Err(LabError::Input(text)) => return Err(LabError::Input(text)),
                 Err(fault) => broken.push(format!("{} {}: {fault}", scenario.name, round + 1)),
                 Ok(()) => {}
             }
@@ -57,7 +57,7 @@
     if broken.is_empty() {
         return Ok(());
     }
-    Err(LabFault::Broken(broken.join("; ")))
+    Err(LabError::Broken(broken.join("; ")))
 }
 
 /// What a failure is brought about under.
@@ -75,53 +75,53 @@
     dir: &Path,
     report: Option<&Path>,
     seed: u64,
-    act: impl FnOnce(&mut Stage) -> Result<(), LabFault>,
-) -> Result<(), LabFault> {
+    act: impl FnOnce(&mut ScenarioContext) -> Result<(), LabError>,
+) -> Result<(), LabError> {
     let deployment = Deployment::read(file)?;
     let ready = make_ready(&deployment, file, dir, part.needs)?;
     let fronts: Vec<SocketAddr> = ready.fleet.fronts.iter().map(|front| front.http).collect();
-    let mut stage = Stage::new(ready.fleet, deployment.clone());
+    let mut context = ScenarioContext::new(ready.fleet, deployment.clone());
     let (seconds, with_crowd) = (part.seconds, part.with_crowd);
-    let daemons = stage.fleet.daemons();
+    let daemons = context.fleet.daemons();
     let daemons = daemons.map(|daemon| (daemon.name.clone(), daemon.http));
     let watch = Watch::begin(daemons.collect());
     let traffic = {
         let deployment = deployment.clone();
         thread::spawn(move || callers::send(&deployment, &fronts, seconds, with_crowd, seed))
     };
-    let acted = act(&mut stage);
-    let wishes = traffic.join().unwrap_or_default();
+    let acted = act(&mut context);
+    let planned_calls = traffic.join().unwrap_or_default();
     acted?;
     let seen = watch.end();
-    stage.note(format!(
+    context.note(format!(
         "{} answers on versions, {} rises",
         seen.asked, seen.rises
     ));
-    stage.expect(seen.asked > 0, "no daemon told its versions");
-    stage.broken.extend(seen.slips);
+    context.expect(seen.asked > 0, "no daemon told its versions");
+    context.broken.extend(seen.slips);
     let folder = dir.join("ledgers");
-    let runs = ledger::read_all(&folder).map_err(|error| LabFault::Fleet(error.to_string()))?;
+    let runs = run_log::read_all(&folder).map_err(|error| LabError::Fleet(error.to_string()))?;
     let workers = workers_of_runners(&folder)?;
-    stage.judge(&wishes, &runs, |runner| {
+    context.judge(&planned_calls, &runs, |runner| {
         let worker = workers.get(runner).map_or("", String::as_str);
-        let district = worker.trim_start_matches("worker-").chars().next();
-        district.map(String::from).unwrap_or_default()
+        let zone = worker.trim_start_matches("worker-").chars().next();
+        zone.map(String::from).unwrap_or_default()
     });
-    if let Some(look) = stage.look {
-        look(&mut stage, &wishes, &runs, &workers);
+    if let Some(look) = context.look {
+        look(&mut context, &planned_calls, &runs, &workers);
     }
-    let checks = judge::checks(&deployment, &wishes, &runs);
-    let wanted = stage.wanted.clone();
-    stage.broken.extend(judge::faults(&checks, &wanted));
+    let checks = judge::checks(&deployment, &planned_calls, &runs);
+    let wanted = context.wanted.clone();
+    context.broken.extend(judge::faults(&checks, &wanted));
     for check in checks.iter().filter(|check| wanted.contains(&check.name)) {
-        stage.note(format!("{}: {}", check.name, check.found));
+        context.note(format!("{}: {}", check.name, check.found));
     }
-    conclude(&part.name, file, &stage, report)
+    conclude(&part.name, file, &context, report)
 }
 
 /// The worker of each runner, by the ledger in which it stands.
-fn workers_of_runners(folder: &Path) -> Result<BTreeMap<String, String>, LabFault> {
-    let fault = |error: std::io::Error| LabFault::Fleet(error.to_string());
+fn workers_of_runners(folder: &Path) -> Result<BTreeMap<String, String>, LabError> {
+    let fault = |error: std::io::Error| LabError::Fleet(error.to_string());
     let mut workers = BTreeMap::new();
     for entry in std::fs::read_dir(folder).map_err(fault)? {
         let path = entry.map_err(fault)?.path();
@@ -136,27 +136,32 @@
     Ok(workers)
 }
 
-fn conclude(name: &str, file: &Path, stage: &Stage, report: Option<&Path>) -> Result<(), LabFault> {
-    let verdict = if stage.broken.is_empty() {
+fn conclude(
+    name: &str,
+    file: &Path,
+    context: &ScenarioContext,
+    report: Option<&Path>,
+) -> Result<(), LabError> {
+    let verdict = if context.broken.is_empty() {
         "good".to_string()
     } else {
-        format!("BROKEN: {}", stage.broken.join("; "))
+        format!("BROKEN: {}", context.broken.join("; "))
     };
     let deployment = file.file_stem().unwrap_or_default().to_string_lossy();
     let line = format!(
         "| {} | {deployment} | {} | {verdict} |\n",
         name,
-        stage.notes.join("; ")
+        context.notes.join("; ")
     );
     print!("{line}");
     if let Some(path) = report {
         let opened = OpenOptions::new().create(true).append(true).open(path);
         opened
             .and_then(|mut file| file.write_all(line.as_bytes()))
-            .map_err(|error| LabFault::Input(format!("{}: {error}", path.display())))?;
+            .map_err(|error| LabError::Input(format!("{}: {error}", path.display())))?;
     }
-    if stage.broken.is_empty() {
+    if context.broken.is_empty() {
         return Ok(());
     }
-    Err(LabFault::Broken(stage.broken.join("; ")))
+    Err(LabError::Broken(context.broken.join("; ")))
 }
--- a/tests/lab/src/scenarios.rs
+++ b/tests/lab/src/scenarios.rs
@@ -1,4 +1,5 @@
-use crate::deployment::LabFault;
+use crate::context::ScenarioContext;
+use crate::deployment::LabError;
 use crate::failing_daemons::*;
 use crate::failing_disks::*;
 use crate::failing_platform::*;
@@ -8,9 +9,8 @@
 use crate::fleet::Needs;
 use crate::operating::*;
 use crate::planned::*;
-use crate::stage::Stage;
 
-type Act = fn(&mut Stage) -> Result<(), LabFault>;
+type Act = fn(&mut ScenarioContext) -> Result<(), LabError>;
 
 /// A failure that is brought about while traffic runs.
 pub struct Scenario {
@@ -33,7 +33,7 @@
         self
     }
 
-    fn mishap(mut self) -> Self {
+    fn fault(mut self) -> Self {
         self.needs.fault_injection = true;
         self
     }
@@ -87,7 +87,7 @@
         row("fronts-herd", 30, fronts_herd, "three fronts are killed at once and come back"),
         row("front-frozen", 25, front_frozen, "a front stands still past its lease and wakes"),
         row("core-killed", 25, core_killed, "the scaling core is killed and comes back"),
-        row("duty-frozen", 25, duty_frozen, "the scaling core stands still and wakes"),
+        row("duty-frozen", 25, scaler_frozen, "the scaling core stands still and wakes"),
         row("all-killed", 35, all_killed, "every daemon is killed at once and started again"),
         row("two-at-once", 30, two_at_once, "a worker crashes and a core freezes while a front is down"),
         row("core-split", 25, core_split, "the scaling core is cut off from all daemons").relayed(),
@@ -109,13 +109,13 @@
         row("seeds-replaced", 90, seeds_replaced, "all three cores are replaced by new machines, then the fronts restarted"),
         row("cores-down", 30, cores_down, "all cores are down for ten seconds"),
         row("wipe", 40, wipe, "all disks are wiped and the cores come back"),
-        row("disk-full", 30, |s| disk(s, "full"), "a disk machine has no room").mishap(),
-        row("disk-stalled", 30, |s| disk(s, "stall"), "a disk machine's disk stands still").mishap(),
-        row("sync-fails", 30, |s| disk(s, "sync-fails"), "a disk machine's syncs fail").mishap(),
-        row("power-lost", 45, power_lost, "all disk machines lose power right after an acknowledgement").mishap(),
-        row("clock-front", 30, |s| clocks(s, &["front-1"]), "a front's clock jumps by an hour, ahead and back").mishap(),
-        row("clock-core", 30, |s| clocks(s, &["core-1"]), "a core's clock jumps by an hour, ahead and back").mishap(),
-        row("clock-all", 30, |s| clocks(s, &[]), "the clocks of all daemons jump by an hour, ahead and back").mishap(),
+        row("disk-full", 30, |s| disk(s, "full"), "a disk machine has no room").fault(),
+        row("disk-stalled", 30, |s| disk(s, "stall"), "a disk machine's disk stands still").fault(),
+        row("sync-fails", 30, |s| disk(s, "sync-fails"), "a disk machine's syncs fail").fault(),
+        row("power-lost", 45, power_lost, "all disk machines lose power right after an acknowledgement").fault(),
+        row("clock-front", 30, |s| clocks(s, &["front-1"]), "a front's clock jumps by an hour, ahead and back").fault(),
+        row("clock-core", 30, |s| clocks(s, &["core-1"]), "a core's clock jumps by an hour, ahead and back").fault(),
+        row("clock-all", 30, |s| clocks(s, &[]), "the clocks of all daemons jump by an hour, ahead and back").fault(),
     ]
 }
 
@@ -143,7 +143,7 @@
         row("change-in-deed", 20, change_in_deed, "a change is felt at the runners, with fronts frozen, cut off and killed").relayed(),
         row("puts-race", 15, puts_race, "two operators put at the same moment, ten times"),
         row("puts-storm", 25, puts_storm, "sixty puts one after the other"),
-        row("blueprint-bound", 20, blueprint_bound, "the blueprint grows to its bound of listings"),
+        row("blueprint-bound", 20, configuration_bound, "the blueprint grows to its bound of listings"),
         row("planned-changes", 35, planned_changes, "listings, concurrency, districts and workers change as planned"),
         row("rolling-restart", 60, rolling_restart, "every daemon is restarted in turn as planned"),
     ]
