--- a/tests/lab/src/session.rs
+++ b/tests/lab/src/session.rs
@@ -1,7 +1,7 @@
-use crate::callers::{self, Wish};
-use crate::deployment::{Deployment, LabFault};
+use crate::callers::{self, PlannedCall};
+use crate::deployment::{Deployment, LabError};
 use crate::fleet::{Fleet, Needs};
-use crate::{judge, ledger};
+use crate::{judge, run_log};
 use crossbeam::channel::bounded;
 use parking_lot::Mutex;
 use simulator::{Config, World};
@@ -12,16 +12,16 @@
 use std::time::{Duration, Instant};
 
 fn text_of(deployment: &Deployment) -> String {
-    serde_json::to_string_pretty(&deployment.blueprint()).unwrap_or_default()
+    serde_json::to_string_pretty(&deployment.configuration()).unwrap_or_default()
 }
 
-/// Prints a deployment's blueprint.
-pub fn print_blueprint(file: &Path) -> Result<(), LabFault> {
+/// Prints a deployment's configuration.
+pub fn print_configuration(file: &Path) -> Result<(), LabError> {
     println!("{}", text_of(&Deployment::read(file)?));
     Ok(())
 }
 
-/// A fleet with its blueprint in force and a warm runner of each function.
+/// A fleet with its configuration in force and a warm runner of each function.
 pub struct Ready {
     pub fleet: Fleet,
     pub up: Duration,
@@ -36,14 +36,14 @@
     file: &Path,
     dir: &Path,
     needs: Needs,
-) -> Result<Ready, LabFault> {
+) -> Result<Ready, LabError> {
     let began = Instant::now();
     let fleet = Fleet::up(deployment, file, dir, needs)?;
     let up = began.elapsed();
     let put_at = Instant::now();
     match fleet.put(&text_of(deployment), 0) {
         Some((200, _)) => {}
-        other => return Err(LabFault::Fleet(format!("the put was answered {other:?}"))),
+        other => return Err(LabError::Fleet(format!("the put was answered {other:?}"))),
     }
     let acknowledged = put_at.elapsed();
     fleet.wait_until("every daemon holds the blueprint", |fleet| {
@@ -58,7 +58,7 @@
         .clone()
         .map(|group| group.memory_mb * group.count as u64)
         .sum();
-    let workers = (deployment.districts.len() * deployment.workers_each) as u64;
+    let workers = (deployment.zones.len() * deployment.workers_each) as u64;
     // Where memory cannot hold all, the first group must be there.
     let functions = if needed > workers * deployment.worker_memory_mb {
         deployment.groups[0].count
@@ -78,7 +78,7 @@
 }
 
 /// Keeps a fleet up until Ctrl-C.
-pub fn keep_fleet(file: &Path, dir: &Path) -> Result<(), LabFault> {
+pub fn keep_fleet(file: &Path, dir: &Path) -> Result<(), LabError> {
     let deployment = Deployment::read(file)?;
     let ready = make_ready(&deployment, file, dir, Needs::default())?;
     let cores: Vec<String> = ready
@@ -112,7 +112,7 @@
     rush: u64,
     dir: &Path,
     report: Option<&Path>,
-) -> Result<(), LabFault> {
+) -> Result<(), LabError> {
     let deployment = Deployment::read(file)?;
     let ready = make_ready(&deployment, file, dir, Needs::default())?;
     let fronts: Vec<SocketAddr> = ready.fleet.fronts.iter().map(|front| front.http).collect();
@@ -123,7 +123,7 @@
         ready.up.as_secs_f64(),
         ready.acknowledged.as_millis(),
         ready.held.as_millis(),
-        deployment.blueprint().listings.len(),
+        deployment.configuration().function_specs.len(),
         ready.warm.as_secs_f64(),
     );
     let mut all = Vec::new();
@@ -132,18 +132,18 @@
             continue;
         }
         log::info!("lab: {name} for {seconds} s");
-        let wishes = callers::send(
+        let planned_calls = callers::send(
             &deployment,
             &fronts,
             seconds,
             with_crowd,
             all.len() as u64 + 1,
         );
-        describe(&mut text, name, seconds, &wishes);
-        all.extend(wishes);
+        describe(&mut text, name, seconds, &planned_calls);
+        all.extend(planned_calls);
     }
-    let runs = ledger::read_all(&dir.join("ledgers"))
-        .map_err(|error| LabFault::Fleet(error.to_string()))?;
+    let runs = run_log::read_all(&dir.join("ledgers"))
+        .map_err(|error| LabError::Fleet(error.to_string()))?;
     let checks = judge::checks(&deployment, &all, &runs);
     let _ = writeln!(text, "\n| check | found | verdict |\n|---|---|---|");
     for check in &checks {
@@ -154,32 +154,32 @@
     match report {
         None => println!("{text}"),
         Some(path) => std::fs::write(path, &text)
-            .map_err(|error| LabFault::Input(format!("{}: {error}", path.display())))?,
+            .map_err(|error| LabError::Input(format!("{}: {error}", path.display())))?,
     }
     let wanted = [judge::ONCE, judge::IN_FLIGHT, judge::WARMING, judge::WRONG];
     let broken = judge::faults(&checks, &wanted);
     if broken.is_empty() {
         return Ok(());
     }
-    Err(LabFault::Broken(format!("broken: {}", broken.join(", "))))
+    Err(LabError::Broken(format!("broken: {}", broken.join(", "))))
 }
 
 /// Writes what the callers saw.
-pub fn describe(text: &mut String, name: &str, seconds: u64, wishes: &[Wish]) {
+pub fn describe(text: &mut String, name: &str, seconds: u64, planned_calls: &[PlannedCall]) {
     let _ = writeln!(
         text,
         "\n## {name}: {} pieces of work in {seconds} s\n\n\
          | kind | wanted | done | share | p50 ms | p99 ms | gap ms | answers that were no success |\n\
          |---|---|---|---|---|---|---|---|",
-        wishes.len()
+        planned_calls.len()
     );
-    for line in judge::kinds(wishes) {
-        let share = 100.0 * line.done as f64 / line.wishes.max(1) as f64;
+    for line in judge::kinds(planned_calls) {
+        let share = 100.0 * line.done as f64 / line.planned_calls.max(1) as f64;
         let _ = writeln!(
             text,
             "| {} | {} | {} | {share:.2} % | {} | {} | {} | {:?} |",
             line.kind,
-            line.wishes,
+            line.planned_calls,
             line.done,
             line.p50.as_millis(),
             line.p99.as_millis(),
@@ -190,7 +190,7 @@
 }
 
 /// Runs seeds of the simulator; each that breaks a line is printed.
-pub fn simulate(from: u64, seeds: u64) -> Result<(), LabFault> {
+pub fn simulate(from: u64, seeds: u64) -> Result<(), LabError> {
     // Daemons of a simulation log their failures as real ones do; here only the verdict counts.
     log::set_max_level(log::LevelFilter::Off);
     let began = Instant::now();
@@ -225,5 +225,5 @@
     if broken.is_empty() {
         return Ok(());
     }
-    Err(LabFault::Broken(format!("broken seeds: {broken:?}")))
+    Err(LabError::Broken(format!("broken seeds: {broken:?}")))
 }
--- a/tests/lab/src/watch.rs
+++ b/tests/lab/src/watch.rs
@@ -6,12 +6,12 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// What a daemon tells of its versions, by era and number.
-type Told = ((u64, u64), (u64, u64));
+/// What a daemon tells of its versions, by epoch and number.
+type ReportedVersions = ((u64, u64), (u64, u64));
 
 /// Asks every daemon again and again which versions it holds, and notes each that goes back. A
 /// daemon that was started again tells nothing before it has read at a majority; what it tells then
-/// counts against what it told before.
+/// counts against what it notified before.
 pub struct Watch {
     is_over: Arc<AtomicBool>,
     watching: JoinHandle<Seen>,
@@ -25,22 +25,22 @@
     pub slips: Vec<String>,
 }
 
-fn version(told: &serde_json::Value) -> (u64, u64) {
-    let field = |name: &str| told[name].as_u64().unwrap_or(0);
+fn version(reported: &serde_json::Value) -> (u64, u64) {
+    let field = |name: &str| reported[name].as_u64().unwrap_or(0);
     (field("era"), field("no"))
 }
 
-fn told_by(http: SocketAddr) -> Option<Told> {
+fn versions_reported_by(http: SocketAddr) -> Option<ReportedVersions> {
     let member = Member::asked_at(http);
     let status = member.get_json("/status")?;
-    // Cores tell versions with their eras apart from the numbers that operators read.
+    // Cores tell versions with their epochs apart from the numbers that operators read.
     let held = if status["held"].is_object() {
         &status["held"]
     } else {
         &status
     };
-    let told = (version(&held["blueprint"]), version(&held["plan"]));
-    (told.0 .1 > 0).then_some(told)
+    let reported = (version(&held["blueprint"]), version(&held["plan"]));
+    (reported.0 .1 > 0).then_some(reported)
 }
 
 impl Watch {
@@ -50,11 +50,11 @@
         let over = is_over.clone();
         let watching = thread::spawn(move || {
             let mut seen = Seen::default();
-            let mut newest: BTreeMap<String, Told> = BTreeMap::new();
+            let mut newest: BTreeMap<String, ReportedVersions> = BTreeMap::new();
             while !over.load(Ordering::SeqCst) {
                 for (name, http) in &daemons {
-                    if let Some(told) = told_by(*http) {
-                        seen.take(name, told, &mut newest);
+                    if let Some(reported) = versions_reported_by(*http) {
+                        seen.take(name, reported, &mut newest);
                     }
                 }
                 thread::sleep(Duration::from_millis(100));
@@ -72,14 +72,19 @@
 }
 
 impl Seen {
-    fn take(&mut self, name: &str, told: Told, newest: &mut BTreeMap<String, Told>) {
+    fn take(
+        &mut self,
+        name: &str,
+        reported: ReportedVersions,
+        newest: &mut BTreeMap<String, ReportedVersions>,
+    ) {
         self.asked += 1;
-        let known = newest.entry(name.to_string()).or_insert(told);
-        if told.0 < known.0 || (told.1 < known.1 && told.1 .1 > 0) {
-            let text = format!("{name} slips back from {known:?} to {told:?}");
+        let known = newest.entry(name.to_string()).or_insert(reported);
+        if reported.0 < known.0 || (reported.1 < known.1 && reported.1 .1 > 0) {
+            let text = format!("{name} slips back from {known:?} to {reported:?}");
             self.slips.push(text);
         }
-        self.rises += usize::from(told.0 > known.0 || told.1 > known.1);
-        *known = (told.0.max(known.0), told.1.max(known.1));
+        self.rises += usize::from(reported.0 > known.0 || reported.1 > known.1);
+        *known = (reported.0.max(known.0), reported.1.max(known.1));
     }
 }
--- a/tests/lab/src/worker.rs
+++ b/tests/lab/src/worker.rs
@@ -1,6 +1,6 @@
-use crate::deployment::{Deployment, LabFault};
-use crate::ledger::RunLedger;
-use crate::runner::{Mischief, Mischiefs, Runner, RunnerOrder};
+use crate::deployment::{Deployment, LabError};
+use crate::run_log::RunLog;
+use crate::runner::{Runner, RunnerFault, RunnerFaults, RunnerStart};
 use oxhttp::model::{Body, Method, Request, Response};
 use parking_lot::Mutex;
 use serde::Deserialize;
@@ -14,35 +14,36 @@
 use transport::{json, read_body, serve, text};
 
 #[derive(Deserialize)]
-struct MischiefOrder {
+struct RunnerFaultRequest {
     function: String,
-    mischief: Option<Mischief>,
+    #[serde(rename = "mischief")]
+    runner_fault: Option<RunnerFault>,
     share: f64,
 }
 
 struct WorkerState {
     deployment: Deployment,
     runners: Mutex<HashMap<String, Runner>>,
-    ledger: Arc<RunLedger>,
-    mischiefs: Mischiefs,
+    run_log: Arc<RunLog>,
+    runner_faults: RunnerFaults,
     /// How many times longer all its runners take.
     times: Arc<AtomicU32>,
 }
 
 /// Stands in for a worker: it starts and stops runners in its own process.
-pub fn run(http: SocketAddr, deployment: &Path, ledger: &Path) -> Result<(), LabFault> {
-    let open = RunLedger::open(ledger).map_err(|error| LabFault::Input(error.to_string()))?;
+pub fn run(http: SocketAddr, deployment: &Path, run_log: &Path) -> Result<(), LabError> {
+    let open = RunLog::open(run_log).map_err(|error| LabError::Input(error.to_string()))?;
     let state = WorkerState {
         deployment: Deployment::read(deployment)?,
         runners: Mutex::default(),
-        ledger: Arc::new(open),
-        mischiefs: Mischiefs::default(),
+        run_log: Arc::new(open),
+        runner_faults: RunnerFaults::default(),
         times: Arc::new(AtomicU32::new(1)),
     };
     serve(http, 64, Duration::from_secs(30), move |request| {
         handle(&state, request)
     })
-    .map_err(|error| LabFault::Fleet(error.to_string()))?;
+    .map_err(|error| LabError::Fleet(error.to_string()))?;
     loop {
         thread::park();
     }
@@ -56,7 +57,7 @@
     };
     match (request.method(), path.as_str()) {
         (&Method::POST, "/start") => start(state, &body),
-        (&Method::POST, "/mischief") => mischief(state, &body),
+        (&Method::POST, "/mischief") => runner_fault(state, &body),
         (&Method::POST, path) if path.starts_with("/slow/") => {
             let times = path.trim_start_matches("/slow/").parse().unwrap_or(1);
             state.times.store(times, Ordering::Relaxed);
@@ -81,34 +82,34 @@
 }
 
 fn start(state: &WorkerState, body: &[u8]) -> Response<Body> {
-    let Ok(order) = serde_json::from_slice::<RunnerOrder>(body) else {
+    let Ok(command) = serde_json::from_slice::<RunnerStart>(body) else {
         return text(400, "no runner order");
     };
-    let Some(group) = state.deployment.group_of(&order.function) else {
+    let Some(group) = state.deployment.group_of(&command.function) else {
         return text(422, "no such function in the deployment");
     };
     let mut runners = state.runners.lock();
-    runners.entry(order.id.clone()).or_insert_with(|| {
+    runners.entry(command.id.clone()).or_insert_with(|| {
         Runner::start(
-            order,
+            command,
             group.start_ms,
             group.pace_ms,
-            state.ledger.clone(),
-            state.mischiefs.clone(),
+            state.run_log.clone(),
+            state.runner_faults.clone(),
             state.times.clone(),
         )
     });
     json(202, &serde_json::json!({ "state": "starting" }))
 }
 
-fn mischief(state: &WorkerState, body: &[u8]) -> Response<Body> {
-    let Ok(order) = serde_json::from_slice::<MischiefOrder>(body) else {
+fn runner_fault(state: &WorkerState, body: &[u8]) -> Response<Body> {
+    let Ok(command) = serde_json::from_slice::<RunnerFaultRequest>(body) else {
         return text(400, "no mischief order");
     };
-    let mut mischiefs = state.mischiefs.lock();
-    match order.mischief {
-        Some(mischief) => mischiefs.insert(order.function, (mischief, order.share)),
-        None => mischiefs.remove(&order.function),
+    let mut runner_faults = state.runner_faults.lock();
+    match command.runner_fault {
+        Some(runner_fault) => runner_faults.insert(command.function, (runner_fault, command.share)),
+        None => runner_faults.remove(&command.function),
     };
     json(200, &serde_json::json!({}))
 }
