--- a/crates/controller/src/codec.rs
+++ b/crates/controller/src/codec.rs
@@ -21,7 +21,7 @@
 /// What came of a start: the runner's id and address, or why there is none.
 pub type StartResult = Result<StartedRunner, StartError>;
 
-/// Names the writer of a start or stop, so that the platform refuses one whose term is over.
+/// Names the writer of a start or stop, so that the platform rejects one whose term is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FencingToken<'a> {
     /// Name of the controller that holds the role lease.
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -41,7 +41,7 @@
     scaler: Scaler,
 }
 
-/// Runs a controller until it is told to stop.
+/// Runs a controller until it is asked to stop.
 ///
 /// # Errors
 /// Where an address cannot be listened at, the data folder cannot be used, or the system refuses what every daemon needs.
--- a/crates/controller/src/disk_thread.rs
+++ b/crates/controller/src/disk_thread.rs
@@ -24,6 +24,7 @@
     done: Receiver<DiskCompletion>,
     /// Bytes of work that waits.
     waiting: Arc<AtomicUsize>,
+    /// Completions of work that was not handed over.
     refused: Vec<DiskCompletion>,
 }
 
@@ -48,6 +49,7 @@
 }
 
 impl DiskThread {
+    /// Hands the disk over to a new thread, which wakes the event loop when work is done.
     pub fn start(disk: VoterDisk, waker: Arc<Waker>) -> Self {
         let (work, jobs) = unbounded::<DiskWork>();
         let (results, done) = unbounded();
@@ -80,6 +82,7 @@
         let _ = self.work.send(work);
     }
 
+    /// Work that is done or was refused since the last call.
     pub fn take_completions(&mut self) -> Vec<DiskCompletion> {
         let refused = self.refused.drain(..);
         refused.chain(self.done.try_iter()).collect()
--- a/crates/controller/src/member_directory.rs
+++ b/crates/controller/src/member_directory.rs
@@ -1,27 +1,27 @@
-//! What a daemon without a disk knows of the daemons that keep the configuration. A pure state machine.
+//! What a redirector knows of the controllers, without I/O.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Most members that are known at once.
+/// Most members that are known at once; it bounds what a wrong heartbeat can add.
 const MEMBERS_MAX: usize = 16;
-/// Milliseconds after which a member is forgotten that was neither heard nor named by another.
-const FORGET_MS: u64 = 5_000;
-/// Milliseconds between questions to a member that does not answer.
-const SILENT_PAUSE_MS: u64 = 1_000;
+/// Milliseconds after which a member is removed that neither sent a heartbeat nor was named by another.
+const MEMBER_TIMEOUT_MS: u64 = 5_000;
+/// Milliseconds between polls of a member that does not answer.
+const SILENT_POLL_INTERVAL_MS: u64 = 1_000;
 
-/// What a member said of itself last.
+/// What is known of a member.
 #[derive(Clone, Debug, Default)]
-struct Member {
-    /// When it was heard, and whether it was in contact with a majority then.
-    heard: Option<Heard>,
-    /// When a member named it, or the settings did.
+struct KnownMember {
+    /// Its newest heartbeat, while its link lasts.
+    heartbeat: Option<LastHeartbeat>,
+    /// When another member or the settings named it, in milliseconds since the start.
     named_at: u64,
-    asked_at: Option<u64>,
+    polled_at: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct LastHeartbeat {
     at: u64,
     is_current: bool,
 }
@@ -30,19 +30,24 @@
 #[derive(Clone, Debug)]
 pub struct MemberDirectory {
     own: SocketAddr,
-    pause_ms: u64,
-    fresh_ms: u64,
+    poll_interval_ms: u64,
+    freshness_ms: u64,
     seeds: Vec<SocketAddr>,
-    members: BTreeMap<SocketAddr, Member>,
+    members: BTreeMap<SocketAddr, KnownMember>,
 }
 
 impl MemberDirectory {
-    /// Knows the seeds alone. Members are asked after each pause, and what one said counts while it is fresh.
-    pub fn new(own: SocketAddr, seeds: Vec<SocketAddr>, pause_ms: u64, fresh_ms: u64) -> Self {
+    /// Knows the seeds alone. Members are polled at the interval, and a heartbeat counts for `freshness_ms`.
+    pub fn new(
+        own: SocketAddr,
+        seeds: Vec<SocketAddr>,
+        poll_interval_ms: u64,
+        freshness_ms: u64,
+    ) -> Self {
         let mut directory = Self {
             own,
-            pause_ms,
-            fresh_ms,
+            poll_interval_ms,
+            freshness_ms,
             seeds: Vec::new(),
             members: BTreeMap::new(),
         };
@@ -68,7 +73,7 @@
         self.members.entry(address).or_default().named_at = now;
     }
 
-    /// A member has answered, and named the members that it knows.
+    /// A member has sent a heartbeat, which names the members that it knows. One from a stranger is ignored.
     pub fn on_heartbeat(
         &mut self,
         now: u64,
@@ -80,54 +85,58 @@
             return;
         };
         let at = now;
-        member.heard = Some(Heard { at, is_current });
+        member.heartbeat = Some(LastHeartbeat { at, is_current });
         for address in members.take(MEMBERS_MAX) {
             self.name(now, address);
         }
     }
 
-    /// The link to a member has ended: what it said counts no more.
+    /// The link to a member has ended: its heartbeat counts no more.
     pub fn on_link_ended(&mut self, address: SocketAddr) {
         if let Some(member) = self.members.get_mut(&address) {
-            member.heard = None;
+            member.heartbeat = None;
         }
     }
 
-    /// Members that are alive and in contact with a majority, as far as they said so lately.
+    /// Members whose newest heartbeat is fresh and said that they are in contact with a majority.
     pub fn current(&self, now: u64) -> Vec<SocketAddr> {
         let current = self.members.iter().filter(|(_, member)| {
-            let heard = member.heard;
-            heard.is_some_and(|heard| heard.is_current && now < heard.at + self.fresh_ms)
+            let heartbeat = member.heartbeat;
+            heartbeat.is_some_and(|heartbeat| {
+                heartbeat.is_current && now < heartbeat.at + self.freshness_ms
+            })
         });
         current.map(|(address, _)| *address).collect()
     }
 
-    /// Members to ask now; they are noted as asked.
-    pub fn due(&mut self, now: u64) -> Vec<SocketAddr> {
-        let (pause, fresh) = (self.pause_ms, self.fresh_ms);
+    /// Members to poll now; they count as polled from then on.
+    pub fn take_due(&mut self, now: u64) -> Vec<SocketAddr> {
+        let (poll_interval, freshness) = (self.poll_interval_ms, self.freshness_ms);
         let due = self.members.iter_mut().filter(|(_, member)| {
-            let is_heard = member.heard.is_some_and(|heard| now < heard.at + fresh);
-            let is_early = now < SILENT_PAUSE_MS;
-            let pause = if is_heard || is_early {
-                pause
+            let is_fresh = member
+                .heartbeat
+                .is_some_and(|heartbeat| now < heartbeat.at + freshness);
+            let is_early = now < SILENT_POLL_INTERVAL_MS;
+            let interval = if is_fresh || is_early {
+                poll_interval
             } else {
-                SILENT_PAUSE_MS
+                SILENT_POLL_INTERVAL_MS
             };
-            member.asked_at.is_none_or(|at| now >= at + pause)
+            member.polled_at.is_none_or(|at| now >= at + interval)
         });
         due.map(|(address, member)| {
-            member.asked_at = Some(now);
+            member.polled_at = Some(now);
             *address
         })
         .collect()
     }
 
-    /// Forgets members that are gone, and returns them.
-    pub fn forget(&mut self, now: u64) -> Vec<SocketAddr> {
+    /// Removes members that are gone, and returns them. Seeds stay.
+    pub fn remove_gone(&mut self, now: u64) -> Vec<SocketAddr> {
         let seeds = &self.seeds;
         let gone = self.members.iter().filter(|(address, member)| {
-            let known_at = member.heard.map_or(0, |heard| heard.at);
-            let is_old = now >= known_at.max(member.named_at) + FORGET_MS;
+            let known_at = member.heartbeat.map_or(0, |heartbeat| heartbeat.at);
+            let is_old = now >= known_at.max(member.named_at) + MEMBER_TIMEOUT_MS;
             is_old && !seeds.contains(address)
         });
         let gone: Vec<SocketAddr> = gone.map(|(address, _)| *address).collect();
--- a/crates/controller/src/operator_inbox.rs
+++ b/crates/controller/src/operator_inbox.rs
@@ -4,7 +4,7 @@
 use http1::{HttpError, MessageLimits, Request, RequestReader};
 use std::collections::HashMap;
 
-/// Largest request of an operator: a whole configuration.
+/// Largest request of an operator: a complete configuration.
 const REQUEST_LIMITS: MessageLimits = MessageLimits {
     header_bytes: 64 << 10,
     body_bytes: 32 << 20,
@@ -12,11 +12,11 @@
 
 /// What a connection brought.
 pub(crate) enum OperatorInput {
-    /// A request has not arrived whole.
+    /// A request has not arrived completely.
     Incomplete,
     /// A request's head has arrived, and the client waits for "100 Continue" before it sends the body.
     ExpectsContinue,
-    /// A whole request. The next one is read once this one has ended.
+    /// A complete request. The next one is read once this one has ended.
     Request(Box<Request>),
     /// The bytes are no request; nothing more can be read from the connection.
     Malformed(HttpError),
--- a/crates/controller/src/operator_requests.rs
+++ b/crates/controller/src/operator_requests.rs
@@ -1,5 +1,4 @@
-//! Operators' commands in progress: who waits for each, and until when. What is decided on a command is told by its
-//! `CommandExecution`.
+//! Operators' commands in progress: who waits for each, and until when. A command's `CommandExecution` decides on it.
 
 use consensus::{CONFIGURATION_KEY, EVACUATIONS_KEY};
 use event_loop::ConnectionId;
--- a/crates/controller/src/operator_routing.rs
+++ b/crates/controller/src/operator_routing.rs
@@ -15,12 +15,12 @@
     Execute(Command),
 }
 
-/// Decides on a request.
+/// Decides on a request. Contact is asked for only where the request is a command.
 pub(crate) fn route(
     request: Request,
     codec: &dyn OperatorCodec,
     zones: &[String],
-    is_in_contact: bool,
+    is_in_contact: impl FnOnce() -> bool,
 ) -> RequestRoute {
     let kind = match codec.parse_command(&request.method, &request.target) {
         Ok(kind) => kind,
@@ -32,7 +32,7 @@
     if names_unknown_zone(&kind, zones) {
         return respond(404, "there is no such zone");
     }
-    if !is_in_contact {
+    if !is_in_contact() {
         return RequestRoute::Redirect;
     }
     RequestRoute::Execute(Command {
--- a/crates/controller/src/operator_service.rs
+++ b/crates/controller/src/operator_service.rs
@@ -84,7 +84,7 @@
         let target = request.target.clone();
         let codec = context.options.operator_codec.as_ref();
         // Contact is judged by the time at this moment: a turn may have taken long.
-        let is_in_contact = context.consensus.is_in_contact(context.clock.now());
+        let is_in_contact = || context.consensus.is_in_contact(context.clock.now());
         match route(request, codec, &context.options.zones, is_in_contact) {
             RequestRoute::Respond(response) => self.respond(caller, &response, context),
             RequestRoute::Redirect => {
--- a/crates/controller/src/recent_changes.rs
+++ b/crates/controller/src/recent_changes.rs
@@ -3,18 +3,19 @@
 use operator_commands::ConfigurationRecord;
 use std::collections::VecDeque;
 
-/// Changes that are kept.
-const CHANGES_KEPT: usize = 64;
+/// Most changes in memory. A gateway that lacks more gets the complete configuration.
+const CHANGES_MAX: usize = 64;
 
 /// The changes that led to the configuration in force, by the register's versions, without a gap.
 #[derive(Default)]
 pub(crate) struct RecentChanges {
+    /// Version to which the oldest change led.
     first: u64,
     changes: VecDeque<Vec<u8>>,
 }
 
 impl RecentChanges {
-    /// A configuration came into force at a version of the register.
+    /// A configuration was committed at a version of the register.
     pub fn note(&mut self, version: u64, configuration: &ConfigurationRecord) {
         let follows = version == self.first + self.changes.len() as u64;
         if !follows || configuration.change.is_empty() {
@@ -23,7 +24,7 @@
             return;
         }
         self.changes.push_back(configuration.change.clone());
-        if self.changes.len() > CHANGES_KEPT {
+        if self.changes.len() > CHANGES_MAX {
             self.changes.pop_front();
             self.first += 1;
         }
--- a/crates/controller/src/redirector.rs
+++ b/crates/controller/src/redirector.rs
@@ -84,7 +84,7 @@
     redirects: usize,
 }
 
-/// Serves operators on a machine without a disk, until it is told to stop.
+/// Serves operators on a machine without a disk, until it is asked to stop.
 ///
 /// # Errors
 /// Where the address for operators cannot be listened at, or the system refuses what every daemon needs.
@@ -171,11 +171,11 @@
     }
 
     fn tick(&mut self) {
-        for address in self.directory.forget(self.now) {
+        for address in self.directory.remove_gone(self.now) {
             log::info!("controller: member {address} is forgotten");
             self.close_link(address);
         }
-        for address in self.directory.due(self.now) {
+        for address in self.directory.take_due(self.now) {
             self.request_heartbeat(address);
         }
     }
--- /dev/null
+++ b/crates/controller/tests/member_directory.rs
@@ -0,0 +1,93 @@
+//! A redirector sends operators only to members that are alive and in contact, whoever was there at
+//! its start.
+
+use controller::MemberDirectory;
+use std::net::SocketAddr;
+
+const POLL_INTERVAL_MS: u64 = 200;
+const FRESHNESS_MS: u64 = 600;
+const OWN: u8 = 99;
+
+fn address(machine: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, machine], 7300))
+}
+
+fn directory(seeds: &[u8]) -> MemberDirectory {
+    let seeds = seeds.iter().map(|seed| address(*seed)).collect();
+    MemberDirectory::new(address(OWN), seeds, POLL_INTERVAL_MS, FRESHNESS_MS)
+}
+
+fn receive_heartbeat(
+    directory: &mut MemberDirectory,
+    now: u64,
+    from: u8,
+    is_current: bool,
+    names: &[u8],
+) {
+    let names = names.iter().map(|name| address(*name));
+    directory.on_heartbeat(now, address(from), is_current, names);
+}
+
+#[test]
+fn only_members_that_said_lately_that_they_are_in_contact_count() {
+    let mut directory = directory(&[1, 2, OWN]);
+    assert_eq!(directory.current(0), [], "nobody sent a heartbeat");
+    assert_eq!(directory.take_due(0), [address(1), address(2)]);
+    receive_heartbeat(&mut directory, 10, 1, true, &[1, 2, 3]);
+    receive_heartbeat(&mut directory, 10, 2, false, &[1, 2]);
+    assert_eq!(directory.current(10), [address(1)]);
+    assert_eq!(directory.current(9 + FRESHNESS_MS), [address(1)]);
+    assert_eq!(directory.current(10 + FRESHNESS_MS), [], "it is silent");
+    receive_heartbeat(&mut directory, 700, 1, true, &[]);
+    receive_heartbeat(&mut directory, 710, 1, false, &[]);
+    assert_eq!(directory.current(710), [], "it was cut off");
+    receive_heartbeat(&mut directory, 720, 2, true, &[]);
+    directory.on_link_ended(address(2));
+    assert_eq!(directory.current(720), [], "its link is gone");
+}
+
+#[test]
+fn members_are_learnt_and_dead_ones_forgotten_though_all_seeds_are_replaced() {
+    let mut directory = directory(&[1, 2]);
+    receive_heartbeat(&mut directory, 0, 1, true, &[1, 2, 3]);
+    receive_heartbeat(&mut directory, 100, 3, true, &[1, 3, 4]);
+    directory.set_seeds(200, vec![address(3)]);
+    let mut forgotten = Vec::new();
+    for now in (200..20_000).step_by(100) {
+        // The first two are gone for good; the third and a newcomer answer.
+        receive_heartbeat(&mut directory, now, 3, true, &[3, 4]);
+        receive_heartbeat(&mut directory, now, 4, true, &[3, 4]);
+        forgotten.extend(directory.remove_gone(now));
+    }
+    assert_eq!(forgotten, [address(2), address(1)]);
+    assert_eq!(directory.current(20_000), [address(3), address(4)]);
+    receive_heartbeat(&mut directory, 20_000, 1, true, &[]);
+    assert!(
+        !directory.current(20_000).contains(&address(1)),
+        "it is unknown"
+    );
+}
+
+#[test]
+fn a_seed_is_asked_on_however_long_it_is_silent() {
+    let mut directory = directory(&[1]);
+    let mut asked = 0;
+    for now in (0..60_000).step_by(50) {
+        asked += directory.take_due(now).len();
+        assert_eq!(directory.remove_gone(now), []);
+    }
+    assert!((55..=70).contains(&asked), "{asked} questions in a minute");
+}
+
+#[test]
+fn what_is_known_is_bounded() {
+    let mut directory = directory(&[1]);
+    let many: Vec<u8> = (1..=200).collect();
+    for now in 0..100 {
+        receive_heartbeat(&mut directory, now, 1, true, &many);
+    }
+    for member in &many {
+        receive_heartbeat(&mut directory, 100, *member, true, &[]);
+    }
+    assert_eq!(directory.current(100).len(), 16);
+}
