--- a/crates/autoscaler/src/listings.rs
+++ b/crates/autoscaler/src/listings.rs
@@ -82,12 +82,11 @@
 }
 
 fn handle_known_runner(state: &mut ClusterState, serial: u64, listing: &RunnerListing) {
-    state.runners.mark_listed(serial);
-    let Some(runner) = state.runners.get(serial) else {
+    let Some(runner_state) = state.runners.mark_listed(serial) else {
         return;
     };
     let now = state.now;
-    match runner.state {
+    match runner_state {
         RunnerState::Starting | RunnerState::Serving | RunnerState::Draining { .. }
             if listing.is_terminating =>
         {
--- a/crates/autoscaler/src/reports.rs
+++ b/crates/autoscaler/src/reports.rs
@@ -1,6 +1,7 @@
 //! What owners' reports change: arrivals, what waits, and what is known of each runner.
 
 use crate::runner::RunnerState;
+use crate::runner_table::RunnerObservation;
 use crate::scaling_decision::decide;
 use crate::state::ClusterState;
 use protocol::{FunctionReport, RunnerReport};
@@ -28,44 +29,40 @@
     }
 }
 
-/// Takes what an owner reports of a runner. Its counters are compared with those of the owner's report before.
+/// Takes what an owner reports of a runner.
 fn handle_runner_report(state: &mut ClusterState, owner: &str, name: &str, report: &RunnerReport) {
     let Some(serial) = state.runners.serial_of_id(&report.id) else {
         return;
     };
-    let Some(runner) = state.runners.get(serial) else {
+    let function = state.functions.get(name);
+    let before = function.and_then(|function| function.reports().runner(owner, &report.id));
+    let observation = observation(report, before);
+    let observed = state.runners.observe(serial, name, observation, state.now);
+    let Some(runner_state) = observed else {
         return;
     };
-    if runner.function != name {
-        return;
+    if observation.is_lost {
+        handle_lost(state, serial);
+    } else if observation.is_up && runner_state == RunnerState::Starting {
+        state.set_runner_state(serial, RunnerState::Serving);
     }
-    let function = state.functions.get(name);
-    let before = function.and_then(|function| function.reports().runner(owner, &report.id));
+}
+
+/// What a report says that the owner's report before did not. Its counters only grow.
+fn observation(report: &RunnerReport, before: Option<&RunnerReport>) -> RunnerObservation {
     let (succeeded, duration_ms) =
         before.map_or((0, 0), |one| (one.succeeded, one.total_duration_ms));
-    let answers = report.succeeded.saturating_sub(succeeded);
-    let total_ms = report.total_duration_ms.saturating_sub(duration_ms);
-    let is_starting = runner.state == RunnerState::Starting;
-    state.runners.observe_answers(serial, answers, total_ms);
-    if answers > 0 || report.in_use > 0 {
-        state.runners.mark_used(serial, state.now);
-    }
-    if report.is_gone {
-        handle_lost(state, serial);
-        return;
-    }
-    if !report.is_up {
-        return;
-    }
-    state.runners.mark_up(serial);
-    if is_starting {
-        state.set_runner_state(serial, RunnerState::Serving);
+    RunnerObservation {
+        answers: report.succeeded.saturating_sub(succeeded),
+        total_ms: report.total_duration_ms.saturating_sub(duration_ms),
+        holds_requests: report.in_use > 0,
+        is_up: report.is_up && !report.is_gone,
+        is_lost: report.is_gone,
     }
 }
 
 /// An owner cannot reach a runner any more.
 fn handle_lost(state: &mut ClusterState, serial: u64) {
-    state.runners.mark_lost(serial);
     let Some(runner) = state.runners.get(serial) else {
         return;
     };
--- a/crates/autoscaler/src/runner_table.rs
+++ b/crates/autoscaler/src/runner_table.rs
@@ -13,6 +13,21 @@
     pub has_new_stage: bool,
 }
 
+/// What an owner observed of a runner since its last report.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RunnerObservation {
+    /// Good answers that came.
+    pub answers: u64,
+    /// Milliseconds that these took together.
+    pub total_ms: u64,
+    /// Requests are in flight at it.
+    pub holds_requests: bool,
+    /// It was reached.
+    pub is_up: bool,
+    /// It cannot be reached any more.
+    pub is_lost: bool,
+}
+
 /// Runners by serial; a runner keeps its serial from the wish for it to its end.
 ///
 /// All changes of runners go through this table, so that the indexes by id, nonce, worker and state, and the memory
@@ -255,18 +270,29 @@
         must_fall
     }
 
-    /// Takes answers of a runner, and the milliseconds that they took together.
-    pub fn observe_answers(&mut self, serial: u64, answers: u64, total_ms: u64) {
-        if let Some(runner) = self.runners.get_mut(&serial) {
-            runner.service_time.observe(answers, total_ms);
+    /// Takes what an owner observed of a runner of that function. Gives the runner's state; none where the function has no
+    /// such runner.
+    pub fn observe(
+        &mut self,
+        serial: u64,
+        function: &str,
+        observation: RunnerObservation,
+        now: u64,
+    ) -> Option<RunnerState> {
+        let runner = self.runners.get_mut(&serial)?;
+        if runner.function != function {
+            return None;
         }
-    }
-
-    /// A runner answers or holds requests.
-    pub fn mark_used(&mut self, serial: u64, now: u64) {
-        if let Some(runner) = self.runners.get_mut(&serial) {
+        let RunnerObservation {
+            answers, total_ms, ..
+        } = observation;
+        runner.service_time.observe(answers, total_ms);
+        if answers > 0 || observation.holds_requests {
             runner.last_used_at = now;
         }
+        runner.is_up |= observation.is_up;
+        runner.is_lost |= observation.is_lost;
+        Some(runner.state)
     }
 
     /// A runner was reached or listed.
@@ -276,19 +302,12 @@
         }
     }
 
-    /// An owner reported that a runner is gone.
-    pub fn mark_lost(&mut self, serial: u64) {
-        if let Some(runner) = self.runners.get_mut(&serial) {
-            runner.is_lost = true;
-        }
-    }
-
-    /// A list shows a runner.
-    pub fn mark_listed(&mut self, serial: u64) {
-        if let Some(runner) = self.runners.get_mut(&serial) {
-            runner.was_listed = true;
-            runner.unlisted_since = None;
-        }
+    /// A list shows a runner. Gives its state.
+    pub fn mark_listed(&mut self, serial: u64) -> Option<RunnerState> {
+        let runner = self.runners.get_mut(&serial)?;
+        runner.was_listed = true;
+        runner.unlisted_since = None;
+        Some(runner.state)
     }
 
     /// Notes which runners a list lacks, and gives those that are gone by it: they were listed once, and have been
