--- a/tests/conventions/src/names.rs
+++ b/tests/conventions/src/names.rs
@@ -6,10 +6,13 @@
 
 /// Macros whose first literal is a log line.
 const LOG_MACROS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
+/// Macros whose lines operators see without asking for more.
+const OPERATOR_MACROS: [&str; 3] = ["error", "warn", "info"];
 
 #[derive(Default)]
 struct Names {
     found: Vec<String>,
+    log_lines: Vec<String>,
 }
 
 impl Names {
@@ -70,16 +73,36 @@
     }
 
     fn visit_macro(&mut self, call: &'ast syn::Macro) {
-        let name = call.path.segments.last().map(|last| last.ident.to_string());
-        if !name.is_some_and(|name| LOG_MACROS.contains(&name.as_str())) {
+        let last = call.path.segments.last();
+        let name = last.map(|last| last.ident.to_string()).unwrap_or_default();
+        if !LOG_MACROS.contains(&name.as_str()) {
             return;
         }
-        let tokens = call.tokens.to_string();
-        let line = tokens.split('"').nth(1).unwrap_or_default();
-        self.found.push(line.to_string());
+        let Some(line) = first_literal(call.tokens.clone()) else {
+            return;
+        };
+        if OPERATOR_MACROS.contains(&name.as_str()) {
+            self.log_lines.push(line.clone());
+        }
+        self.found.push(line);
     }
 }
 
+/// The string that a macro's arguments begin with.
+fn first_literal(tokens: proc_macro2::TokenStream) -> Option<String> {
+    let first = tokens.into_iter().next()?;
+    let literal: syn::LitStr = syn::parse2(first.into()).ok()?;
+    Some(literal.value())
+}
+
+/// Log lines of a file at info and above, with their placeholders.
+#[must_use]
+pub fn log_lines(file: &SourceFile) -> Vec<String> {
+    let mut names = Names::default();
+    names.visit_file(&file.syntax);
+    names.log_lines
+}
+
 /// Names and log lines of a file, its own name included.
 #[must_use]
 pub fn of_file(file: &SourceFile) -> Vec<String> {
--- /dev/null
+++ b/tests/conventions/tests/documents.rs
@@ -0,0 +1,167 @@
+//! Documents name files and tests that exist.
+
+use conventions::Workspace;
+use std::collections::BTreeSet;
+use std::path::PathBuf;
+
+/// Folders whose files documents name by their whole path.
+const FOLDERS: [&str; 6] = ["crates/", "platform/", "tests/", "docs/", "deploy/", ".ci/"];
+
+/// Pages whose names of code must exist.
+const DESIGN_PAGES: [&str; 6] = [
+    "docs/architecture.md",
+    "docs/CAPACITY.md",
+    "docs/control-safety.md",
+    "docs/federation.md",
+    "docs/glossary.md",
+    "docs/platform-design.md",
+];
+
+/// Texts between single backticks outside fenced blocks, with line breaks taken out.
+fn quoted(text: &str) -> Vec<String> {
+    let outside_fences: String = text.split("```").step_by(2).collect();
+    let quotes = outside_fences.split('`').skip(1).step_by(2);
+    quotes.map(|quote| quote.replace('\n', "")).collect()
+}
+
+fn documents(workspace: &Workspace) -> Vec<PathBuf> {
+    let mut documents = workspace.files("docs", "md");
+    documents.push("README.md".into());
+    documents.push("CONTRIBUTING.md".into());
+    documents
+}
+
+/// The paths that a quoted text names, from the workspace's root; none where it is a pattern, a command or something else.
+/// `consensus/src/{contact,serving}.rs` stands for two files of the crate.
+fn paths(quote: &str) -> Vec<String> {
+    if quote.contains([' ', '*', '<', ':', '…']) {
+        return Vec::new();
+    }
+    let is_whole = FOLDERS.iter().any(|folder| quote.starts_with(folder));
+    let is_of_a_crate = quote.contains("/src/") || quote.contains("/tests/");
+    let whole = match (is_whole, is_of_a_crate) {
+        (true, _) => quote.to_string(),
+        (false, true) => format!("crates/{quote}"),
+        (false, false) => return Vec::new(),
+    };
+    let parts = whole.split_once('{');
+    let parts = parts.and_then(|(before, rest)| Some((before, rest.split_once('}')?)));
+    let Some((before, (names, after))) = parts else {
+        return vec![whole];
+    };
+    let names = names.split(',');
+    names.map(|name| format!("{before}{name}{after}")).collect()
+}
+
+#[test]
+fn files_that_documents_name_exist() {
+    let workspace = Workspace::find();
+    let mut missing = Vec::new();
+    let mut checked = 0;
+    for document in documents(&workspace) {
+        let text = workspace.read(&document);
+        for path in quoted(&text).iter().flat_map(|quote| paths(quote)) {
+            checked += 1;
+            if !workspace.path(&path).exists() {
+                missing.push(format!("{}: {path}", document.display()));
+            }
+        }
+    }
+    assert!(checked > 20, "only {checked} paths were found");
+    assert!(missing.is_empty(), "{}", missing.join("\n"));
+}
+
+#[test]
+fn links_between_documents_lead_to_files() {
+    let workspace = Workspace::find();
+    let mut missing = Vec::new();
+    for document in documents(&workspace) {
+        let text = workspace.read(&document);
+        let links = text
+            .split("](")
+            .skip(1)
+            .filter_map(|rest| rest.split(')').next());
+        for link in links.filter(|link| !link.contains("://") && !link.starts_with('#')) {
+            let target = link.split('#').next().unwrap_or_default();
+            let folder = document.parent().unwrap_or(&document);
+            if !workspace.path(folder).join(target).exists() {
+                missing.push(format!("{}: {link}", document.display()));
+            }
+        }
+    }
+    assert!(missing.is_empty(), "{}", missing.join("\n"));
+}
+
+#[test]
+fn tests_that_the_safety_pages_name_exist() {
+    let workspace = Workspace::find();
+    let mut functions = BTreeSet::new();
+    for folder in ["crates", "platform", "tests"] {
+        for path in workspace.files(folder, "rs") {
+            let text = workspace.read(&path);
+            let names = text
+                .split("fn ")
+                .skip(1)
+                .filter_map(|rest| rest.split(['(', '<']).next());
+            functions.extend(names.map(str::to_string));
+        }
+    }
+    let mut missing = Vec::new();
+    for document in [
+        "docs/control-safety.md",
+        "docs/must-never.md",
+        "docs/model-check.md",
+    ] {
+        let text = workspace.read(document);
+        let is_test_name = |name: &String| {
+            let is_snake = name
+                .chars()
+                .all(|letter| letter == '_' || letter.is_ascii_lowercase());
+            is_snake && name.matches('_').count() >= 4
+        };
+        for name in quoted(&text).into_iter().filter(is_test_name) {
+            if !functions.contains(&name) {
+                missing.push(format!("{document}: {name}"));
+            }
+        }
+    }
+    assert!(missing.is_empty(), "{}", missing.join("\n"));
+}
+
+/// Identifiers that a quoted text such as `protocol::{Release, SeatLease}` or `RoleLease` names; none where it is no path of code.
+fn code_names(quote: &str) -> Vec<&str> {
+    let is_code = |letter: char| letter.is_ascii_alphanumeric() || "_:{}, ".contains(letter);
+    let is_path = quote.contains("::") && quote.chars().all(is_code);
+    let is_type = quote.starts_with(|letter: char| letter.is_ascii_uppercase())
+        && quote.contains(|letter: char| letter.is_ascii_lowercase())
+        && quote.chars().all(|letter| letter.is_ascii_alphanumeric());
+    if !is_path && !is_type {
+        return Vec::new();
+    }
+    let names = quote.split(|letter: char| !letter.is_ascii_alphanumeric() && letter != '_');
+    names.filter(|name| name.len() > 1).collect()
+}
+
+#[test]
+fn types_and_functions_that_the_design_pages_name_exist() {
+    let workspace = Workspace::find();
+    let mut known = BTreeSet::new();
+    for folder in ["crates", "platform", "tests"] {
+        for path in workspace.files(folder, "rs") {
+            let text = workspace.read(&path);
+            let words = text.split(|letter: char| !letter.is_ascii_alphanumeric() && letter != '_');
+            known.extend(words.map(str::to_string));
+        }
+    }
+    let mut missing = Vec::new();
+    for document in DESIGN_PAGES {
+        for quote in quoted(&workspace.read(document)) {
+            for name in code_names(&quote) {
+                if !known.contains(name) {
+                    missing.push(format!("{document}: {name} in `{quote}`"));
+                }
+            }
+        }
+    }
+    assert!(missing.is_empty(), "{}", missing.join("\n"));
+}
