--- a/crates/autoscaler/src/configuration.rs
+++ b/crates/autoscaler/src/configuration.rs
@@ -25,7 +25,7 @@
     if !state.workers.set_evacuated_zones(zones) {
         return;
     }
-    log::info!("scaler: evacuated zones {zones:?}");
+    log::info!("scaler: zones evacuated zones={zones:?}");
     for serial in state.runners.serials() {
         apply_evacuation(state, serial);
     }
--- a/crates/autoscaler/src/draining.rs
+++ b/crates/autoscaler/src/draining.rs
@@ -20,7 +20,11 @@
         RunnerState::StartPending { .. } => withdraw_start(state, serial),
         RunnerState::Draining { .. } => state.runners.set_drain_reason(serial, reason),
         RunnerState::Starting | RunnerState::Serving => {
-            log::info!("scaler: {} drains {:?}", runner.function, runner.id);
+            log::info!(
+                "scaler: runner draining function={} runner={:?}",
+                runner.function,
+                runner.id
+            );
             state.set_runner_state(serial, RunnerState::Draining { reason, since });
         }
         // A start that is not answered yet is decided about once it is.
--- a/crates/autoscaler/src/ending.rs
+++ b/crates/autoscaler/src/ending.rs
@@ -12,7 +12,7 @@
     for serial in late_starts(state) {
         let runner = state.runners.get(serial);
         let id = runner.and_then(|runner| runner.id.clone());
-        log::warn!("scaler: {id:?} did not start in time");
+        log::warn!("scaler: runner start timed out runner={id:?}");
         state.set_runner_state(serial, RunnerState::STOP_NOW);
     }
 }
--- a/crates/autoscaler/src/listings.rs
+++ b/crates/autoscaler/src/listings.rs
@@ -183,7 +183,11 @@
         last_used_at: now,
         service_time: ServiceTime::unmeasured(function.service_time_ms()),
     };
-    log::info!("scaler: {} has {:?}", runner.function, runner.id);
+    log::info!(
+        "scaler: runner adopted function={} runner={:?}",
+        runner.function,
+        runner.id
+    );
     state.updates.mark_changed(name);
     state.functions.make_due(name);
     state.add_runner(runner)
@@ -194,7 +198,7 @@
     let unlisted_ms = state.options.unlisted_ms();
     let gone = state.runners.mark_unlisted(listed, unlisted_ms, state.now);
     for (serial, id) in gone {
-        log::info!("scaler: {id} is gone");
+        log::info!("scaler: runner gone runner={id}");
         // Lists that lag may show it again.
         state.stopped_runners.record(id, state.now);
         state.forget_runner(serial);
--- a/crates/autoscaler/src/reports.rs
+++ b/crates/autoscaler/src/reports.rs
@@ -69,7 +69,11 @@
     if runner.stage().is_none() {
         return;
     }
-    log::info!("scaler: {} lost {:?}", runner.function, runner.id);
+    log::info!(
+        "scaler: runner unreachable function={} runner={:?}",
+        runner.function,
+        runner.id
+    );
     let since = state.now;
     state.set_runner_state(serial, RunnerState::Unreachable { since });
 }
--- a/crates/autoscaler/src/runner_commands.rs
+++ b/crates/autoscaler/src/runner_commands.rs
@@ -112,7 +112,10 @@
         return None;
     }
     let id = runner.id.clone()?;
-    log::info!("scaler: {} stops {id}", runner.function);
+    log::info!(
+        "scaler: runner stopping function={} runner={id}",
+        runner.function
+    );
     state.runners.request_stop(serial);
     state.command_rate.take();
     Some(RunnerCommand::Stop { id })
@@ -154,7 +157,7 @@
         return;
     }
     let (function, worker) = (&runner.function, &runner.worker);
-    log::info!("scaler: {function} starts {id} on {worker}");
+    log::info!("scaler: runner starting function={function} runner={id} worker={worker}");
     state.runners.assign_id(serial, &id, address, state.now);
     state.start_queue.remove_runner(serial);
     state.set_runner_state(serial, RunnerState::Starting);
@@ -174,13 +177,13 @@
     match error {
         StartError::NoRoom => {
             let worker = runner.worker.clone();
-            log::info!("scaler: {name} finds no room on {worker}");
+            log::info!("scaler: worker full function={name} worker={worker}");
             state.workers.pause_starts(&worker, state.now);
             state.runners.clear_start_request(serial);
             state.forget_runner(serial);
         }
         StartError::Refused => {
-            log::warn!("scaler: {name} is not known to the platform");
+            log::warn!("scaler: function unknown function={name}");
             state.runners.clear_start_request(serial);
             state.forget_runner(serial);
             if let Some(function) = state.functions.get_mut(&name) {
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -185,7 +185,7 @@
         self.values.record_own(snapshot.values);
         if self.sets.record_own(snapshot.set) {
             let set = self.sets.own().clone();
-            log::info!("consensus: votes in set {}", set.version());
+            log::info!("consensus: voting set={}", set.version());
             self.heartbeats.request();
             self.learn_set(now, &set);
         }
--- a/crates/consensus/src/consensus/leaving.rs
+++ b/crates/consensus/src/consensus/leaving.rs
@@ -62,9 +62,7 @@
     }
 
     fn start_reset(&mut self) {
-        log::warn!(
-            "consensus: another controller took this one's place; it empties its disk and joins as a newcomer"
-        );
+        log::warn!("consensus: replaced by another controller, resetting the disk to rejoin");
         if let Some(departure) = self.departure.as_mut() {
             departure.start_reset();
         }
@@ -90,6 +88,6 @@
         self.next_set_proposal_at = now;
         self.copies.clear();
         self.heartbeats.request();
-        log::info!("consensus: the disk is empty; this controller asks for a place as a newcomer");
+        log::info!("consensus: disk reset, rejoining as a new member");
     }
 }
--- a/crates/consensus/src/consensus/membership.rs
+++ b/crates/consensus/src/consensus/membership.rs
@@ -22,7 +22,7 @@
             return;
         }
         log::info!(
-            "consensus: set {} has {} voters",
+            "consensus: voter set changed set={} voters={}",
             set.version(),
             set.voters.len()
         );
@@ -121,7 +121,10 @@
         let Some(voters) = voters else {
             return;
         };
-        log::info!("consensus: forms the first set of {} voters", voters.len());
+        log::info!(
+            "consensus: forming the first voter set voters={}",
+            voters.len()
+        );
         self.change_own_set(DiskWork::FormSet(VoterSet {
             epoch: 1,
             number: 1,
@@ -164,7 +167,7 @@
         let Some(next) = self.next_set_with_place(now, &voting) else {
             return;
         };
-        log::info!("consensus: asks for a place in set {}", next.version());
+        log::info!("consensus: proposing membership set={}", next.version());
         self.propose_set(now, &next);
     }
 
@@ -253,7 +256,7 @@
         };
         if self.may_propose_set(now) {
             log::info!(
-                "consensus: is reached at {} from set {} on",
+                "consensus: proposing a new address address={} set={}",
                 self.options.address,
                 next.version()
             );
--- a/crates/consensus/src/consensus/scaler_role.rs
+++ b/crates/consensus/src/consensus/scaler_role.rs
@@ -33,10 +33,7 @@
         };
         self.heartbeats.request();
         if ended.was_announced {
-            log::info!(
-                "consensus: this controller gave up the scaler role, term {}",
-                ended.term
-            );
+            log::info!("consensus: scaler role lost term={}", ended.term);
             self.actions.push(ConsensusAction::RoleLost);
         }
     }
@@ -98,7 +95,7 @@
     fn record_role_ack(&mut self, now: u64, disk: u64, number: u64) {
         let set = self.sets.newest();
         if let Some(term) = self.role.record_ack(now, set, disk, number) {
-            log::info!("consensus: this controller holds the scaler role, term {term}");
+            log::info!("consensus: scaler role acquired term={term}");
             self.actions.push(ConsensusAction::RoleAcquired { term });
         }
     }
--- a/crates/consensus/src/disk_execution.rs
+++ b/crates/consensus/src/disk_execution.rs
@@ -26,7 +26,7 @@
         completions.extend(execute_batch(disk.voter_mut(), before));
         let reset = disk.reset(identity);
         if let Err(report) = &reset {
-            log::error!("consensus: the disk could not be emptied: {report:#}");
+            log::error!("consensus: disk reset failed error={report:#}");
         }
         completions.push(DiskCompletion::ResetEnded(reset.ok().map(|()| identity)));
     }
--- a/crates/controller/src/committed_configuration.rs
+++ b/crates/controller/src/committed_configuration.rs
@@ -51,7 +51,7 @@
             return None;
         };
         log::info!(
-            "controller: configuration {} and evacuated zones {:?} are committed",
+            "controller: configuration committed version={} evacuated_zones={:?}",
             self.record.version,
             self.evacuations.zones
         );
@@ -63,7 +63,7 @@
             return false;
         }
         let Some(record) = ConfigurationRecord::read(value) else {
-            log::error!("controller: committed configuration {version} cannot be read");
+            log::error!("controller: committed configuration unreadable version={version}");
             return false;
         };
         self.recent_changes.note(version, &record);
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -58,7 +58,7 @@
     }
 
     fn begin_shutdown(&mut self) {
-        log::info!("controller: asked to stop");
+        log::info!("controller: shutting down");
         self.consensus.resign(self.now);
         self.stops_at = Some(self.now + self.options.grace_period_ms / SHUTDOWN_SHARE);
     }
@@ -73,7 +73,7 @@
             return;
         };
         let count = seeds.len();
-        log::info!("controller: settings read anew, {count} controllers named");
+        log::info!("controller: settings reloaded seeds={count}");
         let seeds = seeds.iter().map(ToString::to_string).collect();
         self.consensus.update_seeds(seeds);
     }
@@ -224,9 +224,9 @@
             }
             ConsensusAction::ValueCommitted { .. } => {}
             ConsensusAction::RoleAcquired { term } => {
-                log::info!("controller: role acquired, scales under term {term}");
+                log::info!("controller: scaling term={term}");
             }
-            ConsensusAction::RoleLost => log::info!("controller: role lost, scales no more"),
+            ConsensusAction::RoleLost => log::info!("controller: scaling ended"),
         }
     }
 
@@ -252,7 +252,7 @@
             self.handle_gateway_message(connection, message);
         }
         if let Some(error) = error {
-            log::warn!("controller: a link to a gateway is closed: {error}");
+            log::warn!("controller: gateway link closed error={error}");
             self.remove_gateway(connection);
             self.connections.close(connection);
         }
--- a/crates/controller/src/disk_thread.rs
+++ b/crates/controller/src/disk_thread.rs
@@ -113,7 +113,7 @@
             log::debug!("controller: the disk still fails: {report:#}");
             return;
         }
-        log::warn!("controller: the disk works again, and all was written anew");
+        log::warn!("controller: disk recovered, voter rewritten");
         let held = VoterSnapshot::of(self.disk.voter());
         let _ = self.results.send(DiskCompletion::VoterState(held));
         let _ = self.waker.wake();
--- a/crates/controller/src/gateway_table.rs
+++ b/crates/controller/src/gateway_table.rs
@@ -133,7 +133,7 @@
         for name in &silent {
             if let Some(gateway) = self.gateways.remove(name) {
                 let connection = gateway.outbox.connection();
-                log::info!("controller: gateway {name} is silent");
+                log::info!("controller: gateway timed out gateway={name}");
                 self.names.remove(&connection);
                 context.connections.close(connection);
             }
--- a/crates/controller/src/job_registers.rs
+++ b/crates/controller/src/job_registers.rs
@@ -80,7 +80,7 @@
     ) {
         if !operation.is_valid() {
             let gateway = operation.caller.gateway;
-            log::warn!("controller: gateway {gateway} asked for what is no job");
+            log::warn!("controller: job register request malformed gateway={gateway}");
             return;
         }
         if self.in_progress.len() >= REQUESTS_MAX {
--- a/crates/controller/src/operator_requests.rs
+++ b/crates/controller/src/operator_requests.rs
@@ -154,13 +154,19 @@
 fn log_reply(command: &Command, reply: &CommandReply) {
     let (kind, version) = (&command.kind, command.version);
     match reply {
-        CommandReply::Acknowledged => log::info!("controller: {kind:?} of {version:?} accepted"),
+        CommandReply::Acknowledged => {
+            log::info!("controller: command accepted kind={kind:?} version={version:?}")
+        }
         CommandReply::Document(_) => {}
         CommandReply::Rejected(_, reason) => {
-            log::info!("controller: {kind:?} of {version:?} rejected: {reason}");
+            log::info!(
+                "controller: command rejected kind={kind:?} version={version:?} reason={reason}"
+            );
         }
         CommandReply::Undecided(reason) => {
-            log::info!("controller: {kind:?} of {version:?} left undecided: {reason}");
+            log::info!(
+                "controller: command undecided kind={kind:?} version={version:?} reason={reason}"
+            );
         }
     }
 }
--- a/crates/controller/src/peer_links.rs
+++ b/crates/controller/src/peer_links.rs
@@ -103,7 +103,7 @@
             }
         }
         if let Some(error) = error {
-            log::warn!("controller: a link to a controller is closed: {error}");
+            log::warn!("controller: peer link closed error={error}");
             self.remove(connection);
             connections.close(connection);
         }
--- a/crates/controller/src/platform_client.rs
+++ b/crates/controller/src/platform_client.rs
@@ -182,7 +182,7 @@
                 Some(PlatformOutcome::Answered(request.purpose, response))
             }
             Err(error) => {
-                log::warn!("scaler: the platform sent no answer in the protocol: {error}");
+                log::warn!("scaler: platform response malformed error={error}");
                 connections.close(connection);
                 self.remove(connection).map(PlatformOutcome::Failed)
             }
--- a/crates/controller/src/redirector.rs
+++ b/crates/controller/src/redirector.rs
@@ -113,7 +113,7 @@
             return;
         };
         let count = seeds.len();
-        log::info!("controller: settings read anew, {count} seeds named");
+        log::info!("controller: settings reloaded seeds={count}");
         self.directory.set_seeds(self.now, seeds);
     }
 
@@ -148,9 +148,7 @@
         let mut connections = Connections::new(options.connections_max, options.freshness_ms())?;
         connections.listen(options.operator_address, RedirectorConnection::Operator)?;
         let seeds = options.seeds.clone();
-        log::info!(
-            "controller: no disk here; requests are redirected, members are learnt from {seeds:?}"
-        );
+        log::info!("controller: redirecting without a disk seeds={seeds:?}");
         let directory = MemberDirectory::new(
             options.gateway_address,
             seeds,
@@ -172,7 +170,7 @@
 
     fn tick(&mut self) {
         for address in self.directory.remove_gone(self.now) {
-            log::info!("controller: member {address} is forgotten");
+            log::info!("controller: member forgotten member={address}");
             self.close_link(address);
         }
         for address in self.directory.take_due(self.now) {
@@ -235,7 +233,7 @@
             self.handle_member_message(address, message);
         }
         if let Some(error) = error {
-            log::warn!("controller: the link to member {address} is closed: {error}");
+            log::warn!("controller: member link closed member={address} error={error}");
             self.directory.on_link_ended(address);
             self.close_link(address);
         }
--- a/crates/controller/src/scaler.rs
+++ b/crates/controller/src/scaler.rs
@@ -56,7 +56,7 @@
     /// Another controller may scale: everything is dropped.
     pub fn end_term(&mut self, context: &mut ScalerContext<'_>) {
         if self.autoscaler.is_some() {
-            log::info!("scaler: role lost, term {} is over", self.term);
+            log::info!("scaler: role lost term={}", self.term);
             self.reset(context);
         }
     }
@@ -110,7 +110,7 @@
         let documents = context.options.operator_codec.documents();
         match documents.parse(&record.document().unwrap_or_default()) {
             Ok(document) => autoscaler.apply_configuration(context.now, &document),
-            Err(error) => log::error!("scaler: the configuration cannot be read: {error}"),
+            Err(error) => log::error!("scaler: configuration unreadable error={error}"),
         }
     }
 
@@ -322,7 +322,7 @@
             RequestPurpose::ListWorkers if response.status == OK => {
                 match codec.read_workers(&response.body) {
                     Ok(workers) => autoscaler.update_workers(context.now, workers),
-                    Err(reason) => log::warn!("scaler: the list of workers: {reason}"),
+                    Err(reason) => log::warn!("scaler: worker list failed reason={reason}"),
                 }
             }
             RequestPurpose::ListRunners if response.status == OK => {
@@ -331,7 +331,7 @@
             RequestPurpose::Start(nonce) => {
                 let result = codec.read_start(response.status, &response.body);
                 if let Err(error) = &result {
-                    log::info!("scaler: start {nonce} gave no runner: {error:?}");
+                    log::info!("scaler: start rejected nonce={nonce} error={error:?}");
                 }
                 autoscaler.handle_start_result(context.now, &nonce, result);
             }
@@ -348,7 +348,7 @@
         let page = match codec.read_runners(body) {
             Ok(page) => page,
             Err(reason) => {
-                log::warn!("scaler: the list of runners: {reason}");
+                log::warn!("scaler: runner list failed reason={reason}");
                 self.lists.end_runners();
                 return;
             }
--- a/crates/gateway/src/applied_configuration.rs
+++ b/crates/gateway/src/applied_configuration.rs
@@ -118,12 +118,14 @@
             return;
         }
         let Some(document) = unpack(packed, DOCUMENT_MAX) else {
-            log::error!("gateway: configuration {version} cannot be unpacked");
+            log::error!("gateway: configuration unreadable version={version}");
             return;
         };
         match configuration_format.parse(&document) {
             Ok(configuration) => self.put_in_force(version, configuration),
-            Err(error) => log::error!("gateway: configuration {version} is rejected: {error}"),
+            Err(error) => {
+                log::error!("gateway: configuration rejected version={version} error={error}")
+            }
         }
     }
 
@@ -146,7 +148,7 @@
                 amended.ok()
             });
             let Some(amended) = amended else {
-                log::error!("gateway: a change after configuration {base} cannot be applied");
+                log::error!("gateway: configuration change not applicable base={base}");
                 self.needs_whole = true;
                 return;
             };
@@ -156,7 +158,10 @@
     }
 
     fn put_in_force(&mut self, version: u64, configuration: RoutingConfiguration) {
-        log::info!("gateway: configuration {} in force", configuration.version);
+        log::info!(
+            "gateway: configuration applied version={}",
+            configuration.version
+        );
         let table = RoutingTable::new(Arc::new(configuration));
         self.table = Some(Arc::new(table));
         self.versions.configuration = version;
@@ -168,7 +173,7 @@
         if version <= self.versions.evacuations {
             return false;
         }
-        log::info!("gateway: evacuated zones {zones:?}");
+        log::info!("gateway: zones evacuated zones={zones:?}");
         self.versions.evacuations = version;
         self.evacuated_zones = zones.into_iter().collect();
         true
@@ -180,7 +185,7 @@
             return false;
         }
         log::info!(
-            "gateway: membership {version} of {} gateways",
+            "gateway: membership updated version={version} gateways={}",
             members.len()
         );
         self.membership_version = version;
--- a/crates/gateway/src/controller_messages.rs
+++ b/crates/gateway/src/controller_messages.rs
@@ -65,7 +65,7 @@
     fn configuration_message(&mut self, address: &str, message: Message) {
         let is_trusted = self.controllers.is_current(address) || self.configuration.is_ready();
         if !is_trusted {
-            log::info!("gateway: {address} is out of contact; its configuration is not applied");
+            log::info!("gateway: controller not current controller={address}");
             return;
         }
         match message {
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -47,7 +47,7 @@
             self.link_message(id, message);
         }
         if let Some(error) = error {
-            log::warn!("gateway: a link is closed: {error}");
+            log::warn!("gateway: peer link closed error={error}");
             self.link_closed(id);
             self.connections.close(id);
         }
@@ -119,7 +119,7 @@
                 Liveness::Alive => {}
                 Liveness::Disconnected => self.peer_died(&name),
                 Liveness::Silent => {
-                    log::warn!("gateway: {name} is silent");
+                    log::warn!("gateway: peer timed out gateway={name}");
                     self.peer_died(&name);
                 }
             }
--- a/crates/gateway/src/rejection_log.rs
+++ b/crates/gateway/src/rejection_log.rs
@@ -22,7 +22,7 @@
         self.count += 1;
         if self.count < LOGGED_IN_FULL || self.count.is_multiple_of(LOGGED_ONE_IN) {
             log::info!(
-                "gateway: rejected with {status} for {function} after {held_ms} ms: {reason} ({} so far)",
+                "gateway: request rejected status={status} function={function} held_ms={held_ms} reason={reason} total={}",
                 self.count
             );
         }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -50,7 +50,7 @@
             gateway.reload_settings();
         }
         if gateway.is_drained() {
-            log::info!("gateway: drained, {} requests left", gateway.requests.len());
+            log::info!("gateway: drained in_flight={}", gateway.requests.len());
             return Ok(());
         }
         gateway.handle_due_timers();
@@ -226,7 +226,7 @@
 
     fn begin_draining(&mut self) {
         let requests = self.requests.len();
-        log::info!("gateway: draining, {requests} requests in flight");
+        log::info!("gateway: draining in_flight={requests}");
         self.draining_since = Some(self.now);
     }
 
@@ -259,10 +259,7 @@
         let Some(controllers) = (self.options.reload_controllers)() else {
             return;
         };
-        log::info!(
-            "gateway: settings reloaded, {} controllers named",
-            controllers.len()
-        );
+        log::info!("gateway: settings reloaded seeds={}", controllers.len());
         self.controllers
             .add(controllers.iter().map(ToString::to_string));
     }
--- a/crates/jobs/src/register_responses.rs
+++ b/crates/jobs/src/register_responses.rs
@@ -228,7 +228,7 @@
                     return self.store_result(now, key, job);
                 }
                 if !matches!(found.claim.state, ClaimState::Done(_)) {
-                    log::error!("jobs: the register of a job that ran holds the claim of another");
+                    log::error!("jobs: claim of a finished job overwritten");
                 }
             }
             RegisterResponse::Unavailable | RegisterResponse::Indeterminate => return,
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -240,7 +240,7 @@
             let segment = number(&name, SEGMENT_PREFIX).or_else(|| number(&name, SNAPSHOT_PREFIX));
             if segment.is_some_and(|segment| segment < first) || is_temporary(&name) {
                 if let Err(error) = self.folder.remove(&name) {
-                    log::warn!("journal: {name} could not be removed: {error}");
+                    log::warn!("journal: file not removed file={name} error={error}");
                 }
             }
         }
--- a/crates/voter/src/voter.rs
+++ b/crates/voter/src/voter.rs
@@ -71,18 +71,18 @@
         let (journal, found) = match Journal::open(folder) {
             Ok(opened) => opened,
             Err(report) if *report.current_context() == JournalError::Damaged => {
-                log::error!("voter: closed, since the journal is damaged: {report:#}");
+                log::error!("voter: closed, journal damaged error={report:#}");
                 return Ok(Self::closed(true));
             }
             Err(report) => return Err(report.change_context(VoterError::Journal)),
         };
         if found.torn > 0 {
-            log::warn!("voter: cut {} bytes of a torn last record", found.torn);
+            log::warn!("voter: torn record cut bytes={}", found.torn);
         }
         let acceptor = match recovered(&found) {
             Ok(acceptor) => acceptor,
             Err(report) => {
-                log::error!("voter: closed, since the journal is not a voter's: {report:#}");
+                log::error!("voter: closed, journal of another kind error={report:#}");
                 return Ok(Self::closed(true));
             }
         };
@@ -222,9 +222,7 @@
             journal.snapshot(&state)
         };
         if let Err(report) = written {
-            log::error!(
-                "voter: closed until it is opened again, since the disk failed: {report:#}"
-            );
+            log::error!("voter: closed, disk failed error={report:#}");
             self.journal = None;
             return false;
         }
@@ -242,7 +240,7 @@
         }
         let state = self.acceptor.write_to_vec().unwrap_or_default();
         if let Err(report) = journal.snapshot(&state) {
-            log::error!("voter: no snapshot: {report:#}");
+            log::error!("voter: snapshot failed error={report:#}");
         }
     }
 }
--- a/crates/voter/src/voter_disk.rs
+++ b/crates/voter/src/voter_disk.rs
@@ -39,7 +39,7 @@
         remove_replaced(folder.as_mut(), identity);
         let opened = Voter::open(Box::new(IdentityFolder::new(folder, identity.disk)));
         let voter = opened.unwrap_or_else(|report| {
-            log::error!("voter: the disk cannot be read at the moment: {report:#}");
+            log::error!("voter: disk unreadable error={report:#}");
             Voter::unreadable()
         });
         Ok(Self {
@@ -151,7 +151,7 @@
         (None, _) => return Err(Report::new(VoterError::SeveralIdentities)),
     };
     if kept.is_none() && identity.disk != fresh {
-        log::warn!("voter: the identity was missing or damaged; the journal's is taken");
+        log::warn!("voter: identity restored from the journal");
     }
     identity.begin(folder).change_context(VoterError::Folder)?;
     Ok(identity)
@@ -170,10 +170,10 @@
             Some(other) if other == identity.disk => {}
             Some(other) if other == identity.replaced => {
                 if let Err(error) = folder.remove(&name) {
-                    log::warn!("voter: {name} of a former identity stays: {error}");
+                    log::warn!("voter: former file not removed file={name} error={error}");
                 }
             }
-            Some(_) => log::warn!("voter: {name} is of another disk and is left alone"),
+            Some(_) => log::warn!("voter: foreign file ignored file={name}"),
         }
     }
 }
