--- a/crates/jobs/tests/town/controllers.rs
+++ b/crates/jobs/tests/cluster/controllers.rs
@@ -1,4 +1,4 @@
-use super::{Event, Town, MS};
+use super::{Cluster, Event, MS};
 use protocol::{Message, RegisterResponse};
 use rand::Rng;
 use register::{
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 
 /// Milliseconds in which a proposal ends, as in the consensus.
-const BUDGET_MS: u64 = 1_500;
+const PROPOSAL_TIMEOUT_MS: u64 = 1_500;
 
-struct Asked {
+struct PendingProposal {
     proposal: Proposal,
     ask_number: u64,
     from: (usize, u64),
@@ -21,11 +21,11 @@
 /// A controller: its voter, and proposals for gateways.
 pub struct Controller {
     pub is_up: bool,
-    pub life: u64,
+    pub incarnation: u64,
     pub acceptor: Acceptor,
     records: Vec<Record>,
     counter: u64,
-    asked: BTreeMap<u64, Asked>,
+    pending: BTreeMap<u64, PendingProposal>,
     last: u64,
 }
 
@@ -42,22 +42,22 @@
 }
 
 impl Controller {
-    pub fn new(place: usize, count: usize) -> Self {
+    pub fn new(index: usize, count: usize) -> Self {
         let mut acceptor = Acceptor::default();
         let formed = acceptor.bootstrap(voters(count));
         Self {
             is_up: true,
-            life: 1 + place as u64,
+            incarnation: 1 + index as u64,
             acceptor,
             records: formed.into_iter().collect(),
             counter: 0,
-            asked: BTreeMap::new(),
+            pending: BTreeMap::new(),
             last: 0,
         }
     }
 }
 
-fn said_of(outcome: ChangeOutcome, is_write: bool) -> RegisterResponse {
+fn response_of(outcome: ChangeOutcome, is_write: bool) -> RegisterResponse {
     match outcome {
         ChangeOutcome::Committed(stored) if is_write => RegisterResponse::Written(stored.version),
         ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) => {
@@ -68,8 +68,8 @@
     }
 }
 
-impl Town {
-    pub fn controller_asked(&mut self, place: usize, from: (usize, u64), message: Message) {
+impl Cluster {
+    pub fn register_requested(&mut self, index: usize, from: (usize, u64), message: Message) {
         let Message::JobRegisterRequest {
             number,
             key,
@@ -80,7 +80,7 @@
             return;
         };
         let (now, tag) = (self.now, self.random.random::<u64>() | 1);
-        let controller = &mut self.controllers[place];
+        let controller = &mut self.controllers[index];
         if !controller.is_up {
             return;
         }
@@ -88,54 +88,57 @@
         controller.counter += 1;
         let ballot = Ballot {
             counter: controller.counter,
-            proposer: controller.life,
+            proposer: controller.incarnation,
         };
         let (proposal, ask) = Proposal::start(&key, change, tag, ballot, 3);
         controller.last += 1;
         let id = controller.last;
         let is_write = expected.is_some();
-        let asked = Asked {
+        let pending = PendingProposal {
             proposal,
             ask_number: 0,
             from,
             number: number << 1 | u64::from(is_write),
-            until: now + BUDGET_MS * MS,
+            until: now + PROPOSAL_TIMEOUT_MS * MS,
         };
-        controller.asked.insert(id, asked);
-        let life = controller.life;
-        self.ask_all(place, id, &ask);
-        self.later(BUDGET_MS * MS, Event::Over(place, life, id));
+        controller.pending.insert(id, pending);
+        let incarnation = controller.incarnation;
+        self.send_to_voters(index, id, &ask);
+        self.later(
+            PROPOSAL_TIMEOUT_MS * MS,
+            Event::ProposalDeadline(index, incarnation, id),
+        );
     }
 
-    fn ask_all(&mut self, place: usize, id: u64, ask: &VoterOperation) {
-        let controller = &mut self.controllers[place];
+    fn send_to_voters(&mut self, index: usize, id: u64, ask: &VoterOperation) {
+        let controller = &mut self.controllers[index];
         controller.last += 1;
-        let (life, ask_number) = (controller.life, controller.last);
-        if let Some(asked) = controller.asked.get_mut(&id) {
-            asked.ask_number = ask_number;
+        let (incarnation, ask_number) = (controller.incarnation, controller.last);
+        if let Some(pending) = controller.pending.get_mut(&id) {
+            pending.ask_number = ask_number;
         }
         for to in 0..self.controllers.len() {
-            let delay = if to == place { 1 } else { self.hop() };
+            let delay = if to == index { 1 } else { self.hop() };
             let message = VoterRequest {
                 set_version: SetVersion::new(1, 1),
                 operation: ask.clone(),
             };
             self.later(
                 delay,
-                Event::VoterOperation(to, place, life, (id, ask_number), message),
+                Event::VoterOperation(to, index, incarnation, (id, ask_number), message),
             );
         }
     }
 
-    pub fn voter_asked(
+    pub fn voter_requested(
         &mut self,
-        place: usize,
+        index: usize,
         from: usize,
-        life: u64,
+        incarnation: u64,
         ask: (u64, u64),
         message: VoterRequest,
     ) {
-        let controller = &mut self.controllers[place];
+        let controller = &mut self.controllers[index];
         if !controller.is_up {
             return;
         }
@@ -147,101 +150,104 @@
         } else {
             10
         };
-        let way = if from == place { 1 } else { self.hop() };
+        let way = if from == index { 1 } else { self.hop() };
         self.later(
             sync + way,
-            Event::VoterResponse(from, life, ask, place, reply),
+            Event::VoterResponse(from, incarnation, ask, index, reply),
         );
     }
 
-    pub fn voter_replied(
+    pub fn voter_responded(
         &mut self,
-        place: usize,
-        life: u64,
+        index: usize,
+        incarnation: u64,
         (id, number): (u64, u64),
         voter: usize,
         reply: VoterResponse,
     ) {
         let now = self.now;
-        let controller = &mut self.controllers[place];
-        if !controller.is_up || controller.life != life {
+        let controller = &mut self.controllers[index];
+        if !controller.is_up || controller.incarnation != incarnation {
             return;
         }
-        let Some(asked) = controller.asked.get_mut(&id) else {
+        let Some(pending) = controller.pending.get_mut(&id) else {
             return;
         };
-        if asked.ask_number != number {
+        if pending.ask_number != number {
             return;
         }
-        match asked.proposal.on_response(voter, reply) {
+        match pending.proposal.on_response(voter, reply) {
             ProposalStep::Wait => {}
-            ProposalStep::Send(ask) => self.ask_all(place, id, &ask),
+            ProposalStep::Send(ask) => self.send_to_voters(index, id, &ask),
             ProposalStep::Retry(above) => {
-                asked.ask_number = 0;
+                pending.ask_number = 0;
                 let pause = self.random.random_range(1..=10) * MS;
-                self.later(pause, Event::Again(place, life, id, above.counter));
+                self.later(
+                    pause,
+                    Event::RetryProposal(index, incarnation, id, above.counter),
+                );
             }
             ProposalStep::Done(ChangeOutcome::NoQuorum(_) | ChangeOutcome::Indeterminate)
-                if now + 100 * MS < asked.until =>
+                if now + 100 * MS < pending.until =>
             {
-                asked.ask_number = 0;
-                self.later(100 * MS, Event::Again(place, life, id, 0));
+                pending.ask_number = 0;
+                self.later(100 * MS, Event::RetryProposal(index, incarnation, id, 0));
             }
-            ProposalStep::Done(outcome) => self.controller_done(place, id, outcome),
+            ProposalStep::Done(outcome) => self.controller_done(index, id, outcome),
         }
     }
 
-    pub fn propose_again(&mut self, place: usize, life: u64, id: u64, above: u64) {
-        let controller = &mut self.controllers[place];
-        if !controller.is_up || controller.life != life {
+    pub fn retry_proposal(&mut self, index: usize, incarnation: u64, id: u64, above: u64) {
+        let controller = &mut self.controllers[index];
+        if !controller.is_up || controller.incarnation != incarnation {
             return;
         }
         controller.counter = controller.counter.max(above) + 1;
         let ballot = Ballot {
             counter: controller.counter,
-            proposer: controller.life,
+            proposer: controller.incarnation,
         };
-        if let Some(asked) = controller.asked.get_mut(&id) {
-            let ask = asked.proposal.retry(ballot);
-            self.ask_all(place, id, &ask);
+        if let Some(pending) = controller.pending.get_mut(&id) {
+            let ask = pending.proposal.retry(ballot);
+            self.send_to_voters(index, id, &ask);
         }
     }
 
-    pub fn proposal_over(&mut self, place: usize, life: u64, id: u64) {
-        let controller = &self.controllers[place];
-        if !controller.is_up || controller.life != life {
+    pub fn proposal_deadline(&mut self, index: usize, incarnation: u64, id: u64) {
+        let controller = &self.controllers[index];
+        if !controller.is_up || controller.incarnation != incarnation {
             return;
         }
-        if let Some(asked) = controller.asked.get(&id) {
-            let outcome = asked.proposal.abandon();
-            self.controller_done(place, id, outcome);
+        if let Some(pending) = controller.pending.get(&id) {
+            let outcome = pending.proposal.abandon();
+            self.controller_done(index, id, outcome);
         }
     }
 
-    fn controller_done(&mut self, place: usize, id: u64, outcome: ChangeOutcome) {
-        let Some(asked) = self.controllers[place].asked.remove(&id) else {
+    fn controller_done(&mut self, index: usize, id: u64, outcome: ChangeOutcome) {
+        let Some(pending) = self.controllers[index].pending.remove(&id) else {
             return;
         };
-        let said = said_of(outcome, asked.number & 1 == 1);
-        let (node, life) = asked.from;
+        let response = response_of(outcome, pending.number & 1 == 1);
+        let (node, incarnation) = pending.from;
         let way = self.hop();
         self.later(
             way,
-            Event::ControllerSaid(node, life, asked.number >> 1, said),
+            Event::RegisterResponded(node, incarnation, pending.number >> 1, response),
         );
     }
 
-    pub fn kill_controller(&mut self, place: usize) {
-        let controller = &mut self.controllers[place];
+    pub fn kill_controller(&mut self, index: usize) {
+        let controller = &mut self.controllers[index];
         controller.is_up = false;
-        controller.asked.clear();
-        controller.life += 10;
+        controller.pending.clear();
+        controller.incarnation += 10;
         controller.counter = 0;
     }
 
     /// A controller comes back with what its disk holds.
-    pub fn boot_controller(&mut self, place: usize) {
-        let controller = &mut self.controllers[place];
+    pub fn boot_controller(&mut self, index: usize) {
+        let controller = &mut self.controllers[index];
         if controller.is_up {
             return;
         }
@@ -251,19 +257,19 @@
             controller.acceptor.replay(record);
         }
         controller.acceptor.rebuild_indexes();
-        let (life, span) = (controller.life, self.weather.remembered_ms * MS);
-        self.later(span, Event::TurnJobs(place, life));
+        let (incarnation, span) = (controller.incarnation, self.fault_rates.retention_ms * MS);
+        self.later(span, Event::AdvanceJobWindow(index, incarnation));
     }
 
-    /// One span of remembering is over at a controller.
-    pub fn turn_jobs(&mut self, place: usize, life: u64) {
-        let controller = &mut self.controllers[place];
-        if !controller.is_up || controller.life != life {
+    /// A retention period of jobs is over at a controller.
+    pub fn advance_job_window(&mut self, index: usize, incarnation: u64) {
+        let controller = &mut self.controllers[index];
+        if !controller.is_up || controller.incarnation != incarnation {
             return;
         }
         let record = controller.acceptor.advance_job_window();
         controller.records.extend(record);
-        let span = self.weather.remembered_ms * MS;
-        self.later(span, Event::TurnJobs(place, life));
+        let span = self.fault_rates.retention_ms * MS;
+        self.later(span, Event::AdvanceJobWindow(index, incarnation));
     }
 }
--- a/crates/jobs/tests/machine.rs
+++ b/crates/jobs/tests/coordinator.rs
@@ -1,4 +1,4 @@
-//! The keeper of jobs alone: whatever comes, in whatever order, it stays bounded and says what it must.
+//! The coordinator alone: whatever events come, in whatever order, it stays bounded and sends what it must.
 
 use fuzzing::seeded;
 use jobs::{
@@ -10,37 +10,37 @@
 };
 use speedy::{Readable, Writable};
 
-fn bid(ticket: u64, key: &str, is_once: bool) -> LeaseRequest {
+fn lease_request(request: u64, key: &str, at_most_once: bool) -> LeaseRequest {
     LeaseRequest {
-        request_id: RequestId(ticket),
+        request_id: RequestId(request),
         function: "sign".into(),
         timeout_ms: 4_000,
-        job: Some(mark(key, is_once)),
+        job: Some(attempt(key, at_most_once)),
         ..LeaseRequest::default()
     }
 }
 
-fn mark(key: &str, is_once: bool) -> JobAttempt {
+fn attempt(key: &str, at_most_once: bool) -> JobAttempt {
     JobAttempt {
         key: key.into(),
         digest: digest("POST", "/sign", b"build"),
-        at_most_once: is_once,
+        at_most_once,
         incarnation: 7,
         number: 1,
     }
 }
 
-fn end(ticket: u64, key: &str, is_once: bool, result: JobResult) -> JobCompletion {
+fn completion(request: u64, key: &str, at_most_once: bool, result: JobResult) -> JobCompletion {
     JobCompletion {
-        request_id: RequestId(ticket),
+        request_id: RequestId(request),
         function: "sign".into(),
-        attempt: mark(key, is_once),
-        register_version: u64::from(is_once),
+        attempt: attempt(key, at_most_once),
+        register_version: u64::from(at_most_once),
         result,
     }
 }
 
-fn ask_of(actions: &[JobAction]) -> Option<(u64, Option<u64>, Claim)> {
+fn register_request_of(actions: &[JobAction]) -> Option<(u64, Option<u64>, Claim)> {
     actions.iter().find_map(|action| match action {
         JobAction::AccessRegister {
             number,
@@ -56,59 +56,64 @@
 }
 
 fn verdicts(actions: &[JobAction]) -> Vec<(u64, JobVerdict)> {
-    let told = actions.iter().filter_map(|action| match action {
+    let verdicts = actions.iter().filter_map(|action| match action {
         JobAction::NotifyVerdict {
-            request_id: ticket,
+            request_id: request,
             verdict,
             ..
-        } => Some((ticket.0, verdict.clone())),
+        } => Some((request.0, verdict.clone())),
         _ => None,
     });
-    told.collect()
+    verdicts.collect()
 }
 
-fn may_leave(actions: &[JobAction]) -> Vec<u64> {
+fn claimed_requests(actions: &[JobAction]) -> Vec<u64> {
     let claimed = actions.iter().filter_map(|action| match action {
         JobAction::NotifyClaimed {
-            request_id: ticket, ..
-        } => Some(ticket.0),
+            request_id: request,
+            ..
+        } => Some(request.0),
         _ => None,
     });
     claimed.collect()
 }
 
 #[test]
-fn the_seat_is_bid_for_while_the_claim_is_written() {
+fn the_lease_is_requested_while_the_claim_is_written() {
     let mut jobs = JobCoordinator::new(1, 600_000);
-    jobs.request_arrived(0, "g1", "a", bid(4, "k", true));
+    jobs.request_arrived(0, "g1", "a", lease_request(4, "k", true));
     let actions = jobs.take_actions();
     assert!(matches!(&actions[0], JobAction::RequestLease { gateway, .. } if gateway == "g1"));
-    let (number, expected, claim) = ask_of(&actions).unwrap();
+    let (number, expected, claim) = register_request_of(&actions).unwrap();
     assert_eq!((expected, claim.state), (Some(0), ClaimState::Taken));
-    assert!(may_leave(&actions).is_empty());
+    assert!(claimed_requests(&actions).is_empty());
     jobs.register_responded(3, number, RegisterResponse::Written(1));
-    assert_eq!(may_leave(&jobs.take_actions()), [4]);
+    assert_eq!(claimed_requests(&jobs.take_actions()), [4]);
 }
 
 #[test]
-fn work_that_may_run_twice_asks_no_controller() {
+fn jobs_that_may_run_twice_ask_no_controller() {
     let mut jobs = JobCoordinator::new(1, 600_000);
-    jobs.request_arrived(0, "g1", "a", bid(4, "k", false));
-    jobs.request_arrived(1, "g2", "a", bid(9, "k", false));
+    jobs.request_arrived(0, "g1", "a", lease_request(4, "k", false));
+    jobs.request_arrived(1, "g2", "a", lease_request(9, "k", false));
     let actions = jobs.take_actions();
-    assert!(ask_of(&actions).is_none());
+    assert!(register_request_of(&actions).is_none());
     let seats = actions
         .iter()
         .filter(|one| matches!(one, JobAction::RequestLease { .. }));
     assert_eq!(seats.count(), 1);
-    // The first fails: the copy that waited runs, and is not dropped.
-    jobs.attempt_completed(5, "g1", end(4, "k", false, JobResult::Lost));
+    // The first fails: the request that waited runs, and is not dropped.
+    jobs.attempt_completed(5, "g1", completion(4, "k", false, JobResult::Lost));
     let actions = jobs.take_actions();
     assert!(
-        matches!(&actions[0], JobAction::RequestLease { gateway, request: bid, .. } if gateway == "g2" && bid.request_id == RequestId(9))
+        matches!(&actions[0], JobAction::RequestLease { gateway, request: lease_request, .. } if gateway == "g2" && lease_request.request_id == RequestId(9))
+    );
+    jobs.attempt_completed(
+        9,
+        "g2",
+        completion(9, "k", false, JobResult::Answer(vec![1])),
     );
-    jobs.attempt_completed(9, "g2", end(9, "k", false, JobResult::Answer(vec![1])));
-    jobs.request_arrived(10, "g3", "a", bid(2, "k", false));
+    jobs.request_arrived(10, "g3", "a", lease_request(2, "k", false));
     assert_eq!(
         verdicts(&jobs.take_actions()),
         [(2, JobVerdict::Answer(vec![1]))]
@@ -116,10 +121,10 @@
 }
 
 #[test]
-fn a_seat_refused_before_the_claim_is_known_is_no_promise_yet() {
+fn a_rejection_before_the_claim_is_known_is_not_passed_on() {
     let mut jobs = JobCoordinator::new(1, 600_000);
-    jobs.request_arrived(0, "g1", "a", bid(4, "k", true));
-    let (number, _, _) = ask_of(&jobs.take_actions()).unwrap();
+    jobs.request_arrived(0, "g1", "a", lease_request(4, "k", true));
+    let (number, _, _) = register_request_of(&jobs.take_actions()).unwrap();
     assert!(jobs.lease_rejected(1, "g1", RequestId(4), 300));
     assert!(jobs.take_actions().is_empty());
     let done = Claim {
@@ -133,24 +138,24 @@
     };
     let found = RegisterResponse::Found(2, done.write_to_vec().unwrap());
     jobs.register_responded(2, number, found);
-    let told = verdicts(&jobs.take_actions());
-    assert_eq!(told, [(4, JobVerdict::Answer(vec![5]))]);
+    let verdicts = verdicts(&jobs.take_actions());
+    assert_eq!(verdicts, [(4, JobVerdict::Answer(vec![5]))]);
 }
 
 #[test]
-fn without_controllers_once_work_is_told_in_half_its_time_that_it_was_not_run() {
+fn without_controllers_at_most_once_jobs_are_rejected_in_half_their_time() {
     let mut jobs = JobCoordinator::new(1, 600_000);
-    jobs.request_arrived(0, "g1", "a", bid(4, "k", true));
+    jobs.request_arrived(0, "g1", "a", lease_request(4, "k", true));
     for now in (0..1_999).step_by(50) {
         jobs.advance_clock(now, |_, _| false);
     }
     assert!(verdicts(&jobs.take_actions()).is_empty());
     jobs.advance_clock(2_000, |_, _| false);
     let actions = jobs.take_actions();
-    let told = verdicts(&actions);
-    assert!(matches!(told[..], [(4, JobVerdict::NotRun(_))]));
-    // The claim may come to stand all the same: it is taken back.
-    let (_, _, claim) = ask_of(&actions).unwrap();
+    let verdicts = verdicts(&actions);
+    assert!(matches!(verdicts[..], [(4, JobVerdict::NotRun(_))]));
+    // The claim may be written all the same: it is released.
+    let (_, _, claim) = register_request_of(&actions).unwrap();
     assert_eq!(claim.state, ClaimState::Free);
 }
 
@@ -167,24 +172,24 @@
 }
 
 #[test]
-fn the_table_is_bounded_and_what_runs_is_never_pushed_out() {
+fn the_table_is_bounded_and_running_jobs_are_never_evicted() {
     let mut jobs = JobCoordinator::new(1, 600_000);
-    jobs.request_arrived(0, "g1", "a", bid(1, "running", true));
-    let (number, _, _) = ask_of(&jobs.take_actions()).unwrap();
+    jobs.request_arrived(0, "g1", "a", lease_request(1, "running", true));
+    let (number, _, _) = register_request_of(&jobs.take_actions()).unwrap();
     jobs.register_responded(0, number, RegisterResponse::Written(1));
-    for ticket in 2..60_000 {
-        let key = format!("k{ticket}");
-        let is_once = ticket % 2 == 0;
+    for request in 2..60_000 {
+        let key = format!("k{request}");
+        let at_most_once = request % 2 == 0;
         let result = JobResult::Answer(vec![0; 2_000]);
-        jobs.request_arrived(ticket, "g1", "a", bid(ticket, &key, false));
-        jobs.attempt_completed(ticket, "g1", end(ticket, &key, false, result));
-        if is_once {
-            jobs.advance_clock(ticket, |_, _| false);
+        jobs.request_arrived(request, "g1", "a", lease_request(request, &key, false));
+        jobs.attempt_completed(request, "g1", completion(request, &key, false, result));
+        if at_most_once {
+            jobs.advance_clock(request, |_, _| false);
         }
         jobs.take_actions();
     }
     assert!(jobs.len() <= 50_000 && jobs.response_bytes() <= 32 << 20);
-    jobs.request_arrived(60_000, "g2", "a", bid(1, "running", true));
+    jobs.request_arrived(60_000, "g2", "a", lease_request(1, "running", true));
     let actions = jobs.take_actions();
     assert!(
         matches!(actions[..], [JobAction::NotifyJoined { .. }]),
@@ -195,35 +200,35 @@
 }
 
 seeded! {
-    fn nothing_that_comes_makes_it_panic_or_grow(deeds: Vec<(u8, u8, u8)>) -> bool {
+    fn no_sequence_of_events_makes_it_panic_or_grow(events: Vec<(u8, u8, u8)>) -> bool {
         let mut jobs = JobCoordinator::new(1, 10_000);
         let (mut now, mut asks) = (0, Vec::new());
-        for (deed, one, other) in deeds {
-            let (ticket, key) = (u64::from(one % 4), format!("k{}", other % 2));
+        for (event, one, other) in events {
+            let (request, key) = (u64::from(one % 4), format!("k{}", other % 2));
             let gateway = if one % 8 < 4 { "g1" } else { "g2" };
-            match deed % 8 {
-                0 | 1 => jobs.request_arrived(now, gateway, "a", bid(ticket, &key, true)),
+            match event % 8 {
+                0 | 1 => jobs.request_arrived(now, gateway, "a", lease_request(request, &key, true)),
                 2 => {
                     let results = [JobResult::NotRun, JobResult::Lost, JobResult::Answer(vec![one])];
                     let result = results[usize::from(other) % 3].clone();
-                    jobs.attempt_completed(now, gateway, end(ticket, &key, true, result));
+                    jobs.attempt_completed(now, gateway, completion(request, &key, true, result));
                 }
                 3 if !asks.is_empty() => {
                     let number = asks.remove(usize::from(one) % asks.len());
-                    let said = match other % 4 {
+                    let response = match other % 4 {
                         0 | 1 => RegisterResponse::Written(u64::from(one)),
                         2 => RegisterResponse::Unavailable,
                         _ => RegisterResponse::Found(u64::from(one), vec![other; 3]),
                     };
-                    jobs.register_responded(now, number, said);
+                    jobs.register_responded(now, number, response);
                 }
                 4 => {
-                    jobs.lease_rejected(now, gateway, RequestId(ticket), 100);
+                    jobs.lease_rejected(now, gateway, RequestId(request), 100);
                 }
                 5 => jobs.gateway_lost(now, gateway),
                 _ => {
                     now += u64::from(other);
-                    jobs.advance_clock(now, |_, life| life != 7);
+                    jobs.advance_clock(now, |_, incarnation| incarnation != 7);
                 }
             }
             let actions = jobs.take_actions();
--- /dev/null
+++ b/crates/jobs/tests/stale_messages.rs
@@ -0,0 +1,264 @@
+//! Messages that are late, or about an earlier attempt, change nothing; results are resent until they are persisted.
+
+use jobs::{digest, Claim, JobAction, JobAdmission, JobCoordinator, UnacknowledgedResults};
+use protocol::{
+    JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseRequest, RegisterResponse, RequestId,
+};
+use speedy::Readable;
+
+const KEY: &str = "k";
+
+fn admission() -> JobAdmission {
+    JobAdmission::new(KEY.into(), digest("POST", "/sign", b"build"), true, 7)
+}
+
+fn lease_request(request: u64, attempt: JobAttempt) -> LeaseRequest {
+    LeaseRequest {
+        request_id: RequestId(request),
+        function: "sign".into(),
+        timeout_ms: 4_000,
+        job: Some(attempt),
+        ..LeaseRequest::default()
+    }
+}
+
+/// Number and value of the newest register request.
+fn last_register_request(actions: &[JobAction]) -> (u64, Vec<u8>) {
+    let mut asks = actions.iter().filter_map(|action| match action {
+        JobAction::AccessRegister {
+            number,
+            value: bytes,
+            ..
+        } => Some((*number, bytes.clone())),
+        _ => None,
+    });
+    asks.next_back().expect("nothing was asked")
+}
+
+/// A coordinator with a job that runs for request 4 of gateway g1.
+fn running(admission: &mut JobAdmission) -> (JobCoordinator, Vec<u8>) {
+    let mut jobs = JobCoordinator::new(1, 10_000);
+    jobs.request_arrived(
+        0,
+        "g1",
+        "a",
+        lease_request(4, admission.begin_attempt("k1")),
+    );
+    let (number, claim) = last_register_request(&jobs.take_actions());
+    jobs.register_responded(1, number, RegisterResponse::Written(1));
+    admission.claimed(1);
+    jobs.take_actions();
+    (jobs, claim)
+}
+
+fn completion(admission: &JobAdmission, result: JobResult) -> JobCompletion {
+    admission.completion(RequestId(4), "sign", result)
+}
+
+#[test]
+fn the_completion_of_an_earlier_attempt_does_not_end_the_current_one() {
+    let mut admission = admission();
+    let (mut jobs, _) = running(&mut admission);
+    let old = completion(&admission, JobResult::NotRun);
+    jobs.request_arrived(
+        5,
+        "g1",
+        "a",
+        lease_request(4, admission.begin_attempt("k1")),
+    );
+    let (number, _) = last_register_request(&jobs.take_actions());
+    jobs.register_responded(6, number, RegisterResponse::Written(2));
+    jobs.request_arrived(
+        7,
+        "g2",
+        "a",
+        lease_request(9, self::admission().begin_attempt("k1")),
+    );
+    jobs.take_actions();
+    jobs.attempt_completed(8, "g1", old);
+    assert!(
+        jobs.take_actions().is_empty(),
+        "the copy is let run beside the first"
+    );
+    jobs.attempt_completed(9, "g1", completion(&admission, JobResult::NotRun));
+    let actions = jobs.take_actions();
+    assert!(matches!(&actions[0], JobAction::RequestLease { gateway, .. } if gateway == "g2"));
+}
+
+#[test]
+fn a_rejected_request_is_replaced_once_its_gateway_says_that_it_did_not_run() {
+    let mut admission = admission();
+    let (mut jobs, _) = running(&mut admission);
+    jobs.request_arrived(
+        2,
+        "g2",
+        "a",
+        lease_request(9, self::admission().begin_attempt("k1")),
+    );
+    jobs.take_actions();
+    assert!(jobs.lease_rejected(3, "g1", RequestId(4), 300));
+    let actions = jobs.take_actions();
+    let verdict = JobVerdict::NotRun(300);
+    assert_eq!(
+        actions,
+        [JobAction::NotifyVerdict {
+            gateway: "g1".into(),
+            request_id: RequestId(4),
+            attempt: 1,
+            verdict
+        }]
+    );
+    jobs.attempt_completed(4, "g1", completion(&admission, JobResult::NotRun));
+    assert!(
+        matches!(&jobs.take_actions()[0], JobAction::RequestLease { gateway, .. } if gateway == "g2")
+    );
+}
+
+#[test]
+fn a_forgotten_claim_of_this_coordinator_is_not_taken_for_void() {
+    let mut admission = admission();
+    let (mut jobs, claim) = running(&mut admission);
+    jobs.advance_clock(30_000, |_, _| false);
+    assert!(jobs.is_empty());
+    jobs.request_arrived(
+        30_001,
+        "g2",
+        "a",
+        lease_request(9, self::admission().begin_attempt("k1")),
+    );
+    let (number, _) = last_register_request(&jobs.take_actions());
+    jobs.register_responded(30_002, number, RegisterResponse::Found(1, claim));
+    let actions = jobs.take_actions();
+    let joins = |action: &JobAction| matches!(action, JobAction::NotifyJoined { gateway, request_id: RequestId(9), .. } if gateway == "g2");
+    assert!(actions.iter().any(joins), "{actions:?}");
+    assert!(!actions
+        .iter()
+        .any(|action| matches!(action, JobAction::AccessRegister { .. })));
+}
+
+#[test]
+fn requests_for_a_job_whose_gateway_is_gone_learn_that_it_may_have_run() {
+    let mut admission = admission();
+    let (mut jobs, claim) = running(&mut admission);
+    jobs.gateway_lost(10, "g1");
+    jobs.request_arrived(
+        20,
+        "g2",
+        "a",
+        lease_request(9, self::admission().begin_attempt("k1")),
+    );
+    let mut verdicts = Vec::new();
+    for now in (50..4_000).step_by(50) {
+        jobs.advance_clock(now, |gateway, incarnation| {
+            gateway == "g1" && incarnation == 7
+        });
+        for action in jobs.take_actions() {
+            match action {
+                JobAction::AccessRegister {
+                    number,
+                    expected_version: expected,
+                    ..
+                } => {
+                    assert_eq!(expected, None, "it is only looked at");
+                    jobs.register_responded(now, number, RegisterResponse::Found(1, claim.clone()));
+                }
+                JobAction::NotifyVerdict {
+                    request_id: request,
+                    verdict,
+                    ..
+                } => verdicts.push((now, request, verdict)),
+                _ => {}
+            }
+        }
+    }
+    assert!(
+        matches!(verdicts[..], [(at, RequestId(9), JobVerdict::MayHaveRun)] if at < 3_000),
+        "{verdicts:?}"
+    );
+}
+
+#[test]
+fn a_gateway_accepts_messages_about_the_current_attempt_only() {
+    let mut admission = admission();
+    assert!(!admission.may_be_sent() && admission.may_have_run_elsewhere());
+    let first = admission.begin_attempt("k1").number;
+    assert!(
+        admission.is_current_attempt("k1", first) && !admission.is_current_attempt("k2", first)
+    );
+    admission.claimed(3);
+    assert!(admission.may_be_sent() && !admission.may_have_run_elsewhere());
+    let second = admission.begin_attempt("k1").number;
+    assert!(
+        !admission.is_current_attempt("k1", first) && admission.is_current_attempt("k1", second)
+    );
+    assert!(
+        !admission.may_be_sent(),
+        "what was said about the first attempt is void"
+    );
+    admission.joined();
+    assert!(!admission.may_be_sent() && admission.may_have_run_elsewhere());
+}
+
+#[test]
+fn a_result_is_resent_until_it_is_persisted() {
+    let mut admission = admission();
+    admission.begin_attempt("k1");
+    admission.claimed(1);
+    let mut unacknowledged_results = UnacknowledgedResults::default();
+    unacknowledged_results.record(0, &completion(&admission, JobResult::Lost));
+    assert!(unacknowledged_results.is_empty());
+    let answer = completion(&admission, JobResult::Answer(vec![1]));
+    unacknowledged_results.record(0, &answer);
+    assert!(unacknowledged_results.take_due(200).is_empty());
+    assert_eq!(
+        unacknowledged_results.take_due(300),
+        std::slice::from_ref(&answer)
+    );
+    assert_eq!(unacknowledged_results.take_due(600), [answer]);
+    unacknowledged_results.acknowledge(RequestId(4));
+    assert!(unacknowledged_results.is_empty());
+}
+
+#[test]
+fn a_result_that_a_new_owner_receives_first_is_stored_and_published() {
+    let mut admission = admission();
+    let (_, claim) = running(&mut admission);
+    let mut other = JobCoordinator::new(2, 10_000);
+    let answer = completion(&admission, JobResult::Answer(vec![5]));
+    other.attempt_completed(10, "g1", answer.clone());
+    let (number, bytes) = last_register_request(&other.take_actions());
+    let kept = Claim::read_from_buffer(&bytes).unwrap();
+    assert_eq!(kept.holder, Claim::read_from_buffer(&claim).unwrap().holder);
+    other.register_responded(11, number, RegisterResponse::Written(2));
+    assert_eq!(
+        other.take_actions(),
+        [JobAction::NotifyPersisted {
+            gateway: "g1".into(),
+            request_id: RequestId(4)
+        }]
+    );
+    other.attempt_completed(12, "g1", answer);
+    assert_eq!(
+        other.take_actions(),
+        [JobAction::NotifyPersisted {
+            gateway: "g1".into(),
+            request_id: RequestId(4)
+        }]
+    );
+    other.request_arrived(
+        13,
+        "g2",
+        "a",
+        lease_request(9, self::admission().begin_attempt("k2")),
+    );
+    let verdict = JobVerdict::Answer(vec![5]);
+    assert_eq!(
+        other.take_actions(),
+        [JobAction::NotifyVerdict {
+            gateway: "g2".into(),
+            request_id: RequestId(9),
+            attempt: 1,
+            verdict
+        }]
+    );
+}
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -1,16 +1,19 @@
+//! Framing: each message is preceded by its length.
+
 use speedy::{LittleEndian, Readable, Writable};
 use std::fmt;
 
-/// Largest frame, in bytes.
+/// Most bytes of a message. It bounds the memory that a damaged or hostile length can take.
 pub const FRAME_MAX: usize = 8 << 20;
-const HEAD: usize = 4;
+/// Bytes of the length that precedes each message.
+const LENGTH_BYTES: usize = 4;
 
-/// Why bytes on a link are no frames.
+/// Why received bytes are no frames.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The frame says that it is longer than any may be.
+    /// The length is above [`FRAME_MAX`].
     TooLong,
-    /// The frame holds no message.
+    /// The bytes of the frame decode to no message.
     Unreadable,
 }
 
@@ -25,19 +28,19 @@
 
 impl std::error::Error for FrameError {}
 
-/// A message as one frame: its length in four bytes, the lowest first, then the message.
+/// A message as one frame: its length in four bytes, little-endian, then the message.
 pub fn frame<M>(message: &M) -> Vec<u8>
 where
     M: Writable<LittleEndian>,
 {
     let body = message.write_to_vec().unwrap_or_default();
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
+    let mut bytes = Vec::with_capacity(LENGTH_BYTES + body.len());
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&body);
     bytes
 }
 
-/// Reads the whole frames at the beginning of what has come in on a link.
+/// Reads the complete frames at the beginning of received bytes.
 pub struct Frames<'a> {
     bytes: &'a [u8],
     taken: usize,
@@ -49,48 +52,49 @@
         Self { bytes, taken: 0 }
     }
 
-    /// Bytes that were read as whole frames.
+    /// Bytes of the frames that were read.
     pub fn taken(&self) -> usize {
         self.taken
     }
 
-    /// The next message, none where no whole frame is left.
+    /// The next message; none where no complete frame is left.
     pub fn read<M>(&mut self) -> Result<Option<M>, FrameError>
     where
         M: Readable<'a, LittleEndian>,
     {
         let rest = &self.bytes[self.taken..];
-        let Some(head) = rest.get(..HEAD) else {
+        let Some(length) = rest.get(..LENGTH_BYTES) else {
             return Ok(None);
         };
-        let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
+        let length = u32::from_le_bytes([length[0], length[1], length[2], length[3]]) as usize;
         if length > FRAME_MAX {
             return Err(FrameError::TooLong);
         }
-        let Some(body) = rest.get(HEAD..HEAD + length) else {
+        let Some(body) = rest.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
             return Ok(None);
         };
         let message = M::read_from_buffer(body).map_err(|_| FrameError::Unreadable)?;
-        self.taken += HEAD + length;
+        self.taken += LENGTH_BYTES + length;
         Ok(Some(message))
     }
 }
 
-/// Takes the whole messages that lie in a link's inbox, and tells why the rest is none, if it is not.
+/// Takes the complete messages out of a connection's inbox. An error tells why the rest can hold no more; messages
+/// before it are valid.
 pub fn take_frames<M>(inbox: &mut Vec<u8>) -> (Vec<M>, Option<FrameError>)
 where
     M: for<'a> Readable<'a, LittleEndian>,
 {
     let mut frames = Frames::new(inbox);
     let mut messages = Vec::new();
-    let fault = loop {
+    let error = loop {
         match frames.read::<M>() {
             Ok(Some(message)) => messages.push(message),
             Ok(None) => break None,
-            Err(fault) => break Some(fault),
+            Err(error) => break Some(error),
         }
     };
     let taken = frames.taken();
     inbox.drain(..taken);
-    (messages, fault)
+    (messages, error)
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -2,7 +2,6 @@
 //!
 //! Values are encoded by position without field names, so the order of fields and variants is part of the protocol.
 //! `tests/compatibility` holds captured bytes of every message.
-#![warn(missing_docs)]
 
 mod compression;
 mod frame;
--- a/crates/protocol/tests/drawn/mod.rs
+++ b/crates/protocol/tests/drawn/mod.rs
@@ -76,7 +76,7 @@
     }
 }
 
-fn news(gen: &mut Gen) -> FunctionUpdate {
+fn function_update(gen: &mut Gen) -> FunctionUpdate {
     let stages = [
         RunnerStage::Starting,
         RunnerStage::Serving,
@@ -113,7 +113,7 @@
     *gen.choose(&outcomes).unwrap()
 }
 
-fn mark(gen: &mut Gen) -> JobAttempt {
+fn attempt(gen: &mut Gen) -> JobAttempt {
     let mut digest = [0; 16];
     digest.fill_with(|| any(gen));
     JobAttempt {
@@ -146,17 +146,27 @@
     gen.choose(&results).unwrap().clone()
 }
 
-fn said(gen: &mut Gen) -> RegisterResponse {
-    let saids = [
+fn response(gen: &mut Gen) -> RegisterResponse {
+    let responses = [
         RegisterResponse::Written(any(gen)),
         RegisterResponse::Found(any(gen), any(gen)),
         RegisterResponse::Unavailable,
         RegisterResponse::Indeterminate,
     ];
-    gen.choose(&saids).unwrap().clone()
+    gen.choose(&responses).unwrap().clone()
 }
 
+/// A message of the kind at this place below [`KINDS`].
 pub fn message(kind: u8, gen: &mut Gen) -> Message {
+    match kind {
+        0..=6 | 17 | 26 => configuration_message(kind, gen),
+        7 | 8 | 15 | 16 | 18 => status_message(kind, gen),
+        9..=14 => lease_message(kind, gen),
+        _ => job_message(kind, gen),
+    }
+}
+
+fn configuration_message(kind: u8, gen: &mut Gen) -> Message {
     match kind {
         0 => Message::GatewayHello(member(gen)),
         1 => Message::GatewayHeartbeat {
@@ -188,15 +198,34 @@
             version: version(gen),
             members: some(gen, member),
         },
+        17 => Message::ConfigurationChanges {
+            base_version: any(gen),
+            changes: any(gen),
+        },
+        26 => Message::RequestHeartbeat,
+        _ => unreachable!("no kind of this group"),
+    }
+}
+
+fn status_message(kind: u8, gen: &mut Gen) -> Message {
+    match kind {
         7 => Message::FunctionReports(some(gen, report)),
-        8 => Message::FunctionUpdates(some(gen, news)),
+        8 => Message::FunctionUpdates(some(gen, function_update)),
+        15 => Message::Ping(any(gen)),
+        16 => Message::RequestStatus,
+        _ => Message::Status(any(gen)),
+    }
+}
+
+fn lease_message(kind: u8, gen: &mut Gen) -> Message {
+    match kind {
         9 => Message::LeaseRequest(LeaseRequest {
             request_id: RequestId(any(gen)),
             function: any(gen),
             priority: any(gen),
             timeout_ms: any(gen),
             excluded_runners: any(gen),
-            job: bool::arbitrary(gen).then(|| mark(gen)),
+            job: bool::arbitrary(gen).then(|| attempt(gen)),
         }),
         10 => Message::CancelRequest(RequestId(any(gen))),
         11 => Message::SeatLease(SeatLease {
@@ -218,12 +247,12 @@
             function: any(gen),
             runners: some(gen, runner_leases),
         },
-        15 => Message::Ping(any(gen)),
-        16 => Message::RequestStatus,
-        17 => Message::ConfigurationChanges {
-            base_version: any(gen),
-            changes: any(gen),
-        },
+        _ => unreachable!("no kind of this group"),
+    }
+}
+
+fn job_message(kind: u8, gen: &mut Gen) -> Message {
+    match kind {
         19 => Message::JobClaimed {
             request_id: RequestId(any(gen)),
             attempt: any(gen),
@@ -241,7 +270,7 @@
         22 => Message::JobCompletion(JobCompletion {
             request_id: RequestId(any(gen)),
             function: any(gen),
-            attempt: mark(gen),
+            attempt: attempt(gen),
             register_version: any(gen),
             result: result(gen),
         }),
@@ -254,10 +283,9 @@
         },
         25 => Message::JobRegisterResponse {
             number: any(gen),
-            response: said(gen),
+            response: response(gen),
         },
-        26 => Message::RequestHeartbeat,
-        _ => Message::Status(any(gen)),
+        _ => unreachable!("no kind of this group"),
     }
 }
 
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -33,11 +33,11 @@
     let mut gen = Gen::from_size_and_seed(20, 20_261_202);
     for kind in 0..KINDS {
         for _ in 0..50 {
-            let told = message(kind, &mut gen);
-            assert_eq!(kind_of(&told), kind);
-            let bytes = frame(&told);
+            let sent = message(kind, &mut gen);
+            assert_eq!(kind_of(&sent), kind);
+            let bytes = frame(&sent);
             let mut frames = Frames::new(&bytes);
-            assert_eq!(frames.read(), Ok(Some(told)));
+            assert_eq!(frames.read(), Ok(Some(sent)));
             assert_eq!(frames.taken(), bytes.len());
             assert_eq!(frames.read::<Message>(), Ok(None));
         }
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn a_bid_without_a_job_says_so_in_one_byte() {
-    let bid = protocol::LeaseRequest {
+fn a_lease_request_without_a_job_says_so_in_one_byte() {
+    let request = protocol::LeaseRequest {
         request_id: RequestId(7),
         function: "sign".into(),
         ..protocol::LeaseRequest::default()
     };
-    let bytes = frame(&Message::LeaseRequest(bid));
-    // Length, kind, ticket, function, rank, budget, no runners to avoid, no job.
+    let bytes = frame(&Message::LeaseRequest(request));
+    // Length, kind, request id, function, priority, time-out, no excluded runners, no job.
     assert_eq!(bytes.len(), 4 + 4 + 8 + (4 + 4) + 1 + 4 + 4 + 1);
     assert_eq!(bytes.last(), Some(&0));
 }
@@ -103,10 +103,10 @@
 }
 
 seeded! {
-    fn messages_survive_any_cuts(told: Vec<Drawn>, cuts: Vec<u8>) -> TestResult {
-        let told: Vec<Message> = told.into_iter().map(|drawn| drawn.0).collect();
-        let bytes: Vec<u8> = told.iter().flat_map(frame).collect();
-        TestResult::from_bool(read_in_pieces(&bytes, &cuts) == Ok(told))
+    fn messages_survive_any_cuts(sent: Vec<Drawn>, cuts: Vec<u8>) -> TestResult {
+        let sent: Vec<Message> = sent.into_iter().map(|drawn| drawn.0).collect();
+        let bytes: Vec<u8> = sent.iter().flat_map(frame).collect();
+        TestResult::from_bool(read_in_pieces(&bytes, &cuts) == Ok(sent))
     }
 
     fn garbage_never_panics(bytes: Vec<u8>, cuts: Vec<u8>) -> bool {
@@ -114,8 +114,8 @@
         true
     }
 
-    fn spoilt_frames_never_panic(told: Drawn, place: usize, byte: u8) -> bool {
-        let mut bytes = frame(&told.0);
+    fn damaged_frames_never_panic(sent: Drawn, place: usize, byte: u8) -> bool {
+        let mut bytes = frame(&sent.0);
         let place = place % bytes.len();
         bytes[place] ^= byte;
         let mut frames = Frames::new(&bytes);
@@ -125,8 +125,8 @@
         frames.taken() <= bytes.len()
     }
 
-    fn frames_are_taken_whole_or_not_at_all(told: Drawn, length: usize) -> bool {
-        let bytes = frame(&told.0);
+    fn frames_are_read_completely_or_not_at_all(sent: Drawn, length: usize) -> bool {
+        let bytes = frame(&sent.0);
         let length = length % bytes.len();
         let mut frames = Frames::new(&bytes[..length]);
         frames.read::<Message>() == Ok(None) && frames.taken() == 0
--- a/crates/routing/src/configuration.rs
+++ b/crates/routing/src/configuration.rs
@@ -1,9 +1,13 @@
+//! The operator's configuration of what is served, as the daemons use it.
+
 use std::fmt;
 
-/// One whole description of what is served. It is taken entire or refused entire.
+/// A configuration of what is served. It is applied as a whole or rejected as a whole.
+///
+/// This is the parsed form; `operator_commands::Configuration` is the stored document with its version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoutingConfiguration {
-    /// The operator's own version, which only rises.
+    /// The operator's version, which only rises.
     pub version: u64,
     /// Bindings (routes).
     pub bindings: Vec<Binding>,
@@ -13,62 +17,62 @@
     pub limits: Limits,
 }
 
-/// One binding (route): requests for a host whose path begins with a prefix go to a function.
+/// A binding (route): requests for a host whose path begins with a prefix go to a function.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Binding {
-    /// Name, its own in the description.
+    /// Name, unique in the configuration.
     pub name: String,
     /// Host in lower case, without a port.
     pub host: String,
     /// Prefix, with a slash at both ends.
     pub prefix: String,
-    /// Place in [`RoutingConfiguration::functions`].
+    /// Index into [`RoutingConfiguration::functions`].
     pub function_index: usize,
-    /// A request may run once at most.
+    /// Whether a request may run once at most.
     pub at_most_once: bool,
-    /// Longest time that a request is held, in milliseconds.
+    /// Milliseconds after which a request times out.
     pub timeout_ms: u32,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Latency target in milliseconds: a response within it is worth most.
     pub latency_target_ms: u32,
-    /// Rank; 0 goes first.
+    /// Priority; 0 goes first.
     pub priority: u8,
-    /// Most runners that one request may be sent to.
+    /// Most attempts of one request, each at another runner.
     pub max_attempts: u32,
-    /// Regions that its requests must not leave; empty where any will do.
+    /// Regions that its requests must not leave; empty where all are allowed.
     pub allowed_regions: Vec<String>,
 }
 
-/// One function: what a runner of it needs and may carry.
+/// A function: what a runner of it needs, and what it can take.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Function {
     /// Name.
     pub name: String,
     /// Memory that one runner takes on its worker, in megabytes.
     pub memory_mb: u64,
-    /// Milliseconds that a start takes on the average.
+    /// Average milliseconds from a runner's start until it is up.
     pub start_ms: u64,
-    /// Most requests that one runner may hold at once.
+    /// Most requests in flight at one runner.
     pub concurrency: u32,
     /// Most connections that one runner takes from all callers together.
     pub connections: u32,
-    /// Path that tells whether a runner is well, where it has one.
+    /// Path of the health check, where there is one.
     pub health_path: Option<String>,
-    /// Milliseconds for which a runner stays cold after its start.
+    /// Milliseconds after its start in which a runner warms up (slow start).
     pub warm_up_ms: u64,
-    /// Requests a second that a cold runner bears; 0 where it is not told.
+    /// Requests a second that a runner takes while it warms up; 0 where the operator gives none.
     pub warm_up_requests_per_s: f64,
 }
 
 /// What a client may send, and how long it may take.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Most bytes of a request's head.
+    /// Most bytes of a request's header section.
     pub header_bytes: usize,
     /// Most bytes of a request's body.
     pub body_bytes: usize,
-    /// Milliseconds that a whole request may take to arrive.
+    /// Milliseconds within which a request must have arrived completely.
     pub header_timeout_ms: u64,
-    /// Milliseconds that a connection may stay idle.
+    /// Milliseconds after which an idle connection is closed.
     pub idle_timeout_ms: u64,
 }
 
@@ -83,12 +87,12 @@
     }
 }
 
-/// Why a document is refused.
+/// Why a document is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigurationError {
-    /// It cannot be read whole.
+    /// It cannot be parsed.
     Unreadable(String),
-    /// It can be read, and says something that may not be.
+    /// It can be parsed, and violates a rule.
     Invalid(String),
 }
 
@@ -103,17 +107,17 @@
 
 impl std::error::Error for ConfigurationError {}
 
-/// Port to the form in which operators write descriptions.
+/// The format in which operators write configurations; implemented by the platform's crate.
 pub trait ConfigurationFormat {
-    /// Reads and checks a whole document.
+    /// Parses and checks a document.
     fn parse(&self, document: &[u8]) -> Result<RoutingConfiguration, ConfigurationError>;
-    /// Applies a change of named items to a description that was read before; the same as reading the whole new
-    /// document, and cheaper.
+    /// Applies a change of named items to a parsed configuration. The result is the same as parsing the document with
+    /// the change merged in, and cheaper.
     fn apply_change(
         &self,
         base: &RoutingConfiguration,
         change: &[u8],
     ) -> Result<RoutingConfiguration, ConfigurationError>;
-    /// Applies a change of named items to a document; gives the whole new document.
+    /// Merges a change of named items into a document; gives the complete new document.
     fn merge_change(&self, document: &[u8], change: &[u8]) -> Result<Vec<u8>, ConfigurationError>;
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,6 +1,5 @@
 //! Which function answers a request: bindings of hosts and path prefixes to functions, with the functions and
 //! the limits that belong to them. One configuration is in force at a time.
-#![warn(missing_docs)]
 
 mod configuration;
 mod table;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,3 +1,5 @@
+//! Lookup of the function that answers a request.
+
 use std::borrow::Cow;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,7 +21,7 @@
 }
 
 impl RoutingTable {
-    /// Builds the lookup. Of two bindings with one host and prefix, the first counts.
+    /// Builds the lookup. Of two bindings with the same host and prefix, the first one wins.
     pub fn new(configuration: Arc<RoutingConfiguration>) -> Self {
         let mut hosts: HashMap<Box<str>, Prefixes> = HashMap::new();
         for (index, binding) in configuration.bindings.iter().enumerate() {
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Finds the binding of a request, with its place and its function. The host may carry a port, the path a
+    /// Finds the binding of a request, with its index and its function. The host may carry a port, the path a
     /// query.
     pub fn find(&self, host: &str, path: &str) -> Option<(usize, &Binding, &Function)> {
         let prefixes = self.hosts.get(plain_host(host).as_ref())?;
@@ -57,7 +59,7 @@
         Some((index, binding, function))
     }
 
-    /// Place of a function in the configuration.
+    /// Index of a function in the configuration.
     pub fn function_index(&self, name: &str) -> Option<usize> {
         self.functions.get(name).copied()
     }
