--- a/crates/consensus/tests/bad_messages.rs
+++ b/crates/consensus/tests/bad_messages.rs
@@ -1,8 +1,9 @@
 //! Messages that come again, late, cut or garbled: no controller panics, and nothing that is committed moves back.
 
 #[allow(dead_code)]
-mod world;
+mod cluster;
 
+use cluster::SimulatedCluster;
 use consensus::{
     execute_batch_on_disk, Consensus, ConsensusAction, ConsensusMessage, CONFIGURATION_KEY,
     EVACUATIONS_KEY, SCALER_ROLE_KEY,
@@ -12,7 +13,6 @@
 use register::VOTERS_KEY;
 use speedy::{Readable, Writable};
 use voter::VoterDisk;
-use world::World;
 
 const REPLICATED_KEYS: [&str; 4] = [
     CONFIGURATION_KEY,
@@ -44,31 +44,34 @@
     ConsensusMessage::read_from_buffer(&bytes).ok()
 }
 
-/// The oracle of the world looks at every step: two values or two holders are never seen at once.
+/// The oracle of the cluster looks at every step: two values or two holders are never seen at once.
 #[test]
 fn messages_of_the_past_that_come_again_change_nothing() {
     for seed in 0..40 {
-        let mut world = World::first_start(seed, 4, 3);
-        world.past = Some(Vec::new());
-        world.run(1_500);
+        let mut cluster = SimulatedCluster::first_start(seed, 4, 3);
+        cluster.past = Some(Vec::new());
+        cluster.run(1_500);
         for _ in 0..150 {
             for _ in 0..10 {
-                world.replay();
+                cluster.replay();
             }
-            if world.random.random_bool(0.1) {
-                world.befall();
+            if cluster.random.random_bool(0.1) {
+                cluster.inject_fault();
             }
-            world.run(100);
+            cluster.run(100);
         }
-        world.past = None;
-        world.heal();
-        let writes = world.oracle.writes;
-        world.run(8_000);
-        assert!(world.oracle.writes > writes + 10, "seed {seed}: it stands");
+        cluster.past = None;
+        cluster.heal();
+        let writes = cluster.oracle.writes;
+        cluster.run(8_000);
+        assert!(
+            cluster.oracle.writes > writes + 10,
+            "seed {seed}: it stands"
+        );
     }
 }
 
-/// A consensus with its voter, taken out of a world.
+/// A consensus with its voter, taken out of a cluster.
 struct Victim {
     consensus: Consensus,
     voter: VoterDisk,
@@ -76,13 +79,13 @@
 }
 
 impl Victim {
-    /// Takes the first controller out of a world.
-    fn take(world: &mut World) -> Self {
-        let node = &mut world.nodes[0];
+    /// Takes the first controller out of a cluster.
+    fn take(cluster: &mut SimulatedCluster) -> Self {
+        let node = &mut cluster.nodes[0];
         Self {
             consensus: node.consensus.take().unwrap(),
             voter: node.voter.take().unwrap(),
-            local: node.clock(world.now),
+            local: node.clock(cluster.now),
         }
     }
 
@@ -131,13 +134,13 @@
 fn garbled_messages_in_any_order_never_panic_and_move_nothing_back() {
     let mut fed = 0;
     for seed in 0..40 {
-        let mut world = World::first_start(seed, 4, 3);
-        world.past = Some(Vec::new());
-        world.run(3_000);
-        world.is_writing = false;
-        let past = world.past.take().unwrap();
+        let mut cluster = SimulatedCluster::first_start(seed, 4, 3);
+        cluster.past = Some(Vec::new());
+        cluster.run(3_000);
+        cluster.is_writing = false;
+        let past = cluster.past.take().unwrap();
         let mut random = StdRng::seed_from_u64(seed);
-        let mut victim = Victim::take(&mut world);
+        let mut victim = Victim::take(&mut cluster);
         for _ in 0..3_000 {
             let (_, from, message) = &past[random.random_range(0..past.len())];
             let Some(message) = garbled(message, &mut random) else {
--- a/crates/consensus/tests/world/client.rs
+++ b/crates/consensus/tests/cluster/client.rs
@@ -1,8 +1,8 @@
-use super::{Event, World};
+use super::{Event, SimulatedCluster};
 use consensus::{CONFIGURATION_KEY, EVACUATIONS_KEY};
 use rand::Rng;
 
-impl World {
+impl SimulatedCluster {
     /// Reads or writes at one controller, and comes again.
     pub fn client(&mut self, place: usize) {
         let delay = self.random.random_range(40..240);
@@ -27,10 +27,12 @@
         if is_write {
             let expected = consensus.committed(key).map_or(0, |(version, _)| version);
             let bytes = self.random.random::<u64>().to_le_bytes().to_vec();
-            let token = self.oracle.ask(key, Some((expected, bytes.clone())));
+            let token = self
+                .oracle
+                .begin_request(key, Some((expected, bytes.clone())));
             consensus.write(local, token, key, expected, bytes);
         } else {
-            let token = self.oracle.ask(key, None);
+            let token = self.oracle.begin_request(key, None);
             consensus.read(local, token, key);
         }
         self.drain(place);
--- a/crates/consensus/tests/world/faults.rs
+++ b/crates/consensus/tests/cluster/faults.rs
@@ -1,8 +1,8 @@
-use super::{Event, World};
+use super::{Event, SimulatedCluster};
 use journal::FaultKind;
 use rand::Rng;
 
-impl World {
+impl SimulatedCluster {
     fn live(&self) -> Vec<usize> {
         let live = self.nodes.iter().enumerate();
         live.filter(|(_, node)| !node.is_gone)
@@ -16,7 +16,7 @@
     }
 
     /// Whether all members of the newest set hold what they must, so that one more disk may go.
-    pub fn is_whole(&self) -> bool {
+    pub fn has_all_members(&self) -> bool {
         let sets = self.nodes.iter().filter_map(|node| node.consensus.as_ref());
         let newest = sets
             .map(|consensus| consensus.voter_set())
@@ -30,8 +30,8 @@
         })
     }
 
-    /// Lets something befall the controllers.
-    pub fn befall(&mut self) {
+    /// Injects a random fault.
+    pub fn inject_fault(&mut self) {
         match self.random.random_range(0..12) {
             0 | 1 => self.cut_link(),
             2 => self.cut_off(),
@@ -95,7 +95,7 @@
     }
 
     fn lose_disk(&mut self, is_power_lost: bool) {
-        if !self.is_whole() {
+        if !self.has_all_members() {
             return;
         }
         let place = self.any();
@@ -109,7 +109,7 @@
 
     /// Takes a machine away for good; another comes at a new address.
     pub fn replace(&mut self) {
-        if !self.is_whole() {
+        if !self.has_all_members() {
             return;
         }
         let place = self.any();
--- a/crates/consensus/tests/world/machines.rs
+++ b/crates/consensus/tests/cluster/machines.rs
@@ -1,10 +1,10 @@
 //! Machines that come and go, and what is seen of the sets of voters on the way.
 
-use super::{Event, World};
-use consensus::{ConsensusMessage, CONFIGURATION_KEY};
+use super::{Event, SimulatedCluster};
+use consensus::{ConsensusMessage, MembershipState, CONFIGURATION_KEY};
 use register::{SetVersion, VoterOperation, VoterSet, VOTERS_KEY};
 
-impl World {
+impl SimulatedCluster {
     /// Cuts a controller from all others.
     pub fn isolate(&mut self, place: usize) {
         for other in 0..self.nodes.len() {
@@ -60,6 +60,12 @@
         node.set_version() == SetVersion::new(0, 0) && !node.seeds.iter().any(is_live)
     }
 
+    /// Where a controller stands with the voter set.
+    pub fn membership_state(&self, place: usize) -> MembershipState {
+        let consensus = self.nodes[place].consensus.as_ref();
+        consensus.unwrap().membership_state()
+    }
+
     /// The newest set that any controller knows.
     pub fn newest_set(&self) -> VoterSet {
         let consensus = self.nodes.iter().filter_map(|node| node.consensus.as_ref());
@@ -110,7 +116,7 @@
         panic!("at {} controller {place} reads nothing", self.now);
     }
 
-    pub fn note_proposal(&mut self, from: usize, message: &ConsensusMessage) {
+    pub fn record_proposal(&mut self, from: usize, message: &ConsensusMessage) {
         let ConsensusMessage::VoterRequest { request, .. } = message else {
             return;
         };
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -2,8 +2,8 @@
 
 mod client;
 mod faults;
-mod links;
 mod machines;
+mod network;
 mod node;
 mod oracle;
 
@@ -17,14 +17,14 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-pub const LEASE: u64 = 1_000;
-pub const HEARTBEAT: u64 = 200;
-pub const PATIENCE: u64 = 2_000;
-const TICK: u64 = 50;
+pub const LEASE_MS: u64 = 1_000;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 200;
+pub const REPLACEMENT_TIMEOUT_MS: u64 = 2_000;
+const TICK_MS: u64 = 50;
 /// 2 Mbit/s.
 const SLOW_BITS_PER_MS: u64 = 2_000;
 /// Messages of the past that are kept.
-const PAST_MAX: usize = 4_000;
+const MAX_PAST_MESSAGES: usize = 4_000;
 
 pub enum Event {
     Deliver(usize, String, ConsensusMessage),
@@ -40,7 +40,7 @@
     4 + Writable::<LittleEndian>::bytes_needed(message).unwrap()
 }
 
-pub struct World {
+pub struct SimulatedCluster {
     pub now: u64,
     pub random: StdRng,
     pub nodes: Vec<Node>,
@@ -56,7 +56,7 @@
     pub received: BTreeMap<usize, u64>,
     /// Controllers behind a slow line, with the time until which it is busy with what comes in.
     pub slow_lines: BTreeMap<usize, u64>,
-    /// Messages of the past, where they are kept to be told again.
+    /// Messages of the past, where they are kept to be sent again.
     pub past: Option<Vec<(usize, String, ConsensusMessage)>>,
     /// Controllers that asked for another set of voters, and when.
     pub set_proposals: Vec<(u64, usize)>,
@@ -67,10 +67,10 @@
     number: u64,
 }
 
-impl World {
+impl SimulatedCluster {
     /// Controllers that start for the first time, of which the first three are seeds.
     pub fn first_start(seed: u64, count: usize, wanted: usize) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             now: 0,
             random: StdRng::seed_from_u64(seed),
             nodes: Vec::new(),
@@ -94,9 +94,17 @@
             .map(|place| format!("at-{place}"))
             .collect();
         for _ in 0..count {
-            world.add(seeds.clone(), true);
+            cluster.add(seeds.clone(), true);
         }
-        world
+        cluster
+    }
+
+    /// Controllers that have started, of which the first three vote, and whose callers write nothing.
+    pub fn idle(seed: u64, count: usize) -> Self {
+        let mut cluster = Self::first_start(seed, count, 3);
+        cluster.is_writing = false;
+        cluster.run(1_500);
+        cluster
     }
 
     /// Adds a controller at a new address.
@@ -129,7 +137,7 @@
             if let Some(event) = self.events.remove(&number) {
                 self.take(event);
             }
-            self.oracle.look(self.now, &self.nodes);
+            self.oracle.check(self.now, &self.nodes);
         }
         self.now = end;
     }
@@ -156,7 +164,7 @@
             return;
         }
         let local = node.clock(now);
-        let mut pause = TICK;
+        let mut pause = TICK_MS;
         if let Some(consensus) = node.consensus.as_mut() {
             consensus.tick(local);
             let due = consensus
@@ -215,19 +223,19 @@
                     }
                 }
                 ConsensusAction::RequestCompleted { token, outcome } => {
-                    self.oracle.done(self.now, token, &outcome);
+                    self.oracle.end_request(self.now, token, &outcome);
                 }
                 ConsensusAction::ValueCommitted { key, version } => {
                     let settled = self.nodes[place].consensus.as_ref();
                     let settled = settled.and_then(|consensus| consensus.committed(&key));
                     if let Some((newest, bytes)) = settled {
                         assert!(newest >= version);
-                        self.oracle.settled(&key, newest, bytes);
+                        self.oracle.record_committed(&key, newest, bytes);
                     }
                 }
                 ConsensusAction::RoleAcquired { term } => {
                     self.oracle
-                        .won(self.now, term, place, self.nodes[place].incarnation);
+                        .record_term(self.now, term, place, self.nodes[place].incarnation);
                 }
                 ConsensusAction::RoleLost => {}
             }
@@ -238,7 +246,7 @@
         let Some(place) = self.nodes.iter().position(|node| node.address == to) else {
             return;
         };
-        self.note_proposal(from, &message);
+        self.record_proposal(from, &message);
         self.sent += 1;
         self.bytes += size(&message) as u64;
         let is_lost = self.random.random_bool(self.loss);
@@ -274,10 +282,10 @@
             return;
         };
         let told = (place, from.to_string(), message.clone());
-        if past.len() < PAST_MAX {
+        if past.len() < MAX_PAST_MESSAGES {
             past.push(told);
         } else {
-            let old = self.random.random_range(0..PAST_MAX);
+            let old = self.random.random_range(0..MAX_PAST_MESSAGES);
             past[old] = told;
         }
     }
--- a/crates/consensus/tests/world/links.rs
+++ b/crates/consensus/tests/cluster/network.rs
@@ -1,6 +1,6 @@
-use super::World;
+use super::SimulatedCluster;
 
-impl World {
+impl SimulatedCluster {
     /// Cuts two controllers from each other.
     pub fn part(&mut self, one: usize, other: usize) {
         self.cuts.insert((one, other));
@@ -13,7 +13,7 @@
         self.cuts.remove(&(other, one));
     }
 
-    /// The controller that holds the duty, and two others.
+    /// The controller that holds the scaler role, and two others.
     pub fn holder(&self) -> Option<(usize, usize, usize)> {
         let mut nodes = self.nodes.iter();
         let holder = nodes.position(|node| node.term(self.now).is_some())?;
@@ -22,7 +22,7 @@
     }
 
     /// Runs until something is so, and tells how long that took.
-    pub fn until(&mut self, span: u64, is_so: impl Fn(&World) -> bool) -> Option<u64> {
+    pub fn until(&mut self, span: u64, is_so: impl Fn(&SimulatedCluster) -> bool) -> Option<u64> {
         let began = self.now;
         while self.now <= began + span {
             if is_so(self) {
--- a/crates/consensus/tests/world/node.rs
+++ b/crates/consensus/tests/cluster/node.rs
@@ -1,5 +1,5 @@
-use super::{World, HEARTBEAT, LEASE, PATIENCE};
-use crate::world::Event;
+use super::{SimulatedCluster, HEARTBEAT_INTERVAL_MS, LEASE_MS, REPLACEMENT_TIMEOUT_MS};
+use crate::cluster::Event;
 use consensus::{
     execute_batch_on_disk, Consensus, ConsensusOptions, DiskCompletion, DiskWork, VoterSnapshot,
 };
@@ -57,7 +57,7 @@
         now + self.offset
     }
 
-    /// The term under which the controller holds the duty, as it would say at this moment.
+    /// The term under which the controller holds the scaler role, as it would say at this moment.
     pub fn term(&self, now: u64) -> Option<u64> {
         self.consensus.as_ref()?.role_term(self.clock(now))
     }
@@ -68,8 +68,8 @@
         consensus.is_some_and(|consensus| consensus.is_current(self.clock(now)))
     }
 
-    /// The newest version of a key that the controller knows to be settled.
-    pub fn settled(&self, key: &str) -> u64 {
+    /// The newest version of a key that the controller knows to be committed.
+    pub fn committed_version(&self, key: &str) -> u64 {
         let consensus = self.consensus.as_ref();
         let settled = consensus.and_then(|consensus| consensus.committed(key));
         settled.map_or(0, |(version, _)| version)
@@ -113,7 +113,7 @@
     }
 }
 
-impl World {
+impl SimulatedCluster {
     pub fn boot(&mut self, place: usize) {
         if self.nodes[place].consensus.is_some() || self.nodes[place].is_gone {
             return;
@@ -129,9 +129,9 @@
             seeds: node.seeds.clone(),
             is_first_start: node.is_first_start,
             disk_id: node.disk,
-            lease_ms: LEASE,
-            heartbeat_interval_ms: HEARTBEAT,
-            replacement_timeout_ms: PATIENCE,
+            lease_ms: LEASE_MS,
+            heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
+            replacement_timeout_ms: REPLACEMENT_TIMEOUT_MS,
             seed,
             target_voter_count: wanted,
         };
--- a/crates/consensus/tests/world/oracle.rs
+++ b/crates/consensus/tests/cluster/oracle.rs
@@ -2,7 +2,7 @@
 use register::{ChangeOutcome, SetVersion, VersionedValue};
 use std::collections::BTreeMap;
 
-struct Asked {
+struct PendingRequest {
     key: String,
     /// Expected version of a write, and its bytes.
     write: Option<(u64, Vec<u8>)>,
@@ -11,7 +11,7 @@
 }
 
 /// No two sets of voters may have a majority at one time.
-fn look_at_sets(now: u64, nodes: &[Node]) {
+fn check_sets(now: u64, nodes: &[Node]) {
     let mut voting: BTreeMap<SetVersion, usize> = BTreeMap::new();
     let mut quorate: Vec<SetVersion> = Vec::new();
     for node in nodes {
@@ -36,7 +36,7 @@
 /// Knows what was promised, and cries where it is not kept.
 #[derive(Default)]
 pub struct Oracle {
-    asked: BTreeMap<u64, Asked>,
+    request: BTreeMap<u64, PendingRequest>,
     settled: BTreeMap<(String, u64), Vec<u8>>,
     acknowledged: BTreeMap<String, u64>,
     terms: BTreeMap<u64, (usize, u64)>,
@@ -47,19 +47,19 @@
 }
 
 impl Oracle {
-    pub fn ask(&mut self, key: &str, write: Option<(u64, Vec<u8>)>) -> u64 {
+    pub fn begin_request(&mut self, key: &str, write: Option<(u64, Vec<u8>)>) -> u64 {
         self.last_token += 1;
         let floor = self.acknowledged.get(key).copied().unwrap_or(0);
-        let asked = Asked {
+        let request = PendingRequest {
             key: key.to_string(),
             write,
             floor,
         };
-        self.asked.insert(self.last_token, asked);
+        self.request.insert(self.last_token, request);
         self.last_token
     }
 
-    pub fn settled(&mut self, key: &str, version: u64, bytes: &[u8]) {
+    pub fn record_committed(&mut self, key: &str, version: u64, bytes: &[u8]) {
         if version == 0 {
             return;
         }
@@ -68,38 +68,38 @@
         assert_eq!(known, bytes, "two values are settled at {key} {version}");
     }
 
-    pub fn done(&mut self, now: u64, token: u64, outcome: &ChangeOutcome) {
-        let asked = self.asked.remove(&token).expect("a change ended twice");
+    pub fn end_request(&mut self, now: u64, token: u64, outcome: &ChangeOutcome) {
+        let request = self.request.remove(&token).expect("a change ended twice");
         let (ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored)) = outcome else {
             return;
         };
-        self.settled(&asked.key, stored.version, &stored.bytes);
+        self.record_committed(&request.key, stored.version, &stored.bytes);
         if let ChangeOutcome::Committed(_) = outcome {
-            self.acknowledge(now, &asked, stored);
+            self.acknowledge(now, &request, stored);
         }
     }
 
-    fn acknowledge(&mut self, now: u64, asked: &Asked, stored: &VersionedValue) {
-        if let Some((expected, bytes)) = &asked.write {
+    fn acknowledge(&mut self, now: u64, request: &PendingRequest, stored: &VersionedValue) {
+        if let Some((expected, bytes)) = &request.write {
             assert_eq!(stored.version, expected + 1);
             assert_eq!(&stored.bytes, bytes, "another's write was acknowledged");
             self.writes += 1;
             self.last_write_at = now;
         } else {
             assert!(
-                stored.version >= asked.floor,
+                stored.version >= request.floor,
                 "{} was acknowledged at version {} and is read at {}",
-                asked.key,
-                asked.floor,
+                request.key,
+                request.floor,
                 stored.version
             );
             self.reads += 1;
         }
-        let newest = self.acknowledged.entry(asked.key.clone()).or_default();
+        let newest = self.acknowledged.entry(request.key.clone()).or_default();
         *newest = (*newest).max(stored.version);
     }
 
-    pub fn won(&mut self, now: u64, term: u64, place: usize, incarnation: u64) {
+    pub fn record_term(&mut self, now: u64, term: u64, place: usize, incarnation: u64) {
         let holder = *self.terms.entry(term).or_insert((place, incarnation));
         assert_eq!(
             holder,
@@ -110,13 +110,13 @@
         assert_eq!(newest, Some(term), "a term fell back at {now}");
     }
 
-    pub fn look(&self, now: u64, nodes: &[Node]) {
+    pub fn check(&self, now: u64, nodes: &[Node]) {
         let holders = nodes.iter().filter(|node| node.term(now).is_some());
         let holders: Vec<(&str, Option<u64>)> = holders
             .map(|node| (node.address.as_str(), node.term(now)))
             .collect();
         assert!(holders.len() <= 1, "at {now} several hold: {holders:?}");
-        look_at_sets(now, nodes);
+        check_sets(now, nodes);
     }
 
     pub fn newest(&self, key: &str) -> u64 {
--- a/crates/consensus/tests/contact.rs
+++ b/crates/consensus/tests/contact.rs
@@ -2,19 +2,19 @@
 //! sending; out of contact it passes for current nowhere.
 
 #[allow(dead_code)]
-mod world;
+mod cluster;
 
+use cluster::{SimulatedCluster, LEASE_MS};
 use consensus::{ContactLease, CONFIGURATION_KEY, EVACUATIONS_KEY};
 use rand::Rng;
 use register::{VoterRef, VoterSet};
 use std::collections::VecDeque;
-use world::{World, LEASE};
 
 const SPAN: u64 = 1_000;
 /// What is left of the span when clocks may run apart.
 const LASTS: u64 = SPAN * 4 / 5;
 const OWN: u64 = 1;
-/// In this time a settled value comes from the controller that wrote it to all that it reaches.
+/// In this time a committed value comes from the controller that wrote it to all that it reaches.
 const SPREAD: u64 = 600;
 
 fn set_of(disks: &[u64]) -> VoterSet {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_cut_of_either_way_ends_contact() {
+fn a_partition_of_either_way_ends_contact() {
     let set = set_of(&[OWN, 2, 3]);
     let mut lease = ContactLease::new(SPAN);
     for number in 1..=100 {
@@ -109,7 +109,7 @@
     assert!(lease.is_held(100_000, &set, OWN));
 }
 
-/// Newest acknowledged versions over time, so that what was settled some time ago is known.
+/// Newest acknowledged versions over time, so that what was committed some time ago is known.
 struct Settled {
     since: VecDeque<(u64, [u64; 2])>,
 }
@@ -123,123 +123,123 @@
         }
     }
 
-    fn note(&mut self, world: &World) {
-        let newest = REQUIRED_KEYS.map(|key| world.oracle.newest(key));
-        self.since.push_back((world.now, newest));
-        while self.since.len() > 1 && self.since[1].0 + LEASE + SPREAD <= world.now {
+    fn note(&mut self, cluster: &SimulatedCluster) {
+        let newest = REQUIRED_KEYS.map(|key| cluster.oracle.newest(key));
+        self.since.push_back((cluster.now, newest));
+        while self.since.len() > 1 && self.since[1].0 + LEASE_MS + SPREAD <= cluster.now {
             self.since.pop_front();
         }
     }
 
     /// No controller that passes for current knows less than what was acknowledged a lease ago.
-    fn look(&self, world: &World, seed: u64) {
+    fn look(&self, cluster: &SimulatedCluster, seed: u64) {
         let (_, floor) = self.since[0];
-        for (place, node) in world.nodes.iter().enumerate() {
-            if !node.is_current(world.now) {
+        for (place, node) in cluster.nodes.iter().enumerate() {
+            if !node.is_current(cluster.now) {
                 continue;
             }
             for (key, floor) in REQUIRED_KEYS.iter().zip(floor) {
-                let known = node.settled(key);
+                let known = node.committed_version(key);
                 assert!(
                     known >= floor,
                     "seed {seed}: at {} controller {place} passes for current with {key} {known}, and {floor} is settled",
-                    world.now
+                    cluster.now
                 );
             }
         }
     }
 
-    fn run(&mut self, world: &mut World, span: u64, seed: u64) {
-        let end = world.now + span;
-        while world.now < end {
-            world.run(10);
-            self.note(world);
-            self.look(world, seed);
+    fn run(&mut self, cluster: &mut SimulatedCluster, span: u64, seed: u64) {
+        let end = cluster.now + span;
+        while cluster.now < end {
+            cluster.run(10);
+            self.note(cluster);
+            self.look(cluster, seed);
         }
     }
 }
 
-fn started(seed: u64, count: usize) -> World {
-    let mut world = World::first_start(seed, count, 3);
-    world.run(2_000);
-    let nodes = world.nodes.iter();
-    let current = nodes.filter(|node| node.is_current(world.now)).count();
+fn started(seed: u64, count: usize) -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::first_start(seed, count, 3);
+    cluster.run(2_000);
+    let nodes = cluster.nodes.iter();
+    let current = nodes.filter(|node| node.is_current(cluster.now)).count();
     assert_eq!(
         current, count,
         "seed {seed}: not all are current after the start"
     );
-    world
+    cluster
 }
 
 #[test]
-fn a_controller_that_is_cut_off_for_twenty_seconds_passes_for_current_nowhere() {
+fn a_controller_that_is_partitioned_for_twenty_seconds_passes_for_current_nowhere() {
     for seed in 0..30 {
-        let mut world = started(seed, 3 + seed as usize % 2);
+        let mut cluster = started(seed, 3 + seed as usize % 2);
         let mut settled = Settled::new();
-        let cut = world.random.random_range(0..world.nodes.len());
-        let others: Vec<usize> = (0..world.nodes.len())
+        let cut = cluster.random.random_range(0..cluster.nodes.len());
+        let others: Vec<usize> = (0..cluster.nodes.len())
             .filter(|place| *place != cut)
             .collect();
         for other in &others {
             // A cut of one way alone is enough.
             if seed % 3 != 1 {
-                world.cuts.insert((cut, *other));
+                cluster.cuts.insert((cut, *other));
             }
             if seed % 3 != 2 {
-                world.cuts.insert((*other, cut));
+                cluster.cuts.insert((*other, cut));
             }
         }
-        let began = world.now;
-        let writes = world.oracle.writes;
-        settled.run(&mut world, LEASE, seed);
-        while world.now < began + 20_000 {
-            settled.run(&mut world, 10, seed);
-            assert!(!world.nodes[cut].is_current(world.now), "seed {seed}");
+        let began = cluster.now;
+        let writes = cluster.oracle.writes;
+        settled.run(&mut cluster, LEASE_MS, seed);
+        while cluster.now < began + 20_000 {
+            settled.run(&mut cluster, 10, seed);
+            assert!(!cluster.nodes[cut].is_current(cluster.now), "seed {seed}");
             for other in &others {
-                assert!(world.nodes[*other].is_current(world.now), "seed {seed}");
+                assert!(cluster.nodes[*other].is_current(cluster.now), "seed {seed}");
             }
         }
-        assert!(world.oracle.writes > writes + 50, "seed {seed}: no load");
-        world.cuts.clear();
+        assert!(cluster.oracle.writes > writes + 50, "seed {seed}: no load");
+        cluster.cuts.clear();
         let mut took = 0;
-        while !world.nodes[cut].is_current(world.now) {
-            settled.run(&mut world, 10, seed);
+        while !cluster.nodes[cut].is_current(cluster.now) {
+            settled.run(&mut cluster, 10, seed);
             took += 10;
             assert!(took < 1_000, "seed {seed}: not current again");
         }
-        settled.run(&mut world, 1_000, seed);
+        settled.run(&mut cluster, 1_000, seed);
     }
 }
 
 #[test]
 fn a_controller_that_thaws_finds_its_contact_over_before_anything_else() {
     for seed in 0..30 {
-        let mut world = started(seed, 3);
-        world.nodes[0].is_frozen = true;
-        world.run(LEASE + 10);
-        assert!(!world.nodes[0].is_current(world.now), "seed {seed}");
+        let mut cluster = started(seed, 3);
+        cluster.nodes[0].is_frozen = true;
+        cluster.run(LEASE_MS + 10);
+        assert!(!cluster.nodes[0].is_current(cluster.now), "seed {seed}");
         let mut settled = Settled::new();
-        settled.run(&mut world, 3_000, seed);
+        settled.run(&mut cluster, 3_000, seed);
         // Heartbeats that came while it was frozen acknowledge what it sent before.
-        world.thaw(0);
-        settled.run(&mut world, 2_000, seed);
-        assert!(world.nodes[0].is_current(world.now), "seed {seed}");
+        cluster.thaw(0);
+        settled.run(&mut cluster, 2_000, seed);
+        assert!(cluster.nodes[0].is_current(cluster.now), "seed {seed}");
     }
 }
 
 #[test]
-fn no_controller_passes_for_current_with_old_values_whatever_befalls() {
+fn no_controller_passes_for_current_with_old_values_under_any_faults() {
     for seed in 0..60 {
-        let mut world = World::first_start(seed, 4, 3);
-        world.run(2_000);
+        let mut cluster = SimulatedCluster::first_start(seed, 4, 3);
+        cluster.run(2_000);
         let mut settled = Settled::new();
         for _ in 0..12 {
-            world.befall();
-            let span = world.random.random_range(100..1_500);
-            settled.run(&mut world, span, seed);
-            if world.random.random_bool(0.3) {
-                world.heal();
-                settled.run(&mut world, 1_000, seed);
+            cluster.inject_fault();
+            let span = cluster.random.random_range(100..1_500);
+            settled.run(&mut cluster, span, seed);
+            if cluster.random.random_bool(0.3) {
+                cluster.heal();
+                settled.run(&mut cluster, 1_000, seed);
             }
         }
     }
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -1,8 +1,9 @@
 //! What a controller says of its voter's set is durable: a set that its disk has not taken is not passed on.
 
 #[allow(dead_code)]
-mod world;
+mod cluster;
 
+use cluster::SimulatedCluster;
 use consensus::{
     execute_batch_on_disk, ConsensusAction, ConsensusMessage, DiskCompletion, DiskWork, Heartbeat,
     MembershipState, VoterSetUpdate,
@@ -11,7 +12,6 @@
 use register::{SetVersion, VoterRef, VoterSet};
 use std::io;
 use voter::VoterDisk;
-use world::World;
 
 const FIRST: SetVersion = SetVersion::new(1, 1);
 const SECOND: SetVersion = SetVersion::new(1, 2);
@@ -71,30 +71,30 @@
 
 #[test]
 fn a_heartbeat_tells_no_set_that_a_failed_disk_took_in_memory_alone() {
-    let mut world = World::first_start(4, 3, 3);
-    world.is_writing = false;
-    world.run(1_500);
-    world.isolate(0);
-    world.nodes[0].folder.inject(FaultKind::Full);
+    let mut cluster = SimulatedCluster::first_start(4, 3, 3);
+    cluster.is_writing = false;
+    cluster.run(1_500);
+    cluster.isolate(0);
+    cluster.nodes[0].folder.inject(FaultKind::Full);
     let newcomer = VoterRef {
         disk: 77,
         address: "at-9".into(),
     };
-    let next = world
+    let next = cluster
         .newest_set()
-        .with_replacement(world.nodes[2].disk, newcomer)
+        .with_replacement(cluster.nodes[2].disk, newcomer)
         .unwrap();
     let news = VoterSetUpdate {
         set: next,
         previous: None,
     };
-    let local = world.nodes[0].clock(world.now);
-    let consensus = world.nodes[0].consensus.as_mut().unwrap();
+    let local = cluster.nodes[0].clock(cluster.now);
+    let consensus = cluster.nodes[0].consensus.as_mut().unwrap();
     consensus.on_message(local, "at-1", ConsensusMessage::VoterSet(news));
-    world.drain(0);
-    world.run(500);
-    let local = world.nodes[0].clock(world.now) + 500;
-    let consensus = world.nodes[0].consensus.as_mut().unwrap();
+    cluster.drain(0);
+    cluster.run(500);
+    let local = cluster.nodes[0].clock(cluster.now) + 500;
+    let consensus = cluster.nodes[0].consensus.as_mut().unwrap();
     assert_eq!(consensus.voter_set().version(), SECOND);
     consensus.tick(local);
     let heartbeats: Vec<Heartbeat> = consensus
--- a/crates/consensus/tests/identities.rs
+++ b/crates/consensus/tests/identities.rs
@@ -1,18 +1,11 @@
 //! Messages of a controller's former identity or incarnation that are still on the way count for nothing.
 
 #[allow(dead_code)]
-mod world;
+mod cluster;
 
+use cluster::SimulatedCluster;
 use consensus::{Consensus, ConsensusAction, ConsensusMessage, Heartbeat, CONFIGURATION_KEY};
 use register::{Ballot, SetVersion, VersionedValue, VoterOperation, VoterResponse};
-use world::World;
-
-fn started() -> World {
-    let mut world = World::first_start(1, 3, 3);
-    world.is_writing = false;
-    world.run(1_500);
-    world
-}
 
 fn sent(consensus: &mut Consensus) -> Vec<ConsensusMessage> {
     let actions = consensus.take_actions().into_iter();
@@ -32,10 +25,10 @@
 
 #[test]
 fn an_answer_counts_for_the_disk_that_gave_it_and_for_no_other_at_its_address() {
-    let mut world = started();
-    let local = world.nodes[0].clock(world.now);
-    let disks: Vec<u64> = world.nodes.iter().map(|node| node.disk).collect();
-    let consensus = world.nodes[0].consensus.as_mut().unwrap();
+    let mut cluster = SimulatedCluster::idle(1, 3);
+    let local = cluster.nodes[0].clock(cluster.now);
+    let disks: Vec<u64> = cluster.nodes.iter().map(|node| node.disk).collect();
+    let consensus = cluster.nodes[0].consensus.as_mut().unwrap();
     let _ = consensus.take_actions();
     consensus.write(local, 9_999, CONFIGURATION_KEY, 0, vec![1]);
     let asks = sent(consensus);
@@ -43,7 +36,7 @@
         ConsensusMessage::VoterRequest { number, .. } => Some(*number),
         _ => None,
     });
-    let number = number.expect("nothing was asked");
+    let number = number.expect("nothing was request");
     let answer = |disk| ConsensusMessage::VoterResponse {
         disk,
         number,
@@ -70,10 +63,10 @@
 }
 
 #[test]
-fn a_late_heartbeat_of_a_former_life_is_not_taken_for_the_present_one() {
-    let mut world = started();
-    let local = world.nodes[0].clock(world.now);
-    let consensus = world.nodes[0].consensus.as_mut().unwrap();
+fn a_late_heartbeat_of_a_former_incarnation_is_not_taken_for_the_present_one() {
+    let mut cluster = SimulatedCluster::idle(1, 3);
+    let local = cluster.nodes[0].clock(cluster.now);
+    let consensus = cluster.nodes[0].consensus.as_mut().unwrap();
     let heartbeat = |incarnation, number, known| {
         ConsensusMessage::Heartbeat(Heartbeat {
             disk: 77,
--- a/crates/consensus/tests/membership_seeds.rs
+++ b/crates/consensus/tests/membership_seeds.rs
@@ -2,143 +2,143 @@
 //! lost at a time, two of five; whatever was acknowledged is read by all controllers in the end.
 
 #[allow(dead_code)]
-mod world;
+mod cluster;
 
+use cluster::{Event, SimulatedCluster};
 use consensus::{CONFIGURATION_KEY, EVACUATIONS_KEY};
 use rand::Rng;
-use world::{Event, World};
 
 const ROUNDS: usize = 8;
 const MACHINES_MAX: usize = 14;
 
-fn any(world: &mut World) -> usize {
-    let live: Vec<usize> = (0..world.nodes.len())
-        .filter(|place| !world.nodes[*place].is_gone)
+fn any(cluster: &mut SimulatedCluster) -> usize {
+    let live: Vec<usize> = (0..cluster.nodes.len())
+        .filter(|place| !cluster.nodes[*place].is_gone)
         .collect();
-    live[world.random.random_range(0..live.len())]
+    live[cluster.random.random_range(0..live.len())]
 }
 
 /// How many copies may be lost now.
-fn spare_copies(world: &World) -> usize {
-    if !world.is_whole() {
+fn spare_copies(cluster: &SimulatedCluster) -> usize {
+    if !cluster.has_all_members() {
         return 0;
     }
-    (world.newest_set().voters.len() - 1) / 2
+    (cluster.newest_set().voters.len() - 1) / 2
 }
 
 /// A machine is lost for good, with a new one in its place.
-fn replace(world: &mut World) {
-    let place = any(world);
-    world.lose(place);
-    if world.nodes.len() < MACHINES_MAX {
-        world.add_newcomer();
+fn replace(cluster: &mut SimulatedCluster) {
+    let place = any(cluster);
+    cluster.lose(place);
+    if cluster.nodes.len() < MACHINES_MAX {
+        cluster.add_newcomer();
     }
 }
 
 /// A disk is lost, and the controller comes back empty under its old name.
-fn wipe(world: &mut World) {
-    let place = any(world);
-    world.wipe(place);
-    let delay = world.random.random_range(10..2_500);
-    world.later(delay, Event::Boot(place));
+fn wipe(cluster: &mut SimulatedCluster) {
+    let place = any(cluster);
+    cluster.wipe(place);
+    let delay = cluster.random.random_range(10..2_500);
+    cluster.later(delay, Event::Boot(place));
 }
 
 /// A machine that was taken for lost comes back with its old disk.
-fn bring_back(world: &mut World) {
-    let gone = (0..world.nodes.len()).find(|place| {
-        let node = &world.nodes[*place];
-        node.is_gone && !world.moved.contains(place)
+fn bring_back(cluster: &mut SimulatedCluster) {
+    let gone = (0..cluster.nodes.len()).find(|place| {
+        let node = &cluster.nodes[*place];
+        node.is_gone && !cluster.moved.contains(place)
     });
     if let Some(place) = gone {
-        world.bring_back(place);
+        cluster.bring_back(place);
     }
 }
 
 /// A disk is carried over to a machine at another address.
-fn carry_over(world: &mut World) {
-    let place = any(world);
-    if world.nodes.len() < MACHINES_MAX && world.nodes[place].consensus.is_some() {
-        world.move_disk(place);
+fn carry_over(cluster: &mut SimulatedCluster) {
+    let place = any(cluster);
+    if cluster.nodes.len() < MACHINES_MAX && cluster.nodes[place].consensus.is_some() {
+        cluster.move_disk(place);
     }
 }
 
 /// A controller is cut off for long enough that another takes its place.
-fn cut_off_for_long(world: &mut World) {
-    let place = any(world);
-    world.isolate(place);
-    let span = world.random.random_range(2_000..6_000);
-    world.run(span);
-    world.rejoin(place);
+fn partition_for_long(cluster: &mut SimulatedCluster) {
+    let place = any(cluster);
+    cluster.isolate(place);
+    let span = cluster.random.random_range(2_000..6_000);
+    cluster.run(span);
+    cluster.rejoin(place);
 }
 
-fn restart(world: &mut World) {
-    let place = any(world);
-    world.kill(place);
-    let delay = world.random.random_range(10..3_000);
-    world.later(delay, Event::Boot(place));
+fn restart(cluster: &mut SimulatedCluster) {
+    let place = any(cluster);
+    cluster.kill(place);
+    let delay = cluster.random.random_range(10..3_000);
+    cluster.later(delay, Event::Boot(place));
 }
 
-fn befall(world: &mut World) {
-    let spare = spare_copies(world);
-    match world.random.random_range(0..10) {
-        0 | 1 if spare > 0 => replace(world),
-        2 if spare > 0 => wipe(world),
+fn inject_fault(cluster: &mut SimulatedCluster) {
+    let spare = spare_copies(cluster);
+    match cluster.random.random_range(0..10) {
+        0 | 1 if spare > 0 => replace(cluster),
+        2 if spare > 0 => wipe(cluster),
         3 if spare > 1 => {
-            replace(world);
-            wipe(world);
+            replace(cluster);
+            wipe(cluster);
         }
-        4 | 5 => cut_off_for_long(world),
-        6 => carry_over(world),
-        7 => bring_back(world),
-        _ => restart(world),
+        4 | 5 => partition_for_long(cluster),
+        6 => carry_over(cluster),
+        7 => bring_back(cluster),
+        _ => restart(cluster),
     }
 }
 
-fn read_back(world: &mut World, seed: u64) {
-    world.is_writing = false;
-    world.run(2_000);
-    for place in 0..world.nodes.len() {
+fn read_back(cluster: &mut SimulatedCluster, seed: u64) {
+    cluster.is_writing = false;
+    cluster.run(2_000);
+    for place in 0..cluster.nodes.len() {
         // Who knows no set, and whose every seed is gone, has nobody to ask.
-        if world.nodes[place].consensus.is_none() || world.is_lost(place) {
+        if cluster.nodes[place].consensus.is_none() || cluster.is_lost(place) {
             continue;
         }
         for key in [CONFIGURATION_KEY, EVACUATIONS_KEY] {
-            let reads = world.oracle.reads;
-            world.change(place, key, false);
-            world.run(400);
+            let reads = cluster.oracle.reads;
+            cluster.change(place, key, false);
+            cluster.run(400);
             assert!(
-                world.oracle.reads > reads,
+                cluster.oracle.reads > reads,
                 "seed {seed}: controller {place} reads nothing of {key}; {}",
-                world.describe()
+                cluster.describe()
             );
         }
     }
 }
 
 fn run(seed: u64, count: usize, wanted: usize) -> usize {
-    let mut world = World::first_start(seed, count, wanted);
-    world.run(1_500);
+    let mut cluster = SimulatedCluster::first_start(seed, count, wanted);
+    cluster.run(1_500);
     for _ in 0..ROUNDS {
-        world.loss = [0.0, 0.02, 0.1][world.random.random_range(0..3)];
-        befall(&mut world);
-        let span = world.random.random_range(100..2_500);
-        world.run(span);
-        if world.random.random_bool(0.5) {
-            world.heal();
-            world.until(8_000, World::is_whole);
+        cluster.loss = [0.0, 0.02, 0.1][cluster.random.random_range(0..3)];
+        inject_fault(&mut cluster);
+        let span = cluster.random.random_range(100..2_500);
+        cluster.run(span);
+        if cluster.random.random_bool(0.5) {
+            cluster.heal();
+            cluster.until(8_000, SimulatedCluster::has_all_members);
         }
     }
-    world.heal();
-    world.run(8_000);
-    let since = world.now;
-    world.run(3_000);
+    cluster.heal();
+    cluster.run(8_000);
+    let since = cluster.now;
+    cluster.run(3_000);
     assert!(
-        world.oracle.last_write_at > since,
+        cluster.oracle.last_write_at > since,
         "seed {seed}: no majority came back; {}",
-        world.describe()
+        cluster.describe()
     );
-    read_back(&mut world, seed);
-    world.oracle.writes
+    read_back(&mut cluster, seed);
+    cluster.oracle.writes
 }
 
 fn run_all(seeds: std::ops::Range<u64>, count: usize, wanted: usize) {
--- a/crates/consensus/tests/granting.rs
+++ b/crates/consensus/tests/role_promises.rs
@@ -75,7 +75,7 @@
     Consensus::new(options, STARTED_AT, held)
 }
 
-/// The holder's heartbeat, which claims the duty.
+/// The holder's heartbeat, which claims the scaler role.
 fn holders_claim() -> ConsensusMessage {
     ConsensusMessage::Heartbeat(Heartbeat {
         disk: 2,
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_member_that_is_started_anew_promises_the_duty_to_no_other_for_a_lease() {
+fn a_member_that_is_started_anew_promises_the_role_to_no_other_for_a_lease() {
     let promises = |after: u64| passes_promise_on(&mut started(ballot(1)), STARTED_AT + after);
     assert!(!promises(0));
     assert!(!promises(LEASE_MS - 1));
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_member_that_hears_a_claim_promises_the_duty_to_no_other_for_a_lease() {
+fn a_member_that_hears_a_claim_promises_the_role_to_no_other_for_a_lease() {
     let mut consensus = started(ballot(1));
     let late = STARTED_AT + 400;
     consensus.on_message(late, HOLDER, holders_claim());
