--- a/crates/autoscaler/src/arrivals.rs
+++ b/crates/autoscaler/src/arrivals.rs
@@ -99,7 +99,7 @@
         let Some(newest) = self.samples.back().copied() else {
             return 0.0;
         };
-        // The newest sample may be only just taken; the one before it then tells more.
+        // A sample that was only just taken spans too little time, so the one before it is the base.
         let base = match self.samples.iter().rev().nth(1).copied() {
             Some(former) if now < newest.at + BURST_WINDOW_MS / 2 => former,
             _ => newest,
--- a/crates/autoscaler/src/autoscaler.rs
+++ b/crates/autoscaler/src/autoscaler.rs
@@ -1,4 +1,4 @@
-//! The coordinator: takes messages and time, and gives commands and updates.
+//! The coordinator: every message and every tick enters here and is passed to the module that handles it.
 
 use crate::configuration;
 use crate::ending::expire_runners;
@@ -20,16 +20,18 @@
 /// are sampled.
 const EVALUATION_INTERVAL_MS: u64 = 250;
 
-/// Decides how many runners exist, where each starts and what each may hold. It has no clock and no threads, and does
-/// nothing itself: the caller passes milliseconds of a clock of its own, carries out [`Autoscaler::take_commands`] and
-/// sends [`Autoscaler::take_updates`].
+/// Decides how many runners exist, on which worker each starts and how many requests each may hold.
+///
+/// It performs no I/O and has no clock or threads. The caller passes the time in milliseconds of a monotonic clock, gives
+/// the commands of [`Autoscaler::take_commands`] to the platform, and sends the updates of [`Autoscaler::take_updates`]
+/// to the functions' owners; both are to be polled after every other call.
 pub struct Autoscaler {
     state: ClusterState,
     evaluated_at: u64,
 }
 
 impl Autoscaler {
-    /// An autoscaler that knows nothing yet. It decides nothing before it has the configuration and both lists.
+    /// An autoscaler without state. It decides nothing until it has the configuration and both lists.
     #[must_use]
     pub fn new(options: AutoscalerOptions, now: u64) -> Self {
         Self {
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Does what is due. To be called every 50 to 100 ms.
+    /// Evaluates active functions, decides about those that are due, and expires timeouts. To be called every 50 to 100 ms.
     pub fn tick(&mut self, now: u64) {
         let state = &mut self.state;
         state.advance_clock(now);
@@ -52,48 +54,53 @@
         expire_runners(state);
     }
 
-    /// Takes the operator's configuration in force.
+    /// Applies the operator's configuration: new sizes, priorities and timeouts hold from now on; runners of functions that it
+    /// no longer names drain. Decided with the next tick.
     pub fn apply_configuration(&mut self, now: u64, configuration: &RoutingConfiguration) {
         self.state.advance_clock(now);
         configuration::apply_configuration(&mut self.state, configuration);
     }
 
-    /// Takes the zones to evacuate: nothing is placed there, and what is there drains.
+    /// Sets the evacuated zones. Nothing is placed in them and their runners drain. Decided at once.
     pub fn set_evacuated_zones(&mut self, now: u64, zones: &BTreeSet<String>) {
         self.state.advance_clock(now);
         configuration::set_evacuated_zones(&mut self.state, zones);
     }
 
-    /// Takes the platform's whole list of workers. A worker that it lacks is down.
+    /// Replaces the list of workers. A worker that is missing from it is down: starts on it are withdrawn. Runners on a
+    /// draining worker are replaced.
     pub fn update_workers(&mut self, now: u64, listings: Vec<WorkerListing>) {
         self.state.advance_clock(now);
         listings::update_workers(&mut self.state, listings);
     }
 
-    /// Takes the platform's whole list of runners. Runners that are unknown are adopted.
+    /// Compares the platform's complete list of runners with the known ones: unknown runners are adopted, and runners that
+    /// have been missing for longer than lists lag are forgotten.
     pub fn update_runners(&mut self, now: u64, listings: Vec<RunnerListing>) {
         self.state.advance_clock(now);
         listings::update_runners(&mut self.state, listings);
     }
 
-    /// Takes what an owner reports of a function. Where requests wait it is decided at once.
+    /// Handles an owner's report on a function: arrivals, waiting requests, and the state of each runner. If requests wait,
+    /// the function is decided about at once. A report on an unknown function is ignored.
     pub fn handle_report(&mut self, now: u64, owner: &str, report: &FunctionReport) {
         self.state.advance_clock(now);
         reports::handle_report(&mut self.state, owner, report);
     }
 
-    /// Forgets an owner that is gone, or whose counters begin anew.
+    /// Drops all reports of an owner that is gone or whose counters were reset by a restart.
     pub fn remove_owner(&mut self, owner: &str) {
         self.state.functions.remove_owner(owner);
     }
 
-    /// Commands to give to the platform now, in this order. Each is to be answered by a result.
+    /// Commands to send to the platform now, in this order and within its rate. Each is answered by a call to
+    /// [`Autoscaler::handle_start_result`] or [`Autoscaler::handle_stop_result`].
     #[must_use]
     pub fn take_commands(&mut self) -> Vec<RunnerCommand> {
         runner_commands::take_commands(&mut self.state)
     }
 
-    /// Takes the platform's answer to a start.
+    /// Handles the platform's answer to a start, also a late one. Answers to unknown nonces are ignored.
     pub fn handle_start_result(
         &mut self,
         now: u64,
@@ -104,31 +111,32 @@
         runner_commands::handle_start_result(&mut self.state, nonce, result);
     }
 
-    /// Takes the platform's answer to a stop: done (or unknown there), or to be repeated.
+    /// Handles the platform's answer to a stop. `is_done` holds as well if the platform does not know the runner; otherwise
+    /// the stop is retried.
     pub fn handle_stop_result(&mut self, now: u64, id: &str, is_done: bool) {
         self.state.advance_clock(now);
         runner_commands::handle_stop_result(&mut self.state, id, is_done);
     }
 
-    /// Updates for the owners of the functions whose runners changed since the last call.
+    /// Updates for the owners of the functions whose runners changed since the last call, by function name.
     pub fn take_updates(&mut self) -> Vec<FunctionUpdate> {
         updates::take_updates(&mut self.state)
     }
 
-    /// The present update of a function, for an owner that lacks it. Until the lists were seen once it is empty, with a
-    /// version that supersedes no other.
+    /// The current update of a function, for an owner that does not have it. Before both lists were received it is empty
+    /// and its version supersedes no other.
     #[must_use]
     pub fn update_for(&self, function: &str, now: u64) -> FunctionUpdate {
         updates::update_for(&self.state, function, now)
     }
 
-    /// Version of what [`Autoscaler::update_for`] gives, as term and number; zero until the lists were seen once.
+    /// Version of [`Autoscaler::update_for`]; zero before both lists were received.
     #[must_use]
     pub fn update_version(&self, function: &str) -> UpdateVersion {
         updates::update_version(&self.state, function)
     }
 
-    /// The status of each function that is not asleep, by name.
+    /// The status of each active function, by name.
     #[must_use]
     pub fn function_statuses(&self) -> Vec<FunctionStatus> {
         function_status::function_statuses(&self.state)
--- a/crates/autoscaler/src/configuration.rs
+++ b/crates/autoscaler/src/configuration.rs
@@ -1,4 +1,4 @@
-//! What a change of the operator's configuration, or of the evacuated zones, changes.
+//! Handles a new operator's configuration and changes of the evacuated zones.
 
 use crate::draining::apply_evacuation;
 use crate::function_configuration::{by_function, FunctionConfiguration};
@@ -8,7 +8,7 @@
 use routing::RoutingConfiguration;
 use std::collections::BTreeSet;
 
-/// Takes the configuration in force. What it changes is decided with the next tick.
+/// Applies the configuration. Functions that it affects are due with the next tick.
 pub(crate) fn apply_configuration(state: &mut ClusterState, configuration: &RoutingConfiguration) {
     let functions = by_function(configuration);
     state.functions.extend_timeouts(&functions);
@@ -20,7 +20,7 @@
     }
 }
 
-/// Takes the zones to evacuate: nothing is placed there, and what is there drains.
+/// Sets the evacuated zones: nothing is placed in them, and their runners drain.
 pub(crate) fn set_evacuated_zones(state: &mut ClusterState, zones: &BTreeSet<String>) {
     if !state.workers.set_evacuated_zones(zones) {
         return;
@@ -35,7 +35,7 @@
     decide_due(state);
 }
 
-/// The configuration names a function no more: its runners end.
+/// The configuration no longer names a function: its runners are to drain.
 fn unconfigure(state: &mut ClusterState, name: &str) {
     let Some(function) = state.functions.get_mut(name) else {
         return;
@@ -66,7 +66,7 @@
     }
 }
 
-/// Takes a new size for the runners of a function that is configured.
+/// Applies a new size to the runners of a function.
 fn resize_runners(state: &mut ClusterState, name: &str, memory_mb: u64, concurrency: u32) {
     let Some(function) = state.functions.get(name) else {
         return;
@@ -80,7 +80,7 @@
             matches!(runner.state, RunnerState::Draining { reason: own, .. } if own == reason)
         });
         if is_unwanted {
-            // The function is back, so the runner may be taken back too.
+            // The function is configured again, so the runner may be revived.
             state.runners.set_drain_reason(serial, DrainReason::Surplus);
         }
     }
--- a/crates/autoscaler/src/draining.rs
+++ b/crates/autoscaler/src/draining.rs
@@ -7,10 +7,10 @@
 use crate::runner::{DrainReason, Runner, RunnerState};
 use crate::state::ClusterState;
 
-/// Milliseconds beyond the longest request timeout after which a runner surely holds none.
+/// Milliseconds added to the longest request timeout, for the way of the request and its report.
 const TIMEOUT_SLACK_MS: u64 = 1_000;
 
-/// Gives a runner no new requests; it is stopped once it holds none.
+/// Drains a runner: it gets no new requests and is stopped once none is in flight.
 pub(crate) fn drain(state: &mut ClusterState, serial: u64, reason: DrainReason) {
     let since = state.now;
     let Some(runner) = state.runners.get(serial) else {
@@ -27,12 +27,12 @@
             );
             state.set_runner_state(serial, RunnerState::Draining { reason, since });
         }
-        // A start that is not answered yet is decided about once it is.
+        // A start that was commanded is decided about when its answer comes.
         _ => {}
     }
 }
 
-/// Takes the wish for a start back. A start that was commanded may have been carried out.
+/// Withdraws a start. If it was commanded before, the runner may exist and is tracked as unconfirmed.
 pub(crate) fn withdraw_start(state: &mut ClusterState, serial: u64) {
     let Some(runner) = state.runners.get(serial) else {
         return;
@@ -46,7 +46,7 @@
     state.set_runner_state(serial, RunnerState::StartUnconfirmed { since });
 }
 
-/// Drains a runner whose zone is evacuated, and lets it be taken back once the zone is not any more.
+/// Drains a runner whose zone is evacuated, and makes it revivable when the evacuation ends.
 pub(crate) fn apply_evacuation(state: &mut ClusterState, serial: u64) {
     let Some(runner) = state.runners.get(serial) else {
         return;
@@ -86,7 +86,7 @@
     }
 }
 
-/// Milliseconds after which no request that was in flight can be so still.
+/// Milliseconds after which no request can still be in flight.
 fn longest_request_ms(state: &ClusterState) -> u64 {
     state.functions.longest_timeout_ms() + TIMEOUT_SLACK_MS
 }
@@ -103,8 +103,8 @@
     function.reports().iter().any(holds)
 }
 
-/// Whether a runner that has been draining since a time holds nothing any more: its owners report so, knowing that it
-/// drains. Where none reports, the longest time that a request may take has passed.
+/// Whether no request is in flight at a runner that has been draining since a time: its owners report so, knowing that it
+/// drains. If none reports, the longest time that a request may take has passed.
 pub(crate) fn is_drained(state: &ClusterState, runner: &Runner, since: u64) -> bool {
     let Some(function) = state.functions.get(&runner.function) else {
         return true;
--- a/crates/autoscaler/src/ending.rs
+++ b/crates/autoscaler/src/ending.rs
@@ -1,10 +1,10 @@
-//! What becomes of runners that end, and of starts that take too long, as time passes.
+//! Timeouts of runners that are ending, and of starts that take too long.
 
 use crate::draining::is_drained;
 use crate::runner::{Runner, RunnerState};
 use crate::state::ClusterState;
 
-/// Moves on runners whose drain is done or whose time is over.
+/// Stops or forgets runners whose drain is complete or whose timeout expired.
 pub(crate) fn expire_runners(state: &mut ClusterState) {
     for serial in state.runners.ending() {
         expire_ending(state, serial);
@@ -33,11 +33,11 @@
     late.map(|(serial, _)| serial).collect()
 }
 
-/// What is done with a runner whose time is over.
+/// What happens to a runner when its state expires.
 enum Expiry {
-    /// It is stopped. Where it is gone already that does no harm.
+    /// It is stopped. If it is gone already, the stop has no effect.
     Stop,
-    /// It is forgotten: its start took too long to have been carried out.
+    /// It is forgotten: a start that was carried out would be listed by now.
     Forget,
 }
 
@@ -67,7 +67,7 @@
         RunnerState::Terminating { since } => {
             let longest_ms = state.functions.longest_timeout_ms();
             let limit_ms = options.drain_ms + longest_ms + start_limit_ms;
-            // One that was listed is gone once lists show it no more.
+            // A runner that was listed before is forgotten when lists stop showing it.
             (!runner.was_listed && has_passed(since, limit_ms)).then_some(Expiry::Stop)
         }
         RunnerState::StartUnconfirmed { since } => {
--- a/crates/autoscaler/src/evaluation.rs
+++ b/crates/autoscaler/src/evaluation.rs
@@ -1,10 +1,10 @@
-//! The regular look at a function of which nothing new was reported.
+//! Periodic evaluation of an active function, independent of reports.
 
 use crate::owner_reports::{OwnerReport, REPORT_TIMEOUT_MS};
 use crate::scaling_decision::decide;
 use crate::state::ClusterState;
 
-/// Samples the demand of a function, decides about it, and lets it go to sleep.
+/// Samples the arrivals of a function, decides about it, and deactivates it if it is idle and has no runners.
 pub(crate) fn evaluate(state: &mut ClusterState, name: &str) {
     let now = state.now;
     let limit_ms = state.functions.longest_timeout_ms().max(REPORT_TIMEOUT_MS);
@@ -33,7 +33,7 @@
     }
 }
 
-/// Expects of new runners what the middle one of those measured takes.
+/// Sets the expected service time of new runners to the median of the measured ones.
 fn update_service_time(state: &mut ClusterState, name: &str) {
     let Some(function) = state.functions.get(name) else {
         return;
--- a/crates/autoscaler/src/eviction.rs
+++ b/crates/autoscaler/src/eviction.rs
@@ -1,4 +1,4 @@
-//! Making room for a function where all memory is taken: idle runners of others give way.
+//! Eviction: drains idle runners of other functions for a function that finds no free memory.
 
 use crate::draining::drain;
 use crate::function::Function;
@@ -7,7 +7,7 @@
 use crate::state::ClusterState;
 use std::collections::BTreeMap;
 
-/// A runner that its function can do without. The longest idle ones go first.
+/// A runner that its function does not need. Ordered by idle time, the longest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SurplusRunner {
     /// When it was last used.
@@ -16,14 +16,13 @@
     pub serial: u64,
 }
 
-/// Memory that would be free on a worker if these runners went.
+/// Memory that would be free on a worker without these runners.
 struct Eviction {
     free_mb: u64,
     victims: Vec<u64>,
 }
 
-/// Drains runners that have been idle the longest, beyond their functions' minimal ones, on the worker that is the first
-/// to have room then.
+/// Drains surplus runners, the longest idle first, on the first worker where that frees enough memory.
 pub(crate) fn evict_for(state: &mut ClusterState, name: &str) {
     let Some(function) = state.functions.get(name) else {
         return;
@@ -54,7 +53,7 @@
             victims: Vec::new(),
         });
         if eviction.free_mb >= needed_mb {
-            // What ends there already will make the room.
+            // Runners that are ending already free enough memory there.
             return Vec::new();
         }
         eviction.free_mb += runner.memory_mb;
@@ -66,15 +65,15 @@
     Vec::new()
 }
 
-/// Memory of runners that end on a worker.
+/// Memory of runners that are ending on a worker.
 fn ending_mb(state: &ClusterState, worker: &str) -> u64 {
     let placed = state.runners.on_worker(worker);
     let ending = placed.filter(|(_, runner)| !runner.is_capacity());
     ending.map(|(_, runner)| runner.memory_mb).sum()
 }
 
-/// Runners with nothing in flight that other functions than this one can do without, of those that `accepts`. A function
-/// of a more urgent or the same priority keeps what it needs.
+/// Runners of other functions that are unused, not needed, and accepted by the predicate. Functions with at least the same
+/// priority keep the runners that their demand needs, and prewarmed functions their minimal one.
 pub(crate) fn surplus_runners(
     state: &ClusterState,
     name: &str,
@@ -108,7 +107,7 @@
     surplus
 }
 
-/// It serves, and no owner reported a request in flight at it.
+/// The runner serves, and no owner reported a request in flight at it.
 fn is_unused(function: &Function, runner: &Runner) -> bool {
     let Some(id) = &runner.id else {
         return false;
--- a/crates/autoscaler/src/function.rs
+++ b/crates/autoscaler/src/function.rs
@@ -63,7 +63,7 @@
         self.configuration = configuration;
     }
 
-    /// The configuration in force names it no more.
+    /// The configuration no longer names it.
     pub fn unconfigure(&mut self) {
         self.configuration.is_configured = false;
     }
@@ -78,7 +78,7 @@
         self.arrivals.sample(now);
     }
 
-    /// Forgets the rate that was measured; the function sleeps.
+    /// Forgets the measured rate when the function goes idle.
     pub fn reset_arrivals(&mut self) {
         self.arrivals.reset();
     }
@@ -88,7 +88,7 @@
         &self.reports
     }
 
-    /// Takes what an owner reports, but for the arrivals.
+    /// Stores an owner's report. The arrivals are recorded by [`Function::record_arrivals`].
     pub fn take_report(&mut self, owner: &str, report: &FunctionReport, now: u64) {
         self.reports.entry(owner).replace(report, now);
     }
@@ -101,8 +101,8 @@
         for ZoneArrivals { zone, count } in &report.arrivals {
             let mut arrived = known.take_arrivals(zone, *count);
             if is_new {
-                // What an owner counted before its first report is no rate. Of that, what waits is still to be served;
-                // where it came from is known, how fast is not.
+                // The counters of a new owner began at an unknown time, so they give no rate. Only the requests that still
+                // wait are counted, for their zones.
                 arrived = arrived.min(waiting);
                 waiting -= arrived;
             }
@@ -143,12 +143,12 @@
         self.service_time_ms
     }
 
-    /// Takes what its runners were found to take.
+    /// Sets the expected service time from measurements.
     pub fn set_service_time_ms(&mut self, service_time_ms: f64) {
         self.service_time_ms = service_time_ms;
     }
 
-    /// Requests came, waited or were in flight just now.
+    /// Requests arrived, waited or were in flight at this time.
     pub fn mark_busy(&mut self, now: u64) {
         self.busy_at = Some(now);
     }
@@ -158,7 +158,7 @@
         self.reports.waiting(now)
     }
 
-    /// Requests wait, or the last one is not longer ago than the retention.
+    /// Whether requests wait, or the last activity is within the retention time.
     pub fn is_awake(&self, now: u64, options: &AutoscalerOptions) -> bool {
         let retention_ms = self.configuration.retention_ms(options);
         self.waiting(now) > 0 || self.busy_at.is_some_and(|at| now < at + retention_ms)
@@ -174,27 +174,27 @@
         self.below_beta_since = since;
     }
 
-    /// No start is to be tried now, since the platform knows no such function or no worker had room.
+    /// Whether starts are paused, because the platform does not know the function or no worker had room.
     pub fn is_start_paused(&self, now: u64) -> bool {
         now < self.starts_paused_until
     }
 
-    /// Tries no start before a time.
+    /// Pauses starts until a time.
     pub fn pause_starts(&mut self, until: u64) {
         self.starts_paused_until = until;
     }
 
-    /// Starts may be tried again at once.
+    /// Ends the pause of starts.
     pub fn resume_starts(&mut self) {
         self.starts_paused_until = 0;
     }
 
-    /// That the last start found no room while there was no runner.
+    /// The shortage that the last start met while there was no runner.
     pub fn shortage(&self) -> Option<CapacityShortage> {
         self.shortage
     }
 
-    /// Takes what the last search for room found. Gives what was known before.
+    /// Replaces the recorded shortage and returns the previous one.
     pub fn replace_shortage(
         &mut self,
         shortage: Option<CapacityShortage>,
@@ -207,7 +207,7 @@
         self.update_number
     }
 
-    /// An update about its runners is sent.
+    /// Sets the number of the update that is sent.
     pub fn set_update_number(&mut self, number: u64) {
         self.update_number = number;
     }
@@ -217,7 +217,7 @@
         self.last_decision
     }
 
-    /// Notes a decision.
+    /// Sets what was decided last.
     pub fn set_last_decision(&mut self, decision: &'static str) {
         self.last_decision = decision;
     }
--- a/crates/autoscaler/src/function_configuration.rs
+++ b/crates/autoscaler/src/function_configuration.rs
@@ -22,12 +22,12 @@
     pub priority: u8,
     /// Milliseconds for which a request may take at most: the longest of its routes.
     pub timeout_ms: u64,
-    /// The configuration in force names the function. Where not, its runners end.
+    /// The current configuration names the function. Otherwise its runners drain.
     pub is_configured: bool,
 }
 
 impl FunctionConfiguration {
-    /// A function that runs and that no configuration names.
+    /// A function that has runners but is not in the configuration.
     pub fn unconfigured(concurrency: u32) -> Self {
         Self {
             memory_mb: 0,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A start does not fit into the latency target, so one runner is always kept.
+    /// Whether one runner is always kept, because a start does not fit into the latency target.
     pub fn is_prewarmed(&self) -> bool {
         let start_ms = self.start_ms as f64 * START_TIME_MARGIN;
         self.is_configured && start_ms > f64::from(self.latency_target_ms)
@@ -57,7 +57,7 @@
     }
 }
 
-/// The configuration of each function, with the strictest wants of all routes that lead to it.
+/// The configuration of each function, with the strictest requirements of all bindings that lead to it.
 pub(crate) fn by_function(
     configuration: &RoutingConfiguration,
 ) -> BTreeMap<String, FunctionConfiguration> {
--- a/crates/autoscaler/src/function_table.rs
+++ b/crates/autoscaler/src/function_table.rs
@@ -10,9 +10,9 @@
     functions: BTreeMap<String, Function>,
     /// Functions on which each owner reported.
     by_owner: BTreeMap<String, BTreeSet<String>>,
-    /// Functions that are evaluated regularly: not asleep, or with runners.
+    /// Functions that are evaluated periodically: with demand, with runners, or prewarmed.
     active: BTreeSet<String>,
-    /// Functions to decide about next, by priority.
+    /// Functions to decide about next, by priority and name.
     due: BTreeSet<(u8, String)>,
     is_configured: bool,
     longest_timeout_ms: u64,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Evaluates a function no more.
+    /// Stops evaluating a function.
     pub fn deactivate(&mut self, name: &str) {
         self.active.remove(name);
     }
@@ -127,7 +127,7 @@
         due.into_iter().map(|(_, name)| name).collect()
     }
 
-    /// Forgets a function that the configuration names no more.
+    /// Removes a function that the configuration does not name.
     pub fn remove_unconfigured(&mut self, name: &str) {
         let Some(function) = self.functions.get(name) else {
             return;
--- a/crates/autoscaler/src/lib.rs
+++ b/crates/autoscaler/src/lib.rs
@@ -4,15 +4,27 @@
 //! and updates for the owners come out. Nothing is stored: a new term learns everything from the lists and reports. The
 //! design and what was changed of it is in docs/source.md.
 //!
-//! From the bottom up:
-//! - values: `options`, `platform`, `arrivals`, `owner_reports`, `function_configuration`, `memory_account`;
-//! - parts of the state, each with its invariant: `function_table`, `runner_table`, `worker_capacity`, `start_queue`,
-//!   `token_bucket`, `update_log`, `stopped_runners`, put together in `state`;
-//! - steps: `load`, `draining`, `eviction`, `placement`, `start_block`, `starts`, `quotas`;
-//! - the decision about a function: `scaling_decision`;
-//! - what each message or the time changes: `reports`, `listings`, `configuration`, `runner_commands`, `evaluation`,
-//!   `ending`, `updates`;
-//! - the coordinator: `autoscaler`.
+//! | step of the design | module |
+//! |---|---|
+//! | forecast of the arrival rate by a Kalman filter | `arrivals` |
+//! | demand and capacity | `load` |
+//! | above alpha: quotas first, then new runners | `scaling_decision`, `quotas`, `starts` |
+//! | least-occupied used worker, then a fresh one | `placement`, `memory_account` |
+//! | below beta after a cooldown: quotas fall | `scaling_decision`, `quotas` |
+//! | a runner at quota zero drains and is stopped once nothing is in flight | `draining`, `ending`, `runner_commands` |
+//! | ours: eviction where memory is short, and the statement to owners that no worker has room | `eviction`, `start_block` |
+//!
+//! | message | handled by | changes |
+//! |---|---|---|
+//! | owner's report | `reports` | arrivals, waiting requests and runner states; decides at once if requests wait |
+//! | lists of workers and runners | `listings` | workers, adopted and gone runners |
+//! | operator's configuration, evacuated zones | `configuration` | sizes, priorities, which runners drain |
+//! | answers to starts and stops | `runner_commands` | runner states, retries, pauses |
+//! | time | `evaluation`, `ending` | samples, cooldowns, expired drains and starts |
+//!
+//! The state consists of parts that each keep an invariant (`function_table`, `runner_table`, `worker_capacity`,
+//! `start_queue`, `token_bucket`, `update_log`, `stopped_runners`), put together in `state`. Imports run one way: values,
+//! parts, `state`, steps, decision, handlers, and `autoscaler` on top.
 
 mod arrivals;
 mod autoscaler;
--- a/crates/autoscaler/src/listings.rs
+++ b/crates/autoscaler/src/listings.rs
@@ -1,7 +1,7 @@
-//! What the platform's lists of workers and runners change.
+//! Reconciles the state with the platform's lists of workers and runners.
 //!
-//! The lists show all that there is, and lag. Runners that are unknown are adopted, whoever started them: so a new term
-//! learns what an earlier one left. Runners that were listed and are no more for longer than lists lag are gone.
+//! The lists are complete but lag behind. Unknown runners are adopted, whoever started them; this is how a new term learns
+//! what an earlier one started. A runner that was listed and is missing for longer than lists lag is gone.
 
 use crate::draining::{apply_evacuation, apply_worker_drain, withdraw_start};
 use crate::function_configuration::FunctionConfiguration;
@@ -12,7 +12,7 @@
 use crate::state::ClusterState;
 use std::collections::HashSet;
 
-/// Takes the platform's whole list of workers.
+/// Replaces the list of workers.
 pub(crate) fn update_workers(state: &mut ClusterState, listings: Vec<WorkerListing>) {
     let is_first = !state.workers.is_listed();
     let changes = state.workers.replace(listings, state.now);
@@ -31,8 +31,8 @@
     decide_after_listing(state, is_first);
 }
 
-/// A worker that is not listed is down. Starts there are lost; what serves there is for the owners and the list of
-/// runners to report.
+/// A worker that is not listed is down, so starts on it have failed. Whether its serving runners are gone is decided by
+/// owners' reports and the list of runners.
 fn handle_lost_worker(state: &mut ClusterState, worker: &str) {
     let since = state.now;
     state.runners.forget_account(worker);
@@ -51,7 +51,7 @@
     }
 }
 
-/// Takes the platform's whole list of runners.
+/// Compares the complete list of runners with the known ones.
 pub(crate) fn update_runners(state: &mut ClusterState, listings: Vec<RunnerListing>) {
     let is_first = state.runners_listed_at.is_none();
     state.runners_listed_at = Some(state.now);
@@ -72,7 +72,7 @@
         return;
     }
     if is_first {
-        // Now it is known which runners there are, also for functions that have none.
+        // From now on updates are authoritative, also for functions without runners.
         for name in state.functions.active().clone() {
             state.updates.mark_changed(&name);
             state.functions.make_due(&name);
@@ -122,7 +122,8 @@
     apply_worker_drain(state, serial);
 }
 
-/// A runner that ended is listed. It is stopped again where it is there for longer than lists lag and requests take.
+/// A runner that was stopped is listed. If it is listed for longer than lists lag and requests take, the stop failed and
+/// is repeated.
 fn handle_stopped_runner(state: &mut ClusterState, listing: &RunnerListing, stopped_at: u64) {
     let options = &state.options;
     let longest_ms = state.functions.longest_timeout_ms();
@@ -135,7 +136,7 @@
     state.set_runner_state(serial, RunnerState::STOP_NOW);
 }
 
-/// A runner is listed that a start which was not answered may have given.
+/// Drops an unconfirmed start that probably gave the listed runner.
 fn replace_unconfirmed_start(state: &mut ClusterState, listing: &RunnerListing) {
     let mut placed = state.runners.on_worker(&listing.worker);
     let unconfirmed = placed.find(|(_, runner)| {
@@ -149,7 +150,7 @@
     }
 }
 
-/// Takes a runner that this autoscaler did not start.
+/// Adds a runner that this autoscaler did not start.
 fn adopt(state: &mut ClusterState, listing: &RunnerListing) -> u64 {
     let now = state.now;
     let name = listing.function.as_str();
@@ -193,7 +194,7 @@
     state.add_runner(runner)
 }
 
-/// Forgets runners that were listed and are no more, for longer than the list lags.
+/// Forgets runners that are missing from the list for longer than it lags.
 fn forget_unlisted(state: &mut ClusterState, listed: &HashSet<&str>) {
     let unlisted_ms = state.options.unlisted_ms();
     let gone = state.runners.mark_unlisted(listed, unlisted_ms, state.now);
--- a/crates/autoscaler/src/load.rs
+++ b/crates/autoscaler/src/load.rs
@@ -10,7 +10,7 @@
 /// ...and no more.
 const BACKLOG_TIMEOUT_MAX_S: f64 = 0.5;
 
-/// What a function is to carry, and what it can. Rates are in requests a second.
+/// Demand and capacity of a function. Rates are in requests a second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
     /// Rate over about the last second.
@@ -66,7 +66,7 @@
         self.waiting = function.waiting(state.now);
     }
 
-    /// Gives the rate that runners which are up carry.
+    /// Adds the runners; returns the rate that those which are up can carry.
     fn take_runners(&mut self, state: &ClusterState, function: &Function) -> f64 {
         let mut serving = 0.0;
         for (_, runner) in state.runners_of(function) {
--- a/crates/autoscaler/src/memory_account.rs
+++ b/crates/autoscaler/src/memory_account.rs
@@ -1,4 +1,4 @@
-//! What runners take on one worker.
+//! Memory and occupancy of the runners on one worker.
 
 use crate::runner::Runner;
 
@@ -11,13 +11,13 @@
     pub memory_mb: u64,
 }
 
-/// Memory of those that a list may lack, as they are not older than what it shows.
+/// Sum of the sizes that the list may not show yet, in megabytes.
 pub(crate) fn unlisted_mb(sizes: &[TimedMemory], listed_until: u64) -> u64 {
     let late = sizes.iter().filter(|size| size.at >= listed_until);
     late.map(|size| size.memory_mb).sum()
 }
 
-/// What the runners on one worker take, in megabytes.
+/// Memory that the runners on one worker take, in megabytes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemoryAccount {
     used_mb: u64,
--- a/crates/autoscaler/src/owner_reports.rs
+++ b/crates/autoscaler/src/owner_reports.rs
@@ -1,4 +1,4 @@
-//! What the owners of a function's seats reported last.
+//! The last reports of the gateways that own a function's seats.
 //!
 //! The gateway that owns a function's seats reports what arrived, what waits and what each runner does. While ownership
 //! moves, two gateways may report on one function.
@@ -20,7 +20,7 @@
 }
 
 impl OwnerReport {
-    /// Whether it still counts, where the slowest request or report is waited for so long.
+    /// Whether it was received within the last `limit_ms`.
     pub fn is_within(&self, limit_ms: u64, now: u64) -> bool {
         self.reported_at + limit_ms > now
     }
--- a/crates/autoscaler/src/platform.rs
+++ b/crates/autoscaler/src/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform tells the autoscaler, and what the autoscaler asks of the platform.
+//! Types of the platform's lists and answers, and of the commands to it.
 
 use std::error::Error;
 use std::fmt;
@@ -15,7 +15,7 @@
     pub memory_mb: u64,
     /// Memory that was free when the list was made, in megabytes.
     pub free_mb: u64,
-    /// The platform drains it: it takes no more starts, and its runners are ended.
+    /// The platform drains it: it accepts no starts, and its runners are ended.
     pub is_draining: bool,
 }
 
@@ -65,7 +65,7 @@
         formatter.write_str(match self {
             Self::NoRoom => "the worker cannot take the runner",
             Self::Refused => "the platform does not know the function",
-            Self::Busy => "the platform takes no more commands now",
+            Self::Busy => "the platform limits the rate of commands",
             Self::Unanswered => "the platform did not answer",
         })
     }
--- a/crates/autoscaler/src/quotas.rs
+++ b/crates/autoscaler/src/quotas.rs
@@ -7,7 +7,7 @@
 use crate::state::ClusterState;
 use scaler::RunnerQuota;
 
-/// Runners whose quotas may rise: those that count as capacity, and those that can be taken back.
+/// Runners whose quotas may rise: those that count as capacity, and those that can be revived.
 pub(crate) fn growable(state: &ClusterState, function: &Function) -> Vec<RunnerQuota> {
     let can_grow = |runner: &Runner| runner.is_capacity() || runner.can_be_revived();
     pods(state, function, can_grow)
@@ -36,7 +36,7 @@
     pods.collect()
 }
 
-/// Takes the quotas that were decided, in that order. Tells whether any is another one than before.
+/// Applies the quotas in the given order. Returns whether any changed.
 pub(crate) fn apply(state: &mut ClusterState, pods: &[RunnerQuota]) -> bool {
     let mut has_changed = false;
     for pod in pods {
--- a/crates/autoscaler/src/reports.rs
+++ b/crates/autoscaler/src/reports.rs
@@ -1,4 +1,4 @@
-//! What owners' reports change: arrivals, what waits, and what is known of each runner.
+//! Handles owners' reports: arrivals, waiting requests, and the state of each runner.
 
 use crate::runner::RunnerState;
 use crate::runner_table::RunnerObservation;
@@ -6,7 +6,7 @@
 use crate::state::ClusterState;
 use protocol::{FunctionReport, RunnerReport};
 
-/// Takes what an owner reports of a function. Where requests wait it is decided at once.
+/// Handles an owner's report on a function. If requests wait, the function is decided about at once.
 pub(crate) fn handle_report(state: &mut ClusterState, owner: &str, report: &FunctionReport) {
     let now = state.now;
     let name = report.function.as_str();
@@ -29,7 +29,7 @@
     }
 }
 
-/// Takes what an owner reports of a runner.
+/// Handles an owner's report on a runner.
 fn handle_runner_report(state: &mut ClusterState, owner: &str, name: &str, report: &RunnerReport) {
     let Some(serial) = state.runners.serial_of_id(&report.id) else {
         return;
@@ -48,7 +48,7 @@
     }
 }
 
-/// What a report says that the owner's report before did not. Its counters only grow.
+/// The difference to the owner's previous report. Counters only grow.
 fn observation(report: &RunnerReport, before: Option<&RunnerReport>) -> RunnerObservation {
     let (succeeded, duration_ms) =
         before.map_or((0, 0), |one| (one.succeeded, one.total_duration_ms));
@@ -61,7 +61,7 @@
     }
 }
 
-/// An owner cannot reach a runner any more.
+/// An owner reported that a runner cannot be reached any more.
 fn handle_lost(state: &mut ClusterState, serial: u64) {
     let Some(runner) = state.runners.get(serial) else {
         return;
--- a/crates/autoscaler/src/runner.rs
+++ b/crates/autoscaler/src/runner.rs
@@ -1,4 +1,4 @@
-//! One runner, from the wish for it to its end.
+//! A runner and its lifecycle.
 
 use protocol::RunnerStage;
 
@@ -10,22 +10,22 @@
 /// Why a runner gets no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DrainReason {
-    /// There are more than are needed. It may be taken back.
+    /// There are more than needed. It can be revived.
     Surplus,
     /// Its zone is evacuated.
     ZoneEvacuated,
-    /// The configuration names its function no more.
+    /// The configuration no longer names its function.
     FunctionRemoved,
 }
 
-/// Where a runner is between the wish for it and its end. Times are in milliseconds of the autoscaler's clock.
+/// State in the lifecycle of a runner. Times are in milliseconds of the caller's clock.
 ///
 /// ```text
 /// StartPending <-> StartRequested -> Starting -> Serving <-> Draining -> StopPending <-> StopRequested
 /// ```
 ///
-/// A start that was commanded and is wanted no more is `StartUnconfirmed`; a runner that owners cannot reach is
-/// `Unreachable`; one that the platform ends by itself is `Terminating`.
+/// A start that was commanded but is not needed any more is `StartUnconfirmed`. A runner that owners cannot reach is
+/// `Unreachable`. A runner that the platform ends by itself is `Terminating`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunnerState {
     /// Its start is to be commanded, at the earliest at that time.
@@ -42,7 +42,7 @@
     Terminating { since: u64 },
     /// Owners cannot reach it.
     Unreachable { since: u64 },
-    /// Its start was not answered and is wanted no more; the runner may exist.
+    /// Its start was commanded, is not answered and is not needed any more; the runner may exist.
     StartUnconfirmed { since: u64 },
     /// Its stop is to be commanded, at the earliest at that time.
     StopPending { not_before: u64 },
@@ -71,7 +71,7 @@
 }
 
 impl ServiceTime {
-    /// Nothing was measured; the first measurement moves on from the function's value.
+    /// Nothing was measured yet; the mean starts from the function's value.
     pub fn unmeasured(function_ms: f64) -> Self {
         Self {
             mean_ms: function_ms,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Takes answers and the milliseconds that they took together.
+    /// Adds a number of answers and the milliseconds that they took in total.
     pub fn observe(&mut self, answers: u64, total_ms: u64) {
         if answers == 0 {
             return;
@@ -117,9 +117,9 @@
     pub quota: u32,
     /// Highest quota that it may have.
     pub max_quota: u32,
-    /// Requests that it may hold at once by the platform's word.
+    /// Requests that it may hold at once according to the platform's list.
     pub capacity: u32,
-    /// Where it is between start and end.
+    /// Its state.
     pub state: RunnerState,
     /// When its start was first commanded; none where it was not or where nothing was taken by it.
     pub start_requested_at: Option<u64>,
@@ -146,22 +146,22 @@
 }
 
 impl Runner {
-    /// It counts as capacity, now or soon.
+    /// Whether it counts as capacity, now or soon.
     pub fn is_capacity(&self) -> bool {
         self.state.is_capacity()
     }
 
-    /// It counts as capacity and is not up yet.
+    /// Whether it counts as capacity but does not serve yet.
     pub fn is_pending(&self) -> bool {
         self.is_capacity() && self.state != RunnerState::Serving
     }
 
-    /// When it has been idle for long enough to be evicted, if it is not used again.
+    /// Time from which it may be evicted, if it is not used again.
     pub fn evictable_at(&self) -> u64 {
         self.last_used_at + EVICTION_IDLE_MS
     }
 
-    /// It drains for no other reason than that it was not needed, so it may serve again.
+    /// Whether it drains only because it was not needed, so that it may serve again.
     pub fn can_be_revived(&self) -> bool {
         matches!(
             self.state,
@@ -172,7 +172,7 @@
         )
     }
 
-    /// The stage that owners are told; none where they are not told of it.
+    /// The stage that updates to owners give; none if they do not include it.
     pub fn stage(&self) -> Option<RunnerStage> {
         self.id.as_ref()?;
         match self.state {
--- a/crates/autoscaler/src/runner_commands.rs
+++ b/crates/autoscaler/src/runner_commands.rs
@@ -1,4 +1,4 @@
-//! Commands to the platform, and what its answers change.
+//! Commands to the platform and its answers.
 //!
 //! Within the platform's rate, starts for which requests wait go first, then stops, then other starts. A start that got
 //! no answer is repeated under its nonce, so that the platform starts no second runner for it.
@@ -16,7 +16,7 @@
 const START_RETRY_MS: u64 = 250;
 /// Milliseconds before a later retry of a start, at the most.
 const START_RETRY_MAX_MS: u64 = 4_000;
-/// Attempts after which the time before a retry doubles no more.
+/// Attempts after which the time before a retry stops doubling.
 const START_RETRY_DOUBLINGS: u32 = 5;
 /// Milliseconds before a stop is repeated.
 const STOP_RETRY_MS: u64 = 500;
@@ -42,7 +42,7 @@
     }
 }
 
-/// The command of a queued start; none where it is not due, or where its worker is not to be used any more.
+/// The command of a queued start; none if it is not due yet or its worker accepts no starts any more.
 fn take_start(state: &mut ClusterState, queued: QueuedStart) -> Option<RunnerCommand> {
     let serial = queued.serial;
     let runner = state.runners.get(serial);
@@ -56,7 +56,7 @@
     }
     let function = runner.function.clone();
     if !can_start(state, runner) {
-        // The start goes elsewhere, under a new nonce.
+        // The next decision starts a runner on another worker, under a new nonce.
         withdraw_start(state, serial);
         decide(state, &function);
         return None;
@@ -79,7 +79,8 @@
     }
 }
 
-/// Whether a start may go to its worker. One that was commanded before may be repeated where another found no room.
+/// Whether a start may be sent to its worker. A repeated start ignores the pause after another start found no room, since
+/// its own memory may be taken already.
 fn can_start(state: &ClusterState, runner: &Runner) -> bool {
     let Some(worker) = state.workers.get(&runner.worker) else {
         return false;
@@ -99,7 +100,7 @@
     }
 }
 
-/// The command of a stop that is due. A runner that can be reached and holds requests is not stopped.
+/// The command of a stop that is due. A reachable runner with requests in flight is not stopped.
 fn take_stop(state: &mut ClusterState, serial: u64) -> Option<RunnerCommand> {
     let runner = state.runners.get(serial)?;
     if !runner.is_lost && has_requests_in_flight(state, runner) {
@@ -121,7 +122,7 @@
     Some(RunnerCommand::Stop { id })
 }
 
-/// Takes the platform's answer to a start. Answers to starts that are known no more are ignored.
+/// Handles the platform's answer to a start. Answers to unknown nonces are ignored.
 pub(crate) fn handle_start_result(
     state: &mut ClusterState,
     nonce: &str,
@@ -140,7 +141,7 @@
     let StartedRunner { id, address } = started;
     let known = state.runners.serial_of_id(&id);
     if known.is_some_and(|other| other != serial) {
-        // The list was quicker than the answer.
+        // The runner was adopted from a list before the answer came.
         state.forget_runner(serial);
         return;
     }
@@ -207,7 +208,7 @@
     state.queue_start(serial, name, StartUrgency::of_waiting(is_waiting));
 }
 
-/// Takes the platform's answer to a stop: done (or unknown there), or to be repeated.
+/// Handles the platform's answer to a stop: done (or runner unknown), or to be retried.
 pub(crate) fn handle_stop_result(state: &mut ClusterState, id: &str, is_done: bool) {
     let Some(serial) = state.runners.serial_of_id(id) else {
         return;
--- a/crates/autoscaler/src/runner_table.rs
+++ b/crates/autoscaler/src/runner_table.rs
@@ -1,15 +1,15 @@
-//! All runners, with their indexes and what they take on each worker.
+//! All runners, with their indexes and the memory that they take on each worker.
 
 use crate::memory_account::MemoryAccount;
 use crate::runner::{DrainReason, Runner, RunnerState};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// What a change of state did that others may need to know.
+/// Effect of a state change on other parts of the state.
 #[derive(Clone, Debug)]
 pub(crate) struct StateChange {
     /// Function of the runner.
     pub function: String,
-    /// The stage that owners are told is another one than before.
+    /// The stage in updates to owners changed.
     pub has_new_stage: bool,
 }
 
@@ -28,7 +28,7 @@
     pub is_lost: bool,
 }
 
-/// Runners by serial; a runner keeps its serial from the wish for it to its end.
+/// Runners by serial. A runner has the same serial throughout its lifecycle.
 ///
 /// All changes of runners go through this table, so that the indexes by id, nonce, worker and state, and the memory
 /// accounts of workers, match the runners at any time.
@@ -39,7 +39,7 @@
     by_id: HashMap<String, u64>,
     by_nonce: BTreeMap<String, u64>,
     by_worker: BTreeMap<String, BTreeSet<u64>>,
-    /// Runners that count as capacity no more.
+    /// Runners that do not count as capacity any more.
     ending: BTreeSet<u64>,
     /// Runners that were started and are not known to be up.
     starting: BTreeSet<u64>,
@@ -88,7 +88,7 @@
         serials.filter_map(|serial| Some((*serial, self.runners.get(serial)?)))
     }
 
-    /// Serials of runners that count as capacity no more.
+    /// Serials of runners that do not count as capacity any more.
     pub fn ending(&self) -> Vec<u64> {
         self.ending.iter().copied().collect()
     }
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Counts a failed attempt to start a runner. Gives their number.
+    /// Counts a failed attempt to start a runner; returns their number.
     pub fn count_failed_attempt(&mut self, serial: u64) -> u32 {
         let Some(runner) = self.runners.get_mut(&serial) else {
             return 0;
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Notes the update that first tells owners that a runner drains.
+    /// Records the first update that includes a runner as draining.
     pub fn note_drain_update(&mut self, serial: u64, number: u64) {
         let Some(runner) = self.runners.get_mut(&serial) else {
             return;
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Lets owners send a runner so many requests at once.
+    /// Sets how many requests owners may send a runner at once.
     pub fn set_quota(&mut self, serial: u64, quota: u32) {
         if let Some(runner) = self.runners.get_mut(&serial) {
             runner.quota = quota;
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Takes the memory and the concurrency of a new configuration. Tells whether the quota had to fall.
+    /// Applies the memory and concurrency of a new configuration. Returns whether the quota was lowered.
     pub fn resize(&mut self, serial: u64, memory_mb: u64, concurrency: u32) -> bool {
         let Some(runner) = self.runners.get_mut(&serial) else {
             return false;
@@ -270,8 +270,7 @@
         must_fall
     }
 
-    /// Takes what an owner observed of a runner of that function. Gives the runner's state; none where the function has no
-    /// such runner.
+    /// Applies what an owner observed of a runner. Returns the runner's state, or none if the function has no such runner.
     pub fn observe(
         &mut self,
         serial: u64,
@@ -302,7 +301,7 @@
         }
     }
 
-    /// A list shows a runner. Gives its state.
+    /// A list shows a runner. Returns its state.
     pub fn mark_listed(&mut self, serial: u64) -> Option<RunnerState> {
         let runner = self.runners.get_mut(&serial)?;
         runner.was_listed = true;
@@ -310,7 +309,7 @@
         Some(runner.state)
     }
 
-    /// Notes which runners a list lacks, and gives those that are gone by it: they were listed once, and have been
+    /// Records which runners are missing from a list. Returns those that are gone: they were listed once, and have been
     /// missing for longer than lists lag.
     pub fn mark_unlisted(
         &mut self,
@@ -341,7 +340,7 @@
         gone
     }
 
-    /// Sums what the runners on a worker take. A list that shows all starts before `listed_until` is known.
+    /// Sums the runners on a worker whose newest list shows all starts before `listed_until`.
     pub fn sum_account(&self, worker: &str, listed_until: u64) -> MemoryAccount {
         let runners = self.on_worker(worker).map(|(_, runner)| runner);
         MemoryAccount::sum(runners, listed_until)
--- a/crates/autoscaler/src/scaling_decision.rs
+++ b/crates/autoscaler/src/scaling_decision.rs
@@ -2,7 +2,7 @@
 //!
 //! - Above alpha of the capacity: quotas rise, and new runners are started for what is left of the gap.
 //! - Below beta, after a cooldown: quotas fall; a runner at zero drains.
-//! - A function that sleeps keeps no runner, unless a start does not fit into its latency target.
+//! - An idle function keeps no runner, unless a start does not fit into its latency target.
 
 use crate::draining::drain;
 use crate::function::Function;
@@ -122,10 +122,10 @@
         .saturating_sub(pending_seats(state, function));
     let for_waiting = runners_of_seats(unplanned);
     if load.runners == 0 && load.waiting > 0 {
-        // The first start of a sleeping function goes by what waits.
+        // An idle function starts as many runners as its waiting requests need.
         return for_gap.min(for_waiting);
     }
-    // However slow the answers are, requests that came lately or are here hold one seat each.
+    // However slow the answers are, each recent or present request needs one seat at most.
     let seats_needed = seats_needed(state, function, load);
     let for_rate = runners_for(load.rate() - state.options.alpha * load.capacity)
         .min(runners_of_seats(seats_needed.saturating_sub(load.seats)));
@@ -214,7 +214,7 @@
     if is_paused || is_queue_full {
         return;
     }
-    // Where no worker has room, the start is paused and tried again later.
+    // Without room on any worker, starts are paused and retried later.
     let _ = add_start(state, name, StartUrgency::Ahead);
 }
 
--- a/crates/autoscaler/src/start_block.rs
+++ b/crates/autoscaler/src/start_block.rs
@@ -1,4 +1,4 @@
-//! What an owner is told of a function that has no runner and for which no worker has room.
+//! The start block: a statement to owners that a function has no runner and that no worker has room for one.
 //!
 //! The owner may then reject at once what could not be served in time anyway. The statement is made only where the lists
 //! show that no runner exists, holds for a bounded time, and is repeated while it is true.
@@ -19,7 +19,7 @@
 /// A start is never expected to be done before the usual time divided by this; owners rely on it.
 const QUICKEST_START_DIVISOR: u64 = 2;
 
-/// Notes when a worker may have room for a function whose start found none just now.
+/// Records when a worker may have room for a function whose start found none.
 pub(crate) fn record_shortage(state: &mut ClusterState, name: &str) {
     let Some(function) = state.functions.get(name) else {
         return;
@@ -38,7 +38,7 @@
     }
 }
 
-/// A worker has room for the function.
+/// Clears the shortage, since a worker has room or the function may have a runner.
 pub(crate) fn clear_shortage(state: &mut ClusterState, name: &str) {
     let function = state.functions.get_mut(name);
     if function.is_some_and(|function| function.replace_shortage(None).is_some()) {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Workers have more room than before: what found none is tried again at once, the most urgent first.
+/// Retries blocked starts at once after workers gained room, the most urgent priority first.
 pub(crate) fn retry_blocked_starts(state: &mut ClusterState) {
     for name in state.functions.active().clone() {
         let Some(function) = state.functions.get_mut(&name) else {
@@ -59,7 +59,7 @@
     }
 }
 
-/// What a function's owner is told of it at a time; none where nothing rules a start out.
+/// The start block of a function at a time; none if a start is possible or a runner may exist.
 pub(crate) fn start_block(state: &ClusterState, name: &str, now: u64) -> Option<StartBlock> {
     let function = state.functions.get(name)?;
     let shortage = function.shortage()?;
@@ -80,13 +80,13 @@
     })
 }
 
-/// The list of runners shows all that an earlier term started.
+/// Whether the list of runners shows everything that an earlier term started.
 fn shows_all_starts(state: &ClusterState) -> bool {
     let since = state.began_at + 2 * state.options.list_lag_ms;
     state.runners_listed_at.is_some_and(|at| at >= since)
 }
 
-/// A runner serves, starts or can be taken back, or one may exist that no list has shown yet.
+/// Whether a runner serves, starts or can be revived, or may exist without being listed yet.
 fn may_have_runner(state: &ClusterState, function: &Function) -> bool {
     state.runners_of(function).any(|(_, runner)| {
         let is_unconfirmed = matches!(runner.state, RunnerState::StartUnconfirmed { .. });
@@ -94,7 +94,7 @@
     })
 }
 
-/// When a worker may have room at the earliest; none where nothing that is known would make it.
+/// Earliest time at which a worker may have room; none if no known change would free enough memory.
 fn room_at(state: &ClusterState, name: &str, function: &Function) -> Option<u64> {
     let configuration = function.configuration();
     let mut surplus = surplus_by_worker(state, name, configuration.priority);
@@ -112,7 +112,7 @@
     times.min()
 }
 
-/// When a worker may have so much memory free, with what ends there and what is to be freed at its times.
+/// Earliest time at which a worker may have that much free memory, given the memory that becomes free.
 fn room_on(
     state: &ClusterState,
     worker: &Worker,
@@ -150,7 +150,7 @@
     }
 }
 
-/// Memory of runners that others than this function could soon do without, by worker.
+/// Memory of surplus runners of other functions, by worker, with the time from which they may be evicted.
 fn surplus_by_worker<'a>(
     state: &'a ClusterState,
     name: &str,
--- a/crates/autoscaler/src/starts.rs
+++ b/crates/autoscaler/src/starts.rs
@@ -1,4 +1,4 @@
-//! The wish for one more runner: placed and queued at once, commanded when the platform's rate allows it.
+//! Adds one more runner: it is placed and queued at once, and commanded when the platform's rate allows it.
 
 use crate::eviction::evict_for;
 use crate::function::Function;
@@ -9,12 +9,12 @@
 use crate::state::ClusterState;
 use crate::worker_capacity::Worker;
 
-/// No worker has room for a runner of the function.
+/// Error: no worker has room for a runner of the function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NoWorkerHasRoom;
 
-/// Queues the start of one more runner of a function. Where no worker has room, idle runners of others are drained for
-/// it, and the start is to be tried again later.
+/// Queues the start of one more runner of a function. If no worker has room, idle runners of other functions are evicted
+/// and the start is retried later.
 pub(crate) fn add_start(
     state: &mut ClusterState,
     name: &str,
@@ -32,7 +32,7 @@
         return Err(NoWorkerHasRoom);
     };
     let runner = pending_runner(state, name, function, worker);
-    log::debug!("scaler: {name} wants a runner on {}", runner.worker);
+    log::debug!("scaler: {name} queues a start on {}", runner.worker);
     let serial = state.add_runner(runner);
     state.queue_start(serial, name, urgency);
     state.note_decision(name, "one more runner");
--- a/crates/autoscaler/src/state.rs
+++ b/crates/autoscaler/src/state.rs
@@ -1,4 +1,4 @@
-//! All that the autoscaler knows, and the steps that concern several parts of it at once.
+//! The complete state of the autoscaler, and the changes that concern several of its parts.
 
 use crate::function::{Function, DEFAULT_SERVICE_TIME_MS};
 use crate::function_table::FunctionTable;
@@ -15,7 +15,7 @@
 pub(crate) struct ClusterState {
     /// How to decide.
     pub options: AutoscalerOptions,
-    /// When this autoscaler took up its work, in milliseconds.
+    /// When this autoscaler was created, in milliseconds.
     pub began_at: u64,
     /// Milliseconds of the caller's clock, which never fall.
     pub now: u64,
@@ -38,7 +38,7 @@
 }
 
 impl ClusterState {
-    /// Nothing is known.
+    /// An empty state.
     pub fn new(options: AutoscalerOptions, now: u64) -> Self {
         Self {
             began_at: now,
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Takes the caller's time.
+    /// Advances the clock; it never goes back.
     pub fn advance_clock(&mut self, now: u64) {
         self.now = self.now.max(now);
     }
 
-    /// Both lists of the platform were seen, so it is known what runs and where there is room.
+    /// Whether both lists were received, so that it is known what runs and where there is room.
     pub fn is_listed(&self) -> bool {
         self.workers.is_listed() && self.runners_listed_at.is_some()
     }
@@ -101,7 +101,7 @@
         serial
     }
 
-    /// Forgets a runner; its memory counts as free from now on.
+    /// Removes a runner; its memory counts as free from now on.
     pub fn forget_runner(&mut self, serial: u64) {
         let Some(runner) = self.runners.remove(serial) else {
             return;
@@ -120,7 +120,7 @@
         self.functions.make_due(&runner.function);
     }
 
-    /// Puts a runner into another state. Its function is decided about next.
+    /// Changes the state of a runner and makes its function due.
     pub fn set_runner_state(&mut self, serial: u64, state: RunnerState) {
         let Some(change) = self.runners.set_state(serial, state) else {
             return;
@@ -142,7 +142,7 @@
         });
     }
 
-    /// Notes the last decision about a function, for operators.
+    /// Records the last decision about a function, for operators.
     pub fn note_decision(&mut self, name: &str, decision: &'static str) {
         if let Some(function) = self.functions.get_mut(name) {
             function.set_last_decision(decision);
--- a/crates/autoscaler/src/stopped_runners.rs
+++ b/crates/autoscaler/src/stopped_runners.rs
@@ -1,4 +1,4 @@
-//! Runners that ended lately. Lists that lag may show them again, which starts no new life for them.
+//! Runners that ended recently. Lists lag and may still show them; they must not be adopted again.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -19,7 +19,7 @@
         self.stopped_at.get(id).copied()
     }
 
-    /// A runner that was to end is there still.
+    /// Drops the record of a runner that turned out to exist still.
     pub fn remove(&mut self, id: &str) {
         self.stopped_at.remove(id);
     }
--- a/crates/autoscaler/src/token_bucket.rs
+++ b/crates/autoscaler/src/token_bucket.rs
@@ -37,7 +37,7 @@
         self.tokens >= 1.0
     }
 
-    /// Takes a token. To be called only where there is one.
+    /// Takes a token. Call only if [`TokenBucket::has_token`].
     pub fn take(&mut self) {
         debug_assert!(self.has_token(), "a command beyond the rate");
         self.tokens -= 1.0;
--- a/crates/autoscaler/src/update_log.rs
+++ b/crates/autoscaler/src/update_log.rs
@@ -1,4 +1,4 @@
-//! Versions of what owners are told of their functions' runners.
+//! Versions of the updates to owners.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 /// owner's number of an earlier term is never taken for one of this term.
 const TERM_SHIFT: u32 = 32;
 
-/// Numbers updates and knows which functions changed since their last one.
+/// Numbers updates and records which functions changed since their last one.
 #[derive(Debug)]
 pub(crate) struct UpdateLog {
     term: u64,
@@ -34,7 +34,7 @@
         self.term << TERM_SHIFT
     }
 
-    /// The owner of a function is to hear of its runners.
+    /// An update of the function is to be sent.
     pub fn mark_changed(&mut self, function: &str) {
         if !self.changed.contains(function) {
             self.changed.insert(function.to_owned());
--- a/crates/autoscaler/src/updates.rs
+++ b/crates/autoscaler/src/updates.rs
@@ -1,4 +1,4 @@
-//! What owners are told of their functions' runners: which there are, in which stage, and with which quota.
+//! Updates to owners: the runners of a function, the stage and quota of each.
 
 use crate::function::Function;
 use crate::runner::Runner;
@@ -6,7 +6,7 @@
 use crate::state::ClusterState;
 use protocol::{FunctionUpdate, RunnerStage, RunnerUpdate, UpdateVersion};
 
-/// Updates of the functions whose runners changed since the last call. None before the lists were seen once.
+/// Updates of the functions whose runners changed since the last call. None before both lists were received.
 pub(crate) fn take_updates(state: &mut ClusterState) -> Vec<FunctionUpdate> {
     if !state.is_listed() {
         return Vec::new();
@@ -35,8 +35,8 @@
     }
 }
 
-/// The present update of a function for an owner that lacks it. Until the lists were seen once it is empty, with a
-/// version that supersedes no other.
+/// The current update of a function for an owner that does not have it. Before both lists were received it is empty and
+/// its version supersedes no other.
 pub(crate) fn update_for(state: &ClusterState, name: &str, now: u64) -> FunctionUpdate {
     if !state.is_listed() {
         return FunctionUpdate {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Version of the present update of a function; zero until the lists were seen once.
+/// Version of the current update of a function; zero before both lists were received.
 pub(crate) fn update_version(state: &ClusterState, name: &str) -> UpdateVersion {
     if !state.is_listed() {
         return UpdateVersion::default();
--- a/crates/autoscaler/src/worker_capacity.rs
+++ b/crates/autoscaler/src/worker_capacity.rs
@@ -1,4 +1,4 @@
-//! The platform's workers: which take starts, and how much memory is free on them.
+//! The platform's workers: which accept starts, and how much memory is free on them.
 //!
 //! The free memory of a worker is the lesser of two views. One is its size less what the known runners take. The other is
 //! the platform's list, corrected by what was started and freed so lately that the list may lack it.
@@ -7,7 +7,7 @@
 use crate::platform::WorkerListing;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A worker, and what became of it since it was listed.
+/// A worker, with what changed since it was listed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Worker {
     listing: WorkerListing,
@@ -22,7 +22,7 @@
         &self.listing
     }
 
-    /// Before this no start is tried here, since the last one found no room.
+    /// Time before which no start is tried, because the last one found no room.
     pub fn starts_paused_until(&self) -> u64 {
         self.starts_paused_until
     }
@@ -31,7 +31,7 @@
 /// What a new list of workers changed.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerChanges {
-    /// Names of workers that are listed no more.
+    /// Names of workers that are not listed any more.
     pub lost: Vec<String>,
     /// A worker can take more than before.
     pub has_gained_room: bool,
@@ -89,7 +89,7 @@
         self.evacuated_zones.contains(zone)
     }
 
-    /// Takes the zones to evacuate. Tells whether they are others than before.
+    /// Sets the evacuated zones. Returns whether they changed.
     pub fn set_evacuated_zones(&mut self, zones: &BTreeSet<String>) -> bool {
         let is_changed = self.evacuated_zones != *zones;
         if is_changed {
@@ -98,17 +98,17 @@
         is_changed
     }
 
-    /// Whether a worker takes no starts at all: it drains, or its zone is evacuated.
+    /// Whether a worker accepts no starts at all: it drains, or its zone is evacuated.
     pub fn is_closed(&self, worker: &Worker) -> bool {
         worker.listing.is_draining || self.is_evacuated(&worker.listing.zone)
     }
 
-    /// Whether a worker takes new starts now.
+    /// Whether a worker accepts new starts now.
     pub fn is_open(&self, worker: &Worker, now: u64) -> bool {
         !self.is_closed(worker) && now >= worker.starts_paused_until
     }
 
-    /// Takes the platform's whole list of workers.
+    /// Replaces the list of workers.
     pub fn replace(&mut self, listings: Vec<WorkerListing>, now: u64) -> WorkerChanges {
         self.is_listed = true;
         let mut before = std::mem::take(&mut self.workers);
@@ -140,7 +140,7 @@
         }
     }
 
-    /// A start found no room on a worker: none is tried there until lists surely show why.
+    /// A start found no room on a worker: none is tried there until lists show the reason, after twice their lag.
     pub fn pause_starts(&mut self, name: &str, now: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.starts_paused_until = now + 2 * self.list_lag_ms;
