--- a/tests/hollow/src/scaler.rs
+++ b/tests/hollow/src/scaler.rs
@@ -199,7 +199,7 @@
 fn lists() {
     let columns = ["instances", "MB of the list", "ms to read it"];
     let table = Markdown::head(
-        "The platform's list of instances (`platform::read_list`)",
+        "The platform's list of instances (`platform::read_instances`)",
         &columns,
     );
     let mut points = Vec::new();
@@ -209,7 +209,7 @@
         let body = town::list_body(&listings.collect::<Vec<_>>());
         let mut sum = 0;
         for _ in 0..ROUNDS {
-            let _ = timed(&mut sum, || platform::read_list(&body));
+            let _ = timed(&mut sum, || platform::read_instances(&body));
         }
         let ms = sum as f64 / ROUNDS as f64 / 1e6;
         points.push((instances as f64, ms));
