--- a/crates/gateway/src/controller_messages.rs
+++ b/crates/gateway/src/controller_messages.rs
@@ -20,28 +20,7 @@
             return;
         }
         match message {
-            Message::ControllerHeartbeat {
-                configuration_version,
-                evacuations_version,
-                term,
-                controllers,
-                zone,
-                is_current,
-            } => {
-                let versions = ConfigurationVersions {
-                    configuration: configuration_version,
-                    evacuations: evacuations_version,
-                };
-                let state = ControllerState {
-                    versions,
-                    term,
-                    zone,
-                    is_current,
-                };
-                self.controllers.record_heartbeat(address, state);
-                self.controllers.add(controllers.into_iter());
-                self.request_configuration();
-            }
+            Message::ControllerHeartbeat { .. } => self.controller_heartbeat(address, message),
             Message::Configuration { .. }
             | Message::ConfigurationChanges { .. }
             | Message::EvacuatedZones { .. } => self.configuration_message(address, message),
@@ -60,6 +39,32 @@
         }
     }
 
+    fn controller_heartbeat(&mut self, address: &str, heartbeat: Message) {
+        let Message::ControllerHeartbeat {
+            configuration_version,
+            evacuations_version,
+            term,
+            controllers,
+            zone,
+            is_current,
+        } = heartbeat
+        else {
+            return;
+        };
+        let state = ControllerState {
+            versions: ConfigurationVersions {
+                configuration: configuration_version,
+                evacuations: evacuations_version,
+            },
+            term,
+            zone,
+            is_current,
+        };
+        self.controllers.record_heartbeat(address, state);
+        self.controllers.add(controllers.into_iter());
+        self.request_configuration();
+    }
+
     /// Configuration of a controller. A gateway that serves may move forward by what any controller holds; one that
     /// starts waits for a controller that is in contact with a majority.
     fn configuration_message(&mut self, address: &str, message: Message) {
--- a/crates/gateway/src/job_messages.rs
+++ b/crates/gateway/src/job_messages.rs
@@ -5,7 +5,7 @@
 use crate::pending_request::{PendingRequest, RequestPhase};
 use crate::stored_response::{pack, unpack, StoredResponse};
 use http1::{Request, Response};
-use jobs::{digest, is_key, JobAction, JobAdmission};
+use jobs::{digest, is_key, JobAdmission};
 use protocol::{JobCompletion, JobResult, JobVerdict, Message, RequestId};
 
 /// Header by which a client names the job that its request asks for.
@@ -39,103 +39,8 @@
         Ok(Some(Box::new(job)))
     }
 
-    /// Does what the coordination of jobs asks for; whether there was anything.
-    pub fn run_job_actions(&mut self) -> bool {
-        let actions = self.jobs.take_actions();
-        let has_any = !actions.is_empty();
-        for action in actions {
-            self.run_job_action(action);
-        }
-        has_any
-    }
-
-    fn run_job_action(&mut self, action: JobAction) {
-        let now = self.now;
-        match action {
-            JobAction::RequestLease {
-                gateway,
-                zone,
-                request,
-            } => {
-                self.lease_owner
-                    .request_lease(now, &gateway, &zone, request);
-            }
-            JobAction::CancelLeaseRequest {
-                gateway,
-                request_id,
-            } => {
-                self.lease_owner.cancel(now, &gateway, request_id);
-            }
-            JobAction::NotifyClaimed {
-                gateway,
-                request_id,
-                attempt,
-                register_version,
-            } => {
-                let message = Message::JobClaimed {
-                    request_id,
-                    attempt,
-                    register_version,
-                };
-                self.send_job_message(&gateway, message);
-            }
-            JobAction::NotifyJoined {
-                gateway,
-                request_id,
-                attempt,
-            } => {
-                let message = Message::JobJoined {
-                    request_id,
-                    attempt,
-                };
-                self.send_job_message(&gateway, message);
-            }
-            JobAction::NotifyVerdict {
-                gateway,
-                request_id,
-                attempt,
-                verdict,
-            } => {
-                let message = Message::JobVerdict {
-                    request_id,
-                    attempt,
-                    verdict,
-                };
-                self.send_job_message(&gateway, message);
-            }
-            JobAction::NotifyPersisted {
-                gateway,
-                request_id,
-            } => {
-                self.send_job_message(&gateway, Message::JobPersisted(request_id));
-            }
-            JobAction::AccessRegister {
-                number,
-                key,
-                expected_version,
-                value,
-                retries,
-            } => {
-                let message = Message::JobRegisterRequest {
-                    number,
-                    key,
-                    expected_version,
-                    value,
-                };
-                self.send_register_request(retries, &message);
-            }
-        }
-    }
-
-    fn send_register_request(&mut self, attempts: u32, message: &Message) {
-        let zone = &self.options.zone;
-        if let Some(controller) = self.controllers.for_job_register(zone, attempts) {
-            self.send_to_controller(&controller, message);
-        }
-    }
-
     /// Sends a message about a job to a gateway, which may be this one.
-    fn send_job_message(&mut self, gateway: &str, message: Message) {
+    pub fn send_job_message(&mut self, gateway: &str, message: Message) {
         if gateway == self.options.name {
             self.job_message(gateway, message);
         } else {
@@ -275,14 +180,14 @@
         };
         let completion = job.completion(request.id, &request.function, result);
         self.unacknowledged_results.record(self.now, &completion);
-        let lender = match &request.phase {
+        let leased_from = match &request.phase {
             RequestPhase::AwaitingLease { owner, .. } => Some(owner.clone()),
             RequestPhase::Upstream(attempt) => Some(attempt.owner.clone()),
             RequestPhase::Backoff => None,
         };
         let owner = self.owner_of(&request.function);
-        let owner = owner.filter(|owner| lender.as_ref() != Some(owner));
-        for name in lender.into_iter().chain(owner) {
+        let owner = owner.filter(|owner| leased_from.as_ref() != Some(owner));
+        for name in leased_from.into_iter().chain(owner) {
             self.send_completion(&name, completion.clone());
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -11,7 +11,7 @@
 //! 6. `request_outcomes`: the response is classified; the request is answered, retried (`retries`) or rejected.
 //! 7. `downstream_responses`: the response is written, and the client's next request is read.
 //!
-//! Beside this path stand `job_messages` (requests with an idempotency key), `peer_messages` and
+//! Beside this path stand `job_messages` and `job_actions` (requests with an idempotency key), `peer_messages` and
 //! `controller_messages` (what other daemons send), `configuration_updates`, `upstream_probes`, `readiness` and
 //! `status`.
 //!
@@ -30,6 +30,7 @@
 mod downstream_responses;
 mod gateway;
 mod in_flight_requests;
+mod job_actions;
 mod job_messages;
 mod lease_requests;
 mod options;
--- a/crates/gateway/tests/upstream_session.rs
+++ b/crates/gateway/tests/upstream_session.rs
@@ -1,5 +1,5 @@
-//! The state of one connection to a runner, for every cut and every interleaving of its bytes: no part of an answer
-//! reaches another request, and an answer that is cut short is never whole.
+//! The state of one connection to a runner, for every cut and every interleaving of its bytes: no part of a response
+//! reaches another request, and a response that is cut short is never whole.
 
 use gateway::response_classification::{classify, ResponseClass};
 use gateway::upstream_session::{
@@ -49,7 +49,7 @@
     }
 }
 
-fn answer(framing: Framing, id: &str) -> Vec<u8> {
+fn response_bytes(framing: Framing, id: &str) -> Vec<u8> {
     let length = format!("Content-Length: {}\r\n\r\n", BODY.len());
     let head = |status: &str, rest: &str| {
         format!("HTTP/1.1 {status}\r\nId: {id}\r\nSeal: seal-{id}\r\n{rest}").into_bytes()
@@ -76,44 +76,43 @@
 
 /// A connection, and what has arrived on it.
 #[derive(Default)]
-struct Peer {
-    connection: UpstreamSession,
-    inbox: Vec<u8>,
+struct SimulatedRunner {
+    session: UpstreamSession,
+    buffer: Vec<u8>,
 }
 
-impl Peer {
-    fn gives(&mut self, bytes: &[u8]) -> SessionEvent {
-        self.inbox.extend_from_slice(bytes);
-        self.connection
-            .bytes_received(&mut self.inbox, &CONVENTIONS)
+impl SimulatedRunner {
+    fn sends(&mut self, bytes: &[u8]) -> SessionEvent {
+        self.buffer.extend_from_slice(bytes);
+        self.session.bytes_received(&mut self.buffer, &CONVENTIONS)
     }
 
-    /// Gives the bytes one by one until a request's fate is known: the fate, and how many bytes that took.
-    fn gives_slowly(&mut self, bytes: &[u8]) -> (SessionEvent, usize) {
+    /// Sends the bytes one by one until something is known of the request: what, and after how many bytes.
+    fn sends_byte_by_byte(&mut self, bytes: &[u8]) -> (SessionEvent, usize) {
         for (place, byte) in bytes.iter().enumerate() {
-            let reading = self.gives(&[*byte]);
-            if reading != SessionEvent::Incomplete {
-                return (reading, place + 1);
+            let event = self.sends(&[*byte]);
+            if event != SessionEvent::Incomplete {
+                return (event, place + 1);
             }
         }
         (SessionEvent::Incomplete, bytes.len())
     }
 }
 
-fn whole(reading: SessionEvent, what: &str) -> UpstreamResponse {
-    match reading {
-        SessionEvent::Response(answer) => answer,
+fn complete_response(event: SessionEvent, what: &str) -> UpstreamResponse {
+    match event {
+        SessionEvent::Response(response) => response,
         other => panic!("{what}: {other:?}"),
     }
 }
 
-/// What must hold of an answer that is passed on to the request with this id.
-fn check_own(answer: &UpstreamResponse, id: &str, framing: Framing, what: &str) {
-    let ids: Vec<&[u8]> = answer.response.headers.get_all("Id").collect();
+/// What must hold of a response that is passed on to the request with this id.
+fn check_own(response: &UpstreamResponse, id: &str, framing: Framing, what: &str) {
+    let ids: Vec<&[u8]> = response.response.headers.get_all("Id").collect();
     assert_eq!(ids, [id.as_bytes()], "{what}");
     let seal = format!("seal-{id}");
     assert_eq!(
-        answer.response.headers.get("Seal"),
+        response.response.headers.get("Seal"),
         Some(seal.as_bytes()),
         "{what}"
     );
@@ -122,46 +121,46 @@
         Framing::NoContent | Framing::NotModified | Framing::Head
     );
     let body = if is_empty { b"".as_slice() } else { BODY };
-    assert_eq!(answer.response.body, body, "{what}");
+    assert_eq!(response.response.body, body, "{what}");
 }
 
 #[test]
-fn an_answer_is_whole_at_its_last_byte_and_not_before() {
+fn a_response_is_complete_at_its_last_byte_and_not_before() {
     for framing in FRAMINGS {
-        let bytes = answer(framing, "own");
+        let bytes = response_bytes(framing, "own");
         for cut in 0..=bytes.len() {
             let what = format!("{framing:?} cut at {cut} of {}", bytes.len());
-            let mut peer = Peer::default();
-            peer.connection.request_sent(outstanding("own", framing));
-            let (reading, taken) = peer.gives_slowly(&bytes[..cut]);
+            let mut runner = SimulatedRunner::default();
+            runner.session.request_sent(outstanding("own", framing));
+            let (event, taken) = runner.sends_byte_by_byte(&bytes[..cut]);
             if cut == bytes.len() && framing != Framing::Close {
-                check_own(&whole(reading, &what), "own", framing, &what);
+                check_own(&complete_response(event, &what), "own", framing, &what);
                 assert_eq!(taken, cut);
                 assert_eq!(
-                    peer.connection.connection_closed(),
+                    runner.session.connection_closed(),
                     SessionEvent::Unsolicited,
                     "{what}"
                 );
                 continue;
             }
-            assert_eq!(reading, SessionEvent::Incomplete, "{what}");
-            let end = peer.connection.connection_closed();
+            assert_eq!(event, SessionEvent::Incomplete, "{what}");
+            let end = runner.session.connection_closed();
             assert!(matches!(end, SessionEvent::Failed(_)), "{what}: {end:?}");
         }
     }
 }
 
 #[test]
-fn bytes_behind_an_answer_never_answer_the_next_request() {
+fn surplus_bytes_never_become_a_response_to_the_next_request() {
     for first in FRAMINGS.into_iter().filter(|one| *one != Framing::Close) {
         for stale in FRAMINGS {
-            let surplus = answer(stale, "stale");
+            let surplus = response_bytes(stale, "stale");
             for count in 1..=surplus.len() {
                 let what = format!("{first:?}, then {count} bytes of {stale:?}");
-                let mut peer = Peer::default();
-                peer.connection.request_sent(outstanding("own", first));
-                let bytes = [&answer(first, "own"), &surplus[..count]].concat();
-                let own = whole(peer.gives(&bytes), &what);
+                let mut runner = SimulatedRunner::default();
+                runner.session.request_sent(outstanding("own", first));
+                let bytes = [&response_bytes(first, "own"), &surplus[..count]].concat();
+                let own = complete_response(runner.sends(&bytes), &what);
                 check_own(&own, "own", first, &what);
                 assert!(!own.is_reusable, "{what}: it is used again");
             }
@@ -170,26 +169,28 @@
 }
 
 #[test]
-fn late_bytes_on_a_kept_connection_never_answer_the_next_request() {
+fn late_bytes_on_a_reused_connection_never_become_a_response() {
     for stale in FRAMINGS {
-        let surplus = answer(stale, "stale");
+        let surplus = response_bytes(stale, "stale");
         for count in 0..=surplus.len() {
             for next in FRAMINGS {
                 let what = format!("{count} late bytes of {stale:?}, then {next:?}");
-                let mut peer = Peer::default();
-                peer.connection
+                let mut runner = SimulatedRunner::default();
+                runner
+                    .session
                     .request_sent(outstanding("own", Framing::Length));
-                let own = whole(peer.gives(&answer(Framing::Length, "own")), &what);
+                let own =
+                    complete_response(runner.sends(&response_bytes(Framing::Length, "own")), &what);
                 assert!(own.is_reusable, "{what}");
-                peer.connection.request_sent(outstanding("next", next));
-                let bytes = [&surplus[..count], &answer(next, "next")].concat();
-                let (reading, _) = peer.gives_slowly(&bytes);
-                if let SessionEvent::Response(answer) = reading {
-                    check_own(&answer, "next", next, &what);
-                    // Interim answers are dropped, whosever they are: nothing of them can reach a request.
+                runner.session.request_sent(outstanding("next", next));
+                let bytes = [&surplus[..count], &response_bytes(next, "next")].concat();
+                let (event, _) = runner.sends_byte_by_byte(&bytes);
+                if let SessionEvent::Response(response) = event {
+                    check_own(&response, "next", next, &what);
+                    // Interim responses are dropped, whosever they are: nothing of them can reach a request.
                     let is_interim = stale == Framing::Interim && count <= INTERIM.len();
-                    let is_fair = count == 0 || (is_interim && answer.is_reusable);
-                    assert_eq!(answer.is_reusable, is_fair, "{what}: it is used again");
+                    let is_fair = count == 0 || (is_interim && response.is_reusable);
+                    assert_eq!(response.is_reusable, is_fair, "{what}: it is used again");
                 }
             }
         }
@@ -197,56 +198,58 @@
 }
 
 #[test]
-fn an_answer_to_another_request_is_passed_over_however_it_is_framed() {
+fn a_response_to_another_request_is_skipped_however_it_is_framed() {
     for stale in FRAMINGS.into_iter().filter(|one| *one != Framing::Close) {
-        let mut peer = Peer::default();
-        // What a HEAD is answered with has no body, and the body of a stale answer would be garbage.
+        let mut runner = SimulatedRunner::default();
+        // What a HEAD is answered with has no body, and the body of a stale response would be garbage.
         if stale == Framing::Head {
             continue;
         }
-        peer.connection
+        runner
+            .session
             .request_sent(outstanding("own", Framing::Length));
         let what = format!("{stale:?}");
         assert_eq!(
-            peer.gives(&answer(stale, "stale")),
+            runner.sends(&response_bytes(stale, "stale")),
             SessionEvent::Incomplete,
             "{what}"
         );
-        let own = whole(peer.gives(&answer(Framing::Length, "own")), &what);
+        let own = complete_response(runner.sends(&response_bytes(Framing::Length, "own")), &what);
         check_own(&own, "own", Framing::Length, &what);
         assert!(!own.is_reusable, "{what}");
     }
 }
 
 #[test]
-fn a_connection_with_too_many_foreign_answers_fails() {
-    let mut peer = Peer::default();
-    peer.connection
+fn a_connection_with_too_many_stray_responses_fails() {
+    let mut runner = SimulatedRunner::default();
+    runner
+        .session
         .request_sent(outstanding("own", Framing::Length));
     let mut given = 0;
-    while peer.gives(&answer(Framing::Length, "stale")) == SessionEvent::Incomplete {
+    while runner.sends(&response_bytes(Framing::Length, "stale")) == SessionEvent::Incomplete {
         given += 1;
         assert!(given < 10, "it never ends");
     }
     assert_eq!(
-        peer.connection.connection_closed(),
+        runner.session.connection_closed(),
         SessionEvent::Unsolicited
     );
 }
 
 #[test]
-fn garbage_at_any_place_of_an_answer_never_makes_another_answer() {
+fn garbage_within_a_response_never_yields_another_response() {
     for framing in FRAMINGS.into_iter().filter(|one| *one != Framing::Close) {
-        let bytes = answer(framing, "own");
+        let bytes = response_bytes(framing, "own");
         for place in 0..bytes.len() {
             for garbage in [b"\0".as_slice(), b"\r\n\r\n", b"HTTP/1.1 200 OK\r\n"] {
                 let what = format!("{garbage:?} at {place} of {framing:?}");
-                let mut peer = Peer::default();
-                peer.connection.request_sent(outstanding("own", framing));
+                let mut runner = SimulatedRunner::default();
+                runner.session.request_sent(outstanding("own", framing));
                 let spoilt = [&bytes[..place], garbage, &bytes[place..]].concat();
-                let (reading, _) = peer.gives_slowly(&spoilt);
-                if let SessionEvent::Response(answer) = reading {
-                    let ids: Vec<&[u8]> = answer.response.headers.get_all("Id").collect();
+                let (event, _) = runner.sends_byte_by_byte(&spoilt);
+                if let SessionEvent::Response(response) = event {
+                    let ids: Vec<&[u8]> = response.response.headers.get_all("Id").collect();
                     assert_eq!(ids, [b"own"], "{what}");
                 }
             }
@@ -255,20 +258,21 @@
 }
 
 #[test]
-fn a_cut_first_line_lends_its_status_to_no_other_answer() {
+fn a_truncated_status_line_lends_its_status_to_no_other_response() {
     for status in ["200 OK", "204 No Content", "503 Busy"] {
         let stale = format!("HTTP/1.1 {status}");
         for count in 1..=stale.len() {
-            let mut peer = Peer::default();
-            peer.connection
+            let mut runner = SimulatedRunner::default();
+            runner
+                .session
                 .request_sent(outstanding("own", Framing::Length));
             let failed =
                 b"HTTP/1.1 500 No\r\nId: own\r\nSeal: seal-own\r\nContent-Length: 0\r\n\r\n";
             let bytes = [&stale.as_bytes()[..count], failed].concat();
-            let reading = peer.gives(&bytes);
+            let event = runner.sends(&bytes);
             assert!(
-                matches!(reading, SessionEvent::Failed(_)),
-                "{count} bytes of {stale}: {reading:?}"
+                matches!(event, SessionEvent::Failed(_)),
+                "{count} bytes of {stale}: {event:?}"
             );
         }
     }
@@ -283,73 +287,78 @@
 }
 
 #[test]
-fn only_an_answer_with_its_id_alone_is_a_requests_own() {
-    let refused: [&[(&str, &str)]; 4] = [
+fn only_a_response_with_the_request_id_alone_is_accepted() {
+    let ignored: [&[(&str, &str)]; 4] = [
         &[("Seal", "s")],
         &[("Id", "other"), ("Seal", "s")],
         &[("Id", "own"), ("Id", "other"), ("Seal", "s")],
         &[("Id", "ow"), ("Seal", "s")],
     ];
-    for headers in refused {
-        let mut peer = Peer::default();
-        peer.connection
+    for headers in ignored {
+        let mut runner = SimulatedRunner::default();
+        runner
+            .session
             .request_sent(outstanding("own", Framing::Length));
-        let reading = peer.gives(&head(200, headers));
-        assert_eq!(reading, SessionEvent::Incomplete, "{headers:?}");
+        let event = runner.sends(&head(200, headers));
+        assert_eq!(event, SessionEvent::Incomplete, "{headers:?}");
     }
 }
 
 #[test]
-fn a_refusal_without_an_id_is_believed_on_a_new_connection_only() {
-    let refusal = head(503, &[("Not-Run", "1")]);
-    let mut peer = Peer::default();
-    peer.connection
+fn a_rejection_without_an_id_is_certain_on_a_new_connection_only() {
+    let rejection = head(503, &[("Not-Run", "1")]);
+    let mut runner = SimulatedRunner::default();
+    runner
+        .session
         .request_sent(outstanding("own", Framing::Length));
-    let told = whole(peer.gives(&refusal), "new");
-    assert!(told.is_certain);
+    let received = complete_response(runner.sends(&rejection), "new");
+    assert!(received.is_certain);
     assert_eq!(
-        classify(&told.response, &CONVENTIONS),
+        classify(&received.response, &CONVENTIONS),
         ResponseClass::Rejected
     );
 
     // On a connection that had another request, it may be that one's.
-    peer.connection
+    runner
+        .session
         .request_sent(outstanding("next", Framing::Length));
-    assert_eq!(peer.gives(&refusal), SessionEvent::Incomplete);
+    assert_eq!(runner.sends(&rejection), SessionEvent::Incomplete);
 
-    let mut peer = Peer::default();
-    peer.connection
+    let mut runner = SimulatedRunner::default();
+    runner
+        .session
         .request_sent(outstanding("own", Framing::Length));
-    whole(peer.gives(&answer(Framing::Length, "own")), "own");
-    let repeatable = OutstandingRequest {
+    complete_response(runner.sends(&response_bytes(Framing::Length, "own")), "own");
+    let idempotent = OutstandingRequest {
         at_most_once: false,
         ..outstanding("next", Framing::Length)
     };
-    peer.connection.request_sent(repeatable);
-    assert!(!whole(peer.gives(&refusal), "repeatable").is_certain);
+    runner.session.request_sent(idempotent);
+    assert!(!complete_response(runner.sends(&rejection), "idempotent").is_certain);
 }
 
 #[test]
-fn bytes_that_nobody_asked_for_end_a_connection() {
-    for bytes in [b"x".as_slice(), &answer(Framing::Length, "own")] {
-        let mut peer = Peer::default();
-        assert_eq!(peer.gives(bytes), SessionEvent::Unsolicited);
+fn unsolicited_bytes_end_a_connection() {
+    for bytes in [b"x".as_slice(), &response_bytes(Framing::Length, "own")] {
+        let mut runner = SimulatedRunner::default();
+        assert_eq!(runner.sends(bytes), SessionEvent::Unsolicited);
         assert_eq!(
-            peer.connection.connection_closed(),
+            runner.session.connection_closed(),
             SessionEvent::Unsolicited
         );
     }
 }
 
 #[test]
-fn a_runners_word_is_taken_for_what_it_promises_and_no_more() {
+fn responses_are_classified_by_what_they_promise() {
     let of = |status: u16, headers: &[(&str, &str)]| {
-        let mut peer = Peer::default();
-        peer.connection
+        let mut runner = SimulatedRunner::default();
+        runner
+            .session
             .request_sent(outstanding("own", Framing::Length));
         let headers: Vec<_> = [("Id", "own")].iter().chain(headers).copied().collect();
         classify(
-            &whole(peer.gives(&head(status, &headers)), "own").response,
+            &complete_response(runner.sends(&head(status, &headers)), "own").response,
             &CONVENTIONS,
         )
     };
