--- a/crates/consensus/src/consensus/membership.rs
+++ b/crates/consensus/src/consensus/membership.rs
@@ -8,7 +8,7 @@
 use register::{Change, VoterRef, VoterSet, VOTERS_KEY};
 use speedy::Writable;
 use std::collections::BTreeSet;
-use voter::{MembershipChange, MembershipStep};
+use voter::{MembershipChange, MembershipStep, MembershipView};
 
 /// Most members whose reachability a heartbeat tells, one bit for each.
 const MAX_REACHABLE_BITS: usize = 64;
@@ -186,13 +186,17 @@
         let me = self.own_ref();
         let reachable = self.reachable_disks(now, voting);
         let set = self.sets.newest();
-        let committed = (set.number - 1, set);
-        let timeout_ms = self.options.replacement_timeout_ms;
-        let step = self
-            .membership_change
-            .decide(now, timeout_ms, &me, set, &reachable, committed);
-        match step {
-            MembershipStep::Propose(_, next) => Some(next),
+        let view = MembershipView {
+            now,
+            replacement_timeout_ms: self.options.replacement_timeout_ms,
+            me: &me,
+            set,
+            answering: &reachable,
+            committed_version: set.number - 1,
+            committed_set: set,
+        };
+        match self.membership_change.decide(&view) {
+            MembershipStep::Propose { next, .. } => Some(next),
             _ if self.may_grow(voting) => set.with_member(me),
             _ => None,
         }
--- a/crates/core/src/joining.rs
+++ b/crates/core/src/joining.rs
@@ -8,7 +8,7 @@
 };
 use speedy::{Readable, Writable};
 use transport::{now_ms, PeerMessage};
-use voter::{Installation, MembershipChange, MembershipStep, PeerStatus};
+use voter::{Installation, MembershipChange, MembershipStep, MembershipView, PeerStatus};
 
 /// Takes the next step of an empty core into the set of voters.
 pub fn step(shared: &Shared, joining: &mut MembershipChange, set: &VoterSet, heard: &[PeerStatus]) {
@@ -21,14 +21,22 @@
     };
     let timeout = shared.store.committed().configuration.bounds.return_ms;
     let answering: Vec<u64> = heard.iter().map(|one| one.disk).collect();
-    let committed = (version, &newest);
-    match joining.decide(now_ms(), timeout, &me, set, &answering, committed) {
+    let view = MembershipView {
+        now: now_ms(),
+        replacement_timeout_ms: timeout,
+        me: &me,
+        set,
+        answering: &answering,
+        committed_version: version,
+        committed_set: &newest,
+    };
+    match joining.decide(&view) {
         MembershipStep::Wait => {}
         MembershipStep::Adopt(next) => {
             adopt(shared, set, &next);
         }
         MembershipStep::Install => install(shared, set),
-        MembershipStep::Propose(expected, next) => {
+        MembershipStep::Propose { expected, next } => {
             log::warn!("set: this empty core takes the place of a voter");
             let bytes = next.write_to_vec().unwrap_or_default();
             let change = Change::Write { expected, bytes };
--- a/crates/core/src/set.rs
+++ b/crates/core/src/set.rs
@@ -9,7 +9,9 @@
 use std::thread;
 use std::time::Instant;
 use transport::{now_ms, PeerMessage, StateUpdate};
-use voter::{Bootstrap, BootstrapStep, GatewayEvidence, MembershipChange, PeerStatus};
+use voter::{
+    Bootstrap, BootstrapStep, BootstrapView, GatewayEvidence, MembershipChange, PeerStatus,
+};
 
 /// Finds out which voters count, again and again. Where all three seeds say that they are empty,
 /// the first of them forms a new epoch; a core that is empty beside others joins them.
@@ -54,11 +56,23 @@
     let bounds = shared.store.committed().configuration.bounds.clone();
     let is_first = shared.settings.seeds[0] == shared.settings.address();
     let seeds = shared.settings.seeds.len();
-    let (now, wall, own) = (now_ms(), shared.median_wall_clock(), shared.disk);
-    match founding.decide(now, wall, &bounds, own, is_first, seeds, heard, held) {
+    let view = BootstrapView {
+        now: now_ms(),
+        wall: shared.median_wall_clock(),
+        bounds: &bounds,
+        own_disk: shared.disk,
+        is_first_seed: is_first,
+        seeds,
+        peers: heard,
+        evidence: held,
+    };
+    match founding.decide(&view) {
         BootstrapStep::Wait => {}
-        BootstrapStep::Form(set, floor) => form_epoch(shared, set, floor, gathered.as_ref()),
-        BootstrapStep::Resend(set, addresses) => {
+        BootstrapStep::Form {
+            set,
+            refused_before,
+        } => form_epoch(shared, set, refused_before, gathered.as_ref()),
+        BootstrapStep::Resend { set, addresses } => {
             let Some(floor) = repair::own_copy(shared).map(|copy| copy.claim_floors.refused_before)
             else {
                 return;
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -24,7 +24,7 @@
 pub enum JournalError {
     /// The disk refused a call.
     Disk,
-    /// Bytes in the middle are not what was written; copies elsewhere must mend it.
+    /// Bytes in the middle are not what was written; replicas elsewhere must repair it.
     Damaged,
 }
 
--- a/crates/simulator/src/core_founding.rs
+++ b/crates/simulator/src/core_founding.rs
@@ -6,7 +6,9 @@
 use speedy::Writable;
 use std::collections::BTreeMap;
 use transport::{ConfigurationUpdate, PeerMessage, PlanUpdate, StateUpdate};
-use voter::{median_wall_clock, Bootstrap, BootstrapStep, GatewayEvidence, PeerStatus};
+use voter::{
+    median_wall_clock, Bootstrap, BootstrapStep, BootstrapView, GatewayEvidence, PeerStatus,
+};
 
 /// Numbers of questions for what fronts hold.
 pub(crate) const GATHER: u64 = 3;
@@ -147,14 +149,22 @@
         let bounds = self.in_force.configuration.bounds.clone();
         let is_first = self.seeds[0] == self.peer.name;
         let wall = median_wall_clock(net.wall, self.found.ahead.values().copied());
-        let (now, seeds) = (net.now, self.seeds.len());
-        let step = self
-            .found
-            .founding
-            .decide(now, wall, &bounds, self.disk, is_first, seeds, heard, held);
-        match step {
+        let view = BootstrapView {
+            now: net.now,
+            wall,
+            bounds: &bounds,
+            own_disk: self.disk,
+            is_first_seed: is_first,
+            seeds: self.seeds.len(),
+            peers: heard,
+            evidence: held,
+        };
+        match self.found.founding.decide(&view) {
             BootstrapStep::Wait => {}
-            BootstrapStep::Form(set, floor) => {
+            BootstrapStep::Form {
+                set,
+                refused_before: floor,
+            } => {
                 oracle.look("eras founded");
                 self.voter.bootstrap(set.clone(), floor);
                 if !self.voter.sync() {
@@ -166,7 +176,7 @@
                 }
                 self.learn_set(&set);
             }
-            BootstrapStep::Resend(set, addresses) => {
+            BootstrapStep::Resend { set, addresses } => {
                 let floor = self.voter.acceptor().claim_floors().refused_before;
                 for address in addresses {
                     let packet = self.packet(0, PeerMessage::Form(set.clone(), floor));
--- a/crates/simulator/src/core_joining.rs
+++ b/crates/simulator/src/core_joining.rs
@@ -8,7 +8,7 @@
 use speedy::{Readable, Writable};
 use std::collections::{BTreeMap, BTreeSet};
 use transport::{PeerMessage, ReplicaDigest};
-use voter::{Installation, MembershipChange, MembershipStep, PeerStatus};
+use voter::{Installation, MembershipChange, MembershipStep, MembershipView, PeerStatus};
 
 const CYCLE: u64 = 500;
 /// Time between comparisons with the other members' copies.
@@ -137,16 +137,19 @@
             disk: self.disk,
             address: self.peer.name.clone(),
         };
-        let committed = (stored.version, &newest);
-        let now = net.now;
-        let step = self
-            .join
-            .joining
-            .decide(now, TIMEOUT, &me, &set, answering, committed);
-        match step {
+        let view = MembershipView {
+            now: net.now,
+            replacement_timeout_ms: TIMEOUT,
+            me: &me,
+            set: &set,
+            answering,
+            committed_version: stored.version,
+            committed_set: &newest,
+        };
+        match self.join.joining.decide(&view) {
             MembershipStep::Wait => {}
             MembershipStep::Adopt(next) => self.announce_adoption(net, &next),
-            MembershipStep::Propose(expected, next) => {
+            MembershipStep::Propose { expected, next } => {
                 let bytes = next.write_to_vec().unwrap_or_default();
                 let change = Change::Write { expected, bytes };
                 self.propose(net, VOTERS_KEY, change, Purpose::JoinWrite(next));
--- a/crates/voter/src/membership_change.rs
+++ b/crates/voter/src/membership_change.rs
@@ -1,3 +1,5 @@
+//! How an empty voter becomes a member of a set that others formed.
+
 use register::{VoterRef, VoterSet};
 
 /// What an empty voter does next to become a member.
@@ -5,75 +7,93 @@
 pub enum MembershipStep {
     /// Nothing can be done yet.
     Wait,
-    /// Tell the members of the set to take the next one, which is settled.
+    /// Tell the members of the set to take the next one, which is committed.
     Adopt(VoterSet),
     /// Take over what the other members hold.
     Install,
-    /// Write this next set with this expected version.
-    Propose(u64, VoterSet),
+    /// Write a next set to the register of sets.
+    Propose {
+        /// Version that the register must have.
+        expected: u64,
+        /// The set, in which this voter takes a member's place.
+        next: VoterSet,
+    },
+}
+
+/// What a decision about the membership is based on.
+#[derive(Clone, Copy, Debug)]
+pub struct MembershipView<'a> {
+    /// Boot-time clock of this machine in milliseconds.
+    pub now: u64,
+    /// How long a member must have been silent before it is replaced, in milliseconds.
+    pub replacement_timeout_ms: u64,
+    /// This empty voter.
+    pub me: &'a VoterRef,
+    /// The set that the others are in.
+    pub set: &'a VoterSet,
+    /// Disks that answer now.
+    pub answering: &'a [u64],
+    /// Version of the register of sets.
+    pub committed_version: u64,
+    /// The set that this register holds.
+    pub committed_set: &'a VoterSet,
+}
+
+/// A member that does not answer.
+#[derive(Clone, Debug)]
+struct SilentMember {
+    disk: u64,
+    since: u64,
 }
 
 /// An empty voter's way into the set. A pure machine.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipChange {
-    /// Members that did not answer, and since when.
-    silent: Vec<(u64, u64)>,
+    silent: Vec<SilentMember>,
 }
 
 impl MembershipChange {
-    /// Decides the next step, from the set that the others are in, the disks that answer now, and
-    /// the version and value of the register that settles sets.
-    pub fn decide(
-        &mut self,
-        now: u64,
-        patience: u64,
-        me: &VoterRef,
-        set: &VoterSet,
-        answering: &[u64],
-        settled: (u64, &VoterSet),
-    ) -> MembershipStep {
-        let (version, newest) = settled;
-        if newest.version() > set.version() {
-            return MembershipStep::Adopt(newest.clone());
+    /// Decides the next step.
+    pub fn decide(&mut self, view: &MembershipView) -> MembershipStep {
+        if view.committed_set.version() > view.set.version() {
+            return MembershipStep::Adopt(view.committed_set.clone());
         }
-        if set.voters.iter().any(|voter| voter.disk == me.disk) {
+        if view.set.contains_disk(view.me.disk) {
             return MembershipStep::Install;
         }
-        let gone = self.gone(now, patience, me, set, answering);
-        let next = gone.and_then(|gone| set.with_replacement(gone, me.clone()));
-        next.map_or(MembershipStep::Wait, |next| {
-            MembershipStep::Propose(version, next)
+        let vacant = self.vacant_disk(view);
+        let next = vacant.and_then(|disk| view.set.with_replacement(disk, view.me.clone()));
+        next.map_or(MembershipStep::Wait, |next| MembershipStep::Propose {
+            expected: view.committed_version,
+            next,
         })
     }
 
-    /// A member whose place is free: its disk was emptied, or it has been silent for long.
-    fn gone(
-        &mut self,
-        now: u64,
-        patience: u64,
-        me: &VoterRef,
-        set: &VoterSet,
-        answering: &[u64],
-    ) -> Option<u64> {
-        let missing = set
-            .voters
+    /// Disk of a member whose place is free: it was emptied, as this voter has its address, or it was silent for long.
+    fn vacant_disk(&mut self, view: &MembershipView) -> Option<u64> {
+        let members = view.set.voters.iter();
+        let missing: Vec<&VoterRef> = members
+            .filter(|voter| !view.answering.contains(&voter.disk))
+            .collect();
+        self.follow_silence(view.now, &missing);
+        let emptied = missing
             .iter()
-            .filter(|voter| !answering.contains(&voter.disk));
-        let missing: Vec<&VoterRef> = missing.collect();
+            .find(|voter| voter.address == view.me.address);
+        let mut silent = self.silent.iter();
+        let silent = silent.find(|member| member.since + view.replacement_timeout_ms <= view.now);
+        emptied
+            .map(|voter| voter.disk)
+            .or_else(|| silent.map(|member| member.disk))
+    }
+
+    fn follow_silence(&mut self, now: u64, missing: &[&VoterRef]) {
         self.silent
-            .retain(|(disk, _)| missing.iter().any(|voter| voter.disk == *disk));
-        for voter in &missing {
-            if !self.silent.iter().any(|(disk, _)| *disk == voter.disk) {
-                self.silent.push((voter.disk, now));
+            .retain(|member| missing.iter().any(|voter| voter.disk == member.disk));
+        for voter in missing {
+            if !self.silent.iter().any(|member| member.disk == voter.disk) {
+                let disk = voter.disk;
+                self.silent.push(SilentMember { disk, since: now });
             }
         }
-        let emptied = missing.iter().find(|voter| voter.address == me.address);
-        let silent = self
-            .silent
-            .iter()
-            .find(|(_, since)| since + patience <= now);
-        emptied
-            .map(|voter| voter.disk)
-            .or_else(|| silent.map(|(disk, _)| *disk))
     }
 }
--- a/crates/voter/tests/bootstrap.rs
+++ b/crates/voter/tests/bootstrap.rs
@@ -2,7 +2,9 @@
 
 use configuration::Bounds;
 use register::VoterSet;
-use voter::{median_wall_clock, Bootstrap, BootstrapStep, GatewayEvidence, PeerStatus};
+use voter::{
+    median_wall_clock, Bootstrap, BootstrapStep, BootstrapView, GatewayEvidence, PeerStatus,
+};
 
 fn empty(disk: u64) -> PeerStatus {
     PeerStatus {
@@ -13,19 +15,29 @@
     }
 }
 
+/// What the first of three seeds decides, whose disk is 1.
 fn decide(
-    founding: &mut Bootstrap,
+    bootstrap: &mut Bootstrap,
     now: u64,
-    heard: &[PeerStatus],
-    held: Option<GatewayEvidence>,
+    peers: &[PeerStatus],
+    evidence: Option<GatewayEvidence>,
 ) -> BootstrapStep {
-    founding.decide(now, 1_000_000, &Bounds::default(), 1, true, 3, heard, held)
+    bootstrap.decide(&BootstrapView {
+        now,
+        wall: 1_000_000,
+        bounds: &Bounds::default(),
+        own_disk: 1,
+        is_first_seed: true,
+        seeds: 3,
+        peers,
+        evidence,
+    })
 }
 
 #[test]
-fn an_epoch_begins_above_what_fronts_hold_once_a_majority_of_them_was_heard() {
-    let heard = [empty(1), empty(2), empty(3)];
-    let mut founding = Bootstrap::default();
+fn an_epoch_begins_above_what_gateways_hold_once_a_majority_of_them_was_heard() {
+    let peers = [empty(1), empty(2), empty(3)];
+    let mut bootstrap = Bootstrap::default();
     let some = |is_majority| {
         Some(GatewayEvidence {
             epoch: 4,
@@ -33,39 +45,46 @@
         })
     };
     assert_eq!(
-        decide(&mut founding, 0, &heard, some(true)),
+        decide(&mut bootstrap, 0, &peers, some(true)),
         BootstrapStep::Wait
     );
     assert_eq!(
-        decide(&mut founding, 1_500, &heard, some(false)),
+        decide(&mut bootstrap, 1_500, &peers, some(false)),
         BootstrapStep::Wait
     );
-    let BootstrapStep::Form(set, floor) = decide(&mut founding, 1_600, &heard, some(true)) else {
+    let BootstrapStep::Form {
+        set,
+        refused_before,
+    } = decide(&mut bootstrap, 1_600, &peers, some(true))
+    else {
         panic!("no epoch");
     };
     assert_eq!((set.epoch, set.number, set.voters.len()), (5, 1, 3));
-    assert!(floor > 1_003_000, "keys from before the loss are refused");
+    assert!(
+        refused_before > 1_003_000,
+        "keys from before the loss are refused"
+    );
     assert_eq!(
-        decide(&mut founding, 1_700, &heard[..2], some(true)),
+        decide(&mut bootstrap, 1_700, &peers[..2], some(true)),
         BootstrapStep::Wait
     );
     assert_eq!(
-        decide(&mut founding, 1_800, &heard, some(true)),
+        decide(&mut bootstrap, 1_800, &peers, some(true)),
         BootstrapStep::Wait
     );
 }
 
 #[test]
-fn no_epoch_begins_from_nothing_where_any_core_heard_of_one_before() {
-    let mut founding = Bootstrap::default();
+fn no_epoch_begins_from_nothing_where_any_peer_heard_of_one_before() {
+    let mut bootstrap = Bootstrap::default();
     let told = PeerStatus {
         gateway_epoch: 4,
         ..empty(3)
     };
-    let heard = [empty(1), empty(2), told];
-    assert_eq!(decide(&mut founding, 0, &heard, None), BootstrapStep::Wait);
+    let peers = [empty(1), empty(2), told];
+    assert_eq!(decide(&mut bootstrap, 0, &peers, None), BootstrapStep::Wait);
     assert_eq!(
-        decide(&mut founding, 60_000, &heard, None),
+        decide(&mut bootstrap, 60_000, &peers, None),
         BootstrapStep::Wait
     );
 }
@@ -83,7 +102,7 @@
 }
 
 #[test]
-fn a_majority_or_all_fronts_of_the_roster_tell_enough() {
+fn a_majority_or_all_gateways_of_the_membership_are_sufficient() {
     assert!(GatewayEvidence::is_sufficient(6, 10, 3) && !GatewayEvidence::is_sufficient(5, 10, 3));
     assert!(GatewayEvidence::is_sufficient(3, 6, 3) && !GatewayEvidence::is_sufficient(2, 6, 3));
     assert!(!GatewayEvidence::is_sufficient(0, 3, 3));
@@ -91,21 +110,21 @@
 
 #[test]
 fn an_epoch_without_values_starts_from_what_was_heard_after_a_while() {
-    let (mut founding, bounds) = (Bootstrap::default(), Bounds::default());
-    assert!(!founding.may_restore_values(0, &bounds, false));
-    assert!(!founding.may_restore_values(5_999, &bounds, false));
-    assert!(founding.may_restore_values(6_000, &bounds, false));
+    let (mut bootstrap, bounds) = (Bootstrap::default(), Bounds::default());
+    assert!(!bootstrap.may_restore_values(0, &bounds, false));
+    assert!(!bootstrap.may_restore_values(5_999, &bounds, false));
+    assert!(bootstrap.may_restore_values(6_000, &bounds, false));
     assert!(Bootstrap::default().may_restore_values(0, &bounds, true));
 }
 
 #[test]
-fn a_member_that_missed_the_founding_is_told_again() {
-    let mut founding = Bootstrap::default();
-    let heard = [empty(1), empty(2), empty(3)];
-    let BootstrapStep::Wait = decide(&mut founding, 0, &heard, None) else {
+fn a_member_that_missed_the_bootstrap_gets_it_again() {
+    let mut bootstrap = Bootstrap::default();
+    let peers = [empty(1), empty(2), empty(3)];
+    let BootstrapStep::Wait = decide(&mut bootstrap, 0, &peers, None) else {
         panic!("too early");
     };
-    let BootstrapStep::Form(set, _) = decide(&mut founding, 1_500, &heard, None) else {
+    let BootstrapStep::Form { set, .. } = decide(&mut bootstrap, 1_500, &peers, None) else {
         panic!("no epoch");
     };
     let formed = PeerStatus {
@@ -117,10 +136,16 @@
         disk: 3,
         ..formed.clone()
     };
-    let heard = [empty(1), empty(2), other];
-    let step = decide(&mut founding, 1_550, &heard, None);
-    assert_eq!(step, BootstrapStep::Wait, "an empty core knows no floor");
-    let heard = [formed, empty(2), stranger];
-    let step = decide(&mut founding, 1_600, &heard, None);
-    assert_eq!(step, BootstrapStep::Resend(set, vec!["at-2".into()]));
+    let peers = [empty(1), empty(2), other];
+    let step = decide(&mut bootstrap, 1_550, &peers, None);
+    assert_eq!(step, BootstrapStep::Wait, "an empty voter knows no floor");
+    let peers = [formed, empty(2), stranger];
+    let step = decide(&mut bootstrap, 1_600, &peers, None);
+    assert_eq!(
+        step,
+        BootstrapStep::Resend {
+            set,
+            addresses: vec!["at-2".into()]
+        }
+    );
 }
--- a/crates/voter/tests/membership_change.rs
+++ b/crates/voter/tests/membership_change.rs
@@ -1,7 +1,7 @@
 //! How an empty voter becomes a member of the set.
 
 use register::{VoterRef, VoterSet};
-use voter::{MembershipChange, MembershipStep};
+use voter::{MembershipChange, MembershipStep, MembershipView};
 
 fn voter(disk: u64) -> VoterRef {
     VoterRef {
@@ -18,12 +18,31 @@
     }
 }
 
+/// A view at time 0 with a time-out of 0, in which the committed set is the one that the others are in.
+fn view<'a>(me: &'a VoterRef, set: &'a VoterSet, answering: &'a [u64]) -> MembershipView<'a> {
+    MembershipView {
+        now: 0,
+        replacement_timeout_ms: 0,
+        me,
+        set,
+        answering,
+        committed_version: 0,
+        committed_set: set,
+    }
+}
+
 #[test]
-fn a_silent_member_is_replaced_only_after_the_patience() {
-    let mut joining = MembershipChange::default();
+fn a_silent_member_is_replaced_only_after_the_timeout() {
+    let mut change = MembershipChange::default();
     let set = set();
-    let mut decide =
-        |now, answering: &[u64]| joining.decide(now, 100, &voter(9), &set, answering, (0, &set));
+    let me = voter(9);
+    let mut decide = |now, answering: &[u64]| {
+        change.decide(&MembershipView {
+            now,
+            replacement_timeout_ms: 100,
+            ..view(&me, &set, answering)
+        })
+    };
     assert_eq!(decide(0, &[1, 2, 3]), MembershipStep::Wait);
     assert_eq!(decide(10, &[1, 2]), MembershipStep::Wait);
     assert_eq!(
@@ -33,32 +52,46 @@
     );
     assert_eq!(decide(70, &[1, 2]), MembershipStep::Wait);
     assert_eq!(decide(169, &[1, 2]), MembershipStep::Wait);
-    let MembershipStep::Propose(0, next) = decide(170, &[1, 2]) else {
-        panic!("no claim after the patience");
+    let MembershipStep::Propose { expected: 0, next } = decide(170, &[1, 2]) else {
+        panic!("no proposal after the timeout");
     };
     assert_eq!((next.number, next.voters[2].disk), (2, 9));
 }
 
 #[test]
 fn an_emptied_disk_takes_its_own_place_at_once() {
-    let mut joining = MembershipChange::default();
+    let mut change = MembershipChange::default();
     let me = VoterRef {
         disk: 9,
         address: "at-3".into(),
     };
-    let step = joining.decide(0, 100, &me, &set(), &[1, 2, 9], (4, &set()));
-    let MembershipStep::Propose(4, next) = step else {
-        panic!("no claim");
+    let set = set();
+    let step = change.decide(&MembershipView {
+        replacement_timeout_ms: 100,
+        committed_version: 4,
+        ..view(&me, &set, &[1, 2, 9])
+    });
+    let MembershipStep::Propose { expected: 4, next } = step else {
+        panic!("no proposal");
     };
     assert_eq!(next.voters[2], me);
 }
 
 #[test]
-fn a_settled_set_is_finished_before_anything_else() {
-    let mut joining = MembershipChange::default();
+fn a_committed_set_is_finished_before_anything_else() {
+    let mut change = MembershipChange::default();
     let next = set().with_replacement(3, voter(7)).unwrap();
-    let step = joining.decide(0, 0, &voter(9), &set(), &[1, 2], (1, &next));
+    let (me, set) = (voter(9), set());
+    let step = change.decide(&MembershipView {
+        committed_version: 1,
+        committed_set: &next,
+        ..view(&me, &set, &[1, 2])
+    });
     assert_eq!(step, MembershipStep::Adopt(next.clone()));
-    let step = joining.decide(0, 0, &voter(7), &next, &[1, 2], (1, &next));
+    let me = voter(7);
+    let step = change.decide(&MembershipView {
+        committed_version: 1,
+        ..view(&me, &next, &[1, 2])
+    });
     assert_eq!(step, MembershipStep::Install);
 }
