--- a/tests/model/src/consensus/fault.rs
+++ b/tests/model/src/consensus/fault.rs
@@ -1,4 +1,4 @@
-/// A trouble that befalls the controllers at the beginning of a round.
+/// A fault that occurs at the beginning of a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A controller ends within the round, after it has handled so many messages, and loses what was not synced.
--- a/tests/model/src/consensus/history.rs
+++ b/tests/model/src/consensus/history.rs
@@ -3,7 +3,7 @@
 
 /// A read or write under way, by its token.
 #[derive(Clone, Debug)]
-struct Request {
+struct CallerRequest {
     key: String,
     /// Bytes and expected version of a write.
     write: Option<(u64, Vec<u8>)>,
@@ -11,11 +11,11 @@
     floor: u64,
 }
 
-/// What callers were told, and what follows from it for all later answers.
+/// The responses that callers got, and what follows from it for all later answers.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    requests: BTreeMap<u64, Request>,
-    settled: BTreeMap<(String, u64), Vec<u8>>,
+    requests: BTreeMap<u64, CallerRequest>,
+    committed: BTreeMap<(String, u64), Vec<u8>>,
     acknowledged: BTreeMap<String, u64>,
     terms: BTreeMap<u64, (usize, u64)>,
     last_token: u64,
@@ -25,7 +25,7 @@
     /// A request begins; the token that it is asked with.
     pub fn begin(&mut self, key: &str, write: Option<(u64, Vec<u8>)>) -> u64 {
         self.last_token += 1;
-        let request = Request {
+        let request = CallerRequest {
             key: key.to_string(),
             write,
             floor: self.acknowledged(key),
@@ -34,28 +34,33 @@
         self.last_token
     }
 
-    /// Newest version of a key that a caller was told to be in force.
+    /// Newest version of a key that a caller knows to be committed.
     pub fn acknowledged(&self, key: &str) -> u64 {
         self.acknowledged.get(key).copied().unwrap_or(0)
     }
 
-    /// The value that is settled at a version, where it was told.
-    pub fn settled(&self, key: &str, version: u64) -> Option<&Vec<u8>> {
-        self.settled.get(&(key.to_string(), version))
+    /// The value that is committed at a version, where it is known.
+    pub fn committed(&self, key: &str, version: u64) -> Option<&Vec<u8>> {
+        self.committed.get(&(key.to_string(), version))
     }
 
-    /// A value is told to be settled: no other may ever be at its version.
-    pub fn note_settled(&mut self, key: &str, version: u64, bytes: &[u8]) -> Result<(), String> {
+    /// A value is said to be committed: no other may ever be at its version.
+    pub fn record_committed(
+        &mut self,
+        key: &str,
+        version: u64,
+        bytes: &[u8],
+    ) -> Result<(), String> {
         if version == 0 {
             return Ok(());
         }
-        let known = self.settled.entry((key.to_string(), version));
+        let known = self.committed.entry((key.to_string(), version));
         let known = known.or_insert_with(|| bytes.to_vec());
         if known == bytes {
             return Ok(());
         }
         Err(format!(
-            "two values are settled at version {version} of {key}"
+            "two values are committed at version {version} of {key}"
         ))
     }
 
@@ -67,14 +72,18 @@
         let (ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored)) = outcome else {
             return Ok(());
         };
-        self.note_settled(&request.key, stored.version, &stored.bytes)?;
+        self.record_committed(&request.key, stored.version, &stored.bytes)?;
         match outcome {
             ChangeOutcome::Committed(_) => self.acknowledge(&request, stored),
             _ => Ok(()),
         }
     }
 
-    fn acknowledge(&mut self, request: &Request, stored: &VersionedValue) -> Result<(), String> {
+    fn acknowledge(
+        &mut self,
+        request: &CallerRequest,
+        stored: &VersionedValue,
+    ) -> Result<(), String> {
         match &request.write {
             Some((expected, bytes)) if stored.version != expected + 1 || stored.bytes != *bytes => {
                 return Err(format!(
@@ -101,9 +110,9 @@
     }
 
     /// A controller won a term: no two win the same, and terms only rise.
-    pub fn note_term(&mut self, term: u64, place: usize, life: u64) -> Result<(), String> {
-        let winner = *self.terms.entry(term).or_insert((place, life));
-        if winner != (place, life) {
+    pub fn record_term(&mut self, term: u64, place: usize, incarnation: u64) -> Result<(), String> {
+        let winner = *self.terms.entry(term).or_insert((place, incarnation));
+        if winner != (place, incarnation) {
             return Err(format!("two controllers won term {term}"));
         }
         if self.terms.keys().next_back() != Some(&term) {
--- a/tests/model/src/consensus/invariants.rs
+++ b/tests/model/src/consensus/invariants.rs
@@ -14,25 +14,25 @@
 ];
 
 /// What a voter's disk holds, as far as invariants look at it.
-struct Copy {
+struct Replica {
     set_version: SetVersion,
     version: u64,
     bytes: Vec<u8>,
 }
 
-fn copies(system: &System) -> BTreeMap<u64, Copy> {
-    let mut copies = BTreeMap::new();
+fn replicas(system: &System) -> BTreeMap<u64, Replica> {
+    let mut replicas = BTreeMap::new();
     for node in &system.nodes {
         let held = node.held().register(CONFIGURATION_KEY);
         let stored = held.map(|held| held.value.clone()).unwrap_or_default();
-        let copy = Copy {
+        let replica = Replica {
             set_version: node.held().set().version(),
             version: stored.version,
             bytes: stored.bytes,
         };
-        copies.insert(node.disk(), copy);
+        replicas.insert(node.disk(), replica);
     }
-    copies
+    replicas
 }
 
 /// The newest set that any voter is in.
@@ -49,13 +49,13 @@
         return Ok(());
     }
     let set = newest_set(system);
-    let copies = copies(system);
+    let replicas = replicas(system);
     let voting = set.voters.iter().filter_map(|voter| {
-        let copy = copies.get(&voter.disk)?;
-        (copy.set_version == set.version()).then_some(copy)
+        let replica = replicas.get(&voter.disk)?;
+        (replica.set_version == set.version()).then_some(replica)
     });
-    let voting: Vec<&Copy> = voting.collect();
-    let holding = voting.iter().filter(|copy| copy.version >= version);
+    let voting: Vec<&Replica> = voting.collect();
+    let holding = voting.iter().filter(|replica| replica.version >= version);
     let lacking = voting.len() - holding.count();
     if lacking >= set.majority() {
         return Err(format!(
@@ -63,19 +63,26 @@
             set.version()
         ));
     }
-    check_settled_copies(system, &set, &voting)
+    check_committed_replicas(system, &set, &voting)
 }
 
-/// A value that a majority holds is the one that was told to be settled.
-fn check_settled_copies(system: &System, set: &VoterSet, voting: &[&Copy]) -> Result<(), String> {
-    for copy in voting {
+/// A value that a majority holds is the one that was said to be committed.
+fn check_committed_replicas(
+    system: &System,
+    set: &VoterSet,
+    voting: &[&Replica],
+) -> Result<(), String> {
+    for replica in voting {
         let same = voting
             .iter()
-            .filter(|other| other.version == copy.version && other.bytes == copy.bytes);
-        let told = system.history.settled(CONFIGURATION_KEY, copy.version);
-        let differs = told.is_some_and(|bytes| *bytes != copy.bytes);
+            .filter(|other| other.version == replica.version && other.bytes == replica.bytes);
+        let known = system.history.committed(CONFIGURATION_KEY, replica.version);
+        let differs = known.is_some_and(|bytes| *bytes != replica.bytes);
         if same.count() >= set.majority() && differs {
-            return Err(format!("a majority holds another version {}", copy.version));
+            return Err(format!(
+                "a majority holds another version {}",
+                replica.version
+            ));
         }
     }
     Ok(())
--- a/tests/model/src/consensus/mod.rs
+++ b/tests/model/src/consensus/mod.rs
@@ -29,14 +29,14 @@
 
 /// Model time of one round.
 pub const STEP_MS: u64 = 100;
-/// Time after the last heartbeat of a holder at which its duty is vacant.
+/// Time after the last heartbeat of a holder at which its role is vacant.
 pub const LEASE_MS: u64 = 500;
 /// Time between heartbeats.
-pub const HEARTBEAT_MS: u64 = 100;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 100;
 /// Silence after which a newcomer may take a member's place.
-pub const PATIENCE_MS: u64 = 200;
+pub const REPLACEMENT_TIMEOUT_MS: u64 = 200;
 /// Rounds without faults within which the controllers must have formed a set and a holder.
-const FOUNDING_ROUNDS: usize = 40;
+const BOOTSTRAP_ROUNDS: usize = 40;
 
 /// Controllers of which some are members and others wait for a place.
 pub struct Consensus {
@@ -63,7 +63,7 @@
 
     fn initial_states(&self) -> Vec<System> {
         let mut system = System::new(self.members, self.newcomers, self.faults);
-        for _ in 0..FOUNDING_ROUNDS {
+        for _ in 0..BOOTSTRAP_ROUNDS {
             let passed = system.pass_round(None, self.members);
             passed.expect("a round without faults broke an invariant");
         }
@@ -75,7 +75,7 @@
         let mut rounds = vec![Round { fault: None }];
         if state.faults_left > 0 {
             let faults = self.scope.faults(state.nodes.len()).into_iter();
-            let possible = faults.filter(|fault| state.may_befall(*fault));
+            let possible = faults.filter(|fault| state.can_occur(*fault));
             rounds.extend(possible.map(|fault| Round { fault: Some(fault) }));
         }
         rounds
--- a/tests/model/src/consensus/node.rs
+++ b/tests/model/src/consensus/node.rs
@@ -1,4 +1,4 @@
-use super::{HEARTBEAT_MS, LEASE_MS, PATIENCE_MS};
+use super::{HEARTBEAT_INTERVAL_MS, LEASE_MS, REPLACEMENT_TIMEOUT_MS};
 use crate::fingerprint::Fingerprinter;
 use consensus::{
     execute_batch_on_disk, Consensus, ConsensusAction, ConsensusOptions, DiskWork, VoterSnapshot,
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use voter::VoterDisk;
 
-/// Seeds of the random numbers of two lives never meet: place and life are part of them.
+/// Seeds of the random numbers of two incarnations never meet: place and incarnation are part of them.
 const SEED_STRIDE: u64 = 1_000;
 /// Ids of disks are made alike from place and number.
 const DISK_STRIDE: u64 = 100;
@@ -48,7 +48,7 @@
     folder: MemoryFolder,
     disks: u64,
     identity: u64,
-    lives: u64,
+    incarnations: u64,
     is_first_start: bool,
     voter: OpenVoter,
     held: Arc<Acceptor>,
@@ -64,7 +64,7 @@
             folder: MemoryFolder::default(),
             disks: 1,
             identity: fresh_identity(place, 1),
-            lives: 0,
+            incarnations: 0,
             is_first_start,
             voter: OpenVoter::default(),
             held: Arc::default(),
@@ -77,9 +77,9 @@
         self.identity
     }
 
-    /// Number of its controller's life.
-    pub fn life(&self) -> u64 {
-        self.lives
+    /// Number of its controller's incarnation.
+    pub fn incarnation(&self) -> u64 {
+        self.incarnations
     }
 
     /// What the voter held at the end of the round.
@@ -101,7 +101,7 @@
 
     /// Starts the controller on its disk.
     pub fn boot(&mut self, now: u64, seeds: &[String], voters_wanted: usize) {
-        self.lives += 1;
+        self.incarnations += 1;
         self.folder = self.folder.copy();
         let disk = open(&self.folder, self.identity);
         self.identity = disk.identity();
@@ -113,9 +113,9 @@
             is_first_start: self.is_first_start,
             disk_id: self.disk(),
             lease_ms: LEASE_MS,
-            heartbeat_interval_ms: HEARTBEAT_MS,
-            replacement_timeout_ms: PATIENCE_MS,
-            seed: self.place as u64 * SEED_STRIDE + self.lives,
+            heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
+            replacement_timeout_ms: REPLACEMENT_TIMEOUT_MS,
+            seed: self.place as u64 * SEED_STRIDE + self.incarnations,
             target_voter_count: voters_wanted,
         };
         self.consensus = Some(Consensus::new(options, now, held));
@@ -161,7 +161,7 @@
         consensus.map(Consensus::take_actions).unwrap_or_default()
     }
 
-    /// The term under which the controller holds the scaling duty.
+    /// The term under which the controller holds the scaler role.
     pub fn term(&self, now: u64) -> Option<u64> {
         self.consensus.as_ref()?.role_term(now)
     }
@@ -174,7 +174,7 @@
     /// Makes the hash anew, after the machine has changed.
     pub fn update_digest(&mut self) {
         let mut fingerprinter = Fingerprinter::default();
-        fingerprinter.number(u128::from(self.identity) << 64 | u128::from(self.lives));
+        fingerprinter.number(u128::from(self.identity) << 64 | u128::from(self.incarnations));
         fingerprinter.debug(&self.consensus);
         let voter = self.voter.slot().take();
         let disk = voter.unwrap_or_else(|| self.open_copy());
--- a/tests/model/src/consensus/system.rs
+++ b/tests/model/src/consensus/system.rs
@@ -7,8 +7,8 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Messages of one round, above which the controllers talk without an end.
-const MESSAGES_MAX: usize = 5_000;
+/// Most messages of one round; with more the controllers would send messages without an end.
+const MAX_MESSAGES: usize = 5_000;
 /// Rounds between two requests of one caller.
 const REQUEST_ROUNDS: u64 = 2;
 
@@ -22,23 +22,23 @@
 
 /// A fault that lasts until a round begins.
 #[derive(Clone, Debug)]
-struct Disturbance {
+struct ActiveFault {
     fault: Fault,
     until: u64,
 }
 
-/// The controllers with their disks, the network between them and what callers were told.
+/// The controllers with their disks, the network between them and the responses that callers got.
 #[derive(Clone)]
 pub struct System {
     /// Machines; clones share those that have not changed.
     pub nodes: Vec<Arc<Node>>,
-    /// What callers were told.
+    /// Responses that callers got.
     pub history: History,
     /// Faults that may still come.
     pub faults_left: usize,
     /// Rounds since the beginning.
     pub round: u64,
-    disturbances: Vec<Disturbance>,
+    active_faults: Vec<ActiveFault>,
     delayed: Vec<Envelope>,
     queue: VecDeque<Envelope>,
     handled: Vec<usize>,
@@ -57,7 +57,7 @@
             history: History::default(),
             faults_left,
             round: 0,
-            disturbances: Vec::new(),
+            active_faults: Vec::new(),
             delayed: Vec::new(),
             queue: VecDeque::new(),
             handled: vec![0; count],
@@ -77,9 +77,9 @@
     }
 
     /// Whether a fault may begin now: its machines are there, and nothing of its kind lasts at them.
-    pub fn may_befall(&self, fault: Fault) -> bool {
+    pub fn can_occur(&self, fault: Fault) -> bool {
         let runs = |place: usize| self.nodes[place].consensus.is_some();
-        let mut lasting = self.disturbances.iter();
+        let mut lasting = self.active_faults.iter();
         match fault {
             Fault::Crash { place, .. } | Fault::Wipe { place } | Fault::Lose { place } => {
                 runs(place)
@@ -107,7 +107,7 @@
             self.faults_left -= 1;
             self.begin_fault(fault)?;
         }
-        self.end_disturbances(members)?;
+        self.end_active_faults(members)?;
         self.ask()?;
         for place in 0..self.nodes.len() {
             self.tick(place)?;
@@ -147,19 +147,19 @@
             | Fault::Delay { rounds, .. }
             | Fault::Freeze { rounds, .. } => self.round + rounds,
         };
-        self.disturbances.push(Disturbance { fault, until });
+        self.active_faults.push(ActiveFault { fault, until });
         Ok(())
     }
 
-    fn end_disturbances(&mut self, members: usize) -> Result<(), String> {
+    fn end_active_faults(&mut self, members: usize) -> Result<(), String> {
         let round = self.round;
-        let all = std::mem::take(&mut self.disturbances);
-        let (ended, lasting): (Vec<Disturbance>, _) =
+        let all = std::mem::take(&mut self.active_faults);
+        let (ended, lasting): (Vec<ActiveFault>, _) =
             all.into_iter().partition(|one| one.until <= round);
-        self.disturbances = lasting;
+        self.active_faults = lasting;
         let seeds: Vec<String> = (0..members).map(address).collect();
-        for disturbance in ended {
-            match disturbance.fault {
+        for active in ended {
+            match active.fault {
                 Fault::Crash { place, .. } | Fault::Wipe { place } => {
                     let now = self.now();
                     if self.nodes[place].consensus.is_none() && !self.is_lost(place) {
@@ -177,13 +177,13 @@
     }
 
     fn is_lost(&self, place: usize) -> bool {
-        let mut lasting = self.disturbances.iter();
+        let mut lasting = self.active_faults.iter();
         lasting.any(|one| one.fault == Fault::Lose { place })
     }
 
     /// Whether a machine stands still.
     pub fn is_frozen(&self, place: usize) -> bool {
-        let mut lasting = self.disturbances.iter();
+        let mut lasting = self.active_faults.iter();
         lasting
             .any(|one| matches!(one.fault, Fault::Freeze { place: frozen, .. } if frozen == place))
     }
@@ -208,8 +208,8 @@
                 }
                 continue;
             }
-            let settled = consensus.committed(CONFIGURATION_KEY);
-            let expected = settled.map_or(0, |(version, _)| version);
+            let committed = consensus.committed(CONFIGURATION_KEY);
+            let expected = committed.map_or(0, |(version, _)| version);
             let bytes = vec![round as u8, place as u8];
             let write = Some((expected, bytes.clone()));
             let token = self.history.begin(CONFIGURATION_KEY, write);
@@ -238,8 +238,8 @@
         let mut count = 0;
         while let Some(envelope) = self.queue.pop_front() {
             count += 1;
-            if count > MESSAGES_MAX {
-                return Err("controllers talk without an end".into());
+            if count > MAX_MESSAGES {
+                return Err("controllers send messages without an end".into());
             }
             self.deliver(envelope)?;
         }
@@ -269,7 +269,7 @@
 
     fn is_crash_due(&self, place: usize) -> bool {
         let handled = self.handled[place];
-        let mut lasting = self.disturbances.iter();
+        let mut lasting = self.active_faults.iter();
         lasting.any(|one| {
             matches!(one.fault, Fault::Crash { place: crashed, after, .. }
                 if crashed == place && after == handled)
@@ -277,8 +277,8 @@
     }
 
     fn is_cut(&self, one: usize, other: usize) -> bool {
-        let mut lasting = self.disturbances.iter();
-        lasting.any(|disturbance| match disturbance.fault {
+        let mut lasting = self.active_faults.iter();
+        lasting.any(|active| match active.fault {
             Fault::Isolate { place, .. } => place == one || place == other,
             Fault::CutLink { from, to, .. } => (from, to) == (one, other),
             _ => false,
@@ -286,9 +286,9 @@
     }
 
     fn is_delayed(&self, one: usize, other: usize) -> bool {
-        let mut lasting = self.disturbances.iter();
-        lasting.any(|disturbance| {
-            matches!(disturbance.fault, Fault::Delay { from, to, .. } if (from, to) == (one, other))
+        let mut lasting = self.active_faults.iter();
+        lasting.any(|active| {
+            matches!(active.fault, Fault::Delay { from, to, .. } if (from, to) == (one, other))
         })
     }
 
@@ -313,7 +313,7 @@
                     ConsensusAction::ValueCommitted { key, version } => {
                         self.learn(place, &key, version)?
                     }
-                    ConsensusAction::RoleAcquired { term } => self.note_term(place, term)?,
+                    ConsensusAction::RoleAcquired { term } => self.record_term(place, term)?,
                     ConsensusAction::RoleLost => {}
                 }
             }
@@ -332,8 +332,8 @@
 
     fn learn(&mut self, place: usize, key: &str, version: u64) -> Result<(), String> {
         let consensus = self.nodes[place].consensus.as_ref();
-        let settled = consensus.and_then(|consensus| consensus.committed(key));
-        let Some((newest, bytes)) = settled else {
+        let committed = consensus.and_then(|consensus| consensus.committed(key));
+        let Some((newest, bytes)) = committed else {
             return Ok(());
         };
         if newest < version {
@@ -342,15 +342,15 @@
             ));
         }
         let bytes = bytes.to_vec();
-        self.history.note_settled(key, newest, &bytes)
+        self.history.record_committed(key, newest, &bytes)
     }
 
-    fn note_term(&mut self, place: usize, term: u64) -> Result<(), String> {
+    fn record_term(&mut self, place: usize, term: u64) -> Result<(), String> {
         self.history
-            .note_term(term, place, self.nodes[place].life())
+            .record_term(term, place, self.nodes[place].incarnation())
     }
 
-    /// No two controllers hold the scaling duty at one time.
+    /// No two controllers hold the scaler role at one time.
     fn check_holders(&self) -> Result<(), String> {
         let now = self.now();
         let holders = self.nodes.iter().filter(|node| node.term(now).is_some());
@@ -359,7 +359,7 @@
             return Ok(());
         }
         Err(format!(
-            "controllers {holders:?} hold the scaling duty at {now} ms"
+            "controllers {holders:?} hold the scaler role at {now} ms"
         ))
     }
 
@@ -385,7 +385,7 @@
             fingerprinter.number(node.digest());
         }
         fingerprinter.number(u128::from(self.round) << 64 | self.faults_left as u128);
-        fingerprinter.debug(&self.disturbances);
+        fingerprinter.debug(&self.active_faults);
         fingerprinter.debug(&self.delayed);
         fingerprinter.debug(&self.history);
         fingerprinter.finish()
