--- a/tests/hollow/src/configuration.rs
+++ b/tests/hollow/src/configuration.rs
@@ -1,7 +1,7 @@
-//! A change of the description by the functions that it describes.
+//! A change of the configuration by the functions that it describes.
 
-use crate::meter::{live, tell_fit, timed, Markdown};
-use crate::town;
+use crate::meter::{live, print_fit, timed, Markdown};
+use crate::synthetic_site;
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 use flate2::Compression;
@@ -15,7 +15,7 @@
 /// What a change of one function's memory looks like.
 pub fn change(function: usize, version: u64) -> Vec<u8> {
     let change = serde_json::json!({ "version": version, "upsert": { "services": [
-        { "name": town::function_name(function), "memory_mb": 193, "boot_time_ms": town::START_MS,
+        { "name": synthetic_site::function_name(function), "memory_mb": 193, "boot_time_ms": synthetic_site::START_MS,
           "concurrency": 1, "max_conns": 64, "health_path": "/healthz" }] } });
     change.to_string().into_bytes()
 }
@@ -55,7 +55,7 @@
     let (mut taken, mut amended, mut judged, mut sizes, mut memory) =
         (Vec::new(), Vec::new(), Vec::new(), Vec::new(), Vec::new());
     for functions in [20, 200, 2_000, 21_000] {
-        let document = town::document(functions, 1);
+        let document = synthetic_site::document(functions, 1);
         let packed = pack(&document);
         let change = change(functions / 2, 2);
         let (mut unpacking, mut reading, mut tabling) = (0, 0, 0);
@@ -65,8 +65,8 @@
             let before = live();
             let text = timed(&mut unpacking, || unpack(&packed));
             let read = timed(&mut reading, || documents.parse(&text));
-            let description = Arc::new(read.expect("it is a good one"));
-            let built = timed(&mut tabling, || RoutingTable::new(description));
+            let configuration_of = Arc::new(read.expect("it is a good one"));
+            let built = timed(&mut tabling, || RoutingTable::new(configuration_of));
             most = most.max((live() - before) as f64 / 1e6);
             drop(text);
             held = (live() - before) as f64 / 1e6;
@@ -107,17 +107,17 @@
             most,
         ]);
     }
-    tell_fit("ms for a gateway to take it", "functions", &taken);
-    tell_fit(
+    print_fit("ms for a gateway to take it", "functions", &taken);
+    print_fit(
         "ms for a gateway to take a change of one",
         "functions",
         &amended,
     );
-    tell_fit(
+    print_fit(
         "ms for a controller to judge a change",
         "functions",
         &judged,
     );
-    tell_fit("KB deflated", "functions", &sizes);
-    tell_fit("MB held by a gateway", "functions", &memory);
+    print_fit("KB deflated", "functions", &sizes);
+    print_fit("MB held by a gateway", "functions", &memory);
 }
--- a/tests/hollow/src/fleet.rs
+++ b/tests/hollow/src/fleet.rs
@@ -1,9 +1,9 @@
 //! Keepers and scaler together in virtual time: what each role spends and sends at a size.
 
-use crate::fleet_tables::tell;
+use crate::fleet_tables::print_figures;
 use crate::meter::{cpu_ns, timed};
 use crate::scaler;
-use crate::town::{self, Mix};
+use crate::synthetic_site::{self, Mix};
 use autoscaler::{Autoscaler, RunnerCommand, RunnerListing, StartedRunner};
 use protocol::{
     frame, Frames, LeaseOutcome, LeaseRelease, LeaseRequest, Member, Message, RequestId,
@@ -25,11 +25,11 @@
 
 #[derive(Default)]
 pub(crate) struct Gateway {
-    pub keeper: LeaseOwner,
+    pub owner: LeaseOwner,
     pub cpu: u64,
     pub in_bytes: u64,
     pub report_bytes: u64,
-    pub bids: u64,
+    pub lease_requests: u64,
     inbox: Vec<(usize, Message)>,
 }
 
@@ -58,46 +58,46 @@
     }
 }
 
-pub(crate) struct Town {
+pub(crate) struct SimulatedFleet {
     now: u64,
     random: StdRng,
     pub mix: Mix,
-    pub pace_ms: u64,
+    pub service_time_ms: u64,
     members: Vec<Member>,
     places: HashMap<String, usize>,
     pub gateways: Vec<Gateway>,
     pub autoscaler: Autoscaler,
     pub listed: BTreeMap<String, RunnerListing>,
-    born: usize,
-    tickets: u64,
+    last_runner_index: usize,
+    last_request_id: u64,
     held: BTreeMap<u64, Vec<(usize, usize, u64)>>,
     pub sums: Sums,
 }
 
-impl Town {
+impl SimulatedFleet {
     fn new(gateways: usize, functions: usize, instances: usize, calls: f64) -> Self {
-        let members = town::members(gateways);
+        let members = synthetic_site::members(gateways);
         let names = members.iter().enumerate();
         let mix = Mix::new(functions, calls);
-        let workers = town::workers(instances);
+        let workers = synthetic_site::workers(instances);
         let mut listed = BTreeMap::new();
-        let mut born = 0;
+        let mut last_runner_index = 0;
         for function in 0..mix.hot {
             let share = instances as f64 * mix.rate(function) / calls;
             for _ in 0..(share.round() as usize).max(1) {
-                let listing = town::listing(born, function, &workers);
+                let listing = synthetic_site::listing(last_runner_index, function, &workers);
                 listed.insert(listing.id.clone(), listing);
-                born += 1;
+                last_runner_index += 1;
             }
         }
         let mut autoscaler = Autoscaler::new(scaler::options(), 0);
-        autoscaler.apply_configuration(0, &town::description(functions));
+        autoscaler.apply_configuration(0, &synthetic_site::configuration_of(functions));
         autoscaler.update_workers(0, workers);
         autoscaler.update_runners(0, listed.values().cloned().collect());
         Self {
             now: 0,
             random: StdRng::seed_from_u64(7),
-            pace_ms: (650.0 * instances as f64 / calls) as u64,
+            service_time_ms: (650.0 * instances as f64 / calls) as u64,
             places: names
                 .map(|(place, one)| (one.name.clone(), place))
                 .collect(),
@@ -106,15 +106,15 @@
             mix,
             autoscaler,
             listed,
-            born,
-            tickets: 0,
+            last_runner_index,
+            last_request_id: 0,
             held: BTreeMap::new(),
             sums: Sums::default(),
         }
     }
 
     fn elect(&mut self, function: usize) -> usize {
-        let name = town::function_name(function);
+        let name = synthetic_site::function_name(function);
         let member = timed(&mut self.sums.electing, || {
             seat_leases::select_owner(&name, &self.members, |_| true)
         });
@@ -124,37 +124,37 @@
     /// Carriers: seats given back, and bids for calls that come in within a step.
     fn carry(&mut self) {
         let later = self.held.split_off(&(self.now + 1));
-        for (carrier, keeper, ticket) in std::mem::replace(&mut self.held, later)
+        for (carrier, owner, request_id) in std::mem::replace(&mut self.held, later)
             .into_values()
             .flatten()
         {
-            let took_ms = self.pace_ms as u32;
+            let took_ms = self.service_time_ms as u32;
             let message = Message::LeaseRelease(LeaseRelease {
-                request_id: RequestId(ticket),
+                request_id: RequestId(request_id),
                 outcome: LeaseOutcome::Succeeded,
                 duration_ms: took_ms,
             });
-            self.gateways[keeper].in_bytes += self.sums.count("Release", &message);
-            self.gateways[keeper].inbox.push((carrier, message));
+            self.gateways[owner].in_bytes += self.sums.count("Release", &message);
+            self.gateways[owner].inbox.push((carrier, message));
         }
         let calls = self.mix.calls_per_s * STEP_MS as f64 / 1e3;
         let calls = calls as u64 + u64::from(self.random.random::<f64>() < calls.fract());
         for _ in 0..calls {
             let function = self.mix.draw(self.random.random());
             let carrier = self.random.random_range(0..self.gateways.len());
-            let keeper = self.elect(function);
-            self.tickets += 1;
+            let owner = self.elect(function);
+            self.last_request_id += 1;
             let message = Message::LeaseRequest(LeaseRequest {
-                request_id: RequestId(self.tickets),
-                function: town::function_name(function),
+                request_id: RequestId(self.last_request_id),
+                function: synthetic_site::function_name(function),
                 priority: 1,
                 timeout_ms: 6_000,
                 excluded_runners: Vec::new(),
                 job: None,
             });
-            self.gateways[keeper].in_bytes += self.sums.count("Bid", &message);
-            self.gateways[keeper].bids += 1;
-            self.gateways[keeper].inbox.push((carrier, message));
+            self.gateways[owner].in_bytes += self.sums.count("Bid", &message);
+            self.gateways[owner].lease_requests += 1;
+            self.gateways[owner].inbox.push((carrier, message));
             self.sums.calls += 1;
         }
     }
@@ -169,49 +169,49 @@
                 .map(|(from, message)| (from, frame(&message)))
                 .collect();
             let members = &self.members;
-            let keeper = &mut gateway.keeper;
+            let owner = &mut gateway.owner;
             let actions = timed(&mut gateway.cpu, || {
                 for (from, bytes) in inbox {
                     let member = &members[from];
                     match Frames::new(&bytes).read() {
-                        Ok(Some(Message::LeaseRequest(bid))) => {
-                            keeper.request_lease(now, &member.name, &member.zone, bid);
+                        Ok(Some(Message::LeaseRequest(lease_request))) => {
+                            owner.request_lease(now, &member.name, &member.zone, lease_request);
                         }
                         Ok(Some(Message::LeaseRelease(release))) => {
-                            keeper.release(now, &member.name, &release);
+                            owner.release(now, &member.name, &release);
                         }
                         _ => {}
                     }
                 }
-                keeper.tick(now);
-                keeper.take_actions()
+                owner.tick(now);
+                owner.take_actions()
             });
             self.run_actions(place, actions);
         }
     }
 
-    fn run_actions(&mut self, keeper: usize, actions: Vec<LeaseAction>) {
+    fn run_actions(&mut self, owner: usize, actions: Vec<LeaseAction>) {
         for action in actions {
             match action {
                 LeaseAction::Lease {
                     gateway,
                     lease: grant,
                 } => {
-                    let ends_at = self.now + self.pace_ms.max(1);
-                    let held = (self.places[&gateway], keeper, grant.request_id.0);
+                    let ends_at = self.now + self.service_time_ms.max(1);
+                    let held = (self.places[&gateway], owner, grant.request_id.0);
                     self.held.entry(ends_at).or_default().push(held);
                     let message = Message::SeatLease(grant);
-                    timed(&mut self.gateways[keeper].cpu, || frame(&message).len());
+                    timed(&mut self.gateways[owner].cpu, || frame(&message).len());
                     self.sums.count("Grant", &message);
                 }
                 LeaseAction::Reject {
-                    request_id: ticket,
+                    request_id,
                     retry_after_ms,
                     ..
                 } => {
                     self.sums.refused += 1;
                     let message = Message::Reject {
-                        request_id: ticket,
+                        request_id,
                         retry_after_ms,
                     };
                     self.sums.count("Refuse", &message);
@@ -220,9 +220,9 @@
                     function, runner, ..
                 } => {
                     let now = self.now;
-                    let gateway = &mut self.gateways[keeper];
+                    let gateway = &mut self.gateways[owner];
                     timed(&mut gateway.cpu, || {
-                        gateway.keeper.record_probe(now, &function, &runner, true)
+                        gateway.owner.record_probe(now, &function, &runner, true)
                     });
                 }
             }
@@ -233,9 +233,9 @@
         let now = self.now;
         for place in 0..self.gateways.len() {
             let gateway = &mut self.gateways[place];
-            let keeper = &mut gateway.keeper;
+            let owner = &mut gateway.owner;
             let (reports, bytes) = timed(&mut gateway.cpu, || {
-                let reports = keeper.reports(now, is_all);
+                let reports = owner.reports(now, is_all);
                 let message = Message::FunctionReports(reports);
                 let bytes = frame(&message);
                 let Message::FunctionReports(reports) = message else {
@@ -258,63 +258,61 @@
     fn take_reports(&mut self, place: usize, name: &str, bytes: &[u8]) {
         let now = self.now;
         let autoscaler = &mut self.autoscaler;
-        let news = timed(&mut self.sums.reporting, || {
-            let mut told = Vec::new();
+        let update = timed(&mut self.sums.reporting, || {
+            let mut notified = Vec::new();
             let read: Option<Message> = Frames::new(bytes).read().ok().flatten();
             let Some(Message::FunctionReports(reports)) = read else {
-                return told;
+                return notified;
             };
             for report in &reports {
                 autoscaler.handle_report(now, name, report);
                 let UpdateVersion { term, number } = autoscaler.update_version(&report.function);
                 if term > 0 && number != report.update_number {
-                    told.push(autoscaler.update_for(&report.function, now));
+                    notified.push(autoscaler.update_for(&report.function, now));
                 }
             }
-            told
+            notified
         });
-        for one in news {
-            self.tell(place, one);
+        for one in update {
+            self.notify(place, one);
         }
         self.carry_out();
     }
 
-    fn tell(&mut self, place: usize, news: protocol::FunctionUpdate) {
-        let message = Message::FunctionUpdates(vec![news]);
+    fn notify(&mut self, place: usize, update: protocol::FunctionUpdate) {
+        let message = Message::FunctionUpdates(vec![update]);
         self.sums.count("Runners", &message);
-        let Message::FunctionUpdates(news) = message else {
+        let Message::FunctionUpdates(update) = message else {
             return;
         };
         let now = self.now;
         let gateway = &mut self.gateways[place];
         timed(&mut gateway.cpu, || {
-            news.into_iter()
-                .for_each(|one| gateway.keeper.update_runners(now, one));
+            update
+                .into_iter()
+                .for_each(|one| gateway.owner.update_runners(now, one));
         });
     }
 
-    /// The platform does commands at once; keepers hear news.
+    /// The platform does commands at once; owners hear updates.
     fn carry_out(&mut self) {
         let autoscaler = &mut self.autoscaler;
         let members = &self.members;
-        let (commands, news) = timed(&mut self.sums.carrying_out, || {
+        let (commands, update) = timed(&mut self.sums.carrying_out, || {
             let commands = autoscaler.take_commands();
-            let news = autoscaler.take_updates().into_iter();
-            let news = news.map(|one| {
-                let keeper = seat_leases::select_owner(&one.function, members, |_| true);
-                (
-                    keeper.map_or(String::new(), |keeper| keeper.name.clone()),
-                    one,
-                )
+            let update = autoscaler.take_updates().into_iter();
+            let update = update.map(|one| {
+                let owner = seat_leases::select_owner(&one.function, members, |_| true);
+                (owner.map_or(String::new(), |owner| owner.name.clone()), one)
             });
-            (commands, news.collect::<Vec<_>>())
+            (commands, update.collect::<Vec<_>>())
         });
         for command in commands {
             self.obey(command);
         }
-        for (keeper, one) in news {
-            if let Some(place) = self.places.get(&keeper).copied() {
-                self.tell(place, one);
+        for (owner, one) in update {
+            if let Some(place) = self.places.get(&owner).copied() {
+                self.notify(place, one);
             }
         }
     }
@@ -328,13 +326,16 @@
                 nonce,
             } => {
                 self.sums.starts += 1;
-                let (id, address) = (town::instance_id(self.born), town::address(self.born));
-                self.born += 1;
+                let (id, address) = (
+                    synthetic_site::instance_id(self.last_runner_index),
+                    synthetic_site::address(self.last_runner_index),
+                );
+                self.last_runner_index += 1;
                 let listing = RunnerListing {
                     id: id.clone(),
                     function,
                     address: address.clone(),
-                    zone: town::zone(self.born).to_string(),
+                    zone: synthetic_site::zone(self.last_runner_index).to_string(),
                     worker,
                     capacity: 1,
                     is_terminating: false,
@@ -373,19 +374,19 @@
 }
 
 pub fn run(gateways: usize, functions: usize, instances: usize, calls: f64, seconds: u64) {
-    let mut town = Town::new(gateways, functions, instances, calls);
-    town.carry_out();
-    town.report(true);
-    (0..seconds * 1_000 / STEP_MS).for_each(|_| town.step());
-    town.sums = Sums::default();
-    for gateway in &mut town.gateways {
+    let mut fleet = SimulatedFleet::new(gateways, functions, instances, calls);
+    fleet.carry_out();
+    fleet.report(true);
+    (0..seconds * 1_000 / STEP_MS).for_each(|_| fleet.step());
+    fleet.sums = Sums::default();
+    for gateway in &mut fleet.gateways {
         (
             gateway.cpu,
-            gateway.bids,
+            gateway.lease_requests,
             gateway.in_bytes,
             gateway.report_bytes,
         ) = (0, 0, 0, 0);
     }
-    (0..seconds * 1_000 / STEP_MS).for_each(|_| town.step());
-    tell(town, seconds as f64);
+    (0..seconds * 1_000 / STEP_MS).for_each(|_| fleet.step());
+    print_figures(fleet, seconds as f64);
 }
--- a/tests/hollow/src/fleet_tables.rs
+++ b/tests/hollow/src/fleet_tables.rs
@@ -1,20 +1,20 @@
-//! What a run of keepers and scaler came to.
+//! What a run of owners and scaler came to.
 
-use crate::fleet::{Gateway, Town};
+use crate::fleet::{Gateway, SimulatedFleet};
 use crate::meter::{live, Markdown};
 
 /// Prints the tables of a run that was measured for so many virtual seconds.
-pub fn tell(town: Town, seconds: f64) {
+pub fn print_figures(fleet: SimulatedFleet, seconds: f64) {
     let size = format!(
         "{} real_gateways, {} functions, {} instances at the end, {:.0} calls/s, answers take {} ms",
-        town.gateways.len(),
-        town.mix.functions,
-        town.listed.len(),
-        town.sums.calls as f64 / seconds,
-        town.pace_ms
+        fleet.gateways.len(),
+        fleet.mix.functions,
+        fleet.listed.len(),
+        fleet.sums.calls as f64 / seconds,
+        fleet.service_time_ms
     );
     println!("\n## {size}");
-    let sums = &town.sums;
+    let sums = &fleet.sums;
     let table = Markdown::head(
         "Messages, all daemons together",
         &["kind", "a second", "KB/s", "bytes each"],
@@ -31,20 +31,20 @@
             ],
         );
     }
-    let count = town.gateways.len() as f64;
+    let count = fleet.gateways.len() as f64;
     let share = |ns: u64| ns as f64 / 1e7 / seconds;
     let columns = ["of a keeper", "mean", "the most"];
     let table = Markdown::head("Keepers", &columns);
     type Of = fn(&Gateway) -> u64;
     let rows: [(&str, Of, f64); 4] = [
         ("% of a controller", |gateway| gateway.cpu, 1e7),
-        ("bids/s", |gateway| gateway.bids, 1.0),
+        ("bids/s", |gateway| gateway.lease_requests, 1.0),
         ("KB/s in (bids, releases)", |gateway| gateway.in_bytes, 1e3),
         ("KB/s of reports", |gateway| gateway.report_bytes, 1e3),
     ];
     for (name, of, unit) in rows {
-        let sum: u64 = town.gateways.iter().map(of).sum();
-        let most = town.gateways.iter().map(of).max().unwrap_or(0);
+        let sum: u64 = fleet.gateways.iter().map(of).sum();
+        let most = fleet.gateways.iter().map(of).max().unwrap_or(0);
         let of = |value: f64| value / unit / seconds;
         table.named(name, &[of(sum as f64) / count, of(most as f64)]);
     }
@@ -65,13 +65,13 @@
         sums.refused as f64 / seconds
     );
     let before = live();
-    drop(town.autoscaler);
+    drop(fleet.autoscaler);
     let scaler = (before - live()) as f64 / 1e6;
     let before = live();
-    drop(town.gateways);
-    let keepers = (before - live()) as f64 / 1e6;
+    drop(fleet.gateways);
+    let owners = (before - live()) as f64 / 1e6;
     println!(
         "memory: scaler {scaler:.1} MB, keepers {:.2} MB each",
-        keepers / count
+        owners / count
     );
 }
--- a/tests/hollow/src/main.rs
+++ b/tests/hollow/src/main.rs
@@ -1,14 +1,14 @@
 //! `hallkeel-hollow`: hollow daemons in one process, which measure what each role costs as the site grows.
 
-mod carrier;
 mod configuration;
 mod controllers;
 mod fleet;
 mod fleet_tables;
-mod keeper;
+mod lease_owner;
 mod meter;
+mod request_path;
 mod scaler;
-mod town;
+mod synthetic_site;
 mod wire;
 mod wire_daemons;
 mod wire_gateways;
@@ -30,12 +30,14 @@
 #[derive(Subcommand)]
 enum Command {
     /// A gateway's own part of a call: bytes, lookup, election, frames.
-    Carrier,
-    /// A keeper by runners of a function and by functions.
-    Keeper,
+    #[command(name = "carrier")]
+    RequestPath,
+    /// An owner by runners of a function and by functions.
+    #[command(name = "keeper")]
+    LeaseOwner,
     /// The scaler by instances and functions.
     Scaler,
-    /// A change of the description by functions.
+    /// A change of the configuration by functions.
     Configuration,
     /// The consensus by controllers and size of value.
     Controllers,
@@ -62,7 +64,7 @@
         /// Hollow gateways.
         #[arg(long, default_value_t = 50)]
         gateways: usize,
-        /// Functions of the description.
+        /// Functions of the configuration.
         #[arg(long, default_value_t = 2_000)]
         functions: usize,
         /// Instances that the platform lists, ten a function.
@@ -85,8 +87,8 @@
 
 fn main() {
     match Flags::parse().command {
-        Command::Carrier => carrier::run(),
-        Command::Keeper => keeper::run(),
+        Command::RequestPath => request_path::run(),
+        Command::LeaseOwner => lease_owner::run(),
         Command::Scaler => scaler::run(),
         Command::Configuration => configuration::run(),
         Command::Controllers => controllers::run(),
--- a/tests/hollow/src/meter.rs
+++ b/tests/hollow/src/meter.rs
@@ -113,7 +113,7 @@
 }
 
 /// Prints a fitted slope.
-pub fn tell_fit(what: &str, per: &str, points: &[(f64, f64)]) {
+pub fn print_fit(what: &str, per: &str, points: &[(f64, f64)]) {
     let (offset, slope) = fit(points);
     println!(
         "\nfit: {what} = {} + {} x {per}",
--- a/tests/hollow/src/carrier.rs
+++ b/tests/hollow/src/request_path.rs
@@ -1,7 +1,7 @@
 //! A gateway's own part of a call, without sockets.
 
-use crate::meter::{median_ns, tell_fit, Markdown};
-use crate::town;
+use crate::meter::{median_ns, print_fit, Markdown};
+use crate::synthetic_site;
 use http1::{write_request, write_response, MessageLimits, RequestReader, ResponseReader};
 use protocol::{
     frame, Frames, LeaseOutcome, LeaseRelease, LeaseRequest, Message, RequestId, SeatLease,
@@ -18,10 +18,10 @@
     rosters();
 }
 
-fn bid() -> Message {
+fn lease_request() -> Message {
     Message::LeaseRequest(LeaseRequest {
         request_id: RequestId(77 << 32),
-        function: town::function_name(7),
+        function: synthetic_site::function_name(7),
         priority: 1,
         timeout_ms: 6_000,
         excluded_runners: Vec::new(),
@@ -32,9 +32,9 @@
 fn grant() -> Message {
     Message::SeatLease(SeatLease {
         request_id: RequestId(77 << 32),
-        runner: town::instance_id(7),
-        address: town::address(7),
-        zone: town::zone(7).to_string(),
+        runner: synthetic_site::instance_id(7),
+        address: synthetic_site::address(7),
+        zone: synthetic_site::zone(7).to_string(),
     })
 }
 
@@ -49,7 +49,11 @@
 fn messages() {
     let columns = ["message", "bytes", "write ns", "read ns"];
     let table = Markdown::head("Messages of a call between carrier and keeper", &columns);
-    for (name, message) in [("Bid", bid()), ("Grant", grant()), ("Release", release())] {
+    for (name, message) in [
+        ("Bid", lease_request()),
+        ("Grant", grant()),
+        ("Release", release()),
+    ] {
         let bytes = frame(&message);
         let write = median_ns(TIMES, || {
             black_box(frame(black_box(&message)));
@@ -121,8 +125,8 @@
     );
     let mut points = Vec::new();
     for count in [10, 50, 150, 590] {
-        let members = town::members(count);
-        let names: Vec<String> = (0..64).map(town::function_name).collect();
+        let members = synthetic_site::members(count);
+        let names: Vec<String> = (0..64).map(synthetic_site::function_name).collect();
         let mut at = 0;
         let ns = median_ns(2_000, || {
             at = (at + 1) % names.len();
@@ -131,7 +135,7 @@
         points.push((count as f64, ns));
         table.row(&[count as f64, ns]);
     }
-    tell_fit("ns an election", "real_gateways", &points);
+    print_fit("ns an election", "real_gateways", &points);
 }
 
 fn rosters() {
@@ -146,7 +150,7 @@
     for count in [10, 50, 150, 590] {
         let message = Message::GatewayMembership {
             version: UpdateVersion { term: 7, number: 7 },
-            members: town::members(count),
+            members: synthetic_site::members(count),
         };
         let bytes = frame(&message);
         let write = median_ns(500, || {
@@ -159,5 +163,5 @@
         points.push((count as f64, bytes.len() as f64));
         table.row(&[count as f64, bytes.len() as f64, write / 1e3, read / 1e3]);
     }
-    tell_fit("bytes of a roster", "real_gateways", &points);
+    print_fit("bytes of a roster", "real_gateways", &points);
 }
--- a/tests/hollow/src/scaler.rs
+++ b/tests/hollow/src/scaler.rs
@@ -1,7 +1,7 @@
 //! The scaler by instances and functions.
 
-use crate::meter::{live, tell_fit, timed, Markdown};
-use crate::town;
+use crate::meter::{live, print_fit, timed, Markdown};
+use crate::synthetic_site;
 use autoscaler::{Autoscaler, AutoscalerOptions, RunnerCommand, RunnerListing};
 use protocol::{FunctionReport, RunnerReport, ZoneArrivals};
 
@@ -24,7 +24,7 @@
 
 fn report(function: usize, places: std::ops::Range<usize>, round: u64) -> FunctionReport {
     let runner = |place| RunnerReport {
-        id: town::instance_id(place),
+        id: synthetic_site::instance_id(place),
         in_use: 1,
         succeeded: round * 2,
         total_duration_ms: round * 120,
@@ -39,9 +39,9 @@
         count: arrived / 5,
     };
     FunctionReport {
-        function: town::function_name(function),
+        function: synthetic_site::function_name(function),
         update_number: 1 << 32,
-        arrivals: town::ZONES.iter().map(share).collect(),
+        arrivals: synthetic_site::ZONES.iter().map(share).collect(),
         waiting: 0,
         abandoned: 0,
         runners,
@@ -56,11 +56,11 @@
 
 fn site(functions: usize, active: usize, instances: usize) -> Site {
     let mut autoscaler = Autoscaler::new(options(), 0);
-    autoscaler.apply_configuration(0, &town::description(functions));
-    let workers = town::workers(instances);
+    autoscaler.apply_configuration(0, &synthetic_site::configuration_of(functions));
+    let workers = synthetic_site::workers(instances);
     let each = (instances / active).max(1);
-    let listings =
-        (0..instances).map(|place| town::listing(place, place / each % functions, &workers));
+    let listings = (0..instances)
+        .map(|place| synthetic_site::listing(place, place / each % functions, &workers));
     let listings: Vec<RunnerListing> = listings.collect();
     autoscaler.update_workers(0, workers);
     autoscaler.update_runners(0, listings.clone());
@@ -91,14 +91,14 @@
         let before = live();
         let mut site = site(21_000, instances / 10, instances);
         let held = (live() - before) as f64 / 1e6;
-        let (mut plain, mut look, mut list, mut told) = (0, 0, 0, 0);
+        let (mut plain, mut look, mut list, mut notified) = (0, 0, 0, 0);
         let mut now = 0;
         for round in 1..=ROUNDS {
             now += 250;
             for function in 0..instances / site.each {
                 let places = function * site.each..(function + 1) * site.each;
                 let report = report(function, places, round);
-                timed(&mut told, || {
+                timed(&mut notified, || {
                     site.autoscaler.handle_report(now, "edge-0001", &report)
                 });
             }
@@ -112,7 +112,7 @@
         let place = start_ns(&mut site.autoscaler, now);
         let size = instances as f64;
         let of = |sum: u64| sum as f64 / ROUNDS as f64;
-        let told = of(told) / 1e3 / size;
+        let notified = of(notified) / 1e3 / size;
         let row = [
             of(plain) / 1e6,
             of(look) / 1e6,
@@ -123,7 +123,7 @@
         for (points, value) in points.iter_mut().zip(row) {
             points.push((size, value));
         }
-        table.row(&[size, row[0], row[1], row[2], told, row[3], row[4]]);
+        table.row(&[size, row[0], row[1], row[2], notified, row[3], row[4]]);
     }
     let names = [
         "ms a plain tick",
@@ -133,7 +133,7 @@
         "MB",
     ];
     for (name, points) in names.iter().zip(&points) {
-        tell_fit(name, "instances", points);
+        print_fit(name, "instances", points);
     }
 }
 
@@ -143,7 +143,7 @@
     let mut spent: Vec<u64> = (0..STARTS)
         .map(|start| {
             let asked = FunctionReport {
-                function: town::function_name(20_000 + start),
+                function: synthetic_site::function_name(20_000 + start),
                 arrivals: vec![ZoneArrivals {
                     zone: "north-a".to_string(),
                     count: 1,
@@ -177,17 +177,17 @@
     ];
     let table = Markdown::head("The scaler by functions, none active", &columns);
     for functions in [200, 2_000, 21_000] {
-        let description = town::description(functions);
+        let configuration_of = synthetic_site::configuration_of(functions);
         let before = live();
         let mut autoscaler = Autoscaler::new(options(), 0);
-        autoscaler.apply_configuration(0, &description);
+        autoscaler.apply_configuration(0, &configuration_of);
         let held = (live() - before) as f64 / 1e6;
-        autoscaler.update_workers(0, town::workers(500));
+        autoscaler.update_workers(0, synthetic_site::workers(500));
         autoscaler.update_runners(0, Vec::new());
         let (mut again, mut look) = (0, 0);
         for round in 1..=ROUNDS {
             timed(&mut again, || {
-                autoscaler.apply_configuration(round * 250, &description)
+                autoscaler.apply_configuration(round * 250, &configuration_of)
             });
             timed(&mut look, || autoscaler.tick(round * 250));
         }
@@ -204,9 +204,10 @@
     );
     let mut points = Vec::new();
     for instances in [500, 5_000, 20_000, 61_000] {
-        let workers = town::workers(instances);
-        let listings = (0..instances).map(|place| town::listing(place, place / 10, &workers));
-        let body = town::list_body(&listings.collect::<Vec<_>>());
+        let workers = synthetic_site::workers(instances);
+        let listings =
+            (0..instances).map(|place| synthetic_site::listing(place, place / 10, &workers));
+        let body = synthetic_site::list_body(&listings.collect::<Vec<_>>());
         let mut sum = 0;
         for _ in 0..ROUNDS {
             let _ = timed(&mut sum, || platform::read_instances(&body));
@@ -215,5 +216,5 @@
         points.push((instances as f64, ms));
         table.row(&[instances as f64, body.len() as f64 / 1e6, ms]);
     }
-    tell_fit("ms to read a list", "instances", &points);
+    print_fit("ms to read a list", "instances", &points);
 }
--- a/tests/hollow/src/town.rs
+++ b/tests/hollow/src/synthetic_site.rs
@@ -1,4 +1,4 @@
-//! The made-up town of daemons, functions and instances that all measurements use.
+//! The made-up site of daemons, functions and instances that all measurements use.
 
 use autoscaler::{RunnerListing, WorkerListing};
 use protocol::{FunctionUpdate, Member, RunnerStage, RunnerUpdate, UpdateVersion};
@@ -46,8 +46,8 @@
     (0..count).map(member).collect()
 }
 
-/// A description of so many functions with a binding each.
-pub fn description(functions: usize) -> RoutingConfiguration {
+/// A configuration of so many functions with a binding each.
+pub fn configuration_of(functions: usize) -> RoutingConfiguration {
     let binding = |place: usize| Binding {
         name: format!("route-{place:05}"),
         host: format!("shop-{:04}.example.com", place / 10),
@@ -78,7 +78,7 @@
 
 /// The same as the operator writes it.
 pub fn document(functions: usize, version: u64) -> Vec<u8> {
-    let whole = description(functions);
+    let whole = configuration_of(functions);
     let routes = whole.bindings.iter().map(|one| {
         serde_json::json!({ "name": one.name, "host": one.host, "path_prefix": one.prefix,
             "route_kind": if one.at_most_once { "unsafe" } else { "safe" },
@@ -137,8 +137,8 @@
     page.to_string().into_bytes()
 }
 
-/// News of a function with so many serving runners.
-pub fn news(function: usize, runners: usize, mark: u64) -> FunctionUpdate {
+/// The update of a function with so many serving runners.
+pub fn update(function: usize, runners: usize, version_number: u64) -> FunctionUpdate {
     let runner = |place: usize| RunnerUpdate {
         id: instance_id(place),
         address: address(place),
@@ -151,7 +151,7 @@
         function: function_name(function),
         version: UpdateVersion {
             term: 1,
-            number: mark,
+            number: version_number,
         },
         runners: (0..runners).map(runner).collect(),
         start_block: None,
--- a/tests/hollow/src/wire.rs
+++ b/tests/hollow/src/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration;
 use crate::meter::{figure, Markdown};
-use crate::town;
+use crate::synthetic_site;
 use crate::wire_daemons::{operate, Daemon, Fleet};
 use crate::wire_gateways::Gateways;
 use std::path::Path;
@@ -53,7 +53,7 @@
             assert!(
                 began.elapsed() < most,
                 "it takes too long: {}",
-                self.gateways.tell()
+                self.gateways.print_figures()
             );
             self.gateways.turn();
         }
@@ -78,13 +78,13 @@
     }
 
     /// Gives an order and drives the gateways until all hold what came of it: seconds of the answer, and from there.
-    fn order(&mut self, target: &'static str, base: u64, body: Vec<u8>) -> (f64, f64) {
-        let (tell, told) = mpsc::channel();
+    fn command(&mut self, target: &'static str, base: u64, body: Vec<u8>) -> (f64, f64) {
+        let (print_figures, notified) = mpsc::channel();
         let address = self.fleet.operators();
         let began = Instant::now();
-        std::thread::spawn(move || tell.send(operate(address, target, base, &body)));
+        std::thread::spawn(move || print_figures.send(operate(address, target, base, &body)));
         let answer = loop {
-            if let Ok(answer) = told.try_recv() {
+            if let Ok(answer) = notified.try_recv() {
                 break answer;
             }
             assert!(
@@ -95,10 +95,10 @@
         };
         assert_eq!(answer, Ok(200), "the order is taken");
         let answered = began.elapsed().as_secs_f64();
-        let mark = self.gateways.newest;
+        let version_number = self.gateways.newest;
         let wanted = base + 1;
         let held = self.until(Duration::from_secs(60), |gateways| {
-            gateways.orders_held() >= wanted && gateways.newest >= mark
+            gateways.commands_held() >= wanted && gateways.newest >= version_number
         });
         (answered, held)
     }
@@ -122,8 +122,8 @@
     let quiet = Duration::from_secs(size.seconds);
     let bare = run.part(|run| run.drive(quiet));
     let rss = run.fleet.rss();
-    let document = town::document(size.functions, 1);
-    let first = run.order("/v1/Config.Replace", 0, document);
+    let document = synthetic_site::document(size.functions, 1);
+    let first = run.command("/v1/Config.Replace", 0, document);
     run.drive(Duration::from_secs(8));
     let described = run.part(|run| run.drive(quiet));
     let rss_described = run.fleet.rss();
@@ -131,7 +131,7 @@
     let changes = run.part(|run| {
         for version in 1..=CHANGES {
             let body = configuration::change(version as usize, version + 1);
-            times.push(run.order("/v1/Config.Update", version, body));
+            times.push(run.command("/v1/Config.Update", version, body));
             run.drive(Duration::from_secs(2));
         }
     });
@@ -143,21 +143,21 @@
         }
     });
     let peaks = run.fleet.peaks();
-    tell(
+    print_figures(
         &run,
         &[
             ("no description", &bare),
             ("description in force", &described),
         ],
     );
-    tell_each(
+    print_each(
         &run,
         "Processor time of one change, ms",
         &changes,
         &described,
         CHANGES as f64,
     );
-    tell_each(
+    print_each(
         &run,
         "Processor time of one gateway's restart, ms",
         &restarts,
@@ -184,10 +184,13 @@
         figure(first.1),
         spread.join(", ")
     );
-    println!("\nframes that gateways took: {}", run.gateways.tell());
+    println!(
+        "\nframes that gateways took: {}",
+        run.gateways.print_figures()
+    );
 }
 
-fn tell(run: &Run, parts: &[(&str, &Part)]) {
+fn print_figures(run: &Run, parts: &[(&str, &Part)]) {
     for (title, part) in parts {
         let table = Markdown::head(&format!("Quiet: {title}"), &["daemon", "% of a controller"]);
         for (place, daemon) in run.fleet.daemons.iter().enumerate() {
@@ -201,7 +204,7 @@
     }
 }
 
-fn tell_each(run: &Run, title: &str, part: &Part, quiet: &Part, count: f64) {
+fn print_each(run: &Run, title: &str, part: &Part, quiet: &Part, count: f64) {
     let table = Markdown::head(title, &["daemon", "ms above the quiet part"]);
     for (place, daemon) in run.fleet.daemons.iter().enumerate() {
         let idle = quiet.spans[place] / quiet.seconds * part.seconds;
--- a/tests/hollow/src/wire_daemons.rs
+++ b/tests/hollow/src/wire_daemons.rs
@@ -1,6 +1,6 @@
 //! Real daemons as child processes, and the made-up platform that they ask.
 
-use crate::town;
+use crate::synthetic_site;
 use crate::wire::Size;
 use std::fs::{self, File};
 use std::io::{Read, Write};
@@ -80,7 +80,7 @@
         .iter()
         .map(|ip| format!("\"{ip}:{INTERNAL}\""))
         .collect();
-    let zones = town::ZONES.iter();
+    let zones = synthetic_site::ZONES.iter();
     let zones: Vec<String> = zones
         .map(|zone| format!("\"{zone}\" = \"{}\"", &zone[..5]))
         .collect();
@@ -146,7 +146,7 @@
         seeds: &[String],
     ) {
         let path = self.folder.join(format!("{name}.toml"));
-        let text = settings(name, ip, town::zone(place), &self.folder, seeds);
+        let text = settings(name, ip, synthetic_site::zone(place), &self.folder, seeds);
         fs::create_dir_all(self.folder.join(name)).expect("a folder can be made");
         fs::write(&path, text).expect("settings can be written");
         let log = File::create(self.folder.join(format!("{name}.log"))).expect("a log can be made");
@@ -232,9 +232,9 @@
 
 /// Answers lists of workers and instances; takes no other call.
 fn serve_platform(instances: usize) {
-    let workers = town::workers(instances);
-    let listings = (0..instances).map(|place| town::listing(place, place / 10, &workers));
-    let list = Arc::new(town::list_body(&listings.collect::<Vec<_>>()));
+    let workers = synthetic_site::workers(instances);
+    let listings = (0..instances).map(|place| synthetic_site::listing(place, place / 10, &workers));
+    let list = Arc::new(synthetic_site::list_body(&listings.collect::<Vec<_>>()));
     let workers: Vec<serde_json::Value> = workers
         .iter()
         .map(|one| {
