--- a/crates/controller/src/codec.rs
+++ b/crates/controller/src/codec.rs
@@ -4,6 +4,7 @@
 use http1::Headers;
 use operator_commands::{BaseVersion, CommandKind};
 use routing::ConfigurationFormat;
+use std::fmt;
 
 /// A request to the platform's API.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -39,6 +40,18 @@
     Rejected(u16),
 }
 
+/// Why an answer of the platform cannot be read.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct UnreadableResponse(pub String);
+
+impl fmt::Display for UnreadableResponse {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(&self.0)
+    }
+}
+
+impl std::error::Error for UnreadableResponse {}
+
 /// One page of the platform's list of runners.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerPage {
@@ -64,12 +77,12 @@
 pub trait PlatformCodec {
     /// Asks for a page of the list of runners; the first one where none is named.
     fn list_runners(&self, page: Option<&str>) -> PlatformRequest;
-    /// Reads such a page; the error says what is wrong with it.
-    fn read_runners(&self, body: &[u8]) -> Result<RunnerPage, String>;
+    /// Reads such a page.
+    fn read_runners(&self, body: &[u8]) -> Result<RunnerPage, UnreadableResponse>;
     /// Asks for the list of workers.
     fn list_workers(&self) -> PlatformRequest;
-    /// Reads that list; the error says what is wrong with it.
-    fn read_workers(&self, body: &[u8]) -> Result<Vec<WorkerListing>, String>;
+    /// Reads that list.
+    fn read_workers(&self, body: &[u8]) -> Result<Vec<WorkerListing>, UnreadableResponse>;
     /// Asks for a start. A start that is sent again with the same nonce starts nothing more.
     fn start(
         &self,
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -72,7 +72,7 @@
 
 pub use codec::{
     CommandParseError, FencingToken, OperatorCodec, PlatformCodec, PlatformRequest, RunnerPage,
-    StartResult,
+    StartResult, UnreadableResponse,
 };
 pub use controller::run;
 pub use error::ControllerError;
--- a/crates/controller/src/platform_client.rs
+++ b/crates/controller/src/platform_client.rs
@@ -40,6 +40,11 @@
     Failed(RequestPurpose),
 }
 
+struct WaitingRequest {
+    request: PlatformRequest,
+    purpose: RequestPurpose,
+}
+
 struct InFlightRequest {
     purpose: RequestPurpose,
     reader: ResponseReader,
@@ -49,7 +54,7 @@
 /// Requests to the platform and the connections that carry them.
 #[derive(Default)]
 pub(crate) struct PlatformClient {
-    waiting: VecDeque<(PlatformRequest, RequestPurpose)>,
+    waiting: VecDeque<WaitingRequest>,
     in_flight: HashMap<ConnectionId, InFlightRequest>,
     idle: Vec<ConnectionId>,
 }
@@ -73,7 +78,7 @@
         if self.waiting.len() >= WAITING_MAX {
             return Err(purpose);
         }
-        self.waiting.push_back((request, purpose));
+        self.waiting.push_back(WaitingRequest { request, purpose });
         Ok(())
     }
 
@@ -85,22 +90,22 @@
         connections: &mut ControllerConnections,
     ) -> Vec<RequestPurpose> {
         let mut failed = Vec::new();
-        while let Some((request, purpose)) = self.waiting.pop_front() {
+        while let Some(waiting) = self.waiting.pop_front() {
             let Some(address) = endpoint.address else {
-                failed.push(purpose);
+                failed.push(waiting.purpose);
                 continue;
             };
             if self.drop_ended_idle(connections) && self.in_flight.len() >= CONNECTIONS_MAX {
-                self.waiting.push_front((request, purpose));
+                self.waiting.push_front(waiting);
                 return failed;
             }
             let Some(connection) = self.connection(address, connections) else {
-                failed.push(purpose);
+                failed.push(waiting.purpose);
                 continue;
             };
-            connections.send(connection, &encode(&request, address));
+            connections.send(connection, &encode(&waiting.request, address));
             let in_flight = InFlightRequest {
-                purpose,
+                purpose: waiting.purpose,
                 reader: ResponseReader::new(false),
                 ends_at: now + endpoint.timeout_ms,
             };
