--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -78,4 +78,5 @@
 pub use error::ControllerError;
 pub use member_directory::MemberDirectory;
 pub use options::{ControllerOptions, SeedReloader};
+pub use peer_links::PeerFrame;
 pub use redirector::{run_redirector, RedirectorOptions};
--- a/crates/controller/src/peer_links.rs
+++ b/crates/controller/src/peer_links.rs
@@ -12,8 +12,8 @@
 const CONNECT_RETRY_MS: u64 = 100;
 
 /// What goes between two controllers.
-#[derive(Debug, Readable, Writable)]
-enum PeerFrame {
+#[derive(Debug, PartialEq, Readable, Writable)]
+pub enum PeerFrame {
     /// Who opened the link: its consensus address.
     Hello(String),
     /// A message of the consensus.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -47,7 +47,7 @@
 mod retry_budgets;
 mod run;
 mod status;
-mod stored_response;
+pub mod stored_response;
 mod upstream_connection;
 mod upstream_pool;
 mod upstream_probes;
--- a/crates/gateway/src/stored_response.rs
+++ b/crates/gateway/src/stored_response.rs
@@ -10,14 +10,17 @@
 
 /// A response without the headers of its connection.
 #[derive(Debug, Default, PartialEq, Readable, Writable)]
-pub(crate) struct StoredResponse {
+pub struct StoredResponse {
+    /// Status code.
     pub status: u16,
+    /// End-to-end headers, in their order.
     pub headers: Vec<(String, Vec<u8>)>,
+    /// The body without its framing.
     pub body: Vec<u8>,
 }
 
 /// A response deflated; none where it is too large to be stored.
-pub(crate) fn pack(response: &Response) -> Option<Vec<u8>> {
+pub fn pack(response: &Response) -> Option<Vec<u8>> {
     let headers = end_to_end(&response.headers);
     let stored = StoredResponse {
         status: response.status,
@@ -32,7 +35,7 @@
 }
 
 /// A response that was packed; none where the bytes are none.
-pub(crate) fn unpack(packed: &[u8]) -> Option<StoredResponse> {
+pub fn unpack(packed: &[u8]) -> Option<StoredResponse> {
     let bytes = protocol::unpack(packed, UNPACKED_MAX)?;
     StoredResponse::read_from_buffer(&bytes).ok()
 }
--- a/tests/compatibility/src/families.rs
+++ b/tests/compatibility/src/families.rs
@@ -5,7 +5,7 @@
 use crate::fixture::HexFixture;
 use crate::folder::FolderContent;
 use crate::sample::Sample;
-use crate::samples::{consensus, daemons, operator_commands, protocol, register, stored};
+use crate::samples::{consensus, daemons, frames, operator_commands, protocol, register, stored};
 use journal::MemoryFolder;
 use speedy::{LittleEndian, Writable};
 
@@ -34,6 +34,8 @@
     vec![
         family("protocol", &protocol::messages(), Sample::framed),
         family("consensus", &consensus::messages(), Sample::framed),
+        family("peer_frames", &frames::peer_frames(), Sample::framed),
+        stored_responses(),
         family("envelopes", &daemons::envelopes(), |sample| {
             transport::encode(&sample.value).expect("the envelope is within the bound")
         }),
@@ -65,6 +67,19 @@
     family(name, samples, Sample::encoded)
 }
 
+fn stored_responses() -> Family {
+    let mut values = HexFixture::default();
+    let packed = gateway::stored_response::pack(&frames::response());
+    values.insert(
+        "response",
+        packed.expect("the response is within the bound"),
+    );
+    Family {
+        name: "stored_responses",
+        values,
+    }
+}
+
 fn folder_states() -> Family {
     let mut values = HexFixture::default();
     for stage in folders() {
--- a/tests/compatibility/src/samples/mod.rs
+++ b/tests/compatibility/src/samples/mod.rs
@@ -2,6 +2,7 @@
 
 pub mod consensus;
 pub mod daemons;
+pub mod frames;
 pub mod operator_commands;
 pub mod protocol;
 pub mod register;
--- a/tests/compatibility/tests/wire.rs
+++ b/tests/compatibility/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use ::consensus::ConsensusMessage;
 use ::protocol::{take_frames, Frames, Message};
-use compatibility::samples::{consensus, daemons, protocol};
+use compatibility::samples::{consensus, daemons, frames, protocol};
 use compatibility::{families, HexFixture, Sample};
 use speedy::{LittleEndian, Readable};
 use std::collections::BTreeSet;
@@ -111,3 +111,23 @@
         assert!(bytes.is_empty(), "{}: the whole frame is read", sample.name);
     }
 }
+
+#[test]
+fn controllers_frame_their_messages_as_captured() {
+    assert_encodes_as_captured("peer_frames");
+    assert_reads_frames("peer_frames", frames::peer_frames());
+}
+
+#[test]
+fn gateways_pack_responses_as_captured_and_unpack_captured_ones() {
+    assert_encodes_as_captured("stored_responses");
+    let captured = HexFixture::load("stored_responses");
+    let unpacked = gateway::stored_response::unpack(captured.bytes("response"));
+    let unpacked = unpacked.expect("the captured response can be unpacked");
+    let headers = [
+        ("Content-Type".to_string(), b"text/plain".to_vec()),
+        ("Server-Seal".to_string(), b"seal.i-1.q-1".to_vec()),
+    ];
+    assert_eq!((unpacked.status, unpacked.body), (201, b"made".to_vec()));
+    assert_eq!(unpacked.headers, headers);
+}
