--- a/crates/gateway/src/configuration_updates.rs
+++ b/crates/gateway/src/configuration_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the control plane are put in force, and the scaler is told of the functions that are owned here.
+//! Updates of the control plane are put in force, and the functions that are owned here are reported to the scaler.
 
 use crate::gateway::Gateway;
 use protocol::{Member, Message, UpdateVersion};
@@ -30,7 +30,7 @@
     }
 
     /// The gateways that own functions. Requests that await a lease of a gateway that owns the function no more request
-    /// it anew, and new owners are told of the seats in use.
+    /// it anew, and new owners learn which seats are in use.
     pub fn membership_received(&mut self, version: UpdateVersion, members: Vec<Member>) {
         if !self.configuration.apply_membership(version, members) {
             return;
@@ -40,7 +40,7 @@
         for function in self.functions_in_use() {
             let owner = self.owner_of(&function);
             if let Some(owner) = owner.filter(|owner| *owner != self.options.name) {
-                self.tell_new_owner(&owner, &function);
+                self.report_leases_to_new_owner(&owner, &function);
             }
         }
     }
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -151,7 +151,7 @@
         self.event_loop.has_nothing_to_read(id)
     }
 
-    /// Whether the peer has not closed the connection, as far as events tell.
+    /// Whether the peer has not closed the connection, as of the last poll.
     pub fn is_open(&self, id: ConnectionId) -> bool {
         self.event_loop.is_open(id)
     }
--- a/crates/gateway/src/downstream_requests.rs
+++ b/crates/gateway/src/downstream_requests.rs
@@ -16,7 +16,7 @@
         self.connections
             .set_role(id, ConnectionRole::Downstream(connection));
         let idle_ms = self.configuration.limits().idle_timeout_ms;
-        // A client that reads nothing for a while is no daemon that fell silent.
+        // The timeout for daemons is too short for a client that reads slowly.
         self.connections.set_user_timeout(id, idle_ms);
         self.timers
             .schedule(self.now + idle_ms, TimerEvent::DownstreamTimeout(id));
--- a/crates/gateway/src/downstream_responses.rs
+++ b/crates/gateway/src/downstream_responses.rs
@@ -12,7 +12,7 @@
 pub(crate) type Header<'a> = (&'a str, &'a [u8]);
 
 impl Gateway {
-    /// Responds to a request that is no longer in flight; where its client has left, nobody is told.
+    /// Responds to a request that is no longer in flight; where its client has left, nothing is sent.
     pub fn respond(
         &mut self,
         request: &PendingRequest,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -39,7 +39,7 @@
     DownstreamTimeout(ConnectionId),
 }
 
-/// Listening sockets by which accepted connections are told apart. All others are for peers.
+/// Listening sockets that give accepted connections their role. Connections of any other listener are peers'.
 pub(crate) struct Listeners {
     pub downstream: ListenerId,
     pub readiness: ListenerId,
--- a/crates/gateway/src/job_messages.rs
+++ b/crates/gateway/src/job_messages.rs
@@ -173,7 +173,7 @@
         self.respond(&request, stored.status, &headers, &stored.body);
     }
 
-    /// A request of a job ends: the owners that may know of the job are told.
+    /// A request of a job ends: its result goes to the owners that may know of the job.
     pub fn complete_job(&mut self, request: &PendingRequest, result: JobResult) {
         let Some(job) = &request.job else {
             return;
--- a/crates/gateway/src/lease_requests.rs
+++ b/crates/gateway/src/lease_requests.rs
@@ -43,7 +43,7 @@
             self.lease_requested(&owner, &zone, lease_request);
             return;
         }
-        self.tell_new_owner(&owner, &function);
+        self.report_leases_to_new_owner(&owner, &function);
         self.send_to_peer(&owner, &Message::LeaseRequest(lease_request));
     }
 
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Tells a function's new owner which seats this gateway uses.
-    pub fn tell_new_owner(&mut self, owner: &str, function: &str) {
+    /// Reports the seats that this gateway uses to a function's owner, if it is a new one.
+    pub fn report_leases_to_new_owner(&mut self, owner: &str, function: &str) {
         if !self.peers.is_new_owner(function, owner) {
             return;
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! The data plane: a proxy between clients and the runners of functions, on one thread over non-blocking connections.
 //!
 //! *Downstream* is the client's side and *upstream* the runner's. A request passes through these phases; each stands in
-//! a file of its own, and [`run`] wires them to the event loop:
+//! a file of its own, and [`run()`] wires them to the event loop:
 //!
 //! 1. `downstream_requests`: a client's bytes become a request; connections that are idle or slow time out.
 //! 2. `request_admission`: the request is bound to a function, checked and given its timeout and retry allowance.
--- a/crates/gateway/src/peer_links.rs
+++ b/crates/gateway/src/peer_links.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Pings a gateway that was silent, and tells whether it is alive.
+    /// Pings a gateway that was silent; whether it is alive.
     pub fn check_liveness(&mut self, name: &str, now: u64) -> Liveness {
         let Some(link) = self.links.get_mut(name) else {
             return Liveness::Disconnected;
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -20,7 +20,7 @@
         self.connections.set_role(id, role);
     }
 
-    /// Bytes have arrived at the address for readiness checks; whatever request they are, readiness is told.
+    /// Bytes have arrived at the address for readiness checks; whatever the request asks for, the response gives the readiness.
     pub fn readiness_readable(&mut self, id: ConnectionId) {
         let Some((reader, buffer)) = self.connections.readiness_input(id) else {
             return;
--- a/crates/gateway/src/request_outcomes.rs
+++ b/crates/gateway/src/request_outcomes.rs
@@ -17,7 +17,7 @@
 const GATEWAY_TIMEOUT: u16 = 504;
 
 impl Gateway {
-    /// The owner has no seat in time: the request has not run, and the client is told at once.
+    /// The owner has no seat in time: the request has not run, and is rejected at once.
     pub fn lease_rejected(&mut self, id: RequestId, retry_after_ms: u32) {
         let Some(request) = self.requests.get(id) else {
             return;
--- a/crates/gateway/src/retry_budgets.rs
+++ b/crates/gateway/src/retry_budgets.rs
@@ -3,7 +3,8 @@
 use seat_leases::RetryBudget;
 use std::collections::HashMap;
 
-/// Part of the slack that one fleet of gateways uses, so that gateways which start anew do not exceed the whole.
+/// Part of the operators' slack that is used: a gateway that restarts begins with a full budget, and the fleet must not
+/// exceed the whole.
 const SLACK_PART: f64 = 0.5;
 /// Part of the ratio that is used, for the same reason.
 const RATIO_PART: f64 = 0.75;
--- a/crates/gateway/src/upstream_requests.rs
+++ b/crates/gateway/src/upstream_requests.rs
@@ -137,7 +137,7 @@
             at_most_once: request.at_most_once,
         });
         let out = self.upstream_request_bytes(id);
-        // Where no byte was taken the connection's end is told next, and the request was not sent.
+        // Where no byte was accepted the connection's end is the next event, and the request was not sent.
         if self.connections.send(connection, &out) {
             self.request_may_run(id);
         }
@@ -215,7 +215,7 @@
     }
 }
 
-/// Milliseconds until a request's deadline, as its runner is told.
+/// Milliseconds until a request's deadline, as its runner gets them.
 fn remaining_ms(request: &PendingRequest, now: u64) -> u64 {
     request.deadline.saturating_sub(now).max(1)
 }
--- a/crates/gateway/src/upstream_responses.rs
+++ b/crates/gateway/src/upstream_responses.rs
@@ -163,8 +163,8 @@
 
 /// Milliseconds for which the runner keeps the connection of a response open, less the margin.
 fn idle_ms(response: &UpstreamResponse) -> u64 {
-    let told = idle_seconds(&response.response.headers);
-    told.map_or(IDLE_MS, |seconds| {
+    let keep_alive_s = idle_seconds(&response.response.headers);
+    keep_alive_s.map_or(IDLE_MS, |seconds| {
         seconds.saturating_mul(1_000).saturating_sub(IDLE_MARGIN_MS)
     })
 }
--- a/crates/gateway/src/upstream_session.rs
+++ b/crates/gateway/src/upstream_session.rs
@@ -101,7 +101,7 @@
     }
 
     /// The connection has ended, and all bytes before that were given to [`bytes_received`](Self::bytes_received). A
-    /// response whose length nothing but this end tells is not known to be complete.
+    /// response whose length is given by this end alone is not known to be complete.
     pub fn connection_closed(&mut self) -> SessionEvent {
         if self.outstanding.is_none() {
             return SessionEvent::Unsolicited;
--- a/crates/seat_leases/src/action.rs
+++ b/crates/seat_leases/src/action.rs
@@ -1,4 +1,4 @@
-//! What an owner of seats asks its gateway to do, and what it tells of its runners.
+//! What an owner of seats asks its gateway to do, and the usage of its runners.
 
 use protocol::{RequestId, SeatLease};
 
--- a/crates/seat_leases/src/function_seats.rs
+++ b/crates/seat_leases/src/function_seats.rs
@@ -1,4 +1,4 @@
-//! The seats of one function: its runners, the requests that wait, and what of both the scaler is told.
+//! The seats of one function: its runners, the requests that wait, and its reports to the scaler.
 
 use crate::lease_holder::LeaseHolder;
 use crate::report_state::ReportState;
@@ -48,7 +48,7 @@
 }
 
 impl FunctionSeats {
-    /// What the scaler is not told yet.
+    /// What is not reported yet.
     pub fn report_state(&mut self) -> &mut ReportState {
         &mut self.report
     }
@@ -95,7 +95,7 @@
         self.report.mark_changed();
     }
 
-    /// The runner that a gateway told of; where it is not known yet it is taken for one that serves.
+    /// The runner at which a gateway has leases; where it is not known yet it is taken for one that serves.
     pub fn runner_or_add(&mut self, now: u64, leases: &RunnerLeases) -> &mut SeatRunner {
         self.runners.get_or_add(now, leases)
     }
@@ -268,7 +268,7 @@
             .collect()
     }
 
-    /// What the scaler is told of the function.
+    /// The report of the function to the scaler.
     pub fn report(&self, function: &str) -> FunctionReport {
         FunctionReport {
             function: function.into(),
--- a/crates/seat_leases/src/lease_owner.rs
+++ b/crates/seat_leases/src/lease_owner.rs
@@ -21,7 +21,7 @@
     functions: HashMap<String, FunctionSeats>,
     /// The function for which each request holds a lease or waits.
     function_by_holder: HashMap<LeaseHolder, String>,
-    /// Functions of which the scaler may have something to be told.
+    /// Functions that may have something to report to the scaler.
     unreported: BTreeSet<String>,
     probes: ProbeSchedule,
     evacuated_zones: BTreeSet<String>,
@@ -97,7 +97,7 @@
         self.issue_leases(now, &function);
     }
 
-    /// A gateway tells the function's new owner at which runners it has requests.
+    /// A gateway reports to the function's new owner the seats that it uses.
     pub fn adopt_leases(
         &mut self,
         now: u64,
@@ -119,7 +119,7 @@
         self.unreported.insert(function.to_string());
     }
 
-    /// The scaler tells a function's runners.
+    /// An update of a function's runners from the scaler.
     pub fn update_runners(&mut self, now: u64, update: FunctionUpdate) {
         let function = update.function.clone();
         let seats = self.functions.entry(function.clone()).or_default();
--- a/crates/seat_leases/src/runner_set.rs
+++ b/crates/seat_leases/src/runner_set.rs
@@ -13,7 +13,7 @@
 const OTHER_ZONE_COST: f64 = 0.5;
 /// Cost of a runner whose quota is all leased, in its own mean response times.
 const FULL_COST: f64 = 0.5;
-/// Quota of a runner of which a gateway told before the scaler did.
+/// Quota of a runner that a gateway reported before the scaler did.
 const UNKNOWN_QUOTA: u32 = 1;
 
 /// The runners of one function.
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The runner of which a gateway told; where it is not known yet it is taken for one that serves.
+    /// The runner at which a gateway has leases; where it is not known yet it is taken for one that serves.
     pub fn get_or_add(&mut self, now: u64, leases: &RunnerLeases) -> &mut SeatRunner {
         let known = self
             .runners
--- a/crates/seat_leases/src/seat_runner.rs
+++ b/crates/seat_leases/src/seat_runner.rs
@@ -204,7 +204,7 @@
         self.probe_at
     }
 
-    /// What the scaler is told of it.
+    /// Its part in the report of the function to the scaler.
     pub fn report(&self) -> RunnerReport {
         RunnerReport {
             id: self.update.id.clone(),
