--- a/crates/controller/src/operator_requests.rs
+++ b/crates/controller/src/operator_requests.rs
@@ -66,7 +66,7 @@
 }
 
 impl OperatorRequests {
-    /// Whether no further command can be taken now.
+    /// Whether no further command can begin now.
     pub fn is_full(&self) -> bool {
         self.in_progress.len() >= REQUESTS_MAX
     }
--- a/crates/controller/src/operator_response.rs
+++ b/crates/controller/src/operator_response.rs
@@ -4,8 +4,7 @@
 use operator_commands::{CommandReply, RejectionKind};
 use std::net::{IpAddr, SocketAddr};
 
-/// Seconds after which operators come back to a daemon that cannot answer now. A lost majority is found again or
-/// replaced within a few heartbeats.
+/// Seconds after which operators come back to a daemon that cannot answer now.
 const RETRY_AFTER_SECONDS: &str = "0.3";
 
 /// Status of an answer that sends an operator to another daemon.
@@ -53,7 +52,7 @@
         self
     }
 
-    /// Names where else the request is taken: at the operators' port of another daemon.
+    /// Names where else the request is served: at the operators' port of another daemon.
     pub fn with_location(mut self, ip: IpAddr, port: u16, target: &str) -> Self {
         let address = SocketAddr::new(ip, port);
         self.headers
--- a/crates/controller/src/peer_links.rs
+++ b/crates/controller/src/peer_links.rs
@@ -8,7 +8,7 @@
 use speedy::{Readable, Writable};
 use std::collections::HashMap;
 
-/// Least milliseconds between tries to reach a controller. A lost connection costs a vote, so it is small.
+/// Least milliseconds between tries to reach a controller.
 const CONNECT_RETRY_MS: u64 = 100;
 
 /// What goes between two controllers.
--- a/crates/controller/src/scaler.rs
+++ b/crates/controller/src/scaler.rs
@@ -25,7 +25,7 @@
     /// None while another controller scales.
     autoscaler: Option<Autoscaler>,
     membership: MembershipPublisher,
-    /// Incarnation of each gateway whose reports were taken.
+    /// Incarnation of each gateway that has reported under any term.
     incarnations: BTreeMap<String, u64>,
     platform: PlatformClient,
     lists: PlatformLists,
--- a/crates/controller/tests/member_directory.rs
+++ b/crates/controller/tests/member_directory.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn only_members_that_said_lately_that_they_are_in_contact_count() {
+fn only_members_with_a_fresh_heartbeat_and_contact_count() {
     let mut directory = directory(&[1, 2, OWN]);
     assert_eq!(directory.current(0), [], "nobody sent a heartbeat");
     assert_eq!(directory.take_due(0), [address(1), address(2)]);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn members_are_learnt_and_dead_ones_forgotten_though_all_seeds_are_replaced() {
+fn members_are_learnt_and_dead_ones_removed_though_all_seeds_are_replaced() {
     let mut directory = directory(&[1, 2]);
     receive_heartbeat(&mut directory, 0, 1, true, &[1, 2, 3]);
     receive_heartbeat(&mut directory, 100, 3, true, &[1, 3, 4]);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_seed_is_asked_on_however_long_it_is_silent() {
+fn a_seed_is_polled_however_long_it_is_silent() {
     let mut directory = directory(&[1]);
     let mut asked = 0;
     for now in (0..60_000).step_by(50) {
--- a/crates/operator_commands/tests/decisions.rs
+++ b/crates/operator_commands/tests/decisions.rs
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_base_must_be_told_once_in_decimal_digits() {
+fn a_base_must_be_stated_once_in_decimal_digits() {
     let read = |values: &[&[u8]]| BaseVersion::read(values.iter().copied());
     assert_eq!(read(&[b"7"]), BaseVersion::Given(7));
     assert_eq!(read(&[b" 7\t"]), BaseVersion::Given(7));
