--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -1,3 +1,5 @@
+//! A change of a register over as many ballots as it takes, and what its end says of it.
+
 use crate::message::{VoterOperation, VoterResponse};
 use crate::round::{Change, ChangeOutcome, Round, RoundStep};
 use crate::value::{Ballot, VersionedValue};
@@ -5,12 +7,11 @@
 /// What the driver of a proposal does next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProposalStep {
-    /// Ask every voter; answers to earlier asks must not be fed any more.
+    /// Send this to every voter. Responses to earlier operations must not be fed any more.
     Send(VoterOperation),
-    /// Wait for more answers.
+    /// Wait for more responses.
     Wait,
-    /// Another proposer was faster: pause a little, then call [`Proposal::retry`] with a ballot
-    /// above this one.
+    /// Another proposer has this higher ballot: pause a little, then call [`Proposal::retry`] with a ballot above it.
     Retry(Ballot),
     /// The change has ended.
     Done(ChangeOutcome),
@@ -24,6 +25,7 @@
     tag: u64,
     voters: usize,
     round: Round,
+    /// Whether the change's own value was proposed in any round.
     has_proposed: bool,
 }
 
@@ -36,7 +38,7 @@
         ballot: Ballot,
         voters: usize,
     ) -> (Self, VoterOperation) {
-        let (round, ask) = Round::start(key, change.clone(), ballot, tag, voters);
+        let (round, operation) = Round::start(key, change.clone(), ballot, tag, voters);
         let proposal = Self {
             key: key.to_string(),
             change,
@@ -45,36 +47,36 @@
             round,
             has_proposed: false,
         };
-        (proposal, ask)
+        (proposal, operation)
     }
 
     /// Goes on with a ballot that this proposer never used before.
     pub fn retry(&mut self, ballot: Ballot) -> VoterOperation {
         let change = self.change.clone();
-        let (round, ask) = Round::start(&self.key, change, ballot, self.tag, self.voters);
+        let (round, operation) = Round::start(&self.key, change, ballot, self.tag, self.voters);
         self.round = round;
-        ask
+        operation
     }
 
-    /// Takes one voter's answer to the ask that is out.
+    /// Takes one voter's response to the operation that was sent last; `voter` is its index in the set.
     pub fn on_response(&mut self, voter: usize, response: VoterResponse) -> ProposalStep {
         let step = self.round.on_response(voter, response);
         self.has_proposed |= self.round.has_proposed();
         match step {
-            RoundStep::Send(ask) => ProposalStep::Send(ask),
+            RoundStep::Send(operation) => ProposalStep::Send(operation),
             RoundStep::Wait => ProposalStep::Wait,
             RoundStep::Done(ChangeOutcome::Preempted(above)) => ProposalStep::Retry(above),
             RoundStep::Done(outcome) => ProposalStep::Done(self.judge(outcome)),
         }
     }
 
-    /// Ends the change when its time is over.
+    /// How the change ends where its driver gives up now.
     pub fn abandon(&self) -> ChangeOutcome {
         self.judge(self.round.abandon())
     }
 
-    // A settled value answers a write only where it is the writer's own; and once a value was
-    // proposed, nothing short of the register's own word says that it was not chosen.
+    /// A committed value answers a write only where it is the writer's own; and once a value was proposed, nothing short of a
+    /// later version in the register says that it was not committed.
     fn judge(&self, outcome: ChangeOutcome) -> ChangeOutcome {
         match outcome {
             ChangeOutcome::Committed(value) => self.judge_committed(value),
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -1,3 +1,5 @@
+//! One ballot of a proposer: a query, or a prepare and an accept, at a majority of the voters.
+
 use crate::message::{VoterOperation, VoterResponse};
 use crate::value::{Ballot, VersionedValue};
 use crate::voter_set::VoterSet;
@@ -5,7 +7,7 @@
 /// What a proposer wants of a register.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Learn the value; one that was accepted but not settled is settled first.
+    /// Learn the value; one that was accepted but not committed is committed first.
     Read,
     /// Write where the version is the expected one.
     Write {
@@ -19,28 +21,28 @@
 /// How a change ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeOutcome {
-    /// The value that was read, or that was written and is settled.
+    /// The value that was read, or that was written and is committed.
     Committed(VersionedValue),
     /// The version was not the expected one; this is the value in place.
     Conflict(VersionedValue),
-    /// A higher ballot is about; try again above it.
+    /// A voter promised this higher ballot; try again above it.
     Preempted(Ballot),
-    /// The voters believe in this set.
+    /// A voter is in this set, and not in the one that the proposer uses.
     SetMismatch(VoterSet),
-    /// The key is too old: what was under it is no longer known, so nothing may be.
+    /// The key is a claim that is too old: what was under it may have been forgotten, so that nothing may be put there.
     Expired,
-    /// No majority answered and nothing was proposed.
+    /// No majority answered, for this reason, and nothing was proposed.
     NoQuorum(String),
-    /// A value was proposed and it is not known whether it was chosen.
+    /// A value was proposed, and it is not known whether it was or will be committed.
     Indeterminate,
 }
 
-/// What the driver does next.
+/// What the driver of a round does next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RoundStep {
-    /// Ask every voter.
+    /// Send this to every voter. Responses to earlier operations must not be fed any more.
     Send(VoterOperation),
-    /// Wait for more answers.
+    /// Wait for more responses.
     Wait,
     /// The change has ended.
     Done(ChangeOutcome),
@@ -53,7 +55,7 @@
     Accept,
 }
 
-/// One try of a proposer: a pure machine, fed with the voters' answers.
+/// One ballot of a proposer: a pure machine, fed with the voters' responses.
 #[derive(Clone, Debug)]
 pub struct Round {
     key: String,
@@ -62,15 +64,19 @@
     tag: u64,
     voters: usize,
     phase: Phase,
+    /// What each voter accepted last, or this ballot where it accepted it now.
     answers: Vec<Option<(Ballot, VersionedValue)>>,
+    /// Voters that will not answer this phase.
     rejections: Vec<bool>,
     proposed: VersionedValue,
+    /// Highest ballot that a voter promised to another proposer.
     highest_rejection: Ballot,
+    /// Why voters did not answer, for whoever is told that no majority did.
     reason: String,
 }
 
 impl Round {
-    /// Starts a try; the ballot must be one that this proposer never used for the key before.
+    /// Starts a round; the ballot must be one that this proposer never used for the key before.
     pub fn start(
         key: &str,
         change: Change,
@@ -95,8 +101,8 @@
             Change::Read => Phase::Query,
             Change::Write { .. } => Phase::Prepare,
         };
-        let ask = round.enter(phase);
-        (round, ask)
+        let operation = round.enter(phase);
+        (round, operation)
     }
 
     fn enter(&mut self, phase: Phase) -> VoterOperation {
@@ -120,7 +126,7 @@
         self.voters / 2 + 1
     }
 
-    /// Takes one voter's answer to the ask that is out. Answers to earlier asks must not be fed.
+    /// Takes one voter's response to the operation that was sent last. Responses to earlier ones must not be fed.
     pub fn on_response(&mut self, voter: usize, response: VoterResponse) -> RoundStep {
         if voter >= self.voters || self.answers[voter].is_some() || self.rejections[voter] {
             return RoundStep::Wait;
@@ -161,7 +167,7 @@
         RoundStep::Wait
     }
 
-    /// Ends the try without further answers.
+    /// Ends the round without further responses.
     pub fn abandon(&self) -> ChangeOutcome {
         if self.highest_rejection > Ballot::default() {
             return ChangeOutcome::Preempted(self.highest_rejection);
@@ -172,13 +178,13 @@
         ChangeOutcome::NoQuorum(self.reason.clone())
     }
 
-    /// Whether this try's own value has been proposed, so that it may yet be chosen. To settle a
-    /// value that was found is not to propose one.
+    /// Whether this round's own value has been proposed, so that it may yet be committed. To commit a value that was found is
+    /// not to propose one.
     pub fn has_proposed(&self) -> bool {
         self.phase == Phase::Accept && self.proposed.tag == self.tag
     }
 
-    /// The tag of this try's own write.
+    /// The tag of this round's own write.
     pub fn tag(&self) -> u64 {
         self.tag
     }
--- a/crates/register/tests/rounds.rs
+++ b/crates/register/tests/rounds.rs
@@ -4,8 +4,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use register::{
-    Acceptor, Ballot, Change, ChangeOutcome, ClaimFloors, Proposal, ProposalStep, Record, Round,
-    RoundStep, SetVersion, VoterRef, VoterRequest, VoterResponse, VoterSet,
+    Acceptor, Ballot, Change, ChangeOutcome, ClaimFloors, Proposal, ProposalStep, Record,
+    RegisterState, Round, RoundStep, SetVersion, VoterRef, VoterRequest, VoterResponse, VoterSet,
 };
 use std::collections::BTreeMap;
 
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn one_value_is_settled_for_each_version() {
+fn one_value_is_committed_for_each_version() {
     let mut writes = 0;
     for seed in 0..300 {
         let mut world = World::new(seed);
@@ -271,56 +271,56 @@
     }
 }
 
-#[test]
-fn a_newcomer_holds_what_any_majority_had_settled() {
-    let set = |no, disks: [u64; 3]| VoterSet {
+/// A set of voters with these disks.
+fn set_of(number: u64, disks: [u64; 3]) -> VoterSet {
+    let voters = disks.map(|disk| VoterRef {
+        disk,
+        address: String::new(),
+    });
+    VoterSet {
         epoch: 1,
-        number: no,
-        voters: disks
-            .iter()
-            .map(|disk| VoterRef {
-                disk: *disk,
-                address: String::new(),
-            })
-            .collect(),
-    };
-    // The value is settled at the first and the third voter; the third is then replaced.
+        number,
+        voters: voters.into(),
+    }
+}
+
+fn replica_of(voter: &Acceptor) -> Vec<(String, RegisterState)> {
+    (0..256)
+        .flat_map(|range| voter.registers_in_range(range))
+        .collect()
+}
+
+#[test]
+fn a_new_member_holds_what_any_majority_had_committed() {
+    // The value is committed at the first and the third voter; the third is then replaced.
     let mut voters = vec![Acceptor::default(); VOTERS];
     for voter in &mut voters {
-        voter.bootstrap(set(1, [1, 2, 3])).unwrap();
+        voter.bootstrap(set_of(1, [1, 2, 3])).unwrap();
     }
     let mut missing = std::mem::take(&mut voters[1]);
     assert!(matches!(
         write(&mut voters, 1, 0),
         ChangeOutcome::Committed(_)
     ));
-    let next = set(2, [1, 2, 9]);
-    let copies: Vec<_> = [&mut voters[0], &mut missing]
-        .into_iter()
-        .map(|voter| {
-            voter.adopt_set(next.clone()).unwrap();
-            (0..256)
-                .flat_map(|range| voter.registers_in_range(range))
-                .collect()
-        })
-        .collect();
-    let mut newcomer = Acceptor::default();
-    newcomer.install(
-        next,
-        ClaimFloors::default(),
-        register::merge_replicas(copies),
-    );
-    assert_eq!(newcomer.register("key").unwrap().value.version, 1);
-    // Promises come with it: a ballot below the settled one is refused.
-    let ask = register::VoterOperation::Prepare {
-        key: "key".into(),
-        ballot: Ballot::default(),
-    };
-    let (_, reply) = newcomer.handle(VoterRequest {
+    let next = set_of(2, [1, 2, 9]);
+    let remaining = [&mut voters[0], &mut missing];
+    let replicas = remaining.map(|voter| {
+        voter.adopt_set(next.clone()).unwrap();
+        replica_of(voter)
+    });
+    let mut new_member = Acceptor::default();
+    let merged = register::merge_replicas(replicas.into());
+    new_member.install(next, ClaimFloors::default(), merged);
+    assert_eq!(new_member.register("key").unwrap().value.version, 1);
+    // Promises come with it: a ballot below the committed one is rejected.
+    let (_, response) = new_member.handle(VoterRequest {
         set_version: SetVersion::new(1, 2),
-        operation: ask,
+        operation: register::VoterOperation::Prepare {
+            key: "key".into(),
+            ballot: Ballot::default(),
+        },
     });
-    assert!(matches!(reply, VoterResponse::Rejected { .. }));
+    assert!(matches!(response, VoterResponse::Rejected { .. }));
 }
 
 #[test]
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn an_aged_out_claim_is_refused_and_never_taken_anew() {
+fn an_expired_claim_is_refused_and_never_taken_anew() {
     let set = VoterSet {
         epoch: 1,
         number: 1,
--- a/crates/register/tests/voters.rs
+++ b/crates/register/tests/voters.rs
@@ -43,7 +43,7 @@
     voter
 }
 
-fn questions(counter: u64) -> [VoterOperation; 3] {
+fn operations(counter: u64) -> [VoterOperation; 3] {
     let key = || KEY.to_string();
     [
         VoterOperation::Query { key: key() },
@@ -60,16 +60,16 @@
 }
 
 #[test]
-fn a_question_under_an_earlier_or_later_set_or_era_is_answered_with_the_voters_set_and_changes_nothing(
+fn a_request_under_an_earlier_or_later_set_or_epoch_is_answered_with_the_voters_set_and_changes_nothing(
 ) {
     let mut voter = voter_in_second_set();
     for set_version in
         [(1, 1), (1, 3), (0, 2), (2, 2)].map(|(epoch, number)| SetVersion::new(epoch, number))
     {
-        for ask in questions(5) {
+        for operation in operations(5) {
             let (record, reply) = voter.handle(VoterRequest {
                 set_version,
-                operation: ask,
+                operation,
             });
             assert_eq!(record, None, "{set_version:?}");
             assert_eq!(
@@ -83,11 +83,11 @@
 }
 
 #[test]
-fn a_voter_never_goes_back_to_an_earlier_set_nor_to_another_era() {
+fn a_voter_never_goes_back_to_an_earlier_set_nor_to_another_epoch() {
     let mut voter = voter_in_second_set();
-    let mut other_era = set(3);
-    other_era.epoch = 2;
-    for older in [set(1), set(2), other_era] {
+    let mut other_epoch = set(3);
+    other_epoch.epoch = 2;
+    for older in [set(1), set(2), other_epoch] {
         assert_eq!(voter.adopt_set(older), None);
         assert_eq!(voter.set().version(), SetVersion::new(1, 2));
     }
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_mended_value_breaks_no_promise() {
+fn a_repaired_value_breaks_no_promise() {
     let mut voter = voter_in_second_set();
     let promise = VoterOperation::Prepare {
         key: KEY.to_string(),
@@ -128,7 +128,7 @@
 }
 
 /// A write whose value went out to all voters, and whose round was then beaten.
-fn beaten_after_proposing() -> Proposal {
+fn preempted_after_proposing() -> Proposal {
     let change = Change::Write {
         expected: 0,
         bytes: vec![1],
@@ -156,9 +156,9 @@
 }
 
 #[test]
-fn a_write_that_was_proposed_stays_undecided_whatever_its_next_round_meets() {
+fn a_write_that_was_proposed_stays_indeterminate_whatever_its_next_round_meets() {
     assert_eq!(
-        beaten_after_proposing().abandon(),
+        preempted_after_proposing().abandon(),
         ChangeOutcome::Indeterminate
     );
     let ends = [
@@ -166,12 +166,12 @@
         VoterResponse::Expired,
     ];
     for end in ends {
-        let mut proposal = beaten_after_proposing();
+        let mut proposal = preempted_after_proposing();
         proposal.retry(ballot(6));
         let step = proposal.on_response(0, end);
         assert_eq!(step, ProposalStep::Done(ChangeOutcome::Indeterminate));
     }
-    let mut proposal = beaten_after_proposing();
+    let mut proposal = preempted_after_proposing();
     proposal.retry(ballot(6));
     assert_eq!(
         proposal.abandon(),
--- a/crates/voter/src/voter.rs
+++ b/crates/voter/src/voter.rs
@@ -1,4 +1,4 @@
-//! A voter with its journal.
+//! A voter with its journal: what it holds is in memory, what it said is on the disk.
 
 use error_stack::{Report, ResultExt};
 use journal::{Folder, Journal, JournalError, Recovered};
@@ -39,18 +39,19 @@
 
 impl std::error::Error for VoterError {}
 
-/// What an empty voter is given.
+/// What an empty voter takes to become a member of a set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Installation {
     /// The set that it is a member of.
     pub set: VoterSet,
-    /// Times before which claims are forgotten, and before which unknown ones are refused.
+    /// The latest floors of a majority of the other members.
     pub claim_floors: ClaimFloors,
     /// All that a majority of the other members holds.
     pub registers: Vec<(String, RegisterState)>,
 }
 
-/// A voter with its journal. What it is asked may be answered only after [`Voter::sync`] said so.
+/// A voter with its journal. A response may leave only after [`Voter::sync`] returned true. A voter without a journal is closed:
+/// it answers nothing and takes nothing.
 pub struct Voter {
     acceptor: Acceptor,
     journal: Option<Journal>,
@@ -108,7 +109,7 @@
         }
     }
 
-    /// What the voter holds, also what is not synced yet.
+    /// What the voter holds, also what is not durable yet.
     pub fn acceptor(&self) -> &Acceptor {
         &self.acceptor
     }
@@ -136,30 +137,30 @@
         Ok(voter)
     }
 
-    /// Works a reply out.
+    /// Works out the response to a request. It may leave once [`Voter::sync`] returned true.
     pub fn handle(&mut self, request: VoterRequest) -> VoterResponse {
         if !self.is_open() {
             return closed("the disk is not to be trusted");
         }
-        let (record, reply) = self.acceptor.handle(request);
+        let (record, response) = self.acceptor.handle(request);
         self.unsynced.extend(record);
-        reply
+        response
     }
 
-    /// What is said in place of a reply whose records could not be synced.
+    /// What is answered in place of a response whose records could not be synced.
     pub fn disk_failed_response() -> VoterResponse {
         closed("the disk failed")
     }
 
-    /// Takes the first set of an era, with its floor.
-    pub fn bootstrap(&mut self, set: VoterSet, floor: u64) {
+    /// Takes the first set of an epoch. Claims issued before `refused_before`, in milliseconds of the wall clock, are refused.
+    pub fn bootstrap(&mut self, set: VoterSet, refused_before: u64) {
         if !self.is_open() {
             return;
         }
         let formed = self.acceptor.bootstrap(set);
         if formed.is_some() {
             self.unsynced
-                .extend(self.acceptor.refuse_claims_before(floor));
+                .extend(self.acceptor.refuse_claims_before(refused_before));
         }
         self.unsynced.extend(formed);
     }
@@ -172,11 +173,13 @@
     }
 
     /// Takes a set with all that its other members hold, where this voter is empty.
-    pub fn install(&mut self, given: Installation) {
+    pub fn install(&mut self, installation: Installation) {
         if self.is_open() {
-            let records = self
-                .acceptor
-                .install(given.set, given.claim_floors, given.registers);
+            let records = self.acceptor.install(
+                installation.set,
+                installation.claim_floors,
+                installation.registers,
+            );
             self.unsynced.extend(records);
         }
     }
