--- a/crates/hallkeel/src/fleet.rs
+++ b/crates/hallkeel/src/fleet.rs
@@ -1,5 +1,5 @@
 use crate::cores::CliError;
-use protocol::{frame, Frames, Message};
+use protocol::{frame, FrameReader, Message};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -48,7 +48,7 @@
             return Err("it does not tell its state".to_string());
         }
         bytes.extend_from_slice(&part[..count]);
-        match Frames::new(&bytes).read::<Message>() {
+        match FrameReader::new(&bytes).read::<Message>() {
             Ok(None) => {}
             Ok(Some(Message::Status(text))) => {
                 return serde_json::from_str(&text).map_err(|error| error.to_string());
--- a/crates/jobs/tests/cluster/gateway.rs
+++ b/crates/jobs/tests/cluster/gateway.rs
@@ -22,7 +22,7 @@
 pub struct PendingRequest {
     pub client_request: usize,
     pub has_client: bool,
-    pub stage: RequestPhase,
+    pub phase: RequestPhase,
     pub admission: JobAdmission,
     pub deadline: u64,
     pub sends: u32,
@@ -144,7 +144,7 @@
         let request = PendingRequest {
             client_request,
             has_client: true,
-            stage: RequestPhase::BackingOff,
+            phase: RequestPhase::BackingOff,
             admission,
             deadline: now + timeout_ms,
             sends: 0,
@@ -170,7 +170,7 @@
         let Some(request) = node.requests.get_mut(&number) else {
             return;
         };
-        request.stage = RequestPhase::Waiting(owner.clone());
+        request.phase = RequestPhase::Waiting(owner.clone());
         let lease_request = LeaseRequest {
             request_id: RequestId(number),
             function: FUNCTION.into(),
@@ -193,7 +193,7 @@
             .requests
             .get(&number)
             .filter(|_| node.incarnation == incarnation);
-        if request.is_some_and(|request| request.stage == RequestPhase::BackingOff) {
+        if request.is_some_and(|request| request.phase == RequestPhase::BackingOff) {
             self.request_lease(index, number);
         }
     }
@@ -205,13 +205,13 @@
         let Some(request) = node.requests.get_mut(&number) else {
             return;
         };
-        let asked_owner = match &request.stage {
+        let asked_owner = match &request.phase {
             RequestPhase::Waiting(asked_owner) | RequestPhase::Sent(asked_owner, false, _) => {
                 asked_owner.clone()
             }
             _ => return,
         };
-        request.stage = RequestPhase::BackingOff;
+        request.phase = RequestPhase::BackingOff;
         let end = request
             .admission
             .completion(RequestId(number), FUNCTION, JobResult::NotRun);
@@ -232,7 +232,7 @@
         }
         let owner = self.owner_of(index);
         let moved = self.nodes[index].requests.iter().filter(|(_, request)| {
-            let asked_owner = match &request.stage {
+            let asked_owner = match &request.phase {
                 RequestPhase::Waiting(asked_owner) | RequestPhase::Sent(asked_owner, false, _) => {
                     asked_owner
                 }
@@ -260,7 +260,7 @@
 
     pub fn release_seat(&mut self, index: usize, number: u64) {
         let request = &self.nodes[index].requests[&number];
-        if let RequestPhase::Sent(asked_owner, false, _) = request.stage.clone() {
+        if let RequestPhase::Sent(asked_owner, false, _) = request.phase.clone() {
             self.release(index, &asked_owner, number, LeaseOutcome::Unused);
         }
     }
@@ -274,7 +274,7 @@
         else {
             return;
         };
-        if let RequestPhase::Sent(asked_owner, true, _) = request.stage.clone() {
+        if let RequestPhase::Sent(asked_owner, true, _) = request.phase.clone() {
             self.release(index, &asked_owner, number, LeaseOutcome::Lost);
             return self.finish(index, number, ClientOutcome::MayHaveRun, JobResult::Lost);
         }
@@ -302,7 +302,7 @@
         self.oracle
             .tell(request.client_request, now, ClientOutcome::NoResponse);
         if matches!(
-            request.stage,
+            request.phase,
             RequestPhase::Waiting(_) | RequestPhase::BackingOff
         ) {
             self.cancel_lease_request(index, number);
--- a/crates/jobs/tests/cluster/messages.rs
+++ b/crates/jobs/tests/cluster/messages.rs
@@ -147,9 +147,9 @@
         else {
             return;
         };
-        if !matches!(request.stage, RequestPhase::Sent(_, true, _)) {
+        if !matches!(request.phase, RequestPhase::Sent(_, true, _)) {
             request.admission.joined();
-            request.stage = RequestPhase::Waiting(from.into());
+            request.phase = RequestPhase::Waiting(from.into());
         }
     }
 
@@ -167,7 +167,7 @@
         else {
             return;
         };
-        if matches!(request.stage, RequestPhase::Sent(_, true, _)) {
+        if matches!(request.phase, RequestPhase::Sent(_, true, _)) {
             return;
         }
         let outcome = match verdict {
--- a/crates/jobs/tests/cluster/runner_attempts.rs
+++ b/crates/jobs/tests/cluster/runner_attempts.rs
@@ -13,11 +13,11 @@
         let request = node.requests.get_mut(&number);
         let is_waiting = request
             .as_ref()
-            .is_some_and(|request| request.stage == RequestPhase::Waiting(asked_owner.into()));
+            .is_some_and(|request| request.phase == RequestPhase::Waiting(asked_owner.into()));
         let Some(request) = request.filter(|_| is_waiting) else {
             return self.release(index, asked_owner, number, LeaseOutcome::Unused);
         };
-        request.stage = RequestPhase::Sent(asked_owner.into(), false, 0);
+        request.phase = RequestPhase::Sent(asked_owner.into(), false, 0);
         let (incarnation, attempt) = (node.incarnation, request.admission.attempt().number);
         self.later(way, Event::Connected(index, incarnation, number, attempt));
     }
@@ -54,7 +54,7 @@
             return;
         };
         let is_same = request.admission.attempt().number == attempt;
-        if let RequestPhase::Sent(_, false, opened) = &mut request.stage {
+        if let RequestPhase::Sent(_, false, opened) = &mut request.phase {
             if is_same {
                 *opened = now;
                 request.admission.connected();
@@ -71,7 +71,7 @@
         let Some(request) = node.requests.get_mut(&number) else {
             return;
         };
-        let RequestPhase::Sent(_, is_sent, opened) = &mut request.stage else {
+        let RequestPhase::Sent(_, is_sent, opened) = &mut request.phase else {
             return;
         };
         if *is_sent || !request.admission.is_connected() || !request.admission.may_be_sent() {
@@ -128,7 +128,7 @@
         let Some(request) = node.requests.get_mut(&number) else {
             return;
         };
-        let RequestPhase::Sent(asked_owner, true, _) = request.stage.clone() else {
+        let RequestPhase::Sent(asked_owner, true, _) = request.phase.clone() else {
             return;
         };
         if request.sends != send {
@@ -182,7 +182,7 @@
         self.nodes[index]
             .unacknowledged_results
             .record(self.now / MS, &end);
-        let asked_owner = match &request.stage {
+        let asked_owner = match &request.phase {
             RequestPhase::Waiting(asked_owner) | RequestPhase::Sent(asked_owner, ..) => {
                 Some(asked_owner.clone())
             }
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -4,14 +4,14 @@
 use std::fmt;
 
 /// Most bytes of a message. It bounds the memory that a damaged or hostile length can take.
-pub const FRAME_MAX: usize = 8 << 20;
+pub const MAX_FRAME_BYTES: usize = 8 << 20;
 /// Bytes of the length that precedes each message.
 const LENGTH_BYTES: usize = 4;
 
 /// Why received bytes are no frames.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The length is above [`FRAME_MAX`].
+    /// The length is above [`MAX_FRAME_BYTES`].
     TooLong,
     /// The bytes of the frame decode to no message.
     Unreadable,
@@ -33,6 +33,7 @@
 where
     M: Writable<LittleEndian>,
 {
+    // Writing to memory does not fail.
     let body = message.write_to_vec().unwrap_or_default();
     let mut bytes = Vec::with_capacity(LENGTH_BYTES + body.len());
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
@@ -41,20 +42,20 @@
 }
 
 /// Reads the complete frames at the beginning of received bytes.
-pub struct Frames<'a> {
+pub struct FrameReader<'a> {
     bytes: &'a [u8],
-    taken: usize,
+    consumed: usize,
 }
 
-impl<'a> Frames<'a> {
+impl<'a> FrameReader<'a> {
     /// Frames in these bytes.
     pub fn new(bytes: &'a [u8]) -> Self {
-        Self { bytes, taken: 0 }
+        Self { bytes, consumed: 0 }
     }
 
     /// Bytes of the frames that were read.
-    pub fn taken(&self) -> usize {
-        self.taken
+    pub fn consumed(&self) -> usize {
+        self.consumed
     }
 
     /// The next message; none where no complete frame is left.
@@ -62,19 +63,19 @@
     where
         M: Readable<'a, LittleEndian>,
     {
-        let rest = &self.bytes[self.taken..];
+        let rest = &self.bytes[self.consumed..];
         let Some(length) = rest.get(..LENGTH_BYTES) else {
             return Ok(None);
         };
         let length = u32::from_le_bytes([length[0], length[1], length[2], length[3]]) as usize;
-        if length > FRAME_MAX {
+        if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong);
         }
         let Some(body) = rest.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
             return Ok(None);
         };
         let message = M::read_from_buffer(body).map_err(|_| FrameError::Unreadable)?;
-        self.taken += LENGTH_BYTES + length;
+        self.consumed += LENGTH_BYTES + length;
         Ok(Some(message))
     }
 }
@@ -85,7 +86,7 @@
 where
     M: for<'a> Readable<'a, LittleEndian>,
 {
-    let mut frames = Frames::new(inbox);
+    let mut frames = FrameReader::new(inbox);
     let mut messages = Vec::new();
     let error = loop {
         match frames.read::<M>() {
@@ -94,7 +95,7 @@
             Err(error) => break Some(error),
         }
     };
-    let taken = frames.taken();
-    inbox.drain(..taken);
+    let consumed = frames.consumed();
+    inbox.drain(..consumed);
     (messages, error)
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -12,7 +12,7 @@
 mod message;
 
 pub use compression::{pack, unpack};
-pub use frame::{frame, take_frames, FrameError, Frames, FRAME_MAX};
+pub use frame::{frame, take_frames, FrameError, FrameReader, MAX_FRAME_BYTES};
 pub use functions::{
     FunctionReport, FunctionUpdate, RunnerReport, RunnerStage, RunnerUpdate, StartBlock,
     ZoneArrivals,
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -4,7 +4,7 @@
 
 use drawn::{kind_of, message, Drawn, KINDS};
 use fuzzing::{seeded, TestResult};
-use protocol::{frame, FrameError, Frames, Message, RequestId, FRAME_MAX};
+use protocol::{frame, FrameError, FrameReader, Message, RequestId, MAX_FRAME_BYTES};
 use quickcheck::Gen;
 
 /// Reads frames as a daemon does: what is no whole frame yet stays until more arrives.
@@ -18,12 +18,12 @@
         let (piece, after) = rest.split_at(length.min(rest.len()));
         inbox.extend_from_slice(piece);
         rest = after;
-        let mut frames = Frames::new(&inbox);
+        let mut frames = FrameReader::new(&inbox);
         while let Some(message) = frames.read::<Message>()? {
             messages.push(message);
         }
-        let taken = frames.taken();
-        inbox.drain(..taken);
+        let consumed = frames.consumed();
+        inbox.drain(..consumed);
     }
     Ok(messages)
 }
@@ -36,14 +36,14 @@
             let sent = message(kind, &mut gen);
             assert_eq!(kind_of(&sent), kind);
             let bytes = frame(&sent);
-            let mut frames = Frames::new(&bytes);
+            let mut frames = FrameReader::new(&bytes);
             assert_eq!(frames.read(), Ok(Some(sent)));
-            assert_eq!(frames.taken(), bytes.len());
+            assert_eq!(frames.consumed(), bytes.len());
             assert_eq!(frames.read::<Message>(), Ok(None));
         }
     }
     let pong = frame(&Message::Pong(7));
-    assert_eq!(Frames::new(&pong).read(), Ok(Some(Message::Pong(7))));
+    assert_eq!(FrameReader::new(&pong).read(), Ok(Some(Message::Pong(7))));
 }
 
 #[test]
@@ -61,31 +61,31 @@
 
 #[test]
 fn too_long_a_frame_is_refused_from_its_head_on() {
-    let head = (FRAME_MAX as u32 + 1).to_le_bytes();
+    let head = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes();
     assert_eq!(
-        Frames::new(&head).read::<Message>(),
+        FrameReader::new(&head).read::<Message>(),
         Err(FrameError::TooLong)
     );
     let head = u32::MAX.to_le_bytes();
     assert_eq!(
-        Frames::new(&head).read::<Message>(),
+        FrameReader::new(&head).read::<Message>(),
         Err(FrameError::TooLong)
     );
-    let longest = (FRAME_MAX as u32).to_le_bytes();
-    assert_eq!(Frames::new(&longest).read::<Message>(), Ok(None));
+    let longest = (MAX_FRAME_BYTES as u32).to_le_bytes();
+    assert_eq!(FrameReader::new(&longest).read::<Message>(), Ok(None));
 }
 
 #[test]
 fn a_frame_without_a_message_is_refused() {
     let empty = 0u32.to_le_bytes();
     assert_eq!(
-        Frames::new(&empty).read::<Message>(),
+        FrameReader::new(&empty).read::<Message>(),
         Err(FrameError::Unreadable)
     );
     let mut unknown = 4u32.to_le_bytes().to_vec();
     unknown.extend_from_slice(&[0xff; 4]);
     assert_eq!(
-        Frames::new(&unknown).read::<Message>(),
+        FrameReader::new(&unknown).read::<Message>(),
         Err(FrameError::Unreadable)
     );
 }
@@ -97,7 +97,7 @@
     let count = bytes.len() - 4;
     bytes[count..].copy_from_slice(&u32::MAX.to_le_bytes());
     assert_eq!(
-        Frames::new(&bytes).read::<Message>(),
+        FrameReader::new(&bytes).read::<Message>(),
         Err(FrameError::Unreadable)
     );
 }
@@ -118,17 +118,17 @@
         let mut bytes = frame(&sent.0);
         let place = place % bytes.len();
         bytes[place] ^= byte;
-        let mut frames = Frames::new(&bytes);
+        let mut frames = FrameReader::new(&bytes);
         while let Ok(Some(message)) = frames.read::<Message>() {
             let _ = kind_of(&message);
         }
-        frames.taken() <= bytes.len()
+        frames.consumed() <= bytes.len()
     }
 
     fn frames_are_read_completely_or_not_at_all(sent: Drawn, length: usize) -> bool {
         let bytes = frame(&sent.0);
         let length = length % bytes.len();
-        let mut frames = Frames::new(&bytes[..length]);
-        frames.read::<Message>() == Ok(None) && frames.taken() == 0
+        let mut frames = FrameReader::new(&bytes[..length]);
+        frames.read::<Message>() == Ok(None) && frames.consumed() == 0
     }
 }
--- a/tests/compatibility/tests/wire.rs
+++ b/tests/compatibility/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Messages keep the bytes that an earlier version sent.
 
 use ::consensus::ConsensusMessage;
-use ::protocol::{take_frames, Frames, Message};
+use ::protocol::{take_frames, FrameReader, Message};
 use compatibility::samples::{consensus, daemons, frames, protocol};
 use compatibility::{families, HexFixture, Sample};
 use speedy::{LittleEndian, Readable};
@@ -36,10 +36,10 @@
     let captured = HexFixture::load(name);
     assert_eq!(captured.names().len(), samples.len());
     for sample in samples {
-        let mut frames = Frames::new(captured.bytes(sample.name));
+        let mut frames = FrameReader::new(captured.bytes(sample.name));
         let read = frames.read::<T>().expect("the frame holds a message");
         assert_eq!(read.as_ref(), Some(&sample.value), "{}", sample.name);
-        assert_eq!(frames.taken(), captured.bytes(sample.name).len());
+        assert_eq!(frames.consumed(), captured.bytes(sample.name).len());
     }
 }
 
--- a/tests/hollow/src/fleet.rs
+++ b/tests/hollow/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::synthetic_site::{self, Mix};
 use autoscaler::{Autoscaler, RunnerCommand, RunnerListing, StartedRunner};
 use protocol::{
-    frame, Frames, LeaseOutcome, LeaseRelease, LeaseRequest, Member, Message, RequestId,
+    frame, FrameReader, LeaseOutcome, LeaseRelease, LeaseRequest, Member, Message, RequestId,
     UpdateVersion,
 };
 use rand::rngs::StdRng;
@@ -173,7 +173,7 @@
             let actions = timed(&mut gateway.cpu, || {
                 for (from, bytes) in inbox {
                     let member = &members[from];
-                    match Frames::new(&bytes).read() {
+                    match FrameReader::new(&bytes).read() {
                         Ok(Some(Message::LeaseRequest(lease_request))) => {
                             owner.request_lease(now, &member.name, &member.zone, lease_request);
                         }
@@ -260,7 +260,7 @@
         let autoscaler = &mut self.autoscaler;
         let update = timed(&mut self.sums.reporting, || {
             let mut notified = Vec::new();
-            let read: Option<Message> = Frames::new(bytes).read().ok().flatten();
+            let read: Option<Message> = FrameReader::new(bytes).read().ok().flatten();
             let Some(Message::FunctionReports(reports)) = read else {
                 return notified;
             };
--- a/tests/hollow/src/request_path.rs
+++ b/tests/hollow/src/request_path.rs
@@ -4,7 +4,7 @@
 use crate::synthetic_site;
 use http1::{write_request, write_response, MessageLimits, RequestReader, ResponseReader};
 use protocol::{
-    frame, Frames, LeaseOutcome, LeaseRelease, LeaseRequest, Message, RequestId, SeatLease,
+    frame, FrameReader, LeaseOutcome, LeaseRelease, LeaseRequest, Message, RequestId, SeatLease,
     UpdateVersion,
 };
 use std::hint::black_box;
@@ -59,7 +59,7 @@
             black_box(frame(black_box(&message)));
         });
         let read = median_ns(TIMES, || {
-            let read: Result<Option<Message>, _> = Frames::new(black_box(&bytes)).read();
+            let read: Result<Option<Message>, _> = FrameReader::new(black_box(&bytes)).read();
             let _ = black_box(read);
         });
         table.named(name, &[bytes.len() as f64, write, read]);
@@ -157,7 +157,7 @@
             black_box(frame(black_box(&message)));
         });
         let read = median_ns(500, || {
-            let read: Result<Option<Message>, _> = Frames::new(black_box(&bytes)).read();
+            let read: Result<Option<Message>, _> = FrameReader::new(black_box(&bytes)).read();
             let _ = black_box(read);
         });
         points.push((count as f64, bytes.len() as f64));
--- a/tests/hollow/src/wire_gateways.rs
+++ b/tests/hollow/src/wire_gateways.rs
@@ -4,7 +4,7 @@
 use crate::wire_daemons::CHANGE_MS;
 use event_loop::{ConnectionId, Event, EventLoop};
 use protocol::{
-    frame, Frames, FunctionReport, Member, Message, RunnerReport, UpdateVersion, ZoneArrivals,
+    frame, FrameReader, FunctionReport, Member, Message, RunnerReport, UpdateVersion, ZoneArrivals,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -257,11 +257,11 @@
             return;
         };
         let bytes = std::mem::take(inbox);
-        let mut frames = Frames::new(&bytes);
+        let mut frames = FrameReader::new(&bytes);
         let mut before = 0;
         while let Ok(Some(message)) = frames.read::<Message>() {
-            let size = (frames.taken() - before) as u64;
-            before = frames.taken();
+            let size = (frames.consumed() - before) as u64;
+            before = frames.consumed();
             self.taken += size;
             self.receive(place, controller, message, size);
         }
