--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -48,7 +48,7 @@
     pub once: bool,
 }
 
-/// A zone (zone) of the fleet.
+/// A zone of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -32,7 +32,7 @@
     pub term: u64,
     /// Version of the plan that last changed the membership.
     pub membership_since: Version,
-    /// Names of the fronts whose majority gives quorum lease.
+    /// Names of the fronts of which a majority gives a quorum lease.
     pub membership: Vec<String>,
     /// All runners that are wanted, draining, or whose address rests.
     pub runners: Vec<RunnerEntry>,
@@ -65,11 +65,11 @@
     pub owner_epoch: u64,
     /// Version of the plan that named this owner.
     pub owner_since: Version,
-    /// Where it is in its incarnation.
+    /// Its lifecycle state.
     pub state: RunnerState,
 }
 
-/// Where a runner is in its incarnation.
+/// The lifecycle state of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum RunnerState {
     /// Wanted: it is started and serves as soon as it answers.
--- a/crates/core/src/set.rs
+++ b/crates/core/src/set.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// A member that missed a change of the set is notified of it: what another member has taken is settled.
+/// A member that missed a change of the set is sent it: what another member has taken is settled.
 fn log_lagging_fronts(shared: &Shared, newest: &VoterSet, heard: &[PeerStatus]) {
     for one in heard {
         let is_member = newest.voters.iter().any(|voter| voter.disk == one.disk);
--- a/crates/core/src/shared.rs
+++ b/crates/core/src/shared.rs
@@ -53,7 +53,7 @@
 pub struct KnownFront {
     pub observation: FrontObservation,
     pub address: String,
-    /// How far its wall clock was ahead of this core's when it last notified, in milliseconds.
+    /// How far its wall clock was ahead of this core's when it last reported, in milliseconds.
     pub off_ms: i64,
 }
 
@@ -77,7 +77,7 @@
     pub scaler_role: ArcSwap<RoleView>,
     pub decisions: ArcSwap<BTreeMap<String, FunctionDecision>>,
     /// Whether this incarnation has read the plan at a majority, so that it cannot tell an older one than
-    /// it notified before.
+    /// it reported before.
     pub is_certain: AtomicBool,
     /// Operators' requests that are being handled.
     pub handling: AtomicUsize,
@@ -99,7 +99,7 @@
         Duration::from_millis(self.store.committed().configuration.bounds.ask_ms())
     }
 
-    /// A front asks again as soon as it holds updates, well before its next report. The plan's version
+    /// A front asks again as soon as it has an update, well before its next report. The plan's version
     /// is left as it was reported, since what the report says of seats goes with it.
     fn note_configuration(&self, from: &PeerRef, configuration: Version) {
         let mut fronts = self.fronts.lock();
@@ -118,7 +118,7 @@
         median_wall_clock(unix_ms(), reported.map(|known| known.off_ms))
     }
 
-    /// The newest epoch of which a front notified this core that it holds a value, also one that is silent now.
+    /// The newest epoch of which a front reported that it holds a value, also one that is silent now.
     pub fn fronts_epoch(&self) -> u64 {
         let fronts = self.fronts.lock();
         let reports = fronts.values().map(|known| &known.observation.report);
@@ -198,7 +198,7 @@
     }
 }
 
-/// Runs a core until it is notified to stop.
+/// Runs a core until it is asked to stop.
 pub fn run(settings: CoreSettings) -> Result<(), CoreError> {
     let (identity, _lock) = identity::open(&settings.data, &settings.name)?;
     let voter = voting::open(&settings.data)?;
--- a/crates/core/src/update.rs
+++ b/crates/core/src/update.rs
@@ -15,14 +15,14 @@
     responder: Responder,
 }
 
-/// Fronts that asked for updates and wait until there is some.
+/// Fronts that asked for updates and wait until there is one.
 #[derive(Default)]
 pub struct UpdateSubscribers {
     waiting: Mutex<Vec<Waiting>>,
 }
 
 impl UpdateSubscribers {
-    /// Takes a question; it is answered by [`answer_all`] when there is updates or its time is over.
+    /// Takes a question; it is answered by [`answer_all`] when there is an update or its time is over.
     pub fn ask(
         &self,
         shared: &Shared,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Answers all for whom there is updates, or whose time is over.
+/// Answers all for whom there is an update, or whose time is over.
 pub fn answer_all(shared: &Shared) {
     let committed = shared.store.committed();
     let now = now_ms();
--- a/crates/core/src/voting.rs
+++ b/crates/core/src/voting.rs
@@ -22,7 +22,7 @@
     Install(Installation, Sender<VoterSet>),
     /// Take newer values from another copy.
     Repair(Vec<(String, RegisterState)>),
-    /// Tell who this is, with the id of the disk and the newest epoch that fronts notified of.
+    /// Tell who this is, with the id of the disk and the newest epoch that fronts reported.
     Hello(u64, u64, Responder),
     /// Tell the copy in short, to another core.
     ReplicaDigest(Responder),
--- a/crates/front/src/claims.rs
+++ b/crates/front/src/claims.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Learns which voters count; an older set is ignored. Voters of a new epoch are notified the claims
+    /// Learns which voters count; an older set is ignored. Voters of a new epoch are sent the claims
     /// that this front still knows.
     pub fn learn_set(&self, set: &VoterSet) {
         let known = self.set.load_full();
@@ -212,7 +212,7 @@
     }
 
     /// Gives a claim back, of which nothing was sent, so that the caller may ask elsewhere as soon as
-    /// it is notified. Where voters do not answer now it is done later.
+    /// it is known. Where voters do not answer now it is done later.
     pub fn free(&self, key: &IdempotencyKey, version: u64, budget: Duration) {
         match self.write(&key.register, version, &Claim::Free, budget) {
             ChangeOutcome::Committed(_) | ChangeOutcome::Conflict(_) => {}
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -158,7 +158,7 @@
     }
 }
 
-/// Runs a front until it is notified to stop and has drained.
+/// Runs a front until it is asked to stop and has drained.
 pub fn run(settings: FrontSettings) -> io::Result<()> {
     let me = PeerRef {
         name: settings.name.clone(),
@@ -223,7 +223,7 @@
     tend(&shared, &stopped)
 }
 
-/// Lets time go on, until the front is notified to stop and has drained.
+/// Lets time go on, until the front is asked to stop and has drained.
 fn tend(shared: &Shared, stopped: &Receiver<()>) -> io::Result<()> {
     let bounds = Configuration::empty().bounds;
     let mut told_at = None;
@@ -249,7 +249,7 @@
             log::warn!("front: stops with work left, since the drain took too long");
             return Ok(());
         }
-        // Callers on connections that they keep are notified for the length of a lease that it drains.
+        // Callers on connections that they keep learn for the length of a lease that it drains.
         let is_notified = now >= since + bounds.lease_ms();
         if shut_at.is_none() && is_notified && operators::has_drained(shared) {
             if !transport::close_door(shared.settings.http) {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,7 +4,7 @@
 //! a file of its own, and [`run()`] wires them to the event loop:
 //!
 //! 1. `downstream_requests`: a client's bytes become a request; connections that are idle or slow time out.
-//! 2. `request_admission`: the request is bound to a function, checked and given its timeout and retry allowance.
+//! 2. `request_admission`: the request is bound to a function, checked and given its timeout and retry budget.
 //! 3. `lease_requests`: a seat is requested from the gateway that owns the function's seats.
 //! 4. `upstream_requests`: a lease came; a pooled or new connection to its runner is taken and the request is sent.
 //! 5. `upstream_responses`: the runner's bytes, or the end of its connection, are matched to the request.
--- a/crates/peer_sampling/src/view.rs
+++ b/crates/peer_sampling/src/view.rs
@@ -45,8 +45,8 @@
         &self.known
     }
 
-    /// Begins a shuffle: the oldest neighbour is taken out of the view and notified a part of it. If it
-    /// still incarnations it comes back with its answer.
+    /// Begins a shuffle: the oldest neighbour is taken out of the view and sent a sample of it. If it
+    /// still runs it comes back with its answer.
     pub fn begin(&mut self, random: u64) -> Option<(PeerDescriptor, Vec<PeerDescriptor>)> {
         for descriptor in &mut self.known {
             descriptor.age += 1;
@@ -66,7 +66,7 @@
         chosen.chain([self.me.clone()]).collect()
     }
 
-    /// Takes in what another daemon notified. Newer incarnations and younger words win; where the view is full
+    /// Merges the sample of another daemon. Newer incarnations and younger descriptors win; where the view is full
     /// the oldest go.
     pub fn merge(&mut self, received: Vec<PeerDescriptor>) {
         for descriptor in received.into_iter().take(MAX_SHUFFLE_SIZE) {
--- a/crates/request_queue/src/lib.rs
+++ b/crates/request_queue/src/lib.rs
@@ -1,5 +1,5 @@
-//! The request's way through a front: queues by priority, seat requests for seats, owners that lend them,
-//! quorum lease, and the retry allowance. Pure state machines: events and time in, actions out.
+//! The request's way through a front: queues by priority, seat requests for seats, owners that lease them,
+//! quorum lease, and the retry budget. Pure state machines: events and time in, actions out.
 #![warn(missing_docs)]
 
 mod action;
--- a/crates/request_queue/src/message.rs
+++ b/crates/request_queue/src/message.rs
@@ -68,7 +68,7 @@
         /// Version of the configuration that the answerer holds.
         configuration: Version,
     },
-    /// Quorum lease seat request for seats of a function; it replaces the one before.
+    /// Request for seats of a function; it stands until the next one replaces it.
     SeatRequest {
         /// The bidder's time.
         stamp: u64,
@@ -137,11 +137,11 @@
     pub http: String,
     /// Its wall clock, in milliseconds since 1970.
     pub wall_ms: u64,
-    /// Whether it is a core, that only bears witness to quorum lease and never keeps a runner.
+    /// Whether it is a core, which only answers heartbeats for quorum leases and never owns a runner.
     pub is_witness: bool,
     /// Whether it drains.
     pub is_draining: bool,
-    /// Whether it has quorum lease.
+    /// Whether it has a quorum lease.
     pub has_quorum: bool,
     /// Version of the plan it holds.
     pub plan: Version,
--- a/crates/request_queue/src/quorum_lease.rs
+++ b/crates/request_queue/src/quorum_lease.rs
@@ -40,7 +40,7 @@
         count > plan.membership.len() / 2
     }
 
-    /// Whether this front has quorum lease now.
+    /// Whether this front has a quorum lease now.
     pub fn holds(&self, me: &str, plan: &Plan, now: u64, lease: u64) -> bool {
         if !plan.membership.iter().any(|name| name == me) {
             return false;
--- a/crates/request_queue/src/reporting.rs
+++ b/crates/request_queue/src/reporting.rs
@@ -3,7 +3,7 @@
 use crate::scheduler::SeatScheduler;
 
 impl SeatScheduler {
-    /// What the scaler is notified.
+    /// What this front reports to the scaler.
     pub fn report(&self, now: u64, zone: &str) -> FrontReport {
         let waiting =
             |function: &str| self.queues.get(function).map_or(0, RequestQueue::len) as u32;
--- a/crates/request_queue/src/scheduler.rs
+++ b/crates/request_queue/src/scheduler.rs
@@ -64,7 +64,7 @@
     pub since: u64,
 }
 
-/// A front's scheduler: all that it decides about requests, seats and quorum lease.
+/// A front's scheduler: all that it decides about requests, seats and its quorum lease.
 pub struct SeatScheduler {
     pub(crate) me: PeerRef,
     pub(crate) configuration: Arc<Configuration>,
@@ -83,7 +83,7 @@
     pub(crate) seat_requests: SeatRequestTable,
     pub(crate) seats: BTreeMap<(String, u64), HeldSeat>,
     pub(crate) next_seat: u64,
-    /// Whether quorum lease seat requests are sent again though nothing changed.
+    /// Whether open seat requests are sent again though nothing changed.
     pub(crate) refreshes_seat_requests: bool,
     pub(crate) dirty: BTreeSet<String>,
     pub(crate) actions: Vec<Action>,
@@ -156,7 +156,7 @@
             && !self.former.values().any(|former| is_out(&former.owned))
     }
 
-    /// Whether this front has quorum lease.
+    /// Whether this front has a quorum lease.
     pub fn has_quorum(&self, now: u64) -> bool {
         let lease = self.configuration.bounds.lease_ms();
         self.is_ready
--- a/crates/request_queue/src/seat_leasing.rs
+++ b/crates/request_queue/src/seat_leasing.rs
@@ -13,7 +13,7 @@
 }
 
 impl SeatScheduler {
-    /// Lends what is free to what waits, and seat requests at other owners for the rest.
+    /// Leases free seats to what waits, and requests seats of other owners for the rest.
     pub(crate) fn settle(&mut self, now: u64) {
         let dirty = std::mem::take(&mut self.dirty);
         if !self.has_quorum(now) {
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Seat requests at other owners for what waits, shared out by the predicted throughput of their runners.
+    /// Requests seats of other owners for what waits, shared out by the predicted throughput of their runners.
     fn send_seat_requests(&mut self, now: u64, function: &str) {
         let lease = self.configuration.bounds.lease_ms();
         let typical_response_time = self.index.typical_response_time(function).max(1);
@@ -297,7 +297,7 @@
         }
     }
 
-    /// Whether a seat request says anything that the last one to this owner did not. Seat requests answer seat requests, so
+    /// Whether a seat request says anything that the last one to this owner did not. Seat requests answer one another, so
     /// that repeating them at once would never end.
     fn is_update(
         &mut self,
--- a/crates/request_queue/src/seat_requests.rs
+++ b/crates/request_queue/src/seat_requests.rs
@@ -13,7 +13,7 @@
     pub priorities: Vec<PriorityCount>,
 }
 
-/// Requests that were seat request for, by priority, and the highest seat number seen by then.
+/// Requests for which seats were requested, by priority, and the highest seat number seen by then.
 type SentSeatRequest = (Vec<(u8, u32)>, u64);
 
 /// Seat requests that came in from other fronts, and what was lent to and seen from each.
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes a seat request in; seats lent since the bidder last looked count against it.
+    /// Takes a seat request in; seats leased since its front last looked count against it.
     pub fn take_in(
         &mut self,
         function: &str,
@@ -100,7 +100,7 @@
         seat_requests.filter(move |seat_request| seat_request.heard_at >= since)
     }
 
-    /// One request of a priority of this bidder was served.
+    /// One request of a priority of this front was served.
     pub fn serve(&mut self, function: &str, front: &str, priority: u8) -> Option<u64> {
         let seat_request = self.seat_requests.get_mut(function)?.get_mut(front)?;
         if let Some(count) = seat_request
--- a/crates/request_queue/tests/oracles.rs
+++ b/crates/request_queue/tests/oracles.rs
@@ -1,4 +1,4 @@
-//! Queues and the retry allowance against plain lists.
+//! Queues and the retry budget against plain lists.
 
 mod fixtures;
 
--- a/crates/request_queue/tests/scheduler.rs
+++ b/crates/request_queue/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The points of a request's incarnation and of a seat's, one by one.
+//! The steps in the lifecycle of a request and of a seat, one by one.
 
 mod fixtures;
 
--- a/crates/scaler/src/observation.rs
+++ b/crates/scaler/src/observation.rs
@@ -75,7 +75,7 @@
 }
 
 impl Observation<'_> {
-    /// Whether a front is heard, keeps its incarnation and does not drain.
+    /// Whether a front is heard, is the same incarnation and does not drain.
     pub fn is_live(&self, front: &FrontObservation) -> bool {
         let lease = self.configuration.bounds.lease_ms();
         self.now < front.heard_at + lease && !front.report.is_draining
--- a/crates/scaler/src/runner_states.rs
+++ b/crates/scaler/src/runner_states.rs
@@ -17,7 +17,7 @@
     lost_since: Option<u64>,
 }
 
-/// Moves runners through their incarnations: wanted, draining, stopping, resting, gone.
+/// Moves runners through their lifecycle: wanted, draining, stopping, resting, gone.
 #[derive(Debug, Default)]
 pub(crate) struct RunnerStates {
     observed: BTreeMap<String, ObservedRunner>,
@@ -148,7 +148,7 @@
             since.get_or_insert(observation.now).saturating_add(time) <= observation.now
         };
         let is_absent = report.is_some_and(|report| report.absent_ms > bounds.lease_ms());
-        // A list may miss a worker that incarnations: who answers there stays, as long as its owner says so.
+        // A list may miss a worker that is alive: who answers there stays, as long as its owner says so.
         let is_heard = report.is_some_and(|report| report.is_warm);
         let is_lost = worker.is_none() && !observation.workers.is_empty() && !is_heard;
         let is_long_lost = held(&mut observed.lost_since, is_lost, bounds.lease_ms());
--- a/crates/scaler/src/scaler.rs
+++ b/crates/scaler/src/scaler.rs
@@ -12,7 +12,7 @@
 
 /// Rate below which a function counts as without demand, in requests a second.
 const MIN_DEMAND_RATE: f64 = 0.2;
-/// A runner's pace is notified anew when it has changed by this factor.
+/// A runner's response time is written to the plan again when it has changed by this factor.
 const RESPONSE_TIME_STEP: f64 = 1.25;
 
 /// Why a function has the runners and quotas that it has.
@@ -174,7 +174,7 @@
     }
 
     /// The plan tells each runner's pace, so that fronts know what other owners' runners carry. It
-    /// is notified again only where it has changed by a quarter, since each plan goes to all.
+    /// is written again only where it has changed by a quarter, since each plan goes to all.
     fn report_response_times(&self, plan: &mut Plan) {
         for entry in &mut plan.runners {
             let Some(response_time) = self.demand.response_time_of(&entry.id) else {
--- a/crates/scaler/tests/algorithm.rs
+++ b/crates/scaler/tests/algorithm.rs
@@ -289,7 +289,7 @@
         "all memory but the others' minimal runners"
     );
     assert!(!yard.wanted("f1").is_empty() && !yard.wanted("f2").is_empty());
-    // A function is listed anew, in the first place, where the waiting work is notified.
+    // A function is listed anew, in the first place, where the queued work is reported.
     yard.configuration.function_specs[0].name = "g".into();
     for entry in &mut yard.plan.runners {
         entry.function = entry.function.replace("f0", "g");
--- a/crates/simulator/src/config.rs
+++ b/crates/simulator/src/config.rs
@@ -57,7 +57,7 @@
     pub runs: usize,
     /// Puts that were acknowledged.
     pub puts: usize,
-    /// Wishes by what the callers were notified.
+    /// Wishes by the outcome that their callers got.
     pub outcomes: BTreeMap<&'static str, usize>,
     /// The failures that were brought about.
     pub faults: Vec<(u64, Fault)>,
--- a/crates/simulator/src/core_founding.rs
+++ b/crates/simulator/src/core_founding.rs
@@ -24,7 +24,7 @@
 }
 
 impl FoundingDecision {
-    /// A front notified its wall clock.
+    /// A front reported its wall clock.
     pub fn note_clock(&mut self, front: &str, ahead: i64) {
         self.ahead.insert(front.to_string(), ahead);
     }
@@ -56,7 +56,7 @@
         ))
     }
 
-    /// The newest epoch of which a front notified this core that it holds a value.
+    /// The newest epoch of which a front reported that it holds a value.
     pub fn fronts_epoch(&self) -> u64 {
         let fronts = self.fronts.values();
         let notified = fronts.filter(|front| !front.report.is_witness);
@@ -70,7 +70,7 @@
         epochs.max().unwrap_or(0)
     }
 
-    /// What fronts hold of earlier epochs; `Err` where they hold something that was not notified yet.
+    /// What fronts hold of earlier epochs; `Err` where they hold something that was not reported yet.
     fn gather(&mut self, net: &mut Net) -> Result<Option<GatewayEvidence>, ()> {
         let Some((configuration, plan, count)) = self.holders(net.now) else {
             return Ok(None);
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -126,7 +126,7 @@
         self.wall = wall.max(0) as u64;
     }
 
-    /// Something happens at a time, notified by the clock of whoever acts now.
+    /// Something happens at a time, by the clock of whoever acts now.
     pub fn at(&mut self, time: u64, scheduled_event: ScheduledEvent) {
         let after = time.saturating_sub(self.now);
         let after = after * 1_000_000 / 1_000_000_u64.saturating_add_signed(self.clock.ppm);
--- a/crates/simulator/src/oracle.rs
+++ b/crates/simulator/src/oracle.rs
@@ -5,7 +5,7 @@
 const MAX_VIOLATIONS: usize = 10;
 
 /// Looks on and notes what must never happen. It knows only what went over the wire, what ran, and
-/// what callers and operators were notified.
+/// what callers and operators were answered.
 #[derive(Default)]
 pub struct Oracle {
     /// True time, which no daemon knows.
@@ -36,7 +36,7 @@
     pub runs: usize,
     /// Puts that were acknowledged.
     pub puts: usize,
-    /// Wishes that were notified of each outcome.
+    /// Requests of callers by their outcome.
     pub outcomes: BTreeMap<&'static str, usize>,
 }
 
@@ -165,7 +165,7 @@
         }
     }
 
-    /// A caller was notified how its call ended.
+    /// A caller learned how its call ended.
     pub fn tell(&mut self, call: u64, outcome: &'static str, function: &str) {
         *self.outcomes.entry(outcome).or_default() += 1;
         if outcome == "not-run" && self.ran.contains(&call) {
@@ -231,7 +231,7 @@
     pub fn leases_seats(&mut self, runner: &str, epoch: u64) {
         let newest = self.leased.entry(runner.to_string()).or_default();
         if epoch < *newest {
-            let text = format!("keeper of epoch {epoch} lends {runner} after epoch {newest}");
+            let text = format!("owner of epoch {epoch} leases {runner} after epoch {newest}");
             self.note(text);
             return;
         }
--- a/crates/transport/src/listening.rs
+++ b/crates/transport/src/listening.rs
@@ -10,7 +10,7 @@
     numbers.find(|number| {
         let mut is_listening: libc::c_int = 0;
         let mut size = mem::size_of::<libc::c_int>() as libc::socklen_t;
-        // SAFETY: the call writes an int of the size that it is notified, and fails on what is no socket.
+        // SAFETY: the call writes an int of the size that it is given, and fails on what is no socket.
         let code = unsafe {
             libc::getsockopt(
                 *number,
--- a/crates/transport/src/message.rs
+++ b/crates/transport/src/message.rs
@@ -95,7 +95,7 @@
         disk: u64,
         /// The set that it believes in; epoch 0 where it is empty.
         set: VoterSet,
-        /// The newest epoch of which a front notified it that it holds a value.
+        /// The newest epoch of which a front reported that it holds a value.
         fronts_epoch: u64,
     },
     /// A part of the sender's view; the answer is a part of the receiver's.
--- a/tests/lab/src/callers.rs
+++ b/tests/lab/src/callers.rs
@@ -18,12 +18,12 @@
 /// How long a caller goes on asking for one piece of work.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One HTTP request of a caller and what it was notified.
+/// One HTTP request of a caller and its response.
 #[derive(Clone, Debug)]
 pub struct AttemptRecord {
     /// Its number, which the runner writes down.
     pub call: String,
-    /// Outcome that it was notified: `answered`, `not-run`, `unknown`; without an answer `refused`, where
+    /// Outcome of its response: `answered`, `not-run`, `unknown`; without an answer `refused`, where
     /// nothing was sent, or `cut`, where the connection broke after that.
     pub outcome: String,
     /// Reason that went with it.
--- a/tests/lab/src/context.rs
+++ b/tests/lab/src/context.rs
@@ -37,9 +37,9 @@
     pub flawless: Option<(u64, u64)>,
     /// What the scenario itself looks at in the end.
     pub look: Option<ScenarioCheck>,
-    /// Whether callers may be notified that work was not run for as long as they ask.
+    /// Whether callers may learn that work was not run for as long as they ask.
     pub may_refuse: bool,
-    /// Whether callers may be notified that their work's fate is unknown.
+    /// Whether callers may learn that their work's outcome is unknown.
     pub may_lose: bool,
     began: Instant,
 }
@@ -83,7 +83,7 @@
         self.failed = Some((self.failed.map_or(now, |(began, _)| began), now));
     }
 
-    /// Starts a front that has ended, and waits until it has quorum lease.
+    /// Starts a front that has ended, and waits until it has a quorum lease.
     pub fn start_front(&mut self, place: usize) -> Result<(), LabError> {
         let dir = self.fleet.dir.clone();
         self.fleet.fronts[place].start(&dir)?;
--- a/tests/lab/src/judge.rs
+++ b/tests/lab/src/judge.rs
@@ -85,7 +85,7 @@
     lines.collect()
 }
 
-/// Holds what callers were notified against what the runners wrote down.
+/// Compares the outcomes of callers with what the runners wrote down.
 pub fn checks(
     deployment: &Deployment,
     planned_calls: &[PlannedCall],
@@ -126,7 +126,7 @@
 fn runs_after_refusal(planned_calls: &[PlannedCall], runs: &[RunRecord]) -> Check {
     let ran: HashSet<&str> = runs.iter().map(|run| run.call.as_str()).collect();
     // Work under one key keeps its number; it is promised not to have run only where every request
-    // with the number was notified so.
+    // with the number was answered so.
     let mut promised: HashMap<&str, bool> = HashMap::new();
     for ask in planned_calls
         .iter()
--- a/tests/lab/src/load.rs
+++ b/tests/lab/src/load.rs
@@ -134,7 +134,7 @@
     planned_calls: &[PlannedCall],
     capacity: f64,
 ) {
-    // What was done while the load lasted; callers that were notified to come back go on for longer.
+    // What was done while the load lasted; callers that were asked to come back go on for longer.
     let until = began + seconds * 1_000;
     let is_in_time = |planned_call: &&PlannedCall| {
         planned_call.is_done && planned_call.due_ms + planned_call.took.as_millis() as u64 <= until
--- a/tests/lab/src/platform.rs
+++ b/tests/lab/src/platform.rs
@@ -77,11 +77,11 @@
     Garbage,
     /// Its lists are ten seconds old.
     Late,
-    /// Its lists miss the first worker, which incarnations, and all that runs there.
+    /// Its lists miss the first worker, which is alive, and all that runs there.
     Forget,
     /// Its lists go on naming runners that are gone.
     Ghosts,
-    /// It does what it is notified, and answers 503.
+    /// It carries out each command, and answers 503.
     Unheard,
 }
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// Stands in for the platform: it starts and stops runners where it is notified, and its lists lag.
+/// Stands in for the platform: it starts and stops runners as it is asked, and its lists lag.
 pub fn run(http: SocketAddr, workers: &str, lag_ms: u64) -> Result<(), LabError> {
     let workers: Vec<WorkerRecord> =
         serde_json::from_str(workers).map_err(|error| LabError::Input(error.to_string()))?;
--- a/tests/lab/src/watch.rs
+++ b/tests/lab/src/watch.rs
@@ -11,7 +11,7 @@
 
 /// Asks every daemon again and again which versions it holds, and notes each that goes back. A
 /// daemon that was started again tells nothing before it has read at a majority; what it tells then
-/// counts against what it notified before.
+/// counts against what it reported before.
 pub struct Watch {
     is_over: Arc<AtomicBool>,
     watching: JoinHandle<Seen>,
