--- a/crates/consensus/tests/cluster/faults.rs
+++ b/crates/consensus/tests/cluster/faults.rs
@@ -85,7 +85,7 @@
             if wiped == Some(place) {
                 self.wipe(place);
             } else {
-                self.nodes[place].works.clear();
+                self.nodes[place].disk_work.clear();
                 self.kill(place);
                 self.nodes[place].folder.inject(FaultKind::PowerLoss(0));
             }
@@ -122,7 +122,7 @@
         self.add(seeds, false);
     }
 
-    /// Ends all troubles.
+    /// Ends all faults.
     pub fn heal(&mut self) {
         self.cuts.clear();
         self.loss = 0.0;
--- a/crates/consensus/tests/cluster/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Does what a consensus machine asks for.
+    /// Does what a consensus asks for.
     pub fn drain(&mut self, place: usize) {
         let Some(consensus) = self.nodes[place].consensus.as_mut() else {
             return;
@@ -213,8 +213,8 @@
             match action {
                 ConsensusAction::Send { to, message } => self.send(place, &to, message),
                 ConsensusAction::Disk(work) => {
-                    self.nodes[place].works.push(work);
-                    if self.nodes[place].works.len() == 1 {
+                    self.nodes[place].disk_work.push(work);
+                    if self.nodes[place].disk_work.len() == 1 {
                         let (delay, incarnation) = (
                             self.random.random_range(1..6),
                             self.nodes[place].incarnation,
@@ -226,9 +226,9 @@
                     self.oracle.end_request(self.now, token, &outcome);
                 }
                 ConsensusAction::ValueCommitted { key, version } => {
-                    let settled = self.nodes[place].consensus.as_ref();
-                    let settled = settled.and_then(|consensus| consensus.committed(&key));
-                    if let Some((newest, bytes)) = settled {
+                    let committed = self.nodes[place].consensus.as_ref();
+                    let committed = committed.and_then(|consensus| consensus.committed(&key));
+                    if let Some((newest, bytes)) = committed {
                         assert!(newest >= version);
                         self.oracle.record_committed(&key, newest, bytes);
                     }
@@ -281,16 +281,16 @@
         let Some(past) = self.past.as_mut() else {
             return;
         };
-        let told = (place, from.to_string(), message.clone());
+        let sent = (place, from.to_string(), message.clone());
         if past.len() < MAX_PAST_MESSAGES {
-            past.push(told);
+            past.push(sent);
         } else {
             let old = self.random.random_range(0..MAX_PAST_MESSAGES);
-            past[old] = told;
+            past[old] = sent;
         }
     }
 
-    /// Tells a controller something again that it was told at any time before, perhaps in an earlier incarnation.
+    /// Sends a controller a message again that came at any time before, perhaps in an earlier incarnation.
     pub fn replay(&mut self) {
         let past = self.past.iter().flatten();
         let count = past.count();
@@ -298,8 +298,8 @@
             return;
         }
         let old = self.random.random_range(0..count);
-        let told = self.past.as_ref().and_then(|past| past.get(old)).cloned();
-        if let Some((place, from, message)) = told {
+        let sent = self.past.as_ref().and_then(|past| past.get(old)).cloned();
+        if let Some((place, from, message)) = sent {
             self.later(0, Event::Deliver(place, from, message));
         }
     }
--- a/crates/consensus/tests/cluster/network.rs
+++ b/crates/consensus/tests/cluster/network.rs
@@ -21,7 +21,7 @@
         Some((holder, others.next()?, others.next()?))
     }
 
-    /// Runs until something is so, and tells how long that took.
+    /// Runs until something is so, and returns how long that took.
     pub fn until(&mut self, span: u64, is_so: impl Fn(&SimulatedCluster) -> bool) -> Option<u64> {
         let began = self.now;
         while self.now <= began + span {
--- a/crates/consensus/tests/cluster/node.rs
+++ b/crates/consensus/tests/cluster/node.rs
@@ -20,7 +20,7 @@
     pub folder: MemoryFolder,
     pub consensus: Option<Consensus>,
     pub voter: Option<VoterDisk>,
-    pub works: Vec<DiskWork>,
+    pub disk_work: Vec<DiskWork>,
     pub is_frozen: bool,
     pub is_gone: bool,
     pub frozen: Vec<Event>,
@@ -44,7 +44,7 @@
             folder: MemoryFolder::default(),
             consensus: None,
             voter: None,
-            works: Vec::new(),
+            disk_work: Vec::new(),
             is_frozen: false,
             is_gone: false,
             frozen: Vec::new(),
@@ -71,19 +71,19 @@
     /// The newest version of a key that the controller knows to be committed.
     pub fn committed_version(&self, key: &str) -> u64 {
         let consensus = self.consensus.as_ref();
-        let settled = consensus.and_then(|consensus| consensus.committed(key));
-        settled.map_or(0, |(version, _)| version)
+        let committed = consensus.and_then(|consensus| consensus.committed(key));
+        committed.map_or(0, |(version, _)| version)
     }
 
     /// Does the work that has come for the disk.
     pub fn perform(&mut self, now: u64) {
-        let works = std::mem::take(&mut self.works);
+        let disk_work = std::mem::take(&mut self.disk_work);
         let local = self.clock(now);
         let (Some(voter), Some(consensus)) = (self.voter.as_mut(), self.consensus.as_mut()) else {
             return;
         };
-        for done in execute_batch_on_disk(voter, works) {
-            consensus.on_disk(local, done);
+        for completion in execute_batch_on_disk(voter, disk_work) {
+            consensus.on_disk(local, completion);
         }
         voter.voter_mut().compact();
         self.disk = voter.identity();
@@ -163,9 +163,9 @@
     pub fn kill(&mut self, place: usize) {
         let is_done = self.random.random_bool(0.5);
         let node = &mut self.nodes[place];
-        let works = std::mem::take(&mut node.works);
+        let disk_work = std::mem::take(&mut node.disk_work);
         if let Some(voter) = node.voter.as_mut().filter(|_| is_done) {
-            execute_batch_on_disk(voter, works);
+            execute_batch_on_disk(voter, disk_work);
         }
         node.consensus = None;
         node.voter = None;
--- a/crates/consensus/tests/cluster/oracle.rs
+++ b/crates/consensus/tests/cluster/oracle.rs
@@ -33,11 +33,11 @@
     );
 }
 
-/// Knows what was promised, and cries where it is not kept.
+/// Knows what was promised, and panics where it is not kept.
 #[derive(Default)]
 pub struct Oracle {
     request: BTreeMap<u64, PendingRequest>,
-    settled: BTreeMap<(String, u64), Vec<u8>>,
+    committed: BTreeMap<(String, u64), Vec<u8>>,
     acknowledged: BTreeMap<String, u64>,
     terms: BTreeMap<u64, (usize, u64)>,
     last_token: u64,
@@ -63,9 +63,9 @@
         if version == 0 {
             return;
         }
-        let known = self.settled.entry((key.to_string(), version));
+        let known = self.committed.entry((key.to_string(), version));
         let known = known.or_insert_with(|| bytes.to_vec());
-        assert_eq!(known, bytes, "two values are settled at {key} {version}");
+        assert_eq!(known, bytes, "two values are committed at {key} {version}");
     }
 
     pub fn end_request(&mut self, now: u64, token: u64, outcome: &ChangeOutcome) {
--- a/crates/consensus/tests/contact.rs
+++ b/crates/consensus/tests/contact.rs
@@ -110,13 +110,13 @@
 }
 
 /// Newest acknowledged versions over time, so that what was committed some time ago is known.
-struct Settled {
+struct CommittedHistory {
     since: VecDeque<(u64, [u64; 2])>,
 }
 
 const REQUIRED_KEYS: [&str; 2] = [CONFIGURATION_KEY, EVACUATIONS_KEY];
 
-impl Settled {
+impl CommittedHistory {
     fn new() -> Self {
         Self {
             since: VecDeque::from([(0, [0, 0])]),
@@ -142,7 +142,7 @@
                 let known = node.committed_version(key);
                 assert!(
                     known >= floor,
-                    "seed {seed}: at {} controller {place} passes for current with {key} {known}, and {floor} is settled",
+                    "seed {seed}: at {} controller {place} passes for current with {key} {known}, and {floor} is committed",
                     cluster.now
                 );
             }
@@ -175,7 +175,7 @@
 fn a_controller_that_is_partitioned_for_twenty_seconds_passes_for_current_nowhere() {
     for seed in 0..30 {
         let mut cluster = started(seed, 3 + seed as usize % 2);
-        let mut settled = Settled::new();
+        let mut history = CommittedHistory::new();
         let cut = cluster.random.random_range(0..cluster.nodes.len());
         let others: Vec<usize> = (0..cluster.nodes.len())
             .filter(|place| *place != cut)
@@ -191,9 +191,9 @@
         }
         let began = cluster.now;
         let writes = cluster.oracle.writes;
-        settled.run(&mut cluster, LEASE_MS, seed);
+        history.run(&mut cluster, LEASE_MS, seed);
         while cluster.now < began + 20_000 {
-            settled.run(&mut cluster, 10, seed);
+            history.run(&mut cluster, 10, seed);
             assert!(!cluster.nodes[cut].is_current(cluster.now), "seed {seed}");
             for other in &others {
                 assert!(cluster.nodes[*other].is_current(cluster.now), "seed {seed}");
@@ -203,11 +203,11 @@
         cluster.cuts.clear();
         let mut took = 0;
         while !cluster.nodes[cut].is_current(cluster.now) {
-            settled.run(&mut cluster, 10, seed);
+            history.run(&mut cluster, 10, seed);
             took += 10;
             assert!(took < 1_000, "seed {seed}: not current again");
         }
-        settled.run(&mut cluster, 1_000, seed);
+        history.run(&mut cluster, 1_000, seed);
     }
 }
 
@@ -218,11 +218,11 @@
         cluster.nodes[0].is_frozen = true;
         cluster.run(LEASE_MS + 10);
         assert!(!cluster.nodes[0].is_current(cluster.now), "seed {seed}");
-        let mut settled = Settled::new();
-        settled.run(&mut cluster, 3_000, seed);
+        let mut history = CommittedHistory::new();
+        history.run(&mut cluster, 3_000, seed);
         // Heartbeats that came while it was frozen acknowledge what it sent before.
         cluster.thaw(0);
-        settled.run(&mut cluster, 2_000, seed);
+        history.run(&mut cluster, 2_000, seed);
         assert!(cluster.nodes[0].is_current(cluster.now), "seed {seed}");
     }
 }
@@ -232,14 +232,14 @@
     for seed in 0..60 {
         let mut cluster = SimulatedCluster::first_start(seed, 4, 3);
         cluster.run(2_000);
-        let mut settled = Settled::new();
+        let mut history = CommittedHistory::new();
         for _ in 0..12 {
             cluster.inject_fault();
             let span = cluster.random.random_range(100..1_500);
-            settled.run(&mut cluster, span, seed);
+            history.run(&mut cluster, span, seed);
             if cluster.random.random_bool(0.3) {
                 cluster.heal();
-                settled.run(&mut cluster, 1_000, seed);
+                history.run(&mut cluster, 1_000, seed);
             }
         }
     }
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -84,13 +84,13 @@
         .newest_set()
         .with_replacement(cluster.nodes[2].disk, newcomer)
         .unwrap();
-    let news = VoterSetUpdate {
+    let update = VoterSetUpdate {
         set: next,
         previous: None,
     };
     let local = cluster.nodes[0].clock(cluster.now);
     let consensus = cluster.nodes[0].consensus.as_mut().unwrap();
-    consensus.on_message(local, "at-1", ConsensusMessage::VoterSet(news));
+    consensus.on_message(local, "at-1", ConsensusMessage::VoterSet(update));
     cluster.drain(0);
     cluster.run(500);
     let local = cluster.nodes[0].clock(cluster.now) + 500;
@@ -131,9 +131,10 @@
         set_version,
         after: String::new(),
     };
-    let is_given = |dones: &[DiskCompletion]| {
-        let is_copy = |done: &DiskCompletion| matches!(done, DiskCompletion::ReplicaPage { .. });
-        dones.iter().any(is_copy)
+    let is_given = |completions: &[DiskCompletion]| {
+        let is_copy =
+            |completion: &DiskCompletion| matches!(completion, DiskCompletion::ReplicaPage { .. });
+        completions.iter().any(is_copy)
     };
     assert!(!is_given(&execute_batch_on_disk(
         &mut disk,
--- a/crates/consensus/tests/identities.rs
+++ b/crates/consensus/tests/identities.rs
@@ -31,8 +31,8 @@
     let consensus = cluster.nodes[0].consensus.as_mut().unwrap();
     let _ = consensus.take_actions();
     consensus.write(local, 9_999, CONFIGURATION_KEY, 0, vec![1]);
-    let asks = sent(consensus);
-    let number = asks.iter().find_map(|message| match message {
+    let requests = sent(consensus);
+    let number = requests.iter().find_map(|message| match message {
         ConsensusMessage::VoterRequest { number, .. } => Some(*number),
         _ => None,
     });
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -11,7 +11,7 @@
 
 const SEEDS: std::ops::Range<u64> = 0..12;
 
-/// Settles a value that members 0 and 2 alone hold, cuts 2 off, and lets a newcomer take its place by
+/// Commits a value that members 0 and 2 alone hold, cuts 2 off, and lets a newcomer take its place by
 /// the votes of 0 and 1. Returns when that is committed and the newcomer holds nothing yet.
 fn replaced_holder(seed: u64) -> (SimulatedCluster, usize) {
     let mut cluster = SimulatedCluster::idle(seed, 3);
--- a/crates/consensus/tests/replicas.rs
+++ b/crates/consensus/tests/replicas.rs
@@ -144,7 +144,7 @@
         write(&mut cluster, 0);
         let stored = cluster.nodes[0].consensus.as_ref().unwrap();
         let (version, bytes) = stored.committed(CONFIGURATION_KEY).unwrap();
-        let told = register::VersionedValue {
+        let sent = register::VersionedValue {
             version,
             tag: 1,
             bytes: bytes.to_vec(),
@@ -153,7 +153,7 @@
         let message = consensus::ConsensusMessage::Value {
             key: CONFIGURATION_KEY.into(),
             ballot: register::Ballot::default(),
-            value: told,
+            value: sent,
         };
         let local = cluster.nodes[2].clock(cluster.now);
         let consensus = cluster.nodes[2].consensus.as_mut().unwrap();
@@ -176,14 +176,14 @@
     for token in 0..65 {
         consensus.read(local, token, CONFIGURATION_KEY);
     }
-    let done = |action: ConsensusAction| match action {
+    let completed = |action: ConsensusAction| match action {
         ConsensusAction::RequestCompleted { token, outcome } => Some((token, outcome)),
         _ => None,
     };
     let ended: Vec<(u64, ChangeOutcome)> = consensus
         .take_actions()
         .into_iter()
-        .filter_map(done)
+        .filter_map(completed)
         .collect();
     let refused = ChangeOutcome::NoQuorum("too many changes at once".into());
     assert_eq!(ended, vec![(64, refused)]);
@@ -191,7 +191,7 @@
     let ended: Vec<(u64, ChangeOutcome)> = consensus
         .take_actions()
         .into_iter()
-        .filter_map(done)
+        .filter_map(completed)
         .collect();
     assert_eq!(ended.len(), 64);
 }
--- a/crates/consensus/tests/replication.rs
+++ b/crates/consensus/tests/replication.rs
@@ -1,4 +1,4 @@
-//! A member that was away for thousands of changes catches up with few bytes over a slow line, and tells nothing
+//! A member that was away for thousands of changes catches up with few bytes over a slow line, and serves nothing
 //! old on the way.
 
 #[allow(dead_code)]
@@ -18,8 +18,8 @@
 
 fn known(cluster: &SimulatedCluster, place: usize) -> u64 {
     let consensus = cluster.nodes[place].consensus.as_ref();
-    let settled = consensus.and_then(|consensus| consensus.committed(CONFIGURATION_KEY));
-    settled.map_or(0, |(version, _)| version)
+    let committed = consensus.and_then(|consensus| consensus.committed(CONFIGURATION_KEY));
+    committed.map_or(0, |(version, _)| version)
 }
 
 fn voter_version(cluster: &SimulatedCluster, place: usize) -> u64 {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Reads at a controller whenever it can answer; the oracle cries where an answer is older than what was acknowledged.
+/// Reads at a controller whenever it can answer; the oracle panics where an answer is older than what was acknowledged.
 fn read_while_it_returns(cluster: &mut SimulatedCluster, span: u64) -> Option<u64> {
     let began = cluster.now;
     let newest = cluster.oracle.newest(CONFIGURATION_KEY);
@@ -77,7 +77,11 @@
         }
         cluster.run(10);
         if known(cluster, 2) > 0 {
-            assert_eq!(known(cluster, 2), newest, "an old value passes for settled");
+            assert_eq!(
+                known(cluster, 2),
+                newest,
+                "an old value passes for committed"
+            );
         }
         if caught_up.is_none() && voter_version(cluster, 2) == newest {
             caught_up = Some(cluster.now - began);
--- a/crates/consensus/tests/role_promises.rs
+++ b/crates/consensus/tests/role_promises.rs
@@ -1,4 +1,4 @@
-//! What a member grants a holder of the scaling duty, shown at one consensus alone, without a network.
+//! What a member promises a holder of the scaler role, shown at one consensus alone, without a network.
 
 use consensus::{
     Consensus, ConsensusAction, ConsensusMessage, ConsensusOptions, DiskWork, Heartbeat,
@@ -17,7 +17,7 @@
 const HOLDER: &str = "holder";
 const OTHER: &str = "other";
 const HOLDER_INCARNATION: u64 = 7;
-/// The first version of the register under the first era.
+/// The first version of the register under the first epoch.
 const TERM: u64 = (1 << 40) | 1;
 
 fn set() -> VoterSet {
@@ -42,12 +42,12 @@
 
 /// A member that is started with the holder's value accepted under the first ballot.
 fn started(promised: Ballot) -> Consensus {
-    let term_holder = RoleHolder {
+    let role_holder = RoleHolder {
         address: HOLDER.into(),
         name: HOLDER.into(),
         incarnation: HOLDER_INCARNATION,
     };
-    let bytes = term_holder.write_to_vec().expect("it can be written");
+    let bytes = role_holder.write_to_vec().expect("it can be written");
     let held = VoterSnapshot {
         set: set(),
         is_open: true,
