--- a/tests/model/src/main.rs
+++ b/tests/model/src/main.rs
@@ -81,8 +81,8 @@
             &Registers {
                 writers: options.writers,
                 readers: options.readers,
-                has_newcomer: options.newcomers > 0,
-                tries: options.tries,
+                has_new_member: options.newcomers > 0,
+                max_retries: options.tries,
             },
             limits,
         ),
--- a/tests/model/src/registers/disk.rs
+++ b/tests/model/src/registers/disk.rs
@@ -8,18 +8,18 @@
 
 /// A voter's disk, on which the product's voter is opened for each piece of work.
 #[derive(Clone)]
-pub struct VoterDisk {
+pub struct ModelDisk {
     folder: MemoryFolder,
-    held: Arc<Acceptor>,
+    acceptor: Arc<Acceptor>,
     digest: u128,
 }
 
-impl VoterDisk {
+impl ModelDisk {
     /// An empty disk.
     pub fn empty() -> Self {
         let mut disk = Self {
             folder: MemoryFolder::default(),
-            held: Arc::default(),
+            acceptor: Arc::default(),
             digest: 0,
         };
         disk.note(&open(&disk.folder));
@@ -27,8 +27,8 @@
     }
 
     /// What the voter holds.
-    pub fn held(&self) -> &Acceptor {
-        &self.held
+    pub fn acceptor(&self) -> &Acceptor {
+        &self.acceptor
     }
 
     /// Hash of what the voter holds. Two journals that are read back alike decide the same future.
@@ -82,9 +82,12 @@
     }
 
     fn note(&mut self, voter: &Voter) {
-        self.held = Arc::new(voter.acceptor().clone());
+        self.acceptor = Arc::new(voter.acceptor().clone());
         let mut fingerprinter = Fingerprinter::default();
-        let held = self.held.write_to_vec().expect("a voter can be written");
+        let held = self
+            .acceptor
+            .write_to_vec()
+            .expect("a voter can be written");
         fingerprinter.bytes(&held);
         self.digest = fingerprinter.finish();
     }
--- a/tests/model/src/registers/exploration.rs
+++ b/tests/model/src/registers/exploration.rs
@@ -1,6 +1,8 @@
-use super::disk::VoterDisk;
+use super::disk::ModelDisk;
 use super::proposer::Proposer;
-use super::state::{first_set, voter, System, MAJORITIES, MEMBERS, NEWCOMER, REPLACED, VALUE_KEY};
+use super::state::{
+    first_set, voter, System, MAJORITIES, MEMBERS, NEW_MEMBER, REPLACED, VALUE_KEY,
+};
 use crate::explorer::Model;
 use crate::fingerprint::Fingerprinter;
 use consensus::DiskWork;
@@ -8,34 +10,34 @@
 use speedy::Writable;
 use std::collections::BTreeMap;
 
-/// Voters, proposers and a newcomer.
+/// Voters, proposers and a new member.
 pub struct Registers {
     /// Callers that write different values, all upon the empty register.
     pub writers: u64,
     /// Callers that read.
     pub readers: u64,
-    /// Whether a newcomer takes a member's place.
-    pub has_newcomer: bool,
-    /// Times that each proposer goes on after it was beaten.
-    pub tries: u64,
+    /// Whether a new member takes a member's place.
+    pub has_new_member: bool,
+    /// Times that each proposer goes on after it was preempted.
+    pub max_retries: u64,
 }
 
 /// One step of one part.
 #[derive(Clone, Debug)]
-pub enum Step {
+pub enum RegistersAction {
     /// A proposer begins.
     Begin(usize),
-    /// A beaten proposer goes on.
+    /// A preempted proposer goes on.
     Retry(usize),
-    /// A voter handles a question: its place in the order of sending, and the voter's disk.
+    /// A voter handles a request: its place in the order of sending, and the voter's disk.
     Handle(usize, u64),
     /// A proposer takes an answer.
     Answer(usize),
     /// A voter follows into the newest set.
     Adopt(u64),
-    /// The newcomer gets a voter's copy.
+    /// The new member gets a voter's copy.
     Copy(u64),
-    /// The newcomer installs the copies and votes.
+    /// The new member installs the copies and votes.
     Install,
     /// A voter's machine crashes and starts again.
     Crash(u64),
@@ -46,7 +48,13 @@
         let mut proposers = Vec::new();
         let mut add = |key, change| {
             let id = proposers.len() as u64 + 1;
-            proposers.push(Proposer::new(id, key, change, first_set(), self.tries));
+            proposers.push(Proposer::new(
+                id,
+                key,
+                change,
+                first_set(),
+                self.max_retries,
+            ));
         };
         for writer in 0..self.writers {
             let bytes = vec![writer as u8 + 1];
@@ -56,8 +64,8 @@
         for _ in 0..self.readers {
             add(VALUE_KEY, Change::Read);
         }
-        if self.has_newcomer {
-            let next = first_set().with_replacement(REPLACED, voter(NEWCOMER));
+        if self.has_new_member {
+            let next = first_set().with_replacement(REPLACED, voter(NEW_MEMBER));
             let bytes = next.expect("the newcomer is new").write_to_vec();
             let bytes = bytes.expect("a set can be written");
             add(VOTERS_KEY, Change::Write { expected: 0, bytes });
@@ -68,17 +76,17 @@
 
 impl Model for Registers {
     type State = System;
-    type Action = Step;
+    type Action = RegistersAction;
 
     fn initial_states(&self) -> Vec<System> {
         let mut disks = BTreeMap::new();
         for disk in 1..=MEMBERS {
-            let mut voter = VoterDisk::empty();
+            let mut voter = ModelDisk::empty();
             voter.work(DiskWork::FormSet(first_set()));
             disks.insert(disk, voter);
         }
-        if self.has_newcomer {
-            disks.insert(NEWCOMER, VoterDisk::empty());
+        if self.has_new_member {
+            disks.insert(NEW_MEMBER, ModelDisk::empty());
         }
         let system = System {
             disks,
@@ -87,67 +95,70 @@
             answers: Vec::new(),
             set: first_set(),
             copies: BTreeMap::new(),
-            settled: BTreeMap::new(),
+            committed: BTreeMap::new(),
             acknowledged: 0,
         };
-        if !self.has_newcomer {
+        if !self.has_new_member {
             return vec![system];
         }
         let replaced = MAJORITIES.iter().map(|majority| {
             let mut system = system.clone();
-            system.settle_next_set(majority);
+            system.commit_next_set(majority);
             system
         });
         replaced.collect()
     }
 
-    fn actions(&self, state: &System) -> Vec<Step> {
+    fn actions(&self, state: &System) -> Vec<RegistersAction> {
         let mut steps = Vec::new();
         for (place, proposer) in state.proposers.iter().enumerate() {
             if proposer.may_begin() {
-                steps.push(Step::Begin(place));
+                steps.push(RegistersAction::Begin(place));
             }
             if proposer.may_retry() {
-                steps.push(Step::Retry(place));
+                steps.push(RegistersAction::Retry(place));
             }
         }
         for (place, sent) in state.sent.iter().enumerate() {
             let disks = state.disks.keys();
             let disks = disks.filter(|disk| state.is_for(sent, **disk));
-            steps.extend(disks.map(|disk| Step::Handle(place, *disk)));
+            steps.extend(disks.map(|disk| RegistersAction::Handle(place, *disk)));
         }
-        steps.extend((0..state.answers.len()).map(Step::Answer));
+        steps.extend((0..state.answers.len()).map(RegistersAction::Answer));
         steps.extend(state.membership_steps());
-        steps.extend(state.disks.keys().map(|disk| Step::Crash(*disk)));
+        steps.extend(state.disks.keys().map(|disk| RegistersAction::Crash(*disk)));
         steps
     }
 
-    fn apply(&self, state: &System, step: &Step) -> Result<System, String> {
+    fn apply(&self, state: &System, step: &RegistersAction) -> Result<System, String> {
         let mut next = state.clone();
         match step {
-            Step::Begin(place) => {
-                next.proposers[*place].floor = next.acknowledged;
-                let question = next.proposers[*place].begin(first_set());
-                next.send(*place, Some(question));
+            RegistersAction::Begin(place) => {
+                next.proposers[*place].acknowledged_before = next.acknowledged;
+                let request = next.proposers[*place].begin(first_set());
+                next.send(*place, Some(request));
             }
-            Step::Retry(place) => {
-                let question = next.proposers[*place].retry();
-                next.send(*place, question);
+            RegistersAction::Retry(place) => {
+                let request = next.proposers[*place].retry();
+                next.send(*place, request);
             }
-            Step::Handle(place, disk) => next.handle(*place, *disk),
-            Step::Answer(place) => next.answer(*place)?,
-            Step::Adopt(disk) => {
+            RegistersAction::Handle(place, disk) => next.handle(*place, *disk),
+            RegistersAction::Answer(place) => next.answer(*place)?,
+            RegistersAction::Adopt(disk) => {
                 let work = DiskWork::AdoptSet(next.set.clone());
                 next.disks.get_mut(disk).map(|voter| voter.work(work));
             }
-            Step::Copy(disk) => {
-                let mark = next.set.version();
-                let page = next.disks.get_mut(disk).and_then(|voter| voter.copy(mark));
+            RegistersAction::Copy(disk) => {
+                let set_version = next.set.version();
+                let page = next
+                    .disks
+                    .get_mut(disk)
+                    .and_then(|voter| voter.copy(set_version));
                 next.copies.extend(page.map(|page| (*disk, page)));
             }
-            Step::Install => next.install(),
-            Step::Crash(disk) => {
-                next.disks.get_mut(disk).map(VoterDisk::crash);
+            RegistersAction::Install => next.install(),
+            RegistersAction::Crash(disk) => {
+                next.disks.get_mut(disk).map(ModelDisk::crash);
             }
         }
         Ok(next)
@@ -155,15 +166,15 @@
 
     /// Every majority of the newest set whose members all vote in it holds what was acknowledged.
     fn check(&self, state: &System) -> Result<(), String> {
-        let newest = state.disks.values().map(|disk| disk.held().set());
+        let newest = state.disks.values().map(|disk| disk.acceptor().set());
         let Some(set) = newest.max_by_key(|set| set.version()) else {
             return Ok(());
         };
         let members = set.voters.iter();
         let members = members.filter_map(|voter| state.disks.get(&voter.disk));
-        let voting = members.filter(|disk| disk.held().set().version() == set.version());
+        let voting = members.filter(|disk| disk.acceptor().set().version() == set.version());
         let lacking = voting.filter(|disk| {
-            let held = disk.held().register(VALUE_KEY);
+            let held = disk.acceptor().register(VALUE_KEY);
             held.map_or(0, |held| held.value.version) < state.acknowledged
         });
         if lacking.count() >= set.majority() {
@@ -182,13 +193,13 @@
             fingerprinter.number(disk.digest());
         }
         fingerprinter.debug(&state.proposers);
-        // The order in which questions were sent decides nothing.
+        // The order in which requests were sent decides nothing.
         let mut sent: Vec<String> = state.sent.iter().map(|sent| format!("{sent:?}")).collect();
         sent.sort();
         fingerprinter.debug(&sent);
         fingerprinter.debug(&state.answers);
         fingerprinter.debug(&state.copies);
-        fingerprinter.debug(&(&state.settled, state.acknowledged, &state.set));
+        fingerprinter.debug(&(&state.committed, state.acknowledged, &state.set));
         fingerprinter.finish()
     }
 
@@ -202,17 +213,17 @@
     }
 
     fn reached(&self, state: &System) -> Vec<bool> {
-        let newcomer = state.disks.get(&NEWCOMER);
-        let votes = newcomer.is_some_and(|disk| disk.held().set().epoch > 0);
-        let settled = state.proposers.iter().filter(|one| {
+        let new_member = state.disks.get(&NEW_MEMBER);
+        let votes = new_member.is_some_and(|disk| disk.acceptor().set().epoch > 0);
+        let committed = state.proposers.iter().filter(|one| {
             one.key == VALUE_KEY && matches!(one.outcome, Some(ChangeOutcome::Committed(_)))
         });
-        let is_second = settled.clone().any(|one| one.set.number == 2);
+        let is_second = committed.clone().any(|one| one.set.number == 2);
         vec![
             state.acknowledged > 0,
             votes,
             is_second,
-            settled.count() >= 2,
+            committed.count() >= 2,
         ]
     }
 }
--- a/tests/model/src/registers/proposer.rs
+++ b/tests/model/src/registers/proposer.rs
@@ -3,11 +3,11 @@
 };
 
 /// What a proposer sends to the voters next.
-pub struct Question {
+pub struct NumberedOperation {
     /// Number that the answers bear.
     pub number: u64,
-    /// The question.
-    pub ask: VoterOperation,
+    /// The request.
+    pub operation: VoterOperation,
 }
 
 /// A caller's read or write with the product's proposal, which drives it.
@@ -21,23 +21,29 @@
     pub change: Change,
     /// The set under which it asks.
     pub set: VoterSet,
-    /// Number of the question that is out.
+    /// Number of the request that is out.
     pub number: u64,
     /// How it ended.
     pub outcome: Option<ChangeOutcome>,
     /// Newest acknowledged version when it began.
-    pub floor: u64,
+    pub acknowledged_before: u64,
     /// A ballot above which it goes on.
-    pub beaten: Option<Ballot>,
+    pub preempted_by: Option<Ballot>,
     proposal: Option<Proposal>,
     counter: u64,
-    tries_left: u64,
+    retries_left: u64,
     has_proposed: bool,
 }
 
 impl Proposer {
     /// A proposer that has not begun.
-    pub fn new(id: u64, key: &'static str, change: Change, set: VoterSet, tries: u64) -> Self {
+    pub fn new(
+        id: u64,
+        key: &'static str,
+        change: Change,
+        set: VoterSet,
+        max_retries: u64,
+    ) -> Self {
         Self {
             id,
             key,
@@ -45,11 +51,11 @@
             set,
             number: 0,
             outcome: None,
-            floor: 0,
-            beaten: None,
+            acknowledged_before: 0,
+            preempted_by: None,
             proposal: None,
             counter: 0,
-            tries_left: tries,
+            retries_left: max_retries,
             has_proposed: false,
         }
     }
@@ -66,7 +72,7 @@
 
     /// Whether it may go on with a higher ballot.
     pub fn may_retry(&self) -> bool {
-        self.is_running() && self.beaten.is_some() && self.tries_left > 0
+        self.is_running() && self.preempted_by.is_some() && self.retries_left > 0
     }
 
     fn next_ballot(&mut self, above: Ballot) -> Ballot {
@@ -77,43 +83,43 @@
         }
     }
 
-    fn question(&mut self, ask: VoterOperation) -> Question {
+    fn request(&mut self, operation: VoterOperation) -> NumberedOperation {
         self.number += 1;
         let number = self.number;
-        Question { number, ask }
+        NumberedOperation { number, operation }
     }
 
     /// Begins, or begins anew under another set as the same write.
-    pub fn begin(&mut self, set: VoterSet) -> Question {
+    pub fn begin(&mut self, set: VoterSet) -> NumberedOperation {
         if let Some(proposal) = &self.proposal {
             self.has_proposed |= proposal.abandon() == ChangeOutcome::Indeterminate;
         }
         let ballot = self.next_ballot(Ballot::default());
         let (change, voters) = (self.change.clone(), set.voters.len());
-        let (proposal, ask) = Proposal::start(self.key, change, self.id, ballot, voters);
+        let (proposal, operation) = Proposal::start(self.key, change, self.id, ballot, voters);
         self.proposal = Some(proposal);
         self.set = set;
-        self.beaten = None;
-        self.question(ask)
+        self.preempted_by = None;
+        self.request(operation)
     }
 
     /// Goes on with a higher ballot.
-    pub fn retry(&mut self) -> Option<Question> {
-        let above = self.beaten.take()?;
-        self.tries_left -= 1;
+    pub fn retry(&mut self) -> Option<NumberedOperation> {
+        let above = self.preempted_by.take()?;
+        self.retries_left -= 1;
         let ballot = self.next_ballot(above);
-        let ask = self.proposal.as_mut()?.retry(ballot);
-        Some(self.question(ask))
+        let operation = self.proposal.as_mut()?.retry(ballot);
+        Some(self.request(operation))
     }
 
-    /// Takes a voter's answer to the question that is out.
-    pub fn answer(&mut self, place: usize, reply: VoterResponse) -> Option<Question> {
-        match self.proposal.as_mut()?.on_response(place, reply) {
+    /// Takes a voter's answer to the request that is out.
+    pub fn answer(&mut self, place: usize, response: VoterResponse) -> Option<NumberedOperation> {
+        match self.proposal.as_mut()?.on_response(place, response) {
             ProposalStep::Wait => None,
-            ProposalStep::Send(ask) => Some(self.question(ask)),
+            ProposalStep::Send(operation) => Some(self.request(operation)),
             ProposalStep::Retry(above) => {
                 self.number += 1;
-                self.beaten = Some(above);
+                self.preempted_by = Some(above);
                 None
             }
             ProposalStep::Done(outcome) => {
--- a/tests/model/src/registers/state.rs
+++ b/tests/model/src/registers/state.rs
@@ -1,6 +1,6 @@
-use super::disk::VoterDisk;
-use super::exploration::Step;
-use super::proposer::{Proposer, Question};
+use super::disk::ModelDisk;
+use super::exploration::RegistersAction;
+use super::proposer::{NumberedOperation, Proposer};
 use consensus::{DiskWork, ReplicaPage};
 use register::{
     merge_replicas, Change, ChangeOutcome, ClaimFloors, VoterRef, VoterRequest, VoterResponse,
@@ -12,13 +12,13 @@
 
 pub(super) const VALUE_KEY: &str = "value";
 pub(super) const MEMBERS: u64 = 3;
-pub(super) const NEWCOMER: u64 = 4;
-/// The member whose place the newcomer takes.
+pub(super) const NEW_MEMBER: u64 = 4;
+/// The member whose place the new member takes.
 pub(super) const REPLACED: u64 = 3;
 /// Majorities of the first set.
 pub(super) const MAJORITIES: [[u64; 2]; 3] = [[1, 2], [1, 3], [2, 3]];
 
-/// A question that was sent to all voters of a set.
+/// A request that was sent to all voters of a set.
 #[derive(Clone, Debug)]
 pub(super) struct Sent {
     pub(super) proposer: usize,
@@ -29,15 +29,15 @@
 /// The whole system.
 #[derive(Clone)]
 pub struct System {
-    pub(super) disks: BTreeMap<u64, VoterDisk>,
+    pub(super) disks: BTreeMap<u64, ModelDisk>,
     pub(super) proposers: Vec<Proposer>,
     pub(super) sent: Vec<Sent>,
-    /// Answers to questions that are out, by proposer and voter.
+    /// Answers to requests that are out, by proposer and voter.
     pub(super) answers: Vec<(usize, u64, VoterResponse)>,
-    /// The newest set that is settled.
+    /// The newest set that is committed.
     pub(super) set: VoterSet,
     pub(super) copies: BTreeMap<u64, ReplicaPage>,
-    pub(super) settled: BTreeMap<u64, Vec<u8>>,
+    pub(super) committed: BTreeMap<u64, Vec<u8>>,
     pub(super) acknowledged: u64,
 }
 
@@ -57,14 +57,14 @@
 }
 
 impl System {
-    pub(super) fn send(&mut self, proposer: usize, question: Option<Question>) {
-        let Some(Question { number, ask }) = question else {
+    pub(super) fn send(&mut self, proposer: usize, request: Option<NumberedOperation>) {
+        let Some(NumberedOperation { number, operation }) = request else {
             return;
         };
-        let mark = self.proposers[proposer].set.version();
+        let set_version = self.proposers[proposer].set.version();
         let message = VoterRequest {
-            set_version: mark,
-            operation: ask,
+            set_version,
+            operation,
         };
         self.sent.push(Sent {
             proposer,
@@ -74,21 +74,21 @@
     }
 
     /// Lets the last proposer settle the next set at a majority that answers at once.
-    pub(super) fn settle_next_set(&mut self, majority: &[u64]) {
+    pub(super) fn commit_next_set(&mut self, majority: &[u64]) {
         let changer = self.proposers.len() - 1;
-        let mut question = Some(self.proposers[changer].begin(first_set()));
-        while let Some(Question { ask, .. }) = question.take() {
+        let mut request = Some(self.proposers[changer].begin(first_set()));
+        while let Some(NumberedOperation { operation, .. }) = request.take() {
             for disk in majority {
-                let mark = first_set().version();
-                let ask = ask.clone();
+                let set_version = first_set().version();
+                let operation = operation.clone();
                 let voter = self.disks.get_mut(disk).expect("the member has a disk");
-                let reply = voter.ask(VoterRequest {
-                    set_version: mark,
-                    operation: ask,
+                let response = voter.ask(VoterRequest {
+                    set_version,
+                    operation,
                 });
-                let reply = reply.expect("the voter answers");
+                let response = response.expect("the voter answers");
                 let place = *disk as usize - 1;
-                question = question.or(self.proposers[changer].answer(place, reply));
+                request = request.or(self.proposers[changer].answer(place, response));
             }
         }
         let noted = self.note_outcome(changer);
@@ -98,11 +98,14 @@
     fn forget_old_answers(&mut self) {
         let proposers = &self.proposers;
         let mut kept: BTreeSet<String> = BTreeSet::new();
-        self.answers.retain(|(proposer, disk, reply)| {
-            proposers[*proposer].is_running() && kept.insert(format!("{proposer} {disk} {reply:?}"))
+        self.answers.retain(|(proposer, disk, response)| {
+            proposers[*proposer].is_running()
+                && kept.insert(format!("{proposer} {disk} {response:?}"))
         });
         self.answers
-            .sort_by_cached_key(|(proposer, disk, reply)| (*proposer, *disk, format!("{reply:?}")));
+            .sort_by_cached_key(|(proposer, disk, response)| {
+                (*proposer, *disk, format!("{response:?}"))
+            });
     }
 
     fn drop_answers_of(&mut self, proposer: usize) {
@@ -114,24 +117,24 @@
         let Some(voter) = self.disks.get_mut(&disk) else {
             return;
         };
-        let Some(reply) = voter.ask(sent.message) else {
+        let Some(response) = voter.ask(sent.message) else {
             return;
         };
         let proposer = &self.proposers[sent.proposer];
         if proposer.is_running() && proposer.number == sent.number {
-            self.answers.push((sent.proposer, disk, reply));
+            self.answers.push((sent.proposer, disk, response));
         }
         self.forget_old_answers();
     }
 
     pub(super) fn answer(&mut self, place: usize) -> Result<(), String> {
-        let (proposer, disk, reply) = self.answers.remove(place);
-        if let VoterResponse::SetMismatch { set } = reply {
+        let (proposer, disk, response) = self.answers.remove(place);
+        if let VoterResponse::SetMismatch { set } = response {
             // As the product does: the proposer begins anew under a newer set, and asks on under its own else.
             if set.version() > self.proposers[proposer].set.version() {
-                let question = self.proposers[proposer].begin(set);
+                let request = self.proposers[proposer].begin(set);
                 self.drop_answers_of(proposer);
-                self.send(proposer, Some(question));
+                self.send(proposer, Some(request));
             }
             return Ok(());
         }
@@ -140,11 +143,11 @@
             return Ok(());
         };
         let number = self.proposers[proposer].number;
-        let question = self.proposers[proposer].answer(voter, reply);
+        let request = self.proposers[proposer].answer(voter, response);
         if self.proposers[proposer].number != number {
             self.drop_answers_of(proposer);
         }
-        self.send(proposer, question);
+        self.send(proposer, request);
         self.note_outcome(proposer)
     }
 
@@ -155,16 +158,16 @@
         else {
             return Ok(());
         };
-        let is_settled = matches!(proposer.outcome, Some(ChangeOutcome::Committed(_)));
+        let is_committed = matches!(proposer.outcome, Some(ChangeOutcome::Committed(_)));
         if proposer.key == VOTERS_KEY {
             let set = VoterSet::read_from_buffer(&stored.bytes);
             self.set = set.map_err(|error| error.to_string())?;
             return Ok(());
         }
-        if stored.version == 0 && proposer.floor == 0 {
+        if stored.version == 0 && proposer.acknowledged_before == 0 {
             return Ok(());
         }
-        let known = self.settled.entry(stored.version);
+        let known = self.committed.entry(stored.version);
         let known = known.or_insert_with(|| stored.bytes.clone());
         if *known != stored.bytes {
             return Err(format!(
@@ -174,23 +177,23 @@
         }
         let is_foreign =
             matches!(&proposer.change, Change::Write { bytes, .. } if *bytes != stored.bytes);
-        if is_settled && is_foreign {
+        if is_committed && is_foreign {
             return Err("another's write was acknowledged".into());
         }
-        if is_settled && stored.version < proposer.floor {
+        if is_committed && stored.version < proposer.acknowledged_before {
             return Err(format!(
                 "version {} was acknowledged and {} read later",
-                proposer.floor, stored.version
+                proposer.acknowledged_before, stored.version
             ));
         }
-        if is_settled {
+        if is_committed {
             self.acknowledged = self.acknowledged.max(stored.version);
         }
         Ok(())
     }
 
     fn has_enough_copies(&self) -> bool {
-        let others = self.set.voters.iter().filter(|one| one.disk != NEWCOMER);
+        let others = self.set.voters.iter().filter(|one| one.disk != NEW_MEMBER);
         let given = others
             .clone()
             .filter(|one| self.copies.contains_key(&one.disk));
@@ -207,38 +210,38 @@
             claim_floors,
             registers: merge_replicas(pages.into_values().map(|page| page.registers).collect()),
         };
-        if let Some(disk) = self.disks.get_mut(&NEWCOMER) {
+        if let Some(disk) = self.disks.get_mut(&NEW_MEMBER) {
             disk.work(DiskWork::Install(installation));
         }
     }
 
     /// Steps of the change of sets.
-    pub(super) fn membership_steps(&self) -> Vec<Step> {
+    pub(super) fn membership_steps(&self) -> Vec<RegistersAction> {
         let mut steps = Vec::new();
         if self.set.number < 2 {
             return steps;
         }
-        let newcomer_votes = self.disks[&NEWCOMER].held().set().epoch > 0;
+        let new_member_votes = self.disks[&NEW_MEMBER].acceptor().set().epoch > 0;
         for (disk, voter) in &self.disks {
-            let set = voter.held().set();
+            let set = voter.acceptor().set();
             if set.epoch > 0 && set.number < self.set.number {
-                steps.push(Step::Adopt(*disk));
+                steps.push(RegistersAction::Adopt(*disk));
             }
-            let is_source = *disk != NEWCOMER && set.version() == self.set.version();
-            if is_source && !newcomer_votes && !self.copies.contains_key(disk) {
-                steps.push(Step::Copy(*disk));
+            let is_source = *disk != NEW_MEMBER && set.version() == self.set.version();
+            if is_source && !new_member_votes && !self.copies.contains_key(disk) {
+                steps.push(RegistersAction::Copy(*disk));
             }
         }
-        if !newcomer_votes && self.has_enough_copies() {
-            steps.push(Step::Install);
+        if !new_member_votes && self.has_enough_copies() {
+            steps.push(RegistersAction::Install);
         }
         steps
     }
 
     pub(super) fn is_for(&self, sent: &Sent, disk: u64) -> bool {
-        // A question is sent to the voters of its set.
+        // A request is sent to the voters of its set.
         let voters = match sent.message.set_version {
-            mark if mark == self.set.version() => self.set.voters.clone(),
+            set_version if set_version == self.set.version() => self.set.voters.clone(),
             _ => first_set().voters,
         };
         voters.iter().any(|voter| voter.disk == disk)
--- a/tests/model/tests/registers.rs
+++ b/tests/model/tests/registers.rs
@@ -20,8 +20,8 @@
     let model = Registers {
         writers: 1,
         readers: 1,
-        has_newcomer: false,
-        tries: 0,
+        has_new_member: false,
+        max_retries: 0,
     };
     explored(&model, 12);
 }
@@ -31,8 +31,8 @@
     let model = Registers {
         writers: 2,
         readers: 0,
-        has_newcomer: false,
-        tries: 1,
+        has_new_member: false,
+        max_retries: 1,
     };
     explored(&model, 10);
 }
@@ -42,8 +42,8 @@
     let model = Registers {
         writers: 1,
         readers: 0,
-        has_newcomer: true,
-        tries: 0,
+        has_new_member: true,
+        max_retries: 0,
     };
     explored(&model, 10);
 }
