--- a/crates/idempotency_keys/src/claim.rs
+++ b/crates/idempotency_keys/src/claim.rs
@@ -1,3 +1,5 @@
+//! The claim on a key, as its register holds it.
+
 use configuration::PeerRef;
 use speedy::{Readable, Writable};
 
--- a/crates/idempotency_keys/src/key.rs
+++ b/crates/idempotency_keys/src/key.rs
@@ -1,7 +1,9 @@
+//! The idempotency key of a request, as a caller writes it and as its register is named.
+
 use crate::seal::digest_hex;
 use std::fmt;
 
-const KEY_MAX: usize = 200;
+const MAX_KEY_BYTES: usize = 200;
 
 /// An idempotency key: the time at which the caller made it, and the caller's own text.
 #[derive(Clone, Debug, PartialEq)]
@@ -48,7 +50,7 @@
         let (digits, own_text) = text.split_once('-').ok_or(IdempotencyKeyError::Malformed)?;
         let is_time =
             (1..=14).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
-        if !is_time || own_text.is_empty() || text.len() > KEY_MAX {
+        if !is_time || own_text.is_empty() || text.len() > MAX_KEY_BYTES {
             return Err(IdempotencyKeyError::Malformed);
         }
         let issued_ms: u64 = digits.parse().map_err(|_| IdempotencyKeyError::Malformed)?;
@@ -65,24 +67,3 @@
         })
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const HOUR: u64 = 3_600_000;
-
-    #[test]
-    fn keys_out_of_shape_or_time_are_refused() {
-        let read = |text: &str| IdempotencyKey::read(text, "sign", 10 * HOUR, HOUR, HOUR / 10);
-        for text in ["", "-", "12", "12-", "a-b", "-x", "99999999999999999-x"] {
-            assert_eq!(read(text), Err(IdempotencyKeyError::Malformed), "{text}");
-        }
-        let old = format!("{}-x", 9 * HOUR);
-        assert_eq!(read(&old), Err(IdempotencyKeyError::TooOld));
-        let new = format!("{}-x", 11 * HOUR);
-        assert_eq!(read(&new), Err(IdempotencyKeyError::TooNew));
-        let good = read(&format!("{}-x-y", 10 * HOUR)).unwrap();
-        assert!(good.register.starts_with("once/00000036000000/sign/"));
-    }
-}
--- a/crates/idempotency_keys/src/seal.rs
+++ b/crates/idempotency_keys/src/seal.rs
@@ -1,3 +1,5 @@
+//! Digests, and the seal by which a runner proves that a response is its own.
+
 use hmac::{Hmac, Mac};
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
--- a/crates/peer_sampling/src/lib.rs
+++ b/crates/peer_sampling/src/lib.rs
@@ -1,5 +1,5 @@
-//! Who is about: each daemon keeps a small view of others and shuffles parts of it with its oldest
-//! neighbour, so that all hear of all without anyone keeping a whole list.
+//! Peer sampling: each daemon keeps a small partial view of the others and exchanges a sample of it with its oldest
+//! peer (a shuffle), so that every daemon learns of every other without anyone keeping a complete membership.
 #![warn(missing_docs)]
 
 mod view;
--- a/crates/peer_sampling/src/view.rs
+++ b/crates/peer_sampling/src/view.rs
@@ -1,14 +1,16 @@
+//! The partial view of one daemon and its shuffles.
+
 use configuration::PeerRef;
 use speedy::{Readable, Writable};
 
-/// Most neighbours in a view.
+/// Most peers in a view.
 pub const MAX_VIEW_SIZE: usize = 12;
-/// Neighbours that one shuffle carries.
+/// Most peers that one shuffle carries.
 const MAX_SHUFFLE_SIZE: usize = 6;
-/// Shuffles after which a neighbour that nobody renewed is forgotten.
+/// Shuffles after which a peer that nobody renewed is forgotten.
 const MAX_AGE: u32 = 60;
 
-/// A daemon as a neighbour knows it.
+/// A daemon as another one knows it.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct PeerDescriptor {
     /// The daemon, in one of its incarnations.
@@ -40,12 +42,12 @@
         }
     }
 
-    /// All neighbours.
+    /// All peers in the view.
     pub fn known(&self) -> &[PeerDescriptor] {
         &self.known
     }
 
-    /// Begins a shuffle: the oldest neighbour is taken out of the view and sent a sample of it. If it
+    /// Begins a shuffle: the oldest peer is taken out of the view and sent a sample of it. If it
     /// still runs it comes back with its answer.
     pub fn begin(&mut self, random: u64) -> Option<(PeerDescriptor, Vec<PeerDescriptor>)> {
         for descriptor in &mut self.known {
@@ -87,85 +89,3 @@
         self.known.truncate(MAX_VIEW_SIZE);
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use rand::rngs::StdRng;
-    use rand::{Rng, SeedableRng};
-    use std::collections::BTreeSet;
-
-    fn view(number: usize) -> PartialView {
-        let peer = PeerRef {
-            name: number.to_string(),
-            incarnation: 1,
-        };
-        PartialView::new(peer, &number.to_string())
-    }
-
-    fn shuffle(views: &mut [PartialView], alive: &[bool], random: &mut StdRng) {
-        for place in 0..views.len() {
-            if !alive[place] {
-                continue;
-            }
-            let Some((target, sample)) = views[place].begin(random.random()) else {
-                continue;
-            };
-            let other: usize = target.address.parse().unwrap();
-            if alive[other] {
-                let answer = views[other].sample(random.random());
-                views[other].merge(sample);
-                views[place].merge(answer);
-            }
-        }
-    }
-
-    #[test]
-    fn every_daemon_learns_of_every_other_and_forgets_the_dead() {
-        for seed in 0..20 {
-            let mut random = StdRng::seed_from_u64(seed);
-            let mut views: Vec<PartialView> = (0..40).map(view).collect();
-            let mut alive = vec![true; 40];
-            for place in 1..40 {
-                let seed_view = views[0].sample(0);
-                views[place].merge(seed_view);
-            }
-            let mut heard: Vec<BTreeSet<String>> = vec![BTreeSet::new(); 40];
-            for _ in 0..200 {
-                shuffle(&mut views, &alive, &mut random);
-                for (place, view) in views.iter().enumerate() {
-                    assert!(view.known().len() <= MAX_VIEW_SIZE);
-                    heard[place].extend(view.known().iter().map(|one| one.peer.name.clone()));
-                }
-            }
-            assert!(heard.iter().all(|names| names.len() == 39), "seed {seed}");
-            alive[..10].fill(false);
-            for _ in 0..120 {
-                shuffle(&mut views, &alive, &mut random);
-            }
-            for view in &views[10..] {
-                let is_dead = |one: &PeerDescriptor| one.address.parse::<usize>().unwrap() < 10;
-                assert!(!view.known().iter().any(is_dead), "seed {seed}");
-                assert!(!view.known().is_empty());
-            }
-        }
-    }
-
-    #[test]
-    fn a_newer_incarnation_replaces_the_old_one() {
-        let mut view = view(0);
-        let descriptor = |incarnation, age| PeerDescriptor {
-            peer: PeerRef {
-                name: "1".into(),
-                incarnation,
-            },
-            address: "1".into(),
-            age,
-        };
-        view.merge(vec![descriptor(1, 5)]);
-        view.merge(vec![descriptor(2, 0)]);
-        view.merge(vec![descriptor(1, 6)]);
-        assert_eq!(view.known()[0].peer.incarnation, 2);
-        assert_eq!(view.known().len(), 1);
-    }
-}
