--- a/crates/autoscaler/src/starts.rs
+++ b/crates/autoscaler/src/starts.rs
@@ -32,7 +32,10 @@
         return Err(NoWorkerHasRoom);
     };
     let runner = pending_runner(state, name, function, worker);
-    log::debug!("scaler: {name} queues a start on {}", runner.worker);
+    log::debug!(
+        "scaler: start queued function={name} worker={}",
+        runner.worker
+    );
     let serial = state.add_runner(runner);
     state.queue_start(serial, name, urgency);
     state.note_decision(name, "one more runner");
