--- a/crates/journal/tests/power_loss.rs
+++ b/crates/journal/tests/power_loss.rs
@@ -5,7 +5,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Combinations of fates up to which all of them are tried; above it so many are drawn.
+/// Combinations of outcomes up to which all of them are tried; above it so many are drawn.
 const COMBINATIONS_MAX: usize = 3_000;
 const DRAWN: usize = 1_000;
 
@@ -119,9 +119,9 @@
     }
 
     /// Loses the power, and looks at what is there after it; also after one more record and another loss.
-    fn lose_power(&self, fates: &[CrashOutcome]) {
+    fn lose_power(&self, outcomes: &[CrashOutcome]) {
         let disk = self.disk.copy();
-        disk.lose_power(fates);
+        disk.lose_power(outcomes);
         let mut after = self.on(disk);
         assert!(after.open(), "a disk without a fault");
         after.step(Append);
@@ -130,20 +130,20 @@
     }
 
     /// Loses the power once more during each operation of the opening that follows.
-    fn lose_power_twice(&self, fates: &[CrashOutcome]) {
+    fn lose_power_twice(&self, outcomes: &[CrashOutcome]) {
         let disk = self.disk.copy();
-        disk.lose_power(fates);
+        disk.lose_power(outcomes);
         for operations in disk.operations().. {
             let mut after = self.on(disk.copy());
             after.disk.fail_after(operations, DiskFault::Stopped);
             let is_whole = after.open();
-            for fate in [
+            for outcome in [
                 CrashOutcome::Kept,
                 CrashOutcome::Lost,
                 CrashOutcome::Torn(5),
             ] {
-                let fates = vec![fate; after.disk.unsynced().len()];
-                after.lose_power(&fates);
+                let outcomes = vec![outcome; after.disk.unsynced().len()];
+                after.lose_power(&outcomes);
             }
             if is_whole {
                 return;
@@ -153,18 +153,18 @@
 
     fn lose_power_in_all_ways(&self, random: &mut StdRng) -> usize {
         let ways = combinations(&self.disk.unsynced(), random);
-        for fates in &ways {
-            self.lose_power(fates);
+        for outcomes in &ways {
+            self.lose_power(outcomes);
         }
-        for fates in ways.iter().step_by(7) {
-            self.lose_power_twice(fates);
+        for outcomes in ways.iter().step_by(7) {
+            self.lose_power_twice(outcomes);
         }
         ways.len()
     }
 }
 
 /// What may become of an effect: a write may be torn after each byte.
-fn fates_of(length: usize) -> Vec<CrashOutcome> {
+fn outcomes_of(length: usize) -> Vec<CrashOutcome> {
     let torn = (1..length).map(CrashOutcome::Torn);
     [CrashOutcome::Lost, CrashOutcome::Kept]
         .into_iter()
@@ -173,7 +173,8 @@
 }
 
 fn combinations(unsynced: &[usize], random: &mut StdRng) -> Vec<Vec<CrashOutcome>> {
-    let choices: Vec<Vec<CrashOutcome>> = unsynced.iter().map(|length| fates_of(*length)).collect();
+    let choices: Vec<Vec<CrashOutcome>> =
+        unsynced.iter().map(|length| outcomes_of(*length)).collect();
     let count = choices
         .iter()
         .fold(1usize, |count, one| count.saturating_mul(one.len()));
@@ -189,7 +190,9 @@
     choices.iter().fold(vec![Vec::new()], |ways, choice| {
         let longer = |way: &Vec<CrashOutcome>| {
             let way = way.clone();
-            choice.iter().map(move |fate| [&way[..], &[*fate]].concat())
+            choice
+                .iter()
+                .map(move |outcome| [&way[..], &[*outcome]].concat())
         };
         ways.iter().flat_map(longer).collect()
     })
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -71,7 +71,7 @@
     proposed: VersionedValue,
     /// Highest ballot that a voter promised to another proposer.
     highest_rejection: Ballot,
-    /// Why voters did not answer, for whoever is told that no majority did.
+    /// Why voters did not answer, for the error that no majority did.
     reason: String,
 }
 
--- a/crates/register/tests/rounds.rs
+++ b/crates/register/tests/rounds.rs
@@ -32,7 +32,7 @@
     synced: Vec<Vec<Record>>,
     proposers: Vec<Proposer>,
     parcels: Vec<Parcel>,
-    settled: BTreeMap<u64, u64>,
+    committed: BTreeMap<u64, u64>,
     writes: usize,
 }
 
@@ -64,7 +64,7 @@
                 })
                 .collect(),
             parcels: Vec::new(),
-            settled: BTreeMap::new(),
+            committed: BTreeMap::new(),
             writes: 0,
             set,
         };
@@ -106,9 +106,9 @@
         self.send_all(place, number, ask);
     }
 
-    fn settle(&mut self, version: u64, tag: u64) {
-        let known = self.settled.entry(version).or_insert(tag);
-        assert_eq!(*known, tag, "two values settled at version {version}");
+    fn commit(&mut self, version: u64, tag: u64) {
+        let known = self.committed.entry(version).or_insert(tag);
+        assert_eq!(*known, tag, "two values committed at version {version}");
     }
 
     fn deliver(&mut self, parcel: Parcel) {
@@ -147,7 +147,7 @@
                 }
                 self.proposers[place].expected = stored.version;
                 if stored.version > 0 {
-                    self.settle(stored.version, stored.tag);
+                    self.commit(stored.version, stored.tag);
                 }
             }
             RoundStep::Done(ChangeOutcome::Preempted(ballot)) => {
@@ -210,7 +210,7 @@
         }
         writes += world.writes;
     }
-    assert!(writes > 1_000, "only {writes} writes were settled");
+    assert!(writes > 1_000, "only {writes} writes were committed");
 }
 
 /// Writes through proposals against voters that answer at once.
--- a/crates/voter/src/voter.rs
+++ b/crates/voter/src/voter.rs
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Takes newer values from another copy.
+    /// Takes newer values from another replica.
     pub fn repair(&mut self, keys: Vec<(String, RegisterState)>) {
         if self.is_open() {
             self.unsynced.extend(self.acceptor.repair(keys));
@@ -217,7 +217,7 @@
             return false;
         };
         let bytes = records.write_to_vec().unwrap_or_default();
-        // What is too large for the log, such as all that a newcomer is given, lasts as a snapshot.
+        // What is too large for the log, such as the state that a new member takes over, is made durable as a snapshot.
         let written = if journal.has_room(bytes.len()) {
             journal.append(&bytes)
         } else {
--- a/crates/voter/tests/growth.rs
+++ b/crates/voter/tests/growth.rs
@@ -106,7 +106,7 @@
     bytes
 }
 
-fn founded(folder: &WatchedFolder) -> Voter {
+fn bootstrapped(folder: &WatchedFolder) -> Voter {
     let mut voter = Voter::open(Box::new(folder.clone())).unwrap();
     voter.bootstrap(set(), 0);
     assert!(voter.sync());
@@ -141,7 +141,7 @@
 fn a_storm_of_changes_leaves_the_disk_room() {
     let mut random = StdRng::seed_from_u64(1);
     let folder = WatchedFolder::default();
-    let mut voter = founded(&folder);
+    let mut voter = bootstrapped(&folder);
     for counter in 1..=CHANGES {
         let bytes = value(&mut random, VALUE);
         assert!(change(&mut voter, &folder, counter, bytes));
@@ -156,7 +156,7 @@
 fn a_log_that_cannot_be_shortened_stops_in_time_and_loses_nothing() {
     let mut random = StdRng::seed_from_u64(2);
     let folder = WatchedFolder::default();
-    let mut voter = founded(&folder);
+    let mut voter = bootstrapped(&folder);
     let mut acknowledged = 0;
     let mut refused = 0;
     for counter in 1..=1_000 {
@@ -184,7 +184,7 @@
 fn the_largest_state_leaves_the_disk_room() {
     let mut random = StdRng::seed_from_u64(3);
     let folder = WatchedFolder::default();
-    let mut voter = founded(&folder);
+    let mut voter = bootstrapped(&folder);
     let mut counter = 0;
     for key in ["description", "closures"] {
         voter.handle(accept(key, 1, vec![1; 4 << 20]));
--- a/crates/voter/tests/power_loss.rs
+++ b/crates/voter/tests/power_loss.rs
@@ -178,9 +178,9 @@
         }
     }
 
-    fn lose_power(&self, fates: &[CrashOutcome]) {
+    fn lose_power(&self, outcomes: &[CrashOutcome]) {
         let disk = self.disk.copy();
-        disk.lose_power(fates);
+        disk.lose_power(outcomes);
         let mut after = Self {
             disk,
             voter: None,
@@ -238,7 +238,7 @@
             (0..STEPS).for_each(|_| run.step());
             let unsynced = run.disk.unsynced();
             let longest = unsynced.iter().copied().max().unwrap_or(0);
-            let same = |fate| vec![fate; unsynced.len()];
+            let same = |outcome| vec![outcome; unsynced.len()];
             run.lose_power(&same(CrashOutcome::Kept));
             (0..longest).for_each(|count| run.lose_power(&same(CrashOutcome::Torn(count))));
             for _ in 0..12 {
@@ -247,8 +247,8 @@
                     1 => CrashOutcome::Lost,
                     _ => CrashOutcome::Torn(run.random.random_range(0..=*length)),
                 };
-                let fates: Vec<CrashOutcome> = unsynced.iter().map(draw).collect();
-                run.lose_power(&fates);
+                let outcomes: Vec<CrashOutcome> = unsynced.iter().map(draw).collect();
+                run.lose_power(&outcomes);
             }
             tried += 13 + longest;
             if run.disk.operations() <= operations {
