--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -80,3 +80,7 @@
 pub use options::{ControllerOptions, SeedReloader};
 pub use peer_links::PeerFrame;
 pub use redirector::{run_redirector, RedirectorOptions};
+
+#[cfg(test)]
+#[path = "../tests/unit/operator_reads/mod.rs"]
+mod operator_reads_tests;
