--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -57,3 +57,7 @@
 
 pub use options::{GatewayError, GatewayOptions, HttpConventions};
 pub use run::run;
+
+#[cfg(test)]
+#[path = "../tests/unit/connection_reuse.rs"]
+mod connection_reuse_tests;
--- /dev/null
+++ b/crates/gateway/tests/unit/connection_reuse.rs
@@ -0,0 +1,235 @@
+//! Which pooled connection to a runner bears a further request: none on which bytes or an end lie that nobody has read.
+//! A lease and such bytes can come in one turn of the event loop, so these tests put them into that order themselves.
+
+use crate::connections::ConnectionRole;
+use crate::downstream_connection::DownstreamConnection;
+use crate::gateway::Gateway;
+use crate::pending_request::{PendingRequest, RequestPhase};
+use crate::upstream_connection::UpstreamConnection;
+use crate::upstream_requests::UPSTREAM_BUFFER_MAX;
+use crate::{GatewayOptions, HttpConventions};
+use event_loop::{ConnectionId, Event};
+use http1::{Headers, Request};
+use protocol::{RequestId, SeatLease};
+use routing::{ConfigurationError, ConfigurationFormat, RoutingConfiguration};
+use std::io::Write;
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::time::Duration;
+
+const GATEWAY: &str = "gateway-1";
+const RUNNER: &str = "runner-1";
+const UNSOLICITED_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const DEADLINE_MS: u64 = 60_000;
+/// Time for which one poll waits; it is repeated until what must come has come.
+const POLL_TIMEOUT: Duration = Duration::from_millis(20);
+
+const CONVENTIONS: HttpConventions = HttpConventions {
+    request_id: "Id",
+    timeout: "Left",
+    seal: "Seal",
+    runner: "Meant",
+    not_run: "Not-Run",
+    retry_after: "Retry-After",
+    is_readiness_check: |_, _| false,
+};
+
+/// A format without documents, since no configuration is read here.
+struct NoDocuments;
+
+impl ConfigurationFormat for NoDocuments {
+    fn parse(&self, _: &[u8]) -> Result<RoutingConfiguration, ConfigurationError> {
+        unreachable!("no configuration comes")
+    }
+
+    fn apply_change(
+        &self,
+        _: &RoutingConfiguration,
+        _: &[u8],
+    ) -> Result<RoutingConfiguration, ConfigurationError> {
+        unreachable!("no configuration comes")
+    }
+
+    fn merge_change(&self, _: &[u8], _: &[u8]) -> Result<Vec<u8>, ConfigurationError> {
+        unreachable!("no configuration comes")
+    }
+}
+
+fn options() -> GatewayOptions {
+    let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+    GatewayOptions {
+        name: GATEWAY.into(),
+        zone: "zone-1".into(),
+        client_address: any_port,
+        readiness_address: any_port,
+        peer_address: any_port,
+        controller_addresses: Vec::new(),
+        conventions: CONVENTIONS,
+        configuration_format: Box::new(NoDocuments),
+        retry_ratio: 0.1,
+        retry_slack: 1.0,
+        shutdown_grace_ms: 10_000,
+        apply_within_ms: 10_000,
+        job_retention_ms: 10_000,
+        max_connections: 64,
+        reload_controllers: Box::new(|| None),
+    }
+}
+
+/// A gateway with one pooled connection to a runner, and the runner's end of it.
+struct PooledConnection {
+    gateway: Gateway,
+    listener: TcpListener,
+    pooled: ConnectionId,
+    runner: TcpStream,
+}
+
+impl PooledConnection {
+    fn establish() -> Self {
+        let mut gateway = Gateway::open(options()).unwrap();
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+        let role = ConnectionRole::Upstream(UpstreamConnection::new(RUNNER));
+        let address = listener.local_addr().unwrap().to_string();
+        let pooled = gateway
+            .connections
+            .connect(&address, UPSTREAM_BUFFER_MAX, role)
+            .unwrap();
+        let (runner, _) = listener.accept().unwrap();
+        wait_for_event(&mut gateway, Event::Connected(pooled));
+        assert!(gateway.upstream_pool.put(RUNNER, pooled, 1));
+        Self {
+            gateway,
+            listener,
+            pooled,
+            runner,
+        }
+    }
+
+    /// The runner sends bytes that answer no request, and the event loop reads them; nobody handles its event yet.
+    fn receive_unsolicited_bytes(&mut self) {
+        self.runner.write_all(UNSOLICITED_RESPONSE).unwrap();
+        wait_for_event(&mut self.gateway, Event::Readable(self.pooled));
+    }
+
+    /// Waits, without a poll, until the system holds bytes or an end that the event loop has not read.
+    fn wait_for_system(&mut self) {
+        while self.gateway.connections.has_nothing_to_read(self.pooled) {
+            std::thread::yield_now();
+        }
+    }
+
+    /// A request that waits for a lease.
+    fn admit_request(&mut self, at_most_once: bool) -> RequestId {
+        let role = ConnectionRole::Downstream(DownstreamConnection::accepted(0));
+        let address = self.listener.local_addr().unwrap().to_string();
+        let downstream = self
+            .gateway
+            .connections
+            .connect(&address, UPSTREAM_BUFFER_MAX, role);
+        let pending = pending_request(downstream, at_most_once);
+        self.gateway.requests.add(pending)
+    }
+
+    /// A lease on a seat of the runner comes for the request. Returns whether the pooled connection bears the request.
+    fn is_reused_by(&mut self, id: RequestId) -> bool {
+        let lease = SeatLease {
+            request_id: id,
+            runner: RUNNER.into(),
+            address: self.listener.local_addr().unwrap().to_string(),
+            zone: "zone-1".into(),
+        };
+        self.gateway.lease_granted(GATEWAY, lease);
+        let request = self.gateway.requests.get(id).unwrap();
+        let attempt = request.attempt().expect("the request has a connection");
+        assert_eq!(
+            attempt.is_sent,
+            attempt.connection == self.pooled,
+            "a request leaves at once on an established connection alone"
+        );
+        attempt.connection == self.pooled
+    }
+
+    fn assert_closed(&self) {
+        assert!(!self.gateway.connections.is_open(self.pooled));
+    }
+}
+
+fn wait_for_event(gateway: &mut Gateway, awaited: Event) {
+    let mut events = Vec::new();
+    while !events.contains(&awaited) {
+        gateway.connections.poll(POLL_TIMEOUT, &mut events);
+    }
+}
+
+fn pending_request(downstream: Option<ConnectionId>, at_most_once: bool) -> PendingRequest {
+    PendingRequest {
+        id: RequestId(0),
+        downstream,
+        request: Request {
+            method: "GET".into(),
+            target: "/".into(),
+            headers: Headers::default(),
+            body: Vec::new(),
+            keeps_alive: true,
+            is_http_1_0: false,
+        },
+        client_request_id: b"request-1".to_vec(),
+        function: "function-1".into(),
+        at_most_once,
+        priority: 0,
+        max_attempts: 3,
+        attempts: 0,
+        connect_failures: 0,
+        may_have_run: false,
+        received_at: 0,
+        deadline: DEADLINE_MS,
+        excluded_runners: Vec::new(),
+        phase: RequestPhase::AwaitingLease {
+            owner: GATEWAY.into(),
+            since: 0,
+        },
+        job: None,
+    }
+}
+
+#[test]
+fn a_connection_on_which_nothing_lies_unread_bears_the_next_request() {
+    for at_most_once in [false, true] {
+        let mut connection = PooledConnection::establish();
+        let id = connection.admit_request(at_most_once);
+        assert!(connection.is_reused_by(id), "at_most_once={at_most_once}");
+    }
+}
+
+#[test]
+fn a_connection_with_unread_bytes_is_closed_and_bears_no_further_request() {
+    for at_most_once in [false, true] {
+        let mut connection = PooledConnection::establish();
+        connection.receive_unsolicited_bytes();
+        let id = connection.admit_request(at_most_once);
+        assert!(!connection.is_reused_by(id), "at_most_once={at_most_once}");
+        connection.assert_closed();
+    }
+}
+
+#[test]
+fn work_that_may_run_once_is_not_sent_where_the_system_holds_unread_bytes() {
+    let mut connection = PooledConnection::establish();
+    connection.runner.write_all(UNSOLICITED_RESPONSE).unwrap();
+    connection.wait_for_system();
+    let id = connection.admit_request(true);
+    assert!(!connection.is_reused_by(id));
+    connection.assert_closed();
+}
+
+#[test]
+fn work_that_may_run_once_is_not_sent_where_the_runner_has_closed_unnoticed() {
+    let mut connection = PooledConnection::establish();
+    connection
+        .runner
+        .shutdown(std::net::Shutdown::Both)
+        .unwrap();
+    connection.wait_for_system();
+    let id = connection.admit_request(true);
+    assert!(!connection.is_reused_by(id));
+    connection.assert_closed();
+}
