--- a/crates/scaler/src/lib.rs
+++ b/crates/scaler/src/lib.rs
@@ -5,6 +5,7 @@
 mod commands;
 mod demand;
 mod forecast;
+mod function_decision;
 mod memory_pool;
 mod observation;
 mod owners;
@@ -15,7 +16,8 @@
 
 pub use commands::{CommandPlanner, CommandResult, PlatformCommand};
 pub use forecast::Forecast;
+pub use function_decision::FunctionDecision;
 pub use observation::{FrontObservation, ListedRunner, ListedState, Observation, Worker};
 pub use owners::update_owners;
 pub use quota_steps::{grow, shrink, RunnerQuota};
-pub use scaler::{FunctionDecision, Scaler};
+pub use scaler::Scaler;
--- a/crates/scaler/src/observation.rs
+++ b/crates/scaler/src/observation.rs
@@ -1,4 +1,4 @@
-use configuration::{Configuration, PeerRef, Plan, Version};
+use configuration::{Configuration, FunctionSpec, PeerRef, Plan, Version};
 use request_queue::FrontReport;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -85,4 +85,12 @@
     pub fn worker(&self, name: &str) -> Option<&Worker> {
         self.workers.iter().find(|worker| worker.name == name)
     }
+
+    /// The highest priority of a function's kinds of requests; 0 goes first.
+    pub(crate) fn priority_of(&self, function_spec: &FunctionSpec) -> u8 {
+        let kinds = function_spec.kinds.iter();
+        let priorities = kinds.filter_map(|kind| self.configuration.kind(kind));
+        let highest = priorities.map(|(priority, _)| priority).min();
+        highest.unwrap_or(u8::MAX)
+    }
 }
--- a/crates/scaler/src/quota_steps.rs
+++ b/crates/scaler/src/quota_steps.rs
@@ -1,3 +1,5 @@
+use configuration::{Plan, RunnerState};
+
 /// A runner as Algorithm 1 sees it: a quota in steps of one seat, and what one seat carries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerQuota {
@@ -58,3 +60,17 @@
     }
     has_changed
 }
+
+/// Writes quotas into the plan. A runner without seats drains.
+pub(crate) fn set_quotas(plan: &mut Plan, runner_quotas: &[RunnerQuota]) {
+    for runner_quota in runner_quotas {
+        let mut entries = plan.runners.iter_mut();
+        let Some(entry) = entries.find(|entry| entry.id == runner_quota.id) else {
+            continue;
+        };
+        entry.quota = runner_quota.quota;
+        if runner_quota.quota == 0 {
+            entry.state = RunnerState::Draining;
+        }
+    }
+}
--- a/crates/scaler/src/scaler.rs
+++ b/crates/scaler/src/scaler.rs
@@ -1,13 +1,13 @@
 use crate::commands::CommandPlanner;
 use crate::demand::DemandTable;
+use crate::function_decision::FunctionDecision;
 use crate::memory_pool::{MemoryPool, MemoryShare};
 use crate::observation::Observation;
 use crate::owners::{choose_owner, update_owners};
 use crate::placing::{place, PlacementError};
-use crate::quota_steps::{grow, shrink, RunnerQuota};
+use crate::quota_steps::{grow, set_quotas, shrink, RunnerQuota};
 use crate::runner_states::RunnerStates;
 use configuration::{FunctionSpec, Plan, RunnerEntry, RunnerState};
-use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Rate below which a function counts as without demand, in requests a second.
@@ -15,30 +15,6 @@
 /// A runner's response time is written to the plan again when it has changed by this factor.
 const RESPONSE_TIME_STEP: f64 = 1.25;
 
-/// Why a function has the runners and quotas that it has.
-#[derive(Clone, Debug, Default, Serialize)]
-pub struct FunctionDecision {
-    /// Requests a second that came in.
-    pub measured: f64,
-    /// Requests a second that are expected.
-    pub forecast: f64,
-    /// Requests that wait at the fronts.
-    pub waiting: u32,
-    /// Demand that is scaled for: the forecast and what waits.
-    pub demand: f64,
-    /// Requests a second that the runners carry.
-    pub capacity: f64,
-    /// Milliseconds of one answer, as learnt.
-    #[serde(rename = "pace_ms")]
-    pub response_time_ms: Option<f64>,
-    /// Runners that count.
-    pub runners: usize,
-    /// Seats of these runners.
-    pub seats: u32,
-    /// What was decided last, and why.
-    pub reason: String,
-}
-
 /// The scaler's memory between runs. All that must outlast it is in the plan.
 pub struct Scaler {
     demand: DemandTable,
@@ -99,7 +75,7 @@
             let demand = self.demand.functions.get(&function_spec.name);
             let is_called = demand.is_some_and(|demand| demand.waiting > 0);
             let since = self.asleep_since.get(&function_spec.name).copied();
-            let priority = priority_of(observation, function_spec);
+            let priority = observation.priority_of(function_spec);
             (!is_called, priority, since.unwrap_or(u64::MAX))
         });
         let mut memory_pool = MemoryPool::new(observation, &plan, self.shares(observation, &plan));
@@ -111,7 +87,7 @@
             let note = self.decisions.get(&function_spec.name);
             let met = note.map_or(1.0, |note| note.capacity / note.demand.max(MIN_DEMAND_RATE));
             (
-                priority_of(observation, function_spec),
+                observation.priority_of(function_spec),
                 (met.min(1_000.0) * 1_000.0) as u64,
             )
         });
@@ -394,7 +370,7 @@
             .filter_map(|function_spec| {
                 let demand = self.demand.functions.get(&function_spec.name)?;
                 let share = MemoryShare {
-                    priority: priority_of(observation, function_spec),
+                    priority: observation.priority_of(function_spec),
                     demand: demand.wanted(&observation.configuration.bounds),
                     is_idle: demand.waiting == 0 && demand.measured < MIN_DEMAND_RATE,
                     last_arrival: demand.last_arrival,
@@ -417,30 +393,3 @@
         shares
     }
 }
-
-fn priority_of(observation: &Observation, function_spec: &FunctionSpec) -> u8 {
-    let priorities = function_spec
-        .kinds
-        .iter()
-        .filter_map(|kind| observation.configuration.kind(kind));
-    priorities
-        .map(|(priority, _)| priority)
-        .min()
-        .unwrap_or(u8::MAX)
-}
-
-fn set_quotas(plan: &mut Plan, runner_quotas: &[RunnerQuota]) {
-    for runner_quota in runner_quotas {
-        let Some(entry) = plan
-            .runners
-            .iter_mut()
-            .find(|entry| entry.id == runner_quota.id)
-        else {
-            continue;
-        };
-        entry.quota = runner_quota.quota;
-        if runner_quota.quota == 0 {
-            entry.state = RunnerState::Draining;
-        }
-    }
-}
