--- a/crates/consensus/src/contact_lease.rs
+++ b/crates/consensus/src/contact_lease.rs
@@ -42,7 +42,7 @@
         self.duration_ms
     }
 
-    /// A heartbeat leaves now. The numbers of a incarnation ascend.
+    /// A heartbeat leaves now. The numbers of an incarnation ascend.
     pub fn record_sent(&mut self, now: u64, number: u64) {
         let span = self.duration_ms;
         self.sent.retain(|heartbeat| now < heartbeat.sent_at + span);
