--- a/tests/conventions/tests/documents.rs
+++ b/tests/conventions/tests/documents.rs
@@ -128,6 +128,11 @@
     assert!(missing.is_empty(), "{}", missing.join("\n"));
 }
 
+/// Texts between characters that no identifier has.
+fn identifiers(text: &str) -> impl Iterator<Item = &str> {
+    text.split(|letter: char| !letter.is_ascii_alphanumeric() && letter != '_')
+}
+
 /// Identifiers that a quoted text such as `protocol::{Release, SeatLease}` or `RoleLease` names; none where it is no path of code.
 fn code_names(quote: &str) -> Vec<&str> {
     let is_code = |letter: char| letter.is_ascii_alphanumeric() || "_:{}, ".contains(letter);
@@ -138,7 +143,7 @@
     if !is_path && !is_type {
         return Vec::new();
     }
-    let names = quote.split(|letter: char| !letter.is_ascii_alphanumeric() && letter != '_');
+    let names = identifiers(quote);
     names.filter(|name| name.len() > 1).collect()
 }
 
@@ -149,8 +154,7 @@
     for folder in ["crates", "platform", "tests"] {
         for path in workspace.files(folder, "rs") {
             let text = workspace.read(&path);
-            let words = text.split(|letter: char| !letter.is_ascii_alphanumeric() && letter != '_');
-            known.extend(words.map(str::to_string));
+            known.extend(identifiers(&text).map(str::to_string));
         }
     }
     let mut missing = Vec::new();
