--- a/crates/autoscaler/src/platform.rs
+++ b/crates/autoscaler/src/platform.rs
@@ -53,7 +53,7 @@
     /// The worker has no room, is down, is draining or is unknown (409).
     NoRoom,
     /// There is no such function (400).
-    Refused,
+    UnknownFunction,
     /// Too many commands (429).
     Busy,
     /// No answer came; the start may have been carried out.
@@ -64,7 +64,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::NoRoom => "the worker cannot take the runner",
-            Self::Refused => "the platform does not know the function",
+            Self::UnknownFunction => "the platform does not know the function",
             Self::Busy => "the platform limits the rate of commands",
             Self::Unanswered => "the platform did not answer",
         })
--- a/crates/autoscaler/src/runner_commands.rs
+++ b/crates/autoscaler/src/runner_commands.rs
@@ -183,7 +183,7 @@
             state.runners.clear_start_request(serial);
             state.forget_runner(serial);
         }
-        StartError::Refused => {
+        StartError::UnknownFunction => {
             log::warn!("scaler: function unknown function={name}");
             state.runners.clear_start_request(serial);
             state.forget_runner(serial);
--- a/crates/autoscaler/tests/platform.rs
+++ b/crates/autoscaler/tests/platform.rs
@@ -125,7 +125,7 @@
     let mut autoscaler = autoscaler_with(options(), &[("f", 9_000)], &workers(), &[]);
     autoscaler.handle_report(0, OWNER, &function_report("f", 1, 1));
     let first = starts(&autoscaler.take_commands());
-    autoscaler.handle_start_result(100, &first[0].nonce, Err(StartError::Refused));
+    autoscaler.handle_start_result(100, &first[0].nonce, Err(StartError::UnknownFunction));
     for now in (100..5_000).step_by(100) {
         autoscaler.handle_report(now, OWNER, &function_report("f", 1, 1));
         autoscaler.tick(now);
