--- a/crates/autoscaler/src/platform.rs
+++ b/crates/autoscaler/src/platform.rs
@@ -55,7 +55,7 @@
     /// There is no such function (400).
     UnknownFunction,
     /// Too many commands (429).
-    Busy,
+    RateLimited,
     /// No answer came; the start may have been carried out.
     Unanswered,
 }
@@ -65,7 +65,7 @@
         formatter.write_str(match self {
             Self::NoRoom => "the worker cannot take the runner",
             Self::UnknownFunction => "the platform does not know the function",
-            Self::Busy => "the platform limits the rate of commands",
+            Self::RateLimited => "the platform limits the rate of commands",
             Self::Unanswered => "the platform did not answer",
         })
     }
--- a/crates/autoscaler/src/runner_commands.rs
+++ b/crates/autoscaler/src/runner_commands.rs
@@ -192,7 +192,7 @@
             }
             state.note_decision(&name, "start refused");
         }
-        StartError::Busy | StartError::Unanswered => retry_start(state, serial, &name),
+        StartError::RateLimited | StartError::Unanswered => retry_start(state, serial, &name),
     }
     decide_due(state);
 }
--- a/crates/autoscaler/tests/platform.rs
+++ b/crates/autoscaler/tests/platform.rs
@@ -98,7 +98,7 @@
     assert!(autoscaler.take_commands().is_empty());
     autoscaler.tick(800);
     assert_eq!(starts(&autoscaler.take_commands()), first);
-    autoscaler.handle_start_result(900, &first[0].nonce, Err(StartError::Busy));
+    autoscaler.handle_start_result(900, &first[0].nonce, Err(StartError::RateLimited));
     autoscaler.tick(2_000);
     assert_eq!(starts(&autoscaler.take_commands()), first);
     autoscaler.handle_start_result(2_000, &first[0].nonce, Ok(started("r-1", 1)));
--- a/crates/autoscaler/tests/random.rs
+++ b/crates/autoscaler/tests/random.rs
@@ -173,7 +173,7 @@
         }
         if kind == 3 {
             self.autoscaler
-                .handle_start_result(self.now, &nonce, Err(StartError::Busy));
+                .handle_start_result(self.now, &nonce, Err(StartError::RateLimited));
             return;
         }
         self.start(start);
