--- a/crates/autoscaler/src/function_status.rs
+++ b/crates/autoscaler/src/function_status.rs
@@ -10,7 +10,7 @@
     /// The function.
     pub function: String,
     /// Rate over about the last second.
-    pub measured: f64,
+    pub measured_rate: f64,
     /// Rate that is forecast.
     pub forecast: f64,
     /// Requests that wait for a seat.
@@ -40,7 +40,7 @@
     let load = Load::of(state, function);
     FunctionStatus {
         function: name.to_owned(),
-        measured: load.measured,
+        measured_rate: load.measured,
         forecast: load.forecast,
         waiting: load.waiting,
         demand: load.demand,
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -76,7 +76,7 @@
 fn function_json(status: &FunctionStatus) -> Value {
     json!({
         "function": status.function,
-        "measured": status.measured,
+        "measured": status.measured_rate,
         "forecast": status.forecast,
         "waiting": status.waiting,
         "demand": status.demand,
