--- a/crates/autoscaler/src/function_status.rs
+++ b/crates/autoscaler/src/function_status.rs
@@ -12,7 +12,7 @@
     /// Rate over about the last second.
     pub measured_rate: f64,
     /// Rate that is forecast.
-    pub forecast: f64,
+    pub forecast_rate: f64,
     /// Requests that wait for a seat.
     pub waiting: u32,
     /// Rate to be carried, with what waits.
@@ -41,7 +41,7 @@
     FunctionStatus {
         function: name.to_owned(),
         measured_rate: load.measured,
-        forecast: load.forecast,
+        forecast_rate: load.forecast,
         waiting: load.waiting,
         demand: load.demand,
         capacity: load.capacity,
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -77,7 +77,7 @@
     json!({
         "function": status.function,
         "measured": status.measured_rate,
-        "forecast": status.forecast,
+        "forecast": status.forecast_rate,
         "waiting": status.waiting,
         "demand": status.demand,
         "capacity": status.capacity,
