--- a/crates/autoscaler/src/function_status.rs
+++ b/crates/autoscaler/src/function_status.rs
@@ -26,7 +26,7 @@
     /// Their quotas, summed.
     pub seats: u32,
     /// Last decision about it.
-    pub reason: String,
+    pub last_decision: String,
 }
 
 /// The status of each function that is not asleep, by name.
@@ -48,6 +48,6 @@
         service_time_ms: function.service_time_ms(),
         runners: load.runners,
         seats: load.seats,
-        reason: function.last_decision().to_owned(),
+        last_decision: function.last_decision().to_owned(),
     }
 }
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -84,6 +84,6 @@
         "pace_ms": status.service_time_ms,
         "runners": status.runners,
         "seats": status.seats,
-        "reason": status.reason,
+        "reason": status.last_decision,
     })
 }
