--- a/crates/controller/src/options.rs
+++ b/crates/controller/src/options.rs
@@ -45,7 +45,7 @@
     /// Milliseconds by which the platform's lists lag.
     pub list_lag_ms: u64,
     /// Starts and stops that the platform takes in a second.
-    pub starts_per_second: f64,
+    pub platform_commands_per_s: f64,
     /// Milliseconds for which a draining runner may get requests.
     pub drain_ms: u64,
     /// Milliseconds within which an acknowledged change holds everywhere.
@@ -57,7 +57,7 @@
     /// Milliseconds for which a job is remembered, at least.
     pub job_retention_ms: u64,
     /// Controllers that vote where there are enough of them.
-    pub voters_wanted: usize,
+    pub target_voter_count: usize,
     /// Memory that the process may take, in bytes.
     pub memory_bytes: u64,
     /// Most open connections.
@@ -125,7 +125,7 @@
             // A voter that is away for longer cannot hold everything again within the time that is allowed for it.
             replacement_timeout_ms: self.resync_ms * 3 / 5,
             seed: rand::random(),
-            target_voter_count: self.voters_wanted,
+            target_voter_count: self.target_voter_count,
         }
     }
 }
--- a/crates/controller/src/scaler.rs
+++ b/crates/controller/src/scaler.rs
@@ -102,7 +102,7 @@
             topology: context.options.topology.clone(),
             list_lag_ms: context.options.list_lag_ms,
             drain_ms: context.options.drain_ms,
-            commands_per_s: context.options.starts_per_second,
+            commands_per_s: context.options.platform_commands_per_s,
             nonce_prefix: format!("{term:x}"),
             term,
         };
