--- a/crates/controller/src/codec.rs
+++ b/crates/controller/src/codec.rs
@@ -64,9 +64,9 @@
 /// The forms of the operators' API. It translates and decides nothing.
 pub trait OperatorCodec {
     /// Reader of the operators' documents.
-    fn documents(&self) -> &dyn ConfigurationFormat;
+    fn configuration_format(&self) -> &dyn ConfigurationFormat;
     /// The operator's version that a document bears.
-    fn version_of(&self, document: &[u8]) -> Option<u64>;
+    fn document_version(&self, document: &[u8]) -> Option<u64>;
     /// What a request asks for, by its method and target.
     fn parse_command(&self, method: &str, target: &str) -> Result<CommandKind, CommandParseError>;
     /// The version on which a change builds.
--- a/crates/controller/src/operator_routing.rs
+++ b/crates/controller/src/operator_routing.rs
@@ -38,7 +38,7 @@
     RequestRoute::Execute(Command {
         kind,
         base: codec.base_version(&request.headers),
-        version: codec.version_of(&request.body),
+        version: codec.document_version(&request.body),
         body: request.body,
     })
 }
--- a/crates/controller/src/operator_service.rs
+++ b/crates/controller/src/operator_service.rs
@@ -126,7 +126,7 @@
         outcome: ChangeOutcome,
         context: &mut OperatorContext<'_>,
     ) {
-        let format = context.options.operator_codec.documents();
+        let format = context.options.operator_codec.configuration_format();
         let documents = &RegionalConfigurationFormat::new(format, &context.options.topology);
         match self.requests.handle_outcome(token, outcome, documents) {
             None => {}
--- a/crates/controller/src/scaler.rs
+++ b/crates/controller/src/scaler.rs
@@ -127,7 +127,7 @@
         let Some(autoscaler) = self.autoscaler.as_mut().filter(|_| record.version > 0) else {
             return;
         };
-        let documents = context.options.operator_codec.documents();
+        let documents = context.options.operator_codec.configuration_format();
         match documents.parse(&record.document().unwrap_or_default()) {
             Ok(document) => autoscaler.apply_configuration(context.now, &document),
             Err(error) => log::error!("scaler: configuration unreadable error={error}"),
--- a/crates/controller/tests/unit/operator_reads/codecs.rs
+++ b/crates/controller/tests/unit/operator_reads/codecs.rs
@@ -20,11 +20,11 @@
 pub struct TestCodec;
 
 impl OperatorCodec for TestCodec {
-    fn documents(&self) -> &dyn ConfigurationFormat {
+    fn configuration_format(&self) -> &dyn ConfigurationFormat {
         self
     }
 
-    fn version_of(&self, _: &[u8]) -> Option<u64> {
+    fn document_version(&self, _: &[u8]) -> Option<u64> {
         None
     }
 
