--- a/crates/controller/src/member_directory.rs
+++ b/crates/controller/src/member_directory.rs
@@ -99,7 +99,7 @@
     }
 
     /// Members whose newest heartbeat is fresh and said that they are in contact with a majority.
-    pub fn current(&self, now: u64) -> Vec<SocketAddr> {
+    pub fn members_in_contact(&self, now: u64) -> Vec<SocketAddr> {
         let current = self.members.iter().filter(|(_, member)| {
             let heartbeat = member.heartbeat;
             heartbeat.is_some_and(|heartbeat| {
@@ -110,7 +110,7 @@
     }
 
     /// Members to poll now; they count as polled from then on.
-    pub fn take_due(&mut self, now: u64) -> Vec<SocketAddr> {
+    pub fn take_due_polls(&mut self, now: u64) -> Vec<SocketAddr> {
         let (poll_interval, freshness) = (self.poll_interval_ms, self.freshness_ms);
         let due = self.members.iter_mut().filter(|(_, member)| {
             let is_fresh = member
--- a/crates/controller/src/redirector.rs
+++ b/crates/controller/src/redirector.rs
@@ -204,7 +204,7 @@
             log::info!("controller: member forgotten member={address}");
             self.close_link(address);
         }
-        for address in self.directory.take_due(self.now) {
+        for address in self.directory.take_due_polls(self.now) {
             self.request_heartbeat(address);
         }
     }
@@ -359,7 +359,7 @@
     }
 
     fn next_member(&mut self) -> Option<SocketAddr> {
-        let current = self.directory.current(self.clock.now());
+        let current = self.directory.members_in_contact(self.clock.now());
         self.redirects = self.redirects.wrapping_add(1);
         current.get(self.redirects % current.len().max(1)).copied()
     }
--- a/crates/controller/tests/member_directory.rs
+++ b/crates/controller/tests/member_directory.rs
@@ -31,19 +31,27 @@
 #[test]
 fn only_members_with_a_fresh_heartbeat_and_contact_count() {
     let mut directory = directory(&[1, 2, OWN]);
-    assert_eq!(directory.current(0), [], "nobody sent a heartbeat");
-    assert_eq!(directory.take_due(0), [address(1), address(2)]);
+    assert_eq!(
+        directory.members_in_contact(0),
+        [],
+        "nobody sent a heartbeat"
+    );
+    assert_eq!(directory.take_due_polls(0), [address(1), address(2)]);
     receive_heartbeat(&mut directory, 10, 1, true, &[1, 2, 3]);
     receive_heartbeat(&mut directory, 10, 2, false, &[1, 2]);
-    assert_eq!(directory.current(10), [address(1)]);
-    assert_eq!(directory.current(9 + FRESHNESS_MS), [address(1)]);
-    assert_eq!(directory.current(10 + FRESHNESS_MS), [], "it is silent");
+    assert_eq!(directory.members_in_contact(10), [address(1)]);
+    assert_eq!(directory.members_in_contact(9 + FRESHNESS_MS), [address(1)]);
+    assert_eq!(
+        directory.members_in_contact(10 + FRESHNESS_MS),
+        [],
+        "it is silent"
+    );
     receive_heartbeat(&mut directory, 700, 1, true, &[]);
     receive_heartbeat(&mut directory, 710, 1, false, &[]);
-    assert_eq!(directory.current(710), [], "it was cut off");
+    assert_eq!(directory.members_in_contact(710), [], "it was cut off");
     receive_heartbeat(&mut directory, 720, 2, true, &[]);
     directory.on_link_ended(address(2));
-    assert_eq!(directory.current(720), [], "its link is gone");
+    assert_eq!(directory.members_in_contact(720), [], "its link is gone");
 }
 
 #[test]
@@ -60,10 +68,13 @@
         forgotten.extend(directory.remove_gone(now));
     }
     assert_eq!(forgotten, [address(2), address(1)]);
-    assert_eq!(directory.current(20_000), [address(3), address(4)]);
+    assert_eq!(
+        directory.members_in_contact(20_000),
+        [address(3), address(4)]
+    );
     receive_heartbeat(&mut directory, 20_000, 1, true, &[]);
     assert!(
-        !directory.current(20_000).contains(&address(1)),
+        !directory.members_in_contact(20_000).contains(&address(1)),
         "it is unknown"
     );
 }
@@ -73,7 +84,7 @@
     let mut directory = directory(&[1]);
     let mut asked = 0;
     for now in (0..60_000).step_by(50) {
-        asked += directory.take_due(now).len();
+        asked += directory.take_due_polls(now).len();
         assert_eq!(directory.remove_gone(now), []);
     }
     assert!((55..=70).contains(&asked), "{asked} questions in a minute");
@@ -89,5 +100,5 @@
     for member in &many {
         receive_heartbeat(&mut directory, 100, *member, true, &[]);
     }
-    assert_eq!(directory.current(100).len(), 16);
+    assert_eq!(directory.members_in_contact(100).len(), 16);
 }
