--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -120,9 +120,9 @@
             ConsensusMessage::VoterResponse {
                 disk,
                 number,
-                is_known,
+                is_value_omitted,
                 response,
-            } => self.on_voter_response(now, from, disk, number, is_known, response),
+            } => self.on_voter_response(now, from, disk, number, is_value_omitted, response),
             ConsensusMessage::RequestVoterSet => self.on_voter_set_request(from),
             ConsensusMessage::VoterSet(update) => self.on_voter_set(now, update),
             ConsensusMessage::FormVoterSet(set) => self.on_form_voter_set(&set),
@@ -163,14 +163,14 @@
             DiskCompletion::VoterResponse {
                 to,
                 number,
-                is_known,
+                is_value_omitted,
                 is_role_round,
                 response,
             } => {
                 if is_role_round {
                     self.role.end_round();
                 }
-                self.on_own_voter_response(now, &to, number, is_known, response);
+                self.on_own_voter_response(now, &to, number, is_value_omitted, response);
             }
         }
         self.advance(now);
--- a/crates/consensus/src/consensus/changes.rs
+++ b/crates/consensus/src/consensus/changes.rs
@@ -175,11 +175,11 @@
         self.respond(from, number, false, response);
     }
 
-    fn respond(&mut self, to: &str, number: u64, is_known: bool, response: VoterResponse) {
+    fn respond(&mut self, to: &str, number: u64, is_value_omitted: bool, response: VoterResponse) {
         let message = ConsensusMessage::VoterResponse {
             disk: self.sets.own_disk(),
             number,
-            is_known,
+            is_value_omitted,
             response,
         };
         self.send(to, message);
@@ -191,13 +191,20 @@
         now: u64,
         to: &str,
         number: u64,
-        is_known: bool,
+        is_value_omitted: bool,
         response: VoterResponse,
     ) {
         if to == self.options.address {
-            self.on_voter_response(now, to, self.sets.own_disk(), number, is_known, response);
+            self.on_voter_response(
+                now,
+                to,
+                self.sets.own_disk(),
+                number,
+                is_value_omitted,
+                response,
+            );
         } else {
-            self.respond(to, number, is_known, response);
+            self.respond(to, number, is_value_omitted, response);
         }
     }
 
@@ -208,13 +215,13 @@
         from: &str,
         disk: u64,
         number: u64,
-        is_known: bool,
+        is_value_omitted: bool,
         response: VoterResponse,
     ) {
         let Some((id, change)) = self.changes.in_round(number) else {
             return;
         };
-        match change.on_response(disk, is_known, response) {
+        match change.on_response(disk, is_value_omitted, response) {
             ResponseStep::Ignored => {}
             ResponseStep::OtherSet(set) => self.on_other_set(now, from, &set),
             ResponseStep::Proposal(step) => self.on_proposal_step(now, id, step),
--- a/crates/consensus/src/disk_execution.rs
+++ b/crates/consensus/src/disk_execution.rs
@@ -62,11 +62,13 @@
     });
     for completion in completions {
         if let DiskCompletion::VoterResponse {
-            response, is_known, ..
+            response,
+            is_value_omitted,
+            ..
         } = completion
         {
             *response = Voter::disk_failed_response();
-            *is_known = false;
+            *is_value_omitted = false;
         }
     }
 }
@@ -140,11 +142,11 @@
 ) -> DiskCompletion {
     let is_role_round = is_role_round(&request.operation);
     let mut response = voter.handle(request);
-    let is_known = leave_out(&mut response, known);
+    let is_value_omitted = leave_out(&mut response, known);
     DiskCompletion::VoterResponse {
         to,
         number,
-        is_known,
+        is_value_omitted,
         is_role_round,
         response,
     }
@@ -155,11 +157,11 @@
     let VoterResponse::LastAccepted { value, .. } = response else {
         return false;
     };
-    let is_known = known.version > 0 && ValueId::of(value) == known;
-    if is_known {
+    let is_value_omitted = known.version > 0 && ValueId::of(value) == known;
+    if is_value_omitted {
         value.bytes = Vec::new();
     }
-    is_known
+    is_value_omitted
 }
 
 fn is_installed(voter: &Voter, set_version: SetVersion) -> bool {
--- a/crates/consensus/src/disk_work.rs
+++ b/crates/consensus/src/disk_work.rs
@@ -87,7 +87,7 @@
             } => Some(DiskCompletion::VoterResponse {
                 to,
                 number,
-                is_known: false,
+                is_value_omitted: false,
                 is_role_round: is_role_round(&request.operation),
                 response: VoterResponse::Unavailable {
                     reason: "too much waits for the disk".into(),
@@ -130,7 +130,7 @@
         /// Number of the request.
         number: u64,
         /// Whether the value is left out.
-        is_known: bool,
+        is_value_omitted: bool,
         /// Whether the request was a round over the scaler role's register.
         is_role_round: bool,
         /// The response.
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -35,7 +35,7 @@
         /// Number of the request.
         number: u64,
         /// Whether the value is left out, since it is the one that the receiver has.
-        is_known: bool,
+        is_value_omitted: bool,
         /// The response.
         response: VoterResponse,
     },
--- a/crates/consensus/src/pending_change.rs
+++ b/crates/consensus/src/pending_change.rs
@@ -234,7 +234,7 @@
     pub fn on_response(
         &mut self,
         disk: u64,
-        is_known: bool,
+        is_value_omitted: bool,
         mut response: VoterResponse,
     ) -> ResponseStep {
         let mut voters = self.set.voters.iter();
@@ -248,7 +248,7 @@
         if self.has_responded[place] {
             return ResponseStep::Ignored;
         }
-        if is_known && !self.fill_in(&mut response) {
+        if is_value_omitted && !self.fill_in(&mut response) {
             return ResponseStep::Ignored;
         }
         self.has_responded[place] = true;
--- a/crates/consensus/tests/identities.rs
+++ b/crates/consensus/tests/identities.rs
@@ -40,7 +40,7 @@
     let answer = |disk| ConsensusMessage::VoterResponse {
         disk,
         number,
-        is_known: false,
+        is_value_omitted: false,
         response: VoterResponse::LastAccepted {
             ballot: Ballot::default(),
             value: VersionedValue::default(),
--- a/tests/compatibility/src/samples/consensus.rs
+++ b/tests/compatibility/src/samples/consensus.rs
@@ -88,11 +88,11 @@
     }
 }
 
-fn answer(is_known: bool, response: VoterResponse) -> ConsensusMessage {
+fn answer(is_value_omitted: bool, response: VoterResponse) -> ConsensusMessage {
     ConsensusMessage::VoterResponse {
         disk: 0x1112_1314_1516_1718,
         number: 77,
-        is_known,
+        is_value_omitted,
         response,
     }
 }
