--- a/crates/consensus/src/disk_work.rs
+++ b/crates/consensus/src/disk_work.rs
@@ -77,7 +77,7 @@
 
     /// What comes of work that was never given to the disk, since too much waits for it already. It is the same as a
     /// request whose response got lost, or work on the set that comes again.
-    pub fn refused(self) -> Option<DiskCompletion> {
+    pub fn reject(self) -> Option<DiskCompletion> {
         match self {
             Self::VoterRequest {
                 to,
--- a/crates/controller/src/disk_thread.rs
+++ b/crates/controller/src/disk_thread.rs
@@ -75,7 +75,7 @@
         let size = work.size();
         let waiting = self.waiting.load(Ordering::Relaxed);
         if waiting > 0 && waiting + size > WAITING_BYTES_MAX {
-            self.refused.extend(work.refused());
+            self.refused.extend(work.reject());
             return;
         }
         self.waiting.fetch_add(size, Ordering::Relaxed);
