--- a/crates/gateway/src/lease_requests.rs
+++ b/crates/gateway/src/lease_requests.rs
@@ -112,7 +112,7 @@
     /// Cancels a lease request at another gateway. Under an agreed table that acknowledges it, and nothing that it said before counts.
     fn cancel_at_peer(&mut self, owner: &str, id: RequestId) {
         if self.peers.contains(owner) && self.configuration.agreed_owners().is_some() {
-            self.cancelled_requests.cancelled(owner, id);
+            self.cancelled_requests.record_cancellation(owner, id);
         }
         self.send_to_peer(owner, &Message::CancelRequest(id));
     }
--- a/crates/gateway/src/ownership.rs
+++ b/crates/gateway/src/ownership.rs
@@ -24,7 +24,7 @@
                 relayed.request.tenant = Some(tenant);
                 self.relayed_request(name, relayed);
             }
-            Message::LeaseRequestCancelled(id) => self.cancelled_requests.acknowledged(name, id),
+            Message::LeaseRequestCancelled(id) => self.cancelled_requests.record_ack(name, id),
             Message::RequestHandover(version) => {
                 self.lease_owner.handover_requested(name, version);
             }
@@ -130,7 +130,10 @@
 
     /// An owner has leased a seat, for a request of this gateway or for one that is relayed.
     pub fn lease_received(&mut self, owner: &str, lease: SeatLease) {
-        if self.cancelled_requests.is_void(owner, lease.request_id) {
+        if self
+            .cancelled_requests
+            .is_cancelled(owner, lease.request_id)
+        {
             return;
         }
         match self.relayed_requests.granted(owner, &lease) {
@@ -141,7 +144,7 @@
 
     /// An owner has rejected a request of this gateway or one that is relayed.
     pub fn rejection_received(&mut self, owner: &str, id: RequestId, retry_after_ms: u32) {
-        if self.cancelled_requests.is_void(owner, id) {
+        if self.cancelled_requests.is_cancelled(owner, id) {
             return;
         }
         match self.relayed_requests.rejected(owner, id) {
--- a/crates/seat_leases/src/cancelled_requests.rs
+++ b/crates/seat_leases/src/cancelled_requests.rs
@@ -14,13 +14,13 @@
 
 impl CancelledRequests {
     /// A request was cancelled at an owner.
-    pub fn cancelled(&mut self, owner: &str, id: RequestId) {
+    pub fn record_cancellation(&mut self, owner: &str, id: RequestId) {
         let requests = self.by_owner.entry(owner.into()).or_default();
         *requests.entry(id).or_default() += 1;
     }
 
     /// An owner has acknowledged it.
-    pub fn acknowledged(&mut self, owner: &str, id: RequestId) {
+    pub fn record_ack(&mut self, owner: &str, id: RequestId) {
         let Some(requests) = self.by_owner.get_mut(owner) else {
             return;
         };
@@ -34,7 +34,7 @@
 
     /// Whether what an owner says of a request is about one that was cancelled.
     #[must_use]
-    pub fn is_void(&self, owner: &str, id: RequestId) -> bool {
+    pub fn is_cancelled(&self, owner: &str, id: RequestId) -> bool {
         let requests = self.by_owner.get(owner);
         requests.is_some_and(|requests| requests.contains_key(&id))
     }
--- a/crates/seat_leases/tests/fleet/gateway/messages.rs
+++ b/crates/seat_leases/tests/fleet/gateway/messages.rs
@@ -65,7 +65,8 @@
                 self.cancel_placed(index, from, id);
                 self.send(index, index_of(from), Message::LeaseRequestCancelled(id));
             }
-            Message::SeatLease(lease) if gateway.cancelled.is_void(from, lease.request_id) => {}
+            Message::SeatLease(lease) if gateway.cancelled.is_cancelled(from, lease.request_id) => {
+            }
             Message::LeaseRelease(release) => self.release_placed(index, from, &release),
             Message::LeasesInUse { function, runners } => {
                 gateway.owner.adopt_leases(now, from, &function, &runners);
@@ -93,7 +94,7 @@
         let now = self.now;
         let gateway = &mut self.gateways[index];
         match message {
-            Message::LeaseRequestCancelled(id) => gateway.cancelled.acknowledged(from, id),
+            Message::LeaseRequestCancelled(id) => gateway.cancelled.record_ack(from, id),
             Message::RequestHandover(version) => gateway.owner.handover_requested(from, version),
             Message::SeatHandover(handover) => {
                 let _ = gateway.owner.receive_handover(now, from, handover);
--- a/crates/seat_leases/tests/fleet/gateway/requests.rs
+++ b/crates/seat_leases/tests/fleet/gateway/requests.rs
@@ -115,7 +115,9 @@
     }
 
     pub(super) fn cancel_at_peer(&mut self, index: usize, owner: &str, id: RequestId) {
-        self.gateways[index].cancelled.cancelled(owner, id);
+        self.gateways[index]
+            .cancelled
+            .record_cancellation(owner, id);
         self.send(index, index_of(owner), Message::CancelRequest(id));
     }
 
@@ -159,7 +161,7 @@
 
     pub(super) fn rejected(&mut self, index: usize, from: &str, id: RequestId, retry_ms: u32) {
         let gateway = &mut self.gateways[index];
-        if gateway.cancelled.is_void(from, id) {
+        if gateway.cancelled.is_cancelled(from, id) {
             return;
         }
         match gateway.relayed.rejected(from, id) {
--- a/tests/model/src/ownership/gateway.rs
+++ b/tests/model/src/ownership/gateway.rs
@@ -138,8 +138,8 @@
                 }
                 return sent;
             }
-            Message::LeaseRequestCancelled(id) => self.cancelled.acknowledged(&peer, id),
-            Message::SeatLease(lease) if self.cancelled.is_void(&peer, lease.request_id) => {}
+            Message::LeaseRequestCancelled(id) => self.cancelled.record_ack(&peer, id),
+            Message::SeatLease(lease) if self.cancelled.is_cancelled(&peer, lease.request_id) => {}
             Message::LeaseRelease(release) => self.owner.release(0, &peer, &release),
             Message::LeasesInUse { function, runners } => {
                 self.owner.adopt_leases(0, &peer, &function, &runners);
@@ -210,7 +210,7 @@
             Phase::Waiting { owner: asked } if asked != owner => {
                 let id = self.id();
                 if asked != self.index {
-                    self.cancelled.cancelled(&name(asked), id);
+                    self.cancelled.record_cancellation(&name(asked), id);
                 }
                 sent.extend(self.send(asked, Message::CancelRequest(id)));
                 sent.extend(self.request_lease());
