--- a/crates/gateway/src/ownership.rs
+++ b/crates/gateway/src/ownership.rs
@@ -136,7 +136,7 @@
         {
             return;
         }
-        match self.relayed_requests.granted(owner, &lease) {
+        match self.relayed_requests.record_lease(owner, &lease) {
             Some((gateway, lease)) => self.deliver_lease(&gateway, lease),
             None => self.lease_granted(owner, lease),
         }
--- a/crates/seat_leases/src/relayed_requests.rs
+++ b/crates/seat_leases/src/relayed_requests.rs
@@ -108,7 +108,7 @@
     }
 
     /// An owner has leased a seat: the gateway that it is for, and the lease as it knows it. None where it is not awaited.
-    pub fn granted(&mut self, owner: &str, lease: &SeatLease) -> Option<(String, SeatLease)> {
+    pub fn record_lease(&mut self, owner: &str, lease: &SeatLease) -> Option<(String, SeatLease)> {
         let relayed = self.relayed.get_mut(&lease.request_id)?;
         if relayed.owner != owner || relayed.lease.is_some() {
             return None;
--- a/crates/seat_leases/tests/fleet/gateway/messages.rs
+++ b/crates/seat_leases/tests/fleet/gateway/messages.rs
@@ -71,7 +71,7 @@
             Message::LeasesInUse { function, runners } => {
                 gateway.owner.adopt_leases(now, from, &function, &runners);
             }
-            Message::SeatLease(lease) => match gateway.relayed.granted(from, &lease) {
+            Message::SeatLease(lease) => match gateway.relayed.record_lease(from, &lease) {
                 Some((to, lease)) if to != gateway.name => {
                     self.send(index, index_of(&to), Message::SeatLease(lease));
                 }
--- a/crates/seat_leases/tests/relayed_requests.rs
+++ b/crates/seat_leases/tests/relayed_requests.rs
@@ -25,7 +25,9 @@
         address: "r:1".into(),
         zone: "north".into(),
     };
-    let (to, lease) = relayed.granted("first", &lease).expect("it is awaited");
+    let (to, lease) = relayed
+        .record_lease("first", &lease)
+        .expect("it is awaited");
     assert_eq!((to.as_str(), lease.request_id), (GATEWAY, RequestId(1)));
     request_id
 }
