--- a/crates/gateway/src/ownership.rs
+++ b/crates/gateway/src/ownership.rs
@@ -147,7 +147,7 @@
         if self.cancelled_requests.is_cancelled(owner, id) {
             return;
         }
-        match self.relayed_requests.rejected(owner, id) {
+        match self.relayed_requests.record_rejection(owner, id) {
             Some((gateway, id)) => self.reject_lease_request(&gateway, id, retry_after_ms),
             None => self.lease_rejected(id, retry_after_ms),
         }
--- a/crates/seat_leases/src/relayed_requests.rs
+++ b/crates/seat_leases/src/relayed_requests.rs
@@ -122,7 +122,7 @@
     }
 
     /// An owner has rejected a request: the gateway that it is for, and its number there.
-    pub fn rejected(&mut self, owner: &str, id: RequestId) -> Option<(String, RequestId)> {
+    pub fn record_rejection(&mut self, owner: &str, id: RequestId) -> Option<(String, RequestId)> {
         if self.relayed.get(&id)?.owner != owner {
             return None;
         }
--- a/crates/seat_leases/tests/fleet/gateway/requests.rs
+++ b/crates/seat_leases/tests/fleet/gateway/requests.rs
@@ -164,7 +164,7 @@
         if gateway.cancelled.is_cancelled(from, id) {
             return;
         }
-        match gateway.relayed.rejected(from, id) {
+        match gateway.relayed.record_rejection(from, id) {
             Some((to, request_id)) if to != gateway.name => {
                 let message = Message::Reject {
                     request_id,
