--- a/crates/gateway/src/ownership.rs
+++ b/crates/gateway/src/ownership.rs
@@ -6,7 +6,7 @@
     LeaseRelease, LeaseRequest, Member, Message, RelayedLeaseRequest, RequestId, SeatHandover,
     SeatLease,
 };
-use seat_leases::{ForeignRequest, LeaseRequestEnd, RelayedId, SeatStatus};
+use seat_leases::{GatewayLeaseRequest, LeaseRequestEnd, RelayedId, SeatStatus};
 use std::collections::BTreeSet;
 
 /// Heartbeats of the scaler that may be missed before a silent owner's place is taken without it.
@@ -62,7 +62,7 @@
                 .request_lease(self.now, gateway, zone, request);
             return;
         };
-        let original = ForeignRequest {
+        let original = GatewayLeaseRequest {
             gateway: gateway.into(),
             zone: zone.into(),
             request,
@@ -74,7 +74,7 @@
         self.relayed_requests.has_room() && !self.peers.is_suspect(owner, self.now)
     }
 
-    fn relay(&mut self, owner: &str, original: ForeignRequest) {
+    fn relay(&mut self, owner: &str, original: GatewayLeaseRequest) {
         let id = original.request.request_id;
         self.end_relay(&original.gateway, &LeaseRequestEnd::Cancel(id));
         let message = self.relayed_requests.relay(self.now, owner, original);
--- a/crates/seat_leases/src/function_seats/handover.rs
+++ b/crates/seat_leases/src/function_seats/handover.rs
@@ -3,7 +3,7 @@
 use super::FunctionSeats;
 use crate::lease_holder::LeaseHolder;
 use crate::lease_rules::LeaseRules;
-use crate::relayed_requests::ForeignRequest;
+use crate::relayed_requests::GatewayLeaseRequest;
 use crate::seat_runner::SeatRunner;
 use protocol::{FunctionHandover, GatewayLeases, LeaseRequest, RunnerLeases};
 use std::collections::BTreeMap;
@@ -48,9 +48,9 @@
         now: u64,
         function: &str,
         is_taken: impl Fn(&LeaseHolder) -> bool,
-    ) -> Vec<ForeignRequest> {
+    ) -> Vec<GatewayLeaseRequest> {
         let waiting = self.queue.take(is_taken).into_iter();
-        let requests = waiting.map(|waiting| ForeignRequest {
+        let requests = waiting.map(|waiting| GatewayLeaseRequest {
             gateway: waiting.holder.gateway,
             zone: waiting.zone,
             request: LeaseRequest {
--- a/crates/seat_leases/src/lease_owner/handover.rs
+++ b/crates/seat_leases/src/lease_owner/handover.rs
@@ -5,7 +5,7 @@
 use crate::function_seats::FunctionSeats;
 use crate::lease_holder::LeaseHolder;
 use crate::ownership_table::OwnershipTable;
-use crate::relayed_requests::{ForeignRequest, RelayedRequests};
+use crate::relayed_requests::{GatewayLeaseRequest, RelayedRequests};
 use crate::seat_ownership::{HandoverRefusal, SeatStatus};
 use protocol::{FunctionHandover, GatewayLeases, Member, SeatHandover, UpdateVersion};
 use std::collections::{BTreeSet, HashMap};
@@ -198,7 +198,7 @@
         &mut self,
         now: u64,
         is_reachable: impl Fn(&str) -> bool,
-    ) -> Vec<(String, ForeignRequest)> {
+    ) -> Vec<(String, GatewayLeaseRequest)> {
         let mut taken = Vec::new();
         for (function, seats) in &mut self.functions {
             if !seats.has_waiting() {
--- a/crates/seat_leases/src/lib.rs
+++ b/crates/seat_leases/src/lib.rs
@@ -55,7 +55,7 @@
 pub use lease_owner::LeaseOwner;
 pub use list_confirmation::UpdateAge;
 pub use ownership_table::{changed_members, OwnershipTable};
-pub use relayed_requests::{ForeignRequest, RelayedId, RelayedRequests};
+pub use relayed_requests::{GatewayLeaseRequest, RelayedId, RelayedRequests};
 pub use request_end::LeaseRequestEnd;
 pub use retry_budget::RetryBudget;
 pub use seat_ownership::{HandoverRefusal, SeatStatus};
--- a/crates/seat_leases/src/relayed_requests.rs
+++ b/crates/seat_leases/src/relayed_requests.rs
@@ -15,7 +15,7 @@
 
 /// A lease request of a gateway, which may go elsewhere.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ForeignRequest {
+pub struct GatewayLeaseRequest {
     /// Name of the gateway that has the client.
     pub gateway: String,
     /// Its zone.
@@ -40,7 +40,7 @@
     owner: String,
     /// Later owners of the function's seats that were told of the lease.
     reported_to: Vec<String>,
-    original: ForeignRequest,
+    original: GatewayLeaseRequest,
     since: u64,
     /// Milliseconds of the clock from which a seat is of no use.
     deadline: u64,
@@ -86,7 +86,7 @@
         &mut self,
         now: u64,
         owner: &str,
-        original: ForeignRequest,
+        original: GatewayLeaseRequest,
     ) -> RelayedLeaseRequest {
         self.count += 1;
         let id = RequestId(RELAYED_BIT | self.count);
@@ -165,7 +165,7 @@
 
     /// The link with an owner has ended, and with it what waits there. Returns these requests. What it has leased it asks about once there
     /// is a link again.
-    pub fn remove_owner(&mut self, now: u64, owner: &str) -> Vec<ForeignRequest> {
+    pub fn remove_owner(&mut self, now: u64, owner: &str) -> Vec<GatewayLeaseRequest> {
         let waiting = self.take(|relayed| relayed.owner == owner && relayed.lease.is_none());
         let waiting = waiting.into_iter();
         waiting.filter_map(|(_, one)| one.renewed(now)).collect()
@@ -176,7 +176,7 @@
         &mut self,
         now: u64,
         mut is_owner: impl FnMut(&str, &str) -> bool,
-    ) -> Vec<(RelayedId, ForeignRequest)> {
+    ) -> Vec<(RelayedId, GatewayLeaseRequest)> {
         let moved = self.take(|relayed| {
             relayed.lease.is_none() && !is_owner(&relayed.original.request.function, &relayed.owner)
         });
@@ -274,7 +274,7 @@
     }
 
     /// The request as it is to be placed anew, with the time that is left; none where that is over.
-    fn renewed(self, now: u64) -> Option<ForeignRequest> {
+    fn renewed(self, now: u64) -> Option<GatewayLeaseRequest> {
         let left_ms = self.deadline.checked_sub(now).filter(|left| *left > 0)?;
         let mut original = self.original;
         original.request.timeout_ms = left_ms as u32;
--- a/crates/seat_leases/tests/fleet/gateway.rs
+++ b/crates/seat_leases/tests/fleet/gateway.rs
@@ -7,7 +7,7 @@
 use policy::LeasingPolicy;
 use protocol::{FunctionUpdate, LeaseRequest, Message, RequestId, RunnerLeases, SeatLease};
 use seat_leases::{
-    CancelledRequests, ForeignRequest, LeaseOwner, OwnershipTable, RelayedRequests, SeatStatus,
+    CancelledRequests, GatewayLeaseRequest, LeaseOwner, OwnershipTable, RelayedRequests, SeatStatus,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -258,7 +258,7 @@
         let owner = owner.filter(|owner| !gateway.is_suspect(owner, now));
         match owner {
             Some(owner) => {
-                let original = ForeignRequest {
+                let original = GatewayLeaseRequest {
                     gateway: from.into(),
                     zone,
                     request,
@@ -273,7 +273,7 @@
         }
     }
 
-    fn relay(&mut self, index: usize, owner: &str, original: ForeignRequest) {
+    fn relay(&mut self, index: usize, owner: &str, original: GatewayLeaseRequest) {
         self.outcomes.relayed += 1;
         let now = self.now;
         let message = self.gateways[index].relayed.relay(now, owner, original);
--- a/crates/seat_leases/tests/relayed_requests.rs
+++ b/crates/seat_leases/tests/relayed_requests.rs
@@ -4,13 +4,13 @@
 
 use common::{lease_request, FUNCTION};
 use protocol::{RequestId, SeatLease};
-use seat_leases::{ForeignRequest, RelayedRequests};
+use seat_leases::{GatewayLeaseRequest, RelayedRequests};
 
 const GATEWAY: &str = "gateway";
 
 /// A request of a gateway that is passed on to the owner `first`, which has leased a seat for it.
 fn granted(relayed: &mut RelayedRequests) -> RequestId {
-    let original = ForeignRequest {
+    let original = GatewayLeaseRequest {
         gateway: GATEWAY.into(),
         zone: "north".into(),
         request: lease_request(1, 1),
