--- a/crates/gateway/src/ownership.rs
+++ b/crates/gateway/src/ownership.rs
@@ -274,7 +274,10 @@
         let (peers, now) = (&self.peers, self.now);
         let has_room = self.relayed_requests.has_room();
         let is_reachable = |owner: &str| has_room && !peers.is_suspect(owner, now);
-        for (owner, waiting) in self.lease_owner.take_foreign_waiting(now, is_reachable) {
+        for (owner, waiting) in self
+            .lease_owner
+            .take_waiting_for_other_owners(now, is_reachable)
+        {
             self.relay(&owner, waiting);
         }
     }
--- a/crates/seat_leases/src/lease_owner/handover.rs
+++ b/crates/seat_leases/src/lease_owner/handover.rs
@@ -194,7 +194,7 @@
     }
 
     /// Takes the requests that wait here for seats of other owners that can be reached now.
-    pub fn take_foreign_waiting(
+    pub fn take_waiting_for_other_owners(
         &mut self,
         now: u64,
         is_reachable: impl Fn(&str) -> bool,
--- a/crates/seat_leases/tests/fleet/gateway/requests.rs
+++ b/crates/seat_leases/tests/fleet/gateway/requests.rs
@@ -263,7 +263,9 @@
         gateway.owner.set_scaler_heard(now, hears_scaler);
         let expired = gateway.relayed.take_expired(now);
         let is_reachable = |owner: &str| !suspects.contains(owner);
-        let foreign = gateway.owner.take_foreign_waiting(now, is_reachable);
+        let foreign = gateway
+            .owner
+            .take_waiting_for_other_owners(now, is_reachable);
         self.cancel_relayed(index, expired);
         for (owner, waiting) in foreign {
             self.relay(index, &owner, waiting);
