--- a/crates/seat_leases/src/lease_owner.rs
+++ b/crates/seat_leases/src/lease_owner.rs
@@ -46,13 +46,13 @@
     pub fn new(gateway: &str, policy: LeasingPolicy, topology: Topology) -> Self {
         Self {
             ownership: SeatOwnership::new(gateway),
-            ..Self::alone(policy, topology)
+            ..Self::standalone(policy, topology)
         }
     }
 
     /// An owner without other gateways, which owns all functions.
     #[must_use]
-    pub fn alone(policy: LeasingPolicy, topology: Topology) -> Self {
+    pub fn standalone(policy: LeasingPolicy, topology: Topology) -> Self {
         let rules = LeaseRules {
             policy,
             topology,
--- a/crates/seat_leases/tests/allowed_regions.rs
+++ b/crates/seat_leases/tests/allowed_regions.rs
@@ -21,7 +21,7 @@
 }
 
 fn owner_with(runners: &[RunnerUpdate]) -> LeaseOwner {
-    let mut owner = LeaseOwner::alone(LeasingPolicy::default(), topology());
+    let mut owner = LeaseOwner::standalone(LeasingPolicy::default(), topology());
     owner.update_runners(0, update(1, runners));
     owner
 }
--- a/crates/seat_leases/tests/broken_off_requests.rs
+++ b/crates/seat_leases/tests/broken_off_requests.rs
@@ -19,7 +19,7 @@
 
 /// An owner with one runner of two seats, both of which are leased.
 fn full_owner() -> LeaseOwner {
-    let mut owner = LeaseOwner::alone(LeasingPolicy::default(), Topology::default());
+    let mut owner = LeaseOwner::standalone(LeasingPolicy::default(), Topology::default());
     owner.update_runners(0, update(1, &[runner("r", "north", 2)]));
     for request in [1, 2] {
         owner.request_lease(0, GATEWAY, "north", lease_request(request, 1));
--- a/crates/seat_leases/tests/failed_runners.rs
+++ b/crates/seat_leases/tests/failed_runners.rs
@@ -66,7 +66,7 @@
 fn a_runner_in_a_region_that_the_request_must_not_enter_is_no_other_to_wait_for() {
     let zones = [("north", "n"), ("south", "s")];
     let zones = zones.map(|(zone, region)| (zone.to_string(), region.to_string()));
-    let mut owner = LeaseOwner::alone(LeasingPolicy::default(), Topology::new(zones.into()));
+    let mut owner = LeaseOwner::standalone(LeasingPolicy::default(), Topology::new(zones.into()));
     let runners = [runner("a", "north", 4), runner("b", "south", 4)];
     owner.update_runners(0, update(1, &runners));
     let restricted = LeaseRequest {
--- a/crates/seat_leases/tests/lease_oracle.rs
+++ b/crates/seat_leases/tests/lease_oracle.rs
@@ -63,7 +63,7 @@
         let regions = ZONES.map(|zone| (zone.to_string(), zone.to_string()));
         let topology = Topology::new(regions.into());
         Self {
-            owner: LeaseOwner::alone(LeasingPolicy::default(), topology),
+            owner: LeaseOwner::standalone(LeasingPolicy::default(), topology),
             now: 0,
             number: 0,
             known_runners: Vec::new(),
