--- a/crates/gateway/src/invariant_checks.rs
+++ b/crates/gateway/src/invariant_checks.rs
@@ -16,7 +16,7 @@
         self.check_request_counts();
         self.check_waiting_clients();
         self.check_bounds();
-        self.lease_owner.check_accounts();
+        self.lease_owner.check_lease_accounting();
     }
 
     fn check_request_counts(&self) {
--- a/crates/seat_leases/src/lease_owner.rs
+++ b/crates/seat_leases/src/lease_owner.rs
@@ -147,7 +147,7 @@
     }
 
     /// Checks that each seat that is leased, and each request that waits, has its holder, and no holder more than one.
-    pub fn check_accounts(&self) {
+    pub fn check_lease_accounting(&self) {
         let usage = self.usage();
         let holders = self.function_by_holder.len() as u64;
         let is_accounted = usage.leased + usage.waiting == holders;
--- a/crates/seat_leases/tests/adopted_leases.rs
+++ b/crates/seat_leases/tests/adopted_leases.rs
@@ -54,7 +54,7 @@
     owner.request_lease(0, "f", "north", lease_request(1, 1));
     owner.request_lease(0, "f", "north", lease_request(1, 1));
     owner.take_actions();
-    owner.check_accounts();
+    owner.check_lease_accounting();
     assert_eq!(owner.usage().leased, 1);
     owner.release(1, "f", &release(1, LeaseOutcome::Unused, 0));
     assert_eq!(owner.usage().leased, 0);
@@ -75,7 +75,7 @@
     let mut owner = LeaseOwner::default();
     owner.request_lease(0, "f", "north", lease_request(1, 1));
     owner.release(1, "f", &release(1, LeaseOutcome::Unreachable, 0));
-    owner.check_accounts();
+    owner.check_lease_accounting();
     owner.cancel(2, "f", RequestId(1));
     assert_eq!(owner.usage().waiting, 0);
 }
--- a/crates/seat_leases/tests/tenant_shares.rs
+++ b/crates/seat_leases/tests/tenant_shares.rs
@@ -126,7 +126,7 @@
     owner.request_lease(0, "f", "north", of_tenant(601, "small"));
     let rejected = rejections(&mut owner);
     assert_eq!(rejected.first().map(|one| one.0), Some(WAITING_MAX));
-    owner.check_accounts();
+    owner.check_lease_accounting();
     assert_eq!(serve(&mut owner, 0, 2), [1, 601]);
 }
 
