--- a/crates/gateway/src/ownership.rs
+++ b/crates/gateway/src/ownership.rs
@@ -264,7 +264,7 @@
             true => BTreeSet::new(),
             false => self.peers.suspects(self.now).cloned().collect(),
         };
-        self.lease_owner.set_acts_for(self.now, acts_for);
+        self.lease_owner.set_failover_for(self.now, acts_for);
         let is_scaler_heard = self
             .controllers
             .is_scaler_heard(self.now, self.scaler_silence_ms());
--- a/crates/seat_leases/src/lease_owner/handover.rs
+++ b/crates/seat_leases/src/lease_owner/handover.rs
@@ -85,8 +85,8 @@
     }
 
     /// Sets the silent members whose functions are leased here, because no controller scales that could remove them.
-    pub fn set_acts_for(&mut self, now: u64, members: BTreeSet<String>) {
-        if self.ownership.set_acts_for(members) {
+    pub fn set_failover_for(&mut self, now: u64, members: BTreeSet<String>) {
+        if self.ownership.set_failover_for(members) {
             self.issue_all_leases(now);
         }
     }
--- a/crates/seat_leases/src/seat_ownership.rs
+++ b/crates/seat_leases/src/seat_ownership.rs
@@ -199,7 +199,7 @@
 
     /// Sets the silent members whose functions are leased here, because no controller scales that could remove them. Returns whether they
     /// are others than before.
-    pub fn set_acts_for(&mut self, members: BTreeSet<String>) -> bool {
+    pub fn set_failover_for(&mut self, members: BTreeSet<String>) -> bool {
         let has_changed = self.acts_for != members;
         if has_changed {
             self.acts_for = members;
--- a/crates/seat_leases/tests/fleet/gateway/requests.rs
+++ b/crates/seat_leases/tests/fleet/gateway/requests.rs
@@ -258,7 +258,7 @@
             false => suspects.clone(),
         };
         gateway.owner.tick(now);
-        gateway.owner.set_acts_for(now, acts_for);
+        gateway.owner.set_failover_for(now, acts_for);
         let hears_scaler = gateway.hears_scaler();
         gateway.owner.set_scaler_heard(now, hears_scaler);
         let expired = gateway.relayed.take_expired(now);
--- a/crates/seat_leases/tests/handover.rs
+++ b/crates/seat_leases/tests/handover.rs
@@ -342,10 +342,10 @@
     };
     apply(&mut owner, first);
     tell_runner(&mut owner);
-    owner.set_acts_for(0, [OTHER.to_string()].into());
+    owner.set_failover_for(0, [OTHER.to_string()].into());
     owner.request_lease(0, ME, "north", lease_request(1, 1));
     assert_eq!(request_ids(&mut owner), [1]);
-    owner.set_acts_for(0, Default::default());
+    owner.set_failover_for(0, Default::default());
     owner.release(1, ME, &release(1, LeaseOutcome::Succeeded, 5));
     let is_other = *owner.seat_status(FUNCTION) == SeatStatus::OwnedBy(OTHER.into());
     owner.request_lease(1, ME, "north", lease_request(2, 1));
