--- a/crates/gateway/src/ownership.rs
+++ b/crates/gateway/src/ownership.rs
@@ -268,7 +268,8 @@
         let is_scaler_heard = self
             .controllers
             .is_scaler_heard(self.now, self.scaler_silence_ms());
-        self.lease_owner.set_scaler_heard(self.now, is_scaler_heard);
+        self.lease_owner
+            .set_scaler_reachable(self.now, is_scaler_heard);
         let expired = self.relayed_requests.take_expired(self.now);
         self.cancel_relayed(expired);
         let (peers, now) = (&self.peers, self.now);
--- a/crates/seat_leases/src/lease_owner.rs
+++ b/crates/seat_leases/src/lease_owner.rs
@@ -70,8 +70,8 @@
     }
 
     /// Whether a controller scales that can be asked for runners. While none does, seats are leased by the lists that there are, however old.
-    pub fn set_scaler_heard(&mut self, now: u64, is_heard: bool) {
-        let was_heard = std::mem::replace(&mut self.rules.is_scaler_heard, is_heard);
+    pub fn set_scaler_reachable(&mut self, now: u64, is_heard: bool) {
+        let was_heard = std::mem::replace(&mut self.rules.is_scaler_reachable, is_heard);
         if was_heard && !is_heard {
             self.issue_all_leases(now);
         }
--- a/crates/seat_leases/src/lease_owner/handover.rs
+++ b/crates/seat_leases/src/lease_owner/handover.rs
@@ -20,7 +20,7 @@
     pub fn apply_table(&mut self, now: u64, table: Arc<OwnershipTable>) {
         let version = table.version();
         self.remove_lost_gateways(now, &table);
-        self.rules.is_scaler_heard = true;
+        self.rules.is_scaler_reachable = true;
         let begins_anew = self.ownership.begins_anew(&table);
         let former = self.owners_of_known();
         for gateway in self.ownership.apply_table(now, table) {
--- a/crates/seat_leases/src/lease_rules.rs
+++ b/crates/seat_leases/src/lease_rules.rs
@@ -15,7 +15,7 @@
     /// Zones whose runners get no new requests.
     pub evacuated_zones: BTreeSet<String>,
     /// A controller scales and can be asked for the runners of a function.
-    pub is_scaler_heard: bool,
+    pub is_scaler_reachable: bool,
     /// Whether what was known before the last pause of the process was confirmed since.
     pub pause_recovery: PauseRecovery,
 }
--- a/crates/seat_leases/src/list_confirmation.rs
+++ b/crates/seat_leases/src/list_confirmation.rs
@@ -91,7 +91,7 @@
     /// Whether seats may be leased by the list: it is confirmed, or nobody can confirm it, or nobody has in time.
     pub fn may_be_used(&self, now: u64, rules: &LeaseRules) -> bool {
         let is_late = now >= self.doubted_at + CONFIRMATION_TIMEOUT_MS;
-        let is_trusted = self.is_confirmed || !rules.is_scaler_heard || is_late;
+        let is_trusted = self.is_confirmed || !rules.is_scaler_reachable || is_late;
         is_trusted && !self.is_from_before_pause(rules)
     }
 }
--- a/crates/seat_leases/tests/fleet/gateway/requests.rs
+++ b/crates/seat_leases/tests/fleet/gateway/requests.rs
@@ -260,7 +260,7 @@
         gateway.owner.tick(now);
         gateway.owner.set_failover_for(now, acts_for);
         let hears_scaler = gateway.hears_scaler();
-        gateway.owner.set_scaler_heard(now, hears_scaler);
+        gateway.owner.set_scaler_reachable(now, hears_scaler);
         let expired = gateway.relayed.take_expired(now);
         let is_reachable = |owner: &str| !suspects.contains(owner);
         let foreign = gateway
--- a/crates/seat_leases/tests/runner_lists.rs
+++ b/crates/seat_leases/tests/runner_lists.rs
@@ -220,7 +220,7 @@
     let other = other_owner(true);
     let mut owner = LeaseOwner::new(ME, LeasingPolicy::default(), Topology::default());
     apply(&mut owner, 0, table(1, &[ME, &other], &[ME, &other]));
-    owner.set_scaler_heard(0, false);
+    owner.set_scaler_reachable(0, false);
     owner.set_failover_for(0, [other].into());
     owner.adopt_leases(0, ME, FUNCTION, &[seat_in_use("r", 7)]);
     owner.request_lease(1, ME, "north", lease_request(8, 1));
