--- a/crates/gateway/src/applied_configuration.rs
+++ b/crates/gateway/src/applied_configuration.rs
@@ -30,7 +30,7 @@
 pub(crate) struct AppliedConfiguration {
     versions: ConfigurationVersions,
     table: Option<Arc<RoutingTable>>,
-    needs_whole: bool,
+    needs_full_document: bool,
     /// Parts of the operators' document that are without effect, since nothing here understands them.
     unknown_parts: BTreeSet<String>,
     evacuated_zones: BTreeSet<String>,
@@ -63,7 +63,7 @@
 
     /// Version of the configuration on which changes can build; 0 where the whole is needed.
     pub fn base_version(&self) -> u64 {
-        if self.needs_whole {
+        if self.needs_full_document {
             0
         } else {
             self.versions.configuration
@@ -114,7 +114,7 @@
     }
 
     /// Most idle connections to one runner of a function: this gateway's share of what the runner accepts, within a bound.
-    pub fn max_idle_connections(&self, function: &str, most: usize) -> usize {
+    pub fn max_idle_connections(&self, function: &str, limit: usize) -> usize {
         let table = self.table.as_ref();
         let known = table.and_then(|table| {
             let index = table.function_index(function)?;
@@ -122,7 +122,7 @@
         });
         let accepted = known.map_or(1, |known| known.connections as usize);
         let share = accepted * 3 / 4 / self.members().len().max(1);
-        share.max(1).min(most)
+        share.max(1).min(limit)
     }
 
     /// Applies a whole configuration.
@@ -172,7 +172,7 @@
             });
             let Some(amended) = amended else {
                 log::error!("gateway: configuration change not applicable base={base}");
-                self.needs_whole = true;
+                self.needs_full_document = true;
                 return;
             };
             configuration = amended;
@@ -211,7 +211,7 @@
         let table = RoutingTable::new(Arc::new(configuration));
         self.table = Some(Arc::new(table));
         self.versions.configuration = version;
-        self.needs_whole = false;
+        self.needs_full_document = false;
     }
 
     /// Applies the evacuated zones; whether they were newer.
--- a/crates/gateway/src/controller_links.rs
+++ b/crates/gateway/src/controller_links.rs
@@ -16,7 +16,7 @@
 /// Milliseconds between evictions of functions that other gateways own.
 const EVICTION_INTERVAL_MS: u64 = 1_500;
 /// Intervals between two heartbeats to a controller that does not scale. Its silence is noticed by its own heartbeats.
-const IDLE_CONTROLLER_INTERVALS: u64 = 2;
+const NON_SCALER_HEARTBEAT_INTERVALS: u64 = 2;
 /// Heartbeats after the start within which connections are tried more often, since controllers may be starting too.
 const STARTUP_HEARTBEATS: u64 = 8;
 /// Attempts to connect per heartbeat within that time.
@@ -38,7 +38,7 @@
     /// Whether the controller understands agreed tables of owners.
     understands_ownership: bool,
     /// Whether it was told that this gateway is about to stop.
-    knows_of_leaving: bool,
+    leaving_announced: bool,
     hung_attempts: HungAttempts,
     heartbeat_sent_at: u64,
     versions: ConfigurationVersions,
@@ -55,13 +55,13 @@
         self.is_established = false;
         self.accepts_changes = false;
         self.understands_ownership = false;
-        self.knows_of_leaving = false;
+        self.leaving_announced = false;
         self.term = 0;
         self.is_current = false;
     }
 
     /// Whether an attempt to connect has hung for too long.
-    fn hangs(&self, now: u64, interval_ms: u64) -> bool {
+    fn has_connect_timed_out(&self, now: u64, interval_ms: u64) -> bool {
         let timeout_ms = self
             .hung_attempts
             .timeout_ms(interval_ms / CONNECT_TIMEOUT_DIVISOR);
@@ -220,13 +220,13 @@
     }
 
     /// Controllers that have not been told that this gateway is about to stop. They are taken as told.
-    pub fn take_unaware_of_leaving(&mut self) -> Vec<String> {
+    pub fn take_unnotified_of_leaving(&mut self) -> Vec<String> {
         let links = self.links.iter_mut();
-        let unaware =
-            links.filter(|(_, link)| link.understands_ownership && !link.knows_of_leaving);
-        unaware
+        let unnotified =
+            links.filter(|(_, link)| link.understands_ownership && !link.leaving_announced);
+        unnotified
             .map(|(address, link)| {
-                link.knows_of_leaving = true;
+                link.leaving_announced = true;
                 address.clone()
             })
             .collect()
@@ -248,12 +248,12 @@
         &self,
         now: u64,
         within_ms: u64,
-        is_suited: impl Fn(&ControllerLink) -> bool,
+        is_eligible: impl Fn(&ControllerLink) -> bool,
     ) -> Option<(&String, &ControllerLink)> {
         let links = self.links.iter();
         let scaling = links.filter(|(_, link)| {
             let is_heard = link.connection.is_some() && now < link.heard_at + within_ms;
-            is_heard && link.term > 0 && is_suited(link)
+            is_heard && link.term > 0 && is_eligible(link)
         });
         scaling.max_by_key(|(_, link)| link.term)
     }
@@ -269,7 +269,7 @@
             return LinkTask::None;
         };
         if let Some(connection) = link.connection {
-            if link.hangs(now, timing.interval_ms) {
+            if link.has_connect_timed_out(now, timing.interval_ms) {
                 link.hung_attempts.record();
                 link.end();
                 return LinkTask::Close(connection);
@@ -279,7 +279,7 @@
                 return LinkTask::Close(connection);
             }
             let interval_ms = match link.term {
-                0 => timing.interval_ms * IDLE_CONTROLLER_INTERVALS,
+                0 => timing.interval_ms * NON_SCALER_HEARTBEAT_INTERVALS,
                 _ => timing.interval_ms,
             };
             if now >= link.heartbeat_sent_at + interval_ms {
@@ -365,7 +365,7 @@
 
     /// The controller to request newer configuration from, one at a time: in contact with a majority and near first. A
     /// gateway that is not ready requests none from a controller that is out of contact.
-    pub fn newer_configuration(
+    pub fn source_of_newer_configuration(
         &mut self,
         held: ConfigurationVersions,
         is_ready: bool,
--- a/crates/gateway/src/controller_messages.rs
+++ b/crates/gateway/src/controller_messages.rs
@@ -142,7 +142,7 @@
         let zone = &self.options.zone;
         let controller = self
             .controllers
-            .newer_configuration(versions, is_ready, zone, self.now);
+            .source_of_newer_configuration(versions, is_ready, zone, self.now);
         let Some(controller) = controller else {
             return;
         };
@@ -207,7 +207,7 @@
 
     /// Tells controllers that this gateway is about to stop, so that its functions go to others while it can hand them over.
     pub fn announce_leaving(&mut self) {
-        for address in self.controllers.take_unaware_of_leaving() {
+        for address in self.controllers.take_unnotified_of_leaving() {
             self.send_to_controller(&address, &Message::GatewayLeaving);
         }
     }
--- a/crates/gateway/src/downstream_requests.rs
+++ b/crates/gateway/src/downstream_requests.rs
@@ -77,13 +77,13 @@
     /// response to the one before, since a client may send any number of requests at once.
     pub fn read_next_turn(&mut self, id: ConnectionId) {
         if self.connections.has_unread_bytes(id) {
-            self.unread.push(id);
+            self.pipelined_connections.push(id);
         }
     }
 
     /// Reads one more request of each client that sent several at once.
     pub fn read_pipelined(&mut self) {
-        for id in std::mem::take(&mut self.unread) {
+        for id in std::mem::take(&mut self.pipelined_connections) {
             self.downstream_readable(id);
         }
     }
@@ -131,7 +131,7 @@
         };
         request.downstream = None;
         match &request.phase {
-            RequestPhase::Upstream(attempt) if attempt.is_sent && request.runs_to_its_end() => {
+            RequestPhase::Upstream(attempt) if attempt.is_sent && request.runs_to_completion() => {
                 return
             }
             _ => self.withdraw_request(request_id),
--- a/crates/gateway/src/failure_log.rs
+++ b/crates/gateway/src/failure_log.rs
@@ -67,7 +67,7 @@
     /// Lines that were left out since the last one.
     suppressed: u64,
     /// Lines that were left out in this incarnation.
-    suppressed_ever: u64,
+    suppressed_total: u64,
 }
 
 impl FailureLog {
@@ -89,7 +89,7 @@
 
     /// Lines that were left out.
     pub fn suppressed_lines(&self) -> u64 {
-        self.suppressed_ever
+        self.suppressed_total
     }
 
     /// Counts a failure, and logs it unless there were many lately.
@@ -98,13 +98,13 @@
         *self.counts.entry(key).or_default() += 1;
         if !self.take_line(now) {
             self.suppressed += 1;
-            self.suppressed_ever += 1;
+            self.suppressed_total += 1;
             return;
         }
         let suppressed = std::mem::take(&mut self.suppressed);
         log::info!(
             "gateway: request failed request_id={} route={} function={} tenant={:?} status={} reason={:?} runner={} attempts={} connect_failures={} may_have_run={} held_ms={} left_ms={} suppressed={suppressed}",
-            shown(failure.request_id),
+            escape_for_log(failure.request_id),
             failure.route,
             failure.function,
             failure.tenant,
@@ -131,7 +131,7 @@
 }
 
 /// A client's bytes as one word of a log line.
-fn shown(bytes: &[u8]) -> String {
+fn escape_for_log(bytes: &[u8]) -> String {
     let text: Cow<'_, str> = String::from_utf8_lossy(bytes);
     let escaped = text.escape_default().to_string();
     escaped
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -86,7 +86,7 @@
     /// Since when the gateway is draining.
     pub draining_since: Option<u64>,
     /// Clients' connections with bytes that are read in the next turn.
-    pub unread: Vec<ConnectionId>,
+    pub pipelined_connections: Vec<ConnectionId>,
     /// When the settings were checked for changes.
     pub settings_checked_at: u64,
     /// When the invariants over whole tables were checked.
@@ -131,7 +131,7 @@
             turns: Arc::default(),
             pauses: Pauses::default(),
             draining_since: None,
-            unread: Vec::new(),
+            pipelined_connections: Vec::new(),
             settings_checked_at: 0,
             invariants_checked_at: 0,
             options,
--- a/crates/gateway/src/in_flight_requests.rs
+++ b/crates/gateway/src/in_flight_requests.rs
@@ -41,8 +41,12 @@
     pub fn remove(&mut self, id: RequestId, end: RequestEnd) -> Option<PendingRequest> {
         self.get(id)?;
         let request = self.slots.remove(slot(id));
-        let is_left = request.downstream.is_none();
-        let end = if is_left { RequestEnd::ClientLeft } else { end };
+        let has_client_left = request.downstream.is_none();
+        let end = if has_client_left {
+            RequestEnd::ClientLeft
+        } else {
+            end
+        };
         self.counts.record_end(end);
         Some(request)
     }
--- a/crates/gateway/src/job_actions.rs
+++ b/crates/gateway/src/job_actions.rs
@@ -31,7 +31,7 @@
                 gateway,
                 request_id,
             } => {
-                self.cancel_placed(&gateway, request_id);
+                self.cancel_placed_request(&gateway, request_id);
             }
             JobAction::NotifyClaimed { .. } | JobAction::NotifyJoined { .. } => {
                 self.notify_of_claim(action);
--- a/crates/gateway/src/job_messages.rs
+++ b/crates/gateway/src/job_messages.rs
@@ -15,14 +15,14 @@
 
 const CONFLICT: u16 = 409;
 const UNPROCESSABLE: u16 = 422;
-const SERVER_ERRORS_FROM: u16 = 500;
+const SERVER_ERROR_MIN: u16 = 500;
 
 /// The idempotency key is no key, or there are several.
 pub(crate) struct InvalidIdempotencyKey;
 
 impl Gateway {
     /// A request's part in the job that its client named, if any. Keys of different tenants name different jobs.
-    pub fn job_of(
+    pub fn job_admission(
         &self,
         request: &Request,
         at_most_once: bool,
@@ -80,7 +80,7 @@
     /// A request has the claim on its job, and may be sent to its runner.
     fn job_claimed(&mut self, owner: &str, id: RequestId, attempt: u32, register_version: u64) {
         let Some(job) = self.job_waiting_for(owner, id, attempt) else {
-            return self.give_claim_back(owner, id, attempt);
+            return self.release_stale_claim(owner, id, attempt);
         };
         job.claimed(register_version);
         if !job.is_connected() {
@@ -95,7 +95,7 @@
 
     /// A job was claimed for an attempt that is not waited for. Where it was given up before it was sent, its owner hears so once
     /// more: the lease request may have come after the word of its end.
-    fn give_claim_back(&mut self, owner: &str, id: RequestId, attempt: u32) {
+    fn release_stale_claim(&mut self, owner: &str, id: RequestId, attempt: u32) {
         let completion = self.voided_attempts.find(id, attempt).cloned();
         if let Some(completion) = completion {
             self.send_completion(owner, completion);
@@ -218,7 +218,7 @@
         // Work that may run twice is run anew after a failure. What must not leave some regions is kept nowhere else: the owner of
         // the function and the controllers may stand in others.
         let is_restricted = !request.allowed_regions.is_empty();
-        let result = if !job.attempt().at_most_once && response.status >= SERVER_ERRORS_FROM {
+        let result = if !job.attempt().at_most_once && response.status >= SERVER_ERROR_MIN {
             JobResult::Lost
         } else if is_restricted {
             JobResult::TooLarge
--- a/crates/gateway/src/key_checks.rs
+++ b/crates/gateway/src/key_checks.rs
@@ -15,12 +15,12 @@
         self.tenant_counts.retain(tenants.as_ref());
         let is_unsent = |request: &PendingRequest| request.client.is_some() && !request.is_sent();
         for id in self.requests.ids(is_unsent) {
-            self.end_without_key(id);
+            self.end_if_key_invalid(id);
         }
     }
 
     /// Ends a request that no runner has where its key is not its tenant's any more; whether it was ended.
-    pub fn end_without_key(&mut self, id: RequestId) -> bool {
+    pub fn end_if_key_invalid(&mut self, id: RequestId) -> bool {
         let tenants = self.configuration.tenants();
         let Some(request) = self.requests.get(id) else {
             return false;
--- a/crates/gateway/src/lease_requests.rs
+++ b/crates/gateway/src/lease_requests.rs
@@ -102,7 +102,7 @@
         let owner = owner.clone();
         request.phase = RequestPhase::Backoff;
         if owner == self.options.name {
-            self.cancel_placed(&owner, id);
+            self.cancel_placed_request(&owner, id);
         } else {
             self.cancel_at_peer(&owner, id);
         }
@@ -128,14 +128,14 @@
         let owner = self.owner_of(&lease.function);
         let other = owner.filter(|owner| !lease.owners.contains(owner));
         for name in lease.owners.iter().chain(&other) {
-            self.release_at(name, &release);
+            self.release_lease_at(name, &release);
         }
     }
 
     /// Releases a lease at one owner, which may be this gateway.
-    pub fn release_at(&mut self, owner: &str, release: &LeaseRelease) {
+    pub fn release_lease_at(&mut self, owner: &str, release: &LeaseRelease) {
         if owner == self.options.name {
-            self.release_placed(owner, release);
+            self.release_placed_lease(owner, release);
         } else if self.peers.contains(owner) {
             self.send_to_peer(owner, &Message::LeaseRelease(release.clone()));
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,7 +13,7 @@
 //! 7. `downstream_responses`: the response is written, and the client's next request is read.
 //!
 //! Beside this path stand `ownership` (seats move between owners, and requests are relayed to them), `job_messages` and `job_actions` (requests with an idempotency key), `peer_messages` and
-//! `controller_messages` (what other daemons send), `configuration_updates`, `upstream_probes`, `readiness`, `figures`, `memory_bounds`,
+//! `controller_messages` (what other daemons send), `configuration_updates`, `upstream_probes`, `readiness`, `metrics_endpoint`, `memory_bounds`,
 //! `key_checks` (requests whose key was taken away) and `status`.
 //!
 //! The state is split into parts that each own one invariant and do no I/O beyond their own connections:
@@ -32,7 +32,6 @@
 mod downstream_requests;
 mod downstream_responses;
 mod failure_log;
-mod figures;
 mod gateway;
 mod in_flight_requests;
 mod invariant_checks;
@@ -42,6 +41,7 @@
 mod large_responses;
 mod lease_requests;
 mod memory_bounds;
+mod metrics_endpoint;
 mod options;
 mod ownership;
 mod pause_confirmation;
--- a/crates/gateway/src/memory_bounds.rs
+++ b/crates/gateway/src/memory_bounds.rs
@@ -72,7 +72,7 @@
     }
 
     /// A part of a response has come. Where it is large, no more is read until it has a permit.
-    pub fn bound_response(&mut self, id: ConnectionId) {
+    pub fn throttle_large_response(&mut self, id: ConnectionId) {
         let buffered = self.connections.unread_bytes(id);
         let taken = self.connections.upstream(id);
         let taken = taken.map_or(0, |upstream| upstream.session.taken_bytes());
--- a/crates/gateway/src/figures.rs
+++ b/crates/gateway/src/metrics_endpoint.rs
@@ -34,15 +34,15 @@
     /// All figures at this moment.
     fn snapshot(&self) -> Snapshot {
         let mut snapshot = Snapshot::new();
-        self.add_request_figures(&mut snapshot);
-        self.add_seat_figures(&mut snapshot);
-        self.add_connection_figures(&mut snapshot);
-        self.add_version_figures(&mut snapshot);
-        self.add_message_figures(&mut snapshot);
+        self.add_request_metrics(&mut snapshot);
+        self.add_seat_metrics(&mut snapshot);
+        self.add_connection_metrics(&mut snapshot);
+        self.add_version_metrics(&mut snapshot);
+        self.add_message_metrics(&mut snapshot);
         snapshot
     }
 
-    fn add_request_figures(&self, snapshot: &mut Snapshot) {
+    fn add_request_metrics(&self, snapshot: &mut Snapshot) {
         let counts = self.requests.counts();
         let ended = [
             ("answered", counts.answered),
@@ -72,7 +72,7 @@
         snapshot.gauge("jobs", "Jobs coordinated here", self.jobs.len() as u64);
     }
 
-    fn add_seat_figures(&self, snapshot: &mut Snapshot) {
+    fn add_seat_metrics(&self, snapshot: &mut Snapshot) {
         let usage = self.lease_owner.usage();
         let functions = self.lease_owner.len() as u64;
         snapshot.gauge(
@@ -88,7 +88,7 @@
         );
     }
 
-    fn add_connection_figures(&self, snapshot: &mut Snapshot) {
+    fn add_connection_metrics(&self, snapshot: &mut Snapshot) {
         let connections = self.connections.len() as u64;
         snapshot.gauge("connections", "Open connections", connections);
         let held = self.client_memory.held();
@@ -121,7 +121,7 @@
         snapshot.gauge("controller_links", "Links with controllers", controllers);
     }
 
-    fn add_message_figures(&self, snapshot: &mut Snapshot) {
+    fn add_message_metrics(&self, snapshot: &mut Snapshot) {
         snapshot.labelled_counter(
             "bytes_to_gateways",
             "Bytes sent to other gateways, by kind of message",
@@ -136,7 +136,7 @@
         );
     }
 
-    fn add_version_figures(&self, snapshot: &mut Snapshot) {
+    fn add_version_metrics(&self, snapshot: &mut Snapshot) {
         let versions = self.configuration.versions();
         snapshot.gauge(
             "configuration_version",
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -90,7 +90,7 @@
     }
 
     /// Milliseconds within which a connection to a runner must be established: a tenth of [`apply_within_ms`](Self::apply_within_ms).
-    pub fn connect_ms(&self) -> u64 {
+    pub fn connect_timeout_ms(&self) -> u64 {
         self.apply_within_ms / 10
     }
 }
--- a/crates/gateway/src/ownership.rs
+++ b/crates/gateway/src/ownership.rs
@@ -84,24 +84,24 @@
     }
 
     /// A gateway's request wants no seat any more.
-    pub fn cancel_placed(&mut self, gateway: &str, id: RequestId) {
-        self.end_placed(gateway, &LeaseRequestEnd::Cancel(id));
+    pub fn cancel_placed_request(&mut self, gateway: &str, id: RequestId) {
+        self.end_placed_request(gateway, &LeaseRequestEnd::Cancel(id));
     }
 
     /// Another gateway's request wants no seat any more, which is acknowledged where that is understood.
     pub fn peer_cancelled(&mut self, name: &str, id: RequestId) {
-        self.cancel_placed(name, id);
+        self.cancel_placed_request(name, id);
         if self.agreed_member(name).is_some() {
             self.send_to_peer(name, &Message::LeaseRequestCancelled(id));
         }
     }
 
     /// A gateway gives a seat back.
-    pub fn release_placed(&mut self, gateway: &str, release: &LeaseRelease) {
-        self.end_placed(gateway, &LeaseRequestEnd::Release(release.clone()));
+    pub fn release_placed_lease(&mut self, gateway: &str, release: &LeaseRelease) {
+        self.end_placed_request(gateway, &LeaseRequestEnd::Release(release.clone()));
     }
 
-    fn end_placed(&mut self, gateway: &str, end: &LeaseRequestEnd) {
+    fn end_placed_request(&mut self, gateway: &str, end: &LeaseRequestEnd) {
         self.lease_owner.end_request(self.now, gateway, end);
         self.end_relay(gateway, end);
     }
--- a/crates/gateway/src/pause_confirmation.rs
+++ b/crates/gateway/src/pause_confirmation.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Pings of other kinds bear milliseconds of the clock.
-const PING_NUMBERS_FROM: u64 = 1 << 48;
+const PAUSE_PING_NUMBER_MIN: u64 = 1 << 48;
 
 /// What a scaler's word confirms of what was known before the pause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
     }
 
     fn ping_number(&self) -> u64 {
-        PING_NUMBERS_FROM + self.pauses
+        PAUSE_PING_NUMBER_MIN + self.pauses
     }
 
     /// A link to a controller is opened, in place of any that was there.
--- a/crates/gateway/src/peer_links.rs
+++ b/crates/gateway/src/peer_links.rs
@@ -46,12 +46,12 @@
 
 /// What a gateway that has introduced itself is to the link with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Introduction {
+pub(crate) enum HelloOutcome {
     /// There is no link.
-    New,
+    NewLink,
     /// The link is with an incarnation that has ended, or was silent and is not used by its peer any more. All that was agreed
     /// over it has ended.
-    Replaced,
+    ReplacesLink,
     /// The link is in use; both may have opened one at the same time.
     SecondLink,
 }
@@ -91,12 +91,12 @@
     }
 
     /// What a gateway that has introduced itself on a connection is to the link with it.
-    pub fn introduction(&self, name: &str, incarnation: u64, now: u64) -> Introduction {
+    pub fn classify_hello(&self, name: &str, incarnation: u64, now: u64) -> HelloOutcome {
         match self.links.get(name) {
-            None => Introduction::New,
-            Some(link) if link.incarnation != incarnation => Introduction::Replaced,
-            Some(link) if now > link.heard_at + PING_AFTER_MS => Introduction::Replaced,
-            Some(_) => Introduction::SecondLink,
+            None => HelloOutcome::NewLink,
+            Some(link) if link.incarnation != incarnation => HelloOutcome::ReplacesLink,
+            Some(link) if now > link.heard_at + PING_AFTER_MS => HelloOutcome::ReplacesLink,
+            Some(_) => HelloOutcome::SecondLink,
         }
     }
 
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -2,7 +2,7 @@
 
 use crate::connections::ConnectionRole;
 use crate::gateway::{Gateway, LINK_BUFFER_MAX};
-use crate::peer_links::{Introduction, Liveness, PING_AFTER_MS};
+use crate::peer_links::{HelloOutcome, Liveness, PING_AFTER_MS};
 use event_loop::ConnectionId;
 use protocol::{frame, take_frames, Member, Message, UNDERSTANDS_TENANTS};
 
@@ -30,7 +30,7 @@
         let hello = frame(&Message::GatewayHello(self.identity.clone()));
         self.connections.send(connection, &hello);
         self.peers.add(name, incarnation, connection, self.now);
-        self.ask_what_peer_understands(name);
+        self.request_peer_capabilities(name);
         self.report_leases_over_new_link(name);
         true
     }
@@ -74,7 +74,7 @@
     /// A message on a connection whose peer has not said its name: another gateway, or an operator's tool.
     fn first_message(&mut self, id: ConnectionId, message: Message) {
         match message {
-            Message::GatewayHello(member) => self.peer_introduced(id, &member),
+            Message::GatewayHello(member) => self.hello_received(id, &member),
             Message::RequestStatus => {
                 let status = Message::Status(self.status());
                 self.connections.send(id, &frame(&status));
@@ -89,25 +89,25 @@
         }
     }
 
-    fn peer_introduced(&mut self, id: ConnectionId, member: &Member) {
+    fn hello_received(&mut self, id: ConnectionId, member: &Member) {
         let (name, incarnation) = (&member.name, member.incarnation);
-        let introduction = self.peers.introduction(name, incarnation, self.now);
-        if introduction == Introduction::Replaced {
+        let outcome = self.peers.classify_hello(name, incarnation, self.now);
+        if outcome == HelloOutcome::ReplacesLink {
             log::info!("gateway: peer link replaced gateway={name} incarnation={incarnation:x}");
             self.peer_died(name);
         }
         let role = ConnectionRole::Peer(Some(name.clone()));
         self.connections.set_role(id, role);
-        if introduction != Introduction::SecondLink {
+        if outcome != HelloOutcome::SecondLink {
             self.peers.add(name, incarnation, id, self.now);
             self.peers.record_heard(name, self.now);
-            self.ask_what_peer_understands(name);
+            self.request_peer_capabilities(name);
             self.report_leases_over_new_link(name);
         }
     }
 
     /// A gateway answers a ping with what it understands; until then it is taken for one before tenants.
-    fn ask_what_peer_understands(&mut self, name: &str) {
+    fn request_peer_capabilities(&mut self, name: &str) {
         self.peers.queue(name, &Message::Ping(self.now));
     }
 
@@ -118,7 +118,7 @@
             | Message::RestrictedLeaseRequest { .. }
             | Message::TenantLeaseRequest { .. }) => self.peer_requested_lease(name, request),
             Message::CancelRequest(id) => self.peer_cancelled(name, id),
-            Message::LeaseRelease(release) => self.release_placed(name, &release),
+            Message::LeaseRelease(release) => self.release_placed_lease(name, &release),
             Message::LeasesInUse { function, runners } => {
                 self.lease_owner
                     .adopt_leases(self.now, name, &function, &runners);
--- a/crates/gateway/src/pending_request.rs
+++ b/crates/gateway/src/pending_request.rs
@@ -165,7 +165,7 @@
     }
 
     /// Whether it goes on at its runner though its client has left.
-    pub fn runs_to_its_end(&self) -> bool {
+    pub fn runs_to_completion(&self) -> bool {
         self.at_most_once || self.job.is_some()
     }
 
--- a/crates/gateway/src/request_admission.rs
+++ b/crates/gateway/src/request_admission.rs
@@ -107,7 +107,7 @@
         }
         let table = self.configuration.table();
         let table = table.ok_or(AdmissionError::NotConfigured)?;
-        let (binding, function) = bind(&table, request).ok_or(AdmissionError::NoBinding)?;
+        let (binding, function) = find_binding(&table, request).ok_or(AdmissionError::NoBinding)?;
         let client = self.identify(&table, binding, request)?;
         if client_request_id.is_empty() {
             return Err(AdmissionError::NoRequestId);
@@ -122,7 +122,7 @@
             }
         };
         let tenant = client.as_ref().map(ClientIdentity::name);
-        let job = self.job_of(request, binding.at_most_once, tenant);
+        let job = self.job_admission(request, binding.at_most_once, tenant);
         let job = job.map_err(|_| AdmissionError::InvalidIdempotencyKey)?;
         Ok(Admission {
             route: binding.name.clone(),
@@ -215,7 +215,7 @@
 }
 
 /// The binding of a request's host and path, and the name of its function.
-fn bind<'a>(table: &'a RoutingTable, request: &Request) -> Option<(&'a Binding, String)> {
+fn find_binding<'a>(table: &'a RoutingTable, request: &Request) -> Option<(&'a Binding, String)> {
     let host = request.headers.get_text("host").unwrap_or("");
     let path = request.target.split('?').next().unwrap_or("");
     let (_, binding, function) = table.find(host, path)?;
@@ -229,8 +229,8 @@
 ) -> Result<Vec<String>, AdmissionError> {
     let of_tenant = client.map_or(&[][..], |client| &client.tenant().allowed_regions);
     let regions = regions_of_both(&binding.allowed_regions, of_tenant);
-    let are_bound = !binding.allowed_regions.is_empty() || !of_tenant.is_empty();
-    if are_bound && regions.is_empty() {
+    let is_restricted = !binding.allowed_regions.is_empty() || !of_tenant.is_empty();
+    if is_restricted && regions.is_empty() {
         return Err(AdmissionError::NoCommonRegion);
     }
     Ok(regions)
--- a/crates/gateway/src/request_outcomes.rs
+++ b/crates/gateway/src/request_outcomes.rs
@@ -15,7 +15,7 @@
 
 /// The status under which a request counts whose client left before its response.
 const CLIENT_LEFT: u16 = 0;
-const SERVER_ERRORS_FROM: u16 = 500;
+const SERVER_ERROR_MIN: u16 = 500;
 const BAD_GATEWAY: u16 = 502;
 const UNAVAILABLE: u16 = 503;
 const GATEWAY_TIMEOUT: u16 = 504;
@@ -61,7 +61,7 @@
         if let Some(lease) = lease {
             self.release_lease(&lease, LeaseOutcome::Succeeded, duration_ms);
         }
-        if response.status >= SERVER_ERRORS_FROM && self.retry_after_error(id, runner) {
+        if response.status >= SERVER_ERROR_MIN && self.retry_after_error(id, runner) {
             return;
         }
         let Some(request) = self.requests.remove(id, RequestEnd::Answered) else {
--- a/crates/gateway/src/response_classification.rs
+++ b/crates/gateway/src/response_classification.rs
@@ -35,8 +35,8 @@
         return ResponseClass::Rejected;
     }
     // These say that nothing ran and nothing will; a runner that does not state so may have run it.
-    let promises = [REQUEST_TIMEOUT, TOO_MANY_REQUESTS, UNAVAILABLE];
-    if promises.contains(&response.status) {
+    let not_run_statuses = [REQUEST_TIMEOUT, TOO_MANY_REQUESTS, UNAVAILABLE];
+    if not_run_statuses.contains(&response.status) {
         return ResponseClass::Untrusted(
             "the runner refused it and did not say that it was not run",
         );
--- a/crates/gateway/src/retry_budgets.rs
+++ b/crates/gateway/src/retry_budgets.rs
@@ -7,9 +7,9 @@
 
 /// Part of the operators' slack that is used: a gateway that restarts begins with a full budget, and the fleet must not
 /// exceed the whole.
-const SLACK_PART: f64 = 0.5;
+const SLACK_FRACTION: f64 = 0.5;
 /// Part of the ratio that is used, for the same reason.
-const RATIO_PART: f64 = 0.75;
+const RATIO_FRACTION: f64 = 0.75;
 
 /// Retry budgets by function, and the shares of tenants in them.
 pub(crate) struct RetryBudgets {
@@ -20,7 +20,7 @@
 }
 
 /// A tenant, where the request has one.
-type Sender<'a> = Option<&'a Arc<str>>;
+type OptionalTenant<'a> = Option<&'a Arc<str>>;
 
 impl RetryBudgets {
     /// Budgets under the operators' bounds over all gateways: retries per first attempt, and retries beside these.
@@ -28,13 +28,13 @@
         Self {
             budgets: HashMap::new(),
             tenants: TenantRetries::default(),
-            ratio: ratio * RATIO_PART,
-            slack: slack * SLACK_PART,
+            ratio: ratio * RATIO_FRACTION,
+            slack: slack * SLACK_FRACTION,
         }
     }
 
     /// A first attempt earns its share of a retry; the slack is divided among the gateways.
-    pub fn deposit(&mut self, function: &str, tenant: Sender<'_>, gateways: usize) {
+    pub fn deposit(&mut self, function: &str, tenant: OptionalTenant<'_>, gateways: usize) {
         let capacity = (self.slack / gateways.max(1) as f64).max(1.0);
         let ratio = self.ratio;
         let budget = self.budgets.entry(function.into());
@@ -47,7 +47,7 @@
     }
 
     /// Whether there is a retry to take: the function has one, and the tenant has earned it or nobody else needs it.
-    pub fn has_balance(&self, function: &str, tenant: Sender<'_>) -> bool {
+    pub fn has_balance(&self, function: &str, tenant: OptionalTenant<'_>) -> bool {
         let Some(budget) = self.budgets.get(function) else {
             return false;
         };
@@ -56,7 +56,7 @@
     }
 
     /// Takes a retry, where there is one.
-    pub fn try_withdraw(&mut self, function: &str, tenant: Sender<'_>) -> bool {
+    pub fn try_withdraw(&mut self, function: &str, tenant: OptionalTenant<'_>) -> bool {
         if !self.has_balance(function, tenant) {
             return false;
         }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -110,7 +110,7 @@
     }
 
     fn poll_timeout(&self) -> Duration {
-        if !self.unread.is_empty() {
+        if !self.pipelined_connections.is_empty() {
             return Duration::ZERO;
         }
         let timer = self.timers.next_deadline();
--- a/crates/gateway/src/upstream_probes.rs
+++ b/crates/gateway/src/upstream_probes.rs
@@ -4,7 +4,7 @@
 use crate::gateway::{Gateway, TimerEvent};
 use crate::large_responses::LARGEST_RESPONSE_BYTES;
 use crate::upstream_connection::UpstreamConnection;
-use crate::upstream_responses::IDLE_MS;
+use crate::upstream_responses::DEFAULT_IDLE_MS;
 use event_loop::ConnectionId;
 
 /// Most connections of probes that are pooled for one runner.
@@ -21,7 +21,7 @@
             self.probe_finished(&probed, false);
             return;
         };
-        let timeout_ms = self.options.connect_ms();
+        let timeout_ms = self.options.connect_timeout_ms();
         self.timers.schedule(
             self.now + timeout_ms,
             TimerEvent::ConnectTimeout(connection),
@@ -31,7 +31,7 @@
     /// The connection of a probe came up.
     pub fn probe_connected(&mut self, id: ConnectionId, probed: &ProbedRunner) {
         let mut upstream = UpstreamConnection::new(&probed.runner);
-        upstream.expires_at = self.now + IDLE_MS;
+        upstream.expires_at = self.now + DEFAULT_IDLE_MS;
         self.connections
             .set_role(id, ConnectionRole::Upstream(upstream));
         if !self.upstream_pool.put(&probed.runner, id, POOLED_MAX) {
--- a/crates/gateway/src/upstream_requests.rs
+++ b/crates/gateway/src/upstream_requests.rs
@@ -92,7 +92,7 @@
             outcome: LeaseOutcome::Unused,
             duration_ms: 0,
         };
-        self.release_at(owner, &release);
+        self.release_lease_at(owner, &release);
     }
 
     fn take_pooled(&mut self, id: RequestId, runner: &str) -> Option<ConnectionId> {
@@ -120,7 +120,7 @@
         let connection = self
             .connections
             .connect(&lease.address, LARGEST_RESPONSE_BYTES, role)?;
-        let timeout_ms = self.options.connect_ms();
+        let timeout_ms = self.options.connect_timeout_ms();
         self.connections
             .set_user_timeout(connection, timeout_ms * 2);
         self.timers.schedule(
@@ -153,7 +153,7 @@
             return;
         }
         // A new configuration ends only what waits; this request may have been at another runner then.
-        if !self.end_without_key(id) {
+        if !self.end_if_key_invalid(id) {
             self.write_upstream_request(connection, id);
         }
     }
--- a/crates/gateway/src/upstream_responses.rs
+++ b/crates/gateway/src/upstream_responses.rs
@@ -8,7 +8,7 @@
 use protocol::{LeaseOutcome, RequestId};
 
 /// Milliseconds for which an idle connection is pooled where the runner names no time.
-pub(crate) const IDLE_MS: u64 = 5_000;
+pub(crate) const DEFAULT_IDLE_MS: u64 = 5_000;
 /// Most milliseconds for which an idle connection is pooled.
 const IDLE_MAX_MS: u64 = 30_000;
 /// Milliseconds by which an idle connection is closed earlier than by its runner.
@@ -36,7 +36,7 @@
         let (request_id, runner) = (upstream.request, upstream.runner.clone());
         let sent = request_id.filter(|request_id| self.is_sent_on(*request_id, id));
         match (event, sent) {
-            (SessionEvent::Incomplete, _) => self.bound_response(id),
+            (SessionEvent::Incomplete, _) => self.throttle_large_response(id),
             (SessionEvent::Response(response), Some(request_id)) => {
                 self.pool_or_close(id, &response);
                 self.response_received(request_id, &response);
@@ -115,10 +115,10 @@
         upstream.expires_at = self.now + idle_ms.min(IDLE_MAX_MS);
         let runner = upstream.runner.clone();
         let request = request_id.and_then(|request_id| self.requests.get(request_id));
-        let most = self.options.policy.upstream.idle_per_runner as usize;
+        let limit = self.options.policy.upstream.idle_per_runner as usize;
         let configuration = &self.configuration;
         let max_idle = request.map_or(0, |request| {
-            configuration.max_idle_connections(&request.function, most)
+            configuration.max_idle_connections(&request.function, limit)
         });
         // A response that came before its whole request was sent leaves a rest that would look like the next request.
         let is_request_sent = self.connections.unsent_bytes(id) == 0;
@@ -169,7 +169,7 @@
 /// Milliseconds for which the runner keeps the connection of a response open, less the margin.
 fn idle_ms(response: &UpstreamResponse) -> u64 {
     let keep_alive_s = idle_seconds(&response.response.headers);
-    keep_alive_s.map_or(IDLE_MS, |seconds| {
+    keep_alive_s.map_or(DEFAULT_IDLE_MS, |seconds| {
         seconds.saturating_mul(1_000).saturating_sub(IDLE_MARGIN_MS)
     })
 }
--- a/crates/gateway/src/upstream_session.rs
+++ b/crates/gateway/src/upstream_session.rs
@@ -50,11 +50,11 @@
 
 /// Whose response it is, as its head says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ResponseOwner {
+enum ResponseMatch {
     /// It bears the id of the request on the connection and no other.
     OwnRequest,
     /// It bears no id.
-    Unnamed,
+    WithoutId,
     /// It bears ids of other requests only; the own response may follow.
     OtherRequest,
     /// It bears the own id and others: a cut-off response has swallowed the head of the own one, which is lost.
@@ -134,11 +134,11 @@
     /// More bytes are awaited, unless the request's own response can no longer be among them.
     fn await_more(&mut self, conventions: &HttpConventions) -> SessionEvent {
         let partial = self.reader.partial();
-        let owner = partial.map(|response| self.owner_of(response, conventions));
-        let is_lost = match owner {
-            Some(ResponseOwner::Mixed) => true,
-            Some(ResponseOwner::OtherRequest) => self.reader.is_close_delimited(),
-            Some(ResponseOwner::OwnRequest | ResponseOwner::Unnamed) | None => false,
+        let id_match = partial.map(|response| self.match_ids(response, conventions));
+        let is_lost = match id_match {
+            Some(ResponseMatch::Mixed) => true,
+            Some(ResponseMatch::OtherRequest) => self.reader.is_close_delimited(),
+            Some(ResponseMatch::OwnRequest | ResponseMatch::WithoutId) | None => false,
         };
         if is_lost {
             return self.fail(ANOTHER_RESPONSE);
@@ -147,19 +147,19 @@
     }
 
     /// Whose response it is, by the ids that its head bears.
-    fn owner_of(&self, response: &Response, conventions: &HttpConventions) -> ResponseOwner {
+    fn match_ids(&self, response: &Response, conventions: &HttpConventions) -> ResponseMatch {
         let Some(request) = &self.outstanding else {
-            return ResponseOwner::OtherRequest;
+            return ResponseMatch::OtherRequest;
         };
         let mut ids = response.headers.get_all(conventions.request_id).peekable();
         if ids.peek().is_none() {
-            return ResponseOwner::Unnamed;
+            return ResponseMatch::WithoutId;
         }
         let (own, other): (Vec<&[u8]>, Vec<&[u8]>) = ids.partition(|id| *id == request.id);
         match (own.is_empty(), other.is_empty()) {
-            (false, true) => ResponseOwner::OwnRequest,
-            (false, false) => ResponseOwner::Mixed,
-            (true, _) => ResponseOwner::OtherRequest,
+            (false, true) => ResponseMatch::OwnRequest,
+            (false, false) => ResponseMatch::Mixed,
+            (true, _) => ResponseMatch::OtherRequest,
         }
     }
 
@@ -175,18 +175,18 @@
         is_last: bool,
         conventions: &HttpConventions,
     ) -> SessionEvent {
-        let owner = self.owner_of(&response, conventions);
+        let id_match = self.match_ids(&response, conventions);
         let Some(request) = &self.outstanding else {
             return SessionEvent::Unsolicited;
         };
-        if owner == ResponseOwner::Mixed {
+        if id_match == ResponseMatch::Mixed {
             return self.fail(ANOTHER_RESPONSE);
         }
-        let is_own = owner == ResponseOwner::OwnRequest;
+        let is_own = id_match == ResponseMatch::OwnRequest;
         // A rejection may come without an id; behind another request it may be a late one.
         let is_first = self.requests <= 1 && self.strays == 0;
         let is_rejection =
-            owner == ResponseOwner::Unnamed && states_not_run(&response, conventions);
+            id_match == ResponseMatch::WithoutId && states_not_run(&response, conventions);
         let may_be_own = is_rejection && (is_first || !request.at_most_once);
         if !is_own && !may_be_own {
             return self.drop_stray(request.is_head);
--- a/crates/gateway/tests/unit/agreed_owners.rs
+++ b/crates/gateway/tests/unit/agreed_owners.rs
@@ -17,7 +17,7 @@
 const MESSAGE_WITHIN: Duration = Duration::from_secs(5);
 pub(crate) const ASKER: &str = "asker";
 pub(crate) const OWNER: &str = "owner";
-const ASKED_AS: RequestId = RequestId(7);
+const ORIGINAL_ID: RequestId = RequestId(7);
 
 /// A gateway under test, a controller that scales, and two other gateways, of which one owns a function.
 pub(crate) struct Fleet {
@@ -78,7 +78,7 @@
 
     fn place(&mut self) {
         let request = LeaseRequest {
-            request_id: ASKED_AS,
+            request_id: ORIGINAL_ID,
             function: self.function.clone(),
             timeout_ms: 3_000,
             ..LeaseRequest::default()
@@ -103,7 +103,7 @@
     }
 
     /// Number by which the owner knows the request that was passed on.
-    fn relayed_as(&mut self) -> RequestId {
+    fn relayed_id(&mut self) -> RequestId {
         let relayed = |message: &Message| match message {
             Message::RelayedLeaseRequest(relayed) => Some(relayed.request.request_id),
             _ => None,
@@ -120,40 +120,40 @@
 }
 
 #[test]
-fn a_request_is_passed_on_to_its_owner_and_the_lease_comes_back() {
+fn a_relayed_request_gets_its_lease_through_the_relaying_gateway() {
     let mut fleet = Fleet::new();
     fleet.place();
-    let relayed_as = fleet.relayed_as();
-    assert_ne!(relayed_as, ASKED_AS);
+    let relayed_id = fleet.relayed_id();
+    assert_ne!(relayed_id, ORIGINAL_ID);
     let lease = SeatLease {
-        request_id: relayed_as,
+        request_id: relayed_id,
         runner: "runner-1".into(),
         ..SeatLease::default()
     };
     fleet.gateway.lease_received(OWNER, lease);
     fleet.wait_for("a lease", |fleet| {
-        let leased = |message: &Message| matches!(message, Message::SeatLease(lease) if lease.request_id == ASKED_AS);
+        let leased = |message: &Message| matches!(message, Message::SeatLease(lease) if lease.request_id == ORIGINAL_ID);
         fleet.asker.received.iter().any(leased)
     });
     let release = LeaseRelease {
-        request_id: ASKED_AS,
+        request_id: ORIGINAL_ID,
         outcome: LeaseOutcome::Succeeded,
         duration_ms: 5,
     };
-    fleet.gateway.release_placed(ASKER, &release);
+    fleet.gateway.release_placed_lease(ASKER, &release);
     fleet.wait_for("a release", |fleet| {
-        let released = |message: &Message| matches!(message, Message::LeaseRelease(release) if release.request_id == relayed_as);
+        let released = |message: &Message| matches!(message, Message::LeaseRelease(release) if release.request_id == relayed_id);
         fleet.owner.received.iter().any(released)
     });
     assert!(fleet.gateway.relayed_requests.is_empty());
 }
 
 #[test]
-fn a_lease_of_another_gateway_than_the_owner_that_was_asked_is_not_passed_back() {
+fn a_lease_from_a_gateway_other_than_the_requested_owner_is_not_relayed() {
     let mut fleet = Fleet::new();
     fleet.place();
     let lease = SeatLease {
-        request_id: fleet.relayed_as(),
+        request_id: fleet.relayed_id(),
         ..SeatLease::default()
     };
     fleet.gateway.lease_received("stranger", lease);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_silent_owner_is_reported_to_the_scaler_and_asked_through_another_gateway() {
+fn an_unresponsive_owner_is_reported_to_the_scaler_and_reached_through_a_relay() {
     let mut fleet = Fleet::new();
     fleet.hears_scaler();
     let now = fleet.gateway.now;
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn no_owners_place_is_taken_while_a_controller_scales() {
+fn an_unresponsive_owner_is_not_replaced_while_a_scaler_is_reachable() {
     let mut fleet = Fleet::new();
     fleet.hears_scaler();
     let now = fleet.gateway.now;
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn controllers_that_understand_it_are_told_once_that_a_gateway_is_about_to_stop() {
+fn controllers_that_support_it_are_notified_once_of_a_stopping_gateway() {
     let mut fleet = Fleet::new();
     fleet.hears_scaler();
     fleet.gateway.announce_leaving();
@@ -209,12 +209,12 @@
     assert!(fleet
         .gateway
         .controllers
-        .take_unaware_of_leaving()
+        .take_unnotified_of_leaving()
         .is_empty());
 }
 
 #[test]
-fn a_request_that_awaits_another_owners_lease_is_not_told_to_have_ended() {
+fn a_request_awaiting_another_owners_lease_is_not_reported_as_ended() {
     let mut fleet = Fleet::new();
     let mut pending = pending_request(None, true);
     pending.phase = RequestPhase::AwaitingLease {
--- a/crates/gateway/tests/unit/broken_invariants.rs
+++ b/crates/gateway/tests/unit/broken_invariants.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn tables_that_agree_break_nothing() {
+fn consistent_tables_pass_the_checks() {
     let (mut gateway, listener) = (gateway(), listener());
     let connection = connect_downstream(&mut gateway, &listener);
     let id = gateway
--- a/crates/gateway/tests/unit/client_identity.rs
+++ b/crates/gateway/tests/unit/client_identity.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_key_is_known_in_any_case_of_its_header_and_byte_by_byte() {
+fn a_key_header_matches_in_any_case_and_its_value_byte_for_byte() {
     let tenants = tenants(&[tenant("north", &[KEY])]);
     let known = Ok(Some("north".to_string()));
     for name in ["Credential", "credential", "CREDENTIAL"] {
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_request_bears_one_key_unless_its_binding_is_public() {
+fn a_request_needs_exactly_one_key_unless_its_binding_is_public() {
     let tenants = tenants(&[tenant("north", &[KEY])]);
     assert_eq!(
         identify(&[], Some(&tenants), false),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_clients_own_word_on_its_tenant_counts_for_nothing() {
+fn a_tenant_name_sent_by_the_client_is_ignored() {
     let tenants = tenants(&[tenant("north", &[KEY]), tenant("south", &[])]);
     let claimed: [(&str, &[u8]); 2] = [("Tenant", b"south"), (HEADER, KEY)];
     assert_eq!(
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn without_tenants_nobody_need_say_who_sends_and_without_any_nobody_may() {
+fn without_tenants_no_key_is_needed_and_an_empty_list_refuses_every_request() {
     assert_eq!(identify(&[], None, false), Ok(None));
     assert_eq!(identify(&[(HEADER, KEY)], None, false), Ok(None));
     let nobody = tenants(&[]);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_later_configuration_tells_what_became_of_a_key() {
+fn a_key_is_rechecked_against_a_later_configuration() {
     let first = tenants(&[tenant("north", &[KEY]), tenant("south", &[])]);
     let client =
         ClientIdentity::of_request(&headers(&[(HEADER, KEY)]), HEADER, Some(&first), false);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_tenant_spends_the_retries_that_it_earned_and_those_that_nobody_needs() {
+fn a_tenant_spends_its_own_retries_and_those_of_a_full_budget() {
     let mut budgets = RetryBudgets::new(0.4, 20.0);
     let (flood, small): (Arc<str>, Arc<str>) = ("flood".into(), "small".into());
     for _ in 0..16 {
--- a/crates/gateway/tests/unit/connection_reuse.rs
+++ b/crates/gateway/tests/unit/connection_reuse.rs
@@ -118,7 +118,7 @@
     }
 
     /// Waits, without a poll, until the system holds bytes or an end that the event loop has not read.
-    fn wait_for_system(&mut self) {
+    fn wait_for_kernel(&mut self) {
         while self.gateway.connections.has_nothing_to_read(self.pooled) {
             std::thread::yield_now();
         }
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_connection_on_which_nothing_lies_unread_bears_the_next_request() {
+fn a_connection_without_unread_bytes_is_reused() {
     for at_most_once in [false, true] {
         let mut connection = PooledConnection::establish();
         let id = connection.admit_request(at_most_once);
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_connection_with_unread_bytes_is_closed_and_bears_no_further_request() {
+fn a_connection_with_unread_bytes_is_closed_and_not_reused() {
     for at_most_once in [false, true] {
         let mut connection = PooledConnection::establish();
         connection.receive_unsolicited_bytes();
@@ -225,23 +225,23 @@
 }
 
 #[test]
-fn work_that_may_run_once_is_not_sent_where_the_system_holds_unread_bytes() {
+fn an_at_most_once_request_is_not_sent_while_the_socket_holds_unread_bytes() {
     let mut connection = PooledConnection::establish();
     connection.runner.write_all(UNSOLICITED_RESPONSE).unwrap();
-    connection.wait_for_system();
+    connection.wait_for_kernel();
     let id = connection.admit_request(true);
     assert!(!connection.is_reused_by(id));
     connection.assert_closed();
 }
 
 #[test]
-fn work_that_may_run_once_is_not_sent_where_the_runner_has_closed_unnoticed() {
+fn an_at_most_once_request_is_not_sent_on_a_connection_the_runner_has_closed() {
     let mut connection = PooledConnection::establish();
     connection
         .runner
         .shutdown(std::net::Shutdown::Both)
         .unwrap();
-    connection.wait_for_system();
+    connection.wait_for_kernel();
     let id = connection.admit_request(true);
     assert!(!connection.is_reused_by(id));
     connection.assert_closed();
--- a/crates/gateway/tests/unit/controller_links.rs
+++ b/crates/gateway/tests/unit/controller_links.rs
@@ -59,43 +59,43 @@
     }
 
     /// When the attempt that began at a time is given up.
-    fn given_up_at(&mut self, from: u64) -> u64 {
+    fn timed_out_at(&mut self, from: u64) -> u64 {
         let mut times = (from..from + 10_000).step_by(STEP_MS);
-        let given_up = times.find(|now| {
+        let timed_out = times.find(|now| {
             let task = self.links.next_task(&self.address, *now, TIMING);
             matches!(task, LinkTask::Close(_))
         });
-        given_up.expect("it is given up")
+        timed_out.expect("it is given up")
     }
 }
 
 #[test]
-fn an_attempt_that_hangs_is_given_up_long_before_a_silent_link() {
+fn a_hung_connect_attempt_times_out_before_a_silent_link() {
     let mut links = Links::new();
     links.begin(100);
-    assert_eq!(links.given_up_at(100), 100 + FIRST_TIMEOUT_MS);
+    assert_eq!(links.timed_out_at(100), 100 + FIRST_TIMEOUT_MS);
     // The next attempt follows at once, since the pause between attempts has passed.
     links.begin(100 + FIRST_TIMEOUT_MS);
 }
 
 #[test]
-fn an_established_link_is_left_its_time_to_be_heard() {
+fn an_established_link_is_kept_until_the_silence_timeout() {
     let mut links = Links::new();
     links.begin(100);
     links.links.established(&links.address);
-    assert!(links.given_up_at(100) > 100 + TIMING.silence_ms);
+    assert!(links.timed_out_at(100) > 100 + TIMING.silence_ms);
 }
 
 #[test]
-fn far_controllers_are_left_more_time_with_each_second_attempt() {
+fn the_connect_timeout_doubles_after_every_second_attempt() {
     let mut links = Links::new();
     let mut now = 10_000;
     let mut timeouts = Vec::new();
     for _ in 0..7 {
         links.begin(now);
-        let given_up = links.given_up_at(now);
-        timeouts.push(given_up - now);
-        now = given_up + TIMING.interval_ms;
+        let timed_out = links.timed_out_at(now);
+        timeouts.push(timed_out - now);
+        now = timed_out + TIMING.interval_ms;
     }
     assert_eq!(timeouts, [200, 200, 400, 400, 800, 800, 1_600]);
     links.begin(now);
@@ -103,11 +103,11 @@
     links.links.end(&links.address);
     now += TIMING.interval_ms;
     links.begin(now);
-    assert_eq!(links.given_up_at(now), now + FIRST_TIMEOUT_MS);
+    assert_eq!(links.timed_out_at(now), now + FIRST_TIMEOUT_MS);
 }
 
 #[test]
-fn a_controller_is_told_once_a_link_that_changes_of_the_membership_are_accepted() {
+fn a_controller_is_notified_once_per_link_that_membership_changes_are_accepted() {
     let mut links = Links::new();
     links.begin(100);
     assert!(links.links.accept_membership_changes(&links.address));
--- a/crates/gateway/tests/unit/owner_links.rs
+++ b/crates/gateway/tests/unit/owner_links.rs
@@ -123,7 +123,7 @@
     }
 
     /// The link with an owner ends; the owner listens for another, and what it received before is dropped.
-    fn forget_owner(&mut self, index: usize) {
+    fn close_link_to(&mut self, index: usize) {
         let name = self.owners[index].name;
         let connections = self.gateway.connections.with_peer(name);
         for connection in connections {
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_seat_is_given_back_at_every_owner_that_was_told_of_it() {
+fn a_lease_is_released_at_every_owner_it_was_reported_to() {
     let (mut changes, id) = OwnerChanges::with_request_at_its_runner();
     changes.make_owner(1);
     changes.wait_for_report(1);
@@ -265,19 +265,19 @@
 }
 
 #[test]
-fn an_owner_whose_link_ended_is_told_of_the_seats_in_use_once_more() {
+fn seats_in_use_are_reported_again_to_an_owner_whose_link_ended() {
     let (mut changes, _) = OwnerChanges::with_request_at_its_runner();
     changes.make_owner(1);
     changes.wait_for_report(1);
-    changes.forget_owner(1);
+    changes.close_link_to(1);
     changes.admit_request();
     changes.wait_for_report(1);
 }
 
 #[test]
-fn an_owner_learns_of_the_seats_in_use_as_soon_as_there_is_a_link_again() {
+fn seats_in_use_are_reported_first_over_a_new_link() {
     let (mut changes, _) = OwnerChanges::with_request_at_its_runner();
-    changes.forget_owner(0);
+    changes.close_link_to(0);
     // Whatever the message is, the report goes before it.
     changes
         .gateway
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_claim_for_a_request_that_ended_without_running_is_given_back() {
+fn a_claim_for_a_request_that_ended_without_running_is_released() {
     let mut changes = OwnerChanges::new();
     changes.make_owner(0);
     let id = changes.admit_job();
--- a/crates/gateway/tests/unit/ownership_changes.rs
+++ b/crates/gateway/tests/unit/ownership_changes.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_change_of_the_one_kind_is_dropped_under_a_table_of_the_other() {
+fn membership_and_ownership_changes_are_dropped_under_a_table_of_the_other_kind() {
     let mut gateway = gateway_with_members();
     gateway.ownership_changed(&change(version(4), 5));
     assert_eq!(names(&gateway), ["a", "b", "c"]);
--- a/crates/gateway/tests/unit/process_pauses.rs
+++ b/crates/gateway/tests/unit/process_pauses.rs
@@ -16,7 +16,7 @@
 /// Longer than any silence that gateways and controllers bear.
 const PAUSE_MS: u64 = 2_000;
 
-fn begun() -> (PauseConfirmation, u64) {
+fn awaiting_confirmation() -> (PauseConfirmation, u64) {
     let mut confirmation = PauseConfirmation::default();
     let linked = [SCALER, OTHER].map(String::from);
     let number = confirmation.begin(linked.into_iter());
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn the_answer_of_the_controller_that_scales_confirms_once() {
-    let (mut confirmation, number) = begun();
+fn the_scalers_pong_confirms_once() {
+    let (mut confirmation, number) = awaiting_confirmation();
     assert_eq!(confirmation.ping_answered(OTHER, number, 0), None);
     let confirmed = confirmation.ping_answered(SCALER, number, TERM);
     assert_eq!(confirmed, Some(Confirmation::TableAndLists));
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn an_answer_from_before_the_pause_confirms_nothing() {
-    let (mut confirmation, former) = begun();
+fn a_pong_to_an_earlier_ping_confirms_nothing() {
+    let (mut confirmation, former) = awaiting_confirmation();
     let number = confirmation.begin([SCALER.to_string()].into_iter());
     assert_eq!(confirmation.ping_answered(SCALER, former, TERM), None);
     assert_eq!(confirmation.age_of_messages(SCALER), UpdateAge::Unknown);
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn a_table_confirms_that_came_over_a_new_link_or_after_the_answer() {
-    let (mut confirmation, number) = begun();
+fn a_table_confirms_after_a_reconnect_or_after_the_pong() {
+    let (mut confirmation, number) = awaiting_confirmation();
     // It may have lain in the socket.
     assert_eq!(confirmation.table_published(SCALER), None);
     confirmation.link_opened(SCALER);
@@ -53,7 +53,7 @@
         confirmation.table_published(SCALER),
         Some(Confirmation::Table)
     );
-    let (mut confirmation, _) = begun();
+    let (mut confirmation, _) = awaiting_confirmation();
     // The role has moved to a controller that did not scale as it answered.
     assert_eq!(confirmation.ping_answered(OTHER, number, 0), None);
     assert_eq!(
@@ -65,8 +65,8 @@
 /// In an aimed series (seed 9004) a gateway stood still, was removed, linked anew, and stood still again before it was told a table. The
 /// answer over the new link was taken for a confirmation of its old lists: "DRAIN: 1.584532499s after i-20 of function-4 was listed as leaving".
 #[test]
-fn an_answer_over_a_link_that_was_opened_since_confirms_no_list() {
-    let (mut confirmation, _) = begun();
+fn a_pong_over_a_reopened_link_does_not_confirm_runner_lists() {
+    let (mut confirmation, _) = awaiting_confirmation();
     confirmation.link_opened(SCALER);
     let number = confirmation.begin([SCALER.to_string()].into_iter());
     assert_eq!(confirmation.ping_answered(SCALER, number, TERM), None);
@@ -75,7 +75,7 @@
         Some(Confirmation::Table)
     );
     // The same where the table came before the answer.
-    let (mut confirmation, _) = begun();
+    let (mut confirmation, _) = awaiting_confirmation();
     confirmation.link_opened(SCALER);
     let number = confirmation.begin([SCALER.to_string()].into_iter());
     assert_eq!(confirmation.table_published(SCALER), None);
@@ -98,20 +98,20 @@
 }
 
 #[test]
-fn a_peer_that_answered_during_a_pause_is_not_taken_for_silent() {
+fn a_peer_that_answered_during_a_pause_is_not_considered_silent() {
     let mut fleet = fleet_after_a_pause();
-    let woken_at = fleet.gateway.now + PAUSE_MS;
-    fleet.gateway.read_clock(woken_at);
-    let liveness = fleet.gateway.peers.check_liveness(OWNER, woken_at);
+    let resumed_at = fleet.gateway.now + PAUSE_MS;
+    fleet.gateway.read_clock(resumed_at);
+    let liveness = fleet.gateway.peers.check_liveness(OWNER, resumed_at);
     assert_eq!(liveness, Liveness::Alive);
 }
 
 #[test]
-fn links_to_controllers_outlast_a_pause_and_no_owners_place_is_taken() {
+fn controller_links_survive_a_pause_and_owners_are_not_replaced() {
     let mut fleet = fleet_after_a_pause();
-    let woken_at = fleet.gateway.now + fleet.gateway.options.silence_ms() * 2;
-    fleet.gateway.peers.suspect(OWNER, woken_at);
-    fleet.gateway.read_clock(woken_at);
+    let resumed_at = fleet.gateway.now + fleet.gateway.options.silence_ms() * 2;
+    fleet.gateway.peers.suspect(OWNER, resumed_at);
+    fleet.gateway.read_clock(resumed_at);
     fleet.gateway.maintain_controller_links();
     fleet.gateway.maintain_ownership();
     assert_eq!(fleet.gateway.controllers.linked(), 1);
@@ -121,17 +121,17 @@
 }
 
 #[test]
-fn timers_wait_until_what_came_during_a_pause_was_heard() {
+fn events_received_during_a_pause_are_handled_before_timers() {
     let mut fleet = fleet_after_a_pause();
-    let woken_at = fleet.gateway.now + PAUSE_MS;
+    let resumed_at = fleet.gateway.now + PAUSE_MS;
     let timers = &mut fleet.gateway.timers;
     timers.schedule(0, TimerEvent::BackoffOver(RequestId(1)));
-    fleet.gateway.read_clock(woken_at);
+    fleet.gateway.read_clock(resumed_at);
     let mut events = Vec::new();
-    fleet.gateway.take_turn(&mut events, || woken_at + 1);
+    fleet.gateway.take_turn(&mut events, || resumed_at + 1);
     assert_eq!(fleet.gateway.timers.len(), 1);
     for turn in 2..10 {
-        fleet.gateway.take_turn(&mut events, || woken_at + turn);
+        fleet.gateway.take_turn(&mut events, || resumed_at + turn);
     }
     assert!(fleet.gateway.timers.is_empty());
 }
@@ -210,42 +210,42 @@
 }
 
 #[test]
-fn where_no_scaler_answers_service_goes_on_after_a_while() {
+fn leasing_resumes_after_a_timeout_without_a_scaler() {
     let mut fleet = fleet_after_a_pause();
     let function = own_function(&mut fleet);
-    let woken_at = fleet.gateway.now + PAUSE_MS;
-    fleet.gateway.read_clock(woken_at);
+    let resumed_at = fleet.gateway.now + PAUSE_MS;
+    fleet.gateway.read_clock(resumed_at);
     request_lease(&mut fleet, &function);
-    for now in (woken_at..woken_at + 1_000).step_by(50) {
+    for now in (resumed_at..resumed_at + 1_000).step_by(50) {
         fleet.gateway.lease_owner.tick(now);
-        assert_eq!(leased(&fleet, &function), 0, "at {}", now - woken_at);
+        assert_eq!(leased(&fleet, &function), 0, "at {}", now - resumed_at);
     }
-    fleet.gateway.lease_owner.tick(woken_at + 1_000);
+    fleet.gateway.lease_owner.tick(resumed_at + 1_000);
     assert_eq!(leased(&fleet, &function), 1);
 }
 
 #[test]
-fn a_table_over_a_new_link_leaves_lists_from_before_the_pause_unused_until_they_are_told_anew() {
+fn a_table_over_a_new_link_does_not_confirm_runner_lists_until_they_are_sent_again() {
     let mut fleet = fleet_after_a_pause();
     let function = own_function(&mut fleet);
-    let woken_at = fleet.gateway.now + PAUSE_MS;
-    fleet.gateway.read_clock(woken_at);
+    let resumed_at = fleet.gateway.now + PAUSE_MS;
+    fleet.gateway.read_clock(resumed_at);
     request_lease(&mut fleet, &function);
     fleet
         .gateway
         .lease_owner
-        .confirm_table_after_pause(woken_at);
-    for now in (woken_at..woken_at + 500).step_by(50) {
+        .confirm_table_after_pause(resumed_at);
+    for now in (resumed_at..resumed_at + 500).step_by(50) {
         fleet.gateway.lease_owner.tick(now);
-        assert_eq!(leased(&fleet, &function), 0, "at {}", now - woken_at);
+        assert_eq!(leased(&fleet, &function), 0, "at {}", now - resumed_at);
     }
-    let reports = fleet.gateway.lease_owner.reports(woken_at + 500, false);
+    let reports = fleet.gateway.lease_owner.reports(resumed_at + 500, false);
     let report = reports.iter().find(|one| one.function == function);
     assert_eq!(report.expect("a report").update_number, 0);
     let update = update(&function, 2);
     fleet
         .gateway
         .lease_owner
-        .update_runners(woken_at + 510, update);
+        .update_runners(resumed_at + 510, update);
     assert_eq!(leased(&fleet, &function), 1);
 }
--- a/crates/gateway/tests/unit/relayed_tenants.rs
+++ b/crates/gateway/tests/unit/relayed_tenants.rs
@@ -85,7 +85,7 @@
         outcome: LeaseOutcome::Succeeded,
         duration_ms: 5,
     };
-    fleet.gateway.release_placed(ASKER, &release);
+    fleet.gateway.release_placed_lease(ASKER, &release);
     assert!(has_seat(&mut fleet, URGENT));
     assert!(!has_seat(&mut fleet, LESS_URGENT));
 }
@@ -108,6 +108,6 @@
         let mut received = fleet.owner.received.iter();
         received.any(|message| relayed(message).is_some())
     });
-    let told = fleet.owner.received.iter().find_map(relayed);
-    assert_eq!(told, Some(tenant("maker", 3)));
+    let relayed_tenant = fleet.owner.received.iter().find_map(relayed);
+    assert_eq!(relayed_tenant, Some(tenant("maker", 3)));
 }
--- a/crates/gateway/tests/unit/restarted_peers.rs
+++ b/crates/gateway/tests/unit/restarted_peers.rs
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_peer_that_was_started_again_is_answered_on_its_new_link() {
+fn a_restarted_peer_is_answered_on_its_new_link() {
     let mut owner = Owner::new();
     let mut former = PeerLink::open(owner.address, 1);
     former.request_lease(1);
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn seats_that_a_peer_held_over_a_link_that_it_replaced_are_free() {
+fn seats_leased_over_a_replaced_link_are_released() {
     let mut owner = Owner::new();
     let mut former = PeerLink::open(owner.address, 1);
     former.request_lease(1);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn what_came_over_a_link_that_its_peer_gave_up_ends_with_that_link() {
+fn state_received_over_an_abandoned_link_ends_with_that_link() {
     let mut owner = Owner::new();
     let mut present = PeerLink::open(owner.address, 1);
     present.request_lease(1);
--- a/crates/gateway/tests/upstream_session.rs
+++ b/crates/gateway/tests/upstream_session.rs
@@ -94,8 +94,11 @@
                     check_own(&response, "next", next, &what);
                     // Interim responses are dropped, whosever they are: nothing of them can reach a request.
                     let is_interim = stale == Framing::Interim && count <= INTERIM.len();
-                    let is_fair = count == 0 || (is_interim && response.is_reusable);
-                    assert_eq!(response.is_reusable, is_fair, "{what}: it is used again");
+                    let may_be_reused = count == 0 || (is_interim && response.is_reusable);
+                    assert_eq!(
+                        response.is_reusable, may_be_reused,
+                        "{what}: it is used again"
+                    );
                 }
             }
         }
@@ -151,8 +154,8 @@
                 let what = format!("{garbage:?} at {place} of {framing:?}");
                 let mut runner = SimulatedRunner::default();
                 runner.session.request_sent(outstanding("own", framing));
-                let spoilt = [&bytes[..place], garbage, &bytes[place..]].concat();
-                let (event, _) = runner.sends_byte_by_byte(&spoilt);
+                let corrupted = [&bytes[..place], garbage, &bytes[place..]].concat();
+                let (event, _) = runner.sends_byte_by_byte(&corrupted);
                 if let SessionEvent::Response(response) = event {
                     let ids: Vec<&[u8]> = response.response.headers.get_all("Id").collect();
                     assert_eq!(ids, [b"own"], "{what}");
@@ -163,7 +166,7 @@
 }
 
 #[test]
-fn a_truncated_status_line_lends_its_status_to_no_other_response() {
+fn a_truncated_status_line_does_not_set_the_status_of_the_next_response() {
     for status in ["200 OK", "204 No Content", "503 Busy"] {
         let stale = format!("HTTP/1.1 {status}");
         for count in 1..=stale.len() {
@@ -264,7 +267,7 @@
 }
 
 #[test]
-fn responses_are_classified_by_what_they_promise() {
+fn responses_are_classified_by_status_and_headers() {
     let of = |status: u16, headers: &[(&str, &str)]| {
         let mut runner = SimulatedRunner::default();
         runner
@@ -276,19 +279,19 @@
             &CONVENTIONS,
         )
     };
-    let is_doubtful = |verdict: ResponseClass| matches!(verdict, ResponseClass::Untrusted(_));
+    let is_untrusted = |verdict: ResponseClass| matches!(verdict, ResponseClass::Untrusted(_));
     assert_eq!(of(200, &[("Seal", "s")]), ResponseClass::Completed);
     assert_eq!(of(404, &[]), ResponseClass::Completed);
     assert_eq!(of(500, &[("Seal", "s")]), ResponseClass::Completed);
     assert_eq!(of(503, &[("Not-Run", "1")]), ResponseClass::Rejected);
     assert_eq!(of(429, &[("Not-Run", "1")]), ResponseClass::Rejected);
     assert_eq!(of(421, &[]), ResponseClass::Misdirected);
-    assert!(is_doubtful(of(200, &[])));
-    assert!(is_doubtful(of(200, &[("Seal", "s"), ("Seal", "t")])));
-    assert!(is_doubtful(of(200, &[("Seal", "s"), ("Not-Run", "1")])));
+    assert!(is_untrusted(of(200, &[])));
+    assert!(is_untrusted(of(200, &[("Seal", "s"), ("Seal", "t")])));
+    assert!(is_untrusted(of(200, &[("Seal", "s"), ("Not-Run", "1")])));
     let encoded = [("Seal", "s"), ("Content-Encoding", "gzip")];
-    assert!(is_doubtful(of(200, &encoded)));
+    assert!(is_untrusted(of(200, &encoded)));
     for status in [408, 429, 503] {
-        assert!(is_doubtful(of(status, &[("Seal", "s")])), "{status}");
+        assert!(is_untrusted(of(status, &[("Seal", "s")])), "{status}");
     }
 }
