--- a/crates/gateway/src/applied_configuration.rs
+++ b/crates/gateway/src/applied_configuration.rs
@@ -1,5 +1,5 @@
-//! What the control plane has put in force here. Each kind of update bears a version, and an older one than that in
-//! force is dropped.
+//! Configuration, evacuations and ownership applied from the control plane. Each kind of update has a version, and an
+//! update older than the applied one is dropped.
 
 use invariants::{check, Invariant};
 use protocol::{unpack, Member, UpdateVersion};
@@ -8,10 +8,10 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Most bytes of a configuration, unpacked.
+/// Maximum size of an unpacked configuration, in bytes.
 const DOCUMENT_MAX: u64 = 64 << 20;
 
-/// Versions of the committed documents that a daemon holds.
+/// Versions of the committed documents that a daemon has applied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ConfigurationVersions {
     pub configuration: u64,
@@ -19,36 +19,36 @@
 }
 
 impl ConfigurationVersions {
-    /// Whether one of these is newer than what is held.
+    /// Whether any of these versions is newer than the held one.
     pub fn has_newer_than(self, held: Self) -> bool {
         self.configuration > held.configuration || self.evacuations > held.evacuations
     }
 }
 
-/// Configuration, evacuated zones and owners of functions in force.
+/// The applied configuration, evacuated zones and ownership table.
 #[derive(Default)]
 pub(crate) struct AppliedConfiguration {
     versions: ConfigurationVersions,
     table: Option<Arc<RoutingTable>>,
     needs_full_document: bool,
-    /// Parts of the operators' document that are without effect, since nothing here understands them.
+    /// Parts of the operators' document that have no effect because this version does not recognize them.
     unknown_parts: BTreeSet<String>,
     evacuated_zones: BTreeSet<String>,
     ownership: Option<Arc<OwnershipTable>>,
 }
 
 impl AppliedConfiguration {
-    /// The routing table; none before the first configuration.
+    /// The routing table; `None` before the first configuration.
     pub fn table(&self) -> Option<Arc<RoutingTable>> {
         self.table.clone()
     }
 
-    /// The tenants; none where everybody may send requests, or nothing is configured.
+    /// The tenants; `None` if no key is required or nothing is configured yet.
     pub fn tenants(&self) -> Option<TenantDirectory> {
         self.table.as_ref()?.configuration().tenants.clone()
     }
 
-    /// Limits on clients' requests and connections.
+    /// Limits on clients' requests and connections; defaults before the first configuration.
     pub fn limits(&self) -> Limits {
         let table = self.table.as_ref();
         table.map_or_else(Limits::default, |table| {
@@ -56,12 +56,12 @@
         })
     }
 
-    /// Versions in force.
+    /// Versions of the applied documents.
     pub fn versions(&self) -> ConfigurationVersions {
         self.versions
     }
 
-    /// Version of the configuration on which changes can build; 0 where the whole is needed.
+    /// Version of the configuration to which changes can be applied; 0 if the full document is needed.
     pub fn base_version(&self) -> u64 {
         if self.needs_full_document {
             0
@@ -70,30 +70,30 @@
         }
     }
 
-    /// The operators' number of the configuration in force.
+    /// Version number that the operators gave to the applied configuration.
     pub fn operator_version(&self) -> u64 {
         let table = self.table.as_ref();
         table.map_or(0, |table| table.configuration().version)
     }
 
-    /// The table of functions' owners; none before the first.
+    /// The ownership table; `None` before the first one.
     pub fn ownership(&self) -> Option<&Arc<OwnershipTable>> {
         self.ownership.as_ref()
     }
 
-    /// The same where it is agreed, so that it binds all members.
+    /// The ownership table if it is agreed, and therefore binding for all members.
     pub fn agreed_owners(&self) -> Option<&OwnershipTable> {
         let table = self.ownership.as_deref();
         table.filter(|table| table.is_agreed())
     }
 
-    /// Version of the table of owners in force.
+    /// Version of the applied ownership table.
     pub fn ownership_version(&self) -> UpdateVersion {
         let ownership = self.ownership.as_ref();
         ownership.map_or_else(UpdateVersion::default, |table| table.version())
     }
 
-    /// The gateways.
+    /// The gateways in the ownership table.
     pub fn members(&self) -> &[Member] {
         self.ownership.as_ref().map_or(&[], |table| table.members())
     }
@@ -103,17 +103,18 @@
         self.ownership.as_ref()?.member(name)
     }
 
-    /// Zones that get no requests.
+    /// Evacuated zones, which get no requests.
     pub fn evacuated_zones(&self) -> &BTreeSet<String> {
         &self.evacuated_zones
     }
 
-    /// Whether there is enough to serve with.
+    /// Whether a configuration and a non-empty membership are applied, as serving requires.
     pub fn is_ready(&self) -> bool {
         self.table.is_some() && !self.members().is_empty()
     }
 
-    /// Most idle connections to one runner of a function: this gateway's share of what the runner accepts, within a bound.
+    /// Maximum number of idle connections to one runner of a function: three quarters of the connections that the
+    /// runner accepts, divided by the number of gateways, at least 1 and at most `limit`.
     pub fn max_idle_connections(&self, function: &str, limit: usize) -> usize {
         let table = self.table.as_ref();
         let known = table.and_then(|table| {
@@ -125,7 +126,7 @@
         share.max(1).min(limit)
     }
 
-    /// Applies a whole configuration.
+    /// Applies a full configuration document.
     pub fn apply_document(
         &mut self,
         version: u64,
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Applies changes of the configuration in force. Where they cannot be applied the whole is needed.
+    /// Applies changes to the current configuration. If that fails, the full document is requested.
     pub fn apply_changes(
         &mut self,
         base: u64,
@@ -188,12 +189,12 @@
         self.unknown_parts = parts;
     }
 
-    /// Number of the document's parts that are without effect.
+    /// Number of parts of the document that have no effect.
     pub fn unknown_parts(&self) -> usize {
         self.unknown_parts.len()
     }
 
-    /// Puts a configuration in force, which is newer than the one before.
+    /// Replaces the configuration by a newer one.
     pub fn put_in_force(&mut self, version: u64, configuration: RoutingConfiguration) {
         let tenants = configuration.tenants.as_ref();
         log::info!(
@@ -214,7 +215,7 @@
         self.needs_full_document = false;
     }
 
-    /// Applies the evacuated zones; whether they were newer.
+    /// Applies the evacuated zones. Returns whether they were newer.
     pub fn apply_evacuations(&mut self, version: u64, zones: Vec<String>) -> bool {
         if version <= self.versions.evacuations {
             return false;
@@ -228,7 +229,7 @@
         true
     }
 
-    /// Applies a table of owners; whether it was newer.
+    /// Applies an ownership table. Returns whether it was newer.
     pub fn apply_ownership(&mut self, table: Arc<OwnershipTable>) -> bool {
         let version = table.version();
         if version <= self.ownership_version() || table.members().is_empty() {
--- a/crates/gateway/src/client_identity.rs
+++ b/crates/gateway/src/client_identity.rs
@@ -1,30 +1,30 @@
-//! Who sends a request: the tenant that has the key which it bears. It is settled once for each request, against the configuration that
-//! names its binding too; what is said on a connection holds for no later request on it.
+//! Identifies the tenant that sends a request by its API key. Each request is identified separately, against the same
+//! configuration that determines its binding; nothing carries over to later requests on the connection.
 
 use http1::Headers;
 use routing::{KeyDigest, Tenant, TenantDirectory};
 use std::sync::Arc;
 
-/// A request's tenant. The key itself is kept nowhere.
+/// The tenant of a request. Only a digest of its key is kept.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientIdentity {
     tenant: Arc<Tenant>,
     key: KeyDigest,
 }
 
-/// Why it is not known who sends a request.
+/// Why the sender of a request could not be identified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum IdentityError {
-    /// It bears no key, and its binding is not public.
+    /// It has no key, and its binding is not public.
     NoKey,
-    /// It bears more than one key.
+    /// It has more than one key.
     SeveralKeys,
-    /// No tenant has its key.
+    /// Its key belongs to no tenant.
     UnknownKey,
 }
 
 impl IdentityError {
-    /// What the client is told.
+    /// The reason that is sent to the client.
     pub fn reason(self) -> &'static str {
         match self {
             Self::NoKey => "the request bears no key",
@@ -35,10 +35,10 @@
 }
 
 impl ClientIdentity {
-    /// The tenant that sends a request with these headers; none where nobody need say who sends it.
+    /// Identifies the tenant that sends a request with these headers. Returns `None` if no key is required.
     ///
-    /// A public binding takes requests without a key. A key that is not known is refused there too: it is no tenant's, and a client
-    /// that shows one wants to be that tenant.
+    /// A public binding accepts requests without a key. It still refuses an unknown key, because a client that sends
+    /// a key expects to be treated as that key's tenant.
     pub fn of_request(
         headers: &Headers,
         key_header: &str,
@@ -77,7 +77,7 @@
         &self.tenant.name
     }
 
-    /// Whose key it is now.
+    /// Checks whether the tenant still holds the key.
     pub fn recheck(&self, tenants: Option<&TenantDirectory>) -> KeyStatus {
         let holder = tenants.and_then(|tenants| tenants.find(&self.key));
         match holder {
@@ -89,13 +89,13 @@
     }
 }
 
-/// What became of the key of a request since it was admitted.
+/// What has happened to a request's key since the request was admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeyStatus {
-    /// The tenant has it still, or nobody needs one any more.
+    /// The tenant still holds it, or keys are no longer required.
     Held,
-    /// Another tenant has it.
+    /// Another tenant holds it.
     Moved,
-    /// No tenant has it.
+    /// No tenant holds it any more.
     Revoked,
 }
--- a/crates/gateway/src/client_memory.rs
+++ b/crates/gateway/src/client_memory.rs
@@ -1,14 +1,14 @@
-//! A bound on the memory that all clients together may make the gateway hold: what they have sent and nobody has read, what was
-//! answered and they have not read, and the bodies of their requests in flight.
+//! Bounds the memory that all clients together make the gateway hold: bytes received and not yet read, responses that
+//! the clients have not read, and the bodies of their requests in flight.
 //!
-//! Each connection has bounds of its own, but there may be as many connections as descriptors. While more is held than allowed, new
-//! requests are rejected, and the connections that hold most are closed, until no more is held. A client that reads what it asked for
-//! holds little, so the ones that are closed are those that do not.
+//! Each connection has limits of its own, but there may be as many connections as file descriptors. While more is
+//! held than allowed, new requests are rejected, and the connections that hold the most are closed until the bound is
+//! met. A client that reads its responses holds little, so mainly clients that do not read are closed.
 
-/// Part of the process's memory that clients may take.
+/// Clients may take the process's memory limit divided by this number.
 const MEMORY_DIVISOR: u64 = 4;
 
-/// What clients hold, as of the last look.
+/// Memory held for clients, as of the last measurement.
 pub(crate) struct ClientMemory {
     max: u64,
     held: u64,
@@ -16,7 +16,7 @@
 }
 
 impl ClientMemory {
-    /// Nothing is held yet; the process may take so many bytes.
+    /// Creates the bound for a process with this memory limit, in bytes.
     pub fn new(process_memory: u64) -> Self {
         Self {
             max: process_memory / MEMORY_DIVISOR,
@@ -25,38 +25,38 @@
         }
     }
 
-    /// So many bytes are held.
+    /// Sets the number of bytes held.
     pub fn set_held(&mut self, bytes: u64) {
         self.held = bytes;
     }
 
-    /// So many bytes more are held.
+    /// Adds to the number of bytes held.
     pub fn add_held(&mut self, bytes: u64) {
         self.held += bytes;
     }
 
-    /// A connection that held so many bytes was closed.
+    /// Records that a connection that held this many bytes was closed.
     pub fn record_eviction(&mut self, bytes: u64) {
         self.held = self.held.saturating_sub(bytes);
         self.evicted += 1;
     }
 
-    /// Bytes that may be held.
+    /// Maximum number of bytes that may be held.
     pub fn max(&self) -> u64 {
         self.max
     }
 
-    /// Bytes that are held.
+    /// Number of bytes held.
     pub fn held(&self) -> u64 {
         self.held
     }
 
-    /// Whether more is held than allowed.
+    /// Whether the bound is exceeded.
     pub fn is_exceeded(&self) -> bool {
         self.held > self.max
     }
 
-    /// Connections that were closed because too much was held.
+    /// Number of connections closed because the bound was exceeded.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
--- a/crates/gateway/src/configuration_updates.rs
+++ b/crates/gateway/src/configuration_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the control plane are put in force, and the functions that are owned here are reported to the scaler.
+//! Applies updates from the control plane, and reports the functions owned here to the scaler.
 
 use crate::gateway::Gateway;
 use protocol::{Member, Message, OwnershipChange, UpdateVersion};
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 impl Gateway {
-    /// A committed configuration.
+    /// Applies a committed configuration.
     pub fn configuration_received(&mut self, version: u64, packed: &[u8]) {
         self.controllers.request_answered();
         let configuration_format = self.options.configuration_format.as_ref();
@@ -15,7 +15,7 @@
         self.recheck_keys();
     }
 
-    /// Committed changes of a configuration.
+    /// Applies committed changes to a configuration.
     pub fn changes_received(&mut self, base_version: u64, changes: &[Vec<u8>]) {
         self.controllers.request_answered();
         let configuration_format = self.options.configuration_format.as_ref();
@@ -24,7 +24,7 @@
         self.recheck_keys();
     }
 
-    /// Committed evacuated zones.
+    /// Applies committed evacuated zones.
     pub fn evacuations_received(&mut self, version: u64, zones: Vec<String>) {
         if self.configuration.apply_evacuations(version, zones) {
             let zones = self.configuration.evacuated_zones().clone();
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Gateways of which some do not understand agreed tables.
+    /// Applies a membership in which some gateways do not support agreed ownership tables.
     pub fn membership_received(&mut self, version: UpdateVersion, members: Vec<Member>) {
         self.ownership_received(OwnershipTable::not_agreed(version, members));
     }
 
-    /// How such gateways differ from the version before. A change that builds on another version is dropped.
+    /// Applies an incremental change to such a membership. A change based on another version is dropped.
     pub fn membership_changed(
         &mut self,
         base: UpdateVersion,
@@ -55,7 +55,7 @@
         self.membership_received(version, members);
     }
 
-    /// How the agreed owners differ from the version before. A change that builds on another version is dropped.
+    /// Applies an incremental change to an agreed ownership table. A change based on another version is dropped.
     pub fn ownership_changed(&mut self, change: &OwnershipChange) {
         let table = self.configuration.ownership();
         match table.and_then(|table| table.changed(change)) {
@@ -64,8 +64,8 @@
         }
     }
 
-    /// A table of owners. Requests that await a lease of a gateway that owns the function no more request it anew, and new owners
-    /// learn which seats are in use.
+    /// Applies an ownership table. Requests that wait for a gateway that no longer owns their function request a
+    /// lease from the new owner, and new owners receive reports of the seats in use.
     pub fn ownership_received(&mut self, table: OwnershipTable) {
         let table = Arc::new(table);
         if !self.configuration.apply_ownership(Arc::clone(&table)) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Reports to the scaler what changed at the functions owned here, and evicts functions that others own.
+    /// Reports changes of the functions owned here to the scaler, and evicts functions that others own.
     pub fn report_to_scaler(&mut self) {
         let Some(scaler) = self.controllers.scaler(self.now) else {
             return;
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -1,5 +1,4 @@
-//! Open connections of the gateway. Each open connection has one role, and one without a role is closed or about to
-//! close.
+//! Open connections of the gateway. Each has one role; a connection without a role is closed or about to be closed.
 
 use crate::downstream_connection::DownstreamConnection;
 use crate::upstream_connection::UpstreamConnection;
@@ -10,7 +9,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A runner that is probed.
+/// The runner that a probe connects to.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbedRunner {
     pub function: String,
@@ -19,19 +18,19 @@
 
 /// What a connection is for.
 pub(crate) enum ConnectionRole {
-    /// A client's requests.
+    /// Carries a client's requests.
     Downstream(DownstreamConnection),
-    /// Readiness checks at their own address.
+    /// Carries readiness checks sent to their own address.
     Readiness(RequestReader),
-    /// Requests for figures.
+    /// Carries requests for metrics.
     Metrics(MetricsReader),
-    /// Requests to a runner.
+    /// Carries requests to a runner.
     Upstream(UpstreamConnection),
-    /// Messages of another gateway, by name; none until it has said its name.
+    /// Link to another gateway, by name; `None` until it has sent its name.
     Peer(Option<String>),
-    /// Messages of a controller, by address.
+    /// Link to a controller, by address.
     Controller(String),
-    /// A probe whether a starting runner accepts connections.
+    /// Probes whether a starting runner accepts connections.
     Probe(ProbedRunner),
 }
 
@@ -42,7 +41,7 @@
 }
 
 impl Connections {
-    /// No connections yet; the event loop has its listeners.
+    /// Wraps an event loop that has its listeners and no connections yet.
     pub fn new(event_loop: EventLoop) -> Self {
         Self {
             event_loop,
@@ -50,7 +49,7 @@
         }
     }
 
-    /// Accepts no more connections at a listener.
+    /// Stops accepting connections at a listener.
     pub fn stop_listening(&mut self, listener: ListenerId) {
         self.event_loop.stop_listening(listener);
     }
@@ -60,7 +59,8 @@
         self.event_loop.poll(timeout, events);
     }
 
-    /// Begins to connect to an address (ip and port); none where that is no address or the system refuses.
+    /// Starts connecting to an address (IP and port). Returns `None` if the address is invalid or the system call
+    /// fails.
     pub fn connect(
         &mut self,
         address: &str,
@@ -73,7 +73,7 @@
         Some(id)
     }
 
-    /// Gives a connection its role, in place of the one that it had.
+    /// Sets the role of a connection, replacing any former one.
     pub fn set_role(&mut self, id: ConnectionId, role: ConnectionRole) {
         self.roles.insert(id, role);
     }
@@ -102,7 +102,7 @@
         Some((connection, self.event_loop.read_buffer(id)?))
     }
 
-    /// The reader of a connection for readiness checks with its unread bytes.
+    /// The reader and the unread bytes of a connection for readiness checks.
     pub fn readiness_input(
         &mut self,
         id: ConnectionId,
@@ -113,7 +113,7 @@
         Some((reader, self.event_loop.read_buffer(id)?))
     }
 
-    /// The reader of a connection for figures with its unread bytes.
+    /// The reader and the unread bytes of a connection for metrics.
     pub fn metrics_input(
         &mut self,
         id: ConnectionId,
@@ -143,40 +143,40 @@
         Some((connection, self.event_loop.read_buffer(id)?))
     }
 
-    /// Unread bytes of a connection; none where it is closed.
+    /// Unread bytes of a connection; `None` if it is closed.
     pub fn read_buffer(&mut self, id: ConnectionId) -> Option<&mut Vec<u8>> {
         self.event_loop.read_buffer(id)
     }
 
-    /// Number of bytes that were received and nobody has read.
+    /// Number of received bytes that have not been read.
     pub fn unread_bytes(&mut self, id: ConnectionId) -> usize {
         let buffer = self.event_loop.read_buffer(id);
         buffer.map_or(0, |buffer| buffer.len())
     }
 
-    /// Whether bytes were received that nobody has read.
+    /// Whether received bytes have not been read.
     pub fn has_unread_bytes(&mut self, id: ConnectionId) -> bool {
         self.unread_bytes(id) > 0
     }
 
-    /// Whether a connection is open and all bytes that were received on it have been read.
+    /// Whether a connection is open and all its received bytes have been read.
     pub fn has_no_unread_bytes(&mut self, id: ConnectionId) -> bool {
         let buffer = self.event_loop.read_buffer(id);
         buffer.is_some_and(|buffer| buffer.is_empty())
     }
 
-    /// Asks the system whether an open connection has nothing to read and was not closed by its peer, up to this
+    /// Queries the socket whether an open connection has nothing to read and was not closed by its peer up to this
     /// moment.
     pub fn has_nothing_to_read(&mut self, id: ConnectionId) -> bool {
         self.event_loop.has_nothing_to_read(id)
     }
 
-    /// Whether the peer has not closed the connection, as of the last poll.
+    /// Whether the connection was open as of the last poll.
     pub fn is_open(&self, id: ConnectionId) -> bool {
         self.event_loop.is_open(id)
     }
 
-    /// Memory that the buffers of each connection take that a listener has accepted, in bytes.
+    /// Memory taken by the buffers of each connection that a listener has accepted, in bytes.
     pub fn held_bytes(
         &self,
         listener: ListenerId,
@@ -184,39 +184,39 @@
         self.event_loop.held_bytes(listener)
     }
 
-    /// Reading a connection stops at so many unread bytes.
+    /// Sets the number of unread bytes at which reading from a connection stops.
     pub fn set_read_limit(&mut self, id: ConnectionId, read_limit: usize) {
         self.event_loop.set_read_limit(id, read_limit);
     }
 
-    /// Bytes that wait to be sent.
+    /// Number of bytes queued for sending.
     pub fn unsent_bytes(&self, id: ConnectionId) -> usize {
         self.event_loop.unsent_bytes(id)
     }
 
-    /// Sets for how long the peer may leave sent bytes unacknowledged.
+    /// Sets how long, in milliseconds, the peer may leave sent bytes unacknowledged.
     pub fn set_user_timeout(&mut self, id: ConnectionId, silence_ms: u64) {
         self.event_loop.set_user_timeout(id, silence_ms);
     }
 
-    /// Sends bytes; false where none of them has left or ever will.
+    /// Sends bytes. Returns false if none of them was sent or ever will be.
     pub fn send(&mut self, id: ConnectionId, bytes: &[u8]) -> bool {
         self.event_loop.send(id, bytes)
     }
 
-    /// Closes a connection at once.
+    /// Closes a connection immediately.
     pub fn close(&mut self, id: ConnectionId) {
         self.roles.remove(&id);
         self.event_loop.close(id);
     }
 
-    /// Closes a connection once everything that was sent has left; what it receives until then is ignored.
+    /// Closes a connection after all queued bytes are sent; bytes received until then are ignored.
     pub fn close_after_flush(&mut self, id: ConnectionId) {
         self.event_loop.close_after_flush(id);
         self.roles.remove(&id);
     }
 
-    /// Whether a connection that is to be closed still has bytes to send.
+    /// Whether a connection that is about to be closed still has bytes to send.
     pub fn is_flushing(&self) -> bool {
         self.event_loop.is_flushing()
     }
@@ -226,7 +226,7 @@
         self.event_loop.len()
     }
 
-    /// Clients' connections on which nothing is under way.
+    /// Clients' connections without a request in flight or arriving.
     pub fn idle_downstream(&self) -> Vec<ConnectionId> {
         let idle = self.roles.iter().filter(|(_, role)| {
             matches!(role, ConnectionRole::Downstream(connection) if connection.is_idle())
@@ -234,7 +234,7 @@
         idle.map(|(id, _)| *id).collect()
     }
 
-    /// Clients' connections whose request has no response yet.
+    /// Clients' connections that wait for a response, with their requests.
     pub fn waiting_downstream(&self) -> Vec<(ConnectionId, RequestId)> {
         let roles = self.roles.iter();
         let waiting = roles.filter_map(|(id, role)| match role {
@@ -250,7 +250,7 @@
         roles.any(|role| matches!(role, ConnectionRole::Downstream(_)))
     }
 
-    /// Connections with another gateway.
+    /// Connections to the gateway of this name.
     pub fn with_peer(&self, name: &str) -> Vec<ConnectionId> {
         let with_peer = self
             .roles
@@ -259,7 +259,7 @@
         with_peer.map(|(id, _)| *id).collect()
     }
 
-    /// Whether a pooled connection to a runner may still be used.
+    /// Whether a pooled connection to a runner has not expired.
     pub fn is_fresh_upstream(&self, id: ConnectionId, now: u64) -> bool {
         matches!(self.roles.get(&id),
             Some(ConnectionRole::Upstream(connection)) if connection.expires_at > now)
--- a/crates/gateway/src/controller_links.rs
+++ b/crates/gateway/src/controller_links.rs
@@ -1,4 +1,5 @@
-//! Links to controllers: when to connect, to send a heartbeat and to give up, and which controller to ask for what.
+//! Links to controllers: decides when to connect, send heartbeats and time out, and which controller to send a
+//! request to.
 
 use crate::applied_configuration::ConfigurationVersions;
 use event_loop::{ConnectionId, HungAttempts};
@@ -7,45 +8,47 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Most controllers that are known.
+/// Maximum number of known controllers.
 const CONTROLLERS_MAX: usize = 64;
-/// Milliseconds for which the response to a request for configuration is waited for.
+/// Timeout of a configuration request, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 250;
-/// Milliseconds of silence after which the scaler is no longer reported to.
+/// Time without a message from the scaler after which functions are no longer reported to it, in milliseconds.
 const SCALER_SILENCE_MS: u64 = 3_000;
-/// Milliseconds between evictions of functions that other gateways own.
+/// Interval between evictions of functions that other gateways own, in milliseconds.
 const EVICTION_INTERVAL_MS: u64 = 1_500;
-/// Intervals between two heartbeats to a controller that does not scale. Its silence is noticed by its own heartbeats.
+/// Heartbeat intervals between two heartbeats to a controller that is not the scaler. Its silence is detected by its
+/// own heartbeats.
 const NON_SCALER_HEARTBEAT_INTERVALS: u64 = 2;
-/// Heartbeats after the start within which connections are tried more often, since controllers may be starting too.
+/// Number of heartbeat intervals after startup in which connecting is retried more often, because controllers may be
+/// starting too.
 const STARTUP_HEARTBEATS: u64 = 8;
-/// Attempts to connect per heartbeat within that time.
+/// Connection attempts per heartbeat interval during startup.
 const STARTUP_ATTEMPTS_PER_HEARTBEAT: u64 = 6;
 
-/// A first attempt to connect must succeed within a heartbeat's interval divided by this.
+/// The timeout of a first connection attempt is the heartbeat interval divided by this number.
 const CONNECT_TIMEOUT_DIVISOR: u64 = 2;
 
-/// One controller and the state of the link to it. What it said of itself holds while the link lasts.
+/// A controller and the state of the link to it. What the controller announced is valid only while the link lasts.
 #[derive(Default)]
 struct ControllerLink {
     connection: Option<ConnectionId>,
     heard_at: u64,
     connect_attempted_at: u64,
-    /// Whether the connection has been established.
+    /// Whether the connection is established.
     is_established: bool,
-    /// Whether the controller was told that this gateway understands changes of the membership.
+    /// Whether the controller was notified that this gateway accepts incremental membership changes.
     accepts_changes: bool,
-    /// Whether the controller understands agreed tables of owners.
+    /// Whether the controller supports agreed ownership tables.
     understands_ownership: bool,
-    /// Whether it was told that this gateway is about to stop.
+    /// Whether the controller was notified that this gateway is about to stop.
     leaving_announced: bool,
     hung_attempts: HungAttempts,
     heartbeat_sent_at: u64,
     versions: ConfigurationVersions,
-    /// Term in which it scales; 0 where it does not.
+    /// Term in which it is the scaler; 0 if it is not.
     term: u64,
     zone: String,
-    /// Whether it said last that it is in contact with a majority.
+    /// Whether its last heartbeat reported contact with a majority.
     is_current: bool,
 }
 
@@ -60,7 +63,7 @@
         self.is_current = false;
     }
 
-    /// Whether an attempt to connect has hung for too long.
+    /// Whether a connection attempt has exceeded its timeout.
     fn has_connect_timed_out(&self, now: u64, interval_ms: u64) -> bool {
         let timeout_ms = self
             .hung_attempts
@@ -69,7 +72,7 @@
     }
 }
 
-/// What a controller's heartbeat says of it.
+/// The state that a controller announces in its heartbeat.
 pub(crate) struct ControllerState {
     pub versions: ConfigurationVersions,
     pub term: u64,
@@ -77,28 +80,28 @@
     pub is_current: bool,
 }
 
-/// How often a heartbeat is sent, and after which silence a controller is taken for dead, in milliseconds.
+/// Interval of heartbeats and the silence after which a controller is considered dead, in milliseconds.
 #[derive(Clone, Copy)]
 pub(crate) struct HeartbeatTiming {
     pub interval_ms: u64,
     pub silence_ms: u64,
 }
 
-/// What is to be done for the link to one controller.
+/// Work that is due for the link to one controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkTask {
     None,
-    /// The controller was silent for too long.
+    /// The controller was silent for too long, or the connection attempt timed out.
     Close(ConnectionId),
     SendHeartbeat(ConnectionId),
     Connect,
 }
 
-/// The controller that scales.
+/// The controller that runs the scaler.
 pub(crate) struct Scaler {
     pub address: String,
-    /// Whether it is another one, in another term or over another link than last time, so that it knows nothing yet, or what it told and
-    /// was told last may have been lost.
+    /// Whether the scaler, its term or the link to it has changed since the last report. In that case it knows
+    /// nothing yet, or the latest messages in either direction may have been lost.
     pub is_new: bool,
 }
 
@@ -106,7 +109,7 @@
 pub(crate) struct ControllerLinks {
     links: BTreeMap<String, ControllerLink>,
     scaler_term: u64,
-    /// The link over which the scaler was reported to last.
+    /// The connection used for the latest report to the scaler.
     scaler_connection: Option<ConnectionId>,
     evicted_at: u64,
     request_pending_until: u64,
@@ -114,7 +117,7 @@
 }
 
 impl ControllerLinks {
-    /// Links to be opened to the controllers that the settings name.
+    /// Creates unconnected links to the controllers named in the settings.
     pub fn new(addresses: &[SocketAddr]) -> Self {
         let addresses = addresses.iter();
         Self {
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Adds controllers that the settings or another controller name.
+    /// Adds controllers named in the settings or by another controller.
     pub fn add(&mut self, addresses: impl Iterator<Item = String>) {
         for address in addresses.take(CONTROLLERS_MAX) {
             let is_address = address.parse::<SocketAddr>().is_ok();
@@ -144,7 +147,7 @@
         self.links.keys().cloned().collect()
     }
 
-    /// Number of controllers to which there is a link.
+    /// Number of connected controllers.
     pub fn linked(&self) -> usize {
         let links = self.links.values();
         links.filter(|link| link.connection.is_some()).count()
@@ -155,19 +158,20 @@
         self.links.get(address).and_then(|link| link.connection)
     }
 
-    /// Addresses of the controllers to which there is a link.
+    /// Addresses of the connected controllers.
     pub fn linked_addresses(&self) -> Vec<String> {
         let links = self.links.iter();
         let linked = links.filter(|(_, link)| link.connection.is_some());
         linked.map(|(address, _)| address.clone()).collect()
     }
 
-    /// Term in which a controller said last that it scales; 0 where it does not.
+    /// Term in which a controller is the scaler, according to its last heartbeat; 0 if it is not.
     pub fn term(&self, address: &str) -> u64 {
         self.links.get(address).map_or(0, |link| link.term)
     }
 
-    /// The process stood still: what controllers sent meanwhile is not read yet, and a connection may have come up.
+    /// Restarts the timeouts of all links after a process pause: messages that were received during the pause are not
+    /// read yet, and a connection may have been established.
     pub fn process_paused(&mut self, pause: ProcessPause) {
         for link in self.links.values_mut() {
             if link.connection.is_some() {
@@ -177,17 +181,17 @@
         }
     }
 
-    /// A frame leaves for a controller.
+    /// Counts a frame sent to a controller.
     pub fn record_sent(&mut self, frame: &[u8]) {
         self.sent.record(frame);
     }
 
-    /// What was sent to controllers.
+    /// Counts of the messages sent to controllers.
     pub fn sent(&self) -> &SentMessages {
         &self.sent
     }
 
-    /// A message came from a controller; false where the controller is not known.
+    /// Records a message from a controller. Returns false if the controller is unknown.
     pub fn record_heard(&mut self, address: &str, now: u64) -> bool {
         let Some(link) = self.links.get_mut(address) else {
             return false;
@@ -196,7 +200,7 @@
         true
     }
 
-    /// A heartbeat came from a controller.
+    /// Records a controller's heartbeat.
     pub fn record_heartbeat(&mut self, address: &str, state: ControllerState) {
         if let Some(link) = self.links.get_mut(address) {
             link.versions = state.versions;
@@ -206,20 +210,20 @@
         }
     }
 
-    /// A heartbeat without addresses shows that a controller understands that changes of the membership are accepted; whether it is to
-    /// be told so now.
+    /// Records that a controller supports incremental membership changes, which a heartbeat without addresses shows.
+    /// Returns whether it has yet to be notified that this gateway accepts them.
     pub fn accept_membership_changes(&mut self, address: &str) -> bool {
         let link = self.links.get_mut(address);
         link.is_some_and(|link| !std::mem::replace(&mut link.accepts_changes, true))
     }
 
-    /// A controller understands agreed tables of owners; whether that is new.
+    /// Records that a controller supports agreed ownership tables. Returns whether this was not known before.
     pub fn record_understands_ownership(&mut self, address: &str) -> bool {
         let link = self.links.get_mut(address);
         link.is_some_and(|link| !std::mem::replace(&mut link.understands_ownership, true))
     }
 
-    /// Controllers that have not been told that this gateway is about to stop. They are taken as told.
+    /// Returns the controllers that were not notified that this gateway is about to stop, and marks them as notified.
     pub fn take_unnotified_of_leaving(&mut self) -> Vec<String> {
         let links = self.links.iter_mut();
         let unnotified =
@@ -232,18 +236,18 @@
             .collect()
     }
 
-    /// The controller that scales, where it understands agreed tables of owners and was heard within so many milliseconds.
+    /// Address of the scaler, if it supports agreed ownership tables and was heard from within `within_ms`.
     pub fn heard_scaler(&self, now: u64, within_ms: u64) -> Option<String> {
         let (address, _) = self.newest_scaler(now, within_ms, |link| link.understands_ownership)?;
         Some(address.clone())
     }
 
-    /// Whether a controller that scales was heard within so many milliseconds.
+    /// Whether the scaler was heard from within `within_ms`.
     pub fn is_scaler_heard(&self, now: u64, within_ms: u64) -> bool {
         self.newest_scaler(now, within_ms, |_| true).is_some()
     }
 
-    /// The controller with the highest term of the suited ones that were heard within so many milliseconds.
+    /// The eligible controller with the highest scaler term that was heard from within `within_ms`.
     fn newest_scaler(
         &self,
         now: u64,
@@ -258,12 +262,12 @@
         scaling.max_by_key(|(_, link)| link.term)
     }
 
-    /// Whether a controller said last that it is in contact with a majority.
+    /// Whether a controller's last heartbeat reported contact with a majority.
     pub fn is_current(&self, address: &str) -> bool {
         self.links.get(address).is_some_and(|link| link.is_current)
     }
 
-    /// What is due for the link to a controller. It is taken as done.
+    /// Returns the work that is due for the link to a controller, and marks it as done.
     pub fn next_task(&mut self, address: &str, now: u64, timing: HeartbeatTiming) -> LinkTask {
         let Some(link) = self.links.get_mut(address) else {
             return LinkTask::None;
@@ -302,7 +306,7 @@
         LinkTask::Connect
     }
 
-    /// A connection to a controller was opened.
+    /// Records a connection that was opened to a controller.
     pub fn begin(&mut self, address: &str, connection: ConnectionId, now: u64) {
         if let Some(link) = self.links.get_mut(address) {
             link.connection = Some(connection);
@@ -311,7 +315,7 @@
         }
     }
 
-    /// The connection to a controller has been established.
+    /// Records that the connection to a controller is established.
     pub fn established(&mut self, address: &str) {
         if let Some(link) = self.links.get_mut(address) {
             link.is_established = true;
@@ -319,15 +323,15 @@
         }
     }
 
-    /// The connection to a controller has ended.
+    /// Records that the connection to a controller has ended.
     pub fn end(&mut self, address: &str) {
         if let Some(link) = self.links.get_mut(address) {
             link.end();
         }
     }
 
-    /// The controller to send an idempotency-key request to after so many attempts: near ones first, and where any is in
-    /// contact with a majority, one of these.
+    /// Selects the controller for a job register request after `attempts` attempts. Controllers in contact with a
+    /// majority are used if there are any, those in this zone first.
     pub fn for_job_register(&self, zone: &str, attempts: u32) -> Option<String> {
         let links = self.links.iter();
         let mut linked: Vec<_> = links
@@ -341,7 +345,7 @@
         linked.get(place).map(|(address, _)| (*address).clone())
     }
 
-    /// The controller that scales, by the highest term of those that were heard lately.
+    /// The scaler: the controller with the highest term among those heard from recently.
     pub fn scaler(&mut self, now: u64) -> Option<Scaler> {
         let (address, link) = self.newest_scaler(now, SCALER_SILENCE_MS, |_| true)?;
         let (address, term, connection) = (address.clone(), link.term, link.connection);
@@ -354,7 +358,7 @@
         Some(Scaler { address, is_new })
     }
 
-    /// Whether it is time again to evict functions that other gateways own.
+    /// Whether the next eviction of functions that other gateways own is due.
     pub fn is_eviction_due(&mut self, now: u64) -> bool {
         let is_due = now >= self.evicted_at + EVICTION_INTERVAL_MS;
         if is_due {
@@ -363,8 +367,9 @@
         is_due
     }
 
-    /// The controller to request newer configuration from, one at a time: in contact with a majority and near first. A
-    /// gateway that is not ready requests none from a controller that is out of contact.
+    /// Selects the controller to request newer configuration from, unless a request is pending: preferably one in
+    /// contact with a majority, then one in this zone. A gateway that is not ready ignores controllers without
+    /// contact to a majority.
     pub fn source_of_newer_configuration(
         &mut self,
         held: ConfigurationVersions,
@@ -386,7 +391,7 @@
         Some(address.clone())
     }
 
-    /// The response to a request for configuration has come.
+    /// Records the response to a configuration request.
     pub fn request_answered(&mut self) {
         self.request_pending_until = 0;
     }
--- a/crates/gateway/src/controller_messages.rs
+++ b/crates/gateway/src/controller_messages.rs
@@ -8,7 +8,7 @@
 use seat_leases::OwnershipTable;
 
 impl Gateway {
-    /// Sends a message to a controller; without a link it is dropped.
+    /// Sends a message to a controller. Without a link it is dropped.
     pub fn send_to_controller(&mut self, address: &str, message: &Message) {
         if let Some(connection) = self.controllers.connection(address) {
             let bytes = frame(message);
@@ -17,7 +17,7 @@
         }
     }
 
-    /// A message of a controller has come.
+    /// Handles a message from a controller.
     pub fn controller_message(&mut self, address: &str, message: Message) {
         if !self.controllers.record_heard(address, self.now) {
             return;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The scaler tells which gateways own functions.
+    /// Applies an ownership table or membership published by the scaler.
     fn table_message(&mut self, address: &str, message: Message) {
         let version = match message {
             Message::GatewayMembership { version, members } => {
@@ -108,8 +108,8 @@
         self.request_configuration();
     }
 
-    /// Configuration of a controller. A gateway that serves may move forward by what any controller holds; one that
-    /// starts waits for a controller that is in contact with a majority.
+    /// Applies configuration from a controller. A gateway that is ready accepts newer versions from any controller;
+    /// one that is starting accepts them only from a controller in contact with a majority.
     fn configuration_message(&mut self, address: &str, message: Message) {
         let is_trusted = self.controllers.is_current(address) || self.configuration.is_ready();
         if !is_trusted {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Requests newer configuration where a controller has it.
+    /// Requests newer configuration if a controller has it.
     fn request_configuration(&mut self) {
         let versions = self.configuration.versions();
         let is_ready = self.configuration.is_ready();
@@ -153,7 +153,7 @@
         self.send_to_controller(&controller, &message);
     }
 
-    /// Sends heartbeats to controllers, connects to those without a link and drops links that fell silent.
+    /// Sends heartbeats to controllers, connects to those without a link and closes links that are silent.
     pub fn maintain_controller_links(&mut self) {
         let timing = HeartbeatTiming {
             interval_ms: self.options.heartbeat_ms(),
@@ -193,19 +193,20 @@
         self.pauses.confirmation.link_opened(address);
         let hello = frame(&Message::GatewayHello(self.identity.clone()));
         self.connections.send(connection, &hello);
-        // Controllers before agreed tables of owners leave it unanswered.
+        // Controllers that do not support agreed ownership tables do not answer the ping.
         let ping = frame(&Message::Ping(self.now));
         self.connections.send(connection, &ping);
     }
 
-    /// A controller has answered a ping, so that it understands agreed tables of owners.
+    /// Handles a pong, which shows that the controller supports agreed ownership tables.
     fn controller_understands_ownership(&mut self, address: &str) {
         if self.controllers.record_understands_ownership(address) {
             self.send_to_controller(address, &Message::AcceptsOwnershipTables);
         }
     }
 
-    /// Tells controllers that this gateway is about to stop, so that its functions go to others while it can hand them over.
+    /// Notifies controllers that this gateway is about to stop, so that its functions are reassigned while it can
+    /// still hand them over.
     pub fn announce_leaving(&mut self) {
         for address in self.controllers.take_unnotified_of_leaving() {
             self.send_to_controller(&address, &Message::GatewayLeaving);
--- a/crates/gateway/src/downstream_connection.rs
+++ b/crates/gateway/src/downstream_connection.rs
@@ -1,26 +1,26 @@
-//! State of one client's connection. It bears one request at a time.
+//! State of one client connection, which carries one request at a time.
 
 use http1::RequestReader;
 use protocol::RequestId;
 
-/// A client's connection.
+/// A client connection.
 #[derive(Default)]
 pub(crate) struct DownstreamConnection {
     pub reader: RequestReader,
-    /// The request that has no response yet.
+    /// The request in flight.
     pub request: Option<RequestId>,
-    /// Whether `100 Continue` was sent for the request that is arriving.
+    /// Whether `100 Continue` was sent for the arriving request.
     pub has_sent_continue: bool,
-    /// When the request that is arriving began to, or the connection fell idle.
+    /// When the arriving request began, or when the connection became idle.
     pub since: u64,
-    /// Whether the first bytes of a request are here.
+    /// Whether part of a request has been received.
     pub is_arriving: bool,
     /// Whether a timer is set for the connection.
     pub has_timer: bool,
 }
 
 impl DownstreamConnection {
-    /// A connection that was accepted now and has its timer.
+    /// A connection accepted at `now`, for which a timer is set.
     pub fn accepted(now: u64) -> Self {
         Self {
             since: now,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether nothing is under way on it.
+    /// Whether no request is in flight or arriving.
     pub fn is_idle(&self) -> bool {
         self.request.is_none() && !self.is_arriving
     }
--- a/crates/gateway/src/downstream_requests.rs
+++ b/crates/gateway/src/downstream_requests.rs
@@ -1,4 +1,4 @@
-//! Phase 1: bytes of a client become a request. A client's next request is read once the one before has its response.
+//! Phase 1: reads requests from clients. A client's next request is read only after the response to the previous one.
 
 use crate::connections::ConnectionRole;
 use crate::downstream_connection::DownstreamConnection;
@@ -9,30 +9,30 @@
 use http1::{MessageLimits, CONTINUE};
 
 const REQUEST_TIMEOUT: u16 = 408;
-/// Bytes that a request's framing takes beside its head and body, at most.
+/// Allowance for a request's framing in addition to its head and body, in bytes.
 const FRAMING_BYTES: usize = 1 << 10;
 
 impl Gateway {
-    /// A client has connected.
+    /// Handles a newly accepted client connection.
     pub fn downstream_accepted(&mut self, id: ConnectionId) {
         let connection = DownstreamConnection::accepted(self.now);
         self.connections
             .set_role(id, ConnectionRole::Downstream(connection));
         let idle_ms = self.configuration.limits().idle_timeout_ms;
-        // The timeout for daemons is too short for a client that reads slowly.
+        // The default user timeout is meant for daemons and too short for a client that reads slowly.
         self.connections.set_user_timeout(id, idle_ms);
         self.timers
             .schedule(self.now + idle_ms, TimerEvent::DownstreamTimeout(id));
     }
 
-    /// Bytes of a client have arrived.
+    /// Reads a request from the bytes that a client has sent.
     pub fn downstream_readable(&mut self, id: ConnectionId) {
         let limits = self.configuration.limits();
         let message_limits = MessageLimits {
             header_bytes: limits.header_bytes,
             body_bytes: limits.body_bytes,
         };
-        // The next request is read once the client has read the response to the one before.
+        // The next request is read only after the client has read the previous response.
         if self.connections.unsent_bytes(id) > 0 {
             return;
         }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A part of a request is here: it must be whole in time, and its client may wait for leave to send the body.
+    /// Handles a partial request: starts its timeout, and sends `100 Continue` if the client waits for it.
     fn request_is_incomplete(&mut self, id: ConnectionId, wait_ms: u64) {
         let Some((connection, buffer)) = self.connections.downstream_input(id) else {
             return;
@@ -73,22 +73,22 @@
         }
     }
 
-    /// Notes a connection whose next request may have arrived already. It is read in its turn and not from within the
-    /// response to the one before, since a client may send any number of requests at once.
+    /// Marks a connection whose next request may already have arrived. It is read in the next turn rather than
+    /// recursively from the previous response, because a client may send any number of requests at once.
     pub fn read_next_turn(&mut self, id: ConnectionId) {
         if self.connections.has_unread_bytes(id) {
             self.pipelined_connections.push(id);
         }
     }
 
-    /// Reads one more request of each client that sent several at once.
+    /// Reads one more request from each client that pipelines requests.
     pub fn read_pipelined(&mut self) {
         for id in std::mem::take(&mut self.pipelined_connections) {
             self.downstream_readable(id);
         }
     }
 
-    /// A client's connection may have been idle, or its request arriving, for too long.
+    /// Closes a client's connection if it was idle, or its request incomplete, for too long.
     pub fn downstream_timeout(&mut self, id: ConnectionId) {
         let limits = self.configuration.limits();
         let Some(connection) = self.connections.downstream(id) else {
@@ -119,8 +119,9 @@
         self.connections.close_after_flush(id);
     }
 
-    /// A client has left. A request that was sent to a runner goes on where it must run once, since its outcome may be kept for a
-    /// copy of it, or be looked for in vain. Any other is cancelled, and its runner let go.
+    /// Handles a client's disconnect. A request that was sent to a runner and must not run twice continues, because
+    /// its outcome may be stored for a copy of it or looked up later. Any other request is cancelled and its runner
+    /// released.
     pub fn downstream_closed(&mut self, id: ConnectionId) {
         let connection = self.connections.downstream(id);
         let Some(request_id) = connection.and_then(|connection| connection.request) else {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Closes the clients' connections on which nothing is under way and nothing has arrived.
+    /// Closes the client connections without a request in flight or arriving.
     pub fn close_idle_downstream(&mut self) {
         for id in self.connections.idle_downstream() {
             if !self.connections.has_unread_bytes(id) {
--- a/crates/gateway/src/downstream_responses.rs
+++ b/crates/gateway/src/downstream_responses.rs
@@ -1,4 +1,4 @@
-//! Phase 7: a response goes to the client, and its connection is free for the next request.
+//! Phase 7: sends the response to the client and frees its connection for the next request.
 
 use crate::gateway::{Gateway, TimerEvent};
 use crate::pending_request::PendingRequest;
@@ -6,14 +6,14 @@
 use http1::{write_response, HttpError, Request};
 use invariants::{check, Invariant};
 
-/// Bytes of a response's head that are reserved beside its body.
+/// Bytes reserved for a response's head in addition to its body.
 const HEAD_ESTIMATE: usize = 256;
 
-/// A header of a response.
+/// Name and value of a response header.
 pub(crate) type Header<'a> = (&'a str, &'a [u8]);
 
 impl Gateway {
-    /// Responds to a request that is no longer in flight; where its client has left, nothing is sent.
+    /// Responds to a request that is no longer in flight. Sends nothing if the client has disconnected.
     pub fn respond(
         &mut self,
         request: &PendingRequest,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A connection that is still there waits for this very request.
+    /// Checks that the client's connection, if still open, waits for this request.
     fn check_recipient(&mut self, id: ConnectionId, request: &PendingRequest) {
         let connection = self.connections.downstream(id);
         let awaited = connection.map(|connection| connection.request);
@@ -78,7 +78,7 @@
         self.read_next_turn(id);
     }
 
-    /// Responds to bytes that are no request, and closes the connection.
+    /// Rejects bytes that are not a valid request and closes the connection.
     pub fn reject_bytes(&mut self, id: ConnectionId, error: &HttpError) {
         log::debug!("gateway: bytes rejected: {error}");
         self.record_unread_request(error.status(), "the bytes are no request");
@@ -86,7 +86,7 @@
         self.connections.close_after_flush(id);
     }
 
-    /// Sends a response without headers, which belongs to no request in flight.
+    /// Sends a response without headers that belongs to no request in flight.
     pub fn send_text(&mut self, id: ConnectionId, status: u16, text: &str, keeps_alive: bool) {
         let mut out = Vec::new();
         let headers = std::iter::empty();
--- a/crates/gateway/src/failure_log.rs
+++ b/crates/gateway/src/failure_log.rs
@@ -1,39 +1,39 @@
-//! One structured log line for each request that fails, is rejected or is left by its client, so that it can be explained afterwards.
-//! The lines are bounded in rate; how many were left out is told with the next one.
+//! Writes a structured log line for each request that fails, is rejected or is abandoned by its client. The lines are
+//! rate-limited; each reports how many were suppressed before it.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-/// Lines that may be written at once.
+/// Maximum burst of lines.
 const BURST: u64 = 50;
-/// Lines that are written for long, in a second.
+/// Sustained rate of lines, per second.
 const PER_SECOND: u64 = 10;
 const MS_PER_LINE: u64 = 1_000 / PER_SECOND;
-/// Most characters of a client's request id that are shown.
+/// Maximum number of characters of a client's request id in a line.
 const REQUEST_ID_MAX: usize = 64;
 
-/// What is known of a request that did not get a runner's response.
+/// Details of a request that did not get a runner's response.
 pub(crate) struct RequestFailure<'a> {
-    /// The id that the client gave.
+    /// The id set by the client.
     pub request_id: &'a [u8],
-    /// Name of the binding; empty where none was found.
+    /// Name of the binding; empty if none was found.
     pub route: &'a str,
     pub function: &'a str,
-    /// Name of the tenant that sent it; empty where it has none or it is not known.
+    /// Name of the sending tenant; empty if there is none or it is not known.
     pub tenant: &'a str,
-    /// The status that the client was given; 0 where it left before.
+    /// The status sent to the client; 0 if it had disconnected.
     pub status: u16,
     pub reason: &'static str,
-    /// The runner of the last attempt; empty where there was none.
+    /// The runner of the last attempt; empty if there was none.
     pub runner: &'a str,
-    /// Times that it was sent to a runner.
+    /// Number of times it was sent to a runner.
     pub attempts: u32,
-    /// Times that no connection to a runner came to be.
+    /// Number of failed connections to runners.
     pub connect_failures: u32,
     pub may_have_run: bool,
-    /// Milliseconds since it was read.
+    /// Milliseconds since it was received.
     pub held_ms: u64,
-    /// Milliseconds that were left until its deadline.
+    /// Milliseconds left until its deadline.
     pub left_ms: u64,
 }
 
@@ -57,28 +57,28 @@
     }
 }
 
-/// Requests that got an error of the gateway's own, or whose client left.
+/// Counts and logs the requests that got an error from the gateway itself or whose client disconnected.
 #[derive(Default)]
 pub(crate) struct FailureLog {
-    /// Failures in this incarnation, by status and reason; a status of 0 stands for a client that left.
+    /// Failures in this incarnation, by status and reason. Status 0 stands for a client that disconnected.
     counts: BTreeMap<(u16, &'static str), u64>,
-    /// Milliseconds of the clock up to which lines are spent: each takes [`MS_PER_LINE`].
+    /// Time up to which the line budget is spent, in milliseconds: each line takes [`MS_PER_LINE`].
     spent_until: u64,
-    /// Lines that were left out since the last one.
+    /// Lines suppressed since the last one written.
     suppressed: u64,
-    /// Lines that were left out in this incarnation.
+    /// Lines suppressed in this incarnation.
     suppressed_total: u64,
 }
 
 impl FailureLog {
-    /// Requests that got an error of the gateway's own.
+    /// Number of requests that got an error from the gateway itself.
     pub fn rejected(&self) -> u64 {
         let counts = self.counts.iter();
         let rejected = counts.filter(|((status, _), _)| *status != 0);
         rejected.map(|(_, count)| count).sum()
     }
 
-    /// Failures by reason.
+    /// Number of failures by reason.
     pub fn by_reason(&self) -> impl Iterator<Item = (&'static str, u64)> {
         let mut by_reason: BTreeMap<&'static str, u64> = BTreeMap::new();
         for ((_, reason), count) in &self.counts {
@@ -87,12 +87,12 @@
         by_reason.into_iter()
     }
 
-    /// Lines that were left out.
+    /// Number of suppressed lines.
     pub fn suppressed_lines(&self) -> u64 {
         self.suppressed_total
     }
 
-    /// Counts a failure, and logs it unless there were many lately.
+    /// Counts a failure, and logs it unless the rate limit is exceeded.
     pub fn record(&mut self, now: u64, failure: &RequestFailure<'_>) {
         let key = (failure.status, failure.reason);
         *self.counts.entry(key).or_default() += 1;
@@ -130,7 +130,7 @@
     }
 }
 
-/// A client's bytes as one word of a log line.
+/// Escapes bytes from a client into one word of a log line.
 fn escape_for_log(bytes: &[u8]) -> String {
     let text: Cow<'_, str> = String::from_utf8_lossy(bytes);
     let escaped = text.escape_default().to_string();
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway's state: one of each part, the clock and the timers.
+//! The gateway's state: its components, the clock and the timers.
 
 use crate::applied_configuration::AppliedConfiguration;
 use crate::client_memory::ClientMemory;
@@ -21,42 +21,43 @@
 use seat_leases::{CancelledRequests, LeaseOwner, RelayedRequests};
 use std::sync::Arc;
 
-/// Unread bytes of a client's connection before the limits of the configuration are known for it.
+/// Read limit of a client's connection until the configured limits are applied to it, in bytes.
 const DOWNSTREAM_BUFFER_MIN: usize = 16 << 10;
-/// Most unread bytes of a connection for readiness checks or figures.
+/// Read limit of a connection for readiness checks or metrics, in bytes.
 const READINESS_BUFFER_MAX: usize = 1 << 14;
-/// Most unread bytes of a connection with another daemon.
+/// Read limit of a link to another daemon, in bytes.
 pub(crate) const LINK_BUFFER_MAX: usize = 16 << 20;
 
-/// What is due at a time. Of those due at the same time the first in this order goes first.
+/// A scheduled event. Events that are due at the same time are handled in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerEvent {
     /// Periodic work.
     Tick,
     /// A request's deadline.
     RequestDeadline(RequestId),
-    /// A request that was in backoff requests a lease again.
+    /// The backoff of a request ends, and it requests a lease again.
     BackoffOver(RequestId),
-    /// A connection to a runner must have come up.
+    /// The timeout for connecting to a runner ends.
     ConnectTimeout(ConnectionId),
-    /// The response to a request's attempt of this number is overdue.
+    /// The response to the given attempt of a request is overdue.
     ResponseOverdue(RequestId, u32),
-    /// A client's connection was idle, or its request arriving, for long.
+    /// A client's connection may have been idle, or its request incomplete, for too long.
     DownstreamTimeout(ConnectionId),
 }
 
-/// Listening sockets that give accepted connections their role. Connections of any other listener are peers'.
+/// Listening sockets, which determine the role of the connections they accept. Connections from any other listener
+/// belong to peers.
 pub(crate) struct Listeners {
     pub downstream: ListenerId,
     pub readiness: ListenerId,
-    /// None where no address is given, or it could not be bound.
+    /// `None` if no address is configured or the address could not be bound.
     pub metrics: Option<ListenerId>,
 }
 
-/// All state of the gateway, on one thread.
+/// All state of the gateway. It is used from one thread only.
 pub(crate) struct Gateway {
     pub options: GatewayOptions,
-    /// How this gateway names itself to other daemons.
+    /// The identity that this gateway announces to other daemons.
     pub identity: Member,
     pub connections: Connections,
     pub listeners: Listeners,
@@ -78,18 +79,18 @@
     pub client_memory: ClientMemory,
     pub large_responses: LargeResponses,
     pub timers: Timers<TimerEvent>,
-    /// Milliseconds since the start, as of this turn of the loop.
+    /// Milliseconds since the start, as read at the beginning of this turn and after its poll.
     pub now: u64,
-    /// What the watchdog of the loop sees of it.
+    /// Progress of the loop, read by the watchdog.
     pub turns: Arc<TurnRecord>,
     pub pauses: Pauses,
-    /// Since when the gateway is draining.
+    /// When the gateway began to drain; `None` while it serves normally.
     pub draining_since: Option<u64>,
-    /// Clients' connections with bytes that are read in the next turn.
+    /// Clients' connections with unread bytes, which are read in the next turn.
     pub pipelined_connections: Vec<ConnectionId>,
-    /// When the settings were checked for changes.
+    /// When the settings were last checked for changes.
     pub settings_checked_at: u64,
-    /// When the invariants over whole tables were checked.
+    /// When the invariants over whole tables were last checked.
     pub invariants_checked_at: u64,
 }
 
@@ -138,7 +139,7 @@
         })
     }
 
-    /// Whether clients are asked to go elsewhere.
+    /// Whether the gateway is draining: readiness checks fail, and responses close their connections.
     pub fn is_draining(&self) -> bool {
         self.draining_since.is_some()
     }
@@ -160,7 +161,8 @@
     })
 }
 
-/// Figures are no reason to refuse service, so an address that cannot be bound is only logged.
+/// Binds the metrics address. A failure is only logged, because missing metrics must not prevent the gateway from
+/// serving.
 fn listen_for_metrics(event_loop: &mut EventLoop, options: &GatewayOptions) -> Option<ListenerId> {
     let address = options.metrics_address?;
     let listener = event_loop.listen(address, READINESS_BUFFER_MAX);
--- a/crates/gateway/src/in_flight_requests.rs
+++ b/crates/gateway/src/in_flight_requests.rs
@@ -1,11 +1,12 @@
-//! Requests in flight, by an id that is never used twice within the gateway's incarnation.
+//! Requests in flight, by ids that are unique within the gateway's incarnation.
 
 use crate::pending_request::PendingRequest;
 use crate::request_accounting::{RequestCounts, RequestEnd};
 use protocol::RequestId;
 use slab::Slab;
 
-/// Bits of an id that hold the request's slot; the others count the requests of the incarnation, and last for 10^12.
+/// Bits of an id that hold the request's slot. The remaining bits number the requests of the incarnation and suffice
+/// for 10^12 of them.
 const SLOT_BITS: u32 = 24;
 const SLOT_MASK: u64 = (1 << SLOT_BITS) - 1;
 
@@ -21,7 +22,7 @@
 }
 
 impl InFlightRequests {
-    /// Adds a request and gives it its id.
+    /// Adds a request and assigns its id.
     pub fn add(&mut self, mut request: PendingRequest) -> RequestId {
         self.counts.admitted += 1;
         let entry = self.slots.vacant_entry();
@@ -37,7 +38,8 @@
         (request.id == id).then_some(request)
     }
 
-    /// Takes a request out, as it ends. One whose client has left counts as left, whatever came of it.
+    /// Removes a request that has ended. If its client has disconnected, it is counted as [`RequestEnd::ClientLeft`]
+    /// whatever its outcome.
     pub fn remove(&mut self, id: RequestId, end: RequestEnd) -> Option<PendingRequest> {
         self.get(id)?;
         let request = self.slots.remove(slot(id));
@@ -51,7 +53,7 @@
         Some(request)
     }
 
-    /// Counts of this incarnation.
+    /// Request counts of this incarnation.
     pub fn counts(&self) -> RequestCounts {
         self.counts
     }
@@ -66,7 +68,7 @@
         self.slots.iter().map(|(_, request)| request)
     }
 
-    /// Ids of the requests that fulfil a condition.
+    /// Ids of the requests that satisfy a predicate.
     pub fn ids(&self, matches: impl Fn(&PendingRequest) -> bool) -> Vec<RequestId> {
         let matching = self.iter().filter(|request| matches(request));
         matching.map(|request| request.id).collect()
--- a/crates/gateway/src/invariant_checks.rs
+++ b/crates/gateway/src/invariant_checks.rs
@@ -1,13 +1,14 @@
-//! Promises over the gateway's tables as a whole, checked once a second. Checks of a single step stand where the step is made.
+//! Invariants over the gateway's tables as a whole, checked once a second. Invariants of a single step are checked
+//! where the step is performed.
 
 use crate::gateway::Gateway;
 use invariants::{check, Invariant};
 
-/// Milliseconds between two checks.
+/// Interval of the checks, in milliseconds.
 const INTERVAL_MS: u64 = 1_000;
 
 impl Gateway {
-    /// Checks what must hold between any two turns of the loop, where the time for it has come.
+    /// Checks the invariants that hold between any two turns of the loop, if the interval has passed.
     pub fn check_invariants(&mut self) {
         if self.now < self.invariants_checked_at + INTERVAL_MS {
             return;
@@ -27,7 +28,7 @@
         });
     }
 
-    /// A client that waits for a response waits for a request in flight.
+    /// Checks that every client that waits for a response waits for a request in flight.
     fn check_waiting_clients(&mut self) {
         for (connection, id) in self.connections.waiting_downstream() {
             let request = self.requests.get(id);
--- a/crates/gateway/src/job_actions.rs
+++ b/crates/gateway/src/job_actions.rs
@@ -1,11 +1,11 @@
-//! What the coordination of jobs asks for is done: lease requests, messages to gateways and requests to controllers.
+//! Runs the actions of the job coordinator: lease requests, messages to gateways and requests to controllers.
 
 use crate::gateway::Gateway;
 use jobs::JobAction;
 use protocol::Message;
 
 impl Gateway {
-    /// Does what the coordination of jobs asks for; whether there was anything.
+    /// Runs the pending actions of the job coordinator. Returns whether there were any.
     pub fn run_job_actions(&mut self) -> bool {
         let actions = self.jobs.take_actions();
         let has_any = !actions.is_empty();
@@ -22,7 +22,7 @@
                 zone,
                 request,
             } => {
-                // The link of its gateway may have ended since, and with it all that it asked for.
+                // The link to the requesting gateway may have ended meanwhile, which cancels all its requests.
                 if gateway == self.options.name || self.peers.contains(&gateway) {
                     self.place_lease_request(&gateway, &zone, request);
                 }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Tells a gateway that its request may run, or that another copy of it may be running.
+    /// Notifies a gateway that its request may run, or that another copy of it may be running.
     fn notify_of_claim(&mut self, action: JobAction) {
         let (gateway, message) = match action {
             JobAction::NotifyClaimed {
@@ -75,7 +75,7 @@
         self.send_job_message(&gateway, message);
     }
 
-    /// Tells a gateway how the job of its request ended, or that its result is persisted.
+    /// Notifies a gateway of the outcome of its request's job, or that its result is persisted.
     fn notify_of_result(&mut self, action: JobAction) {
         let (gateway, message) = match action {
             JobAction::NotifyVerdict {
@@ -100,7 +100,7 @@
         self.send_job_message(&gateway, message);
     }
 
-    /// Asks a controller to read or write a job's register, another one with each retry.
+    /// Requests a controller to read or write a job's register. Each retry goes to a different controller.
     fn access_register(&mut self, action: JobAction) {
         let JobAction::AccessRegister {
             number,
--- a/crates/gateway/src/job_messages.rs
+++ b/crates/gateway/src/job_messages.rs
@@ -1,5 +1,5 @@
-//! Requests with an idempotency key are copies of one job: the function's owner lets one copy run it and gives the
-//! others its response. Here the messages about jobs are sent and received.
+//! Messages about jobs. Requests with the same idempotency key are copies of one job: the function's owner lets one
+//! copy run and sends its response to the others.
 
 use crate::gateway::Gateway;
 use crate::pending_request::{PendingRequest, RequestPhase};
@@ -10,18 +10,19 @@
 use protocol::{JobCompletion, JobResult, JobVerdict, Message, RequestId};
 use std::sync::Arc;
 
-/// Header by which a client names the job that its request asks for.
+/// Header with the client's key for the job that its request belongs to.
 const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 
 const CONFLICT: u16 = 409;
 const UNPROCESSABLE: u16 = 422;
 const SERVER_ERROR_MIN: u16 = 500;
 
-/// The idempotency key is no key, or there are several.
+/// The idempotency key is invalid, or there are several.
 pub(crate) struct InvalidIdempotencyKey;
 
 impl Gateway {
-    /// A request's part in the job that its client named, if any. Keys of different tenants name different jobs.
+    /// Returns a request's participation in a job, or `None` without an idempotency key. The same key of different
+    /// tenants denotes different jobs.
     pub fn job_admission(
         &self,
         request: &Request,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A message about a job has come from another gateway, or from the coordination here.
+    /// Handles a message about a job, from another gateway or from the job coordinator of this one.
     pub fn job_message(&mut self, name: &str, message: Message) {
         match message {
             Message::JobCompletion(completion) => {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// A request has the claim on its job, and may be sent to its runner.
+    /// Handles a claim granted to a request, which may now be sent to its runner.
     fn job_claimed(&mut self, owner: &str, id: RequestId, attempt: u32, register_version: u64) {
         let Some(job) = self.job_waiting_for(owner, id, attempt) else {
             return self.release_stale_claim(owner, id, attempt);
@@ -93,8 +94,8 @@
         }
     }
 
-    /// A job was claimed for an attempt that is not waited for. Where it was given up before it was sent, its owner hears so once
-    /// more: the lease request may have come after the word of its end.
+    /// Handles a claim for an attempt that no longer waits for it. If the attempt was voided before it was sent, the
+    /// completion is sent to the owner again, because the lease request may have arrived after the first completion.
     fn release_stale_claim(&mut self, owner: &str, id: RequestId, attempt: u32) {
         let completion = self.voided_attempts.find(id, attempt).cloned();
         if let Some(completion) = completion {
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Another copy of the request may be running; it waits for that copy's response.
+    /// Handles the notice that another copy of the request may be running: the request waits for that copy's
+    /// response.
     fn job_joined(&mut self, owner: &str, id: RequestId, attempt: u32) {
         let Some(job) = self.job_waiting_for(owner, id, attempt) else {
             return;
@@ -118,7 +120,7 @@
         }
     }
 
-    /// It is known what came of the job: the request gets its response.
+    /// Handles the outcome of a job: the request gets its response.
     fn job_decided(&mut self, owner: &str, id: RequestId, attempt: u32, verdict: JobVerdict) {
         if self.job_waiting_for(owner, id, attempt).is_none() {
             return;
@@ -151,8 +153,8 @@
         }
     }
 
-    /// The part in its job of a request that was not sent, where a message of an owner is about the lease request that
-    /// stands.
+    /// Returns the job participation of an unsent request, if the owner's message refers to its current lease
+    /// request.
     fn job_waiting_for(
         &mut self,
         owner: &str,
@@ -186,7 +188,7 @@
         self.respond(&request, stored.status, &headers, &stored.body);
     }
 
-    /// A request of a job ends: its result goes to the owners that may know of the job.
+    /// Sends the result of a request of a job, which has ended, to the owners that may know the job.
     pub fn complete_job(&mut self, request: &PendingRequest, result: JobResult) {
         let Some(job) = &request.job else {
             return;
@@ -210,13 +212,13 @@
         self.send_job_message(name, Message::JobCompletion(completion));
     }
 
-    /// A runner responded to the request of a job.
+    /// Completes a job with a runner's response.
     pub fn complete_job_with(&mut self, request: &PendingRequest, response: &Response) {
         let Some(job) = &request.job else {
             return;
         };
-        // Work that may run twice is run anew after a failure. What must not leave some regions is kept nowhere else: the owner of
-        // the function and the controllers may stand in others.
+        // An idempotent job is run again after a server error. A response that must stay in certain regions is not
+        // stored, because the function's owner and the controllers may be in other regions.
         let is_restricted = !request.allowed_regions.is_empty();
         let result = if !job.attempt().at_most_once && response.status >= SERVER_ERROR_MIN {
             JobResult::Lost
@@ -228,7 +230,8 @@
         self.complete_job(request, result);
     }
 
-    /// A lease request is cancelled at its owner: nothing that was said about it holds any more.
+    /// Voids the current attempt of a request whose lease request is cancelled at its owner: later messages about it
+    /// are ignored.
     pub fn void_job_attempt(&mut self, owner: &str, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -243,7 +246,7 @@
         self.send_completion(owner, completion);
     }
 
-    /// Advances the coordination of jobs, and sends results again that no owner has acknowledged.
+    /// Advances the job coordinator and resends results that no owner has acknowledged.
     pub fn advance_jobs(&mut self) {
         let identity = &self.identity;
         let configuration = &self.configuration;
--- a/crates/gateway/src/key_checks.rs
+++ b/crates/gateway/src/key_checks.rs
@@ -1,4 +1,4 @@
-//! What becomes of requests whose key was taken away, or given to another tenant, after they were admitted.
+//! Handles requests whose API key was revoked, or assigned to another tenant, after they were admitted.
 
 use crate::client_identity::KeyStatus;
 use crate::gateway::Gateway;
@@ -9,7 +9,7 @@
 const UNAUTHORIZED: u16 = 401;
 
 impl Gateway {
-    /// Another configuration is in force: requests that no runner has yet are ended where their key is not their tenant's any more.
+    /// Handles a new configuration: ends the unsent requests whose key no longer belongs to their tenant.
     pub fn recheck_keys(&mut self) {
         let tenants = self.configuration.tenants();
         self.tenant_counts.retain(tenants.as_ref());
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Ends a request that no runner has where its key is not its tenant's any more; whether it was ended.
+    /// Ends an unsent request whose key no longer belongs to its tenant. Returns whether it was ended.
     pub fn end_if_key_invalid(&mut self, id: RequestId) -> bool {
         let tenants = self.configuration.tenants();
         let Some(request) = self.requests.get(id) else {
@@ -55,7 +55,7 @@
         self.respond_with_error(&request, UNAUTHORIZED, reason);
     }
 
-    /// A request wants no runner any more: what it holds or waits for is given back.
+    /// Releases the lease, or cancels the lease request, of a request that no longer needs a runner.
     pub fn withdraw_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
--- a/crates/gateway/src/large_responses.rs
+++ b/crates/gateway/src/large_responses.rs
@@ -1,24 +1,25 @@
-//! How many large responses are read from runners at a time. A response is held whole before it goes to its client, so that it can be
-//! judged; many large ones at once would take more memory than the process has.
+//! Limits how many large responses are read from runners at the same time. A response is buffered completely before
+//! it is forwarded, so that it can be classified; many large ones at once would exceed the process's memory.
 //!
-//! Up to [`SMALL_RESPONSE_BYTES`] every response is read as it comes. What is larger needs one of a few permits, in the order in which they
-//! were asked for; until then nothing more is read from its runner. A permit ends with its response, at the request's deadline at the latest.
+//! Up to [`SMALL_RESPONSE_BYTES`], every response is read as it arrives. A larger one needs one of a few permits,
+//! which are granted in the order of the requests; until then nothing more is read from its runner. A permit ends
+//! with its response, at the latest at the request's deadline.
 
 use crate::connections::Connections;
 use crate::upstream_session::{BODY_MAX, HEAD_MAX};
 use event_loop::ConnectionId;
 use std::collections::VecDeque;
 
-/// Bytes of a response that are read without a permit.
+/// Number of bytes of a response that are read without a permit.
 pub(crate) const SMALL_RESPONSE_BYTES: usize = 64 << 10;
-/// Most bytes of a response.
+/// Maximum size of a response, in bytes.
 pub(crate) const LARGEST_RESPONSE_BYTES: usize = BODY_MAX + HEAD_MAX;
-/// A response takes its bytes several times over while it goes from its runner to its client.
+/// Number of copies of a response in memory on its way from the runner to the client.
 const COPIES: u64 = 3;
-/// Part of the process's memory that large responses may take.
+/// Large responses may take the process's memory limit divided by this number.
 const MEMORY_DIVISOR: u64 = 4;
 
-/// Connections to runners that may read a large response, and those that wait for that.
+/// Connections that hold a permit to read a large response, and those that wait for one.
 pub(crate) struct LargeResponses {
     permits: usize,
     holders: Vec<ConnectionId>,
@@ -26,7 +27,7 @@
 }
 
 impl LargeResponses {
-    /// Nobody reads a large response yet; the process may take so many bytes.
+    /// Creates the permits for a process with this memory limit, in bytes.
     pub fn new(process_memory: u64) -> Self {
         let largest = LARGEST_RESPONSE_BYTES as u64 * COPIES;
         let permits = process_memory / MEMORY_DIVISOR / largest;
@@ -37,18 +38,18 @@
         }
     }
 
-    /// Connections that wait for a permit.
+    /// Number of connections that wait for a permit.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// A connection has no large response any more: the next request is sent on it.
+    /// Releases a connection's permit, because the next request is sent on it.
     pub fn release(&mut self, id: ConnectionId) {
         self.holders.retain(|holder| *holder != id);
         self.waiting.retain(|waiting| *waiting != id);
     }
 
-    /// A connection asks for a permit; whether it has to wait for one.
+    /// Requests a permit for a connection. Returns whether it has to wait.
     pub fn request(&mut self, id: ConnectionId) -> bool {
         if self.holders.contains(&id) {
             return false;
@@ -59,7 +60,8 @@
         true
     }
 
-    /// Ends the permits of connections that read no response any more, and returns those that may read on now.
+    /// Releases the permits of connections that no longer read a response. Returns the connections that were granted
+    /// a permit and may continue reading.
     pub fn resume(&mut self, connections: &mut Connections) -> Vec<ConnectionId> {
         let mut is_reading = |id: &ConnectionId| {
             let upstream = connections.upstream(*id);
--- a/crates/gateway/src/lease_requests.rs
+++ b/crates/gateway/src/lease_requests.rs
@@ -1,4 +1,4 @@
-//! Phase 3: a seat is requested from the owner of the function's seats, and given back when it is no longer used.
+//! Phase 3: requests a seat from the owner of the function's seats, and releases it after use.
 
 use crate::gateway::{Gateway, TimerEvent};
 use crate::pending_request::{HeldLease, OwnerName, PendingRequest, RequestPhase};
@@ -8,12 +8,13 @@
 };
 use std::collections::BTreeSet;
 
-/// Milliseconds before a request whose function has no owner looks for one again.
+/// Backoff of a request whose function has no owner, in milliseconds.
 const NO_OWNER_BACKOFF_MS: u64 = 30;
 
 impl Gateway {
-    /// The gateway to ask for a function's seats: its owner, or while that is silent another one, which passes requests on. Where
-    /// no controller scales, or gateways do not all understand agreed tables, the other one takes the owner's place.
+    /// The gateway to request a function's seats from: its owner or, while the owner is suspected to be dead, another
+    /// gateway that relays requests to it. If no scaler is reachable, or some gateways do not support agreed
+    /// ownership tables, the other gateway acts as the owner instead.
     pub fn owner_of(&self, function: &str) -> Option<OwnerName> {
         let table = self.configuration.ownership()?;
         let is_heard = |member: &Member| !self.peers.is_suspect(&member.name, self.now);
@@ -59,13 +60,15 @@
     }
 
     fn send_lease_request(&mut self, owner: &str, request: LeaseRequest) {
-        // The first message opens the link.
+        // The first message opens the link, so until the peer has answered a ping, the message form without tenants
+        // is sent.
         let understands_tenants = self.peers.understands_tenants(owner);
         let message = Message::lease_request(request, understands_tenants);
         self.send_to_peer(owner, &message);
     }
 
-    /// A lease is requested by a gateway that may be this one. A request of a job goes to the job's coordination first.
+    /// Handles a lease request of a gateway, which may be this one. A request of a job goes to the job coordinator
+    /// first.
     pub fn lease_requested(&mut self, gateway: &str, zone: &str, request: LeaseRequest) {
         if request.job.is_some() {
             self.jobs.request_arrived(self.now, gateway, zone, request);
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Lets a request wait before it requests a lease again.
+    /// Puts a request into backoff, after which it requests a lease again.
     pub fn back_off(&mut self, id: RequestId, wait_ms: u64) {
         if let Some(request) = self.requests.get(id) {
             request.phase = RequestPhase::Backoff;
@@ -83,7 +86,7 @@
         }
     }
 
-    /// A request's backoff is over.
+    /// Handles the end of a request's backoff.
     pub fn backoff_over(&mut self, id: RequestId) {
         let request = self.requests.get(id);
         if request.is_some_and(|request| matches!(request.phase, RequestPhase::Backoff)) {
@@ -109,7 +112,8 @@
         self.void_job_attempt(&owner, id);
     }
 
-    /// Cancels a lease request at another gateway. Under an agreed table that acknowledges it, and nothing that it said before counts.
+    /// Cancels a lease request at another gateway. Under an agreed ownership table the owner acknowledges the
+    /// cancellation, and its messages about the request are ignored until then.
     fn cancel_at_peer(&mut self, owner: &str, id: RequestId) {
         if self.peers.contains(owner) && self.configuration.agreed_owners().is_some() {
             self.cancelled_requests.record_cancellation(owner, id);
@@ -117,8 +121,8 @@
         self.send_to_peer(owner, &Message::CancelRequest(id));
     }
 
-    /// Releases a lease at the owner that granted it, at all that were told of it since, and at the function's owner where that
-    /// is yet another.
+    /// Releases a lease at the owner that granted it, at all owners to which it was reported and, if that is another
+    /// gateway, at the function's current owner.
     pub fn release_lease(&mut self, lease: &HeldLease, outcome: LeaseOutcome, duration_ms: u64) {
         let release = LeaseRelease {
             request_id: lease.request,
@@ -141,15 +145,16 @@
         }
     }
 
-    /// Reports the seats that this gateway uses to a function's owner, if it is a new one; it may be this gateway itself.
+    /// Reports the seats in use at this gateway to a function's owner if the owner has changed. The owner may be this
+    /// gateway.
     pub fn report_leases_to_new_owner(&mut self, owner: &str, function: &str) {
         if self.peers.remember_owner(function, owner) {
             self.report_leases(owner, function);
         }
     }
 
-    /// Reports the seats that this gateway uses to an owner with which there is a new link. An owner's knowledge of a gateway lives
-    /// and dies with the link between them.
+    /// Reports the seats in use at this gateway to an owner over a new link. An owner keeps a gateway's leases only
+    /// as long as the link between them lasts.
     pub fn report_leases_over_new_link(&mut self, owner: &str) {
         for function in self.functions_in_use() {
             if self.owner_of(&function).as_deref() == Some(owner) {
@@ -182,14 +187,14 @@
         self.send_to_peer(owner, &message);
     }
 
-    /// Functions at whose runners this gateway has requests of its own clients now.
+    /// Functions for which requests of this gateway's own clients hold leases.
     pub fn functions_in_use(&self) -> BTreeSet<String> {
         let upstream = self.requests.iter();
         let upstream = upstream.filter(|request| request.attempt().is_some());
         upstream.map(|request| request.function.clone()).collect()
     }
 
-    /// Adds the requests of this gateway's own clients at runners of a function.
+    /// Adds the requests of this gateway's own clients that hold leases at a function's runners.
     fn add_leases_in_use(&self, function: &str, runners: &mut Vec<RunnerLeases>) {
         for request in self.requests.iter() {
             let Some(attempt) = request.attempt() else {
@@ -213,7 +218,7 @@
         }
     }
 
-    /// Moves requests that await a response of another gateway than the one that owns their function now.
+    /// Moves requests that wait for a gateway that no longer owns their function to the current owner.
     pub fn move_to_new_owners(&mut self) {
         let awaiting = |request: &PendingRequest| request.awaited_owner().is_some();
         for id in self.requests.ids(awaiting) {
@@ -243,7 +248,7 @@
     }
 }
 
-/// The lease request of a request, without its part in a job.
+/// Builds the lease request of a request, without its participation in a job.
 fn lease_request(request: &PendingRequest, now: u64) -> LeaseRequest {
     LeaseRequest {
         request_id: request.id,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,24 +1,30 @@
 //! The data plane: a proxy between clients and the runners of functions, on one thread over non-blocking connections.
 //!
-//! *Downstream* is the client's side and *upstream* the runner's. A request passes through these phases; each stands in
-//! a file of its own, and [`run()`] wires them to the event loop:
+//! *Downstream* is the client side and *upstream* the runner side. A request passes through these phases, each in a
+//! module of its own; [`run()`] connects them to the event loop:
 //!
-//! 1. `downstream_requests`: a client's bytes become a request; connections that are idle or slow time out.
-//! 2. `request_admission`: the request is bound to a function and to the tenant that sends it (`client_identity`), checked and given its
-//!    timeout and retry budget.
-//! 3. `lease_requests`: a seat is requested from the gateway that owns the function's seats.
-//! 4. `upstream_requests`: a lease came; a pooled or new connection to its runner is taken and the request is sent.
-//! 5. `upstream_responses`: the runner's bytes, or the end of its connection, are matched to the request.
-//! 6. `request_outcomes`: the response is classified; the request is answered, retried (`retries`) or rejected.
-//! 7. `downstream_responses`: the response is written, and the client's next request is read.
+//! 1. `downstream_requests`: reads a request from a client and times out connections that are idle or slow.
+//! 2. `request_admission`: binds the request to a function and to the sending tenant (`client_identity`), checks it and
+//!    sets its deadline and retry budget.
+//! 3. `lease_requests`: requests a seat from the gateway that owns the function's seats.
+//! 4. `upstream_requests`: takes a pooled or new connection to the runner of the lease and sends the request.
+//! 5. `upstream_responses`: matches the runner's bytes, or the end of its connection, to the request.
+//! 6. `request_outcomes`: classifies the response and answers, retries (`retries`) or rejects the request.
+//! 7. `downstream_responses`: writes the response and reads the client's next request.
 //!
-//! Beside this path stand `ownership` (seats move between owners, and requests are relayed to them), `job_messages` and `job_actions` (requests with an idempotency key), `peer_messages` and
-//! `controller_messages` (what other daemons send), `configuration_updates`, `upstream_probes`, `readiness`, `metrics_endpoint`, `memory_bounds`,
-//! `key_checks` (requests whose key was taken away) and `status`.
+//! Modules outside this path:
 //!
-//! The state is split into parts that each own one invariant and do no I/O beyond their own connections:
+//! - `ownership`: hands seats over between owners and relays lease requests to them.
+//! - `job_messages` and `job_actions`: requests with an idempotency key.
+//! - `peer_messages` and `controller_messages`: messages from other daemons.
+//! - `configuration_updates`: applies updates from controllers.
+//! - `key_checks`: ends requests whose API key was revoked.
+//! - `upstream_probes`, `readiness`, `metrics_endpoint`, `memory_bounds` and `status`.
+//!
+//! The state is divided into components that each maintain one invariant and do no I/O beyond their own connections:
 //! `Connections`, `InFlightRequests`, `UpstreamPool`, `RetryBudgets`, `ResponseTimes`, `PeerLinks`, `ControllerLinks`,
-//! `ClientMemory`, `LargeResponses`, `TenantCounts` and `AppliedConfiguration`. `Gateway` holds one of each; the phases reach them through their methods.
+//! `ClientMemory`, `LargeResponses`, `TenantCounts` and `AppliedConfiguration`. `Gateway` holds one of each, and the
+//! phases use them through their methods.
 #![warn(missing_docs)]
 
 mod applied_configuration;
--- a/crates/gateway/src/memory_bounds.rs
+++ b/crates/gateway/src/memory_bounds.rs
@@ -1,4 +1,5 @@
-//! Keeps the gateway within its memory: what clients make it hold, and how many large responses are read at a time.
+//! Keeps the gateway within its memory limit: bounds the memory held for clients and the number of large responses
+//! that are read at the same time.
 
 use crate::connections::ConnectionRole;
 use crate::gateway::Gateway;
@@ -6,7 +7,7 @@
 use event_loop::ConnectionId;
 use invariants::{check, Invariant};
 
-/// Bytes that one client's connection makes the gateway hold.
+/// Memory held for one client connection, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ClientUsage {
     connection: ConnectionId,
@@ -14,7 +15,8 @@
 }
 
 impl Gateway {
-    /// Looks at what clients hold, and closes those connections that hold most while that is too much.
+    /// Measures the memory held for clients, and closes the connections that hold the most while the bound is
+    /// exceeded.
     pub fn bound_client_memory(&mut self) {
         let mut usage = self.client_usage();
         let held = usage.iter().map(|usage| usage.bytes).sum();
@@ -32,7 +34,8 @@
         });
     }
 
-    /// A response was sent, of which a part may wait for its client. Many large ones can come within one turn of periodic work.
+    /// Accounts for a response that its client has not fully read yet. Many large responses can be queued within one
+    /// interval of the periodic work, so the bound is checked here too.
     pub fn response_queued(&mut self, id: ConnectionId) {
         let unsent = self.connections.unsent_bytes(id);
         if unsent == 0 {
@@ -71,7 +74,7 @@
         self.client_memory.record_eviction(bytes);
     }
 
-    /// A part of a response has come. Where it is large, no more is read until it has a permit.
+    /// Handles a partial response. A large one is not read further until it has a permit.
     pub fn throttle_large_response(&mut self, id: ConnectionId) {
         let buffered = self.connections.unread_bytes(id);
         let taken = self.connections.upstream(id);
@@ -82,7 +85,7 @@
         }
     }
 
-    /// Lets those read on that have a permit now.
+    /// Resumes reading from the connections that were granted a permit.
     pub fn resume_large_responses(&mut self) {
         for id in self.large_responses.resume(&mut self.connections) {
             self.connections.set_read_limit(id, LARGEST_RESPONSE_BYTES);
--- a/crates/gateway/src/metrics_endpoint.rs
+++ b/crates/gateway/src/metrics_endpoint.rs
@@ -1,4 +1,4 @@
-//! The gateway's figures for operators, at an address of their own.
+//! The gateway's metrics for operators, served at a separate address.
 
 use crate::connections::ConnectionRole;
 use crate::gateway::Gateway;
@@ -7,13 +7,13 @@
 use routing::TenantDirectory;
 
 impl Gateway {
-    /// A connection was accepted at the address for figures.
+    /// Handles a connection accepted at the metrics address.
     pub fn metrics_accepted(&mut self, id: ConnectionId) {
         let role = ConnectionRole::Metrics(MetricsReader::default());
         self.connections.set_role(id, role);
     }
 
-    /// Bytes have arrived at the address for figures.
+    /// Handles bytes received at the metrics address.
     pub fn metrics_readable(&mut self, id: ConnectionId) {
         let Some((reader, buffer)) = self.connections.metrics_input(id) else {
             return;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// All figures at this moment.
+    /// Collects the current values of all metrics.
     fn snapshot(&self) -> Snapshot {
         let mut snapshot = Snapshot::new();
         self.add_request_metrics(&mut snapshot);
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -5,91 +5,92 @@
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// Names by which clients and runners pass a request's metadata over HTTP. The platform sets them.
+/// Names of the HTTP headers that carry a request's metadata. The platform sets them.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpConventions {
-    /// Header with the id that the client gave the request; a response bears the id of its request.
+    /// Header with the request id set by the client; a response repeats the id of its request.
     pub request_id: &'static str,
     /// Header with the milliseconds until the request times out.
     pub timeout: &'static str,
-    /// Header with the runner's seal, by which a response is known to come from a runner.
+    /// Header with the runner's seal, which shows that a response was sent by a runner.
     pub seal: &'static str,
-    /// Header with the id of the runner for which a request is meant.
+    /// Header with the id of the runner to which a request is addressed.
     pub runner: &'static str,
-    /// Header with the key of the client's tenant; only the gateway sees it.
+    /// Header with the API key of the client's tenant; it is not forwarded to runners.
     pub credential: &'static str,
-    /// Header with the name of the client's tenant, which the gateway sets.
+    /// Header with the name of the client's tenant, set by the gateway.
     pub tenant: &'static str,
     /// Header by which a runner states that it did not run a request.
     pub not_run: &'static str,
     /// Header with the seconds after which a rejected client may retry.
     pub retry_after: &'static str,
-    /// Whether a method and target are a readiness check.
+    /// Whether a request with this method and target is a readiness check.
     pub is_readiness_check: fn(&str, &str) -> bool,
 }
 
-/// Configuration of one gateway, read once at the start.
+/// Options of one gateway, read once at startup.
 pub struct GatewayOptions {
     /// Name of the gateway, unique in the fleet.
     pub name: String,
-    /// Zone in which it stands.
+    /// Zone in which the gateway runs.
     pub zone: String,
-    /// The zones of the system with their regions.
+    /// All zones with their regions.
     pub topology: Topology,
-    /// Options of the policies by which it decides.
+    /// Parameters of its scheduling and connection policies.
     pub policy: Policy,
     /// Address at which it listens for clients.
     pub client_address: SocketAddr,
     /// Address at which it listens for readiness checks.
     pub readiness_address: SocketAddr,
-    /// Address at which it tells its figures; none where it tells none.
+    /// Address of the metrics endpoint; `None` disables it.
     pub metrics_address: Option<SocketAddr>,
     /// Address at which it listens for other gateways and for operators' status requests.
     pub peer_address: SocketAddr,
-    /// The ip at which it listens for other gateways, where that is not the one of `peer_address` by which they know it.
+    /// IP address to listen on for other gateways, if it differs from the advertised one in `peer_address`.
     pub peer_listen_ip: Option<IpAddr>,
-    /// Controllers that are known at the start; a controller's heartbeat names the others.
+    /// Controllers known at startup; heartbeats of controllers name the others.
     pub controller_addresses: Vec<SocketAddr>,
     /// Names of the HTTP headers that it reads and writes.
     pub conventions: HttpConventions,
     /// Parser of the operators' documents.
     pub configuration_format: Box<dyn ConfigurationFormat>,
-    /// Retries allowed per first attempt, over all gateways.
+    /// Retries allowed per first attempt, summed over all gateways.
     pub retry_ratio: f64,
-    /// Retries allowed beside the ratio, over all gateways.
+    /// Retries allowed in addition to the ratio, summed over all gateways.
     pub retry_slack: f64,
-    /// Milliseconds from the signal to stop until the process is killed.
+    /// Milliseconds from the stop signal until the process is killed.
     pub shutdown_grace_ms: u64,
-    /// Milliseconds within which an acknowledged change is in force at every gateway.
+    /// Milliseconds within which every gateway has applied an acknowledged change.
     pub apply_within_ms: u64,
-    /// Milliseconds for which a job's result is retained, longer than any request lasts.
+    /// Milliseconds for which a job's result is retained; longer than any request may take.
     pub job_retention_ms: u64,
-    /// Memory that the process may take, in bytes.
+    /// Memory limit of the process, in bytes.
     pub memory_bytes: u64,
-    /// Most open connections.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Reads the settings again: the controllers that they name now, or none where the file has not changed.
+    /// Rereads the settings and returns the controllers they name, or `None` if the file has not changed.
     pub reload_controllers: Box<dyn Fn() -> Option<Vec<SocketAddr>>>,
 }
 
 impl GatewayOptions {
-    /// Where it listens for other gateways.
+    /// Address to listen on for other gateways.
     pub fn peer_listen_address(&self) -> SocketAddr {
         let ip = self.peer_listen_ip.unwrap_or(self.peer_address.ip());
         SocketAddr::new(ip, self.peer_address.port())
     }
 
-    /// Milliseconds between heartbeats to a controller: a tenth of [`apply_within_ms`](Self::apply_within_ms).
+    /// Interval of heartbeats to a controller, in milliseconds: a tenth of
+    /// [`apply_within_ms`](Self::apply_within_ms).
     pub fn heartbeat_ms(&self) -> u64 {
         self.apply_within_ms / 10
     }
 
-    /// Milliseconds of silence after which a peer is taken for dead: four heartbeats.
+    /// Milliseconds without a message after which a peer is considered dead: four heartbeat intervals.
     pub fn silence_ms(&self) -> u64 {
         self.heartbeat_ms() * 4
     }
 
-    /// Milliseconds within which a connection to a runner must be established: a tenth of [`apply_within_ms`](Self::apply_within_ms).
+    /// Timeout for connecting to a runner, in milliseconds: a tenth of [`apply_within_ms`](Self::apply_within_ms).
     pub fn connect_timeout_ms(&self) -> u64 {
         self.apply_within_ms / 10
     }
--- a/crates/gateway/src/ownership.rs
+++ b/crates/gateway/src/ownership.rs
@@ -1,5 +1,5 @@
-//! The agreed ownership of functions' seats at this gateway: hand-overs between owners, lease requests that are relayed to an owner which
-//! their gateway cannot hear, and what is done about owners that are silent.
+//! Agreed ownership of functions' seats: hand-overs between owners, lease requests relayed to an owner that the
+//! requesting gateway cannot reach, and the treatment of unresponsive owners.
 
 use crate::gateway::Gateway;
 use protocol::{
@@ -9,11 +9,11 @@
 use seat_leases::{GatewayLeaseRequest, LeaseRequestEnd, RelayedId, SeatStatus};
 use std::collections::BTreeSet;
 
-/// Heartbeats of the scaler that may be missed before a silent owner's place is taken without it.
+/// Number of missed scaler heartbeats after which a gateway replaces an unresponsive owner without the scaler.
 const SCALER_HEARTBEATS_MISSED: u64 = 3;
 
 impl Gateway {
-    /// A message of another gateway about the ownership of seats.
+    /// Handles a message of another gateway about the ownership of seats.
     pub fn ownership_message(&mut self, name: &str, message: Message) {
         match message {
             Message::RelayedLeaseRequest(relayed) => self.relayed_request(name, relayed),
@@ -49,8 +49,8 @@
             .request_lease(self.now, name, &zone, request);
     }
 
-    /// Places a lease request of a gateway, which may be this one: in the queue of the function here, or with its owner. Where the owner
-    /// cannot be heard it waits here until the table names another one.
+    /// Places a lease request of a gateway, which may be this one: in the local queue of the function, or with its
+    /// owner. If the owner is unreachable, the request waits here until the ownership table names another owner.
     pub fn place_lease_request(&mut self, gateway: &str, zone: &str, request: LeaseRequest) {
         let owner = match self.lease_owner.seat_status(&request.function) {
             SeatStatus::OwnedBy(owner) if owner != gateway => Some(owner.clone()),
@@ -83,12 +83,12 @@
         self.send_to_peer(owner, &message);
     }
 
-    /// A gateway's request wants no seat any more.
+    /// Cancels a gateway's lease request.
     pub fn cancel_placed_request(&mut self, gateway: &str, id: RequestId) {
         self.end_placed_request(gateway, &LeaseRequestEnd::Cancel(id));
     }
 
-    /// Another gateway's request wants no seat any more, which is acknowledged where that is understood.
+    /// Cancels another gateway's lease request and acknowledges it if that gateway is a member of an agreed table.
     pub fn peer_cancelled(&mut self, name: &str, id: RequestId) {
         self.cancel_placed_request(name, id);
         if self.agreed_member(name).is_some() {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A gateway gives a seat back.
+    /// Releases a gateway's lease.
     pub fn release_placed_lease(&mut self, gateway: &str, release: &LeaseRelease) {
         self.end_placed_request(gateway, &LeaseRequestEnd::Release(release.clone()));
     }
@@ -106,7 +106,8 @@
         self.end_relay(gateway, end);
     }
 
-    /// Ends a relayed request at its owner, and at the function's owner where that is another one by now.
+    /// Ends a relayed request at all owners that know it and, if that is another gateway, at the function's current
+    /// owner.
     fn end_relay(&mut self, gateway: &str, end: &LeaseRequestEnd) {
         let Some(relayed) = self.relayed_requests.end(gateway, end.request_id()) else {
             return;
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Ends a relayed request at an owner, which may be this gateway: its function may have fallen to it meanwhile.
+    /// Ends a relayed request at an owner, which may be this gateway if it has become the function's owner meanwhile.
     fn end_relay_at(&mut self, owner: &str, end: &LeaseRequestEnd) {
         if owner == self.options.name {
             self.lease_owner.end_request(self.now, owner, end);
@@ -128,7 +129,7 @@
         }
     }
 
-    /// An owner has leased a seat, for a request of this gateway or for one that is relayed.
+    /// Handles a lease granted by an owner, for a request of this gateway or for a relayed one.
     pub fn lease_received(&mut self, owner: &str, lease: SeatLease) {
         if self
             .cancelled_requests
@@ -142,7 +143,7 @@
         }
     }
 
-    /// An owner has rejected a request of this gateway or one that is relayed.
+    /// Handles a rejection by an owner, of a request of this gateway or of a relayed one.
     pub fn rejection_received(&mut self, owner: &str, id: RequestId, retry_after_ms: u32) {
         if self.cancelled_requests.is_cancelled(owner, id) {
             return;
@@ -153,7 +154,7 @@
         }
     }
 
-    /// The link with a gateway has ended: nothing is relayed for it or to it any more.
+    /// Ends all relaying for and to a gateway whose link has ended.
     pub fn end_relays_with(&mut self, name: &str) {
         let cancelled = self.relayed_requests.remove_gateway(self.now, name);
         self.cancel_relayed(cancelled);
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Places relayed requests anew whose function has another owner.
+    /// Places relayed requests again whose function has a different owner now.
     pub fn move_relayed_requests(&mut self) {
         let lease_owner = &mut self.lease_owner;
         let is_owner = |function: &str, owner: &str| matches!(lease_owner.seat_status(function), SeatStatus::OwnedBy(name) if name == owner);
@@ -184,14 +185,14 @@
         }
     }
 
-    /// A former owner hands seats over.
+    /// Accepts or refuses the seats that a former owner hands over.
     pub fn handover_received(&mut self, from: &str, handover: SeatHandover) {
         if let Err(refusal) = self.lease_owner.receive_handover(self.now, from, handover) {
             log::info!("gateway: hand-over refused gateway={from} reason={refusal}");
         }
     }
 
-    /// Asks a gateway whether it holds leases that were handed over.
+    /// Asks a gateway whether it still holds leases that were handed over.
     pub fn confirm_leases(&mut self, gateway: &str, requests: Vec<RequestId>) {
         if gateway == self.options.name {
             let ended = self.confirm_held_leases(gateway, &requests);
@@ -201,8 +202,9 @@
         }
     }
 
-    /// An owner was handed leases of these requests. Returns those that hold none and await none of another owner, whose lease may be on
-    /// its way; those that hold one give it back to this owner too.
+    /// Checks the leases that were handed over to an owner. Returns the requests that neither hold a lease nor wait
+    /// for one from another owner, whose lease may still be in transit. The owner is recorded with those that hold
+    /// one, so that they release it there too.
     pub fn confirm_held_leases(&mut self, owner: &str, requests: &[RequestId]) -> Vec<RequestId> {
         let mut ended = Vec::new();
         for id in requests {
@@ -221,7 +223,7 @@
         ended
     }
 
-    /// Tells the scaler that a gateway is silent, so that it looks for itself.
+    /// Reports an unresponsive gateway to the scaler, which then checks it.
     pub fn report_suspected_gateway(&mut self, name: &str) {
         let Some(member) = self.agreed_member(name) else {
             return;
@@ -235,7 +237,7 @@
         }
     }
 
-    /// The member of this name, where the table is agreed.
+    /// The member with this name, if the ownership table is agreed.
     fn agreed_member(&self, name: &str) -> Option<&Member> {
         self.configuration.agreed_owners()?.member(name)
     }
@@ -249,13 +251,13 @@
         self.options.heartbeat_ms() * SCALER_HEARTBEATS_MISSED
     }
 
-    /// Whether a silent owner is replaced by the scaler alone.
+    /// Whether only the scaler may replace an unresponsive owner.
     pub fn waits_for_scaler(&self) -> bool {
         self.configuration.agreed_owners().is_some() && self.heard_scaler().is_some()
     }
 
-    /// Periodic work: takes the place of silent owners while no controller scales, and passes waiting requests on to owners that are
-    /// heard again.
+    /// Periodic work: acts for unresponsive owners while no scaler is reachable, and relays waiting requests to
+    /// owners that are reachable again.
     pub fn maintain_ownership(&mut self) {
         if self.is_draining() {
             self.announce_leaving();
--- a/crates/gateway/src/pause_confirmation.rs
+++ b/crates/gateway/src/pause_confirmation.rs
@@ -1,49 +1,52 @@
-//! What tells a gateway that its process stood still whether the table of owners and the lists of runners from before still hold.
+//! Decides after a process pause whether the ownership table and the runner lists from before the pause are still
+//! valid.
 //!
-//! A controller answers pings in order with all that it tells over the same link, and closes the link of a gateway that it removes. So the
-//! answer of the controller that scales, to a ping that was sent after the pause, comes after all that changed meanwhile. What arrives over
-//! a link before that answer may have waited in the socket. Over a link that was opened since, the scaler tells the whole table; what became
-//! of the runners before it has told to others, so that the lists are to be told anew.
+//! A controller answers pings in order with its other messages on the same link, and closes the link of a gateway
+//! that it removes. Therefore the scaler's pong to a ping sent after the pause follows everything that changed during
+//! the pause. Messages received over a link before that pong may have waited in the socket. Over a link opened since
+//! the pause, the scaler sends the whole table, but changes to runners before that were sent to other owners, so the
+//! runner lists must be sent again.
 
 use seat_leases::UpdateAge;
 use std::collections::BTreeMap;
 
-/// Pings of other kinds bear milliseconds of the clock.
+/// Smallest number of a ping sent after a pause. Other pings are numbered by milliseconds of the clock, which stay
+/// below it.
 const PAUSE_PING_NUMBER_MIN: u64 = 1 << 48;
 
-/// What a scaler's word confirms of what was known before the pause.
+/// The state from before a pause that a message from the scaler confirms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Confirmation {
-    /// The table and the lists of runners.
+    /// The ownership table and the runner lists.
     TableAndLists,
-    /// The table alone, which has just been told.
+    /// Only the ownership table, which was just received.
     Table,
 }
 
-/// The link to one controller, as far as pauses are concerned.
+/// State of the link to one controller with regard to pauses.
 #[derive(Debug, Default)]
 struct LinkState {
-    /// It has not answered the ping of the last pause.
+    /// The ping of the last pause is unanswered.
     awaits_answer: bool,
-    /// It was opened since the first pause that is not confirmed yet.
+    /// It was opened after the first pause that is not confirmed yet.
     is_reopened: bool,
-    /// It has told a table since it was opened.
+    /// The controller has sent an ownership table since the link was opened.
     has_published_table: bool,
 }
 
-/// The state of one gateway. It is asked for each message of a controller.
+/// Confirmation state of a gateway, consulted for each message from a controller.
 #[derive(Debug, Default)]
 pub(crate) struct PauseConfirmation {
-    /// Whether a scaler's word is awaited.
+    /// Whether confirmation by the scaler is pending.
     is_awaited: bool,
-    /// Pauses so far.
+    /// Number of pauses so far.
     pauses: u64,
     /// Links to controllers since the first pause that is not confirmed yet.
     links: BTreeMap<String, LinkState>,
 }
 
 impl PauseConfirmation {
-    /// The process stood still. Pings with the returned number are to be sent to these controllers, to which there are links.
+    /// Records a process pause. The caller sends pings with the returned number to the given connected controllers.
     pub fn begin(&mut self, linked: impl Iterator<Item = String>) -> u64 {
         if !std::mem::replace(&mut self.is_awaited, true) {
             self.links.clear();
@@ -60,7 +63,7 @@
         PAUSE_PING_NUMBER_MIN + self.pauses
     }
 
-    /// A link to a controller is opened, in place of any that was there.
+    /// Records that a link to a controller is opened, replacing any former one.
     pub fn link_opened(&mut self, controller: &str) {
         let link = LinkState {
             is_reopened: self.is_awaited,
@@ -69,7 +72,7 @@
         self.links.insert(controller.into(), link);
     }
 
-    /// How old a message of a controller may be.
+    /// Whether messages from a controller may date from before or during the pause.
     pub fn age_of_messages(&self, controller: &str) -> UpdateAge {
         let link = self.links.get(controller);
         match link.is_some_and(|link| link.awaits_answer) {
@@ -78,7 +81,8 @@
         }
     }
 
-    /// A controller has answered a ping with this number; it scales where it has a term. Returns what that confirms, where it is awaited.
+    /// Records a controller's pong with this number; the controller is the scaler if its term is not 0. Returns what
+    /// the pong confirms, if confirmation is pending.
     pub fn ping_answered(
         &mut self,
         controller: &str,
@@ -96,7 +100,8 @@
         self.confirm_if(term > 0, confirmation)
     }
 
-    /// The scaler has told the table that is in force here. Returns what that confirms, where it is awaited.
+    /// Records that the scaler has sent the ownership table that is applied here. Returns what this confirms, if
+    /// confirmation is pending.
     pub fn table_published(&mut self, controller: &str) -> Option<Confirmation> {
         if let Some(link) = self.links.get_mut(controller) {
             link.has_published_table = true;
--- a/crates/gateway/src/peer_links.rs
+++ b/crates/gateway/src/peer_links.rs
@@ -1,4 +1,4 @@
-//! Connections with other gateways, and which of these are suspected to be dead.
+//! Links to other gateways, and which of these are suspected to be dead.
 
 use crate::connections::Connections;
 use event_loop::ConnectionId;
@@ -6,57 +6,57 @@
 use protocol::{frame, Message, SentMessages, UNDERSTANDS_TENANTS};
 use std::collections::HashMap;
 
-/// Milliseconds of silence after which an owner from which a response is awaited is pinged.
+/// Silence after which an owner whose response is awaited is pinged, in milliseconds.
 pub(crate) const PING_AFTER_MS: u64 = 150;
-/// Milliseconds of silence after which the scaler is told of it.
+/// Silence after which such an owner is reported to the scaler, in milliseconds.
 const OVERDUE_AFTER_MS: u64 = 250;
-/// Milliseconds of silence after which such an owner is passed over.
+/// Silence after which such an owner is considered dead, in milliseconds.
 const DEAD_AFTER_MS: u64 = 450;
-/// Milliseconds for which a gateway that was taken for dead owns nothing.
+/// Time for which a gateway that was considered dead is treated as owning nothing, in milliseconds.
 const SUSPECT_MS: u64 = 1_500;
-/// Most functions whose owner is remembered.
+/// Maximum number of functions whose last known owner is stored.
 const KNOWN_OWNERS_MAX: usize = 65_536;
 
 struct PeerLink {
     connection: ConnectionId,
-    /// Incarnation of the gateway at the other end, as far as is known.
+    /// Incarnation of the peer, as far as it is known.
     incarnation: u64,
     heard_at: u64,
     pinged_at: u64,
-    /// Whether it was told that the last ping is overdue.
+    /// Whether the unanswered ping was already reported as overdue.
     is_overdue: bool,
-    /// Whether it has said that it understands requests of tenants.
+    /// Whether the peer has announced support for lease requests with tenants.
     understands_tenants: bool,
-    /// Messages of this turn of the loop, which leave in one write.
+    /// Messages queued in this turn, which are sent in one write.
     outbox: Vec<u8>,
 }
 
-/// Whether a peer from which a response is awaited is alive.
+/// Liveness of a peer whose response is awaited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Liveness {
     /// There is no link to it.
     Disconnected,
-    /// It was heard from, or has still time to answer a ping.
+    /// It was heard from recently, or still has time to answer a ping.
     Alive,
-    /// It has not answered a ping for a while; told once for each ping.
+    /// A ping is overdue; returned once for each ping.
     Overdue,
-    /// It did not answer a ping in time.
+    /// It did not answer a ping within the timeout.
     Silent,
 }
 
-/// What a gateway that has introduced itself is to the link with it.
+/// How a hello from a gateway relates to the existing link to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HelloOutcome {
-    /// There is no link.
+    /// There is no link yet.
     NewLink,
-    /// The link is with an incarnation that has ended, or was silent and is not used by its peer any more. All that was agreed
-    /// over it has ended.
+    /// The existing link belongs to an ended incarnation, or was silent and is no longer used by the peer. All state
+    /// agreed over it is discarded.
     ReplacesLink,
-    /// The link is in use; both may have opened one at the same time.
+    /// The existing link is in use; both gateways may have opened one at the same time.
     SecondLink,
 }
 
-/// Links with other gateways, by name.
+/// Links to other gateways, by name.
 #[derive(Default)]
 pub(crate) struct PeerLinks {
     links: HashMap<String, PeerLink>,
@@ -66,7 +66,7 @@
 }
 
 impl PeerLinks {
-    /// Whether there is a link with a gateway.
+    /// Whether there is a link to a gateway.
     pub fn contains(&self, name: &str) -> bool {
         self.links.contains_key(name)
     }
@@ -76,7 +76,7 @@
         self.links.len()
     }
 
-    /// Adds a link with a gateway's incarnation over a connection, in place of any former one.
+    /// Adds a link to an incarnation of a gateway, replacing any former one.
     pub fn add(&mut self, name: &str, incarnation: u64, connection: ConnectionId, now: u64) {
         let link = PeerLink {
             connection,
@@ -90,7 +90,7 @@
         self.links.insert(name.into(), link);
     }
 
-    /// What a gateway that has introduced itself on a connection is to the link with it.
+    /// Classifies a hello that a gateway has sent on a new connection.
     pub fn classify_hello(&self, name: &str, incarnation: u64, now: u64) -> HelloOutcome {
         match self.links.get(name) {
             None => HelloOutcome::NewLink,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Queues a message until the next flush; without a link it is dropped.
+    /// Queues a message until the next flush. Without a link it is dropped.
     pub fn queue(&mut self, name: &str, message: &Message) {
         if let Some(link) = self.links.get_mut(name) {
             let bytes = frame(message);
@@ -109,12 +109,12 @@
         }
     }
 
-    /// What was sent to other gateways.
+    /// Counts of the messages sent to other gateways.
     pub fn sent(&self) -> &SentMessages {
         &self.sent
     }
 
-    /// Sends what was queued since the last flush, in one write for each gateway.
+    /// Sends the messages queued since the last flush, in one write per gateway.
     pub fn flush(&mut self, connections: &mut Connections) {
         for link in self.links.values_mut() {
             if !link.outbox.is_empty() {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A message came from a gateway, which is alive.
+    /// Records a message from a gateway, which is therefore alive.
     pub fn record_heard(&mut self, name: &str, now: u64) {
         self.suspects.remove(name);
         if let Some(link) = self.links.get_mut(name) {
@@ -132,20 +132,20 @@
         }
     }
 
-    /// A gateway has answered a ping with this number, which tells what it understands.
+    /// Records a pong, whose number contains the capabilities of the peer.
     pub fn record_pong(&mut self, name: &str, number: u64) {
         if let Some(link) = self.links.get_mut(name) {
             link.understands_tenants |= number & UNDERSTANDS_TENANTS != 0;
         }
     }
 
-    /// Whether a gateway has said that it understands requests of tenants.
+    /// Whether a gateway has announced support for lease requests with tenants.
     pub fn understands_tenants(&self, name: &str) -> bool {
         let link = self.links.get(name);
         link.is_some_and(|link| link.understands_tenants)
     }
 
-    /// Pings a gateway that was silent; whether it is alive.
+    /// Checks whether a gateway is alive, and pings it if it was silent.
     pub fn check_liveness(&mut self, name: &str, now: u64) -> Liveness {
         let Some(link) = self.links.get_mut(name) else {
             return Liveness::Disconnected;
@@ -169,7 +169,8 @@
         Liveness::Alive
     }
 
-    /// The process stood still: answers to pings that came meanwhile are not read yet.
+    /// Restarts the timeouts of unanswered pings after a process pause: pongs received during the pause are not read
+    /// yet.
     pub fn process_paused(&mut self, pause: ProcessPause) {
         for link in self.links.values_mut() {
             if link.pinged_at > link.heard_at {
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Removes the link with a gateway that was taken for dead, which owns nothing for a while. As an owner it has forgotten this
-    /// gateway with the link, so that it is a new one when it is back.
+    /// Removes the link to a gateway that is considered dead, which then owns nothing for a while. The gateway has
+    /// discarded this gateway's leases with the link, so it counts as a new owner when it returns.
     pub fn suspect(&mut self, name: &str, now: u64) {
         self.links.remove(name);
         let known = self.known_owners.values_mut();
@@ -187,12 +188,12 @@
         self.suspects.insert(name.into(), now + SUSPECT_MS);
     }
 
-    /// Whether a gateway was taken for dead lately.
+    /// Whether a gateway is currently suspected to be dead.
     pub fn is_suspect(&self, name: &str, now: u64) -> bool {
         self.suspects.get(name).is_some_and(|until| now < *until)
     }
 
-    /// Names of the gateways that were taken for dead lately.
+    /// Names of the gateways currently suspected to be dead.
     pub fn suspects(&self, now: u64) -> impl Iterator<Item = &String> {
         let suspects = self.suspects.iter();
         suspects
@@ -200,12 +201,12 @@
             .map(|(name, _)| name)
     }
 
-    /// Suspects no gateway any more, since a new membership names those that are alive.
+    /// Clears all suspicions, because a new membership lists the gateways that are alive.
     pub fn clear_suspects(&mut self) {
         self.suspects.clear();
     }
 
-    /// Remembers the owner of a function. Returns whether it is another one than last time.
+    /// Stores the owner of a function. Returns whether another owner was stored before.
     pub fn remember_owner(&mut self, function: &str, owner: &str) -> bool {
         let known = self.known_owners.get(function);
         if known.is_some_and(|known| known == owner) {
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages to and from other gateways, and whether the owners from which responses are awaited are alive.
+//! Messages to and from other gateways, and liveness checks of owners whose responses are awaited.
 
 use crate::connections::ConnectionRole;
 use crate::gateway::{Gateway, LINK_BUFFER_MAX};
@@ -7,7 +7,7 @@
 use protocol::{frame, take_frames, Member, Message, UNDERSTANDS_TENANTS};
 
 impl Gateway {
-    /// Queues a message to another gateway; the link is opened where there is none.
+    /// Queues a message to another gateway, and opens the link if there is none.
     pub fn send_to_peer(&mut self, name: &str, message: &Message) {
         if !self.peers.contains(name) && !self.connect_to_peer(name) {
             return;
@@ -35,12 +35,12 @@
         true
     }
 
-    /// Sends what was queued for other gateways.
+    /// Sends the messages queued for other gateways.
     pub fn flush_peers(&mut self) {
         self.peers.flush(&mut self.connections);
     }
 
-    /// Bytes of another daemon have arrived.
+    /// Handles bytes received from another daemon.
     pub fn link_readable(&mut self, id: ConnectionId) {
         let Some(buffer) = self.connections.read_buffer(id) else {
             return;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A message on a connection whose peer has not said its name: another gateway, or an operator's tool.
+    /// Handles a message on a connection whose peer has not sent its name: another gateway or an operator's tool.
     fn first_message(&mut self, id: ConnectionId, message: Message) {
         match message {
             Message::GatewayHello(member) => self.hello_received(id, &member),
@@ -106,7 +106,7 @@
         }
     }
 
-    /// A gateway answers a ping with what it understands; until then it is taken for one before tenants.
+    /// Pings a peer, whose pong announces its capabilities. Until then it is assumed not to support tenants.
     fn request_peer_capabilities(&mut self, name: &str) {
         self.peers.queue(name, &Message::Ping(self.now));
     }
@@ -146,7 +146,7 @@
         self.lease_requested(name, &zone, request);
     }
 
-    /// Checks whether the owners from which responses are awaited are alive.
+    /// Checks whether the owners whose responses are awaited are alive.
     pub fn check_awaited_owners(&mut self) {
         for name in self.awaited_owners() {
             match self.peers.check_liveness(&name, self.now) {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Other gateways from which a response has been awaited for so long that they are pinged.
+    /// Other gateways whose response has been awaited long enough for a ping.
     fn awaited_owners(&self) -> Vec<String> {
         let overdue_since = self.now.saturating_sub(PING_AFTER_MS);
         let relayed = self.relayed_requests.awaited_owners(overdue_since);
@@ -178,7 +178,7 @@
         owners
     }
 
-    /// Takes another gateway for dead: its seats are free, and what awaits its response goes elsewhere.
+    /// Considers another gateway dead: releases its seats and moves requests that wait for it elsewhere.
     fn peer_died(&mut self, name: &str) {
         self.peers.suspect(name, self.now);
         for connection in self.connections.with_peer(name) {
@@ -192,12 +192,13 @@
         self.move_to_new_owners();
     }
 
-    /// A connection with another daemon has ended.
+    /// Handles the end of a link to another daemon.
     pub fn link_closed(&mut self, id: ConnectionId) {
         match self.connections.role(id) {
             Some(ConnectionRole::Controller(address)) => self.controllers.end(address),
-            // Also where another link is used: links may come in another order than they were opened, and messages over both may
-            // concern the same requests. What is agreed begins anew once all links have ended.
+            // This also applies if another link to the peer is in use: links may be accepted in another order than
+            // they were opened, and messages over both may concern the same requests. Once all links have ended, the
+            // state is agreed anew.
             Some(ConnectionRole::Peer(Some(name))) => {
                 let name = name.clone();
                 self.peer_died(&name);
--- a/crates/gateway/src/pending_request.rs
+++ b/crates/gateway/src/pending_request.rs
@@ -1,4 +1,4 @@
-//! One client request from its admission to its response.
+//! A client request, from its admission to its response.
 
 use crate::client_identity::ClientIdentity;
 use crate::failure_log::RequestFailure;
@@ -13,86 +13,87 @@
 /// Name of the gateway that owns the seats of a function.
 pub(crate) type OwnerName = String;
 
-/// Where a request is on its way to a runner.
+/// Progress of a request towards a runner.
 #[derive(Debug)]
 pub(crate) enum RequestPhase {
-    /// It has requested a lease from the owner.
+    /// It has requested a lease from the owner and waits for it.
     AwaitingLease { owner: OwnerName, since: u64 },
-    /// It holds a lease, and is at the runner or on the way there.
+    /// It holds a lease; it was sent to the runner or is about to be.
     Upstream(UpstreamAttempt),
-    /// It requests a lease again later: its function has no owner, or the lease was of no use.
+    /// It requests a lease again later, because its function has no owner or the lease could not be used.
     Backoff,
 }
 
-/// One attempt to have a request run by the runner of a lease.
+/// One attempt to run a request at the runner of a lease.
 #[derive(Debug)]
 pub(crate) struct UpstreamAttempt {
-    /// Owner that granted the lease.
+    /// The owner that granted the lease.
     pub owner: OwnerName,
-    /// Later owners of the function's seats that were told of the lease.
+    /// Later owners of the function's seats to which the lease was reported.
     pub reported_to: Vec<OwnerName>,
     pub runner: String,
     pub address: String,
     pub zone: String,
     pub connection: ConnectionId,
-    /// Milliseconds of the gateway's clock at which the lease came or the request was sent, whichever is later.
+    /// When the lease was received or the request was sent, whichever is later, in milliseconds of the gateway's
+    /// clock.
     pub started_at: u64,
-    /// Whether the first byte may be at the runner, so that the request may run.
+    /// Whether the runner may have received the first byte and may therefore run the request.
     pub is_sent: bool,
 }
 
-/// A lease that a request holds, as far as its release needs it.
+/// The part of a request's lease that is needed to release it.
 pub(crate) struct HeldLease {
     pub request: RequestId,
-    /// The owner that granted it, and all later ones that were told of it.
+    /// The owner that granted it, and all later owners to which it was reported.
     pub owners: Vec<OwnerName>,
     pub function: String,
 }
 
-/// A request that was read whole and has no response yet.
+/// A complete request that has no response yet.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
-    /// Set as it is put in flight.
+    /// Assigned when the request is added to the requests in flight.
     pub id: RequestId,
-    /// The client's connection; none once the client has left.
+    /// The client's connection; `None` after the client has disconnected.
     pub downstream: Option<ConnectionId>,
     pub request: Request,
-    /// The id that the client gave, which its response bears.
+    /// The id set by the client, which the response repeats.
     pub client_request_id: Vec<u8>,
-    /// Name of the binding that its host and path have.
+    /// Name of the binding that matches its host and path.
     pub route: String,
     pub function: String,
-    /// Whether it may run once at most, so that it is never retried after it may have run.
+    /// Whether it may run at most once; such a request is not retried after it may have run.
     pub at_most_once: bool,
-    /// Priority among waiting requests; 0 goes first.
+    /// Priority among waiting requests; 0 is the most urgent.
     pub priority: u8,
-    /// Most times that it may be sent to a runner.
+    /// Maximum number of times it may be sent to a runner.
     pub max_attempts: u32,
-    /// Regions that it must not leave; empty where all are allowed.
+    /// Regions in which it may run; empty if all are allowed.
     pub allowed_regions: Vec<String>,
-    /// The tenant that sends it; none where nobody need say who sends it.
+    /// The tenant that sent it; `None` if the request needs no key.
     pub client: Option<ClientIdentity>,
-    /// Times that it was sent to a runner.
+    /// Number of times it was sent to a runner.
     pub attempts: u32,
-    /// Times that no connection to the runner of a lease came to be.
+    /// Number of times that connecting to the runner of a lease failed.
     pub connect_failures: u32,
     pub may_have_run: bool,
     pub received_at: u64,
     pub deadline: u64,
-    /// Runners at which it failed.
+    /// Runners at which an attempt failed.
     pub excluded_runners: Vec<String>,
     pub phase: RequestPhase,
-    /// Its part in a job, where the client gave an idempotency key.
+    /// Its participation in a job, if the client set an idempotency key.
     pub job: Option<Box<JobAdmission>>,
 }
 
-/// Milliseconds that must be left before the deadline for another attempt.
+/// Minimum time left until the deadline for another attempt, in milliseconds.
 const RETRY_TIME_MIN_MS: u64 = 5;
-/// Most failures to connect after which there is another attempt.
+/// Maximum number of connect failures after which it is still retried.
 const CONNECT_FAILURES_MAX: u32 = 8;
 
 impl PendingRequest {
-    /// The attempt under way, if it holds a lease.
+    /// The current attempt, if it holds a lease.
     pub fn attempt(&self) -> Option<&UpstreamAttempt> {
         match &self.phase {
             RequestPhase::Upstream(attempt) => Some(attempt),
@@ -100,19 +101,19 @@
         }
     }
 
-    /// The runner of the last attempt; empty where there was none.
+    /// The runner of the last attempt; empty if there was none.
     pub fn last_runner(&self) -> &str {
         let attempt = self.attempt().map(|attempt| attempt.runner.as_str());
         let excluded = self.excluded_runners.last().map(String::as_str);
         attempt.or(excluded).unwrap_or_default()
     }
 
-    /// Name of the tenant that sends it, if any.
+    /// Name of the sending tenant, if any.
     pub fn tenant(&self) -> Option<&Arc<str>> {
         self.client.as_ref().map(ClientIdentity::name)
     }
 
-    /// What explains that it ends with a status of the gateway's own.
+    /// Describes the failure of a request that ends with an error from the gateway itself.
     pub fn failure(&self, now: u64, status: u16, reason: &'static str) -> RequestFailure<'_> {
         RequestFailure {
             request_id: &self.client_request_id,
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The lease that it holds.
+    /// The lease it holds.
     pub fn held_lease(&self) -> Option<HeldLease> {
         let attempt = self.attempt()?;
         let granted_by = std::iter::once(&attempt.owner);
@@ -141,7 +142,7 @@
         })
     }
 
-    /// A later owner of the function's seats was told of the lease.
+    /// Records that the lease was reported to a later owner of the function's seats.
     pub fn lease_reported(&mut self, owner: &str) {
         let RequestPhase::Upstream(attempt) = &mut self.phase else {
             return;
@@ -151,12 +152,12 @@
         }
     }
 
-    /// Whether the first byte of the attempt under way may be at the runner.
+    /// Whether the runner may have received the first byte of the current attempt.
     pub fn is_sent(&self) -> bool {
         self.attempt().is_some_and(|attempt| attempt.is_sent)
     }
 
-    /// The duration of the attempt under way, as its owner is told where the gateway breaks it off now.
+    /// The duration to report to the owner if the gateway breaks off the current attempt now.
     pub fn broken_off_duration_ms(&self) -> u64 {
         match self.is_sent() {
             true => u64::from(BROKEN_OFF_DURATION_MS),
@@ -164,30 +165,30 @@
         }
     }
 
-    /// Whether it goes on at its runner though its client has left.
+    /// Whether it continues at its runner after its client has disconnected.
     pub fn runs_to_completion(&self) -> bool {
         self.at_most_once || self.job.is_some()
     }
 
-    /// Whether it holds a lease and may not be sent yet, since its job is not claimed.
+    /// Whether it holds a lease but may not be sent yet because its job is not claimed.
     pub fn awaits_claim(&self) -> bool {
         let is_unsent = self.attempt().is_some_and(|attempt| !attempt.is_sent);
         is_unsent && self.job.as_ref().is_some_and(|job| !job.may_be_sent())
     }
 
-    /// Whether its connection is up and only the claim on its job holds it back.
+    /// Whether its connection is established and it only waits for the claim on its job.
     pub fn is_ready_for_claim(&self) -> bool {
         self.job.as_ref().is_some_and(|job| job.is_connected())
     }
 
-    /// Whether another copy of it may have run, as far as is known here.
+    /// Whether another copy of it may have run, as far as this gateway knows.
     pub fn may_have_run_elsewhere(&self) -> bool {
         self.job
             .as_ref()
             .is_some_and(|job| job.may_have_run_elsewhere())
     }
 
-    /// The owner from which a response is awaited, and since when.
+    /// The owner whose response it waits for, and since when.
     pub fn awaited_owner(&self) -> Option<(&OwnerName, u64)> {
         match &self.phase {
             RequestPhase::AwaitingLease { owner, since } => Some((owner, *since)),
@@ -198,8 +199,8 @@
         }
     }
 
-    /// The runner states that it did not run the attempt under way. What may be another request's rejection promises nothing
-    /// for this one.
+    /// Records that the runner states it did not run the current attempt. If `is_certain` is false, the rejection may
+    /// belong to another request and does not prove that this one has not run.
     pub fn attempt_rejected(&mut self, is_certain: bool) {
         self.may_have_run |= !is_certain;
         if let RequestPhase::Upstream(attempt) = &mut self.phase {
@@ -207,15 +208,15 @@
         }
     }
 
-    /// Notes that a runner failed it.
+    /// Excludes a runner that failed from further attempts.
     pub fn exclude_runner(&mut self, runner: String) {
         if !self.excluded_runners.contains(&runner) {
             self.excluded_runners.push(runner);
         }
     }
 
-    /// Checks, as it is about to be sent, that it may be: it has not run where it must not run twice, it has an attempt
-    /// left, its job is claimed, and its runner stands in a region that it may enter.
+    /// Checks the invariants of a request that is about to be sent: an at-most-once request has not run, an attempt
+    /// is left, its job is claimed, and its runner is in an allowed region.
     pub fn check_may_be_sent(&self, topology: &Topology) {
         let zone = self.attempt().map(|attempt| attempt.zone.as_str());
         let is_allowed = zone.is_none_or(|zone| topology.allows(&self.allowed_regions, zone));
@@ -236,13 +237,13 @@
         });
     }
 
-    /// Checks, as its client is about to be told that it has not run, that no runner may have run it.
+    /// Checks that no runner may have run a request whose client is about to be informed that it has not run.
     pub fn check_has_not_run(&self) {
         let has_not_run = !self.may_have_run && !self.is_sent();
         check(Invariant::RejectedHasNotRun, has_not_run, || self.explain());
     }
 
-    /// Its state in a few words, for a violation.
+    /// Describes its state for a report of an invariant violation.
     fn explain(&self) -> String {
         format!(
             "request={} route={} at_most_once={} may_have_run={} attempts={} max_attempts={} phase={:?}",
@@ -256,8 +257,8 @@
         )
     }
 
-    /// Whether it may be attempted again at all: there is a client and time for it, and it cannot run twice where it
-    /// must not.
+    /// Whether another attempt is allowed: the client is still connected, there is time left, connecting has not
+    /// failed too often, and an at-most-once request has not run.
     pub fn may_be_retried(&self, now: u64) -> bool {
         let has_time = self.deadline > now + RETRY_TIME_MIN_MS;
         if self.downstream.is_none() || !has_time {
--- a/crates/gateway/src/process_pauses.rs
+++ b/crates/gateway/src/process_pauses.rs
@@ -1,5 +1,5 @@
-//! What a gateway does about pauses of its process: it hears what came meanwhile before it judges anybody's silence, and leases nothing by
-//! what it knew until the scaler has confirmed it.
+//! Reaction to pauses of the gateway's process: messages received during the pause are handled before any silence is
+//! evaluated, and nothing is leased from earlier state until the scaler has confirmed it.
 
 use crate::gateway::Gateway;
 use crate::pause_confirmation::Confirmation;
@@ -7,7 +7,7 @@
 use protocol::{Message, UpdateVersion};
 
 impl Gateway {
-    /// Takes the time of this turn, and notices a pause before it.
+    /// Sets the time of this turn, and detects a pause before it.
     pub fn read_clock(&mut self, now: u64) {
         self.now = now;
         if let Some(pause) = self.pauses.observe(now) {
@@ -15,7 +15,7 @@
         }
     }
 
-    /// The process stood still, for whatever reason.
+    /// Handles a pause of the process, whatever its cause.
     pub fn process_paused(&mut self, pause: ProcessPause) {
         log::warn!(
             "gateway: process paused duration_ms={}",
@@ -28,7 +28,8 @@
         self.ask_for_confirmation();
     }
 
-    /// Asks each controller for its term as of now, and for an answer that comes after all that it has told.
+    /// Requests a heartbeat with the current term from each controller, and a pong that follows everything it has
+    /// sent so far.
     fn ask_for_confirmation(&mut self) {
         let linked = self.controllers.linked_addresses();
         let number = self.pauses.confirmation.begin(linked.iter().cloned());
@@ -38,7 +39,7 @@
         }
     }
 
-    /// A controller has answered a ping.
+    /// Handles a controller's pong.
     pub fn controller_answered_ping(&mut self, address: &str, number: u64) {
         let term = self.controllers.term(address);
         let confirmation = self
@@ -48,7 +49,7 @@
         self.confirmed_after_pause(confirmation);
     }
 
-    /// The scaler has told a table of owners, whole or as a change, which was put in force where that could be done.
+    /// Handles an ownership table, or a change of one, published by the scaler and applied if possible.
     pub fn table_published(&mut self, address: &str, version: UpdateVersion) {
         if version == self.configuration.ownership_version() {
             let confirmation = self.pauses.confirmation.table_published(address);
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -1,11 +1,11 @@
-//! Readiness checks, at their own address and among clients' requests.
+//! Readiness checks, at a separate address and among clients' requests.
 
 use crate::connections::ConnectionRole;
 use crate::gateway::Gateway;
 use event_loop::ConnectionId;
 use http1::{MessageLimits, RequestReader};
 
-/// Limits of a request at the address for readiness checks.
+/// Size limits of a request at the readiness address.
 const CHECK_LIMITS: MessageLimits = MessageLimits {
     header_bytes: 8 << 10,
     body_bytes: 1 << 10,
@@ -14,13 +14,13 @@
 const UNAVAILABLE: u16 = 503;
 
 impl Gateway {
-    /// A connection was accepted at the address for readiness checks.
+    /// Handles a connection accepted at the readiness address.
     pub fn readiness_accepted(&mut self, id: ConnectionId) {
         let role = ConnectionRole::Readiness(RequestReader::new());
         self.connections.set_role(id, role);
     }
 
-    /// Bytes have arrived at the address for readiness checks; whatever the request asks for, the response gives the readiness.
+    /// Handles bytes received at the readiness address. Any request is answered with the readiness.
     pub fn readiness_readable(&mut self, id: ConnectionId) {
         let Some((reader, buffer)) = self.connections.readiness_input(id) else {
             return;
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Whether the gateway serves: it has a configuration and a membership, and is not draining.
+    /// Whether the gateway is ready: it has a configuration and a membership, and is not draining.
     pub fn is_ready(&self) -> bool {
         self.configuration.is_ready() && !self.is_draining()
     }
 
-    /// Tells whether the gateway serves.
+    /// Responds to a readiness check.
     pub fn respond_to_readiness_check(&mut self, id: ConnectionId, keeps_alive: bool) {
         let status = if self.is_ready() { OK } else { UNAVAILABLE };
         self.send_text(id, status, "", keeps_alive);
--- a/crates/gateway/src/request_accounting.rs
+++ b/crates/gateway/src/request_accounting.rs
@@ -1,13 +1,13 @@
-//! Accounts for requests: each one that was admitted is answered, rejected, left by its client or still in flight.
+//! Request counts: every admitted request is answered, rejected, abandoned by its client or still in flight.
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestEnd {
-    /// It got a runner's response, of its own or of its job.
+    /// It got a runner's response, either to itself or to another copy of its job.
     Answered,
-    /// It got an error of the gateway's own.
+    /// It got an error from the gateway itself.
     Rejected,
-    /// Its client left before.
+    /// Its client disconnected before the response.
     ClientLeft,
 }
 
@@ -21,7 +21,7 @@
 }
 
 impl RequestCounts {
-    /// A request ended.
+    /// Counts a request that has ended.
     pub fn record_end(&mut self, end: RequestEnd) {
         match end {
             RequestEnd::Answered => self.answered += 1,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Requests that have not ended, by the counts alone.
+    /// Number of requests in flight according to the counts; `None` if more have ended than were admitted.
     pub fn in_flight(&self) -> Option<u64> {
         let ended = self.answered + self.rejected + self.client_left;
         self.admitted.checked_sub(ended)
--- a/crates/gateway/src/request_admission.rs
+++ b/crates/gateway/src/request_admission.rs
@@ -1,4 +1,4 @@
-//! Phase 2: a request is bound to a function and checked. It is in flight from here until its response.
+//! Phase 2: binds a request to a function and checks it. An admitted request is in flight until its response is sent.
 
 use crate::client_identity::{ClientIdentity, IdentityError};
 use crate::failure_log::RequestFailure;
@@ -10,10 +10,10 @@
 use protocol::RequestId;
 use routing::{regions_of_both, Binding, RoutingTable};
 
-/// Most milliseconds that any request is held.
+/// Longest time for which a request is held, in milliseconds, whatever the client and the binding ask for.
 const TIMEOUT_MAX_MS: u64 = 120_000;
 
-/// Seconds after which a client may come back that was rejected before its request was looked at.
+/// Seconds after which a client whose request was rejected before admission may retry.
 const RETRY_AFTER_S: &[u8] = b"0.250";
 
 const BAD_REQUEST: u16 = 400;
@@ -24,21 +24,21 @@
 /// Why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AdmissionError {
-    /// There is no configuration yet.
+    /// No configuration has been applied yet.
     NotConfigured,
-    /// Clients make the gateway hold more than they may.
+    /// The memory bound for all clients is exceeded.
     MemoryExceeded,
-    /// No binding has the request's host and path.
+    /// No binding matches the request's host and path.
     NoBinding,
-    /// The client gave no id.
+    /// The request has no id.
     NoRequestId,
-    /// It is not known which tenant sends it.
+    /// The sending tenant could not be identified.
     Unidentified(IdentityError),
-    /// The regions of its binding and those of its tenant have none in common.
+    /// The allowed regions of the binding and of the tenant do not intersect.
     NoCommonRegion,
-    /// The client's timeout is no number.
+    /// The client's timeout is not a number.
     InvalidTimeout,
-    /// The client's idempotency key is none, or there are several.
+    /// The idempotency key is invalid, or there are several.
     InvalidIdempotencyKey,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// What the binding and the client's headers say of a request.
+/// Properties of an admitted request, taken from its binding and its headers.
 struct Admission {
     route: String,
     function: String,
@@ -81,7 +81,7 @@
 }
 
 impl Gateway {
-    /// A whole request was read: it is put in flight, or gets an error at once.
+    /// Admits a complete request, or responds to it with an error.
     pub fn admit_request(&mut self, id: ConnectionId, request: Request) {
         let conventions = self.options.conventions;
         if (conventions.is_readiness_check)(&request.method, &request.target) {
@@ -214,7 +214,7 @@
     }
 }
 
-/// The binding of a request's host and path, and the name of its function.
+/// Returns the binding that matches a request's host and path, and the name of its function.
 fn find_binding<'a>(table: &'a RoutingTable, request: &Request) -> Option<(&'a Binding, String)> {
     let host = request.headers.get_text("host").unwrap_or("");
     let path = request.target.split('?').next().unwrap_or("");
@@ -222,7 +222,8 @@
     Some((binding, function.name.clone()))
 }
 
-/// The regions that a request must not leave: where both its binding and its tenant name some, both bind.
+/// Returns the regions in which a request may run; empty if all are allowed. If both the binding and the tenant
+/// restrict them, the intersection applies.
 fn regions(
     binding: &Binding,
     client: Option<&ClientIdentity>,
--- a/crates/gateway/src/request_outcomes.rs
+++ b/crates/gateway/src/request_outcomes.rs
@@ -1,4 +1,4 @@
-//! Phase 6: a request is answered, retried or rejected.
+//! Phase 6: answers, retries or rejects a request.
 
 use crate::failure_log::RequestFailure;
 use crate::gateway::Gateway;
@@ -10,10 +10,10 @@
 use http1::{end_to_end, Response};
 use protocol::{JobResult, LeaseOutcome, RequestId, BROKEN_OFF_DURATION_MS};
 
-/// Least milliseconds after which a rejected client may come back.
+/// Minimum time after which a rejected client may retry, in milliseconds.
 const RETRY_AFTER_MIN_MS: u64 = 150;
 
-/// The status under which a request counts whose client left before its response.
+/// Status recorded for a request whose client disconnected before its response.
 const CLIENT_LEFT: u16 = 0;
 const SERVER_ERROR_MIN: u16 = 500;
 const BAD_GATEWAY: u16 = 502;
@@ -21,7 +21,7 @@
 const GATEWAY_TIMEOUT: u16 = 504;
 
 impl Gateway {
-    /// The owner has no seat in time: the request has not run, and is rejected at once.
+    /// Handles the owner's rejection of a lease request: the request has not run and is rejected at once.
     pub fn lease_rejected(&mut self, id: RequestId, retry_after_ms: u32) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A runner's response to a request has come.
+    /// Handles a runner's response to a request.
     pub fn response_received(&mut self, id: RequestId, received: &UpstreamResponse) {
         let response = &received.response;
         match classify(response, &self.options.conventions) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A runner ran a request, and this is its response.
+    /// Handles the response to a request that has run.
     fn request_completed(&mut self, id: RequestId, response: &Response) {
         let now = self.now;
         let Some(request) = self.requests.get(id) else {
@@ -72,7 +72,7 @@
         self.complete_job_with(&request, response);
     }
 
-    /// Whether an idempotent request to which a runner responded with an error is retried at another.
+    /// Retries an idempotent request at another runner after an error response. Returns whether it is retried.
     fn retry_after_error(&mut self, id: RequestId, runner: String) -> bool {
         let request = self.requests.get(id);
         let Some(request) = request.filter(|request| !request.at_most_once) else {
@@ -82,7 +82,7 @@
         self.retry_sent(id)
     }
 
-    /// A runner states that it did not run a request.
+    /// Handles a runner's statement that it did not run the request.
     fn request_not_run(
         &mut self,
         id: RequestId,
@@ -109,12 +109,13 @@
         }
     }
 
-    /// A request's runner may have run it, and no valid response came.
+    /// Handles an attempt that the runner may have run and for which no valid response was received.
     pub fn attempt_lost(&mut self, id: RequestId, reason: &'static str) {
         self.end_lost_attempt(id, 0, reason);
     }
 
-    /// The same where this gateway broke the attempt off, and the runner may be at work on it.
+    /// Like [`attempt_lost`](Self::attempt_lost), for an attempt that this gateway broke off and that the runner may
+    /// still be processing.
     pub fn attempt_broken_off(&mut self, id: RequestId, reason: &'static str) {
         self.end_lost_attempt(id, u64::from(BROKEN_OFF_DURATION_MS), reason);
     }
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Ends a request that no runner answered: 503 where none can have run it, 502 where one may have.
+    /// Ends a request without a runner's response: with 503 if it cannot have run, with 502 if it may have run.
     pub fn reject(&mut self, id: RequestId, retry_after_ms: u64, reason: &'static str) {
         let Some(request) = self.requests.remove(id, RequestEnd::Rejected) else {
             return;
@@ -160,7 +161,7 @@
         self.respond(&request, status, &headers, reason.as_bytes());
     }
 
-    /// Ends a request that is no longer in flight with a status of the gateway's own.
+    /// Responds with an error from the gateway itself to a request that is no longer in flight.
     pub fn respond_with_error(
         &mut self,
         request: &PendingRequest,
@@ -181,18 +182,18 @@
         self.failures.record(self.now, &failure);
     }
 
-    /// A request fails of which the head was never read.
+    /// Records the failure of a request whose head could not be read.
     pub fn record_unread_request(&mut self, status: u16, reason: &'static str) {
         let failure = RequestFailure::before_admission(b"", status, reason);
         self.failures.record(self.now, &failure);
     }
 
-    /// A request ends because its client has left.
+    /// Records a request whose client has disconnected.
     pub fn record_client_left(&mut self, request: &PendingRequest) {
         self.record_failure(request, CLIENT_LEFT, "the client has left");
     }
 
-    /// A request's deadline has come.
+    /// Ends a request whose deadline has passed.
     pub fn request_timed_out(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -225,7 +226,7 @@
         self.respond_with_error(&request, GATEWAY_TIMEOUT, reason);
     }
 
-    /// Gives up the attempt of a request whose deadline has come, at whatever point it is.
+    /// Ends the current attempt of a request whose deadline has passed, whether or not it was sent.
     fn attempt_timed_out(&mut self, id: RequestId, connection: ConnectionId, runner: &str) {
         let Some(request) = self.requests.get(id) else {
             return;
--- a/crates/gateway/src/response_classification.rs
+++ b/crates/gateway/src/response_classification.rs
@@ -1,4 +1,4 @@
-//! What a runner's own response says of its request: whether it ran, and whether the response can be passed on.
+//! Classifies a runner's response: whether the request ran, and whether the response can be forwarded.
 
 use crate::options::HttpConventions;
 use http1::Response;
@@ -8,16 +8,16 @@
 const TOO_MANY_REQUESTS: u16 = 429;
 const UNAVAILABLE: u16 = 503;
 
-/// What a runner's response says of its request.
+/// What a runner's response states about its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseClass {
     /// The request ran, and this is its response.
     Completed,
     /// The runner did not run it.
     Rejected,
-    /// Another runner has the address: nothing was run.
+    /// The address belongs to another runner now, and nothing was run.
     Misdirected,
-    /// It may have run, and for this reason the response cannot be passed on.
+    /// It may have run, and the response cannot be forwarded for this reason.
     Untrusted(&'static str),
 }
 
@@ -34,7 +34,8 @@
     if response.headers.get(conventions.not_run).is_some() {
         return ResponseClass::Rejected;
     }
-    // These say that nothing ran and nothing will; a runner that does not state so may have run it.
+    // These statuses mean that the request was not run and will not be. Without the header that states so, the runner
+    // may have run it.
     let not_run_statuses = [REQUEST_TIMEOUT, TOO_MANY_REQUESTS, UNAVAILABLE];
     if not_run_statuses.contains(&response.status) {
         return ResponseClass::Untrusted(
@@ -61,7 +62,7 @@
     ResponseClass::Completed
 }
 
-/// Whether another runner has the address to which the request went.
+/// Whether the request reached another runner than the addressed one.
 pub(crate) fn is_misdirected(response: &Response) -> bool {
     response.status == MISDIRECTED
 }
--- a/crates/gateway/src/response_times.rs
+++ b/crates/gateway/src/response_times.rs
@@ -1,22 +1,22 @@
-//! Mean response time of each function, from which it is known that a response is overdue.
+//! Mean response time of each function, from which it is derived when a response is overdue.
 
 use std::collections::HashMap;
 
-/// Most functions whose response time is remembered.
+/// Maximum number of functions whose response time is stored.
 const FUNCTIONS_MAX: usize = 65_536;
-/// Responses over which the mean is taken; the newest weigh most.
+/// Number of samples in the exponentially weighted moving average.
 const EWMA_SAMPLES: f64 = 16.0;
-/// Milliseconds of a response that are assumed until one was seen.
+/// Mean response time assumed before the first response, in milliseconds.
 const INITIAL_MEAN_MS: f64 = 100.0;
-/// Mean response times after which a response is overdue.
+/// A response is overdue after the mean response time multiplied by this factor.
 const OVERDUE_FACTOR: f64 = 16.0;
-/// Least milliseconds after which a response is overdue.
+/// Minimum time after which a response is overdue, in milliseconds.
 const OVERDUE_MIN_MS: f64 = 400.0;
-/// Each further attempt of a request gets so many times as long: where the runner of the one before worked, and had lost nothing, the request
-/// takes long wherever it runs.
+/// Factor by which the time grows with each further attempt. If the runner of the previous attempt was healthy and
+/// still working on the request, the request takes long at any runner.
 const NEXT_ATTEMPT_FACTOR: f64 = 4.0;
 
-/// Most attempts before that lengthen the time; every deadline is over by then.
+/// Maximum number of previous attempts that lengthen the time. Every deadline has passed by then.
 const ATTEMPTS_COUNTED_MAX: u32 = 8;
 
 /// Mean response times, in milliseconds, by function.
@@ -26,7 +26,7 @@
 }
 
 impl ResponseTimes {
-    /// A runner of the function answered after so many milliseconds.
+    /// Records the response time of a runner of the function.
     pub fn record(&mut self, function: &str, duration_ms: u64) {
         if let Some(mean) = self.means_ms.get_mut(function) {
             *mean += (duration_ms as f64 - *mean) / EWMA_SAMPLES;
@@ -38,7 +38,7 @@
         self.means_ms.insert(function.into(), duration_ms as f64);
     }
 
-    /// Milliseconds after which the response to an attempt of a request is overdue; the first one has number 1.
+    /// Milliseconds after which the response to an attempt is overdue. The first attempt has number 1.
     pub fn overdue_after_ms(&self, function: &str, attempt: u32) -> u64 {
         let mean = self.means_ms.get(function).copied();
         let mean = mean.unwrap_or(INITIAL_MEAN_MS);
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -1,10 +1,10 @@
-//! When a request is attempted again, at another runner.
+//! Decides when a request is retried at another runner.
 
 use crate::gateway::Gateway;
 use protocol::RequestId;
 
 impl Gateway {
-    /// A request's first attempt earns its share of a retry.
+    /// Adds the share of a request's first attempt to the retry budgets.
     pub fn deposit_retry_budget(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -14,7 +14,8 @@
             .deposit(&request.function, request.tenant(), gateways);
     }
 
-    /// Retries a request that a runner got, where that is allowed; it counts among the attempts and against the budget.
+    /// Retries a request that was sent to a runner, if allowed. The retry counts as an attempt and against the retry
+    /// budget.
     pub fn retry_sent(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(id) else {
             return false;
@@ -33,7 +34,7 @@
         true
     }
 
-    /// Retries a request that no runner got, where that is allowed.
+    /// Retries a request that was not sent, if allowed.
     pub fn retry_unsent(&mut self, id: RequestId) -> bool {
         let request = self.requests.get(id);
         if !request.is_some_and(|request| request.may_be_retried(self.now)) {
@@ -43,7 +44,7 @@
         true
     }
 
-    /// An idempotent request has waited for its response for many times as long as responses take.
+    /// Handles an overdue response to an idempotent request: the attempt is ended if the request can be retried.
     pub fn response_overdue(&mut self, id: RequestId, attempt_number: u32) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -55,7 +56,7 @@
         if !is_same_attempt || request.downstream.is_none() {
             return;
         }
-        // Without another attempt there is nothing to be gained by ending this one.
+        // Ending this attempt only helps if another one is possible.
         let may_retry = request.may_be_retried(self.now);
         if !may_retry
             || !self
--- a/crates/gateway/src/retry_budgets.rs
+++ b/crates/gateway/src/retry_budgets.rs
@@ -1,17 +1,17 @@
-//! Retries of each function stay within a share of its first attempts.
+//! Limits the retries of each function to a share of its first attempts.
 
 use crate::tenant_retries::TenantRetries;
 use seat_leases::RetryBudget;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Part of the operators' slack that is used: a gateway that restarts begins with a full budget, and the fleet must not
-/// exceed the whole.
+/// Fraction of the operators' slack that is used. A gateway that restarts begins with a full budget, and all gateways
+/// together must not exceed the whole slack.
 const SLACK_FRACTION: f64 = 0.5;
-/// Part of the ratio that is used, for the same reason.
+/// Fraction of the ratio that is used, for the same reason.
 const RATIO_FRACTION: f64 = 0.75;
 
-/// Retry budgets by function, and the shares of tenants in them.
+/// Retry budgets by function, and the balances of tenants within them.
 pub(crate) struct RetryBudgets {
     budgets: HashMap<String, RetryBudget>,
     tenants: TenantRetries,
@@ -19,11 +19,12 @@
     slack: f64,
 }
 
-/// A tenant, where the request has one.
+/// The tenant of a request, if it has one.
 type OptionalTenant<'a> = Option<&'a Arc<str>>;
 
 impl RetryBudgets {
-    /// Budgets under the operators' bounds over all gateways: retries per first attempt, and retries beside these.
+    /// Creates budgets from the operators' bounds over all gateways: retries per first attempt, and retries in
+    /// addition to these.
     pub fn new(ratio: f64, slack: f64) -> Self {
         Self {
             budgets: HashMap::new(),
@@ -33,7 +34,7 @@
         }
     }
 
-    /// A first attempt earns its share of a retry; the slack is divided among the gateways.
+    /// Adds a first attempt's share of a retry to the budget. The slack is divided among the gateways.
     pub fn deposit(&mut self, function: &str, tenant: OptionalTenant<'_>, gateways: usize) {
         let capacity = (self.slack / gateways.max(1) as f64).max(1.0);
         let ratio = self.ratio;
@@ -46,7 +47,8 @@
         }
     }
 
-    /// Whether there is a retry to take: the function has one, and the tenant has earned it or nobody else needs it.
+    /// Whether a retry is available: the function's budget has one, and either the tenant has earned it or the budget
+    /// is full, so that no other tenant needs it.
     pub fn has_balance(&self, function: &str, tenant: OptionalTenant<'_>) -> bool {
         let Some(budget) = self.budgets.get(function) else {
             return false;
@@ -55,7 +57,7 @@
         budget.has_balance() && (is_own || budget.is_full())
     }
 
-    /// Takes a retry, where there is one.
+    /// Takes a retry if one is available. Returns whether it was taken.
     pub fn try_withdraw(&mut self, function: &str, tenant: OptionalTenant<'_>) -> bool {
         if !self.has_balance(function, tenant) {
             return false;
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Wiring: events of connections, timers and the actions of the state machines are given to the phases of a request.
+//! The event loop: dispatches connection events, timers and state machine actions to the phases of a request.
 
 use crate::connections::{ConnectionRole, ProbedRunner};
 use crate::gateway::{Gateway, TimerEvent};
@@ -10,17 +10,17 @@
 use signals::{ReloadSignal, Signals};
 use std::time::{Duration, Instant};
 
-/// Milliseconds between two turns of periodic work.
+/// Interval of the periodic work in [`Gateway::tick`], in milliseconds.
 const TICK_MS: u64 = 50;
-/// Most milliseconds of waiting for events, for the case that no timer is set.
+/// Longest wait for events, in milliseconds, which applies when no timer is due earlier.
 const POLL_TIMEOUT_MAX_MS: u64 = TICK_MS * 4;
-/// Milliseconds between checks whether the settings have changed.
+/// Interval between checks for changed settings, in milliseconds.
 const SETTINGS_CHECK_INTERVAL_MS: u64 = 2_000;
 
-/// Most timers that run in one turn, so that signals and events come between however many there are.
+/// Maximum number of timers handled per turn, so that any number of due timers cannot delay signals and events.
 const TIMERS_PER_TURN_MAX: usize = 4_096;
 
-/// Name of what a timer does, for the watchdog.
+/// Step name that the watchdog reports for a timer.
 fn timer_step(event: &TimerEvent) -> &'static str {
     match event {
         TimerEvent::Tick => "tick",
@@ -32,7 +32,7 @@
     }
 }
 
-/// Name of an event of a connection, for the watchdog.
+/// Step name that the watchdog reports for a connection event.
 fn event_step(event: &Event) -> &'static str {
     match event {
         Event::Accepted(..) => "accepted",
@@ -43,7 +43,7 @@
     }
 }
 
-/// Whose events are handled first in a turn.
+/// Order in which the events of one turn are handled, by the peer of their connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EventOrder {
     Controller,
@@ -51,8 +51,9 @@
     Other,
 }
 
-/// Runs a gateway until SIGTERM or SIGINT has come and all requests have been answered, or the grace period is nearly
-/// over. Errors are those of the start alone: a listening socket, the poller or a signal handler.
+/// Runs a gateway until SIGTERM or SIGINT was received and all requests are answered, or until the grace period is
+/// nearly over. Only the startup can fail: binding a listening socket, creating the poller or registering a signal
+/// handler.
 pub fn run(options: GatewayOptions, reload: ReloadSignal) -> Result<(), GatewayError> {
     let signals = Signals::register(reload).map_err(GatewayError::System)?;
     let watchdog = WatchdogOptions {
@@ -86,7 +87,8 @@
 }
 
 impl Gateway {
-    /// Does what is due, waits for events and handles them. `clock` tells the time after the wait.
+    /// Runs one turn of the loop: handles due timers, waits for events and handles them. `clock` returns the time
+    /// after the wait.
     pub fn take_turn(&mut self, events: &mut Vec<Event>, clock: impl FnOnce() -> u64) {
         let mut timeout = Duration::ZERO;
         if !self.pauses.takes_events_first() {
@@ -123,7 +125,7 @@
     }
 
     fn handle_due_timers(&mut self) {
-        // What is left of more timers than that is due in the next turn.
+        // Timers beyond the limit are handled in the next turn.
         for _ in 0..TIMERS_PER_TURN_MAX {
             let Some(event) = self.timers.pop_due(self.now) else {
                 break;
@@ -149,9 +151,9 @@
         self.flush_peers();
     }
 
-    /// Periodic work.
+    /// Runs the periodic work.
     fn tick(&mut self) {
-        // The settings may change without a signal.
+        // Settings are also checked without a reload signal.
         if self.now >= self.settings_checked_at + SETTINGS_CHECK_INTERVAL_MS {
             self.settings_checked_at = self.now;
             self.turns.begin_step("settings");
@@ -170,8 +172,8 @@
         self.check_invariants();
     }
 
-    /// What controllers say comes before what gateways ask, and that before what clients ask: after a pause a gateway hears that it owns
-    /// a function no more before it leases a seat of it.
+    /// Sorts events so that controllers are handled before other gateways, and those before clients. After a process
+    /// pause, a gateway thereby learns that it no longer owns a function before it leases a seat of that function.
     fn order_events(&self, events: &mut [Event]) {
         events.sort_by_key(|event| {
             let (Event::Readable(id) | Event::Closed(id, _)) = event else {
@@ -185,7 +187,7 @@
         });
     }
 
-    /// Gives an event of a connection to the phase that it concerns.
+    /// Dispatches a connection event to the phase that handles it.
     pub fn handle_event(&mut self, event: Event) {
         match event {
             Event::Accepted(listener, id) if listener == self.listeners.downstream => {
@@ -230,7 +232,7 @@
         }
     }
 
-    /// All that was sent on a connection has left. A client that has read its response may have sent its next request.
+    /// Handles an emptied send buffer. A client that has read its response may already have sent its next request.
     fn drained(&mut self, id: ConnectionId) {
         if matches!(
             self.connections.role(id),
@@ -254,7 +256,7 @@
         self.connections.close(id);
     }
 
-    /// Does what the owner of seats and the coordination of jobs ask for, until they ask for nothing more.
+    /// Runs the actions of the lease owner and the job coordinator until neither has any left.
     pub fn run_actions(&mut self) {
         loop {
             self.turns.begin_step("actions");
@@ -292,7 +294,7 @@
         }
     }
 
-    /// Leases for this gateway go straight to their requests.
+    /// Delivers a lease to the gateway that requested it. A lease for this gateway goes directly to its request.
     pub fn deliver_lease(&mut self, gateway: &str, lease: SeatLease) {
         if gateway == self.options.name {
             self.lease_granted(gateway, lease);
@@ -301,7 +303,7 @@
         }
     }
 
-    /// Tells a gateway that its request gets no seat in time.
+    /// Rejects a gateway's lease request that gets no seat before its timeout.
     pub fn reject_lease_request(
         &mut self,
         gateway: &str,
@@ -332,13 +334,13 @@
         self.draining_since = Some(self.now);
     }
 
-    /// Whether the gateway may stop: its requests are answered, or the grace period is nearly over.
+    /// Whether the gateway may stop: all requests are answered, or the grace period is nearly over.
     pub fn is_drained(&mut self) -> bool {
         let Some(since) = self.draining_since else {
             return false;
         };
-        // Clients learn within two readiness checks, a second apart, that this gateway serves no more; some come all the
-        // same.
+        // Clients notice the drain after up to two readiness checks, one second apart. Some still connect after that,
+        // so the listener stays open for the first half of the grace period.
         let spent_ms = self.now - since;
         if spent_ms >= self.options.shutdown_grace_ms / 2 {
             self.connections.stop_listening(self.listeners.downstream);
@@ -353,7 +355,8 @@
         spent_ms >= self.options.shutdown_grace_ms * 11 / 12
     }
 
-    /// Answers the requests that no runner has yet, so that none of them is cut off without a word when the gateway stops.
+    /// Answers the requests that were not sent to a runner, so that the gateway does not stop without responding to
+    /// them.
     fn end_unsent_requests(&mut self) {
         for id in self.requests.ids(|request| !request.is_sent()) {
             self.request_timed_out(id);
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,9 +1,9 @@
-//! The gateway's state as JSON text, for operators.
+//! The gateway's status as JSON, for operators.
 
 use crate::gateway::Gateway;
 
 impl Gateway {
-    /// State of this gateway. The names of the fields are those of the operators' tool.
+    /// Status of this gateway. The field names are part of the interface of the operators' tool.
     pub fn status(&self) -> String {
         let versions = self.configuration.versions();
         serde_json::json!({
--- a/crates/gateway/src/stored_response.rs
+++ b/crates/gateway/src/stored_response.rs
@@ -1,14 +1,14 @@
-//! A runner's response in the form in which it is stored for the other copies of its job.
+//! The form in which a runner's response is stored for the other copies of its job.
 
 use http1::{end_to_end, Response};
 use speedy::{Readable, Writable};
 
-/// Most bytes of a packed response that is stored.
+/// Maximum size of a packed response that is stored, in bytes.
 const PACKED_MAX: usize = 1 << 20;
-/// Most bytes of a response, unpacked.
+/// Maximum size of an unpacked response, in bytes.
 const UNPACKED_MAX: u64 = 5 << 20;
 
-/// A response without the headers of its connection.
+/// A response without hop-by-hop headers.
 #[derive(Debug, Default, PartialEq, Readable, Writable)]
 pub struct StoredResponse {
     /// Status code.
@@ -19,7 +19,7 @@
     pub body: Vec<u8>,
 }
 
-/// A response deflated; none where it is too large to be stored.
+/// Packs a response in deflated form. Returns `None` if it is too large to be stored.
 pub fn pack(response: &Response) -> Option<Vec<u8>> {
     let headers = end_to_end(&response.headers);
     let stored = StoredResponse {
@@ -34,7 +34,7 @@
     (packed.len() <= PACKED_MAX).then_some(packed)
 }
 
-/// A response that was packed; none where the bytes are none.
+/// Unpacks a response. Returns `None` if the bytes are not a packed response.
 pub fn unpack(packed: &[u8]) -> Option<StoredResponse> {
     let bytes = protocol::unpack(packed, UNPACKED_MAX)?;
     StoredResponse::read_from_buffer(&bytes).ok()
--- a/crates/gateway/src/tenant_counts.rs
+++ b/crates/gateway/src/tenant_counts.rs
@@ -1,4 +1,4 @@
-//! How many requests each tenant sent, and how many of them failed, for operators.
+//! Counts of the requests of each tenant, and of those that failed, for operators.
 
 use protocol::TenantUsage;
 use routing::TenantDirectory;
@@ -11,19 +11,19 @@
     rejected: u64,
 }
 
-/// Counts of this incarnation, of the tenants that are in the configuration.
+/// Counts of this incarnation, for the tenants in the configuration.
 #[derive(Debug, Default)]
 pub(crate) struct TenantCounts {
     counts: HashMap<Arc<str>, Counts>,
 }
 
 impl TenantCounts {
-    /// A request of a tenant was admitted.
+    /// Counts an admitted request of a tenant.
     pub fn record_request(&mut self, tenant: &Arc<str>) {
         self.counts_of(tenant).requests += 1;
     }
 
-    /// A request of a tenant got an error of the gateway's own.
+    /// Counts a request of a tenant that got an error from the gateway itself.
     pub fn record_rejected(&mut self, tenant: &Arc<str>) {
         self.counts_of(tenant).rejected += 1;
     }
@@ -32,13 +32,13 @@
         self.counts.entry(Arc::clone(tenant)).or_default()
     }
 
-    /// Forgets the tenants that are not in the configuration any more.
+    /// Removes the counts of tenants that are no longer in the configuration.
     pub fn retain(&mut self, tenants: Option<&TenantDirectory>) {
         self.counts
             .retain(|name, _| tenants.is_some_and(|tenants| tenants.tenant(name).is_some()));
     }
 
-    /// Usage of all tenants of the configuration, by name.
+    /// Usage of all tenants in the configuration, sorted by name.
     pub fn usage(&self, tenants: Option<&TenantDirectory>) -> Vec<TenantUsage> {
         let tenants = tenants.into_iter().flat_map(TenantDirectory::iter);
         let mut usage: Vec<TenantUsage> = tenants
--- a/crates/gateway/src/upstream_connection.rs
+++ b/crates/gateway/src/upstream_connection.rs
@@ -1,4 +1,4 @@
-//! State of one connection to a runner. It bears one request at a time.
+//! State of one connection to a runner, which carries one request at a time.
 
 use crate::upstream_session::UpstreamSession;
 use protocol::RequestId;
@@ -7,15 +7,15 @@
 pub(crate) struct UpstreamConnection {
     /// Id of the runner.
     pub runner: String,
-    /// The request that holds the connection; none while it is pooled.
+    /// The request assigned to the connection; `None` while it is pooled.
     pub request: Option<RequestId>,
     pub session: UpstreamSession,
-    /// When a pooled connection is closed.
+    /// When the connection expires while it is pooled.
     pub expires_at: u64,
 }
 
 impl UpstreamConnection {
-    /// A connection that no request holds yet.
+    /// A connection without a request.
     pub fn new(runner: &str) -> Self {
         Self {
             runner: runner.into(),
--- a/crates/gateway/src/upstream_pool.rs
+++ b/crates/gateway/src/upstream_pool.rs
@@ -1,13 +1,13 @@
-//! Idle connections to runners, kept for the next request.
+//! Pool of idle connections to runners.
 
 use crate::connections::Connections;
 use event_loop::ConnectionId;
 use std::collections::HashMap;
 
-/// Most idle connections, over all runners.
+/// Maximum number of idle connections over all runners.
 const IDLE_MAX: usize = 1_024;
 
-/// Idle connections by runner; `count` is their number.
+/// Idle connections by runner; `count` is their total number.
 #[derive(Default)]
 pub(crate) struct UpstreamPool {
     idle: HashMap<String, Vec<ConnectionId>>,
@@ -15,7 +15,7 @@
 }
 
 impl UpstreamPool {
-    /// Takes the connection to a runner that was used last.
+    /// Takes the most recently used idle connection to a runner.
     pub fn take(&mut self, runner: &str) -> Option<ConnectionId> {
         let connections = self.idle.get_mut(runner)?;
         let connection = connections.pop();
@@ -26,7 +26,7 @@
         connection
     }
 
-    /// Keeps a connection, unless the runner has `max_idle` of them already or the pool is full.
+    /// Adds a connection. Returns false if the runner already has `max_idle` of them or the pool is full.
     pub fn put(&mut self, runner: &str, connection: ConnectionId, max_idle: usize) -> bool {
         let connections = self.idle.entry(runner.into()).or_default();
         if connections.len() >= max_idle || self.count >= IDLE_MAX {
@@ -37,7 +37,7 @@
         true
     }
 
-    /// Removes a connection that is about to be closed.
+    /// Removes a connection that is about to be closed, if it is pooled.
     pub fn remove(&mut self, runner: &str, connection: ConnectionId) {
         let Some(connections) = self.idle.get_mut(runner) else {
             return;
@@ -55,7 +55,7 @@
         self.count
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections that have expired.
     pub fn expire(&mut self, connections: &mut Connections, now: u64) {
         let mut count = self.count;
         self.idle.retain(|_, idle| {
--- a/crates/gateway/src/upstream_probes.rs
+++ b/crates/gateway/src/upstream_probes.rs
@@ -1,4 +1,4 @@
-//! Probes whether starting runners accept connections. The connection of a probe that succeeded is pooled.
+//! Probes whether starting runners accept connections. The connection of a successful probe is pooled.
 
 use crate::connections::{ConnectionRole, ProbedRunner};
 use crate::gateway::{Gateway, TimerEvent};
@@ -7,11 +7,11 @@
 use crate::upstream_responses::DEFAULT_IDLE_MS;
 use event_loop::ConnectionId;
 
-/// Most connections of probes that are pooled for one runner.
+/// Maximum number of idle connections of a runner up to which a probe's connection is pooled.
 const POOLED_MAX: usize = 2;
 
 impl Gateway {
-    /// Connects to a runner that is starting.
+    /// Starts a probe of a starting runner.
     pub fn probe_runner(&mut self, probed: ProbedRunner, address: &str) {
         let role = ConnectionRole::Probe(probed.clone());
         let connection = self
@@ -28,7 +28,7 @@
         );
     }
 
-    /// The connection of a probe came up.
+    /// Handles the established connection of a probe.
     pub fn probe_connected(&mut self, id: ConnectionId, probed: &ProbedRunner) {
         let mut upstream = UpstreamConnection::new(&probed.runner);
         upstream.expires_at = self.now + DEFAULT_IDLE_MS;
@@ -40,7 +40,7 @@
         self.probe_finished(probed, true);
     }
 
-    /// Tells the owner of the function's seats, which is this gateway, what came of a probe.
+    /// Reports the result of a probe to the owner of the function's seats, which is this gateway.
     pub fn probe_finished(&mut self, probed: &ProbedRunner, is_up: bool) {
         self.lease_owner
             .record_probe(self.now, &probed.function, &probed.runner, is_up);
--- a/crates/gateway/src/upstream_requests.rs
+++ b/crates/gateway/src/upstream_requests.rs
@@ -1,4 +1,4 @@
-//! Phase 4: a lease came. A connection to its runner is taken from the pool or opened, and the request is sent.
+//! Phase 4: takes a connection to the runner of a lease from the pool, or opens one, and sends the request.
 
 use crate::connections::ConnectionRole;
 use crate::gateway::{Gateway, TimerEvent};
@@ -10,13 +10,13 @@
 use http1::{end_to_end, write_request};
 use protocol::{LeaseOutcome, LeaseRelease, RequestId, SeatLease};
 
-/// Milliseconds before a request whose lease was in an evacuated zone requests another.
+/// Backoff of a request whose lease was in an evacuated zone, in milliseconds.
 const EVACUATED_BACKOFF_MS: u64 = 20;
-/// Bytes of a request's head that are reserved beside its body.
+/// Bytes reserved for a request's head in addition to its body.
 const HEAD_ESTIMATE: usize = 512;
 
 impl Gateway {
-    /// A lease was granted: the request goes to its runner.
+    /// Handles a granted lease: starts an attempt at its runner.
     pub fn lease_granted(&mut self, owner: &str, lease: SeatLease) {
         let id = lease.request_id;
         let is_evacuated = self.configuration.evacuated_zones().contains(&lease.zone);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether the regions that a request must not leave hold a zone.
+    /// Whether a zone is in the allowed regions of a request.
     fn may_run_in(&mut self, id: RequestId, zone: &str) -> bool {
         let topology = &self.options.topology;
         let request = self.requests.get(id);
@@ -106,9 +106,9 @@
         None
     }
 
-    // Nothing may lie unread on a connection that is used again: it would be no response to the next request. For work
-    // that may run once the system is asked too, since a connection whose runner has closed it would take the request
-    // and lose it.
+    // A reused connection must have no unread bytes, which could not belong to the next request. For at-most-once
+    // requests the socket is queried as well, because a connection that the runner has already closed would accept
+    // the request and lose it.
     fn is_reusable(&mut self, connection: ConnectionId, at_most_once: bool) -> bool {
         self.connections.is_open(connection)
             && self.connections.has_no_unread_bytes(connection)
@@ -130,7 +130,7 @@
         Some(connection)
     }
 
-    /// Sends the request that holds a connection, unless its job must be claimed first.
+    /// Sends the request assigned to a connection, unless its job must be claimed first.
     pub fn send_upstream_request(&mut self, connection: ConnectionId) {
         self.large_responses.release(connection);
         self.connections
@@ -146,13 +146,14 @@
             return;
         };
         if request.awaits_claim() {
-            // It is sent when its job is claimed.
+            // It is sent once its job is claimed.
             if let Some(job) = &mut request.job {
                 job.connected();
             }
             return;
         }
-        // A new configuration ends only what waits; this request may have been at another runner then.
+        // A new configuration ends only requests that were not sent. This one may have been at another runner at that
+        // time, so its key is checked again.
         if !self.end_if_key_invalid(id) {
             self.write_upstream_request(connection, id);
         }
@@ -176,7 +177,7 @@
             at_most_once: request.at_most_once,
         });
         let out = self.upstream_request_bytes(id);
-        // Where no byte was accepted the connection's end is the next event, and the request was not sent.
+        // If no byte was accepted, the next event is the end of the connection, and the request counts as not sent.
         if self.connections.send(connection, &out) {
             self.request_may_run(id);
         }
@@ -218,7 +219,7 @@
         out
     }
 
-    /// The first byte of a request may be at its runner: from here on it may have run.
+    /// Records that the runner may have received the first byte of a request, so that it may run from here on.
     fn request_may_run(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -230,14 +231,14 @@
         if request.at_most_once || request.attempts >= request.max_attempts {
             return;
         }
-        // An idempotent request whose response is long overdue is retried elsewhere.
+        // An idempotent request whose response is long overdue is retried at another runner.
         let response_times = &self.response_times;
         let overdue_after_ms = response_times.overdue_after_ms(&request.function, request.attempts);
         let overdue = TimerEvent::ResponseOverdue(id, request.attempts);
         self.timers.schedule(self.now + overdue_after_ms, overdue);
     }
 
-    /// A request that was not sent, or whose client has left, gives up its connection and its lease.
+    /// Closes the connection and releases the lease of a request that was not sent or whose client has disconnected.
     pub fn abandon_attempt(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -254,14 +255,14 @@
         }
     }
 
-    /// Closes a connection to a runner, which may be pooled.
+    /// Closes a connection to a runner, whether or not it is pooled.
     pub fn close_upstream(&mut self, connection: ConnectionId, runner: &str) {
         self.upstream_pool.remove(runner, connection);
         self.connections.close(connection);
     }
 }
 
-/// Milliseconds until a request's deadline, as its runner gets them.
+/// Milliseconds until a request's deadline, as sent to the runner; at least 1.
 fn remaining_ms(request: &PendingRequest, now: u64) -> u64 {
     request.deadline.saturating_sub(now).max(1)
 }
--- a/crates/gateway/src/upstream_responses.rs
+++ b/crates/gateway/src/upstream_responses.rs
@@ -1,4 +1,4 @@
-//! Phase 5: the bytes of a runner, or the end of its connection, are matched to the request on the connection.
+//! Phase 5: matches a runner's bytes, or the end of its connection, to the request on the connection.
 
 use crate::connections::ConnectionRole;
 use crate::gateway::Gateway;
@@ -7,15 +7,15 @@
 use http1::idle_seconds;
 use protocol::{LeaseOutcome, RequestId};
 
-/// Milliseconds for which an idle connection is pooled where the runner names no time.
+/// Time for which an idle connection is pooled if the runner announces no keep-alive timeout, in milliseconds.
 pub(crate) const DEFAULT_IDLE_MS: u64 = 5_000;
-/// Most milliseconds for which an idle connection is pooled.
+/// Longest time for which an idle connection is pooled, in milliseconds.
 const IDLE_MAX_MS: u64 = 30_000;
-/// Milliseconds by which an idle connection is closed earlier than by its runner.
+/// Margin by which an idle connection is closed before the runner would close it, in milliseconds.
 const IDLE_MARGIN_MS: u64 = 500;
 
 impl Gateway {
-    /// Bytes of a runner have arrived.
+    /// Handles bytes received from a runner.
     pub fn upstream_readable(&mut self, id: ConnectionId) {
         let Some((upstream, buffer)) = self.connections.upstream_input(id) else {
             return;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Does what a connection's bytes mean for its request.
+    /// Applies a session event to the request on the connection.
     fn session_event(&mut self, id: ConnectionId, event: SessionEvent) {
         let Some(upstream) = self.connections.upstream(id) else {
             return;
@@ -45,8 +45,8 @@
                 self.close_upstream(id, &runner);
                 self.attempt_lost(request_id, reason);
             }
-            // Bytes without a request that was sent belong to nobody; a request that was not sent yet finds another
-            // connection.
+            // Bytes belong to nobody if no request was sent on the connection. A request that was assigned to it but
+            // not sent is retried on another connection.
             _ => {
                 self.close_upstream(id, &runner);
                 if let Some(request_id) = request_id {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A connection to a runner has ended.
+    /// Handles the end of a connection to a runner.
     pub fn upstream_closed(&mut self, id: ConnectionId, reason: CloseReason) {
         let Some(upstream) = self.connections.upstream(id) else {
             return;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The time within which a connection to a runner must come up is over.
+    /// Handles the timeout for connecting to a runner.
     pub fn connect_timeout(&mut self, id: ConnectionId) {
         match self.connections.role(id) {
             Some(ConnectionRole::Probe(probed)) => {
@@ -98,14 +98,14 @@
         }
     }
 
-    /// Whether a request was sent on this very connection.
+    /// Whether the current attempt of a request was sent on this connection.
     fn is_sent_on(&mut self, request_id: RequestId, id: ConnectionId) -> bool {
         let request = self.requests.get(request_id);
         let attempt = request.and_then(|request| request.attempt());
         attempt.is_some_and(|attempt| attempt.connection == id && attempt.is_sent)
     }
 
-    /// A connection's request has its response: the connection is pooled where nothing speaks against it.
+    /// Pools a connection whose request has its response, or closes it if it cannot be reused.
     fn pool_or_close(&mut self, id: ConnectionId, response: &UpstreamResponse) {
         let idle_ms = idle_ms(response);
         let Some(upstream) = self.connections.upstream(id) else {
@@ -120,7 +120,8 @@
         let max_idle = request.map_or(0, |request| {
             configuration.max_idle_connections(&request.function, limit)
         });
-        // A response that came before its whole request was sent leaves a rest that would look like the next request.
+        // If the response arrived before the whole request was sent, the unsent rest would look like the next
+        // request.
         let is_request_sent = self.connections.unsent_bytes(id) == 0;
         let is_pooled = response.is_reusable
             && is_request_sent
@@ -132,8 +133,8 @@
         }
     }
 
-    /// An attempt failed before its request was sent, or its connection ended. `is_refused` says that nobody accepts
-    /// connections at the runner's address.
+    /// Handles an attempt whose connection failed or ended. `is_refused` states that nothing accepts connections at
+    /// the runner's address.
     fn attempt_failed(&mut self, request_id: RequestId, is_refused: bool) {
         let Some(request) = self.requests.get(request_id) else {
             return;
@@ -147,7 +148,7 @@
         }
         let runner = attempt.runner.clone();
         let lease = request.held_lease();
-        // A connection that was up and ends before its request may be sent says nothing of the runner.
+        // The end of an established connection before its request may be sent does not indicate a faulty runner.
         let outcome = if request.is_ready_for_claim() {
             LeaseOutcome::Unused
         } else if is_refused {
@@ -166,7 +167,7 @@
     }
 }
 
-/// Milliseconds for which the runner keeps the connection of a response open, less the margin.
+/// Keep-alive timeout that the runner announces in a response, less a safety margin, in milliseconds.
 fn idle_ms(response: &UpstreamResponse) -> u64 {
     let keep_alive_s = idle_seconds(&response.response.headers);
     keep_alive_s.map_or(DEFAULT_IDLE_MS, |seconds| {
