--- a/crates/gateway/src/upstream_session.rs
+++ b/crates/gateway/src/upstream_session.rs
@@ -1,9 +1,9 @@
-//! State of the HTTP exchange on one connection to a runner: bytes and the end of the connection go in, and what they mean
-//! for the request on the connection comes out. It does no I/O and knows no clock.
+//! State of the HTTP exchange on one connection to a runner. It takes the received bytes or the end of the connection
+//! and returns what they mean for the request on the connection. It does no I/O and does not read the clock.
 //!
-//! HTTP/1.1 gives responses in the order of the requests, but a faulty runner may send more than one response, or bytes
-//! that are none. So a connection bears one request at a time, a response is taken only if it bears that request's id, and
-//! a connection on which anything else was ever seen is not used again.
+//! HTTP/1.1 sends responses in the order of the requests, but a faulty runner may send more than one response or
+//! invalid bytes. Therefore a connection carries one request at a time, a response is accepted only if it has that
+//! request's id, and a connection that received anything else is not reused.
 
 use crate::options::HttpConventions;
 use crate::response_classification::{is_misdirected, states_not_run};
@@ -13,10 +13,10 @@
 pub const BODY_MAX: usize = 4 << 20;
 /// Largest head of a runner's response, in bytes.
 pub const HEAD_MAX: usize = 64 << 10;
-/// Responses to other requests that are dropped on one connection before it is closed.
+/// Number of responses to other requests that are dropped on one connection before it is closed.
 const STRAYS_MAX: u32 = 4;
 
-/// Why a request fails whose response was swallowed by another one.
+/// Failure reason of a request whose response was consumed as part of another response.
 const ANOTHER_RESPONSE: &str = "the runner sent another request's answer";
 
 const RESPONSE_LIMITS: MessageLimits = MessageLimits {
@@ -24,51 +24,53 @@
     body_bytes: BODY_MAX,
 };
 
-/// What is known of the request that was sent on a connection.
+/// Properties of the request that was sent on a connection.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OutstandingRequest {
-    /// The client's id of the request, which its response must bear.
+    /// The request id set by the client, which the response must repeat.
     pub id: Vec<u8>,
-    /// Whether the response has no body, whatever its head says.
+    /// Whether the response has no body regardless of its headers, as for `HEAD`.
     pub is_head: bool,
-    /// Whether the request may run once only.
+    /// Whether the request may run at most once.
     pub at_most_once: bool,
 }
 
-/// What bytes, or the end of a connection, mean for its request.
+/// What received bytes, or the end of a connection, mean for its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SessionEvent {
     /// The response is not complete yet.
     Incomplete,
     /// The request's own response, complete.
     Response(UpstreamResponse),
-    /// No response to the request can come on this connection any more. The runner may have run it.
+    /// No response to the request can be received on this connection any more. The runner may have run it.
     Failed(&'static str),
-    /// Bytes came, or the end, while no request was on the connection.
+    /// Bytes were received, or the connection ended, while no request was outstanding.
     Unsolicited,
 }
 
-/// Whose response it is, as its head says.
+/// How the ids in a response's head relate to the request on the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseMatch {
-    /// It bears the id of the request on the connection and no other.
+    /// It has the id of the request and no other.
     OwnRequest,
-    /// It bears no id.
+    /// It has no id.
     WithoutId,
-    /// It bears ids of other requests only; the own response may follow.
+    /// It has only ids of other requests; the request's own response may follow.
     OtherRequest,
-    /// It bears the own id and others: a cut-off response has swallowed the head of the own one, which is lost.
+    /// It has the request's id and others: a truncated response was continued by the head of the request's own
+    /// response, which is lost.
     Mixed,
 }
 
 /// A complete response of a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamResponse {
-    /// The response as the runner gave it.
+    /// The response as sent by the runner.
     pub response: Response,
-    /// Whether the connection may bear another request.
+    /// Whether the connection may carry another request.
     pub is_reusable: bool,
-    /// Whether it surely belongs to this request: it bears the id, or nothing else was ever sent on the connection.
+    /// Whether it certainly belongs to this request: it has the request's id, or this is the first request and the
+    /// first response on the connection.
     pub is_certain: bool,
 }
 
@@ -88,20 +90,20 @@
         self.requests
     }
 
-    /// Bytes of the incomplete response that were taken off the connection's buffer.
+    /// Number of bytes of the incomplete response that were removed from the connection's buffer.
     #[must_use]
     pub fn taken_bytes(&self) -> usize {
         self.reader.taken_bytes()
     }
 
-    /// A request is sent on the connection.
+    /// Records that a request is sent on the connection.
     pub fn request_sent(&mut self, request: OutstandingRequest) {
         self.reader = ResponseReader::new(request.is_head);
         self.outstanding = Some(request);
         self.requests += 1;
     }
 
-    /// Bytes have arrived. What belongs to a response is taken off the start of the buffer.
+    /// Processes received bytes. Bytes that belong to a response are removed from the start of the buffer.
     pub fn bytes_received(
         &mut self,
         buffer: &mut Vec<u8>,
@@ -122,8 +124,9 @@
         SessionEvent::Unsolicited
     }
 
-    /// The connection has ended, and all bytes before that were given to [`bytes_received`](Self::bytes_received). A
-    /// response whose length is given by this end alone is not known to be complete.
+    /// Processes the end of the connection, after all received bytes were passed to
+    /// [`bytes_received`](Self::bytes_received). A response that is delimited by the end of the connection is not
+    /// known to be complete.
     pub fn connection_closed(&mut self) -> SessionEvent {
         if self.outstanding.is_none() {
             return SessionEvent::Unsolicited;
@@ -131,7 +134,7 @@
         self.fail("the runner broke off")
     }
 
-    /// More bytes are awaited, unless the request's own response can no longer be among them.
+    /// Waits for more bytes, or fails the request if they can no longer contain its own response.
     fn await_more(&mut self, conventions: &HttpConventions) -> SessionEvent {
         let partial = self.reader.partial();
         let id_match = partial.map(|response| self.match_ids(response, conventions));
@@ -146,7 +149,7 @@
         SessionEvent::Incomplete
     }
 
-    /// Whose response it is, by the ids that its head bears.
+    /// Compares the ids in a response's head to the request on the connection.
     fn match_ids(&self, response: &Response, conventions: &HttpConventions) -> ResponseMatch {
         let Some(request) = &self.outstanding else {
             return ResponseMatch::OtherRequest;
@@ -168,7 +171,7 @@
         SessionEvent::Failed(reason)
     }
 
-    /// Matches a complete response to the request; `Incomplete` where it belongs to another one.
+    /// Matches a complete response to the request. Returns `Incomplete` if it belongs to another request.
     fn match_response(
         &mut self,
         response: Response,
@@ -183,7 +186,8 @@
             return self.fail(ANOTHER_RESPONSE);
         }
         let is_own = id_match == ResponseMatch::OwnRequest;
-        // A rejection may come without an id; behind another request it may be a late one.
+        // A rejection may lack an id. If the connection carried an earlier request, it may be a late response to that
+        // one.
         let is_first = self.requests <= 1 && self.strays == 0;
         let is_rejection =
             id_match == ResponseMatch::WithoutId && states_not_run(&response, conventions);
--- a/crates/gateway/tests/session_support/mod.rs
+++ b/crates/gateway/tests/session_support/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated connection to a runner, and responses in every framing.
+//! A simulated runner connection, and responses in every framing.
 
 use gateway::upstream_session::{
     OutstandingRequest, SessionEvent, UpstreamResponse, UpstreamSession,
@@ -73,7 +73,7 @@
     }
 }
 
-/// A connection, and what has arrived on it.
+/// A session and its receive buffer.
 #[derive(Default)]
 pub struct SimulatedRunner {
     pub session: UpstreamSession,
@@ -86,7 +86,8 @@
         self.session.bytes_received(&mut self.buffer, &CONVENTIONS)
     }
 
-    /// Sends the bytes one by one until something is known of the request: what, and after how many bytes.
+    /// Sends the bytes one by one until the session reports an outcome. Returns the event and the number of bytes
+    /// sent.
     pub fn sends_byte_by_byte(&mut self, bytes: &[u8]) -> (SessionEvent, usize) {
         for (place, byte) in bytes.iter().enumerate() {
             let event = self.sends(&[*byte]);
--- a/crates/gateway/tests/swallowed_responses.rs
+++ b/crates/gateway/tests/swallowed_responses.rs
@@ -1,4 +1,5 @@
-//! A response that late bytes of another one have swallowed is lost, and its request is not held until its time is over.
+//! If late bytes of a previous response consume the head of a response, that response is lost. The session must
+//! report the failure at once; otherwise the request would wait until its deadline.
 
 mod session_support;
 
@@ -12,7 +13,7 @@
     for stale in FRAMINGS {
         let surplus = response_bytes(stale, "stale");
         for count in 0..=surplus.len() {
-            // A head without a body may be swallowed as a trailer, which nothing shows.
+            // A head without a body may be consumed as a trailer, which cannot be detected.
             for next in [Framing::Length, Framing::Chunked] {
                 let what = format!("{count} late bytes of {stale:?}, then {next:?}");
                 let mut runner = SimulatedRunner::default();
@@ -23,7 +24,7 @@
                 runner.session.request_sent(outstanding("next", next));
                 let bytes = [&surplus[..count], &response_bytes(next, "next")].concat();
                 let (event, _) = runner.sends_byte_by_byte(&bytes);
-                // Nothing else can come, so that waiting would only hold the client until its time is over.
+                // No further bytes can arrive, so waiting would only delay the client until its deadline.
                 assert_ne!(event, SessionEvent::Incomplete, "{what}");
             }
         }
--- a/crates/gateway/tests/unit/agreed_owners.rs
+++ b/crates/gateway/tests/unit/agreed_owners.rs
@@ -1,5 +1,5 @@
-//! Under an agreed table a gateway passes on what another one cannot ask the owner itself, tells the scaler who is silent, and takes no
-//! owner's place while a controller scales.
+//! Under an agreed ownership table, a gateway relays lease requests of a gateway that cannot reach the owner, reports
+//! unresponsive owners to the scaler, and does not replace an owner while a scaler is reachable.
 
 use crate::connection_reuse_tests::{options, pending_request};
 use crate::controller_links::ControllerState;
@@ -19,13 +19,13 @@
 pub(crate) const OWNER: &str = "owner";
 const ORIGINAL_ID: RequestId = RequestId(7);
 
-/// A gateway under test, a controller that scales, and two other gateways, of which one owns a function.
+/// A gateway under test, a scaler, and two other gateways, one of which owns a function.
 pub(crate) struct Fleet {
     pub(crate) gateway: Gateway,
     pub(crate) asker: Owner,
     pub(crate) owner: Owner,
     pub(crate) scaler: Owner,
-    /// A function that the other gateway owns.
+    /// A function owned by `owner`.
     pub(crate) function: String,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// From now on the gateway hears a controller that scales.
+    /// Connects the gateway to a scaler that sends heartbeats.
     pub(crate) fn hears_scaler(&mut self) {
         let address = self.scaler.member().address;
         self.gateway.now = 10_000;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Number by which the owner knows the request that was passed on.
+    /// The id under which the owner knows the relayed request.
     fn relayed_id(&mut self) -> RequestId {
         let relayed = |message: &Message| match message {
             Message::RelayedLeaseRequest(relayed) => Some(relayed.request.request_id),
@@ -188,7 +188,7 @@
     let function = fleet.function.clone();
     let status = fleet.gateway.lease_owner.seat_status(&function);
     assert_eq!(*status, seat_leases::SeatStatus::OwnedBy(OWNER.into()));
-    // Without one it is.
+    // Without a reachable scaler, it is replaced.
     fleet.gateway.now += 3 * fleet.gateway.options.heartbeat_ms();
     let now = fleet.gateway.now;
     fleet.gateway.peers.suspect(OWNER, now);
--- a/crates/gateway/tests/unit/allowed_regions.rs
+++ b/crates/gateway/tests/unit/allowed_regions.rs
@@ -1,4 +1,4 @@
-//! A gateway sends nothing out of the regions that its route allows, whatever an owner leases to it.
+//! A gateway never sends a request outside the regions that its route allows, whatever lease an owner grants.
 
 use crate::connection_reuse_tests::{options, pending_request};
 use crate::connections::ConnectionRole;
@@ -9,7 +9,7 @@
 use protocol::{RequestId, SeatLease};
 use std::net::{Ipv4Addr, TcpListener};
 
-/// A gateway with a request that must not leave region `home`, which awaits a lease of an owner.
+/// A gateway with a request that is restricted to region `home` and waits for an owner's lease.
 struct RestrictedRequest {
     gateway: Gateway,
     runner: TcpListener,
--- a/crates/gateway/tests/unit/broken_invariants.rs
+++ b/crates/gateway/tests/unit/broken_invariants.rs
@@ -1,4 +1,4 @@
-//! Each invariant of the gateway is broken on purpose, and its check ends the test.
+//! Violates each invariant of the gateway on purpose and expects its check to panic.
 
 use crate::applied_configuration::AppliedConfiguration;
 use crate::connection_reuse_tests::{options, pending_request};
@@ -14,7 +14,7 @@
 use routing::RoutingConfiguration;
 use std::net::{Ipv4Addr, TcpListener};
 
-/// Milliseconds at which the checks over whole tables are due.
+/// Time at which the checks over whole tables are due, in milliseconds.
 const CHECKS_DUE_AT: u64 = 1_000;
 
 fn gateway() -> Gateway {
@@ -23,7 +23,7 @@
     gateway
 }
 
-/// A client's connection, whose other end is a listener that is dropped with the test.
+/// Opens a client connection to a listener that is dropped with the test.
 pub(crate) fn connect_downstream(gateway: &mut Gateway, listener: &TcpListener) -> ConnectionId {
     let role = ConnectionRole::Downstream(DownstreamConnection::accepted(0));
     let address = listener.local_addr().unwrap().to_string();
--- a/crates/gateway/tests/unit/client_identity.rs
+++ b/crates/gateway/tests/unit/client_identity.rs
@@ -1,4 +1,4 @@
-//! Who sends a request, by its headers and the tenants in force.
+//! Identification of the sending tenant by the headers of a request and the configured tenants.
 
 use crate::client_identity::{ClientIdentity, IdentityError, KeyStatus};
 use crate::retry_budgets::RetryBudgets;
--- a/crates/gateway/tests/unit/connection_reuse.rs
+++ b/crates/gateway/tests/unit/connection_reuse.rs
@@ -1,5 +1,6 @@
-//! Which pooled connection to a runner bears a further request: none on which bytes or an end lie that nobody has read.
-//! A lease and such bytes can come in one turn of the event loop, so these tests put them into that order themselves.
+//! Reuse of pooled connections to runners: a connection with unread bytes, or that the runner has closed, must not be
+//! reused. A lease and such bytes can arrive in the same turn of the event loop, so these tests produce that order
+//! themselves.
 
 use crate::connections::ConnectionRole;
 use crate::downstream_connection::DownstreamConnection;
@@ -20,7 +21,7 @@
 const RUNNER: &str = "runner-1";
 const UNSOLICITED_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 const DEADLINE_MS: u64 = 60_000;
-/// Time for which one poll waits; it is repeated until what must come has come.
+/// Timeout of one poll, which is repeated until the expected event arrives.
 const POLL_TIMEOUT: Duration = Duration::from_millis(20);
 
 const CONVENTIONS: HttpConventions = HttpConventions {
@@ -35,7 +36,7 @@
     is_readiness_check: |_, _| false,
 };
 
-/// A format without documents, since no configuration is read here.
+/// A configuration format that is never used, because no configuration is received here.
 struct NoDocuments;
 
 impl ConfigurationFormat for NoDocuments {
@@ -82,7 +83,7 @@
     }
 }
 
-/// A gateway with one pooled connection to a runner, and the runner's end of it.
+/// A gateway with one pooled connection to a runner, and the runner's end of the connection.
 struct PooledConnection {
     gateway: Gateway,
     listener: TcpListener,
@@ -111,20 +112,21 @@
         }
     }
 
-    /// The runner sends bytes that answer no request, and the event loop reads them; nobody handles its event yet.
+    /// Sends unsolicited bytes from the runner and lets the event loop read them, without handling the event.
     fn receive_unsolicited_bytes(&mut self) {
         self.runner.write_all(UNSOLICITED_RESPONSE).unwrap();
         wait_for_event(&mut self.gateway, Event::Readable(self.pooled));
     }
 
-    /// Waits, without a poll, until the system holds bytes or an end that the event loop has not read.
+    /// Waits, without polling, until the kernel holds bytes or an end of the connection that the event loop has not
+    /// read.
     fn wait_for_kernel(&mut self) {
         while self.gateway.connections.has_nothing_to_read(self.pooled) {
             std::thread::yield_now();
         }
     }
 
-    /// A request that waits for a lease.
+    /// Adds a request that waits for a lease.
     fn admit_request(&mut self, at_most_once: bool) -> RequestId {
         let role = ConnectionRole::Downstream(DownstreamConnection::accepted(0));
         let address = self.listener.local_addr().unwrap().to_string();
@@ -136,7 +138,7 @@
         self.gateway.requests.add(pending)
     }
 
-    /// A lease on a seat of the runner comes for the request. Returns whether the pooled connection bears the request.
+    /// Grants the request a lease at the runner. Returns whether the pooled connection carries the request.
     fn is_reused_by(&mut self, id: RequestId) -> bool {
         let lease = SeatLease {
             request_id: id,
--- a/crates/gateway/tests/unit/controller_links.rs
+++ b/crates/gateway/tests/unit/controller_links.rs
@@ -1,4 +1,4 @@
-//! When a gateway gives an attempt to reach a controller up.
+//! Timeouts of connection attempts and links to controllers.
 
 use crate::applied_configuration::ConfigurationVersions;
 use crate::connection_reuse_tests::options;
@@ -12,12 +12,12 @@
     interval_ms: 400,
     silence_ms: 1_600,
 };
-/// The time within which a first attempt must succeed.
+/// Timeout of a first connection attempt, in milliseconds.
 const FIRST_TIMEOUT_MS: u64 = 200;
-/// Milliseconds between two looks at the links.
+/// Interval at which the tests check the links, in milliseconds.
 const STEP_MS: usize = 10;
 
-/// The links of a gateway that knows one controller, and a connection for them.
+/// The links of a gateway that knows one controller, and a connection to use for them.
 struct Links {
     links: ControllerLinks,
     address: String,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Another connection to the controller.
+    /// Opens another connection to the controller.
     fn connect(&mut self) -> ConnectionId {
         connect(&mut self.gateway, &self.address)
     }
@@ -58,7 +58,7 @@
         self.links.begin(&self.address, self.connection, now);
     }
 
-    /// When the attempt that began at a time is given up.
+    /// The time at which a link that began at `from` is closed.
     fn timed_out_at(&mut self, from: u64) -> u64 {
         let mut times = (from..from + 10_000).step_by(STEP_MS);
         let timed_out = times.find(|now| {
@@ -74,7 +74,7 @@
     let mut links = Links::new();
     links.begin(100);
     assert_eq!(links.timed_out_at(100), 100 + FIRST_TIMEOUT_MS);
-    // The next attempt follows at once, since the pause between attempts has passed.
+    // The next attempt follows at once, because the pause between attempts has passed.
     links.begin(100 + FIRST_TIMEOUT_MS);
 }
 
@@ -132,7 +132,7 @@
     let mut is_new = |now| links.links.scaler(now).map(|scaler| scaler.is_new);
     assert_eq!(is_new(110), Some(true));
     assert_eq!(is_new(120), Some(false));
-    // What was sent over the former link may have been lost with it.
+    // Messages sent over the former link may have been lost with it.
     links.links.end(&links.address);
     links.connection = links.connect();
     links.begin(600);
--- a/crates/gateway/tests/unit/drain_end.rs
+++ b/crates/gateway/tests/unit/drain_end.rs
@@ -1,4 +1,4 @@
-//! Before a gateway stops with requests in flight, those that no runner has are answered.
+//! Requests that were not sent to a runner are answered before a draining gateway stops.
 
 use crate::broken_invariants_tests::{connect_downstream, listener};
 use crate::connection_reuse_tests::{options, pending_request};
@@ -18,7 +18,7 @@
     (gateway, listener())
 }
 
-/// A request of a client, which awaits a lease or is at its runner.
+/// Adds a client's request that waits for a lease or was sent to its runner.
 fn add_request(gateway: &mut Gateway, listener: &TcpListener, is_sent: bool) -> RequestId {
     let downstream = connect_downstream(gateway, listener);
     let mut pending = pending_request(Some(downstream), false);
--- a/crates/gateway/tests/unit/owner_links.rs
+++ b/crates/gateway/tests/unit/owner_links.rs
@@ -1,4 +1,5 @@
-//! What a gateway sends to the owners of a function's seats, as they change. Each owner is a socket of the test.
+//! Messages of a gateway to the owners of a function's seats when the owner changes. Each owner is a socket of the
+//! test.
 
 use crate::connection_reuse_tests::{options, pending_request};
 use crate::connections::ConnectionRole;
@@ -19,7 +20,7 @@
 const POLL_TIMEOUT: Duration = Duration::from_millis(5);
 const MESSAGE_WITHIN: Duration = Duration::from_secs(5);
 
-/// Another gateway, as a listening socket and what arrived at it.
+/// Another gateway, simulated by a listening socket and the messages it received.
 pub(crate) struct Owner {
     name: &'static str,
     listener: TcpListener,
@@ -72,7 +73,7 @@
     }
 }
 
-/// A gateway with one request, and the owners that its function has one after the other.
+/// A gateway with one request, and the successive owners of its function.
 struct OwnerChanges {
     gateway: Gateway,
     owners: Vec<Owner>,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The first owner has leased a seat to a request, which was sent to its runner.
+    /// Creates a gateway with a request that was sent to its runner under a lease of the first owner.
     fn with_request_at_its_runner() -> (Self, RequestId) {
         let mut changes = Self::new();
         changes.make_owner(0);
@@ -99,7 +100,7 @@
         (changes, id)
     }
 
-    /// From now on this owner is the only member.
+    /// Makes this owner the only member.
     fn make_owner(&mut self, index: usize) {
         self.membership_number += 1;
         let version = UpdateVersion {
@@ -111,7 +112,7 @@
         self.gateway.flush_peers();
     }
 
-    /// From now on the gateway under test is the only member.
+    /// Makes the gateway under test the only member.
     fn make_own_gateway_owner(&mut self) {
         self.membership_number += 1;
         let version = UpdateVersion {
@@ -122,7 +123,7 @@
         self.gateway.membership_received(version, members);
     }
 
-    /// The link with an owner ends; the owner listens for another, and what it received before is dropped.
+    /// Ends the link to an owner, discards what the owner received and lets it accept a new link.
     fn close_link_to(&mut self, index: usize) {
         let name = self.owners[index].name;
         let connections = self.gateway.connections.with_peer(name);
@@ -150,7 +151,7 @@
         id
     }
 
-    /// The first owner leases a seat, and the request is sent to its runner.
+    /// Grants the request a lease of the first owner and sends the request to its runner.
     fn lease_and_send(&mut self, id: RequestId) {
         let lease = SeatLease {
             request_id: id,
@@ -202,7 +203,7 @@
         );
     }
 
-    /// A request of a job that must run at most once.
+    /// Adds a request of a job that must run at most once.
     fn admit_job(&mut self) -> RequestId {
         let id = self.admit_request();
         let admission = JobAdmission::new("key".into(), [0; 16], true, 1);
@@ -212,7 +213,7 @@
         id
     }
 
-    /// Handles what comes until an owner hears that a job's request has not run.
+    /// Handles events until an owner is notified that a job's request has not run.
     fn wait_for_not_run(&mut self, index: usize, id: RequestId) {
         let until = Instant::now() + MESSAGE_WITHIN;
         let is_it = |message: &Message| {
@@ -278,7 +279,7 @@
 fn seats_in_use_are_reported_first_over_a_new_link() {
     let (mut changes, _) = OwnerChanges::with_request_at_its_runner();
     changes.close_link_to(0);
-    // Whatever the message is, the report goes before it.
+    // Whatever message opens the link, the report precedes it.
     changes
         .gateway
         .send_to_peer(changes.owners[0].name, &Message::Ping(1));
@@ -297,7 +298,7 @@
     );
     changes.gateway.reject(id, 0, "the test ends it");
     changes.wait_for_not_run(0, id);
-    // The owner took the request for a new one: a partition had held it back.
+    // A network partition had delayed the lease request, so the owner took it for a new one.
     changes.owners[0].received.clear();
     changes.owners[0].send(&Message::JobClaimed {
         request_id: id,
--- a/crates/gateway/tests/unit/ownership_changes.rs
+++ b/crates/gateway/tests/unit/ownership_changes.rs
@@ -1,4 +1,4 @@
-//! A change of the gateways or their ownership applies to the version on which it builds, and to no other.
+//! A change of the membership or ownership applies only to the version on which it is based.
 
 use crate::connection_reuse_tests::options;
 use crate::gateway::Gateway;
--- a/crates/gateway/tests/unit/process_pauses.rs
+++ b/crates/gateway/tests/unit/process_pauses.rs
@@ -1,5 +1,6 @@
-//! A gateway whose process stood still hears what came meanwhile before it takes anybody for silent, and leases nothing by what it knew until
-//! the scaler has confirmed it. The other daemons are sockets of the test; the clock is the test's.
+//! After a process pause, a gateway handles the messages received meanwhile before it considers any daemon silent,
+//! and leases nothing from earlier state until the scaler has confirmed it. The other daemons are sockets of the
+//! test, and the test controls the clock.
 
 use crate::agreed_owners_tests::{Fleet, OWNER};
 use crate::gateway::TimerEvent;
@@ -13,7 +14,7 @@
 const SCALER: &str = "scaler:1";
 const OTHER: &str = "other:1";
 const TERM: u64 = 7;
-/// Longer than any silence that gateways and controllers bear.
+/// Longer than the silence timeouts of gateways and controllers.
 const PAUSE_MS: u64 = 2_000;
 
 fn awaiting_confirmation() -> (PauseConfirmation, u64) {
@@ -46,7 +47,7 @@
 #[test]
 fn a_table_confirms_after_a_reconnect_or_after_the_pong() {
     let (mut confirmation, number) = awaiting_confirmation();
-    // It may have lain in the socket.
+    // The table may have waited in the socket during the pause.
     assert_eq!(confirmation.table_published(SCALER), None);
     confirmation.link_opened(SCALER);
     assert_eq!(
@@ -54,7 +55,7 @@
         Some(Confirmation::Table)
     );
     let (mut confirmation, _) = awaiting_confirmation();
-    // The role has moved to a controller that did not scale as it answered.
+    // The scaler role has moved to a controller that did not have it when it answered.
     assert_eq!(confirmation.ping_answered(OTHER, number, 0), None);
     assert_eq!(
         confirmation.table_published(OTHER),
@@ -62,8 +63,9 @@
     );
 }
 
-/// In an aimed series (seed 9004) a gateway stood still, was removed, linked anew, and stood still again before it was told a table. The
-/// answer over the new link was taken for a confirmation of its old lists: "DRAIN: 1.584532499s after i-20 of function-4 was listed as leaving".
+/// Regression test from an aimed series (seed 9004): a gateway paused, was removed, reconnected, and paused again
+/// before it received an ownership table. The pong over the new link was taken as confirmation of its old runner
+/// lists, which was reported as "DRAIN: 1.584532499s after i-20 of function-4 was listed as leaving".
 #[test]
 fn a_pong_over_a_reopened_link_does_not_confirm_runner_lists() {
     let (mut confirmation, _) = awaiting_confirmation();
@@ -74,7 +76,7 @@
         confirmation.table_published(SCALER),
         Some(Confirmation::Table)
     );
-    // The same where the table came before the answer.
+    // The same if the table arrives before the pong.
     let (mut confirmation, _) = awaiting_confirmation();
     confirmation.link_opened(SCALER);
     let number = confirmation.begin([SCALER.to_string()].into_iter());
@@ -83,7 +85,7 @@
     assert_eq!(confirmed, Some(Confirmation::Table));
 }
 
-/// A gateway that has asked the owner whether it is alive, stood still, and goes on; the answer lies in its socket.
+/// Creates a gateway that pinged the owner before a pause; the owner's pong waits in the gateway's socket.
 fn fleet_after_a_pause() -> Fleet {
     let mut fleet = Fleet::new();
     fleet.hears_scaler();
@@ -136,7 +138,7 @@
     assert!(fleet.gateway.timers.is_empty());
 }
 
-/// A function that the gateway under test owns, and one runner of it that its list names.
+/// Returns a function that the gateway under test owns, with one runner in its list.
 fn own_function(fleet: &mut Fleet) -> String {
     let table = fleet.gateway.configuration.ownership().unwrap();
     let names = (0..).map(|number| format!("own-{number}"));
@@ -189,7 +191,7 @@
     let now = fleet.gateway.now + PAUSE_MS;
     fleet.gateway.read_clock(now);
     request_lease(&mut fleet, &function);
-    // What was told before the pause, and read after it, is as old as the pause.
+    // An update that was sent before the pause and is read after it is as old as the pause.
     let address = fleet.scaler.member().address;
     let stale = Message::FunctionUpdates(vec![update(&function, 2)]);
     fleet.gateway.controller_message(&address, stale);
--- a/crates/gateway/tests/unit/relayed_tenants.rs
+++ b/crates/gateway/tests/unit/relayed_tenants.rs
@@ -1,5 +1,5 @@
-//! A lease request that another gateway passes on keeps its tenant: it waits with the tenant's priority, and in its turns. Without this a
-//! relayed request would go before all tenants of lesser priority.
+//! A relayed lease request keeps its tenant, waits with the tenant's priority and takes turns with other tenants.
+//! Without the tenant, a relayed request would be served before all tenants of lower priority.
 
 use crate::agreed_owners_tests::{Fleet, ASKER, OWNER};
 use protocol::{
@@ -28,7 +28,7 @@
     }
 }
 
-/// The gateway under test owns the function, whose only runner has one seat.
+/// Makes the gateway under test the owner of the function, whose only runner has one seat.
 fn own_the_function(fleet: &mut Fleet) {
     let own = fleet.gateway.identity.clone();
     let table = protocol::OwnershipTable {
@@ -57,7 +57,7 @@
     fleet.gateway.lease_owner.update_runners(now, update);
 }
 
-/// The gateway `asker` passes a request on, as bytes on a link would bring it.
+/// Delivers a request relayed by the gateway `asker`, as if received over its link.
 fn relay(fleet: &mut Fleet, number: u64, tenant: RequestTenant) {
     let relayed =
         RelayedLeaseRequest::new(RequestId(number), "zone-1", request(fleet, number, tenant));
--- a/crates/gateway/tests/unit/restarted_peers.rs
+++ b/crates/gateway/tests/unit/restarted_peers.rs
@@ -1,5 +1,5 @@
-//! A gateway that was started again is another one, though the link of its former incarnation has no end yet: after a loss of power
-//! nothing tells of it. Each incarnation is a socket of the test.
+//! A restarted gateway is a new incarnation, although the link of its former incarnation may still appear open: after
+//! a power failure nothing closes it. Each incarnation is a socket of the test.
 
 use crate::connection_reuse_tests::options;
 use crate::gateway::Gateway;
@@ -15,12 +15,12 @@
 
 const FUNCTION: &str = "function-1";
 const PEER: &str = "peer-1";
-/// Milliseconds of silence after which a link is taken for one that its peer does not use any more.
+/// Silence after which a link counts as abandoned by its peer, in milliseconds.
 const SILENT_FOR_MS: u64 = 1_000;
 const POLL_TIMEOUT: Duration = Duration::from_millis(5);
 const MESSAGE_WITHIN: Duration = Duration::from_secs(5);
 
-/// One incarnation of another gateway.
+/// The link of one incarnation of another gateway.
 struct PeerLink {
     stream: TcpStream,
     unread: Vec<u8>,
@@ -127,7 +127,7 @@
         self.gateway.flush_peers();
     }
 
-    /// Handles what comes until a link has ended, and what follows from it only then.
+    /// Handles events until a link has ended, and runs the resulting actions only afterwards.
     fn handle_until_closed(&mut self) {
         let until = Instant::now() + MESSAGE_WITHIN;
         let mut events = Vec::new();
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Waits until a report of the seat of this request alone was taken.
+    /// Waits until a report of the seat in use by this request was processed.
     fn wait_for_holder(&mut self, number: u64) {
         let until = Instant::now() + MESSAGE_WITHIN;
         while !self.gateway.lease_owner.is_holder(PEER, RequestId(number)) {
@@ -204,7 +204,7 @@
     let mut former = PeerLink::open(owner.address, 1);
     former.request_lease(1);
     owner.wait_for_lease(&mut former, 1);
-    // The lease never reached the peer, which took this gateway for dead and opened another link.
+    // The lease never reached the peer, which considered this gateway dead and opened another link.
     owner.gateway.now += SILENT_FOR_MS;
     let mut present = PeerLink::open(owner.address, 1);
     present.request_lease(2);
@@ -218,13 +218,13 @@
     let mut present = PeerLink::open(owner.address, 1);
     present.request_lease(1);
     owner.wait_for_lease(&mut present, 1);
-    // A link of the same incarnation, which a partition held back together with what was sent on it.
+    // A link of the same incarnation, which a network partition delayed together with the messages sent on it.
     let mut held_back = PeerLink::open(owner.address, 1);
     held_back.report_seat_in_use(5);
     owner.wait_for_holder(5);
     drop(held_back);
     owner.wait_for_leased_seats(0);
-    // The peer begins anew.
+    // The peer connects again.
     let mut next = PeerLink::open(owner.address, 1);
     next.request_lease(6);
     owner.wait_for_lease(&mut next, 6);
--- a/crates/gateway/tests/upstream_session.rs
+++ b/crates/gateway/tests/upstream_session.rs
@@ -1,5 +1,5 @@
-//! The state of one connection to a runner, for every cut and every interleaving of its bytes: no part of a response
-//! reaches another request, and a response that is cut short is never whole.
+//! Session state of a runner connection, for every truncation and every interleaving of its bytes: no part of a
+//! response may reach another request, and a truncated response must never count as complete.
 
 mod session_support;
 
@@ -11,7 +11,7 @@
     FRAMINGS, INTERIM,
 };
 
-/// What must hold of a response that is passed on to the request with this id.
+/// Checks a response that is forwarded to the request with this id.
 fn check_own(response: &UpstreamResponse, id: &str, framing: Framing, what: &str) {
     let ids: Vec<&[u8]> = response.response.headers.get_all("Id").collect();
     assert_eq!(ids, [id.as_bytes()], "{what}");
@@ -92,7 +92,7 @@
                 let (event, _) = runner.sends_byte_by_byte(&bytes);
                 if let SessionEvent::Response(response) = event {
                     check_own(&response, "next", next, &what);
-                    // Interim responses are dropped, whosever they are: nothing of them can reach a request.
+                    // Interim responses are always dropped, so nothing of them can reach a request.
                     let is_interim = stale == Framing::Interim && count <= INTERIM.len();
                     let may_be_reused = count == 0 || (is_interim && response.is_reusable);
                     assert_eq!(
@@ -109,7 +109,8 @@
 fn a_response_to_another_request_is_skipped_however_it_is_framed() {
     for stale in FRAMINGS.into_iter().filter(|one| *one != Framing::Close) {
         let mut runner = SimulatedRunner::default();
-        // What a HEAD is answered with has no body, and the body of a stale response would be garbage.
+        // A stale response to HEAD announces a body that does not follow, so the next response would be read as that
+        // body.
         if stale == Framing::Head {
             continue;
         }
@@ -235,7 +236,7 @@
         ResponseClass::Rejected
     );
 
-    // On a connection that had another request, it may be that one's.
+    // On a connection that carried an earlier request, the rejection may belong to that one.
     runner
         .session
         .request_sent(outstanding("next", Framing::Length));
