--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -111,7 +111,7 @@
             Self::Listen(address, error) => {
                 write!(formatter, "cannot listen at {address}: {error}")
             }
-            Self::System(error) => write!(formatter, "the system refused: {error}"),
+            Self::System(error) => write!(formatter, "operating system error: {error}"),
         }
     }
 }
--- a/crates/gateway/tests/unit/allowed_regions.rs
+++ b/crates/gateway/tests/unit/allowed_regions.rs
@@ -75,7 +75,10 @@
     for zone in ["away-1", "unknown", ""] {
         let mut restricted = RestrictedRequest::new();
         restricted.lease_in(zone);
-        assert!(!restricted.is_upstream(), "it goes to {zone:?}");
+        assert!(
+            !restricted.is_upstream(),
+            "the request was sent to zone {zone:?}"
+        );
         assert!(restricted.gateway.requests.get(restricted.id).is_none());
     }
 }
--- a/crates/gateway/tests/unit/client_identity.rs
+++ b/crates/gateway/tests/unit/client_identity.rs
@@ -133,7 +133,7 @@
     assert_eq!(
         taken.count(),
         1,
-        "one that it had, and no other of those that were earned"
+        "the initial balance, and nothing that the other tenant earned"
     );
     assert!(budgets.try_withdraw("sign", Some(&small)));
     assert!(budgets.try_withdraw("sign", Some(&small)));
@@ -143,7 +143,7 @@
     }
     assert!(
         budgets.try_withdraw("sign", Some(&flood)),
-        "the balance is full"
+        "the budget is full"
     );
     assert!(!budgets.try_withdraw("sign", Some(&flood)));
 }
--- a/crates/gateway/tests/unit/connection_reuse.rs
+++ b/crates/gateway/tests/unit/connection_reuse.rs
@@ -41,7 +41,7 @@
 
 impl ConfigurationFormat for NoDocuments {
     fn parse(&self, _: &[u8]) -> Result<RoutingConfiguration, ConfigurationError> {
-        unreachable!("no configuration comes")
+        unreachable!("no configuration is received")
     }
 
     fn apply_change(
@@ -49,11 +49,11 @@
         _: &RoutingConfiguration,
         _: &[u8],
     ) -> Result<RoutingConfiguration, ConfigurationError> {
-        unreachable!("no configuration comes")
+        unreachable!("no configuration is received")
     }
 
     fn merge_change(&self, _: &[u8], _: &[u8]) -> Result<Vec<u8>, ConfigurationError> {
-        unreachable!("no configuration comes")
+        unreachable!("no configuration is received")
     }
 }
 
@@ -152,7 +152,7 @@
         assert_eq!(
             attempt.is_sent,
             attempt.connection == self.pooled,
-            "a request leaves at once on an established connection alone"
+            "a request is sent immediately only on an established connection"
         );
         attempt.connection == self.pooled
     }
--- a/crates/gateway/tests/unit/controller_links.rs
+++ b/crates/gateway/tests/unit/controller_links.rs
@@ -65,7 +65,7 @@
             let task = self.links.next_task(&self.address, *now, TIMING);
             matches!(task, LinkTask::Close(_))
         });
-        timed_out.expect("it is given up")
+        timed_out.expect("the link is closed")
     }
 }
 
--- a/crates/gateway/tests/unit/owner_links.rs
+++ b/crates/gateway/tests/unit/owner_links.rs
@@ -222,7 +222,10 @@
         };
         let mut events = Vec::new();
         while !self.owners[index].received.iter().any(is_it) {
-            assert!(Instant::now() < until, "nobody says that it has not run");
+            assert!(
+                Instant::now() < until,
+                "no completion with NotRun was received"
+            );
             self.gateway.connections.poll(POLL_TIMEOUT, &mut events);
             for event in events.drain(..) {
                 self.gateway.handle_event(event);
--- a/crates/gateway/tests/unit/restarted_peers.rs
+++ b/crates/gateway/tests/unit/restarted_peers.rs
@@ -155,7 +155,7 @@
     fn wait_for_holder(&mut self, number: u64) {
         let until = Instant::now() + MESSAGE_WITHIN;
         while !self.gateway.lease_owner.is_holder(PEER, RequestId(number)) {
-            assert!(Instant::now() < until, "the report was not taken");
+            assert!(Instant::now() < until, "the report was not processed");
             self.turn();
         }
     }
--- a/crates/gateway/tests/upstream_session.rs
+++ b/crates/gateway/tests/upstream_session.rs
@@ -67,7 +67,7 @@
                 let bytes = [&response_bytes(first, "own"), &surplus[..count]].concat();
                 let own = complete_response(runner.sends(&bytes), &what);
                 check_own(&own, "own", first, &what);
-                assert!(!own.is_reusable, "{what}: it is used again");
+                assert!(!own.is_reusable, "{what}: the connection is reusable");
             }
         }
     }
@@ -97,7 +97,7 @@
                     let may_be_reused = count == 0 || (is_interim && response.is_reusable);
                     assert_eq!(
                         response.is_reusable, may_be_reused,
-                        "{what}: it is used again"
+                        "{what}: unexpected reuse"
                     );
                 }
             }
@@ -138,7 +138,7 @@
     let mut given = 0;
     while runner.sends(&response_bytes(Framing::Length, "stale")) == SessionEvent::Incomplete {
         given += 1;
-        assert!(given < 10, "it never ends");
+        assert!(given < 10, "stray responses are accepted without limit");
     }
     assert_eq!(
         runner.session.connection_closed(),
