--- a/crates/autoscaler/src/arrivals.rs
+++ b/crates/autoscaler/src/arrivals.rs
@@ -59,11 +59,11 @@
             return;
         }
         // After a pause the filter takes the samples that it missed, up to four windows of them.
-        let most = 4 * RATE_WINDOW_MS / SAMPLE_INTERVAL_MS;
-        let missed = ((now - self.sampled_at) / SAMPLE_INTERVAL_MS).min(most);
-        let measured = self.measured(now);
+        let max_missed = 4 * RATE_WINDOW_MS / SAMPLE_INTERVAL_MS;
+        let missed = ((now - self.sampled_at) / SAMPLE_INTERVAL_MS).min(max_missed);
+        let measured_rate = self.measured_rate(now);
         for _ in 0..missed {
-            self.forecast.observe(measured);
+            self.forecast.observe(measured_rate);
             self.by_zone
                 .values_mut()
                 .for_each(|count| *count *= ZONE_COUNT_DECAY);
@@ -80,28 +80,28 @@
     }
 
     /// Arrivals within about the last window.
-    pub fn recent(&self, now: u64) -> u64 {
+    pub fn recent_count(&self, now: u64) -> u64 {
         let base = self.window_start(now).or(self.samples.front());
         base.map_or(0, |sample| self.total - sample.total)
     }
 
     /// Rate over about the last window.
-    pub fn measured(&self, now: u64) -> f64 {
+    pub fn measured_rate(&self, now: u64) -> f64 {
         let since = self
             .window_start(now)
             .map_or(now.saturating_sub(RATE_WINDOW_MS), |sample| sample.at);
         let passed = now.saturating_sub(since).max(RATE_WINDOW_MS);
-        self.recent(now) as f64 * 1_000.0 / passed as f64
+        self.recent_count(now) as f64 * 1_000.0 / passed as f64
     }
 
     /// Rate in the last moments, less what chance alone may bring.
-    pub fn burst(&self, now: u64) -> f64 {
+    pub fn burst_rate(&self, now: u64) -> f64 {
         let Some(newest) = self.samples.back().copied() else {
             return 0.0;
         };
         // A sample that was only just taken spans too little time, so the one before it is the base.
         let base = match self.samples.iter().rev().nth(1).copied() {
-            Some(former) if now < newest.at + BURST_WINDOW_MS / 2 => former,
+            Some(previous) if now < newest.at + BURST_WINDOW_MS / 2 => previous,
             _ => newest,
         };
         let count = (self.total - base.total) as f64;
@@ -110,7 +110,7 @@
     }
 
     /// Rate that the filter forecasts.
-    pub fn forecast(&self) -> f64 {
+    pub fn forecast_rate(&self) -> f64 {
         self.forecast.rate()
     }
 
--- a/crates/autoscaler/src/call_rate.rs
+++ b/crates/autoscaler/src/call_rate.rs
@@ -27,8 +27,8 @@
         let observed_ms = self.observed_ms(now).max(OBSERVED_MIN_MS);
         let observed = observed_ms as f64 / TIME_CONSTANT_MS;
         // What a steady rate of one call a millisecond would have left of its count.
-        let weight_of_one = TIME_CONSTANT_MS * (1.0 - (-observed).exp());
-        self.decayed(now) / weight_of_one * span_ms
+        let unit_rate_weight = TIME_CONSTANT_MS * (1.0 - (-observed).exp());
+        self.decayed(now) / unit_rate_weight * span_ms
     }
 
     /// Milliseconds for which calls could be seen; 0 where none has been.
--- a/crates/autoscaler/src/configuration.rs
+++ b/crates/autoscaler/src/configuration.rs
@@ -1,7 +1,7 @@
 //! Handles a new operator's configuration and changes of the evacuated zones.
 
 use crate::draining::{apply_allowed_regions, apply_evacuation};
-use crate::function_configuration::{by_function, FunctionConfiguration};
+use crate::function_configuration::{configurations_by_function, FunctionConfiguration};
 use crate::runner::{DrainReason, RunnerState};
 use crate::scaling_decision::decide_due;
 use crate::state::ClusterState;
@@ -10,7 +10,7 @@
 
 /// Applies the configuration. Functions that it affects are due with the next tick.
 pub(crate) fn apply_configuration(state: &mut ClusterState, configuration: &RoutingConfiguration) {
-    let functions = by_function(configuration);
+    let functions = configurations_by_function(configuration);
     state.functions.extend_timeouts(&functions);
     for name in state.functions.missing_from(&functions) {
         unconfigure(state, &name);
--- a/crates/autoscaler/src/draining.rs
+++ b/crates/autoscaler/src/draining.rs
@@ -115,14 +115,14 @@
     match runner.state {
         RunnerState::StartPending { .. } => withdraw_start(state, serial),
         RunnerState::Starting | RunnerState::Serving | RunnerState::Draining { .. } => {
-            record_leaving(state, serial);
+            mark_terminating(state, serial);
         }
         _ => {}
     }
 }
 
 /// The platform is about to end a runner.
-pub(crate) fn record_leaving(state: &mut ClusterState, serial: u64) {
+pub(crate) fn mark_terminating(state: &mut ClusterState, serial: u64) {
     let Some(runner) = state.runners.get(serial) else {
         return;
     };
@@ -147,9 +147,9 @@
         return false;
     };
     let limit_ms = longest_request_ms(state);
-    let holds =
+    let has_recent_requests =
         |report: &OwnerReport| report.in_flight(id) > 0 && report.is_within(limit_ms, state.now);
-    function.reports().iter().any(holds)
+    function.reports().iter().any(has_recent_requests)
 }
 
 /// Whether no request is in flight at a runner that has been draining since a time: its owners report so, knowing that it
@@ -166,8 +166,8 @@
     }
     let reports = function.reports().iter();
     let current = reports.filter(|report| report.is_current(state.now));
-    let mut knows = current.map(|report| report.update_number() >= runner.drain_update);
-    knows
+    let mut acknowledged = current.map(|report| report.update_number() >= runner.drain_update);
+    acknowledged
         .next()
-        .is_some_and(|first| first && knows.all(|one| one))
+        .is_some_and(|first| first && acknowledged.all(|is_acknowledged| is_acknowledged))
 }
--- a/crates/autoscaler/src/ending.rs
+++ b/crates/autoscaler/src/ending.rs
@@ -9,7 +9,7 @@
     for serial in state.runners.ending() {
         expire_ending(state, serial);
     }
-    for serial in late_starts(state) {
+    for serial in timed_out_starts(state) {
         let runner = state.runners.get(serial);
         let id = runner.and_then(|runner| runner.id.clone());
         log::warn!("scaler: runner start timed out runner={id:?}");
@@ -18,8 +18,8 @@
 }
 
 /// Runners that were started and are not up after the longest time that a start may take.
-fn late_starts(state: &ClusterState) -> Vec<u64> {
-    let is_late = |runner: &Runner| {
+fn timed_out_starts(state: &ClusterState) -> Vec<u64> {
+    let has_timed_out = |runner: &Runner| {
         let function = state.functions.get(&runner.function);
         function.is_some_and(|function| {
             let limit_ms = state
@@ -29,7 +29,7 @@
         })
     };
     let starting = state.runners.starting();
-    let late = starting.filter(|(_, runner)| is_late(runner));
+    let late = starting.filter(|(_, runner)| has_timed_out(runner));
     late.map(|(serial, _)| serial).collect()
 }
 
--- a/crates/autoscaler/src/evaluation.rs
+++ b/crates/autoscaler/src/evaluation.rs
@@ -13,9 +13,9 @@
         return;
     };
     function.sample_arrivals(now);
-    let holds =
+    let has_recent_requests =
         |report: &OwnerReport| report.is_within(limit_ms, now) && report.has_requests_in_flight();
-    if function.reports().iter().any(holds) {
+    if function.reports().iter().any(has_recent_requests) {
         function.mark_busy(now);
     }
     update_service_time(state, name);
@@ -23,7 +23,7 @@
     let Some(function) = state.functions.get_mut(name) else {
         return;
     };
-    if function.is_awake(now, &state.options) {
+    if function.has_recent_demand(now, &state.options) {
         return;
     }
     function.reset_arrivals();
--- a/crates/autoscaler/src/eviction.rs
+++ b/crates/autoscaler/src/eviction.rs
@@ -31,8 +31,8 @@
     let configuration = function.configuration();
     let regions = &configuration.allowed_regions;
     let is_idle = |runner: &Runner| {
-        let makes_room = regions.may_use(&state.options.topology, &runner.zone);
-        makes_room && runner.evictable_at() <= state.now
+        let is_allowed = regions.may_use(&state.options.topology, &runner.zone);
+        is_allowed && runner.evictable_at() <= state.now
     };
     let mut surplus = surplus_runners(state, name, configuration.priority, is_idle);
     surplus.sort_unstable();
@@ -50,7 +50,7 @@
         let Some(worker) = state.workers.get(&runner.worker) else {
             continue;
         };
-        if !state.workers.is_open(worker, state.now) {
+        if !state.workers.accepts_starts(worker, state.now) {
             continue;
         }
         let eviction = evictions.entry(&runner.worker).or_insert_with(|| Eviction {
@@ -73,7 +73,7 @@
 /// Memory of runners that are ending on a worker.
 fn ending_mb(state: &ClusterState, worker: &str) -> u64 {
     let placed = state.runners.on_worker(worker);
-    let ending = placed.filter(|(_, runner)| !runner.is_capacity());
+    let ending = placed.filter(|(_, runner)| !runner.counts_as_capacity());
     ending.map(|(_, runner)| runner.memory_mb).sum()
 }
 
@@ -96,7 +96,7 @@
         if is_needed && function.configuration().priority <= priority {
             continue;
         }
-        let minimal = usize::from(function.configuration().is_prewarmed());
+        let min_runners = usize::from(function.configuration().is_prewarmed());
         let runners = state.runners_of(function);
         let unused = runners.filter(|(_, runner)| is_unused(function, runner) && accepts(runner));
         let mut unused: Vec<SurplusRunner> = unused
@@ -106,7 +106,7 @@
             })
             .collect();
         unused.sort_unstable();
-        unused.truncate(load.runners.saturating_sub(minimal));
+        unused.truncate(load.runners.saturating_sub(min_runners));
         surplus.extend(unused);
     }
     surplus
--- a/crates/autoscaler/src/function.rs
+++ b/crates/autoscaler/src/function.rs
@@ -99,7 +99,7 @@
     }
 
     /// Stores an owner's report. The arrivals are recorded by [`Function::record_arrivals`].
-    pub fn take_report(&mut self, owner: &str, report: &FunctionReport, now: u64) {
+    pub fn store_report(&mut self, owner: &str, report: &FunctionReport, now: u64) {
         self.reports.entry(owner).replace(report, now);
     }
 
@@ -115,7 +115,7 @@
         let known = self.reports.entry(owner);
         let mut waiting = u64::from(report.waiting);
         for ZoneArrivals { zone, count } in &report.arrivals {
-            let mut arrived = known.take_arrivals(zone, *count);
+            let mut arrived = known.update_arrival_counter(zone, *count);
             if is_new {
                 // The counters of a new owner began at an unknown time, so they give no rate. Only the requests that still
                 // wait are counted, for their zones.
@@ -176,7 +176,7 @@
     }
 
     /// Whether requests wait or are in flight, or the last activity is within the retention time.
-    pub fn is_awake(&self, now: u64, options: &AutoscalerOptions) -> bool {
+    pub fn has_recent_demand(&self, now: u64, options: &AutoscalerOptions) -> bool {
         if self.waiting(now) > 0 || self.reports.has_requests_in_flight(now) {
             return true;
         }
--- a/crates/autoscaler/src/function_configuration.rs
+++ b/crates/autoscaler/src/function_configuration.rs
@@ -78,7 +78,7 @@
 }
 
 /// The configuration of each function, with the strictest requirements of all bindings that lead to it.
-pub(crate) fn by_function(
+pub(crate) fn configurations_by_function(
     configuration: &RoutingConfiguration,
 ) -> BTreeMap<String, FunctionConfiguration> {
     let functions = configuration.functions.iter();
--- a/crates/autoscaler/src/function_status.rs
+++ b/crates/autoscaler/src/function_status.rs
@@ -40,8 +40,8 @@
     let load = Load::of(state, function);
     FunctionStatus {
         function: name.to_owned(),
-        measured_rate: load.measured,
-        forecast_rate: load.forecast,
+        measured_rate: load.measured_rate,
+        forecast_rate: load.forecast_rate,
         waiting: load.waiting,
         demand: load.demand,
         capacity: load.capacity,
--- a/crates/autoscaler/src/listings.rs
+++ b/crates/autoscaler/src/listings.rs
@@ -3,7 +3,7 @@
 //! The lists are complete but lag behind. Unknown runners are adopted, whoever started them; this is how a new term learns
 //! what an earlier one started. A runner that was listed and is missing for longer than lists lag is gone.
 
-use crate::draining::{apply_evacuation, apply_worker_drain, record_leaving, withdraw_start};
+use crate::draining::{apply_evacuation, apply_worker_drain, mark_terminating, withdraw_start};
 use crate::function_configuration::FunctionConfiguration;
 use crate::platform::{RunnerListing, WorkerListing};
 use crate::runner::{Runner, RunnerState, ServiceTime};
@@ -14,10 +14,10 @@
 
 /// Replaces the list of workers.
 pub(crate) fn update_workers(state: &mut ClusterState, listings: Vec<WorkerListing>) {
-    let is_first = !state.workers.is_listed();
+    let is_first = !state.workers.has_list();
     let changes = state.workers.replace(listings, state.now);
-    for worker in &changes.lost {
-        handle_lost_worker(state, worker);
+    for worker in &changes.unlisted {
+        handle_unlisted_worker(state, worker);
     }
     let draining = state.workers.draining();
     let placed = draining.flat_map(|worker| state.runners.on_worker(worker));
@@ -33,7 +33,7 @@
 
 /// A worker that is not listed is down, so starts on it have failed. Whether its serving runners are gone is decided by
 /// owners' reports and the list of runners.
-fn handle_lost_worker(state: &mut ClusterState, worker: &str) {
+fn handle_unlisted_worker(state: &mut ClusterState, worker: &str) {
     let since = state.now;
     state.runners.forget_account(worker);
     let placed = state.runners.on_worker(worker);
@@ -68,7 +68,7 @@
 }
 
 fn decide_after_listing(state: &mut ClusterState, is_first: bool) {
-    if !state.is_listed() {
+    if !state.has_lists() {
         return;
     }
     if is_first {
@@ -90,7 +90,7 @@
         RunnerState::Starting | RunnerState::Serving | RunnerState::Draining { .. }
             if listing.is_terminating =>
         {
-            record_leaving(state, serial);
+            mark_terminating(state, serial);
         }
         RunnerState::Starting => {
             state.runners.mark_up(serial);
@@ -114,7 +114,7 @@
     replace_unconfirmed_start(state, listing);
     let serial = adopt(state, listing);
     if listing.is_terminating {
-        record_leaving(state, serial);
+        mark_terminating(state, serial);
         return;
     }
     apply_evacuation(state, serial);
@@ -176,7 +176,7 @@
         failed_attempts: 0,
         id_known_at: now,
         is_up: true,
-        is_lost: false,
+        is_unreachable: false,
         was_listed: true,
         unlisted_since: None,
         drain_update: 0,
--- a/crates/autoscaler/src/load.rs
+++ b/crates/autoscaler/src/load.rs
@@ -15,11 +15,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
     /// Rate over about the last second.
-    pub measured: f64,
+    pub measured_rate: f64,
     /// Rate that the Kalman filter forecasts.
-    pub forecast: f64,
+    pub forecast_rate: f64,
     /// Rate of a burst that the filter has not followed yet.
-    pub burst: f64,
+    pub burst_rate: f64,
     /// Requests that wait for a seat.
     pub waiting: u32,
     /// Requests that runners hold.
@@ -38,8 +38,8 @@
     /// The load of a function now.
     pub fn of(state: &ClusterState, function: &Function) -> Self {
         let mut load = Self::default();
-        load.take_arrivals(state, function);
-        let serving = load.take_runners(state, function);
+        load.add_arrivals(state, function);
+        let serving = load.add_runners(state, function);
         let configuration = function.configuration();
         let target_s = f64::from(configuration.latency_target_ms) / 1_000.0;
         let timeout_s =
@@ -47,39 +47,41 @@
         // What runs now serves some of those that wait before any new runner is up.
         let start_s = configuration.start_ms as f64 / 1_000.0;
         let served = (serving - load.rate()).max(0.0) * start_s;
-        let left = (f64::from(load.waiting) - served).max(0.0);
-        load.demand = load.rate() + left / timeout_s;
+        let unserved = (f64::from(load.waiting) - served).max(0.0);
+        load.demand = load.rate() + unserved / timeout_s;
         load
     }
 
     /// Rate of the arrivals, without what waits.
     pub fn rate(&self) -> f64 {
-        self.measured.max(self.forecast).max(self.burst)
+        self.measured_rate
+            .max(self.forecast_rate)
+            .max(self.burst_rate)
     }
 
-    fn take_arrivals(&mut self, state: &ClusterState, function: &Function) {
-        if function.is_awake(state.now, &state.options) {
+    fn add_arrivals(&mut self, state: &ClusterState, function: &Function) {
+        if function.has_recent_demand(state.now, &state.options) {
             let arrivals = function.arrivals();
-            self.measured = arrivals.measured(state.now);
+            self.measured_rate = arrivals.measured_rate(state.now);
             let policy = &state.options.policy;
             if policy.forecasts {
-                self.forecast = arrivals.forecast();
+                self.forecast_rate = arrivals.forecast_rate();
             }
             if policy.follows_bursts {
-                self.burst = arrivals.burst(state.now);
+                self.burst_rate = arrivals.burst_rate(state.now);
             }
         }
         self.waiting = function.waiting(state.now);
     }
 
     /// Adds the runners; returns the rate that those which are up can carry.
-    fn take_runners(&mut self, state: &ClusterState, function: &Function) -> f64 {
+    fn add_runners(&mut self, state: &ClusterState, function: &Function) -> f64 {
         let mut serving = 0.0;
         for (_, runner) in state.runners_of(function) {
             if let Some(id) = &runner.id {
                 self.in_flight += function.reports().in_flight(id);
             }
-            if runner.is_capacity() {
+            if runner.counts_as_capacity() {
                 let capacity = f64::from(runner.quota) * state.seat_rate(runner);
                 self.capacity += capacity;
                 serving += if runner.is_up { capacity } else { 0.0 };
--- a/crates/autoscaler/src/memory_account.rs
+++ b/crates/autoscaler/src/memory_account.rs
@@ -13,8 +13,8 @@
 
 /// Sum of the sizes that the list may not show yet, in megabytes.
 pub(crate) fn unlisted_mb(sizes: &[TimedMemory], listed_until: u64) -> u64 {
-    let late = sizes.iter().filter(|size| size.at >= listed_until);
-    late.map(|size| size.memory_mb).sum()
+    let unlisted = sizes.iter().filter(|size| size.at >= listed_until);
+    unlisted.map(|size| size.memory_mb).sum()
 }
 
 /// Memory that the runners on one worker take, in megabytes.
--- a/crates/autoscaler/src/options.rs
+++ b/crates/autoscaler/src/options.rs
@@ -6,7 +6,7 @@
 /// Milliseconds beyond twice the lists' lag after which a runner that no list shows is taken as gone.
 const UNLISTED_SLACK_MS: u64 = 1_000;
 /// How many times its usual duration a start may take.
-const START_TIME_LIMIT: u64 = 3;
+const START_LIMIT_FACTOR: u64 = 3;
 /// Milliseconds that a start may take beyond that and the lists' lag.
 const START_SLACK_MS: u64 = 3_000;
 
@@ -51,6 +51,6 @@
 
     /// Milliseconds after which a start that usually takes `start_ms` is taken as failed.
     pub(crate) fn start_limit_ms(&self, start_ms: u64) -> u64 {
-        START_TIME_LIMIT * start_ms + self.list_lag_ms + START_SLACK_MS
+        START_LIMIT_FACTOR * start_ms + self.list_lag_ms + START_SLACK_MS
     }
 }
--- a/crates/autoscaler/src/owner_reports.rs
+++ b/crates/autoscaler/src/owner_reports.rs
@@ -46,7 +46,7 @@
     }
 
     /// Takes the counter of a zone's arrivals; gives by how much it grew.
-    pub fn take_arrivals(&mut self, zone: &str, counter: u64) -> u64 {
+    pub fn update_arrival_counter(&mut self, zone: &str, counter: u64) -> u64 {
         let before = self.arrived_by_zone.insert(zone.to_owned(), counter);
         counter.saturating_sub(before.unwrap_or(0))
     }
--- a/crates/autoscaler/src/placement.rs
+++ b/crates/autoscaler/src/placement.rs
@@ -16,10 +16,10 @@
 /// How well a worker suits a start; the lowest is chosen.
 struct Fitness {
     is_outside_preferred_zone: bool,
-    is_fresh: bool,
+    has_no_runners: bool,
     occupancy_step: u64,
     /// Runners of the function in the worker's zone.
-    neighbours: usize,
+    runners_in_zone: usize,
     occupancy: f64,
 }
 
@@ -28,9 +28,9 @@
         let key = |fitness: &Self| {
             (
                 fitness.is_outside_preferred_zone,
-                fitness.is_fresh,
+                fitness.has_no_runners,
                 fitness.occupancy_step,
-                fitness.neighbours,
+                fitness.runners_in_zone,
             )
         };
         let by_occupancy = || self.occupancy.total_cmp(&other.occupancy);
@@ -100,9 +100,9 @@
         let occupancy = account.occupied_mb() / listing.memory_mb.max(1) as f64;
         let fitness = Fitness {
             is_outside_preferred_zone: preferred_zone.is_some_and(|preferred| preferred != zone),
-            is_fresh: state.runners.on_worker(&listing.name).next().is_none(),
+            has_no_runners: state.runners.on_worker(&listing.name).next().is_none(),
             occupancy_step: (occupancy * OCCUPANCY_STEPS) as u64,
-            neighbours: runners_by_zone.get(zone).copied().unwrap_or(0),
+            runners_in_zone: runners_by_zone.get(zone).copied().unwrap_or(0),
             occupancy,
         };
         let is_better = |(other, _): &(Fitness, &str)| fitness.compare(other).is_lt();
@@ -128,7 +128,7 @@
     memory_mb: u64,
 ) -> bool {
     let workers = &state.workers;
-    workers.is_open(worker, state.now) && workers.free_mb(worker, account) >= memory_mb
+    workers.accepts_starts(worker, state.now) && workers.free_mb(worker, account) >= memory_mb
 }
 
 /// Runners of a function that count as capacity, by zone.
@@ -138,7 +138,7 @@
 ) -> BTreeMap<&'a str, usize> {
     let mut by_zone = BTreeMap::new();
     for (_, runner) in state.runners_of(function) {
-        if runner.is_capacity() {
+        if runner.counts_as_capacity() {
             *by_zone.entry(runner.zone.as_str()).or_default() += 1;
         }
     }
@@ -176,12 +176,12 @@
         .map(|zone| topology.region_of(zone))
         .collect();
     let is_unserved_region = |zone: &str| !served_regions.contains(&topology.region_of(zone));
-    let most = unserved.max_by(|(one, count), (other, other_count)| {
+    let busiest = unserved.max_by(|(one, count), (other, other_count)| {
         let by_region = is_unserved_region(one).cmp(&is_unserved_region(other));
         let by_count = by_region.then_with(|| count.total_cmp(other_count));
         by_count.then_with(|| other.cmp(one))
     });
-    match most {
+    match busiest {
         Some((zone, _)) => Some(zone),
         None if runners_by_zone.is_empty() => emptiest_zone(state, is_allowed),
         None => None,
@@ -194,14 +194,16 @@
     state: &'a ClusterState,
     is_allowed: &impl Fn(&str) -> bool,
 ) -> Option<&'a str> {
-    let mut taken: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut used_mb_by_zone: BTreeMap<&str, u64> = BTreeMap::new();
     let workers = state.workers.iter();
-    let open = workers.filter(|worker| state.workers.is_open(worker, state.now));
+    let open = workers.filter(|worker| state.workers.accepts_starts(worker, state.now));
     for worker in open.filter(|worker| is_allowed(&worker.listing().zone)) {
         let placed = state.runners.on_worker(&worker.listing().name);
         let memory_mb: u64 = placed.map(|(_, runner)| runner.memory_mb).sum();
-        *taken.entry(&worker.listing().zone).or_default() += memory_mb;
+        *used_mb_by_zone.entry(&worker.listing().zone).or_default() += memory_mb;
     }
-    let least = taken.into_iter().min_by_key(|(_, memory_mb)| *memory_mb);
-    least.map(|(zone, _)| zone)
+    let emptiest = used_mb_by_zone
+        .into_iter()
+        .min_by_key(|(_, memory_mb)| *memory_mb);
+    emptiest.map(|(zone, _)| zone)
 }
--- a/crates/autoscaler/src/quotas.rs
+++ b/crates/autoscaler/src/quotas.rs
@@ -10,8 +10,8 @@
 
 /// Runners whose quotas may rise: those that count as capacity, and those that can be revived.
 pub(crate) fn growable(state: &ClusterState, function: &Function) -> Vec<RunnerQuota> {
-    let can_grow = |_: u64, runner: &Runner| runner.is_capacity() || runner.can_be_revived();
-    pods(state, function, can_grow)
+    let can_grow = |_: u64, runner: &Runner| runner.counts_as_capacity() || runner.can_resume();
+    select_quotas(state, function, can_grow)
 }
 
 /// Runners whose quotas may fall: those that count as capacity and are known to exist, but for some that are kept.
@@ -21,36 +21,36 @@
     kept: &BTreeSet<u64>,
 ) -> Vec<RunnerQuota> {
     let can_shrink = |serial: u64, runner: &Runner| {
-        runner.is_capacity() && runner.id.is_some() && !kept.contains(&serial)
+        runner.counts_as_capacity() && runner.id.is_some() && !kept.contains(&serial)
     };
-    pods(state, function, can_shrink)
+    select_quotas(state, function, can_shrink)
 }
 
-fn pods(
+fn select_quotas(
     state: &ClusterState,
     function: &Function,
     accepts: impl Fn(u64, &Runner) -> bool,
 ) -> Vec<RunnerQuota> {
     let runners = state.runners_of(function);
     let accepted = runners.filter(|(serial, runner)| accepts(*serial, runner));
-    let pods = accepted.map(|(serial, runner)| RunnerQuota {
+    let runner_quotas = accepted.map(|(serial, runner)| RunnerQuota {
         // The serials in equal lengths, so that ties go by age.
         id: format!("{serial:020}"),
         quota: runner.quota,
         most: runner.max_quota,
         seat_rate: state.seat_rate(runner),
     });
-    pods.collect()
+    runner_quotas.collect()
 }
 
 /// Applies the quotas in the given order. Returns whether any changed.
-pub(crate) fn apply(state: &mut ClusterState, pods: &[RunnerQuota]) -> bool {
+pub(crate) fn apply(state: &mut ClusterState, runner_quotas: &[RunnerQuota]) -> bool {
     let mut has_changed = false;
-    for pod in pods {
-        let Ok(serial) = pod.id.parse() else {
+    for runner_quota in runner_quotas {
+        let Ok(serial) = runner_quota.id.parse() else {
             continue;
         };
-        has_changed |= set_quota(state, serial, pod.quota);
+        has_changed |= set_quota(state, serial, runner_quota.quota);
     }
     has_changed
 }
@@ -68,13 +68,13 @@
         return true;
     }
     state.updates.mark_changed(&runner.function);
-    if runner.can_be_revived() {
-        let revived = if runner.is_up {
+    if runner.can_resume() {
+        let resumed_state = if runner.is_up {
             RunnerState::Serving
         } else {
             RunnerState::Starting
         };
-        state.set_runner_state(serial, revived);
+        state.set_runner_state(serial, resumed_state);
     }
     state.runners.set_quota(serial, quota);
     true
--- a/crates/autoscaler/src/regional_runners.rs
+++ b/crates/autoscaler/src/regional_runners.rs
@@ -13,7 +13,7 @@
     let share = state.options.policy.region_share;
     let served = served_regions(state, function);
     let allowed = &function.configuration().allowed_regions;
-    let busiest = regions_above(state, function, share)
+    let busiest = busy_regions(state, function, share)
         .into_iter()
         .filter(|(region, _)| !served.contains_key(region) && allowed.may_use_region(region))
         .max_by(|(_, one), (_, other)| one.total_cmp(other));
@@ -25,8 +25,8 @@
     let policy = &state.options.policy;
     let share = policy.region_share * policy.region_kept_part;
     let served = served_regions(state, function);
-    let deserving = regions_above(state, function, share).into_iter();
-    let only = deserving.filter_map(|(region, _)| match served.get(region)?.as_slice() {
+    let busy = busy_regions(state, function, share).into_iter();
+    let only = busy.filter_map(|(region, _)| match served.get(region)?.as_slice() {
         [serial] => Some(*serial),
         _ => None,
     });
@@ -34,7 +34,7 @@
 }
 
 /// Regions whose calls fill this share of a runner's seats, with the seats that they fill.
-fn regions_above<'a>(
+fn busy_regions<'a>(
     state: &'a ClusterState,
     function: &'a Function,
     share: f64,
@@ -67,7 +67,7 @@
 ) -> BTreeMap<&'a str, Vec<u64>> {
     let mut served: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     let runners = state.runners_of(function);
-    for (serial, runner) in runners.filter(|(_, runner)| runner.is_capacity()) {
+    for (serial, runner) in runners.filter(|(_, runner)| runner.counts_as_capacity()) {
         if let Some(region) = region_of(state, runner) {
             served.entry(region).or_default().push(serial);
         }
--- a/crates/autoscaler/src/reports.rs
+++ b/crates/autoscaler/src/reports.rs
@@ -23,7 +23,7 @@
     let Some(function) = state.functions.get_mut(name) else {
         return;
     };
-    function.take_report(owner, report, now);
+    function.store_report(owner, report, now);
     if report.waiting > 0 {
         function.mark_busy(now);
         decide(state, name);
@@ -42,8 +42,8 @@
     let Some(runner_state) = observed else {
         return;
     };
-    if observation.is_lost {
-        handle_lost(state, serial);
+    if observation.is_unreachable {
+        handle_unreachable(state, serial);
     } else if observation.is_up && runner_state == RunnerState::Starting {
         state.set_runner_state(serial, RunnerState::Serving);
     }
@@ -58,12 +58,12 @@
         total_ms: report.total_duration_ms.saturating_sub(duration_ms),
         holds_requests: report.in_use > 0,
         is_up: report.is_up && !report.is_gone,
-        is_lost: report.is_gone,
+        is_unreachable: report.is_gone,
     }
 }
 
 /// An owner reported that a runner cannot be reached any more.
-fn handle_lost(state: &mut ClusterState, serial: u64) {
+fn handle_unreachable(state: &mut ClusterState, serial: u64) {
     let Some(runner) = state.runners.get(serial) else {
         return;
     };
--- a/crates/autoscaler/src/runner.rs
+++ b/crates/autoscaler/src/runner.rs
@@ -57,7 +57,7 @@
     pub const STOP_NOW: Self = Self::StopPending { not_before: 0 };
 
     /// A runner in this state counts as capacity, now or soon.
-    pub fn is_capacity(self) -> bool {
+    pub fn counts_as_capacity(self) -> bool {
         matches!(
             self,
             Self::StartPending { .. } | Self::StartRequested | Self::Starting | Self::Serving
@@ -74,9 +74,9 @@
 
 impl ServiceTime {
     /// Nothing was measured yet; the mean starts from the function's value.
-    pub fn unmeasured(function_ms: f64) -> Self {
+    pub fn unmeasured(initial_ms: f64) -> Self {
         Self {
-            mean_ms: function_ms,
+            mean_ms: initial_ms,
             answers: 0,
         }
     }
@@ -134,7 +134,7 @@
     /// It was reached or listed at least once.
     pub is_up: bool,
     /// An owner reported that it is gone.
-    pub is_lost: bool,
+    pub is_unreachable: bool,
     /// A list showed it.
     pub was_listed: bool,
     /// Since when lists do not show it.
@@ -149,13 +149,13 @@
 
 impl Runner {
     /// Whether it counts as capacity, now or soon.
-    pub fn is_capacity(&self) -> bool {
-        self.state.is_capacity()
+    pub fn counts_as_capacity(&self) -> bool {
+        self.state.counts_as_capacity()
     }
 
     /// Whether it counts as capacity but does not serve yet.
     pub fn is_pending(&self) -> bool {
-        self.is_capacity() && self.state != RunnerState::Serving
+        self.counts_as_capacity() && self.state != RunnerState::Serving
     }
 
     /// Time from which it may be evicted, if it is not used again.
@@ -164,7 +164,7 @@
     }
 
     /// Whether it drains only because it was not needed, so that it may serve again.
-    pub fn can_be_revived(&self) -> bool {
+    pub fn can_resume(&self) -> bool {
         matches!(
             self.state,
             RunnerState::Draining {
--- a/crates/autoscaler/src/runner_commands.rs
+++ b/crates/autoscaler/src/runner_commands.rs
@@ -29,7 +29,7 @@
     let mut commands = Vec::new();
     take_starts(state, StartUrgency::RequestsWaiting, &mut commands);
     take_stops(state, &mut commands);
-    take_starts(state, StartUrgency::Ahead, &mut commands);
+    take_starts(state, StartUrgency::Proactive, &mut commands);
     commands
 }
 
@@ -86,9 +86,9 @@
         return false;
     };
     if runner.start_requested_at.is_some() {
-        return !state.workers.is_closed(worker);
+        return !state.workers.is_unschedulable(worker);
     }
-    state.workers.is_open(worker, state.now)
+    state.workers.accepts_starts(worker, state.now)
 }
 
 fn take_stops(state: &mut ClusterState, commands: &mut Vec<RunnerCommand>) {
@@ -103,7 +103,7 @@
 /// The command of a stop that is due. A reachable runner with requests in flight is not stopped.
 fn take_stop(state: &mut ClusterState, serial: u64) -> Option<RunnerCommand> {
     let runner = state.runners.get(serial)?;
-    if !runner.is_lost && has_requests_in_flight(state, runner) {
+    if !runner.is_unreachable && has_requests_in_flight(state, runner) {
         return None;
     }
     let RunnerState::StopPending { not_before } = runner.state else {
@@ -190,7 +190,7 @@
             if let Some(function) = state.functions.get_mut(&name) {
                 function.pause_starts(state.now + REFUSED_PAUSE_MS);
             }
-            state.note_decision(&name, "start refused");
+            state.record_decision(&name, "start refused");
         }
         StartError::RateLimited | StartError::Unanswered => retry_start(state, serial, &name),
     }
@@ -205,7 +205,7 @@
     state.runners.retry_start(serial, state.now + wait_ms);
     let function = state.functions.get(name);
     let is_waiting = function.is_some_and(|function| function.waiting(state.now) > 0);
-    state.queue_start(serial, name, StartUrgency::of_waiting(is_waiting));
+    state.queue_start(serial, name, StartUrgency::for_waiting(is_waiting));
 }
 
 /// Handles the platform's answer to a stop: done (or runner unknown), or to be retried.
--- a/crates/autoscaler/src/runner_table.rs
+++ b/crates/autoscaler/src/runner_table.rs
@@ -25,7 +25,7 @@
     /// It was reached.
     pub is_up: bool,
     /// It cannot be reached any more.
-    pub is_lost: bool,
+    pub is_unreachable: bool,
 }
 
 /// Runners by serial. A runner has the same serial throughout its lifecycle.
@@ -149,7 +149,7 @@
         } else {
             self.starting.remove(&serial);
         }
-        if state.is_capacity() {
+        if state.counts_as_capacity() {
             self.ending.remove(&serial);
         } else {
             runner.quota = 0;
@@ -237,7 +237,7 @@
     }
 
     /// Records the first update that includes a runner as draining.
-    pub fn note_drain_update(&mut self, serial: u64, number: u64) {
+    pub fn record_drain_update(&mut self, serial: u64, number: u64) {
         let Some(runner) = self.runners.get_mut(&serial) else {
             return;
         };
@@ -263,11 +263,11 @@
         self.accounts.remove(&runner.worker);
         runner.memory_mb = memory_mb;
         runner.max_quota = runner.capacity.min(concurrency);
-        let must_fall = runner.quota > runner.max_quota;
-        if must_fall {
+        let exceeds_max = runner.quota > runner.max_quota;
+        if exceeds_max {
             runner.quota = runner.max_quota;
         }
-        must_fall
+        exceeds_max
     }
 
     /// Applies what an owner observed of a runner. Returns the runner's state, or none if the function has no such runner.
@@ -290,7 +290,7 @@
             runner.last_used_at = now;
         }
         runner.is_up |= observation.is_up;
-        runner.is_lost |= observation.is_lost;
+        runner.is_unreachable |= observation.is_unreachable;
         Some(runner.state)
     }
 
--- a/crates/autoscaler/src/scaling_decision.rs
+++ b/crates/autoscaler/src/scaling_decision.rs
@@ -19,9 +19,9 @@
 /// Runners are bounded by what serves so many times the demand.
 const MAX_OVERPROVISIONING: f64 = 4.0;
 /// Requests a second by which a surplus is raised, so that rounding keeps no seat.
-const ROUNDING: f64 = 1e-6;
+const ROUNDING_MARGIN: f64 = 1e-6;
 /// Minimal runners that are queued to start at once, at the least.
-const MINIMAL_STARTS_QUEUED: f64 = 8.0;
+const MIN_RUNNER_STARTS_QUEUED: f64 = 8.0;
 
 /// Decides about all functions that are due.
 pub(crate) fn decide_due(state: &mut ClusterState) {
@@ -32,7 +32,7 @@
 
 /// Decides about one function. Nothing is decided before the configuration and both lists are known.
 pub(crate) fn decide(state: &mut ClusterState, name: &str) {
-    if !state.is_listed() || !state.functions.is_configured() {
+    if !state.has_lists() || !state.functions.is_configured() {
         return;
     }
     let Some(function) = state.functions.get(name) else {
@@ -43,12 +43,12 @@
         return;
     }
     let is_prewarmed = function.configuration().is_prewarmed();
-    let is_awake = function.is_awake(state.now, &state.options);
+    let has_recent_demand = function.has_recent_demand(state.now, &state.options);
     let load = Load::of(state, function);
     if load.waiting > 0 {
         expedite_starts(state, name);
     }
-    if !is_prewarmed && !is_awake {
+    if !is_prewarmed && !has_recent_demand {
         drain_all(state, name, DrainReason::Surplus);
         return;
     }
@@ -64,7 +64,7 @@
         set_below_beta_since(state, name, None);
     }
     if is_prewarmed {
-        keep_minimal(state, name);
+        ensure_min_runner(state, name);
     }
 }
 
@@ -79,13 +79,13 @@
         return false;
     }
     let runners = state.runners_of(function);
-    let capacity = runners.filter(|(_, runner)| runner.is_capacity());
+    let capacity = runners.filter(|(_, runner)| runner.counts_as_capacity());
     let zones: Vec<&str> = capacity.map(|(_, runner)| runner.zone.as_str()).collect();
     let regions = &function.configuration().allowed_regions;
     if regions.are_covered(&state.options.topology, &zones) {
         return false;
     }
-    let urgency = StartUrgency::of_waiting(load.waiting > 0);
+    let urgency = StartUrgency::for_waiting(load.waiting > 0);
     add_start(state, name, &StartPurpose::UncoveredRoute, urgency).is_ok()
 }
 
@@ -101,7 +101,7 @@
         return false;
     };
     let purpose = StartPurpose::Region(region);
-    add_start(state, name, &purpose, StartUrgency::Ahead).is_ok()
+    add_start(state, name, &purpose, StartUrgency::Proactive).is_ok()
 }
 
 /// Puts the starts of a function before those for which nothing waits.
@@ -126,21 +126,21 @@
     let Some(function) = state.functions.get(name) else {
         return;
     };
-    let mut pods = quotas::growable(state, function);
+    let mut runner_quotas = quotas::growable(state, function);
     let gap = load.demand - state.options.policy.alpha * load.capacity;
-    let left = if state.options.policy.raises_quotas_first {
-        grow(&mut pods, gap)
+    let remaining_gap = if state.options.policy.raises_quotas_first {
+        grow(&mut runner_quotas, gap)
     } else {
         gap
     };
-    if quotas::apply(state, &pods) {
-        state.note_decision(name, "quotas up");
+    if quotas::apply(state, &runner_quotas) {
+        state.record_decision(name, "quotas up");
     }
-    if left <= 0.0 {
+    if remaining_gap <= 0.0 {
         return;
     }
-    let urgency = StartUrgency::of_waiting(load.waiting > 0);
-    for _ in 0..new_runners(state, name, load, left) {
+    let urgency = StartUrgency::for_waiting(load.waiting > 0);
+    for _ in 0..new_runners(state, name, load, remaining_gap) {
         if add_start(state, name, &StartPurpose::Load, urgency).is_err() {
             return;
         }
@@ -162,10 +162,10 @@
     let runners_for = |rate: f64| (rate.max(0.0) / runner_rate).ceil() as usize;
     let runners_of_seats = |seats: u32| (f64::from(seats) / concurrency).ceil() as usize;
     let for_gap = runners_for(gap);
-    let unplanned = before
+    let waiting_without_seat = before
         .waiting
         .saturating_sub(pending_seats(state, function));
-    let for_waiting = runners_of_seats(unplanned);
+    let for_waiting = runners_of_seats(waiting_without_seat);
     if load.runners == 0 && load.waiting > 0 {
         // An idle function starts as many runners as its waiting requests need.
         return for_gap.min(for_waiting);
@@ -174,14 +174,14 @@
     let seats_needed = seats_needed(state, function, load);
     let for_rate = runners_for(load.rate() - state.options.policy.alpha * load.capacity)
         .min(runners_of_seats(seats_needed.saturating_sub(load.seats)));
-    let most = runners_for(MAX_OVERPROVISIONING * load.demand).max(1);
+    let max_runners = runners_for(MAX_OVERPROVISIONING * load.demand).max(1);
     let count = for_gap.min(for_waiting + for_rate);
-    count.min(most.saturating_sub(load.runners))
+    count.min(max_runners.saturating_sub(load.runners))
 }
 
 /// Seats that hold all requests that wait, are in flight, or came lately; at least one.
 fn seats_needed(state: &ClusterState, function: &Function, load: Load) -> u32 {
-    let recent = u32::try_from(function.arrivals().recent(state.now)).unwrap_or(u32::MAX);
+    let recent = u32::try_from(function.arrivals().recent_count(state.now)).unwrap_or(u32::MAX);
     let present = load.waiting.saturating_add(load.in_flight);
     present.max(recent).max(1)
 }
@@ -208,18 +208,23 @@
         return;
     };
     let kept = regional_runners::kept_runners(state, function);
-    let mut pods = quotas::shrinkable(state, function, &kept);
-    let whole = |pod: &RunnerQuota| f64::from(pod.most) * pod.seat_rate;
-    let minimal = pods.iter().map(whole).fold(0.0, f64::max);
-    let Some(fastest) = pods.iter().map(|pod| pod.seat_rate).max_by(f64::total_cmp) else {
+    let mut runner_quotas = quotas::shrinkable(state, function, &kept);
+    let full_capacity =
+        |runner_quota: &RunnerQuota| f64::from(runner_quota.most) * runner_quota.seat_rate;
+    let min_capacity = runner_quotas.iter().map(full_capacity).fold(0.0, f64::max);
+    let Some(fastest) = runner_quotas
+        .iter()
+        .map(|runner_quota| runner_quota.seat_rate)
+        .max_by(f64::total_cmp)
+    else {
         return;
     };
-    let middle = (state.options.policy.alpha + state.options.policy.beta) / 2.0;
-    let needed = (load.demand / middle).max(f64::from(load.in_flight) * fastest);
-    let surplus = load.capacity - needed.max(minimal) + ROUNDING;
-    if shrink(&mut pods, surplus) && quotas::apply(state, &pods) {
+    let target_utilization = (state.options.policy.alpha + state.options.policy.beta) / 2.0;
+    let needed = (load.demand / target_utilization).max(f64::from(load.in_flight) * fastest);
+    let surplus = load.capacity - needed.max(min_capacity) + ROUNDING_MARGIN;
+    if shrink(&mut runner_quotas, surplus) && quotas::apply(state, &runner_quotas) {
         set_below_beta_since(state, name, Some(state.now));
-        state.note_decision(name, "quotas down");
+        state.record_decision(name, "quotas down");
     }
 }
 
@@ -228,7 +233,7 @@
         return;
     };
     let runners = state.runners_of(function);
-    let capacity = runners.filter(|(_, runner)| runner.is_capacity());
+    let capacity = runners.filter(|(_, runner)| runner.counts_as_capacity());
     let serials: Vec<u64> = capacity.map(|(serial, _)| serial).collect();
     if serials.is_empty() {
         return;
@@ -236,37 +241,37 @@
     for serial in serials {
         drain(state, serial, reason);
     }
-    state.note_decision(name, "none needed");
+    state.record_decision(name, "none needed");
 }
 
 /// A function whose start does not fit into its latency target always has one runner.
-fn keep_minimal(state: &mut ClusterState, name: &str) {
+fn ensure_min_runner(state: &mut ClusterState, name: &str) {
     let Some(function) = state.functions.get(name) else {
         return;
     };
     let has_capacity = state
         .runners_of(function)
-        .any(|(_, runner)| runner.is_capacity());
+        .any(|(_, runner)| runner.counts_as_capacity());
     if has_capacity {
         return;
     }
     let is_paused = function.is_start_paused(state.now);
-    if let Some((serial, quota)) = revivable(state, function) {
+    if let Some((serial, quota)) = resumable_runner(state, function) {
         quotas::set_quota(state, serial, quota);
         return;
     }
-    let most_queued = state.options.commands_per_s.max(MINIMAL_STARTS_QUEUED);
-    let is_queue_full = state.start_queue.len() as f64 >= most_queued;
+    let max_queued = state.options.commands_per_s.max(MIN_RUNNER_STARTS_QUEUED);
+    let is_queue_full = state.start_queue.len() as f64 >= max_queued;
     if is_paused || is_queue_full {
         return;
     }
     // Without room on any worker, starts are paused and retried later.
-    let _ = add_start(state, name, &StartPurpose::Load, StartUrgency::Ahead);
+    let _ = add_start(state, name, &StartPurpose::Load, StartUrgency::Proactive);
 }
 
 /// The oldest runner that can be taken back, with its highest quota.
-fn revivable(state: &ClusterState, function: &Function) -> Option<(u64, u32)> {
+fn resumable_runner(state: &ClusterState, function: &Function) -> Option<(u64, u32)> {
     let mut runners = state.runners_of(function);
-    let found = runners.find(|(_, runner)| runner.can_be_revived());
+    let found = runners.find(|(_, runner)| runner.can_resume());
     found.map(|(serial, runner)| (serial, runner.max_quota))
 }
--- a/crates/autoscaler/src/start_block.rs
+++ b/crates/autoscaler/src/start_block.rs
@@ -18,7 +18,7 @@
 /// Milliseconds for which the statement holds. It is renewed as often as the start is tried again.
 const VALIDITY_MS: u64 = 2 * NO_ROOM_RETRY_MS;
 /// A start is never expected to be done before the usual time divided by this; owners rely on it.
-const QUICKEST_START_DIVISOR: u64 = 2;
+const MIN_START_TIME_DIVISOR: u64 = 2;
 
 /// Records when a worker may have room for a function whose start found none.
 pub(crate) fn record_shortage(state: &mut ClusterState, name: &str) {
@@ -31,7 +31,7 @@
     }
     let shortage = CapacityShortage {
         found_at: state.now,
-        room_at: room_at(state, name, function),
+        room_at: earliest_room_at(state, name, function),
     };
     if let Some(function) = state.functions.get_mut(name) {
         function.replace_shortage(Some(shortage));
@@ -70,7 +70,7 @@
     }
     let start_ms = function.configuration().start_ms;
     let ms_until = |at: u64| u32::try_from(at.saturating_sub(now)).unwrap_or(u32::MAX);
-    let ready_after = |room_at: u64| ms_until(room_at + start_ms / QUICKEST_START_DIVISOR);
+    let ready_after = |room_at: u64| ms_until(room_at + start_ms / MIN_START_TIME_DIVISOR);
     let retried_at = shortage
         .room_at
         .unwrap_or(shortage.found_at + NO_ROOM_RETRY_MS);
@@ -83,7 +83,7 @@
 
 /// Whether the list of runners shows everything that an earlier term started.
 fn shows_all_starts(state: &ClusterState) -> bool {
-    let since = state.began_at + 2 * state.options.list_lag_ms;
+    let since = state.created_at + 2 * state.options.list_lag_ms;
     state.runners_listed_at.is_some_and(|at| at >= since)
 }
 
@@ -91,24 +91,24 @@
 fn may_have_runner(state: &ClusterState, function: &Function) -> bool {
     state.runners_of(function).any(|(_, runner)| {
         let is_unconfirmed = matches!(runner.state, RunnerState::StartUnconfirmed { .. });
-        let may_serve = runner.is_capacity() || runner.can_be_revived() || is_unconfirmed;
+        let may_serve = runner.counts_as_capacity() || runner.can_resume() || is_unconfirmed;
         may_serve && is_in_allowed_region(state, runner)
     })
 }
 
 /// Earliest time at which a worker may have room; none if no known change would free enough memory.
-fn room_at(state: &ClusterState, name: &str, function: &Function) -> Option<u64> {
+fn earliest_room_at(state: &ClusterState, name: &str, function: &Function) -> Option<u64> {
     let configuration = function.configuration();
     let mut surplus = surplus_by_worker(state, name, configuration.priority);
     let workers = state.workers.iter();
     let regions = &configuration.allowed_regions;
     let usable = workers.filter(|worker| {
         let is_allowed = regions.may_use(&state.options.topology, &worker.listing().zone);
-        is_allowed && !state.workers.is_closed(worker)
+        is_allowed && !state.workers.is_unschedulable(worker)
     });
     let times = usable.filter_map(|worker| {
         let freeing = surplus.remove(worker.listing().name.as_str());
-        room_on(
+        earliest_room_on(
             state,
             worker,
             configuration.memory_mb,
@@ -119,14 +119,14 @@
 }
 
 /// Earliest time at which a worker may have that much free memory, given the memory that becomes free.
-fn room_on(
+fn earliest_room_on(
     state: &ClusterState,
     worker: &Worker,
     memory_mb: u64,
     mut freeing: Vec<TimedMemory>,
 ) -> Option<u64> {
     let placed = state.runners.on_worker(&worker.listing().name);
-    let ending = placed.filter(|(_, runner)| !runner.is_capacity());
+    let ending = placed.filter(|(_, runner)| !runner.counts_as_capacity());
     freeing.extend(ending.map(|(_, runner)| TimedMemory {
         at: freed_at(state, runner),
         memory_mb: runner.memory_mb,
--- a/crates/autoscaler/src/start_queue.rs
+++ b/crates/autoscaler/src/start_queue.rs
@@ -8,16 +8,16 @@
     /// Requests wait for it. Goes before stops.
     RequestsWaiting,
     /// It adds to what serves already. Goes after stops.
-    Ahead,
+    Proactive,
 }
 
 impl StartUrgency {
     /// The urgency of a start for a function for which requests wait or not.
-    pub fn of_waiting(is_waiting: bool) -> Self {
+    pub fn for_waiting(is_waiting: bool) -> Self {
         if is_waiting {
             Self::RequestsWaiting
         } else {
-            Self::Ahead
+            Self::Proactive
         }
     }
 }
@@ -58,7 +58,7 @@
     /// Moves a runner's start before those for which nothing waits.
     pub fn expedite(&mut self, priority: u8, serial: u64) {
         let mut start = QueuedStart {
-            urgency: StartUrgency::Ahead,
+            urgency: StartUrgency::Proactive,
             priority,
             serial,
         };
--- a/crates/autoscaler/src/starts.rs
+++ b/crates/autoscaler/src/starts.rs
@@ -39,7 +39,7 @@
     );
     let serial = state.add_runner(runner);
     state.queue_start(serial, name, urgency);
-    state.note_decision(name, "one more runner");
+    state.record_decision(name, "one more runner");
     Ok(())
 }
 
@@ -88,7 +88,7 @@
         failed_attempts: 0,
         id_known_at: state.now,
         is_up: false,
-        is_lost: false,
+        is_unreachable: false,
         was_listed: false,
         unlisted_since: None,
         drain_update: 0,
@@ -102,5 +102,5 @@
     if let Some(function) = state.functions.get_mut(name) {
         function.pause_starts(until);
     }
-    state.note_decision(name, "no room");
+    state.record_decision(name, "no room");
 }
--- a/crates/autoscaler/src/state.rs
+++ b/crates/autoscaler/src/state.rs
@@ -16,7 +16,7 @@
     /// How to decide.
     pub options: AutoscalerOptions,
     /// When this autoscaler was created, in milliseconds.
-    pub began_at: u64,
+    pub created_at: u64,
     /// Milliseconds of the caller's clock, which never fall.
     pub now: u64,
     /// When an owner reported first.
@@ -43,7 +43,7 @@
     /// An empty state.
     pub fn new(options: AutoscalerOptions, now: u64) -> Self {
         Self {
-            began_at: now,
+            created_at: now,
             now,
             observed_since: None,
             functions: FunctionTable::default(),
@@ -64,8 +64,8 @@
     }
 
     /// Whether both lists were received, so that it is known what runs and where there is room.
-    pub fn is_listed(&self) -> bool {
-        self.workers.is_listed() && self.runners_listed_at.is_some()
+    pub fn has_lists(&self) -> bool {
+        self.workers.has_list() && self.runners_listed_at.is_some()
     }
 
     /// The runners of a function, the oldest first.
@@ -146,7 +146,7 @@
     }
 
     /// Records the last decision about a function, for operators.
-    pub fn note_decision(&mut self, name: &str, decision: &'static str) {
+    pub fn record_decision(&mut self, name: &str, decision: &'static str) {
         if let Some(function) = self.functions.get_mut(name) {
             function.set_last_decision(decision);
         }
--- a/crates/autoscaler/src/stopped_runners.rs
+++ b/crates/autoscaler/src/stopped_runners.rs
@@ -26,8 +26,8 @@
 
     /// Forgets runners that the newest list lacks and that ended longer ago than lists lag.
     pub fn forget_unlisted(&mut self, listed: &HashSet<&str>, unlisted_ms: u64, now: u64) {
-        let is_fresh = |at: u64| at + unlisted_ms > now;
+        let is_recent = |at: u64| at + unlisted_ms > now;
         self.stopped_at
-            .retain(|id, at| listed.contains(id.as_str()) || is_fresh(*at));
+            .retain(|id, at| listed.contains(id.as_str()) || is_recent(*at));
     }
 }
--- a/crates/autoscaler/src/update_log.rs
+++ b/crates/autoscaler/src/update_log.rs
@@ -30,7 +30,7 @@
     }
 
     /// The number below all updates of this term.
-    pub fn first_number(&self) -> u64 {
+    pub fn base_number(&self) -> u64 {
         self.term << TERM_SHIFT
     }
 
--- a/crates/autoscaler/src/updates.rs
+++ b/crates/autoscaler/src/updates.rs
@@ -8,7 +8,7 @@
 
 /// Updates of the functions whose runners changed since the last call. None before both lists were received.
 pub(crate) fn take_updates(state: &mut ClusterState) -> Vec<FunctionUpdate> {
-    if !state.is_listed() {
+    if !state.has_lists() {
         return Vec::new();
     }
     let changed = state.updates.take_changed();
@@ -21,7 +21,7 @@
     if let Some(function) = state.functions.get_mut(name) {
         function.set_update_number(number);
         for &serial in function.runners() {
-            state.runners.note_drain_update(serial, number);
+            state.runners.record_drain_update(serial, number);
         }
     }
     FunctionUpdate {
@@ -38,7 +38,7 @@
 /// The current update of a function for an owner that does not have it. Before both lists were received it is empty and
 /// its version supersedes no other.
 pub(crate) fn update_for(state: &ClusterState, name: &str, now: u64) -> FunctionUpdate {
-    if !state.is_listed() {
+    if !state.has_lists() {
         return FunctionUpdate {
             function: name.to_owned(),
             ..FunctionUpdate::default()
@@ -54,10 +54,10 @@
 
 /// Version of the current update of a function; zero before both lists were received.
 pub(crate) fn update_version(state: &ClusterState, name: &str) -> UpdateVersion {
-    if !state.is_listed() {
+    if !state.has_lists() {
         return UpdateVersion::default();
     }
-    let first = state.updates.first_number();
+    let first = state.updates.base_number();
     let function = state.functions.get(name);
     let number = function.map_or(first, |function| function.update_number().max(first));
     UpdateVersion {
--- a/crates/autoscaler/src/worker_capacity.rs
+++ b/crates/autoscaler/src/worker_capacity.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct WorkerChanges {
     /// Names of workers that are not listed any more.
-    pub lost: Vec<String>,
+    pub unlisted: Vec<String>,
     /// A worker can take more than before.
     pub has_gained_room: bool,
 }
@@ -48,7 +48,7 @@
 pub(crate) struct WorkerCapacity {
     workers: BTreeMap<String, Worker>,
     evacuated_zones: BTreeSet<String>,
-    is_listed: bool,
+    has_list: bool,
     list_lag_ms: u64,
 }
 
@@ -58,14 +58,14 @@
         Self {
             workers: BTreeMap::new(),
             evacuated_zones: BTreeSet::new(),
-            is_listed: false,
+            has_list: false,
             list_lag_ms,
         }
     }
 
     /// Whether a list was taken.
-    pub fn is_listed(&self) -> bool {
-        self.is_listed
+    pub fn has_list(&self) -> bool {
+        self.has_list
     }
 
     /// The worker of that name.
@@ -99,18 +99,18 @@
     }
 
     /// Whether a worker accepts no starts at all: it drains, or its zone is evacuated.
-    pub fn is_closed(&self, worker: &Worker) -> bool {
+    pub fn is_unschedulable(&self, worker: &Worker) -> bool {
         worker.listing.is_draining || self.is_evacuated(&worker.listing.zone)
     }
 
     /// Whether a worker accepts new starts now.
-    pub fn is_open(&self, worker: &Worker, now: u64) -> bool {
-        !self.is_closed(worker) && now >= worker.starts_paused_until
+    pub fn accepts_starts(&self, worker: &Worker, now: u64) -> bool {
+        !self.is_unschedulable(worker) && now >= worker.starts_paused_until
     }
 
     /// Replaces the list of workers.
     pub fn replace(&mut self, listings: Vec<WorkerListing>, now: u64) -> WorkerChanges {
-        self.is_listed = true;
+        self.has_list = true;
         let mut before = std::mem::take(&mut self.workers);
         let oldest = now.saturating_sub(2 * self.list_lag_ms);
         let mut changes = WorkerChanges::default();
@@ -122,8 +122,8 @@
             worker.listing = listing;
             self.workers.insert(worker.listing.name.clone(), worker);
         }
-        let lost = before.into_values();
-        changes.lost = lost.map(|worker| worker.listing.name).collect();
+        let unlisted = before.into_values();
+        changes.unlisted = unlisted.map(|worker| worker.listing.name).collect();
         changes
     }
 
