--- a/crates/autoscaler/src/allowed_regions.rs
+++ b/crates/autoscaler/src/allowed_regions.rs
@@ -1,18 +1,18 @@
-//! The regions in which the routes of a function let its requests run.
+//! The regions in which a function's runners may be placed, as set by its routes.
 
 use locality::Topology;
 
-/// The lists of regions of all routes that lead to one function.
+/// The allowed regions of all routes that lead to one function.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct AllowedRegions {
-    /// The distinct lists of the routes that have one.
+    /// Distinct region lists of the restricted routes, each sorted and without duplicates.
     lists: Vec<Vec<String>>,
-    /// Whether a route leads to it that allows all regions.
+    /// Whether at least one route allows all regions.
     has_unrestricted_route: bool,
 }
 
 impl AllowedRegions {
-    /// Adds the list of one route; an empty one allows all regions.
+    /// Adds the region list of one route. An empty list allows all regions.
     pub fn add_route(&mut self, regions: &[String]) {
         if regions.is_empty() {
             self.has_unrestricted_route = true;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Whether any route may use a runner in a zone.
+    /// Whether at least one route may use a runner in this zone.
     pub fn may_use(&self, topology: &Topology, zone: &str) -> bool {
         if self.lists.is_empty() || self.has_unrestricted_route {
             return true;
@@ -34,25 +34,27 @@
         self.lists.iter().any(|list| topology.allows(list, zone))
     }
 
-    /// Whether any route may use a runner in a region.
+    /// Whether at least one route may use a runner in this region.
     pub fn may_use_region(&self, region: &str) -> bool {
         let is_named = |list: &Vec<String>| list.iter().any(|named| named == region);
         self.lists.is_empty() || self.has_unrestricted_route || self.lists.iter().any(is_named)
     }
 
-    /// Whether a route allows all regions.
+    /// Whether at least one route allows all regions.
     pub fn has_unrestricted_route(&self) -> bool {
         self.has_unrestricted_route
     }
 
-    /// Whether every route has a runner that it may use, given the zones of the runners.
+    /// Whether every restricted route may use at least one of the runners in these zones.
     pub fn are_covered(&self, topology: &Topology, zones: &[&str]) -> bool {
         self.first_uncovered(topology, zones).is_none()
     }
 
-    /// The regions in which the next runner may stand, given the zones of the present ones; empty where all may.
+    /// The regions in which the next runner may be placed, given the zones of the existing ones. Empty if every region is
+    /// allowed.
     ///
-    /// Where one region serves all routes, it is one of these. Otherwise a route goes first that no runner serves yet.
+    /// Regions that all restricted routes allow are preferred. If there are none, a route that has no usable runner yet
+    /// decides.
     pub fn for_next_runner(&self, topology: &Topology, zones: &[&str]) -> Vec<String> {
         let common = self.common();
         if !common.is_empty() {
@@ -67,12 +69,13 @@
         self.lists.concat()
     }
 
+    /// The region list of the first restricted route that may use none of the runners in these zones.
     fn first_uncovered(&self, topology: &Topology, zones: &[&str]) -> Option<&Vec<String>> {
         let mut lists = self.lists.iter();
         lists.find(|list| !zones.iter().any(|zone| topology.allows(list, zone)))
     }
 
-    /// Regions that are in every list.
+    /// Regions that every restricted route allows.
     fn common(&self) -> Vec<String> {
         let Some((first, others)) = self.lists.split_first() else {
             return Vec::new();
--- a/crates/autoscaler/src/autoscaler.rs
+++ b/crates/autoscaler/src/autoscaler.rs
@@ -1,4 +1,4 @@
-//! The coordinator: every message and every tick enters here and is passed to the module that handles it.
+//! Entry point: dispatches every message and tick to the module that handles it.
 
 use crate::configuration;
 use crate::ending::expire_runners;
@@ -16,22 +16,23 @@
 use routing::RoutingConfiguration;
 use std::collections::BTreeSet;
 
-/// Milliseconds between two evaluations of a function of which nothing new was reported: the interval at which arrivals
-/// are sampled.
+/// Milliseconds between two evaluations of a function without new reports. Equals the interval at which arrivals are
+/// sampled.
 const EVALUATION_INTERVAL_MS: u64 = 250;
 
-/// Decides how many runners exist, on which worker each starts and how many requests each may hold.
+/// Decides how many runners each function has, on which worker each is started and how many requests each may hold.
 ///
-/// It performs no I/O and has no clock or threads. The caller passes the time in milliseconds of a monotonic clock, gives
-/// the commands of [`Autoscaler::take_commands`] to the platform, and sends the updates of [`Autoscaler::take_updates`]
-/// to the functions' owners; both are to be polled after every other call.
+/// It performs no I/O and has no clock or threads. The caller passes the time in milliseconds of a monotonic clock, sends
+/// the commands from [`Autoscaler::take_commands`] to the platform and the updates from [`Autoscaler::take_updates`] to
+/// the functions' owners. Both must be polled after every other call.
 pub struct Autoscaler {
     state: ClusterState,
     evaluated_at: u64,
 }
 
 impl Autoscaler {
-    /// An autoscaler without state. It decides nothing until it has the configuration and both lists.
+    /// Creates an autoscaler without state. It makes no decisions until it has received the configuration, the list of
+    /// workers and the list of runners.
     #[must_use]
     pub fn new(options: AutoscalerOptions, now: u64) -> Self {
         Self {
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Evaluates active functions, decides about those that are due, and expires timeouts. To be called every 50 to 100 ms.
+    /// Evaluates the active functions, makes the scaling decisions that are due and handles expired timeouts. Must be
+    /// called every 50 to 100 ms.
     pub fn tick(&mut self, now: u64) {
         let state = &mut self.state;
         state.advance_clock(now);
@@ -54,53 +56,54 @@
         expire_runners(state);
     }
 
-    /// Applies the operator's configuration: new sizes, priorities and timeouts hold from now on; runners of functions that it
-    /// no longer names drain. Decided with the next tick.
+    /// Applies the operator's configuration. New sizes, priorities and timeouts take effect immediately; runners of
+    /// functions that it no longer contains are drained. The scaling decisions follow with the next tick.
     pub fn apply_configuration(&mut self, now: u64, configuration: &RoutingConfiguration) {
         self.state.advance_clock(now);
         configuration::apply_configuration(&mut self.state, configuration);
     }
 
-    /// Sets the evacuated zones. Nothing is placed in them and their runners drain. Decided at once.
+    /// Sets the evacuated zones. No runner is placed in them, and their runners are drained. The scaling decisions are
+    /// made immediately.
     pub fn set_evacuated_zones(&mut self, now: u64, zones: &BTreeSet<String>) {
         self.state.advance_clock(now);
         configuration::set_evacuated_zones(&mut self.state, zones);
     }
 
-    /// Replaces the list of workers. A worker that is missing from it is down: starts on it are withdrawn. Runners on a
-    /// draining worker are replaced.
+    /// Replaces the list of workers. A worker that is missing from it counts as down, and starts on it are withdrawn.
+    /// Runners on a draining worker are replaced.
     pub fn update_workers(&mut self, now: u64, listings: Vec<WorkerListing>) {
         self.state.advance_clock(now);
         listings::update_workers(&mut self.state, listings);
     }
 
-    /// Compares the platform's complete list of runners with the known ones: unknown runners are adopted, and runners that
-    /// have been missing for longer than lists lag are forgotten.
+    /// Reconciles the known runners with the platform's complete list. Unknown runners are adopted, and runners that have
+    /// been missing for longer than lists may lag are removed.
     pub fn update_runners(&mut self, now: u64, listings: Vec<RunnerListing>) {
         self.state.advance_clock(now);
         listings::update_runners(&mut self.state, listings);
     }
 
-    /// Handles an owner's report on a function: arrivals, waiting requests, and the state of each runner. If requests wait,
-    /// the function is decided about at once. A report on an unknown function is ignored.
+    /// Handles an owner's report on a function: arrivals, waiting requests and the state of each runner. If requests are
+    /// waiting, a scaling decision is made immediately. Reports on unknown functions are ignored.
     pub fn handle_report(&mut self, now: u64, owner: &str, report: &FunctionReport) {
         self.state.advance_clock(now);
         reports::handle_report(&mut self.state, owner, report);
     }
 
-    /// Drops all reports of an owner that is gone or whose counters were reset by a restart.
+    /// Discards all reports of an owner that is gone or that restarted and thereby reset its counters.
     pub fn remove_owner(&mut self, owner: &str) {
         self.state.functions.remove_owner(owner);
     }
 
-    /// Commands to send to the platform now, in this order and within its rate. Each is answered by a call to
-    /// [`Autoscaler::handle_start_result`] or [`Autoscaler::handle_stop_result`].
+    /// Returns the commands to send to the platform now, in this order and within its rate limit. The caller reports the
+    /// result of each with [`Autoscaler::handle_start_result`] or [`Autoscaler::handle_stop_result`].
     #[must_use]
     pub fn take_commands(&mut self) -> Vec<RunnerCommand> {
         runner_commands::take_commands(&mut self.state)
     }
 
-    /// Handles the platform's answer to a start, also a late one. Answers to unknown nonces are ignored.
+    /// Handles the platform's response to a start, even if it is late. Responses to unknown nonces are ignored.
     pub fn handle_start_result(
         &mut self,
         now: u64,
@@ -111,32 +114,32 @@
         runner_commands::handle_start_result(&mut self.state, nonce, result);
     }
 
-    /// Handles the platform's answer to a stop. `is_done` holds as well if the platform does not know the runner; otherwise
-    /// the stop is retried.
+    /// Handles the platform's response to a stop. `is_done` is also true if the platform does not know the runner. If it is
+    /// false, the stop is retried.
     pub fn handle_stop_result(&mut self, now: u64, id: &str, is_done: bool) {
         self.state.advance_clock(now);
         runner_commands::handle_stop_result(&mut self.state, id, is_done);
     }
 
-    /// Updates for the owners of the functions whose runners changed since the last call, by function name.
+    /// Returns updates for the owners of the functions whose runners changed since the last call, sorted by function name.
     pub fn take_updates(&mut self) -> Vec<FunctionUpdate> {
         updates::take_updates(&mut self.state)
     }
 
-    /// The current update of a function, for an owner that does not have it. Before both lists were received it is empty
-    /// and its version supersedes no other.
+    /// Returns the current update of a function, for an owner that does not have it. Until both lists have been received,
+    /// it is empty and its version supersedes no other.
     #[must_use]
     pub fn update_for(&self, function: &str, now: u64) -> FunctionUpdate {
         updates::update_for(&self.state, function, now)
     }
 
-    /// Version of [`Autoscaler::update_for`]; zero before both lists were received.
+    /// Returns the version of the update from [`Autoscaler::update_for`]; zero until both lists have been received.
     #[must_use]
     pub fn update_version(&self, function: &str) -> UpdateVersion {
         updates::update_version(&self.state, function)
     }
 
-    /// The status of each active function, by name.
+    /// Returns the status of each active function, sorted by name.
     #[must_use]
     pub fn function_statuses(&self) -> Vec<FunctionStatus> {
         function_status::function_statuses(&self.state)
--- a/crates/autoscaler/src/configuration.rs
+++ b/crates/autoscaler/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Handles a new operator's configuration and changes of the evacuated zones.
+//! Applies the operator's configuration and changes to the set of evacuated zones.
 
 use crate::draining::{apply_allowed_regions, apply_evacuation};
 use crate::function_configuration::{configurations_by_function, FunctionConfiguration};
@@ -8,7 +8,7 @@
 use routing::RoutingConfiguration;
 use std::collections::BTreeSet;
 
-/// Applies the configuration. Functions that it affects are due with the next tick.
+/// Applies the configuration. Scaling decisions about the affected functions are made with the next tick.
 pub(crate) fn apply_configuration(state: &mut ClusterState, configuration: &RoutingConfiguration) {
     let functions = configurations_by_function(configuration);
     state.functions.extend_timeouts(&functions);
@@ -20,7 +20,7 @@
     }
 }
 
-/// Sets the evacuated zones: nothing is placed in them, and their runners drain.
+/// Sets the evacuated zones. No runner is placed in them, and their runners are drained.
 pub(crate) fn set_evacuated_zones(state: &mut ClusterState, zones: &BTreeSet<String>) {
     if !state.workers.set_evacuated_zones(zones) {
         return;
@@ -35,7 +35,7 @@
     decide_due(state);
 }
 
-/// The configuration no longer names a function: its runners are to drain.
+/// Marks a function as removed from the configuration, so that the next decision drains its runners.
 fn unconfigure(state: &mut ClusterState, name: &str) {
     let Some(function) = state.functions.get_mut(name) else {
         return;
@@ -45,6 +45,7 @@
     state.functions.make_due(name);
 }
 
+/// Applies the configuration of one function, and the new size and regions to the runners that it has.
 fn configure(state: &mut ClusterState, name: &str, configuration: FunctionConfiguration) {
     let is_prewarmed = configuration.is_prewarmed();
     let (memory_mb, concurrency) = (configuration.memory_mb, configuration.concurrency);
@@ -67,7 +68,8 @@
     }
 }
 
-/// Drains the runners that no route of the function may use, and takes those back that one may use again.
+/// Drains the runners that no route of the function may use any more, and marks those that a route may use again as able
+/// to resume.
 fn apply_regions(state: &mut ClusterState, name: &str) {
     let Some(function) = state.functions.get(name) else {
         return;
@@ -77,7 +79,7 @@
     }
 }
 
-/// Applies a new size to the runners of a function.
+/// Applies the configured memory and concurrency to the runners of a function.
 fn resize_runners(state: &mut ClusterState, name: &str, memory_mb: u64, concurrency: u32) {
     let Some(function) = state.functions.get(name) else {
         return;
@@ -91,7 +93,7 @@
             matches!(runner.state, RunnerState::Draining { reason: own, .. } if own == reason)
         });
         if is_unwanted {
-            // The function is configured again, so the runner may be revived.
+            // The function is configured again, so the runner may resume serving.
             state.runners.set_drain_reason(serial, DrainReason::Surplus);
         }
     }
