--- a/crates/autoscaler/src/arrivals.rs
+++ b/crates/autoscaler/src/arrivals.rs
@@ -1,30 +1,30 @@
-//! Arrival rate of one function: measured over a sliding window, forecast by the design's Kalman filter, and read off a
-//! short window for bursts that must not wait for the filter.
+//! Arrival rate of one function: measured over a sliding window, forecast by the design's Kalman filter, and measured over
+//! a short window to react to bursts before the filter does.
 
 use scaler::Forecast;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Milliseconds between two samples of the counter; each feeds the forecast once.
+/// Milliseconds between two samples of the arrival counter. Each sample is one observation of the forecast filter.
 const SAMPLE_INTERVAL_MS: u64 = 250;
-/// Milliseconds over which the rate is measured.
+/// Length in milliseconds of the window over which the rate is measured.
 const RATE_WINDOW_MS: u64 = 1_000;
-/// Milliseconds over which a burst is measured.
+/// Length in milliseconds of the window over which a burst is measured.
 const BURST_WINDOW_MS: u64 = 250;
-/// Standard deviations of a Poisson count that a burst must exceed to count as one.
+/// Standard deviations of a Poisson count that are subtracted from a burst, so that random variation is not taken for one.
 const BURST_DEVIATIONS: f64 = 3.0;
-/// Share of the counts by zone that is kept from one sample to the next.
+/// Factor by which the arrival count of each zone decays at each sample.
 const ZONE_COUNT_DECAY: f64 = 0.97;
-/// Below this a zone's decayed count is dropped.
+/// A zone is dropped once its decayed count is not above this.
 const ZONE_COUNT_MIN: f64 = 0.01;
 
-/// The counter of arrivals at one moment.
+/// Value of the arrival counter at one time.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     at: u64,
     total: u64,
 }
 
-/// Arrivals of one function. Rates are in requests a second, times in milliseconds of the autoscaler's clock.
+/// Arrivals of one function. Rates are in requests per second, times in milliseconds of the autoscaler's clock.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Arrivals {
     total: u64,
@@ -35,7 +35,7 @@
 }
 
 impl Arrivals {
-    /// Counts requests that came in by a gateway of a zone since the last report.
+    /// Counts requests that arrived at a gateway in this zone since its last report.
     pub fn record(&mut self, now: u64, zone: &str, count: u64) {
         if self.samples.is_empty() {
             self.samples.push_back(Sample {
@@ -48,17 +48,17 @@
         self.record_zone(zone, count);
     }
 
-    /// Counts where requests came from, of which it is not known when they came; they do not count for the rate.
+    /// Counts requests for their zone only. Their arrival time is unknown, so they do not contribute to the rate.
     pub fn record_zone(&mut self, zone: &str, count: u64) {
         *self.by_zone.entry(zone.to_owned()).or_default() += count as f64;
     }
 
-    /// Takes a sample when one is due.
+    /// Takes a sample if the sample interval has passed.
     pub fn sample(&mut self, now: u64) {
         if self.samples.is_empty() || now < self.sampled_at + SAMPLE_INTERVAL_MS {
             return;
         }
-        // After a pause the filter takes the samples that it missed, up to four windows of them.
+        // After a pause, the filter is fed the missed samples, at most four rate windows of them.
         let max_missed = 4 * RATE_WINDOW_MS / SAMPLE_INTERVAL_MS;
         let missed = ((now - self.sampled_at) / SAMPLE_INTERVAL_MS).min(max_missed);
         let measured_rate = self.measured_rate(now);
@@ -79,13 +79,13 @@
         }
     }
 
-    /// Arrivals within about the last window.
+    /// Number of arrivals within approximately the last rate window.
     pub fn recent_count(&self, now: u64) -> u64 {
         let base = self.window_start(now).or(self.samples.front());
         base.map_or(0, |sample| self.total - sample.total)
     }
 
-    /// Rate over about the last window.
+    /// Rate over approximately the last rate window.
     pub fn measured_rate(&self, now: u64) -> f64 {
         let since = self
             .window_start(now)
@@ -94,12 +94,12 @@
         self.recent_count(now) as f64 * 1_000.0 / passed as f64
     }
 
-    /// Rate in the last moments, less what chance alone may bring.
+    /// Rate over the burst window, reduced by what random variation may account for.
     pub fn burst_rate(&self, now: u64) -> f64 {
         let Some(newest) = self.samples.back().copied() else {
             return 0.0;
         };
-        // A sample that was only just taken spans too little time, so the one before it is the base.
+        // If the newest sample is too recent to measure a rate from, the one before it is the base.
         let base = match self.samples.iter().rev().nth(1).copied() {
             Some(previous) if now < newest.at + BURST_WINDOW_MS / 2 => previous,
             _ => newest,
@@ -109,24 +109,24 @@
         (count - BURST_DEVIATIONS * count.sqrt()).max(0.0) * 1_000.0 / passed
     }
 
-    /// Rate that the filter forecasts.
+    /// Rate forecast by the Kalman filter.
     pub fn forecast_rate(&self) -> f64 {
         self.forecast.rate()
     }
 
-    /// Decayed counts of arrivals by zone.
+    /// Decayed arrival counts by zone.
     pub fn by_zone(&self) -> &BTreeMap<String, f64> {
         &self.by_zone
     }
 
-    /// Forgets what led to the present rate, as the function goes to sleep. The total stays.
+    /// Clears the samples, the forecast and the counts by zone when the function becomes idle. The total is kept.
     pub fn reset(&mut self) {
         self.samples.clear();
         self.forecast = Forecast::default();
         self.by_zone.clear();
     }
 
-    /// The newest sample that is at least a window old.
+    /// The newest sample that is at least one rate window old.
     fn window_start(&self, now: u64) -> Option<&Sample> {
         let mut newest_first = self.samples.iter().rev();
         newest_first.find(|sample| sample.at + RATE_WINDOW_MS <= now)
--- a/crates/autoscaler/src/call_rate.rs
+++ b/crates/autoscaler/src/call_rate.rs
@@ -1,37 +1,38 @@
-//! How often a function is called, over a span long enough to tell functions apart that are called once in some seconds.
+//! Call rate of a function, averaged over a period long enough to distinguish functions that are called only once every
+//! few seconds.
 
-/// Milliseconds after which a call counts for a third.
+/// Time constant in milliseconds of the exponential decay: after this time, a call counts for 1/e, about a third.
 const TIME_CONSTANT_MS: f64 = 10_000.0;
-/// Milliseconds of observation below which a rate would be a guess.
+/// Minimum observation time in milliseconds that is assumed. A rate over a shorter time would be unreliable.
 const OBSERVED_MIN_MS: u64 = 1_000;
 
-/// A decaying count of calls.
+/// An exponentially decaying count of calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CallRate {
     weight: f64,
     updated_at: u64,
-    /// When calls could be seen first, of this function or any other; none before the first call of this one.
+    /// Time since which calls of any function have been observed; `None` before the first call of this function.
     observed_since: Option<u64>,
 }
 
 impl CallRate {
-    /// Counts calls. Any call of any function could be seen since a time.
+    /// Counts calls. `observed_since` is the time since which calls of any function have been observed.
     pub fn record(&mut self, now: u64, count: u64, observed_since: u64) {
         self.weight = self.decayed(now) + count as f64;
         self.updated_at = now;
         self.observed_since = Some(observed_since);
     }
 
-    /// Calls that are expected within so many milliseconds.
+    /// Number of calls expected within `span_ms` milliseconds.
     pub fn expected_within(&self, now: u64, span_ms: f64) -> f64 {
         let observed_ms = self.observed_ms(now).max(OBSERVED_MIN_MS);
         let observed = observed_ms as f64 / TIME_CONSTANT_MS;
-        // What a steady rate of one call a millisecond would have left of its count.
+        // The decayed count that a constant rate of one call per millisecond would have reached by now.
         let unit_rate_weight = TIME_CONSTANT_MS * (1.0 - (-observed).exp());
         self.decayed(now) / unit_rate_weight * span_ms
     }
 
-    /// Milliseconds for which calls could be seen; 0 where none has been.
+    /// Milliseconds for which calls have been observed; 0 if this function has not been called.
     pub fn observed_ms(&self, now: u64) -> u64 {
         let since = self.observed_since.unwrap_or(now);
         now.saturating_sub(since)
