--- a/crates/autoscaler/src/draining.rs
+++ b/crates/autoscaler/src/draining.rs
@@ -1,17 +1,17 @@
-//! Taking runners out of service without losing a request.
+//! Takes runners out of service without losing requests.
 //!
-//! A runner that is to end drains first: its owner is told to send it nothing more. It is stopped only once its owner,
-//! knowing that, reports none in flight (docs/source.md, gap 3).
+//! A runner is drained before it is stopped: an update tells its owner to send it no new requests. It is stopped only once
+//! the owner, having received that update, reports no requests in flight (docs/source.md, gap 3).
 
 use crate::load::Load;
 use crate::owner_reports::OwnerReport;
 use crate::runner::{DrainReason, Runner, RunnerState};
 use crate::state::ClusterState;
 
-/// Milliseconds added to the longest request timeout, for the way of the request and its report.
+/// Milliseconds added to the longest request timeout to allow for the transmission of the request and of its report.
 const TIMEOUT_SLACK_MS: u64 = 1_000;
 
-/// Drains a runner: it gets no new requests and is stopped once none is in flight.
+/// Drains a runner: it receives no new requests and is stopped once none is in flight.
 pub(crate) fn drain(state: &mut ClusterState, serial: u64, reason: DrainReason) {
     let since = state.now;
     let Some(runner) = state.runners.get(serial) else {
@@ -31,12 +31,12 @@
             );
             state.set_runner_state(serial, RunnerState::Draining { reason, since });
         }
-        // A start that was commanded is decided about when its answer comes.
+        // A start that was sent to the platform is reconsidered when its response arrives.
         _ => {}
     }
 }
 
-/// Withdraws a start. If it was commanded before, the runner may exist and is tracked as unconfirmed.
+/// Withdraws a start. If the command has already been sent, the runner may exist and is tracked as an unconfirmed start.
 pub(crate) fn withdraw_start(state: &mut ClusterState, serial: u64) {
     let Some(runner) = state.runners.get(serial) else {
         return;
@@ -50,7 +50,7 @@
     state.set_runner_state(serial, RunnerState::StartUnconfirmed { since });
 }
 
-/// Drains a runner whose zone is evacuated, and makes it revivable when the evacuation ends.
+/// Drains a runner whose zone is evacuated, and allows it to resume once the evacuation has ended.
 pub(crate) fn apply_evacuation(state: &mut ClusterState, serial: u64) {
     let Some(runner) = state.runners.get(serial) else {
         return;
@@ -72,7 +72,7 @@
     }
 }
 
-/// Whether any route of a runner's function may use it.
+/// Whether at least one route of the runner's function may use it.
 pub(crate) fn is_in_allowed_region(state: &ClusterState, runner: &Runner) -> bool {
     let function = state.functions.get(&runner.function);
     function.is_none_or(|function| {
@@ -81,7 +81,7 @@
     })
 }
 
-/// Drains a runner that no route of its function may use, and makes it revivable once one may.
+/// Drains a runner that no route of its function may use, and allows it to resume once a route may use it again.
 pub(crate) fn apply_allowed_regions(state: &mut ClusterState, serial: u64) {
     let Some(runner) = state.runners.get(serial) else {
         return;
@@ -104,7 +104,7 @@
     }
 }
 
-/// The platform ends the runners of a worker that it drains.
+/// Marks a runner on a draining worker as terminating, because the platform terminates the runners of such a worker.
 pub(crate) fn apply_worker_drain(state: &mut ClusterState, serial: u64) {
     let Some(runner) = state.runners.get(serial) else {
         return;
@@ -121,7 +121,7 @@
     }
 }
 
-/// The platform is about to end a runner.
+/// Marks a runner that the platform is about to terminate.
 pub(crate) fn mark_terminating(state: &mut ClusterState, serial: u64) {
     let Some(runner) = state.runners.get(serial) else {
         return;
@@ -135,12 +135,13 @@
     state.set_runner_state(serial, RunnerState::Terminating { since });
 }
 
-/// Milliseconds after which no request can still be in flight.
+/// Milliseconds after which a request can no longer be in flight.
 fn longest_request_ms(state: &ClusterState) -> u64 {
     state.functions.longest_timeout_ms() + TIMEOUT_SLACK_MS
 }
 
-/// Whether an owner reported lately that requests are in flight at a runner.
+/// Whether a recent report of an owner shows requests in flight at a runner. Reports older than the longest possible
+/// request are ignored.
 pub(crate) fn has_requests_in_flight(state: &ClusterState, runner: &Runner) -> bool {
     let function = state.functions.get(&runner.function);
     let (Some(function), Some(id)) = (function, &runner.id) else {
@@ -152,8 +153,8 @@
     function.reports().iter().any(has_recent_requests)
 }
 
-/// Whether no request is in flight at a runner that has been draining since a time: its owners report so, knowing that it
-/// drains. If none reports, the longest time that a request may take has passed.
+/// Whether no request is in flight at a runner that has been draining since `since`: all its owners have received the
+/// update with its drain and report none in flight, or the longest possible request duration has passed.
 pub(crate) fn is_drained(state: &ClusterState, runner: &Runner, since: u64) -> bool {
     let Some(function) = state.functions.get(&runner.function) else {
         return true;
--- a/crates/autoscaler/src/ending.rs
+++ b/crates/autoscaler/src/ending.rs
@@ -1,10 +1,10 @@
-//! Timeouts of runners that are ending, and of starts that take too long.
+//! Timeouts of runners that are being taken out of service, and of starts that take too long.
 
 use crate::draining::is_drained;
 use crate::runner::{Runner, RunnerState};
 use crate::state::ClusterState;
 
-/// Stops or forgets runners whose drain is complete or whose timeout expired.
+/// Stops or removes runners whose drain is complete or whose timeout has expired, and stops runners whose start timed out.
 pub(crate) fn expire_runners(state: &mut ClusterState) {
     for serial in state.runners.ending() {
         expire_ending(state, serial);
@@ -17,7 +17,7 @@
     }
 }
 
-/// Runners that were started and are not up after the longest time that a start may take.
+/// Serials of runners that were started and are still not up after the start timeout.
 fn timed_out_starts(state: &ClusterState) -> Vec<u64> {
     let has_timed_out = |runner: &Runner| {
         let function = state.functions.get(&runner.function);
@@ -33,11 +33,11 @@
     late.map(|(serial, _)| serial).collect()
 }
 
-/// What happens to a runner when its state expires.
+/// What to do with a runner whose state has expired.
 enum Expiry {
-    /// It is stopped. If it is gone already, the stop has no effect.
+    /// Stop it. If it no longer exists, the stop has no effect.
     Stop,
-    /// It is forgotten: a start that was carried out would be listed by now.
+    /// Remove it from the state: if the start had succeeded, a list would show the runner by now.
     Forget,
 }
 
@@ -67,7 +67,7 @@
         RunnerState::Terminating { since } => {
             let longest_ms = state.functions.longest_timeout_ms();
             let limit_ms = options.drain_ms + longest_ms + start_limit_ms;
-            // A runner that was listed before is forgotten when lists stop showing it.
+            // A runner that was listed before is removed once lists no longer show it.
             (!runner.was_listed && has_passed(since, limit_ms)).then_some(Expiry::Stop)
         }
         RunnerState::StartUnconfirmed { since } => {
--- a/crates/autoscaler/src/evaluation.rs
+++ b/crates/autoscaler/src/evaluation.rs
@@ -1,10 +1,11 @@
-//! Periodic evaluation of an active function, independent of reports.
+//! Periodic evaluation of active functions, independent of reports.
 
 use crate::owner_reports::{OwnerReport, REPORT_TIMEOUT_MS};
 use crate::scaling_decision::decide;
 use crate::state::ClusterState;
 
-/// Samples the arrivals of a function, decides about it, and deactivates it if it is idle and has no runners.
+/// Samples the arrivals of a function, makes a scaling decision, and deactivates the function if it is idle and has no
+/// runners.
 pub(crate) fn evaluate(state: &mut ClusterState, name: &str) {
     let now = state.now;
     let limit_ms = state.functions.longest_timeout_ms().max(REPORT_TIMEOUT_MS);
@@ -33,7 +34,7 @@
     }
 }
 
-/// Sets the expected service time of new runners to the median of the measured ones.
+/// Sets the service time expected of new runners to the median of the service times measured at the function's runners.
 fn update_service_time(state: &mut ClusterState, name: &str) {
     let Some(function) = state.functions.get(name) else {
         return;
--- a/crates/autoscaler/src/eviction.rs
+++ b/crates/autoscaler/src/eviction.rs
@@ -1,4 +1,4 @@
-//! Eviction: drains idle runners of other functions for a function that finds no free memory.
+//! Eviction: drains idle runners of other functions when a function finds no worker with enough free memory.
 
 use crate::draining::drain;
 use crate::function::Function;
@@ -7,22 +7,22 @@
 use crate::state::ClusterState;
 use std::collections::BTreeMap;
 
-/// A runner that its function does not need. Ordered by idle time, the longest first.
+/// A runner that its function does not need. The derived order puts the longest idle first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SurplusRunner {
     /// When it was last used.
     pub last_used_at: u64,
-    /// Its serial.
+    /// Serial in the runner table.
     pub serial: u64,
 }
 
-/// Memory that would be free on a worker without these runners.
+/// Runners to drain on a worker, and the memory that would then be free on it.
 struct Eviction {
     free_mb: u64,
     victims: Vec<u64>,
 }
 
-/// Drains surplus runners, the longest idle first, on the first worker where that frees enough memory.
+/// Drains surplus runners, the longest idle first, on the first worker where this frees enough memory.
 pub(crate) fn evict_for(state: &mut ClusterState, name: &str) {
     let function = state.functions.get(name);
     let Some(function) = function.filter(|_| state.options.policy.evicts) else {
@@ -41,6 +41,7 @@
     }
 }
 
+/// Serials of the runners to drain; empty if no worker would get enough free memory or one already will.
 fn choose_victims(state: &ClusterState, needed_mb: u64, surplus: &[SurplusRunner]) -> Vec<u64> {
     let mut evictions: BTreeMap<&str, Eviction> = BTreeMap::new();
     for candidate in surplus {
@@ -58,7 +59,7 @@
             victims: Vec::new(),
         });
         if eviction.free_mb >= needed_mb {
-            // Runners that are ending already free enough memory there.
+            // Runners that are already ending will free enough memory on this worker.
             return Vec::new();
         }
         eviction.free_mb += runner.memory_mb;
@@ -70,15 +71,15 @@
     Vec::new()
 }
 
-/// Memory of runners that are ending on a worker.
+/// Memory in megabytes of the runners on a worker that no longer count as capacity.
 fn ending_mb(state: &ClusterState, worker: &str) -> u64 {
     let placed = state.runners.on_worker(worker);
     let ending = placed.filter(|(_, runner)| !runner.counts_as_capacity());
     ending.map(|(_, runner)| runner.memory_mb).sum()
 }
 
-/// Runners of other functions that are unused, not needed, and accepted by the predicate. Functions with at least the same
-/// priority keep the runners that their demand needs, and prewarmed functions their minimal one.
+/// Runners of other functions that are unused, not needed and accepted by the predicate. Functions with at least the same
+/// priority keep the runners that their demand requires, and prewarmed functions keep one runner.
 pub(crate) fn surplus_runners(
     state: &ClusterState,
     name: &str,
@@ -112,7 +113,7 @@
     surplus
 }
 
-/// The runner serves, and no owner reported a request in flight at it.
+/// Whether the runner is serving and no owner's last report shows a request in flight at it.
 fn is_unused(function: &Function, runner: &Runner) -> bool {
     let Some(id) = &runner.id else {
         return false;
