--- a/crates/autoscaler/src/function.rs
+++ b/crates/autoscaler/src/function.rs
@@ -1,4 +1,4 @@
-//! One function: its configuration, its demand as reported by its owners, and the state of its last decisions.
+//! One function: its configuration, the demand that its owners report, and the state that scaling decisions keep.
 
 use crate::arrivals::Arrivals;
 use crate::call_rate::CallRate;
@@ -8,19 +8,19 @@
 use protocol::{FunctionReport, ZoneArrivals};
 use std::collections::BTreeSet;
 
-/// Milliseconds that a request is expected to take before any was answered.
+/// Service time in milliseconds that is assumed until one has been measured.
 pub(crate) const DEFAULT_SERVICE_TIME_MS: f64 = 60.0;
 
-/// No worker had room for a function that has no runner.
+/// Records that no worker had room for a function without runners.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CapacityShortage {
-    /// When that was found.
+    /// Time of the failed placement.
     pub found_at: u64,
-    /// When a worker may have room at the earliest; none where nothing is known that would make it.
+    /// Earliest time at which a worker may have room; `None` if no known change would free enough memory.
     pub room_at: Option<u64>,
 }
 
-/// A function that is configured, or that still has runners.
+/// A function that is in the configuration or still has runners.
 #[derive(Clone, Debug)]
 pub(crate) struct Function {
     configuration: FunctionConfiguration,
@@ -39,7 +39,7 @@
 }
 
 impl Function {
-    /// A function without runners of which nothing was reported.
+    /// Creates a function without runners and reports.
     pub fn new(configuration: FunctionConfiguration) -> Self {
         Self {
             configuration,
@@ -58,52 +58,53 @@
         }
     }
 
-    /// What the configuration says of it.
+    /// Its configuration.
     pub fn configuration(&self) -> &FunctionConfiguration {
         &self.configuration
     }
 
-    /// Takes a new configuration.
+    /// Replaces its configuration.
     pub fn set_configuration(&mut self, configuration: FunctionConfiguration) {
         self.configuration = configuration;
     }
 
-    /// The configuration no longer names it.
+    /// Marks the function as removed from the configuration.
     pub fn unconfigure(&mut self) {
         self.configuration.is_configured = false;
     }
 
-    /// Its arrivals.
+    /// Arrival counts and rates.
     pub fn arrivals(&self) -> &Arrivals {
         &self.arrivals
     }
 
-    /// Calls that are expected within so many milliseconds, by how often it was called lately.
+    /// Number of calls expected within `span_ms` milliseconds, based on the recent call rate.
     pub fn expected_calls(&self, now: u64, span_ms: f64) -> f64 {
         self.calls.expected_within(now, span_ms)
     }
 
-    /// Takes a sample of the arrivals when one is due.
+    /// Samples the arrivals if the sample interval has passed.
     pub fn sample_arrivals(&mut self, now: u64) {
         self.arrivals.sample(now);
     }
 
-    /// Forgets the measured rate when the function goes idle.
+    /// Clears the measured rates when the function becomes idle.
     pub fn reset_arrivals(&mut self) {
         self.arrivals.reset();
     }
 
-    /// What its owners reported.
+    /// The last report of each of its owners.
     pub fn reports(&self) -> &OwnerReports {
         &self.reports
     }
 
-    /// Stores an owner's report. The arrivals are recorded by [`Function::record_arrivals`].
+    /// Stores an owner's report, except for the arrivals, which [`Function::record_arrivals`] records.
     pub fn store_report(&mut self, owner: &str, report: &FunctionReport, now: u64) {
         self.reports.entry(owner).replace(report, now);
     }
 
-    /// Counts what arrived since the owner's last report. Calls of any function could be seen since a time.
+    /// Counts the requests that arrived since the owner's last report. `observed_since` is the time since which calls of
+    /// any function have been observed.
     pub fn record_arrivals(
         &mut self,
         owner: &str,
@@ -117,8 +118,8 @@
         for ZoneArrivals { zone, count } in &report.arrivals {
             let mut arrived = known.update_arrival_counter(zone, *count);
             if is_new {
-                // The counters of a new owner began at an unknown time, so they give no rate. Only the requests that still
-                // wait are counted, for their zones.
+                // The counters of a new owner started at an unknown time, so no rate can be derived from them. Only the
+                // requests that are still waiting are counted, for their zones.
                 arrived = arrived.min(waiting);
                 waiting -= arrived;
             }
@@ -135,47 +136,47 @@
         }
     }
 
-    /// Forgets what an owner reported.
+    /// Removes the report of an owner.
     pub fn remove_owner(&mut self, owner: &str) {
         self.reports.remove(owner);
     }
 
-    /// Serials of its runners.
+    /// Serials of its runners in the runner table.
     pub fn runners(&self) -> &BTreeSet<u64> {
         &self.runners
     }
 
-    /// Adds one of its runners.
+    /// Adds the serial of a runner.
     pub fn add_runner(&mut self, serial: u64) {
         self.runners.insert(serial);
     }
 
-    /// Removes one of its runners.
+    /// Removes the serial of a runner.
     pub fn remove_runner(&mut self, serial: u64) {
         self.runners.remove(&serial);
     }
 
-    /// Milliseconds that a request is expected to take at a runner that answered none yet.
+    /// Service time in milliseconds that is expected of a runner without measurements.
     pub fn service_time_ms(&self) -> f64 {
         self.service_time_ms
     }
 
-    /// Sets the expected service time from measurements.
+    /// Sets the expected service time, derived from measurements.
     pub fn set_service_time_ms(&mut self, service_time_ms: f64) {
         self.service_time_ms = service_time_ms;
     }
 
-    /// Requests arrived, waited or were in flight at this time.
+    /// Records that requests arrived, waited or were in flight at this time.
     pub fn mark_busy(&mut self, now: u64) {
         self.busy_at = Some(now);
     }
 
-    /// Requests that wait for a seat.
+    /// Number of requests waiting for a seat.
     pub fn waiting(&self, now: u64) -> u32 {
         self.reports.waiting(now)
     }
 
-    /// Whether requests wait or are in flight, or the last activity is within the retention time.
+    /// Whether requests are waiting or in flight, or the last activity is within the retention time.
     pub fn has_recent_demand(&self, now: u64, options: &AutoscalerOptions) -> bool {
         if self.waiting(now) > 0 || self.reports.has_requests_in_flight(now) {
             return true;
@@ -185,32 +186,32 @@
         self.busy_at.is_some_and(|at| now < at + retention_ms)
     }
 
-    /// Since when the demand has been below beta; none where it is not.
+    /// Time since which the demand has been below beta of the capacity; `None` if it is not.
     pub fn below_beta_since(&self) -> Option<u64> {
         self.below_beta_since
     }
 
-    /// Begins or ends the cooldown.
+    /// Starts or ends the cooldown.
     pub fn set_below_beta_since(&mut self, since: Option<u64>) {
         self.below_beta_since = since;
     }
 
-    /// Whether starts are paused, because the platform does not know the function or no worker had room.
+    /// Whether starts are paused because the platform does not know the function or no worker had room.
     pub fn is_start_paused(&self, now: u64) -> bool {
         now < self.starts_paused_until
     }
 
-    /// Pauses starts until a time.
+    /// Pauses starts until the given time.
     pub fn pause_starts(&mut self, until: u64) {
         self.starts_paused_until = until;
     }
 
-    /// Whether starts for routes that may use none of the runners are paused, because the last one found no room.
+    /// Whether starts for routes that may use none of the runners are paused because the last one found no room.
     pub fn is_covering_paused(&self, now: u64) -> bool {
         now < self.covering_paused_until
     }
 
-    /// Pauses starts for routes that may use none of the runners.
+    /// Pauses starts for routes that may use none of the runners until the given time.
     pub fn pause_covering(&mut self, until: u64) {
         self.covering_paused_until = until;
     }
@@ -220,7 +221,7 @@
         self.starts_paused_until = 0;
     }
 
-    /// The shortage that the last start met while there was no runner.
+    /// The shortage recorded by the last failed placement while the function had no runner.
     pub fn shortage(&self) -> Option<CapacityShortage> {
         self.shortage
     }
@@ -233,22 +234,22 @@
         std::mem::replace(&mut self.shortage, shortage)
     }
 
-    /// Number of the last update about its runners; 0 before the first.
+    /// Number of the last update about its runners; 0 before the first one.
     pub fn update_number(&self) -> u64 {
         self.update_number
     }
 
-    /// Sets the number of the update that is sent.
+    /// Sets the number of the last update.
     pub fn set_update_number(&mut self, number: u64) {
         self.update_number = number;
     }
 
-    /// What was decided last, for operators.
+    /// Description of the last scaling decision, for operators.
     pub fn last_decision(&self) -> &'static str {
         self.last_decision
     }
 
-    /// Sets what was decided last.
+    /// Sets the description of the last scaling decision.
     pub fn set_last_decision(&mut self, decision: &'static str) {
         self.last_decision = decision;
     }
--- a/crates/autoscaler/src/function_configuration.rs
+++ b/crates/autoscaler/src/function_configuration.rs
@@ -1,4 +1,4 @@
-//! The part of the operator's configuration that decides how a function is scaled.
+//! The part of the operator's configuration that determines how a function is scaled.
 
 use crate::allowed_regions::AllowedRegions;
 use crate::call_rate::CallRate;
@@ -7,32 +7,32 @@
 use routing::{regions_of_both, RoutingConfiguration, TenantDirectory};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How much longer than usual a start may take and still be expected to meet the latency target.
+/// Safety factor on the usual start time when it is compared with the latency target.
 const START_TIME_MARGIN: f64 = 1.1;
 
-/// What the configuration says of a function.
+/// Scaling parameters of one function.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct FunctionConfiguration {
-    /// Memory of a runner, in megabytes.
+    /// Memory of each runner, in megabytes.
     pub memory_mb: u64,
-    /// Milliseconds that a start usually takes.
+    /// Usual duration of a start, in milliseconds.
     pub start_ms: u64,
-    /// Most requests that a runner may hold at once.
+    /// Maximum number of concurrent requests per runner.
     pub concurrency: u32,
-    /// Milliseconds within which an answer is wanted: the smallest target of its routes.
+    /// Target response time in milliseconds: the smallest of its routes.
     pub latency_target_ms: u32,
-    /// The most urgent priority of its routes; the lowest number goes first.
+    /// Most urgent priority of its routes; lower numbers are more urgent.
     pub priority: u8,
-    /// Milliseconds for which a request may take at most: the longest of its routes.
+    /// Request timeout in milliseconds: the longest of its routes.
     pub timeout_ms: u64,
-    /// Regions in which its routes let requests run.
+    /// Regions in which its routes allow requests to run.
     pub allowed_regions: AllowedRegions,
-    /// The current configuration names the function. Otherwise its runners drain.
+    /// Whether the current configuration contains the function. If not, its runners are drained.
     pub is_configured: bool,
 }
 
 impl FunctionConfiguration {
-    /// A function that has runners but is not in the configuration.
+    /// Parameters of a function that has runners but is not in the configuration.
     pub fn unconfigured(concurrency: u32) -> Self {
         Self {
             memory_mb: 0,
@@ -46,15 +46,18 @@
         }
     }
 
-    /// Whether one runner is always kept, because a start does not fit into the latency target.
+    /// Whether one runner is always kept because a start takes longer than the latency target allows.
     pub fn is_prewarmed(&self) -> bool {
         let start_ms = self.start_ms as f64 * START_TIME_MARGIN;
         self.is_configured && start_ms > f64::from(self.latency_target_ms)
     }
 
-    /// Milliseconds without requests after which the last runner ends. A function is retained that is expected to be called again
-    /// before an idle runner costs as much as another start; no gap costs more than a bounded multiple of the best choice. Until calls
-    /// could be seen for that long, as after a change of the scaler, nothing is known of a function.
+    /// Milliseconds without requests after which the last runner is stopped.
+    ///
+    /// The retention is long if the function is expected to be called again before an idle runner costs as much as another
+    /// start (the break-even time), and short otherwise. This bounds the cost of every gap between calls to a fixed
+    /// multiple of the optimal choice. Until calls have been observed for the break-even time, as after a new controller
+    /// has taken over the scaler role, the call rate is unknown and the default retention applies.
     pub fn retention_ms(&self, calls: &CallRate, now: u64, policy: &ScalingPolicy) -> u64 {
         let start_ms = self.start_ms as f64;
         let break_even_ms = start_ms * policy.break_even_starts;
@@ -71,13 +74,14 @@
         (start_ms * starts) as u64
     }
 
-    /// Milliseconds below beta after which quotas fall.
+    /// Milliseconds for which the demand must be below beta of the capacity before quotas are lowered.
     pub fn cooldown_ms(&self, options: &AutoscalerOptions) -> u64 {
         (self.start_ms as f64 * options.policy.cooldown_starts) as u64
     }
 }
 
-/// The configuration of each function, with the strictest requirements of all bindings that lead to it.
+/// Derives the scaling parameters of each function by name, combining the latency targets, priorities, timeouts and allowed
+/// regions of all bindings that lead to it.
 pub(crate) fn configurations_by_function(
     configuration: &RoutingConfiguration,
 ) -> BTreeMap<String, FunctionConfiguration> {
--- a/crates/autoscaler/src/function_status.rs
+++ b/crates/autoscaler/src/function_status.rs
@@ -1,35 +1,35 @@
-//! What operators are shown of a function's scaling.
+//! Scaling status of functions, as shown to operators.
 
 use crate::function::Function;
 use crate::load::Load;
 use crate::state::ClusterState;
 
-/// What the autoscaler measured of one function and decided about it. Rates are in requests a second.
+/// Measurements and the last decision of one function. Rates are in requests per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FunctionStatus {
-    /// The function.
+    /// Name of the function.
     pub function: String,
-    /// Rate over about the last second.
+    /// Arrival rate over approximately the last second.
     pub measured_rate: f64,
-    /// Rate that is forecast.
+    /// Forecast arrival rate.
     pub forecast_rate: f64,
-    /// Requests that wait for a seat.
+    /// Number of requests waiting for a seat.
     pub waiting: u32,
-    /// Rate to be carried, with what waits.
+    /// Rate that the runners have to serve, including the waiting requests.
     pub demand: f64,
-    /// Rate that its runners carry.
+    /// Rate that its runners can serve at their quotas, including runners that are starting.
     pub capacity: f64,
-    /// Milliseconds that a request takes at a runner.
+    /// Expected service time of a request at a runner, in milliseconds.
     pub service_time_ms: f64,
-    /// Runners that serve or start.
+    /// Number of runners that are serving or starting.
     pub runners: usize,
-    /// Their quotas, summed.
+    /// Sum of the quotas of these runners.
     pub seats: u32,
-    /// Last decision about it.
+    /// Description of the last scaling decision.
     pub last_decision: String,
 }
 
-/// The status of each function that is not asleep, by name.
+/// Returns the status of each active function, sorted by name.
 pub(crate) fn function_statuses(state: &ClusterState) -> Vec<FunctionStatus> {
     let names = state.functions.active().iter();
     let statuses = names.filter_map(|name| Some(status(state, name, state.functions.get(name)?)));
