--- a/crates/gateway/src/applied_configuration.rs
+++ b/crates/gateway/src/applied_configuration.rs
@@ -166,17 +166,17 @@
         let mut unknown_parts = self.unknown_parts.clone();
         for packed in changes {
             let change = unpack(packed, DOCUMENT_MAX);
-            let amended = change.and_then(|change| {
-                let amended = configuration_format.apply_change(&configuration, &change);
+            let updated = change.and_then(|change| {
+                let updated = configuration_format.apply_change(&configuration, &change);
                 unknown_parts.extend(configuration_format.unknown_parts_of_change(&change));
-                amended.ok()
+                updated.ok()
             });
-            let Some(amended) = amended else {
+            let Some(updated) = updated else {
                 log::error!("gateway: configuration change not applicable base={base}");
                 self.needs_full_document = true;
                 return;
             };
-            configuration = amended;
+            configuration = updated;
         }
         self.put_in_force(base + changes.len() as u64, configuration);
         self.record_unknown_parts(unknown_parts);
--- a/crates/gateway/src/controller_links.rs
+++ b/crates/gateway/src/controller_links.rs
@@ -53,7 +53,7 @@
 }
 
 impl ControllerLink {
-    fn end(&mut self) {
+    fn reset(&mut self) {
         self.connection = None;
         self.is_established = false;
         self.accepts_changes = false;
@@ -237,13 +237,13 @@
     }
 
     /// Address of the scaler, if it supports agreed ownership tables and was heard from within `within_ms`.
-    pub fn heard_scaler(&self, now: u64, within_ms: u64) -> Option<String> {
+    pub fn reachable_scaler(&self, now: u64, within_ms: u64) -> Option<String> {
         let (address, _) = self.newest_scaler(now, within_ms, |link| link.understands_ownership)?;
         Some(address.clone())
     }
 
     /// Whether the scaler was heard from within `within_ms`.
-    pub fn is_scaler_heard(&self, now: u64, within_ms: u64) -> bool {
+    pub fn is_scaler_reachable(&self, now: u64, within_ms: u64) -> bool {
         self.newest_scaler(now, within_ms, |_| true).is_some()
     }
 
@@ -256,8 +256,8 @@
     ) -> Option<(&String, &ControllerLink)> {
         let links = self.links.iter();
         let scaling = links.filter(|(_, link)| {
-            let is_heard = link.connection.is_some() && now < link.heard_at + within_ms;
-            is_heard && link.term > 0 && is_eligible(link)
+            let is_recent = link.connection.is_some() && now < link.heard_at + within_ms;
+            is_recent && link.term > 0 && is_eligible(link)
         });
         scaling.max_by_key(|(_, link)| link.term)
     }
@@ -275,11 +275,11 @@
         if let Some(connection) = link.connection {
             if link.has_connect_timed_out(now, timing.interval_ms) {
                 link.hung_attempts.record();
-                link.end();
+                link.reset();
                 return LinkTask::Close(connection);
             }
             if now > link.heard_at + timing.silence_ms {
-                link.end();
+                link.reset();
                 return LinkTask::Close(connection);
             }
             let interval_ms = match link.term {
@@ -307,7 +307,7 @@
     }
 
     /// Records a connection that was opened to a controller.
-    pub fn begin(&mut self, address: &str, connection: ConnectionId, now: u64) {
+    pub fn connection_opened(&mut self, address: &str, connection: ConnectionId, now: u64) {
         if let Some(link) = self.links.get_mut(address) {
             link.connection = Some(connection);
             link.heard_at = now;
@@ -316,7 +316,7 @@
     }
 
     /// Records that the connection to a controller is established.
-    pub fn established(&mut self, address: &str) {
+    pub fn connection_established(&mut self, address: &str) {
         if let Some(link) = self.links.get_mut(address) {
             link.is_established = true;
             link.hung_attempts.reset();
@@ -324,9 +324,9 @@
     }
 
     /// Records that the connection to a controller has ended.
-    pub fn end(&mut self, address: &str) {
+    pub fn connection_ended(&mut self, address: &str) {
         if let Some(link) = self.links.get_mut(address) {
-            link.end();
+            link.reset();
         }
     }
 
--- a/crates/gateway/src/controller_messages.rs
+++ b/crates/gateway/src/controller_messages.rs
@@ -189,7 +189,8 @@
         let Some(connection) = connection else {
             return;
         };
-        self.controllers.begin(address, connection, self.now);
+        self.controllers
+            .connection_opened(address, connection, self.now);
         self.pauses.confirmation.link_opened(address);
         let hello = frame(&Message::GatewayHello(self.identity.clone()));
         self.connections.send(connection, &hello);
--- a/crates/gateway/src/lease_requests.rs
+++ b/crates/gateway/src/lease_requests.rs
@@ -17,17 +17,17 @@
     /// ownership tables, the other gateway acts as the owner instead.
     pub fn owner_of(&self, function: &str) -> Option<OwnerName> {
         let table = self.configuration.ownership()?;
-        let is_heard = |member: &Member| !self.peers.is_suspect(&member.name, self.now);
+        let is_live = |member: &Member| !self.peers.is_suspect(&member.name, self.now);
         let owner = table.owner_of(function)?;
-        if is_heard(owner) {
+        if is_live(owner) {
             return Some(owner.name.clone());
         }
         let is_other = |member: &Member| member.name != self.options.name;
         let relay = match self.waits_for_scaler() {
-            true => table.owner_among(function, |member| is_heard(member) && is_other(member)),
+            true => table.owner_among(function, |member| is_live(member) && is_other(member)),
             false => None,
         };
-        let next = relay.or_else(|| table.owner_among(function, is_heard));
+        let next = relay.or_else(|| table.owner_among(function, is_live));
         next.map(|member| member.name.clone())
     }
 
--- a/crates/gateway/src/ownership.rs
+++ b/crates/gateway/src/ownership.rs
@@ -232,7 +232,7 @@
             name: name.into(),
             incarnation: member.incarnation,
         };
-        if let Some(scaler) = self.heard_scaler() {
+        if let Some(scaler) = self.reachable_scaler() {
             self.send_to_controller(&scaler, &message);
         }
     }
@@ -242,9 +242,9 @@
         self.configuration.agreed_owners()?.member(name)
     }
 
-    fn heard_scaler(&self) -> Option<String> {
+    fn reachable_scaler(&self) -> Option<String> {
         self.controllers
-            .heard_scaler(self.now, self.scaler_silence_ms())
+            .reachable_scaler(self.now, self.scaler_silence_ms())
     }
 
     fn scaler_silence_ms(&self) -> u64 {
@@ -253,7 +253,7 @@
 
     /// Whether only the scaler may replace an unresponsive owner.
     pub fn waits_for_scaler(&self) -> bool {
-        self.configuration.agreed_owners().is_some() && self.heard_scaler().is_some()
+        self.configuration.agreed_owners().is_some() && self.reachable_scaler().is_some()
     }
 
     /// Periodic work: acts for unresponsive owners while no scaler is reachable, and relays waiting requests to
@@ -262,16 +262,16 @@
         if self.is_draining() {
             self.announce_leaving();
         }
-        let acts_for: BTreeSet<String> = match self.waits_for_scaler() {
+        let failover_for: BTreeSet<String> = match self.waits_for_scaler() {
             true => BTreeSet::new(),
             false => self.peers.suspects(self.now).cloned().collect(),
         };
-        self.lease_owner.set_failover_for(self.now, acts_for);
-        let is_scaler_heard = self
+        self.lease_owner.set_failover_for(self.now, failover_for);
+        let is_scaler_reachable = self
             .controllers
-            .is_scaler_heard(self.now, self.scaler_silence_ms());
+            .is_scaler_reachable(self.now, self.scaler_silence_ms());
         self.lease_owner
-            .set_scaler_reachable(self.now, is_scaler_heard);
+            .set_scaler_reachable(self.now, is_scaler_reachable);
         let expired = self.relayed_requests.take_expired(self.now);
         self.cancel_relayed(expired);
         let (peers, now) = (&self.peers, self.now);
--- a/crates/gateway/src/pause_confirmation.rs
+++ b/crates/gateway/src/pause_confirmation.rs
@@ -47,7 +47,7 @@
 
 impl PauseConfirmation {
     /// Records a process pause. The caller sends pings with the returned number to the given connected controllers.
-    pub fn begin(&mut self, linked: impl Iterator<Item = String>) -> u64 {
+    pub fn record_pause(&mut self, linked: impl Iterator<Item = String>) -> u64 {
         if !std::mem::replace(&mut self.is_awaited, true) {
             self.links.clear();
         }
--- a/crates/gateway/src/process_pauses.rs
+++ b/crates/gateway/src/process_pauses.rs
@@ -32,7 +32,10 @@
     /// sent so far.
     fn ask_for_confirmation(&mut self) {
         let linked = self.controllers.linked_addresses();
-        let number = self.pauses.confirmation.begin(linked.iter().cloned());
+        let number = self
+            .pauses
+            .confirmation
+            .record_pause(linked.iter().cloned());
         for address in linked {
             self.send_to_controller(&address, &Message::RequestHeartbeat);
             self.send_to_controller(&address, &Message::Ping(number));
--- a/crates/gateway/src/upstream_responses.rs
+++ b/crates/gateway/src/upstream_responses.rs
@@ -45,7 +45,7 @@
                 self.close_upstream(id, &runner);
                 self.attempt_lost(request_id, reason);
             }
-            // Bytes belong to nobody if no request was sent on the connection. A request that was assigned to it but
+            // Without a sent request, bytes on the connection belong to none. A request that was assigned to it but
             // not sent is retried on another connection.
             _ => {
                 self.close_upstream(id, &runner);
--- a/crates/gateway/tests/unit/agreed_owners.rs
+++ b/crates/gateway/tests/unit/agreed_owners.rs
@@ -4,7 +4,7 @@
 use crate::connection_reuse_tests::{options, pending_request};
 use crate::controller_links::ControllerState;
 use crate::gateway::Gateway;
-use crate::owner_links_tests::Owner;
+use crate::owner_links_tests::SimulatedPeer;
 use crate::pending_request::RequestPhase;
 use event_loop::Event;
 use protocol::{
@@ -22,9 +22,9 @@
 /// A gateway under test, a scaler, and two other gateways, one of which owns a function.
 pub(crate) struct Fleet {
     pub(crate) gateway: Gateway,
-    pub(crate) asker: Owner,
-    pub(crate) owner: Owner,
-    pub(crate) scaler: Owner,
+    pub(crate) asker: SimulatedPeer,
+    pub(crate) owner: SimulatedPeer,
+    pub(crate) scaler: SimulatedPeer,
     /// A function owned by `owner`.
     pub(crate) function: String,
 }
@@ -32,7 +32,7 @@
 impl Fleet {
     pub(crate) fn new() -> Self {
         let mut gateway = Gateway::open(options()).unwrap();
-        let (asker, owner) = (Owner::new(ASKER), Owner::new(OWNER));
+        let (asker, owner) = (SimulatedPeer::new(ASKER), SimulatedPeer::new(OWNER));
         let table = OwnershipTable {
             version: UpdateVersion { term: 1, number: 1 },
             members: vec![gateway.identity.clone(), asker.member(), owner.member()],
@@ -52,13 +52,13 @@
             gateway,
             asker,
             owner,
-            scaler: Owner::new("scaler"),
+            scaler: SimulatedPeer::new("scaler"),
             function,
         }
     }
 
     /// Connects the gateway to a scaler that sends heartbeats.
-    pub(crate) fn hears_scaler(&mut self) {
+    pub(crate) fn connect_scaler(&mut self) {
         let address = self.scaler.member().address;
         self.gateway.now = 10_000;
         let controllers = &mut self.gateway.controllers;
@@ -76,7 +76,7 @@
         controllers.record_heartbeat(&address, state);
     }
 
-    fn place(&mut self) {
+    fn place_request(&mut self) {
         let request = LeaseRequest {
             request_id: ORIGINAL_ID,
             function: self.function.clone(),
@@ -122,7 +122,7 @@
 #[test]
 fn a_relayed_request_gets_its_lease_through_the_relaying_gateway() {
     let mut fleet = Fleet::new();
-    fleet.place();
+    fleet.place_request();
     let relayed_id = fleet.relayed_id();
     assert_ne!(relayed_id, ORIGINAL_ID);
     let lease = SeatLease {
@@ -151,7 +151,7 @@
 #[test]
 fn a_lease_from_a_gateway_other_than_the_requested_owner_is_not_relayed() {
     let mut fleet = Fleet::new();
-    fleet.place();
+    fleet.place_request();
     let lease = SeatLease {
         request_id: fleet.relayed_id(),
         ..SeatLease::default()
@@ -165,7 +165,7 @@
 #[test]
 fn an_unresponsive_owner_is_reported_to_the_scaler_and_reached_through_a_relay() {
     let mut fleet = Fleet::new();
-    fleet.hears_scaler();
+    fleet.connect_scaler();
     let now = fleet.gateway.now;
     fleet.gateway.peers.suspect(OWNER, now);
     fleet.gateway.report_suspected_gateway(OWNER);
@@ -180,7 +180,7 @@
 #[test]
 fn an_unresponsive_owner_is_not_replaced_while_a_scaler_is_reachable() {
     let mut fleet = Fleet::new();
-    fleet.hears_scaler();
+    fleet.connect_scaler();
     let now = fleet.gateway.now;
     fleet.gateway.peers.suspect(OWNER, now);
     fleet.gateway.peers.suspect(ASKER, now);
@@ -201,7 +201,7 @@
 #[test]
 fn controllers_that_support_it_are_notified_once_of_a_stopping_gateway() {
     let mut fleet = Fleet::new();
-    fleet.hears_scaler();
+    fleet.connect_scaler();
     fleet.gateway.announce_leaving();
     fleet.wait_for("the announcement", |fleet| {
         fleet.scaler.received.contains(&Message::GatewayLeaving)
--- a/crates/gateway/tests/unit/owner_links.rs
+++ b/crates/gateway/tests/unit/owner_links.rs
@@ -21,7 +21,7 @@
 const MESSAGE_WITHIN: Duration = Duration::from_secs(5);
 
 /// Another gateway, simulated by a listening socket and the messages it received.
-pub(crate) struct Owner {
+pub(crate) struct SimulatedPeer {
     name: &'static str,
     listener: TcpListener,
     stream: Option<TcpStream>,
@@ -29,7 +29,7 @@
     pub(crate) received: Vec<Message>,
 }
 
-impl Owner {
+impl SimulatedPeer {
     pub(crate) fn new(name: &'static str) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
         listener.set_nonblocking(true).unwrap();
@@ -76,7 +76,7 @@
 /// A gateway with one request, and the successive owners of its function.
 struct OwnerChanges {
     gateway: Gateway,
-    owners: Vec<Owner>,
+    owners: Vec<SimulatedPeer>,
     membership_number: u64,
     runner: TcpListener,
 }
@@ -85,7 +85,9 @@
     fn new() -> Self {
         Self {
             gateway: Gateway::open(options()).unwrap(),
-            owners: ["owner-1", "owner-2", "owner-3"].map(Owner::new).into(),
+            owners: ["owner-1", "owner-2", "owner-3"]
+                .map(SimulatedPeer::new)
+                .into(),
             membership_number: 0,
             runner: TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap(),
         }
@@ -173,13 +175,13 @@
         request.attempt().expect("it has a lease").connection
     }
 
-    fn poll_until(&mut self, what: &str, is_met: impl Fn(&[Event], &[Owner]) -> bool) {
+    fn poll_until(&mut self, what: &str, is_met: impl Fn(&[Event], &[SimulatedPeer]) -> bool) {
         let until = Instant::now() + MESSAGE_WITHIN;
         let mut events = Vec::new();
         loop {
             self.gateway.flush_peers();
             self.gateway.connections.poll(POLL_TIMEOUT, &mut events);
-            self.owners.iter_mut().for_each(Owner::read);
+            self.owners.iter_mut().for_each(SimulatedPeer::read);
             if is_met(&events, &self.owners) {
                 return;
             }
--- a/crates/gateway/tests/unit/process_pauses.rs
+++ b/crates/gateway/tests/unit/process_pauses.rs
@@ -20,7 +20,7 @@
 fn awaiting_confirmation() -> (PauseConfirmation, u64) {
     let mut confirmation = PauseConfirmation::default();
     let linked = [SCALER, OTHER].map(String::from);
-    let number = confirmation.begin(linked.into_iter());
+    let number = confirmation.record_pause(linked.into_iter());
     (confirmation, number)
 }
 
@@ -36,7 +36,7 @@
 #[test]
 fn a_pong_to_an_earlier_ping_confirms_nothing() {
     let (mut confirmation, former) = awaiting_confirmation();
-    let number = confirmation.begin([SCALER.to_string()].into_iter());
+    let number = confirmation.record_pause([SCALER.to_string()].into_iter());
     assert_eq!(confirmation.ping_answered(SCALER, former, TERM), None);
     assert_eq!(confirmation.age_of_messages(SCALER), UpdateAge::Unknown);
     let confirmed = confirmation.ping_answered(SCALER, number, TERM);
@@ -70,7 +70,7 @@
 fn a_pong_over_a_reopened_link_does_not_confirm_runner_lists() {
     let (mut confirmation, _) = awaiting_confirmation();
     confirmation.link_opened(SCALER);
-    let number = confirmation.begin([SCALER.to_string()].into_iter());
+    let number = confirmation.record_pause([SCALER.to_string()].into_iter());
     assert_eq!(confirmation.ping_answered(SCALER, number, TERM), None);
     assert_eq!(
         confirmation.table_published(SCALER),
@@ -79,7 +79,7 @@
     // The same if the table arrives before the pong.
     let (mut confirmation, _) = awaiting_confirmation();
     confirmation.link_opened(SCALER);
-    let number = confirmation.begin([SCALER.to_string()].into_iter());
+    let number = confirmation.record_pause([SCALER.to_string()].into_iter());
     assert_eq!(confirmation.table_published(SCALER), None);
     let confirmed = confirmation.ping_answered(SCALER, number, TERM);
     assert_eq!(confirmed, Some(Confirmation::Table));
@@ -88,7 +88,7 @@
 /// Creates a gateway that pinged the owner before a pause; the owner's pong waits in the gateway's socket.
 fn fleet_after_a_pause() -> Fleet {
     let mut fleet = Fleet::new();
-    fleet.hears_scaler();
+    fleet.connect_scaler();
     let now = fleet.gateway.now;
     fleet.gateway.read_clock(now);
     fleet.gateway.send_to_peer(OWNER, &Message::Ping(0));
