--- a/crates/gateway/src/peer_links.rs
+++ b/crates/gateway/src/peer_links.rs
@@ -48,12 +48,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HelloOutcome {
     /// There is no link yet.
-    NewLink,
+    New,
     /// The existing link belongs to an ended incarnation, or was silent and is no longer used by the peer. All state
     /// agreed over it is discarded.
-    ReplacesLink,
+    Replacement,
     /// The existing link is in use; both gateways may have opened one at the same time.
-    SecondLink,
+    Duplicate,
 }
 
 /// Links to other gateways, by name.
@@ -93,10 +93,10 @@
     /// Classifies a hello that a gateway has sent on a new connection.
     pub fn classify_hello(&self, name: &str, incarnation: u64, now: u64) -> HelloOutcome {
         match self.links.get(name) {
-            None => HelloOutcome::NewLink,
-            Some(link) if link.incarnation != incarnation => HelloOutcome::ReplacesLink,
-            Some(link) if now > link.heard_at + PING_AFTER_MS => HelloOutcome::ReplacesLink,
-            Some(_) => HelloOutcome::SecondLink,
+            None => HelloOutcome::New,
+            Some(link) if link.incarnation != incarnation => HelloOutcome::Replacement,
+            Some(link) if now > link.heard_at + PING_AFTER_MS => HelloOutcome::Replacement,
+            Some(_) => HelloOutcome::Duplicate,
         }
     }
 
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -92,13 +92,13 @@
     fn hello_received(&mut self, id: ConnectionId, member: &Member) {
         let (name, incarnation) = (&member.name, member.incarnation);
         let outcome = self.peers.classify_hello(name, incarnation, self.now);
-        if outcome == HelloOutcome::ReplacesLink {
+        if outcome == HelloOutcome::Replacement {
             log::info!("gateway: peer link replaced gateway={name} incarnation={incarnation:x}");
             self.peer_died(name);
         }
         let role = ConnectionRole::Peer(Some(name.clone()));
         self.connections.set_role(id, role);
-        if outcome != HelloOutcome::SecondLink {
+        if outcome != HelloOutcome::Duplicate {
             self.peers.add(name, incarnation, id, self.now);
             self.peers.record_heard(name, self.now);
             self.request_peer_capabilities(name);
