--- a/crates/seat_leases/src/function_seats.rs
+++ b/crates/seat_leases/src/function_seats.rs
@@ -7,7 +7,7 @@
 use crate::lease_rules::LeaseRules;
 use crate::list_confirmation::{ListConfirmation, UpdateAge};
 use crate::report_state::ReportState;
-use crate::runner_set::{RunnerDemand, RunnerSet};
+use crate::runner_set::{RunnerCriteria, RunnerSet};
 use crate::seat_runner::SeatRunner;
 use crate::start_block::ReceivedStartBlock;
 use crate::wait_queue::{QueuePosition, WaitQueue, WaitingRequest};
@@ -20,7 +20,7 @@
 /// Most requests that wait for one function.
 const WAITING_MAX: usize = 512;
 /// Part of a request's timeout within which it must expect a seat, so that there is time to run it.
-const WAIT_PART_MAX: f64 = 0.9;
+const WAIT_FRACTION_MAX: f64 = 0.9;
 /// Milliseconds after which a rejected request may find a seat, where nothing better is known.
 pub(crate) const RETRY_AFTER_MS: u32 = 250;
 
@@ -55,7 +55,7 @@
     /// A function of which nothing is known but what comes from now on.
     pub fn new(now: u64) -> Self {
         Self {
-            list: ListConfirmation::doubted(now),
+            list: ListConfirmation::unconfirmed(now),
             ..Self::default()
         }
     }
@@ -122,39 +122,39 @@
     }
 
     /// The list of runners may be old. The scaler tells it anew once the function is reported, as one whose list is not known.
-    pub fn doubt_runners(&mut self, now: u64) {
-        self.list.doubt(now);
+    pub fn invalidate_runner_list(&mut self, now: u64) {
+        self.list.invalidate(now);
         self.start_block = None;
     }
 
     /// The process stood still, and the scaler may have told others of the runners: a list from before is asked for anew.
-    pub fn doubt_list_from_before_pause(&mut self, now: u64, rules: &LeaseRules) {
+    pub fn invalidate_list_from_before_pause(&mut self, now: u64, rules: &LeaseRules) {
         if !self.list.is_from_before_pause(rules) {
             return;
         }
-        self.doubt_runners(now);
+        self.invalidate_runner_list(now);
         self.report.mark_changed();
         self.report.mark_urgent();
     }
 
     /// A request comes. Where nobody uses the function and its list of runners was not confirmed, that is asked for first.
-    pub fn doubt_unconfirmed_if_idle(&mut self, now: u64) {
+    pub fn invalidate_unconfirmed_list_if_idle(&mut self, now: u64) {
         if self.is_idle() && !self.list.is_confirmed() {
-            self.doubt_runners(now);
+            self.invalidate_runner_list(now);
         }
     }
 
     /// Ids of the runners that serve here and get nothing new by a newer update.
-    pub fn leaving_runners(&self, update: &FunctionUpdate) -> Vec<String> {
+    pub fn newly_draining(&self, update: &FunctionUpdate) -> Vec<String> {
         if update.version < self.list.version() {
             return Vec::new();
         }
         let updated = update.runners.iter();
-        let leaving = updated.filter(|runner| runner.stage == RunnerStage::Draining);
-        let leaving: BTreeSet<&str> = leaving.map(|runner| runner.id.as_str()).collect();
+        let draining = updated.filter(|runner| runner.stage == RunnerStage::Draining);
+        let draining: BTreeSet<&str> = draining.map(|runner| runner.id.as_str()).collect();
         let serving = self.runners.iter().filter(|runner| runner.is_serving());
         serving
-            .filter(|runner| leaving.contains(runner.id()))
+            .filter(|runner| draining.contains(runner.id()))
             .map(|runner| runner.id().to_string())
             .collect()
     }
@@ -186,24 +186,24 @@
     }
 
     /// Milliseconds after which a request is to come back that would get no seat in time; none where it may wait.
-    pub fn rejects(&self, now: u64, request: &LeaseRequest, rules: &LeaseRules) -> Option<u32> {
+    pub fn retry_after(&self, now: u64, request: &LeaseRequest, rules: &LeaseRules) -> Option<u32> {
         let timeout_ms = request.timeout_ms;
         let ahead = self.queue.ahead_of(request);
         let allowed_regions = &request.allowed_regions;
         let wait_ms = self
             .runners
             .expected_wait_ms(now, ahead, allowed_regions, rules);
-        let demand = RunnerDemand {
+        let criteria = RunnerCriteria {
             excluded: &request.excluded_runners,
             allowed_regions,
         };
         // Where a seat is free there is nothing to wait for, and only who is sent there shows how fast it is.
-        let is_late = wait_ms.is_some_and(|wait| wait > f64::from(timeout_ms) * WAIT_PART_MAX)
-            && !self.has_free_seat(now, rules, &demand);
+        let is_late = wait_ms.is_some_and(|wait| wait > f64::from(timeout_ms) * WAIT_FRACTION_MAX)
+            && !self.has_free_seat(now, rules, &criteria);
         let deadline = now + u64::from(timeout_ms);
         let blocked = self.retry_after_block(now, deadline, allowed_regions, rules);
-        let has_place = !self.is_full() || self.queue.last_behind(request).is_some();
-        if !is_late && blocked.is_none() && has_place {
+        let fits_queue = !self.is_full() || self.queue.displaced_by(request).is_some();
+        if !is_late && blocked.is_none() && fits_queue {
             return None;
         }
         let retry_after_ms = wait_ms.unwrap_or(0.0).max(f64::from(RETRY_AFTER_MS));
@@ -215,11 +215,11 @@
     }
 
     /// Takes out the request that would get a seat last, where the queue is full and one that comes now goes before it.
-    pub fn make_room_for(&mut self, request: &LeaseRequest) -> Option<RejectedRequest> {
+    pub fn displace_for(&mut self, request: &LeaseRequest) -> Option<RejectedRequest> {
         if !self.is_full() {
             return None;
         }
-        let last = self.queue.last_behind(request)?;
+        let last = self.queue.displaced_by(request)?;
         let displaced = self.queue.remove(last)?;
         self.record_abandoned();
         Some(RejectedRequest {
@@ -303,7 +303,7 @@
             }
             // A runner that loses one response after the other is as good as gone.
             LeaseOutcome::Unreachable | LeaseOutcome::Lost => {
-                if runner.record_miss() {
+                if runner.record_failure() {
                     self.report.mark_urgent();
                 }
             }
@@ -315,9 +315,9 @@
 
     /// Issues a lease of a free seat to the first request that may use one.
     pub fn lease_next(&mut self, now: u64, rules: &LeaseRules) -> Option<IssuedLease> {
-        let (position, place) = self.match_next(now, rules)?;
+        let (position, index) = self.match_next(now, rules)?;
         let waiting = self.queue.serve(position)?;
-        let runner = self.runners.at_mut(place);
+        let runner = self.runners.at_mut(index);
         let lease = SeatLease {
             request_id: waiting.holder.request_id,
             runner: runner.id().into(),
@@ -333,24 +333,24 @@
         if self.queue.is_empty() || !self.list.may_be_used(now, rules) {
             return None;
         }
-        let free = self.runners.free_places(now, rules);
+        let free = self.runners.free_runners(now, rules);
         if free.is_empty() {
             return None;
         }
         self.queue.iter().find_map(|(position, waiting)| {
-            let demand = RunnerDemand {
+            let criteria = RunnerCriteria {
                 excluded: &waiting.excluded_runners,
                 allowed_regions: &waiting.allowed_regions,
             };
             let runners = &self.runners;
-            let place = runners.cheapest(&free, &waiting.zone, &demand, rules)?;
-            Some((position, place))
+            let index = runners.cheapest(&free, &waiting.zone, &criteria, rules)?;
+            Some((position, index))
         })
     }
 
-    fn has_free_seat(&self, now: u64, rules: &LeaseRules, demand: &RunnerDemand<'_>) -> bool {
-        let free = self.runners.free_places(now, rules);
-        let has_usable = self.runners.usable(&free, demand, rules).next().is_some();
+    fn has_free_seat(&self, now: u64, rules: &LeaseRules, criteria: &RunnerCriteria<'_>) -> bool {
+        let free = self.runners.free_runners(now, rules);
+        let has_usable = self.runners.usable(&free, criteria, rules).next().is_some();
         has_usable
     }
 
@@ -371,7 +371,7 @@
     }
 
     /// Takes requests out of the queue whose time is over, then those that nothing can serve in time.
-    pub fn take_hopeless(&mut self, now: u64, rules: &LeaseRules) -> Vec<RejectedRequest> {
+    pub fn take_unservable(&mut self, now: u64, rules: &LeaseRules) -> Vec<RejectedRequest> {
         let waiting = self.queue.iter();
         let late = waiting.filter(|(_, request)| request.deadline <= now);
         let late = late.map(|(position, _)| (position, RETRY_AFTER_MS));
@@ -380,9 +380,9 @@
             let retry_after_ms = self.retry_after_block(now, request.deadline, regions, rules)?;
             Some((position, retry_after_ms))
         });
-        let hopeless: Vec<(QueuePosition, u32)> = late.chain(blocked).collect();
+        let unservable: Vec<(QueuePosition, u32)> = late.chain(blocked).collect();
         let mut rejected = Vec::new();
-        for (position, retry_after_ms) in hopeless {
+        for (position, retry_after_ms) in unservable {
             let Some(waiting) = self.queue.remove(position) else {
                 continue;
             };
--- a/crates/seat_leases/src/lease_owner.rs
+++ b/crates/seat_leases/src/lease_owner.rs
@@ -70,9 +70,9 @@
     }
 
     /// Whether a controller scales that can be asked for runners. While none does, seats are leased by the lists that there are, however old.
-    pub fn set_scaler_reachable(&mut self, now: u64, is_heard: bool) {
-        let was_heard = std::mem::replace(&mut self.rules.is_scaler_reachable, is_heard);
-        if was_heard && !is_heard {
+    pub fn set_scaler_reachable(&mut self, now: u64, is_reachable: bool) {
+        let was_reachable = std::mem::replace(&mut self.rules.is_scaler_reachable, is_reachable);
+        if was_reachable && !is_reachable {
             self.issue_all_leases(now);
         }
     }
@@ -85,30 +85,30 @@
     /// A request of a gateway wants a seat. A lease or a rejection follows, at once or later, unless it is cancelled.
     /// What the request held or waited for before is free: it has one seat at most, in whatever order its messages come.
     pub fn request_lease(&mut self, now: u64, gateway: &str, zone: &str, request: LeaseRequest) {
-        self.forget_holder(&LeaseHolder::new(gateway, request.request_id));
+        self.end_holder(&LeaseHolder::new(gateway, request.request_id));
         let is_new = !self.functions.contains_key(&request.function);
         if is_new && self.functions.len() >= FUNCTIONS_MAX {
             self.reject(gateway, request.request_id, RETRY_AFTER_MS);
             return;
         }
         let function = request.function.clone();
-        let is_foreign = self.ownership.is_in_place_of_owner(&function);
+        let is_owned_elsewhere = self.ownership.leases_for_other_owner(&function);
         let seats = self.functions.entry(function.clone());
         let seats = seats.or_insert_with(|| FunctionSeats::new(now));
-        if is_foreign && seats.is_idle() {
+        if is_owned_elsewhere && seats.is_idle() {
             // The scaler tells the owner alone of changes, so that the list may be old.
-            seats.doubt_runners(now);
+            seats.invalidate_runner_list(now);
         }
-        seats.doubt_unconfirmed_if_idle(now);
+        seats.invalidate_unconfirmed_list_if_idle(now);
         seats.touch(now);
         seats.record_arrival(zone, &request);
-        if let Some(retry_after_ms) = seats.rejects(now, &request, &self.rules) {
+        if let Some(retry_after_ms) = seats.retry_after(now, &request, &self.rules) {
             seats.record_abandoned();
             self.reject(gateway, request.request_id, retry_after_ms);
             self.unreported.insert(function);
             return;
         }
-        let displaced = seats.make_room_for(&request);
+        let displaced = seats.displace_for(&request);
         let holder = LeaseHolder::new(gateway, request.request_id);
         self.function_by_holder
             .insert(holder.clone(), function.clone());
@@ -129,7 +129,7 @@
     /// A request of a gateway wants no seat any more; one that was leased for it is free.
     pub fn cancel(&mut self, now: u64, gateway: &str, request_id: RequestId) {
         let holder = LeaseHolder::new(gateway, request_id);
-        let Some(function) = self.forget_holder(&holder) else {
+        let Some(function) = self.end_holder(&holder) else {
             return;
         };
         self.unreported.insert(function.clone());
@@ -137,7 +137,7 @@
     }
 
     /// Ends the lease of a request, or its wait. Returns the function that it was for.
-    fn forget_holder(&mut self, holder: &LeaseHolder) -> Option<String> {
+    fn end_holder(&mut self, holder: &LeaseHolder) -> Option<String> {
         self.unconfirmed.remove(holder);
         let function = self.function_by_holder.remove(holder)?;
         if let Some(seats) = self.functions.get_mut(&function) {
@@ -187,7 +187,7 @@
         let seats = seats.or_insert_with(|| FunctionSeats::new(now));
         // An update is no use, but it keeps the function for a while.
         seats.touch(now.saturating_sub(EVICTION_AFTER_MS / 2));
-        for runner in seats.leaving_runners(&update) {
+        for runner in seats.newly_draining(&update) {
             let version = update.version;
             log::info!(
                 "gateway: runner leaving function={function} runner={runner} version={version}"
@@ -197,14 +197,14 @@
         self.schedule_probes(&function);
         self.unreported.insert(function.clone());
         self.issue_leases(now, &function);
-        self.reject_hopeless(now, &function);
+        self.reject_unservable(now, &function);
     }
 
     fn schedule_probes(&mut self, function: &str) {
         let Some(seats) = self.functions.get(function) else {
             return;
         };
-        for runner in seats.runners().filter(|one| one.is_starting()) {
+        for runner in seats.runners().filter(|runner| runner.is_starting()) {
             let target = ProbeTarget {
                 function: function.into(),
                 runner: runner.id().into(),
@@ -258,12 +258,12 @@
     pub fn tick(&mut self, now: u64) {
         self.expire_pause(now);
         self.expire_handovers(now);
-        self.maintain_unconfirmed(now);
+        self.poll_unconfirmed(now);
         for target in self.probes.take_due(now) {
             self.probe(target);
         }
         for function in self.functions_with_waiting() {
-            self.reject_hopeless(now, &function);
+            self.reject_unservable(now, &function);
             self.issue_leases(now, &function);
             self.remind_of_waiting(now, function);
         }
@@ -323,11 +323,11 @@
     }
 
     /// Rejects requests whose time is over, and those that nothing can serve in time.
-    fn reject_hopeless(&mut self, now: u64, function: &str) {
+    fn reject_unservable(&mut self, now: u64, function: &str) {
         let Some(seats) = self.functions.get_mut(function) else {
             return;
         };
-        for rejected in seats.take_hopeless(now, &self.rules) {
+        for rejected in seats.take_unservable(now, &self.rules) {
             self.reject_waiting(&rejected);
         }
     }
--- a/crates/seat_leases/src/lease_owner/confirmation.rs
+++ b/crates/seat_leases/src/lease_owner/confirmation.rs
@@ -57,9 +57,10 @@
         let seats = self.functions.entry(function.to_string());
         let seats = seats.or_insert_with(|| FunctionSeats::new(now));
         let known = seats.holders_of(gateway).into_iter();
-        let unreported: Vec<LeaseHolder> = known.filter(|one| !reported.contains(one)).collect();
+        let unreported: Vec<LeaseHolder> =
+            known.filter(|holder| !reported.contains(holder)).collect();
         for holder in &reported {
-            self.forget_holder(holder);
+            self.end_holder(holder);
         }
         self.end_unreported(now, gateway, unreported);
         let seats = self.functions.entry(function.to_string());
@@ -81,23 +82,23 @@
     fn end_unreported(&mut self, now: u64, gateway: &str, unreported: Vec<LeaseHolder>) {
         if self.ownership.agreed_table().is_none() {
             for holder in unreported {
-                self.forget_holder(&holder);
+                self.end_holder(&holder);
             }
             return;
         }
-        let requests: Vec<RequestId> = unreported.iter().map(|one| one.request_id).collect();
+        let requests: Vec<RequestId> = unreported.iter().map(|holder| holder.request_id).collect();
         for holder in unreported {
             self.unconfirmed.insert(now, holder);
         }
-        self.ask_about(gateway.into(), requests);
+        self.request_confirmation(gateway.into(), requests);
     }
 
     /// Gateways that a new table names no more, or in another incarnation, hold nothing.
-    pub(super) fn remove_lost_gateways(&mut self, now: u64, table: &OwnershipTable) {
+    pub(super) fn remove_departed_gateways(&mut self, now: u64, table: &OwnershipTable) {
         let Some(former) = self.ownership.table() else {
             return;
         };
-        let is_lost = |name: &&str| {
+        let has_departed = |name: &&str| {
             let (former, member) = (former.member(name), table.member(name));
             former.is_some_and(|former| {
                 member.is_none_or(|member| member.incarnation != former.incarnation)
@@ -105,8 +106,8 @@
         };
         let holders = self.function_by_holder.keys();
         let gateways: BTreeSet<&str> = holders.map(|holder| holder.gateway.as_str()).collect();
-        let lost = gateways.into_iter().filter(is_lost).map(String::from);
-        for gateway in lost.collect::<Vec<String>>() {
+        let departed = gateways.into_iter().filter(has_departed).map(String::from);
+        for gateway in departed.collect::<Vec<String>>() {
             self.remove_gateway(now, &gateway);
         }
     }
@@ -122,20 +123,20 @@
     }
 
     /// Asks about leases again, and ends those of which nothing was heard for long.
-    pub(super) fn maintain_unconfirmed(&mut self, now: u64) {
+    pub(super) fn poll_unconfirmed(&mut self, now: u64) {
         for holder in self.unconfirmed.take_expired(now) {
             self.cancel(now, &holder.gateway, holder.request_id);
         }
         for (gateway, requests) in self.unconfirmed.take_due(now) {
-            self.ask_about(gateway, requests);
+            self.request_confirmation(gateway, requests);
         }
     }
 
     /// Asks a gateway whether its requests hold the leases that are counted for them.
-    pub(super) fn ask_about(&mut self, gateway: String, requests: Vec<RequestId>) {
+    pub(super) fn request_confirmation(&mut self, gateway: String, requests: Vec<RequestId>) {
         if !requests.is_empty() {
-            let question = LeaseAction::ConfirmLeases { gateway, requests };
-            self.actions.push(question);
+            let action = LeaseAction::ConfirmLeases { gateway, requests };
+            self.actions.push(action);
         }
     }
 }
--- a/crates/seat_leases/src/lease_owner/handover.rs
+++ b/crates/seat_leases/src/lease_owner/handover.rs
@@ -12,23 +12,23 @@
 use std::sync::Arc;
 
 /// Most functions in one part of a hand-over.
-const PART_FUNCTIONS_MAX: usize = 64;
+const HANDOVER_FUNCTIONS_MAX: usize = 64;
 
 impl LeaseOwner {
     /// A newer table is in force. Former owners of functions that fell to this gateway are asked for their seats, and gateways that
     /// asked under this version are answered.
     pub fn apply_table(&mut self, now: u64, table: Arc<OwnershipTable>) {
         let version = table.version();
-        self.remove_lost_gateways(now, &table);
+        self.remove_departed_gateways(now, &table);
         self.rules.is_scaler_reachable = true;
-        let begins_anew = self.ownership.begins_anew(&table);
+        let is_newcomer = self.ownership.is_newcomer_under(&table);
         let former = self.owners_of_known();
         for gateway in self.ownership.apply_table(now, table) {
             self.request_handover(gateway, version);
         }
-        self.doubt_former_lists(now, &former, begins_anew);
+        self.invalidate_former_lists(now, &former, is_newcomer);
         for gateway in self.ownership.take_answerable() {
-            self.hand_over(&gateway);
+            self.send_handover(&gateway);
         }
         self.issue_all_leases(now);
     }
@@ -45,24 +45,25 @@
     /// Doubts the runners of functions whose owner is another one than before. What becomes of them is told to their owner alone, so that
     /// the list of any other gateway is old; it is neither leased by nor handed over. A gateway that has just lost a function to another
     /// one has the newest list, for that one; without agreed tables it hands nothing over.
-    fn doubt_former_lists(
+    fn invalidate_former_lists(
         &mut self,
         now: u64,
         former: &HashMap<String, Option<Member>>,
-        begins_anew: bool,
+        is_newcomer: bool,
     ) {
         let is_agreed = self.ownership.agreed_table().is_some();
         let mut regained = 0;
         for (function, seats) in &mut self.functions {
             let former = former.get(function).and_then(Option::as_ref);
             let current = self.ownership.table_owner(function).cloned();
-            let is_lost_here = former.is_some_and(|owner| self.ownership.is_me(owner)) && is_agreed;
+            let is_lost_here =
+                former.is_some_and(|owner| self.ownership.is_this_gateway(owner)) && is_agreed;
             let is_kept = former == current.as_ref() || is_lost_here;
-            if is_kept && !begins_anew {
+            if is_kept && !is_newcomer {
                 continue;
             }
-            seats.doubt_runners(now);
-            if current.is_some_and(|owner| self.ownership.is_me(&owner)) {
+            seats.invalidate_runner_list(now);
+            if current.is_some_and(|owner| self.ownership.is_this_gateway(&owner)) {
                 regained += 1;
                 seats.report_state().mark_changed();
                 seats.report_state().mark_urgent();
@@ -94,27 +95,27 @@
     /// Another gateway asks for the seats that fell to it under a version of the table.
     pub fn handover_requested(&mut self, gateway: &str, version: UpdateVersion) {
         if self.ownership.handover_requested(gateway, version) {
-            self.hand_over(gateway);
+            self.send_handover(gateway);
         }
     }
 
     /// Tells a gateway all that is known of the functions that the table gives to it.
-    fn hand_over(&mut self, gateway: &str) {
+    fn send_handover(&mut self, gateway: &str) {
         let Some(table) = self.ownership.agreed_table() else {
             return;
         };
         let version = table.version();
-        let is_theirs = |function: &str| {
+        let is_owned_by_recipient = |function: &str| {
             let owner = table.owner_of(function);
             owner.is_some_and(|owner| owner.name == gateway)
         };
         let functions = self.functions.iter();
-        let functions = functions.filter(|(name, _)| is_theirs(name));
+        let functions = functions.filter(|(name, _)| is_owned_by_recipient(name));
         let mut rest: Vec<FunctionHandover> = functions
             .map(|(name, seats)| seats.handover(name))
             .collect();
         loop {
-            let following = rest.split_off(rest.len().min(PART_FUNCTIONS_MAX));
+            let following = rest.split_off(rest.len().min(HANDOVER_FUNCTIONS_MAX));
             let is_last = following.is_empty();
             let handover = SeatHandover {
                 version,
@@ -166,11 +167,11 @@
         self.unreported.insert(function.clone());
         self.schedule_probes(&function);
         for leases in handover.leases {
-            self.adopt_gateway(now, &function, leases);
+            self.adopt_gateway_leases(now, &function, leases);
         }
     }
 
-    fn adopt_gateway(&mut self, now: u64, function: &str, leases: GatewayLeases) {
+    fn adopt_gateway_leases(&mut self, now: u64, function: &str, leases: GatewayLeases) {
         let GatewayLeases { gateway, runners } = leases;
         let mut requests = Vec::new();
         for runner in runners {
@@ -190,7 +191,7 @@
                 requests.push(request_id);
             }
         }
-        self.ask_about(gateway, requests);
+        self.request_confirmation(gateway, requests);
     }
 
     /// Takes the requests that wait here for seats of other owners that can be reached now.
@@ -226,7 +227,7 @@
 
     /// Members that have not handed over in time are no longer waited for.
     pub(super) fn expire_handovers(&mut self, now: u64) {
-        if !self.ownership.awaits_any() {
+        if !self.ownership.is_awaiting() {
             return;
         }
         let late = self.ownership.expire(now);
--- a/crates/seat_leases/src/lease_owner/pauses.rs
+++ b/crates/seat_leases/src/lease_owner/pauses.rs
@@ -8,12 +8,12 @@
     /// hand-over, which may have come meanwhile, get their time anew.
     pub fn process_paused(&mut self, pause: ProcessPause) {
         // Without other gateways nobody can have taken its place.
-        if self.ownership.is_alone() {
+        if self.ownership.is_standalone() {
             return;
         }
         self.rules.pause_recovery.begin(pause);
-        self.ownership.restart_waiting(pause);
-        self.unconfirmed.restart_waiting(pause);
+        self.ownership.restart_timeouts(pause);
+        self.unconfirmed.restart_timeouts(pause);
     }
 
     /// The scaler has said since the last pause of the process that the table in force here is the newest, and has told over the same link
@@ -31,21 +31,21 @@
             return;
         }
         for (function, seats) in &mut self.functions {
-            seats.doubt_list_from_before_pause(now, &self.rules);
+            seats.invalidate_list_from_before_pause(now, &self.rules);
             self.unreported.insert(function.clone());
         }
     }
 
     /// Notices a pause before anything is leased, whatever comes first after it.
     pub(super) fn observe_clock(&mut self, now: u64) {
-        if !self.ownership.is_alone() {
+        if !self.ownership.is_standalone() {
             self.rules.pause_recovery.observe(now);
         }
     }
 
     /// Goes on without the scaler's word where that does not come in time.
     pub(super) fn expire_pause(&mut self, now: u64) {
-        if !self.ownership.is_alone() {
+        if !self.ownership.is_standalone() {
             self.rules.pause_recovery.tick(now);
         }
         if self.rules.pause_recovery.take_expired(now) {
--- a/crates/seat_leases/src/list_confirmation.rs
+++ b/crates/seat_leases/src/list_confirmation.rs
@@ -26,24 +26,24 @@
     /// Newest version that was ever told here; an older one is no news, also where the list is doubted.
     newest: UpdateVersion,
     is_confirmed: bool,
-    doubted_at: u64,
+    unconfirmed_since: u64,
     /// When the scaler told it, where that is certain.
     received_at: Option<u64>,
 }
 
 impl ListConfirmation {
     /// A list that nobody has confirmed.
-    pub fn doubted(now: u64) -> Self {
+    pub fn unconfirmed(now: u64) -> Self {
         Self {
-            doubted_at: now,
+            unconfirmed_since: now,
             ..Self::default()
         }
     }
 
     /// The list may be old from now on.
-    pub fn doubt(&mut self, now: u64) {
+    pub fn invalidate(&mut self, now: u64) {
         self.is_confirmed = false;
-        self.doubted_at = now;
+        self.unconfirmed_since = now;
     }
 
     /// A list of this version is told by the scaler, or by an owner that it told. Returns whether it is in force.
@@ -90,7 +90,7 @@
 
     /// Whether seats may be leased by the list: it is confirmed, or nobody can confirm it, or nobody has in time.
     pub fn may_be_used(&self, now: u64, rules: &LeaseRules) -> bool {
-        let is_late = now >= self.doubted_at + CONFIRMATION_TIMEOUT_MS;
+        let is_late = now >= self.unconfirmed_since + CONFIRMATION_TIMEOUT_MS;
         let is_trusted = self.is_confirmed || !rules.is_scaler_reachable || is_late;
         is_trusted && !self.is_from_before_pause(rules)
     }
--- a/crates/seat_leases/src/ownership_table.rs
+++ b/crates/seat_leases/src/ownership_table.rs
@@ -119,10 +119,10 @@
     /// The member with this name.
     #[must_use]
     pub fn member(&self, name: &str) -> Option<&Member> {
-        let place = self
+        let index = self
             .members
             .binary_search_by(|member| member.name.as_str().cmp(name));
-        place.ok().map(|place| &self.members[place])
+        index.ok().map(|index| &self.members[index])
     }
 
     /// Whether a gateway that receives this table owned nothing before.
--- a/crates/seat_leases/src/pause_recovery.rs
+++ b/crates/seat_leases/src/pause_recovery.rs
@@ -32,7 +32,10 @@
 
     /// The clock shows `now`, which may end a pause between two calls of the owner.
     pub fn observe(&mut self, now: u64) {
-        let pause = self.detector.as_mut().and_then(|one| one.observe(now));
+        let pause = self
+            .detector
+            .as_mut()
+            .and_then(|detector| detector.observe(now));
         if let Some(pause) = pause {
             self.begin(pause);
         }
--- a/crates/seat_leases/src/rejection_backoff.rs
+++ b/crates/seat_leases/src/rejection_backoff.rs
@@ -9,9 +9,9 @@
 /// Most doublings of that time.
 const HOLD_DOUBLINGS_MAX: u32 = 2;
 /// Milliseconds for which a runner gets nothing after a rejection.
-const PAUSE_MS: u64 = 25;
+const BACKOFF_MS: u64 = 25;
 /// Most doublings of that time, where it has nothing from here.
-const PAUSE_DOUBLINGS_MAX: u32 = 5;
+const BACKOFF_DOUBLINGS_MAX: u32 = 5;
 /// Milliseconds after which the window grows by one more request.
 const GROWTH_STEP_MS: u64 = 1_000;
 /// Milliseconds without a rejection after which the next one counts as a first.
@@ -28,7 +28,7 @@
     /// Most requests at once while the window is held small.
     requests: u32,
     /// No request at all before this.
-    paused_until: u64,
+    backoff_until: u64,
     rejected_at: u64,
     held_until: u64,
     /// Rejections in a row; 0 where only other runners of the function have rejected requests.
@@ -42,7 +42,7 @@
             self.window = Some(Window::after_rejection(now, in_flight, 1));
             return;
         };
-        if now < window.rejected_at + PAUSE_MS {
+        if now < window.rejected_at + BACKOFF_MS {
             window.requests = window.requests.min(in_flight.max(1));
             return;
         }
@@ -62,7 +62,7 @@
         if self.window.is_none_or(|window| now >= window.held_until) {
             let mut window = Window::after_rejection(now, in_flight, 1);
             window.rejections = 0;
-            window.paused_until = now;
+            window.backoff_until = now;
             self.window = Some(window);
         }
     }
@@ -72,7 +72,7 @@
         let Some(window) = self.window else {
             return quota;
         };
-        if now < window.paused_until {
+        if now < window.backoff_until {
             return 0;
         }
         if now < window.held_until {
@@ -89,7 +89,7 @@
         let doublings = (rejections - 1).min(HOLD_DOUBLINGS_MAX);
         Self {
             requests: in_flight.max(1),
-            paused_until: now + pause_ms(in_flight, rejections),
+            backoff_until: now + backoff_ms(in_flight, rejections),
             rejected_at: now,
             held_until: now + (HOLD_MS << doublings),
             rejections,
@@ -99,7 +99,7 @@
 
 /// Milliseconds for which a runner gets nothing. One that rejects a request while it has nothing from here is full of
 /// requests of others; asking again at once would only be rejected again.
-fn pause_ms(in_flight: u32, rejections: u32) -> u64 {
+fn backoff_ms(in_flight: u32, rejections: u32) -> u64 {
     let doublings = if in_flight == 0 { rejections - 1 } else { 0 };
-    PAUSE_MS << doublings.min(PAUSE_DOUBLINGS_MAX)
+    BACKOFF_MS << doublings.min(BACKOFF_DOUBLINGS_MAX)
 }
--- a/crates/seat_leases/src/relayed_requests.rs
+++ b/crates/seat_leases/src/relayed_requests.rs
@@ -135,7 +135,7 @@
         let holder = LeaseHolder::new(gateway, request_id);
         let id = *self.by_holder.get(&holder)?;
         let relayed = self.remove(id)?;
-        Some(relayed.known_as(id))
+        Some(relayed.relayed_id(id))
     }
 
     /// The link with a gateway has ended: which of its requests are to be cancelled where. Those that hold a lease may be at their runners;
@@ -150,7 +150,7 @@
             self.take(|relayed| relayed.original.gateway == gateway && relayed.lease.is_none());
         waiting
             .into_iter()
-            .map(|(id, relayed)| relayed.known_as(id))
+            .map(|(id, relayed)| relayed.relayed_id(id))
             .collect()
     }
 
@@ -159,7 +159,7 @@
         let expired = self.take(|relayed| relayed.expires_at.is_some_and(|at| now >= at));
         expired
             .into_iter()
-            .map(|(id, relayed)| relayed.known_as(id))
+            .map(|(id, relayed)| relayed.relayed_id(id))
             .collect()
     }
 
@@ -168,7 +168,9 @@
     pub fn remove_owner(&mut self, now: u64, owner: &str) -> Vec<GatewayLeaseRequest> {
         let waiting = self.take(|relayed| relayed.owner == owner && relayed.lease.is_none());
         let waiting = waiting.into_iter();
-        waiting.filter_map(|(_, one)| one.renewed(now)).collect()
+        waiting
+            .filter_map(|(_, request)| request.remaining(now))
+            .collect()
     }
 
     /// Takes the waiting requests whose function has another owner now, each with where it is to be cancelled.
@@ -182,15 +184,16 @@
         });
         let moved = moved
             .into_iter()
-            .filter_map(|(request_id, one)| Some((one.known_as(request_id), one.renewed(now)?)));
+            .filter_map(|(id, request)| Some((request.relayed_id(id), request.remaining(now)?)));
         moved.collect()
     }
 
     /// The owners from which a response is awaited since this time or before.
     pub fn awaited_owners(&self, until: u64) -> impl Iterator<Item = &str> {
         let relayed = self.relayed.values();
-        let overdue = relayed.filter(move |one| one.lease.is_none() && one.since <= until);
-        overdue.map(|one| one.owner.as_str())
+        let overdue =
+            relayed.filter(move |request| request.lease.is_none() && request.since <= until);
+        overdue.map(|request| request.owner.as_str())
     }
 
     /// An owner of a function's seats is told of the lease of a relayed request. Returns whether there is one, or may be: the lease of
@@ -245,7 +248,7 @@
     ) -> Vec<(RequestId, RelayedRequest)> {
         let relayed = self.relayed.iter();
         let ids: Vec<RequestId> = relayed
-            .filter(|(_, one)| is_taken(one))
+            .filter(|(_, request)| is_taken(request))
             .map(|(id, _)| *id)
             .collect();
         let taken = ids.into_iter().map(|id| (id, self.remove(id)));
@@ -256,7 +259,7 @@
 }
 
 impl RelayedRequest {
-    fn known_as(&self, request_id: RequestId) -> RelayedId {
+    fn relayed_id(&self, request_id: RequestId) -> RelayedId {
         RelayedId {
             owners: std::iter::once(&self.owner)
                 .chain(&self.reported_to)
@@ -274,7 +277,7 @@
     }
 
     /// The request as it is to be placed anew, with the time that is left; none where that is over.
-    fn renewed(self, now: u64) -> Option<GatewayLeaseRequest> {
+    fn remaining(self, now: u64) -> Option<GatewayLeaseRequest> {
         let left_ms = self.deadline.checked_sub(now).filter(|left| *left > 0)?;
         let mut original = self.original;
         original.request.timeout_ms = left_ms as u32;
--- a/crates/seat_leases/src/runner_set.rs
+++ b/crates/seat_leases/src/runner_set.rs
@@ -10,19 +10,19 @@
 /// Runners of one function that reject requests within a second where another owner must be leasing their seats too.
 const CONTENDED_RUNNERS: usize = 2;
 /// Milliseconds of a response that are assumed until one was seen.
-const RESPONSE_PRIOR_MS: f64 = 60.0;
+const DEFAULT_RESPONSE_MS: f64 = 60.0;
 /// Quota of a runner that a gateway reported before the scaler did.
 const UNKNOWN_QUOTA: u32 = 1;
 
 /// What a request asks of a runner.
-pub(crate) struct RunnerDemand<'a> {
+pub(crate) struct RunnerCriteria<'a> {
     /// Runners that failed it.
     pub excluded: &'a [String],
     /// Regions that it must not leave; empty where all are allowed.
     pub allowed_regions: &'a [String],
 }
 
-impl RunnerDemand<'_> {
+impl RunnerCriteria<'_> {
     fn excludes(&self, runner: &SeatRunner) -> bool {
         self.excluded.iter().any(|id| id == runner.id())
     }
@@ -88,7 +88,7 @@
                     known.apply_update(runner.update.clone());
                 }
                 if handover.is_confirmed() {
-                    known.learn(runner);
+                    known.merge_handover(runner);
                 }
                 continue;
             }
@@ -114,7 +114,7 @@
             .runners
             .iter()
             .position(|runner| runner.id() == leases.runner);
-        let place = known.unwrap_or_else(|| {
+        let index = known.unwrap_or_else(|| {
             let update = RunnerUpdate {
                 id: leases.runner.clone(),
                 address: leases.address.clone(),
@@ -126,7 +126,7 @@
             self.runners.push(SeatRunner::new(update, now, policy));
             self.runners.len() - 1
         });
-        &mut self.runners[place]
+        &mut self.runners[index]
     }
 
     /// Ends a lease; the runner whose seat is free now.
@@ -168,9 +168,9 @@
     }
 
     /// Runners with a free seat, by place, that are in no evacuated zone.
-    pub fn free_places(&self, now: u64, rules: &LeaseRules) -> Vec<usize> {
-        let is_free = |place: &usize| {
-            let runner = &self.runners[*place];
+    pub fn free_runners(&self, now: u64, rules: &LeaseRules) -> Vec<usize> {
+        let is_free = |index: &usize| {
+            let runner = &self.runners[*index];
             runner.has_free_seat(now) && !rules.evacuated_zones.contains(runner.zone())
         };
         (0..self.runners.len()).filter(is_free).collect()
@@ -180,53 +180,54 @@
     /// there is another one to wait for.
     pub fn usable<'a>(
         &'a self,
-        places: &'a [usize],
-        demand: &'a RunnerDemand<'a>,
+        candidates: &'a [usize],
+        criteria: &'a RunnerCriteria<'a>,
         rules: &'a LeaseRules,
     ) -> impl Iterator<Item = usize> + 'a {
-        let avoids_excluded = !demand.excluded.is_empty() && self.has_alternative(demand, rules);
-        places.iter().copied().filter(move |place| {
-            let runner = &self.runners[*place];
-            let is_avoided = avoids_excluded && demand.excludes(runner);
-            !is_avoided && rules.allows(demand.allowed_regions, runner.zone())
+        let avoids_excluded =
+            !criteria.excluded.is_empty() && self.has_alternative(criteria, rules);
+        candidates.iter().copied().filter(move |index| {
+            let runner = &self.runners[*index];
+            let is_avoided = avoids_excluded && criteria.excludes(runner);
+            !is_avoided && rules.allows(criteria.allowed_regions, runner.zone())
         })
     }
 
     /// Whether a runner that did not fail a request serves, or may come up, where the request may run.
-    fn has_alternative(&self, demand: &RunnerDemand<'_>, rules: &LeaseRules) -> bool {
-        let mut runners = self.within(demand.allowed_regions, rules);
+    fn has_alternative(&self, criteria: &RunnerCriteria<'_>, rules: &LeaseRules) -> bool {
+        let mut runners = self.in_regions(criteria.allowed_regions, rules);
         runners.any(|runner| {
             let is_evacuated = rules.evacuated_zones.contains(runner.zone());
             let has_seats = runner.is_serving() && runner.quota() > 0;
-            (has_seats || runner.is_starting()) && !is_evacuated && !demand.excludes(runner)
+            (has_seats || runner.is_starting()) && !is_evacuated && !criteria.excludes(runner)
         })
     }
 
     /// Of these places the one that costs a request of this zone least.
     pub fn cheapest(
         &self,
-        places: &[usize],
+        candidates: &[usize],
         zone: &str,
-        demand: &RunnerDemand<'_>,
+        criteria: &RunnerCriteria<'_>,
         rules: &LeaseRules,
     ) -> Option<usize> {
         let mean_ms = self.mean_response_ms();
-        let cost = |place: usize| self.cost(place, zone, rules, mean_ms);
-        let usable = self.usable(places, demand, rules);
+        let cost = |index: usize| self.cost(index, zone, rules, mean_ms);
+        let usable = self.usable(candidates, criteria, rules);
         usable.min_by(|one, other| cost(*one).total_cmp(&cost(*other)))
     }
 
     /// Expected time of a response, and what the way to another zone or region adds.
-    fn cost(&self, place: usize, zone: &str, rules: &LeaseRules, mean_ms: f64) -> f64 {
-        let runner = &self.runners[place];
+    fn cost(&self, index: usize, zone: &str, rules: &LeaseRules, mean_ms: f64) -> f64 {
+        let runner = &self.runners[index];
         let response_ms = runner.mean_response_ms().unwrap_or(mean_ms);
-        let way_ms = mean_ms * rules.distance_cost(zone, runner.zone());
-        response_ms * (1.0 + runner.utilization() * rules.policy.full_cost) + way_ms
+        let distance_ms = mean_ms * rules.distance_cost(zone, runner.zone());
+        response_ms * (1.0 + runner.utilization() * rules.policy.full_cost) + distance_ms
     }
 
     /// The runner at a place.
-    pub fn at_mut(&mut self, place: usize) -> &mut SeatRunner {
-        &mut self.runners[place]
+    pub fn at_mut(&mut self, index: usize) -> &mut SeatRunner {
+        &mut self.runners[index]
     }
 
     /// Mean milliseconds of a response, over the runners.
@@ -234,13 +235,13 @@
         let means = self.runners.iter().filter_map(SeatRunner::mean_response_ms);
         let (count, sum) = means.fold((0, 0.0), |(count, sum), mean| (count + 1, sum + mean));
         if count == 0 {
-            return RESPONSE_PRIOR_MS;
+            return DEFAULT_RESPONSE_MS;
         }
         sum / f64::from(count)
     }
 
     /// Runners in the regions that a request may enter.
-    fn within<'a>(
+    fn in_regions<'a>(
         &'a self,
         allowed_regions: &'a [String],
         rules: &'a LeaseRules,
@@ -257,7 +258,7 @@
         allowed_regions: &[String],
         rules: &LeaseRules,
     ) -> Option<f64> {
-        let usable = || self.within(allowed_regions, rules);
+        let usable = || self.in_regions(allowed_regions, rules);
         let serving = usable().filter(|runner| runner.is_serving());
         let seats: u32 = serving.map(SeatRunner::quota).sum();
         let response_ms = self.mean_response_ms();
@@ -271,7 +272,7 @@
 
     /// Whether a runner in these regions serves, pauses or may come up.
     pub fn may_serve(&self, allowed_regions: &[String], rules: &LeaseRules) -> bool {
-        let mut runners = self.within(allowed_regions, rules);
+        let mut runners = self.in_regions(allowed_regions, rules);
         runners.any(|runner| runner.is_serving() || runner.is_starting())
     }
 }
--- a/crates/seat_leases/src/seat_ownership.rs
+++ b/crates/seat_leases/src/seat_ownership.rs
@@ -71,7 +71,7 @@
     table: Option<Arc<OwnershipTable>>,
     transitions: Vec<Transition>,
     /// Members whose functions this gateway leases while no controller scales that could remove them.
-    acts_for: BTreeSet<String>,
+    failover: BTreeSet<String>,
     /// Gateways that asked under a version which is not applied here yet.
     unanswered: BTreeMap<String, UpdateVersion>,
     /// Status of functions, until any of the above changes.
@@ -90,12 +90,12 @@
     }
 
     /// Whether there are no other gateways.
-    pub fn is_alone(&self) -> bool {
+    pub fn is_standalone(&self) -> bool {
         self.name.is_none()
     }
 
     /// The process stood still: hand-overs that came meanwhile are not read yet.
-    pub fn restart_waiting(&mut self, pause: ProcessPause) {
+    pub fn restart_timeouts(&mut self, pause: ProcessPause) {
         for transition in &mut self.transitions {
             transition.began_at = pause.restart(transition.began_at);
         }
@@ -113,13 +113,13 @@
     }
 
     /// Whether this gateway owned nothing before a table, so that nothing that it knows is current under it.
-    pub fn begins_anew(&self, table: &OwnershipTable) -> bool {
+    pub fn is_newcomer_under(&self, table: &OwnershipTable) -> bool {
         let name = self.name.as_deref().unwrap_or_default();
         self.table.is_none() || (table.is_agreed() && table.is_for_newcomer(name))
     }
 
     /// Whether this gateway leases a function's seats though the table, which is not agreed, gives them to another one.
-    pub fn is_in_place_of_owner(&mut self, function: &str) -> bool {
+    pub fn leases_for_other_owner(&mut self, function: &str) -> bool {
         let is_agreed = self.table.as_ref().is_none_or(|table| table.is_agreed());
         let Some(name) = self.name.clone().filter(|_| !is_agreed) else {
             return false;
@@ -140,7 +140,7 @@
         );
         self.statuses.clear();
         self.table_owners.clear();
-        self.acts_for.clear();
+        self.failover.clear();
         if !table.is_agreed() {
             self.transitions.clear();
             self.unanswered.clear();
@@ -153,7 +153,7 @@
             self.transitions.clear();
         }
         let former = former.unwrap_or_else(|| Arc::new(table.before_joins(&name)));
-        self.forget_gone(&table);
+        self.drop_departed(&table);
         let awaited = self.former_owners(&former, &table);
         if !awaited.is_empty() {
             self.transitions.push(Transition {
@@ -165,7 +165,7 @@
         let asked: BTreeSet<&String> = self
             .transitions
             .iter()
-            .flat_map(|one| &one.awaited)
+            .flat_map(|transition| &transition.awaited)
             .collect();
         asked.into_iter().cloned().collect()
     }
@@ -189,20 +189,21 @@
     }
 
     /// Members that are gone, or began anew, answer nothing any more.
-    fn forget_gone(&mut self, table: &OwnershipTable) {
+    fn drop_departed(&mut self, table: &OwnershipTable) {
         for transition in &mut self.transitions {
             let awaited = &mut transition.awaited;
             awaited.retain(|name| table.member(name).is_some() && !table.has_joined(name));
         }
-        self.transitions.retain(|one| !one.awaited.is_empty());
+        self.transitions
+            .retain(|transition| !transition.awaited.is_empty());
     }
 
     /// Sets the silent members whose functions are leased here, because no controller scales that could remove them. Returns whether they
     /// are others than before.
     pub fn set_failover_for(&mut self, members: BTreeSet<String>) -> bool {
-        let has_changed = self.acts_for != members;
+        let has_changed = self.failover != members;
         if has_changed {
-            self.acts_for = members;
+            self.failover = members;
             self.statuses.clear();
         }
         has_changed
@@ -227,21 +228,26 @@
 
     /// A former owner has answered completely under the version in force. Returns whether functions may be leased now that were not.
     pub fn handover_completed(&mut self, from: &str) -> bool {
-        self.await_no_more(|name, _| name == from)
+        self.stop_awaiting(|name, _| name == from)
     }
 
     /// Waits no more for members that have not answered in time. Returns their names.
     pub fn expire(&mut self, now: u64) -> Vec<String> {
         let is_late = |began_at: u64| now >= began_at + HANDOVER_TIMEOUT_MS;
-        let late = self.transitions.iter().filter(|one| is_late(one.began_at));
-        let names: BTreeSet<String> = late.flat_map(|one| one.awaited.iter().cloned()).collect();
+        let late = self
+            .transitions
+            .iter()
+            .filter(|transition| is_late(transition.began_at));
+        let names: BTreeSet<String> = late
+            .flat_map(|transition| transition.awaited.iter().cloned())
+            .collect();
         if !names.is_empty() {
-            self.await_no_more(|_, began_at| is_late(began_at));
+            self.stop_awaiting(|_, began_at| is_late(began_at));
         }
         names.into_iter().collect()
     }
 
-    fn await_no_more(&mut self, is_over: impl Fn(&str, u64) -> bool) -> bool {
+    fn stop_awaiting(&mut self, is_over: impl Fn(&str, u64) -> bool) -> bool {
         let mut has_changed = false;
         for transition in &mut self.transitions {
             let began_at = transition.began_at;
@@ -250,7 +256,8 @@
             has_changed |= transition.awaited.len() < count;
         }
         if has_changed {
-            self.transitions.retain(|one| !one.awaited.is_empty());
+            self.transitions
+                .retain(|transition| !transition.awaited.is_empty());
             self.statuses.clear();
         }
         has_changed
@@ -296,7 +303,7 @@
     }
 
     /// Whether a member of the table is this gateway.
-    pub fn is_me(&self, member: &Member) -> bool {
+    pub fn is_this_gateway(&self, member: &Member) -> bool {
         self.name.as_ref() == Some(&member.name)
     }
 
@@ -304,12 +311,15 @@
     pub fn is_assigned(&self, function: &str) -> bool {
         let table = self.table.as_ref();
         let owner = table.and_then(|table| table.owner_of(function));
-        owner.is_some_and(|owner| self.is_me(owner))
+        owner.is_some_and(|owner| self.is_this_gateway(owner))
     }
 
     /// Names of the former owners whose hand-over is awaited.
     pub fn awaited(&self) -> BTreeSet<&str> {
-        let awaited = self.transitions.iter().flat_map(|one| &one.awaited);
+        let awaited = self
+            .transitions
+            .iter()
+            .flat_map(|transition| &transition.awaited);
         awaited.map(String::as_str).collect()
     }
 
@@ -319,7 +329,7 @@
     }
 
     /// Whether hand-overs are awaited.
-    pub fn awaits_any(&self) -> bool {
+    pub fn is_awaiting(&self) -> bool {
         !self.transitions.is_empty()
     }
 
@@ -329,13 +339,13 @@
             if self.statuses.len() >= STATUSES_MAX {
                 self.statuses.clear();
             }
-            let status = self.decide_status(function);
+            let status = self.compute_status(function);
             self.statuses.insert(function.into(), status);
         }
         &self.statuses[function]
     }
 
-    fn decide_status(&mut self, function: &str) -> SeatStatus {
+    fn compute_status(&mut self, function: &str) -> SeatStatus {
         let Some(name) = self.name.clone() else {
             return SeatStatus::Owned;
         };
@@ -345,9 +355,9 @@
         if !table.is_agreed() {
             return SeatStatus::Owned;
         }
-        let owner = match self.acts_for.is_empty() {
+        let owner = match self.failover.is_empty() {
             true => self.table_owner(function),
-            false => table.owner_among(function, |member| !self.acts_for.contains(&member.name)),
+            false => table.owner_among(function, |member| !self.failover.contains(&member.name)),
         };
         match owner.map(|owner| owner.name.clone()) {
             None => SeatStatus::Unowned,
--- a/crates/seat_leases/src/seat_runner.rs
+++ b/crates/seat_leases/src/seat_runner.rs
@@ -9,17 +9,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Responses over which a runner's response time is averaged; the newest weigh most.
-const MEAN_SPAN: f64 = 20.0;
+const MEAN_SAMPLES: f64 = 20.0;
 /// Times in a row that a runner may be unreachable, or lose a response, before it counts as gone.
-const MISSES_MAX: u32 = 3;
+const CONSECUTIVE_FAILURES_MAX: u32 = 3;
 /// Milliseconds for which the connection of a probe may hold a seat.
 const PROBE_SEAT_MS: u64 = 120;
 /// Milliseconds for which a runner may hold the seat of a request whose connection was closed, until it notices.
 const BROKEN_OFF_SEAT_MS: u64 = 100;
 /// Bounds of the milliseconds between two probes, and the part of the expected start that it is within them.
-const PROBE_PAUSE_MIN_MS: u64 = 15;
-const PROBE_PAUSE_MAX_MS: u64 = 150;
-const PROBE_PAUSE_DIVISOR: u64 = 20;
+const PROBE_INTERVAL_MIN_MS: u64 = 15;
+const PROBE_INTERVAL_MAX_MS: u64 = 150;
+const PROBE_INTERVAL_DIVISOR: u64 = 20;
 
 /// One runner of a function. Its leases never exceed its quota.
 #[derive(Clone, Debug)]
@@ -35,11 +35,11 @@
     /// Until when the runner may work on requests that were broken off, each of them on one seat.
     broken_off_until: Vec<u64>,
     probe_at: u64,
-    is_probed: bool,
+    is_probing: bool,
     mean_response_ms: f64,
     /// Responses in the mean, up to its span.
     mean_count: f64,
-    misses: u32,
+    consecutive_failures: u32,
     succeeded: u64,
     total_duration_ms: u64,
     rejected: u64,
@@ -59,10 +59,10 @@
             probe_seat_until: 0,
             broken_off_until: Vec::new(),
             probe_at,
-            is_probed: false,
+            is_probing: false,
             mean_response_ms: 0.0,
             mean_count: 0.0,
-            misses: 0,
+            consecutive_failures: 0,
             succeeded: 0,
             total_duration_ms: 0,
             rejected: 0,
@@ -72,7 +72,7 @@
     /// A runner that its former owner hands over.
     pub fn from_handover(handover: &RunnerHandover, now: u64, policy: &LeasingPolicy) -> Self {
         let mut runner = Self::new(handover.update.clone(), now, policy);
-        runner.learn(handover);
+        runner.merge_handover(handover);
         runner
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// A former owner knows of it what is not known here yet.
-    pub fn learn(&mut self, handover: &RunnerHandover) {
+    pub fn merge_handover(&mut self, handover: &RunnerHandover) {
         self.is_up |= handover.is_up;
         self.is_gone |= handover.is_gone;
         if self.mean_count == 0.0 && handover.mean_response_ms > 0 {
@@ -204,10 +204,10 @@
     /// A request of it was answered.
     pub fn record_success(&mut self, duration_ms: u32) {
         self.is_up = true;
-        self.misses = 0;
+        self.consecutive_failures = 0;
         self.succeeded += 1;
         self.total_duration_ms += u64::from(duration_ms);
-        self.mean_count = (self.mean_count + 1.0).min(MEAN_SPAN);
+        self.mean_count = (self.mean_count + 1.0).min(MEAN_SAMPLES);
         let difference = f64::from(duration_ms) - self.mean_response_ms;
         self.mean_response_ms += difference / self.mean_count;
     }
@@ -221,9 +221,9 @@
     }
 
     /// It could not be reached in time, or lost a response. Several times in a row mean that it is gone; whether it is.
-    pub fn record_miss(&mut self) -> bool {
-        self.misses += 1;
-        self.is_gone |= self.misses >= MISSES_MAX;
+    pub fn record_failure(&mut self) -> bool {
+        self.consecutive_failures += 1;
+        self.is_gone |= self.consecutive_failures >= CONSECUTIVE_FAILURES_MAX;
         self.is_gone
     }
 
@@ -254,21 +254,21 @@
 
     /// Begins a probe; false where one is under way.
     pub fn begin_probe(&mut self) -> bool {
-        !std::mem::replace(&mut self.is_probed, true)
+        !std::mem::replace(&mut self.is_probing, true)
     }
 
     /// A probe's connection came up: the runner is up, and the connection may hold a seat for a moment.
     pub fn record_probe_success(&mut self, now: u64) {
-        self.is_probed = false;
+        self.is_probing = false;
         self.is_up = true;
         self.probe_seat_until = now + PROBE_SEAT_MS;
     }
 
     /// A probe failed: when the next one is due. The pause grows with how long the start takes.
     pub fn record_probe_failure(&mut self, now: u64) -> u64 {
-        self.is_probed = false;
-        let pause_ms = u64::from(self.update.starts_in_ms) / PROBE_PAUSE_DIVISOR;
-        self.probe_at = now + pause_ms.clamp(PROBE_PAUSE_MIN_MS, PROBE_PAUSE_MAX_MS);
+        self.is_probing = false;
+        let interval_ms = u64::from(self.update.starts_in_ms) / PROBE_INTERVAL_DIVISOR;
+        self.probe_at = now + interval_ms.clamp(PROBE_INTERVAL_MIN_MS, PROBE_INTERVAL_MAX_MS);
         self.probe_at
     }
 
--- a/crates/seat_leases/src/unconfirmed_leases.rs
+++ b/crates/seat_leases/src/unconfirmed_leases.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Milliseconds between two questions about a lease.
-const QUESTION_INTERVAL_MS: u64 = 500;
+const CONFIRMATION_INTERVAL_MS: u64 = 500;
 /// Milliseconds after which a lease counts as ended of which nobody tells anything. It bounds how long the seat of a request is lost to
 /// others whose gateway the scaler hears and this one does not.
 pub(crate) const LEASE_EXPIRY_MS: u64 = 5_000;
@@ -34,9 +34,11 @@
     }
 
     /// The process stood still: answers that came meanwhile are not read yet.
-    pub fn restart_waiting(&mut self, pause: ProcessPause) {
+    pub fn restart_timeouts(&mut self, pause: ProcessPause) {
         for lease in self.leases.values_mut() {
-            let expires_at = lease.expires_at.max(pause.ended_at + QUESTION_INTERVAL_MS);
+            let expires_at = lease
+                .expires_at
+                .max(pause.ended_at + CONFIRMATION_INTERVAL_MS);
             lease.expires_at = expires_at;
         }
     }
@@ -71,7 +73,7 @@
     pub fn take_due(&mut self, now: u64) -> BTreeMap<String, Vec<RequestId>> {
         let mut due: BTreeMap<String, Vec<RequestId>> = BTreeMap::new();
         for (holder, lease) in &mut self.leases {
-            if now >= lease.asked_at + QUESTION_INTERVAL_MS {
+            if now >= lease.asked_at + CONFIRMATION_INTERVAL_MS {
                 lease.asked_at = now;
                 let requests = due.entry(holder.gateway.clone()).or_default();
                 requests.push(holder.request_id);
--- a/crates/seat_leases/src/wait_queue.rs
+++ b/crates/seat_leases/src/wait_queue.rs
@@ -21,7 +21,7 @@
 pub(crate) struct QueuePosition {
     class: RequestClass,
     /// Turn in which its tenant is served with it.
-    turn: u64,
+    round: u64,
     /// Number among the requests of the function, in the order in which they came.
     arrival: u64,
 }
@@ -46,7 +46,7 @@
 
 /// Whose turn it is in one class. Requests without a tenant share one place, under an empty name.
 #[derive(Clone, Debug, Default)]
-struct Turns {
+struct TenantRounds {
     /// The turn that is being served.
     current: u64,
     /// Tenants that were served in it.
@@ -60,7 +60,7 @@
 pub(crate) struct WaitQueue {
     waiting: BTreeMap<QueuePosition, WaitingRequest>,
     /// Of the classes that wait.
-    turns: BTreeMap<RequestClass, Turns>,
+    rounds: BTreeMap<RequestClass, TenantRounds>,
     arrivals: u64,
 }
 
@@ -88,9 +88,9 @@
     }
 }
 
-impl Turns {
+impl TenantRounds {
     /// The turn of a tenant's next request.
-    fn next_of(&self, tenant: &str) -> u64 {
+    fn next_round(&self, tenant: &str) -> u64 {
         let waiting = self.waiting.get(tenant);
         if let Some(last) = waiting.and_then(BTreeSet::last) {
             return self.current.max(last + 1);
@@ -98,24 +98,24 @@
         self.current + u64::from(self.served.contains(tenant))
     }
 
-    fn add(&mut self, tenant: &str, turn: u64) {
+    fn add(&mut self, tenant: &str, round: u64) {
         let waiting = self.waiting.entry(tenant.to_string());
-        waiting.or_default().insert(turn);
+        waiting.or_default().insert(round);
     }
 
-    fn remove(&mut self, tenant: &str, turn: u64) {
+    fn remove(&mut self, tenant: &str, round: u64) {
         let Some(waiting) = self.waiting.get_mut(tenant) else {
             return;
         };
-        waiting.remove(&turn);
+        waiting.remove(&round);
         if waiting.is_empty() {
             self.waiting.remove(tenant);
         }
     }
 
-    fn record_served(&mut self, tenant: &str, turn: u64) {
-        if turn > self.current {
-            self.current = turn;
+    fn record_served(&mut self, tenant: &str, round: u64) {
+        if round > self.current {
+            self.current = round;
             self.served.clear();
         }
         self.served.insert(tenant.to_string());
@@ -131,13 +131,13 @@
         self.arrivals += 1;
         let tenant = request.tenant.as_ref();
         let class = RequestClass::new(request.priority, tenant);
-        let turns = self.turns.entry(class).or_default();
+        let rounds = self.rounds.entry(class).or_default();
         let tenant = tenant_name(tenant);
-        let turn = turns.next_of(tenant);
-        turns.add(tenant, turn);
+        let round = rounds.next_round(tenant);
+        rounds.add(tenant, round);
         let position = QueuePosition {
             class,
-            turn,
+            round,
             arrival: self.arrivals,
         };
         self.waiting.insert(position, request);
@@ -159,23 +159,23 @@
 
     /// How many requests get a seat before one that comes now.
     pub fn ahead_of(&self, request: &LeaseRequest) -> usize {
-        let position = self.position_of_next(request);
+        let position = self.position_for(request);
         self.waiting.range(..=position).count()
     }
 
     /// The request that gets a seat last, where one that comes now would get it before.
-    pub fn last_behind(&self, request: &LeaseRequest) -> Option<QueuePosition> {
+    pub fn displaced_by(&self, request: &LeaseRequest) -> Option<QueuePosition> {
         let (last, _) = self.waiting.last_key_value()?;
-        (self.position_of_next(request) < *last).then_some(*last)
+        (self.position_for(request) < *last).then_some(*last)
     }
 
-    fn position_of_next(&self, request: &LeaseRequest) -> QueuePosition {
+    fn position_for(&self, request: &LeaseRequest) -> QueuePosition {
         let tenant = request.tenant.as_ref();
         let class = RequestClass::new(request.priority, tenant);
-        let turns = self.turns.get(&class);
+        let rounds = self.rounds.get(&class);
         QueuePosition {
             class,
-            turn: turns.map_or(0, |turns| turns.next_of(tenant_name(tenant))),
+            round: rounds.map_or(0, |rounds| rounds.next_round(tenant_name(tenant))),
             arrival: u64::MAX,
         }
     }
@@ -183,28 +183,28 @@
     /// Takes out a request that gets a seat: it was its tenant's turn.
     pub fn serve(&mut self, position: QueuePosition) -> Option<WaitingRequest> {
         let request = self.waiting.remove(&position)?;
-        if let Some(turns) = self.turns.get_mut(&position.class) {
-            turns.record_served(tenant_name(request.tenant.as_ref()), position.turn);
+        if let Some(rounds) = self.rounds.get_mut(&position.class) {
+            rounds.record_served(tenant_name(request.tenant.as_ref()), position.round);
         }
-        self.end_turn(position, &request);
+        self.remove_from_round(position, &request);
         Some(request)
     }
 
     /// Takes out a request that gets no seat.
     pub fn remove(&mut self, position: QueuePosition) -> Option<WaitingRequest> {
         let request = self.waiting.remove(&position)?;
-        self.end_turn(position, &request);
+        self.remove_from_round(position, &request);
         Some(request)
     }
 
     /// A request waits no more. Where it was the last of its class nobody is owed a turn.
-    fn end_turn(&mut self, position: QueuePosition, request: &WaitingRequest) {
-        let Some(turns) = self.turns.get_mut(&position.class) else {
+    fn remove_from_round(&mut self, position: QueuePosition, request: &WaitingRequest) {
+        let Some(rounds) = self.rounds.get_mut(&position.class) else {
             return;
         };
-        turns.remove(tenant_name(request.tenant.as_ref()), position.turn);
-        if turns.waiting.is_empty() {
-            self.turns.remove(&position.class);
+        rounds.remove(tenant_name(request.tenant.as_ref()), position.round);
+        if rounds.waiting.is_empty() {
+            self.rounds.remove(&position.class);
         }
     }
 
