--- a/crates/seat_leases/src/action.rs
+++ b/crates/seat_leases/src/action.rs
@@ -1,45 +1,45 @@
-//! What an owner of seats asks its gateway to do, and the usage of its runners.
+//! Actions that a lease owner asks its gateway to carry out, and snapshots of its state.
 
 use protocol::{Message, RequestId, SeatHandover, SeatLease, UpdateVersion};
 
-/// What the owner asks its gateway to do.
+/// An action for the gateway to carry out on behalf of its lease owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseAction {
-    /// Send a lease to the gateway whose request it is for.
+    /// Send a lease to the gateway that requested it.
     Lease {
         /// Name of the gateway.
         gateway: String,
         /// The leased seat.
         lease: SeatLease,
     },
-    /// Tell a gateway that its request gets no seat in time.
+    /// Reject a gateway's lease request because no seat will be free in time.
     Reject {
         /// Name of the gateway.
         gateway: String,
-        /// The request's number at that gateway.
+        /// Id of the request at that gateway.
         request_id: RequestId,
-        /// Milliseconds after which a retry is worthwhile.
+        /// Milliseconds after which a retry may succeed.
         retry_after_ms: u32,
     },
-    /// Ask a former owner for the seats that fell to this gateway under a version of the table.
+    /// Request a handover from the former owner of functions that moved to this gateway.
     RequestHandover {
         /// Name of the former owner.
         gateway: String,
-        /// Version of the table.
+        /// Version of the ownership table that moved the functions.
         version: UpdateVersion,
     },
-    /// Tell a function's next owner what is known of its seats.
+    /// Send a function's seat state to its next owner.
     HandOver {
         /// Name of the next owner.
         gateway: String,
-        /// What is known.
+        /// The seat state.
         handover: SeatHandover,
     },
-    /// Ask a gateway, which may be this one, whether it holds these leases that were handed over.
+    /// Ask a gateway, which may be this one, whether it still holds these unconfirmed leases.
     ConfirmLeases {
         /// Name of the gateway.
         gateway: String,
-        /// Its requests.
+        /// Requests that the leases were issued to.
         requests: Vec<RequestId>,
     },
     /// Check whether a starting runner accepts connections.
@@ -48,13 +48,13 @@
         function: String,
         /// Id of the runner.
         runner: String,
-        /// Its address (ip and port).
+        /// Address of the runner (IP and port).
         address: String,
     },
 }
 
 impl LeaseAction {
-    /// The message that carries it out, with the name of the gateway that it is for; none where it is no message.
+    /// Converts the action into a message and the name of its recipient; `None` for an action that sends no message.
     #[must_use]
     pub fn into_message(self) -> Option<(String, Message)> {
         Some(match self {
@@ -82,50 +82,50 @@
     }
 }
 
-/// What an owner has leased and who waits, over all functions.
+/// Number of leases and waiting requests of an owner, summed over all functions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OwnerUsage {
-    /// Seats that are leased.
+    /// Leased seats.
     pub leased: u64,
-    /// Requests that wait for a seat.
+    /// Requests waiting for a seat.
     pub waiting: u64,
 }
 
-/// How much of one runner's quota is leased.
+/// Lease usage of one runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunnerUsage {
     /// Id of the runner.
     pub id: String,
-    /// Most requests that it may hold at once.
+    /// Maximum number of concurrent requests.
     pub quota: u32,
-    /// Seats that are leased now.
+    /// Seats that are currently leased.
     pub in_use: u32,
-    /// Whether it gets new requests.
+    /// Whether the runner accepts new requests.
     pub is_serving: bool,
 }
 
-/// What an owner knows, as far as its next leases depend on it.
+/// The part of an owner's state that determines its next leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnerSnapshot {
-    /// Seats that are leased.
+    /// All current leases.
     pub leases: Vec<LeaseSnapshot>,
-    /// Requests that wait for a seat.
+    /// Number of requests waiting for a seat.
     pub waiting: usize,
-    /// Names of the former owners whose hand-over is awaited.
+    /// Names of former owners whose handover is pending.
     pub awaited: Vec<String>,
-    /// Names of the gateways that are answered once a newer table is applied.
+    /// Names of the gateways whose handover requests are answered once a newer table is applied.
     pub unanswered: Vec<String>,
 }
 
-/// One leased seat.
+/// One current lease.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeaseSnapshot {
     /// Id of the runner.
     pub runner: String,
-    /// Name of the gateway that holds it.
+    /// Name of the gateway that holds the lease.
     pub gateway: String,
-    /// Number of the request there.
+    /// Id of the request at that gateway.
     pub request_id: RequestId,
-    /// Whether its gateway may have ended it unheard.
+    /// Whether the gateway may have ended the lease without this owner having received the release.
     pub is_unconfirmed: bool,
 }
--- a/crates/seat_leases/src/cancelled_requests.rs
+++ b/crates/seat_leases/src/cancelled_requests.rs
@@ -1,25 +1,26 @@
-//! Lease requests that were cancelled at their owners, which have not acknowledged it yet.
+//! Cancelled lease requests that their owners have not acknowledged yet.
 //!
-//! A request bears the same number when it is made again at the same owner. Until the owner acknowledges the cancellation, what it says of
-//! that number is about the former request: a lease that crossed the cancellation is free again there.
+//! A request keeps its id when it is sent to the same owner again. Until the owner acknowledges the cancellation, its
+//! messages about that id refer to the earlier request. A lease that crossed the cancellation on its way has already been
+//! freed by the owner.
 
 use protocol::RequestId;
 use std::collections::BTreeMap;
 
-/// Cancellations that are not acknowledged, by owner.
+/// Number of unacknowledged cancellations per owner and request.
 #[derive(Clone, Debug, Default)]
 pub struct CancelledRequests {
     by_owner: BTreeMap<String, BTreeMap<RequestId, u32>>,
 }
 
 impl CancelledRequests {
-    /// A request was cancelled at an owner.
+    /// Records that a request was cancelled at an owner.
     pub fn record_cancellation(&mut self, owner: &str, id: RequestId) {
         let requests = self.by_owner.entry(owner.into()).or_default();
         *requests.entry(id).or_default() += 1;
     }
 
-    /// An owner has acknowledged it.
+    /// Records that an owner acknowledged a cancellation.
     pub fn record_ack(&mut self, owner: &str, id: RequestId) {
         let Some(requests) = self.by_owner.get_mut(owner) else {
             return;
@@ -32,14 +33,14 @@
         }
     }
 
-    /// Whether what an owner says of a request is about one that was cancelled.
+    /// Whether a message of an owner about this request refers to a cancelled request and must be ignored.
     #[must_use]
     pub fn is_cancelled(&self, owner: &str, id: RequestId) -> bool {
         let requests = self.by_owner.get(owner);
         requests.is_some_and(|requests| requests.contains_key(&id))
     }
 
-    /// The link with an owner has ended, and with it all that was on its way.
+    /// Drops the cancellations at an owner whose link closed: messages in flight were lost with the link.
     pub fn remove_owner(&mut self, owner: &str) {
         self.by_owner.remove(owner);
     }
--- a/crates/seat_leases/src/function_seats.rs
+++ b/crates/seat_leases/src/function_seats.rs
@@ -1,4 +1,4 @@
-//! The seats of one function: its runners, the requests that wait, and its reports to the scaler.
+//! Seats of one function: its runners, its waiting requests and its reports to the scaler.
 
 mod handover;
 mod reporting;
@@ -17,34 +17,34 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most requests that wait for one function.
+/// Maximum number of waiting requests per function.
 const WAITING_MAX: usize = 512;
-/// Part of a request's timeout within which it must expect a seat, so that there is time to run it.
+/// Maximum expected wait as a fraction of a request's timeout. The rest of the timeout is left for running it.
 const WAIT_FRACTION_MAX: f64 = 0.9;
-/// Milliseconds after which a rejected request may find a seat, where nothing better is known.
+/// Default retry delay of a rejected request in milliseconds, used if no better estimate exists.
 pub(crate) const RETRY_AFTER_MS: u32 = 250;
 
-/// A waiting request that gets no seat in time.
+/// A waiting request that is rejected because it cannot get a seat in time.
 pub(crate) struct RejectedRequest {
     pub holder: LeaseHolder,
     pub retry_after_ms: u32,
 }
 
-/// A lease that was issued to a waiting request.
+/// A lease issued to a waiting request.
 pub(crate) struct IssuedLease {
     pub gateway: String,
     pub lease: SeatLease,
 }
 
-/// The runners of one function and the requests that wait for their seats.
+/// Runners and waiting requests of one function.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FunctionSeats {
     runners: RunnerSet,
     list: ListConfirmation,
     queue: WaitQueue,
-    /// That no new runner can be up in time, as the scaler said last.
+    /// The scaler's latest statement that no new runner can start in time.
     start_block: Option<ReceivedStartBlock>,
-    /// First lease requests, by zone of the gateway.
+    /// Number of first attempts, by zone of the gateway.
     arrivals: BTreeMap<String, u64>,
     abandoned: u64,
     used_at: u64,
@@ -52,7 +52,7 @@
 }
 
 impl FunctionSeats {
-    /// A function of which nothing is known but what comes from now on.
+    /// Creates the state of a function about which nothing is known yet.
     pub fn new(now: u64) -> Self {
         Self {
             list: ListConfirmation::unconfirmed(now),
@@ -60,47 +60,47 @@
         }
     }
 
-    /// What is not reported yet.
+    /// State of the reports to the scaler.
     pub fn report_state(&mut self) -> &mut ReportState {
         &mut self.report
     }
 
-    /// The function was used at this time or later.
+    /// Records that the function was used at `now` or later.
     pub fn touch(&mut self, now: u64) {
         self.used_at = self.used_at.max(now);
     }
 
-    /// When the function was used last.
+    /// Time of the last use.
     pub fn used_at(&self) -> u64 {
         self.used_at
     }
 
-    /// Whether requests wait.
+    /// Whether any request is waiting.
     pub fn has_waiting(&self) -> bool {
         !self.queue.is_empty()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting_count(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether nobody waits and no seat is leased.
+    /// Whether no request is waiting and no seat is leased.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && !self.runners.has_leases()
     }
 
-    /// The runners.
+    /// All runners of the function.
     pub fn runners(&self) -> impl Iterator<Item = &SeatRunner> {
         self.runners.iter()
     }
 
-    /// The runner with this id.
+    /// Looks up a runner by id.
     pub fn runner(&mut self, id: &str) -> Option<&mut SeatRunner> {
         self.runners.get_mut(id)
     }
 
-    /// Takes the runners as the scaler wants them; an older update than the last is dropped.
+    /// Applies an update of the runner list from the scaler. An update older than the last one is ignored.
     pub fn apply_update(
         &mut self,
         now: u64,
@@ -121,13 +121,13 @@
         self.report.mark_changed();
     }
 
-    /// The list of runners may be old. The scaler tells it anew once the function is reported, as one whose list is not known.
+    /// Marks the runner list as possibly outdated. It is reported as unknown, and the scaler then sends it again.
     pub fn invalidate_runner_list(&mut self, now: u64) {
         self.list.invalidate(now);
         self.start_block = None;
     }
 
-    /// The process stood still, and the scaler may have told others of the runners: a list from before is asked for anew.
+    /// Invalidates a list from before a process pause: the scaler may have sent newer ones to other gateways meanwhile.
     pub fn invalidate_list_from_before_pause(&mut self, now: u64, rules: &LeaseRules) {
         if !self.list.is_from_before_pause(rules) {
             return;
@@ -137,14 +137,14 @@
         self.report.mark_urgent();
     }
 
-    /// A request comes. Where nobody uses the function and its list of runners was not confirmed, that is asked for first.
+    /// Invalidates an unconfirmed list of an idle function, so that a new request waits until the scaler sends it again.
     pub fn invalidate_unconfirmed_list_if_idle(&mut self, now: u64) {
         if self.is_idle() && !self.list.is_confirmed() {
             self.invalidate_runner_list(now);
         }
     }
 
-    /// Ids of the runners that serve here and get nothing new by a newer update.
+    /// Ids of the runners that serve requests here and are marked as draining by a newer update.
     pub fn newly_draining(&self, update: &FunctionUpdate) -> Vec<String> {
         if update.version < self.list.version() {
             return Vec::new();
@@ -159,7 +159,8 @@
             .collect()
     }
 
-    /// The runner at which a gateway has leases. One that a confirmed list does not name has left; else it is taken for one that serves.
+    /// Returns a runner at which a gateway holds leases, adding it if unknown. A runner missing from a confirmed list has
+    /// been removed and is added as draining; otherwise it is assumed to be serving.
     pub fn runner_or_add(
         &mut self,
         now: u64,
@@ -173,19 +174,19 @@
         self.runners.get_or_add(now, leases, stage, &rules.policy)
     }
 
-    /// Leases of a gateway.
+    /// Holders of the leases of a gateway.
     pub fn holders_of(&self, gateway: &str) -> Vec<LeaseHolder> {
         self.runners.holders_of(gateway)
     }
 
-    /// Counts a request among the arrivals, unless it was at a runner before.
+    /// Counts a request as an arrival unless it is a retry after a failed runner.
     pub fn record_arrival(&mut self, zone: &str, request: &LeaseRequest) {
         if request.excluded_runners.is_empty() {
             *self.arrivals.entry(zone.into()).or_insert(0) += 1;
         }
     }
 
-    /// Milliseconds after which a request is to come back that would get no seat in time; none where it may wait.
+    /// Milliseconds after which to retry a request that would not get a seat in time; `None` if it may wait.
     pub fn retry_after(&self, now: u64, request: &LeaseRequest, rules: &LeaseRules) -> Option<u32> {
         let timeout_ms = request.timeout_ms;
         let ahead = self.queue.ahead_of(request);
@@ -197,7 +198,7 @@
             excluded: &request.excluded_runners,
             allowed_regions,
         };
-        // Where a seat is free there is nothing to wait for, and only who is sent there shows how fast it is.
+        // A free seat involves no wait, and the response time of a runner is only measured by sending requests to it.
         let is_late = wait_ms.is_some_and(|wait| wait > f64::from(timeout_ms) * WAIT_FRACTION_MAX)
             && !self.has_free_seat(now, rules, &criteria);
         let deadline = now + u64::from(timeout_ms);
@@ -214,7 +215,7 @@
         self.queue.len() >= WAITING_MAX
     }
 
-    /// Takes out the request that would get a seat last, where the queue is full and one that comes now goes before it.
+    /// Removes the last request of a full queue if the new request precedes it.
     pub fn displace_for(&mut self, request: &LeaseRequest) -> Option<RejectedRequest> {
         if !self.is_full() {
             return None;
@@ -228,7 +229,7 @@
         })
     }
 
-    /// Checks that no more requests wait than may.
+    /// Checks that the queue does not exceed its limit.
     pub fn check_queue(&self) {
         let waiting = self.queue.len();
         check(Invariant::QueueIsBounded, waiting <= WAITING_MAX, || {
@@ -236,27 +237,27 @@
         });
     }
 
-    /// A request was given up for want of a seat.
+    /// Records that a request was dropped because it got no seat.
     pub fn record_abandoned(&mut self) {
         self.abandoned += 1;
         self.report.mark_changed();
     }
 
-    /// Puts a request in the queue.
+    /// Adds a request to the queue.
     pub fn enqueue(&mut self, now: u64, holder: LeaseHolder, zone: &str, request: LeaseRequest) {
         self.queue
             .push(WaitingRequest::new(now, holder, zone, request));
         self.report.mark_changed();
     }
 
-    /// A request wants no seat any more.
+    /// Removes a holder's waiting request or ends its lease.
     pub fn cancel(&mut self, holder: &LeaseHolder) {
         self.queue.remove_holder(holder);
         self.runners.remove_lease(holder);
         self.report.mark_changed();
     }
 
-    /// Takes the waiting requests of a gateway out.
+    /// Removes the waiting requests of a gateway and returns their holders.
     pub fn remove_waiting_of(&mut self, gateway: &str) -> Vec<LeaseHolder> {
         let removed = self.queue.take(|holder| holder.gateway == gateway);
         if !removed.is_empty() {
@@ -265,7 +266,7 @@
         removed.into_iter().map(|waiting| waiting.holder).collect()
     }
 
-    /// A gateway is gone, and with it its requests. Returns whether it had any.
+    /// Removes all waiting requests and leases of a gateway. Returns whether it had any.
     pub fn remove_gateway(&mut self, gateway: &str) -> bool {
         let has_any = self.queue.has_gateway(gateway) || !self.holders_of(gateway).is_empty();
         if has_any {
@@ -276,8 +277,8 @@
         has_any
     }
 
-    /// A lease ends, and with it something is known of its runner. Returns whether there was one: a release may come late, when its
-    /// request waits again.
+    /// Ends a lease and records its outcome for the runner. Returns false if the holder has no lease, which happens if a
+    /// release arrives late, after its request has been queued again.
     pub fn release(
         &mut self,
         now: u64,
@@ -289,7 +290,7 @@
             return false;
         };
         if release.is_broken_off() {
-            runner.record_broken_off(now);
+            runner.record_aborted(now);
         }
         match release.outcome {
             LeaseOutcome::Succeeded => runner.record_success(release.duration_ms),
@@ -301,7 +302,7 @@
                 runner.record_gone();
                 self.report.mark_urgent();
             }
-            // A runner that loses one response after the other is as good as gone.
+            // A runner that loses several responses in a row is treated as gone.
             LeaseOutcome::Unreachable | LeaseOutcome::Lost => {
                 if runner.record_failure() {
                     self.report.mark_urgent();
@@ -313,7 +314,7 @@
         true
     }
 
-    /// Issues a lease of a free seat to the first request that may use one.
+    /// Leases a free seat to the first waiting request that may use it.
     pub fn lease_next(&mut self, now: u64, rules: &LeaseRules) -> Option<IssuedLease> {
         let (position, index) = self.match_next(now, rules)?;
         let waiting = self.queue.serve(position)?;
@@ -354,8 +355,8 @@
         has_usable
     }
 
-    /// Milliseconds after which a request is to come back that nothing can serve before its deadline; none where a
-    /// runner that is here, pauses or starts, or a new one, may still do so.
+    /// Milliseconds after which to retry a request that cannot be served before its deadline. `None` if an existing,
+    /// backed-off, starting or new runner may still serve it.
     fn retry_after_block(
         &self,
         now: u64,
@@ -370,7 +371,7 @@
         Some(block.retry_after_ms(now))
     }
 
-    /// Takes requests out of the queue whose time is over, then those that nothing can serve in time.
+    /// Removes requests past their deadline, then requests that no runner can serve in time.
     pub fn take_unservable(&mut self, now: u64, rules: &LeaseRules) -> Vec<RejectedRequest> {
         let waiting = self.queue.iter();
         let late = waiting.filter(|(_, request)| request.deadline <= now);
--- a/crates/seat_leases/src/function_seats/handover.rs
+++ b/crates/seat_leases/src/function_seats/handover.rs
@@ -1,4 +1,4 @@
-//! What moves with a function from one owner to the next.
+//! Handover of a function's state from one owner to the next.
 
 use super::FunctionSeats;
 use crate::lease_holder::LeaseHolder;
@@ -9,13 +9,13 @@
 use std::collections::BTreeMap;
 
 impl FunctionSeats {
-    /// Takes the runners that the function's former owner hands over.
+    /// Adds the runners handed over by the former owner.
     pub fn adopt_runners(&mut self, now: u64, handover: &FunctionHandover, rules: &LeaseRules) {
         let is_newer = self.list.confirm_handed_over(handover.version);
         self.runners.adopt(now, handover, is_newer, &rules.policy);
     }
 
-    /// What the function's next owner is to know.
+    /// The state handed over to the next owner of the function.
     pub fn handover(&self, function: &str) -> FunctionHandover {
         let mut leases: BTreeMap<&str, Vec<RunnerLeases>> = BTreeMap::new();
         for runner in self.runners.iter() {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes waiting requests out, with the time that is left.
+    /// Removes waiting requests and returns them with their remaining timeout.
     pub fn take_waiting(
         &mut self,
         now: u64,
--- a/crates/seat_leases/src/function_seats/reporting.rs
+++ b/crates/seat_leases/src/function_seats/reporting.rs
@@ -1,4 +1,4 @@
-//! What the scaler is told of a function.
+//! Reports about a function to the scaler.
 
 use super::FunctionSeats;
 use crate::seat_runner::SeatRunner;
@@ -15,7 +15,7 @@
             .collect()
     }
 
-    /// The report of the function to the scaler.
+    /// The function's report to the scaler.
     pub fn report(&self, function: &str) -> FunctionReport {
         FunctionReport {
             function: function.into(),
--- a/crates/seat_leases/src/lease_holder.rs
+++ b/crates/seat_leases/src/lease_holder.rs
@@ -1,13 +1,13 @@
-//! Who holds a lease or waits for one.
+//! Identifies the holder of a lease or of a waiting request.
 
 use protocol::RequestId;
 
-/// A request of a gateway, by which a lease or a lease request is known.
+/// A gateway's request that holds a lease or waits for one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct LeaseHolder {
     /// Name of the gateway.
     pub gateway: String,
-    /// The request's number, unique within that gateway's incarnation alone.
+    /// Id of the request, unique only within one incarnation of the gateway.
     pub request_id: RequestId,
 }
 
--- a/crates/seat_leases/src/lease_owner.rs
+++ b/crates/seat_leases/src/lease_owner.rs
@@ -1,4 +1,4 @@
-//! The owner of the seats of all functions that fell to one gateway.
+//! The lease owner of all functions that the ownership table assigns to one gateway.
 
 mod confirmation;
 mod handover;
@@ -19,20 +19,20 @@
 use protocol::{FunctionUpdate, LeaseRelease, LeaseRequest, RequestId};
 use std::collections::{BTreeSet, HashMap};
 
-/// Most functions that one owner knows.
+/// Maximum number of functions that one owner tracks.
 const FUNCTIONS_MAX: usize = 65_536;
-/// Milliseconds after which a function that another gateway owns, and that nobody uses here, is evicted.
+/// Milliseconds without use after which a function owned by another gateway is evicted.
 const EVICTION_AFTER_MS: u64 = 4_000;
 
-/// The owner of the seats of all functions that fell to one gateway. It does no I/O: `now` is a steady clock in
-/// milliseconds, and what is to be done is taken out by [`take_actions`](Self::take_actions).
+/// Owns the seats of all functions assigned to one gateway. It performs no I/O: `now` is a monotonic clock in milliseconds,
+/// and [`take_actions`](Self::take_actions) returns the resulting actions.
 #[derive(Clone, Default)]
 pub struct LeaseOwner {
     functions: HashMap<String, FunctionSeats>,
     /// The function for which each request holds a lease or waits.
     function_by_holder: HashMap<LeaseHolder, String>,
     unconfirmed: UnconfirmedLeases,
-    /// Functions that may have something to report to the scaler.
+    /// Functions with state that may have to be reported to the scaler.
     unreported: BTreeSet<String>,
     probes: ProbeSchedule,
     ownership: SeatOwnership,
@@ -41,7 +41,7 @@
 }
 
 impl LeaseOwner {
-    /// The owner at the gateway of this name, which knows no function yet. Without a table of owners it leases nothing.
+    /// Creates the owner of the gateway with this name. It leases nothing until it receives an ownership table.
     #[must_use]
     pub fn new(gateway: &str, policy: LeasingPolicy, topology: Topology) -> Self {
         Self {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// An owner without other gateways, which owns all functions.
+    /// Creates an owner that owns all functions because there are no other gateways.
     #[must_use]
     pub fn standalone(policy: LeasingPolicy, topology: Topology) -> Self {
         let rules = LeaseRules {
@@ -64,12 +64,13 @@
         }
     }
 
-    /// Sets the zones whose runners get no new requests.
+    /// Sets the zones whose runners accept no new requests.
     pub fn set_evacuated_zones(&mut self, zones: BTreeSet<String>) {
         self.rules.evacuated_zones = zones;
     }
 
-    /// Whether a controller scales that can be asked for runners. While none does, seats are leased by the lists that there are, however old.
+    /// Sets whether a controller with the scaler role can be asked for runners. Without one, seats are leased from the
+    /// known runner lists, however old they are.
     pub fn set_scaler_reachable(&mut self, now: u64, is_reachable: bool) {
         let was_reachable = std::mem::replace(&mut self.rules.is_scaler_reachable, is_reachable);
         if was_reachable && !is_reachable {
@@ -77,13 +78,14 @@
         }
     }
 
-    /// Takes what is to be done now, in order.
+    /// Takes the pending actions, in order.
     pub fn take_actions(&mut self) -> Vec<LeaseAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// A request of a gateway wants a seat. A lease or a rejection follows, at once or later, unless it is cancelled.
-    /// What the request held or waited for before is free: it has one seat at most, in whatever order its messages come.
+    /// Handles a gateway's lease request. A lease or a rejection follows now or later, unless the request is cancelled.
+    /// Whatever the request held or waited for before is freed, so it has at most one seat in whatever order its messages
+    /// arrive.
     pub fn request_lease(&mut self, now: u64, gateway: &str, zone: &str, request: LeaseRequest) {
         self.end_holder(&LeaseHolder::new(gateway, request.request_id));
         let is_new = !self.functions.contains_key(&request.function);
@@ -96,7 +98,7 @@
         let seats = self.functions.entry(function.clone());
         let seats = seats.or_insert_with(|| FunctionSeats::new(now));
         if is_owned_elsewhere && seats.is_idle() {
-            // The scaler tells the owner alone of changes, so that the list may be old.
+            // The scaler sends changes only to the function's owner, so this gateway's list may be outdated.
             seats.invalidate_runner_list(now);
         }
         seats.invalidate_unconfirmed_list_if_idle(now);
@@ -126,7 +128,7 @@
         }
     }
 
-    /// A request of a gateway wants no seat any more; one that was leased for it is free.
+    /// Removes a gateway's request from the queue, or frees the seat leased to it.
     pub fn cancel(&mut self, now: u64, gateway: &str, request_id: RequestId) {
         let holder = LeaseHolder::new(gateway, request_id);
         let Some(function) = self.end_holder(&holder) else {
@@ -136,7 +138,7 @@
         self.issue_leases(now, &function);
     }
 
-    /// Ends the lease of a request, or its wait. Returns the function that it was for.
+    /// Ends the lease or the wait of a request. Returns the function that the request was for.
     fn end_holder(&mut self, holder: &LeaseHolder) -> Option<String> {
         self.unconfirmed.remove(holder);
         let function = self.function_by_holder.remove(holder)?;
@@ -146,7 +148,7 @@
         Some(function)
     }
 
-    /// Checks that each seat that is leased, and each request that waits, has its holder, and no holder more than one.
+    /// Checks that every lease and every waiting request has exactly one holder, and every holder only one of them.
     pub fn check_lease_accounting(&self) {
         let usage = self.usage();
         let holders = self.function_by_holder.len() as u64;
@@ -156,7 +158,7 @@
         });
     }
 
-    /// A gateway gives a lease back. One that it does not hold changes nothing.
+    /// Releases a gateway's lease. A release of a lease that the gateway does not hold is ignored.
     pub fn release(&mut self, now: u64, gateway: &str, release: &LeaseRelease) {
         let holder = LeaseHolder::new(gateway, release.request_id);
         let Some(function) = self.function_by_holder.get(&holder).cloned() else {
@@ -175,17 +177,17 @@
         self.issue_leases(now, &function);
     }
 
-    /// An update of a function's runners that the scaler has just sent.
+    /// Applies a runner update that the scaler has just sent.
     pub fn update_runners(&mut self, now: u64, update: FunctionUpdate) {
         self.receive_update(now, update, UpdateAge::Fresh);
     }
 
-    /// An update of a function's runners from the scaler.
+    /// Applies a runner update from the scaler.
     pub fn receive_update(&mut self, now: u64, update: FunctionUpdate, age: UpdateAge) {
         let function = update.function.clone();
         let seats = self.functions.entry(function.clone());
         let seats = seats.or_insert_with(|| FunctionSeats::new(now));
-        // An update is no use, but it keeps the function for a while.
+        // An update does not count as a use of the function, but it delays its eviction.
         seats.touch(now.saturating_sub(EVICTION_AFTER_MS / 2));
         for runner in seats.newly_draining(&update) {
             let version = update.version;
@@ -213,7 +215,7 @@
         }
     }
 
-    /// A gateway is gone; what it held or wanted is free.
+    /// Removes a gateway and frees everything that it held or waited for.
     pub fn remove_gateway(&mut self, now: u64, gateway: &str) {
         let functions = self.functions.iter_mut();
         let with_gateway = functions.filter_map(|(name, seats)| {
@@ -230,7 +232,7 @@
         }
     }
 
-    /// What came of a probe: whether the runner accepted the connection.
+    /// Records the result of a probe: whether the runner accepted the connection.
     pub fn record_probe(&mut self, now: u64, function: &str, runner: &str, is_up: bool) {
         let Some(seats) = self.functions.get_mut(function) else {
             return;
@@ -254,7 +256,8 @@
         self.issue_leases(now, function);
     }
 
-    /// Advances the clock: probes that are due, leases of runners that paused, rejections and reminders.
+    /// Advances the clock: expires pauses, handovers and unconfirmed leases, sends due probes, rejects late requests,
+    /// leases seats of runners whose backoff has ended, and reminds the scaler of waiting requests.
     pub fn tick(&mut self, now: u64) {
         self.expire_pause(now);
         self.expire_handovers(now);
@@ -285,7 +288,7 @@
         }
     }
 
-    /// When the next probe is due, in milliseconds of the clock.
+    /// Time of the next probe in milliseconds of the clock.
     #[must_use]
     pub fn next_probe_at(&self) -> Option<u64> {
         self.probes.next_at()
@@ -322,7 +325,7 @@
         });
     }
 
-    /// Rejects requests whose time is over, and those that nothing can serve in time.
+    /// Rejects requests past their deadline and requests that no runner can serve in time.
     fn reject_unservable(&mut self, now: u64, function: &str) {
         let Some(seats) = self.functions.get_mut(function) else {
             return;
@@ -332,14 +335,14 @@
         }
     }
 
-    /// Rejects a request that was taken out of its queue.
+    /// Rejects a request that was removed from its queue.
     fn reject_waiting(&mut self, rejected: &RejectedRequest) {
         let holder = &rejected.holder;
         self.function_by_holder.remove(holder);
         self.reject(&holder.gateway, holder.request_id, rejected.retry_after_ms);
     }
 
-    /// Leases what is free to those that wait, where the seats are this gateway's to lease.
+    /// Leases free seats to waiting requests if this gateway may lease the function's seats.
     fn issue_leases(&mut self, now: u64, function: &str) {
         self.observe_clock(now);
         if *self.ownership.status(function) != SeatStatus::Owned {
--- a/crates/seat_leases/src/lease_owner/confirmation.rs
+++ b/crates/seat_leases/src/lease_owner/confirmation.rs
@@ -1,4 +1,5 @@
-//! Leases whose gateways may have ended them unheard: those that were handed over, and those of gateways whose link has ended.
+//! Confirmation of leases that may have ended without this owner noticing: leases that were handed over, and leases of
+//! gateways whose link closed.
 
 use super::LeaseOwner;
 use crate::action::LeaseAction;
@@ -9,8 +10,8 @@
 use std::collections::BTreeSet;
 
 impl LeaseOwner {
-    /// The link with a gateway has ended. What it waits for is requested anew. Its seats are in use for as long as the table names it:
-    /// it says over the next link which of them it has given back.
+    /// Handles the end of the link with a gateway. The gateway sends its waiting requests again. While the ownership table
+    /// lists it as a member, its leases stay in use, and it reports over the next link which of them have ended.
     pub fn gateway_disconnected(&mut self, now: u64, gateway: &str) {
         self.request_handover_again(gateway);
         let table = self.ownership.agreed_table();
@@ -30,7 +31,7 @@
         }
     }
 
-    /// What was asked of a former owner, or its answer, may have been lost with the link.
+    /// Requests a pending handover again, since the request or its answer may have been lost with the link.
     fn request_handover_again(&mut self, gateway: &str) {
         let table = self.ownership.table();
         let Some(version) = table.map(|table| table.version()) else {
@@ -41,8 +42,9 @@
         }
     }
 
-    /// A gateway reports to the function's new owner all seats that it uses. Of those that were known before the others are free; under an
-    /// agreed table the gateway is asked about them first, since a lease may be on its way to it.
+    /// Handles a gateway's report of all seats of a function that it uses, sent to the function's new owner. Its other
+    /// known leases have ended. Under an agreed table the gateway is asked about them first, because a lease may still be
+    /// on its way to it.
     pub fn adopt_leases(
         &mut self,
         now: u64,
@@ -93,7 +95,7 @@
         self.request_confirmation(gateway.into(), requests);
     }
 
-    /// Gateways that a new table names no more, or in another incarnation, hold nothing.
+    /// Removes gateways that are missing from a new table or have another incarnation in it.
     pub(super) fn remove_departed_gateways(&mut self, now: u64, table: &OwnershipTable) {
         let Some(former) = self.ownership.table() else {
             return;
@@ -112,7 +114,8 @@
         }
     }
 
-    /// A gateway says which of the leases that it was asked about it does not hold. What it has said of the same requests since counts.
+    /// Handles a gateway's answer naming the leases that it does not hold. Only leases that are still unconfirmed end:
+    /// anything the gateway has said about the same requests since takes precedence.
     pub fn leases_ended(&mut self, now: u64, gateway: &str, requests: &[RequestId]) {
         for request_id in requests {
             let holder = LeaseHolder::new(gateway, *request_id);
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Asks about leases again, and ends those of which nothing was heard for long.
+    /// Repeats unanswered questions about leases, and ends leases that stayed unconfirmed for too long.
     pub(super) fn poll_unconfirmed(&mut self, now: u64) {
         for holder in self.unconfirmed.take_expired(now) {
             self.cancel(now, &holder.gateway, holder.request_id);
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Asks a gateway whether its requests hold the leases that are counted for them.
+    /// Asks a gateway whether these requests still hold their leases.
     pub(super) fn request_confirmation(&mut self, gateway: String, requests: Vec<RequestId>) {
         if !requests.is_empty() {
             let action = LeaseAction::ConfirmLeases { gateway, requests };
--- a/crates/seat_leases/src/lease_owner/handover.rs
+++ b/crates/seat_leases/src/lease_owner/handover.rs
@@ -1,4 +1,4 @@
-//! How the seats of a function move from one owner to the next.
+//! Moves the seats of functions from one owner to the next.
 
 use super::LeaseOwner;
 use crate::action::LeaseAction;
@@ -11,12 +11,12 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Most functions in one part of a hand-over.
+/// Maximum number of functions in one handover message.
 const HANDOVER_FUNCTIONS_MAX: usize = 64;
 
 impl LeaseOwner {
-    /// A newer table is in force. Former owners of functions that fell to this gateway are asked for their seats, and gateways that
-    /// asked under this version are answered.
+    /// Applies a newer ownership table. Requests handovers from the former owners of functions that moved to this gateway,
+    /// and answers gateways that requested handovers under this version.
     pub fn apply_table(&mut self, now: u64, table: Arc<OwnershipTable>) {
         let version = table.version();
         self.remove_departed_gateways(now, &table);
@@ -33,7 +33,7 @@
         self.issue_all_leases(now);
     }
 
-    /// The owner of each function known here, by the table in force.
+    /// The owner of each known function under the current table.
     fn owners_of_known(&mut self) -> HashMap<String, Option<Member>> {
         let functions = self.functions.keys();
         let ownership = &mut self.ownership;
@@ -42,9 +42,10 @@
             .collect()
     }
 
-    /// Doubts the runners of functions whose owner is another one than before. What becomes of them is told to their owner alone, so that
-    /// the list of any other gateway is old; it is neither leased by nor handed over. A gateway that has just lost a function to another
-    /// one has the newest list, for that one; without agreed tables it hands nothing over.
+    /// Invalidates the runner lists of functions whose owner changed. Changes of a list are sent to the function's owner
+    /// only, so lists at other gateways are outdated and must be neither used nor handed over. A gateway that has just lost
+    /// a function to another one has the newest list and keeps it for the handover. Without agreed tables there is no
+    /// handover.
     fn invalidate_former_lists(
         &mut self,
         now: u64,
@@ -80,26 +81,27 @@
         self.actions.push(request);
     }
 
-    /// What this gateway is to a function's seats.
+    /// Whether this gateway may lease a function's seats, and otherwise which gateway owns them.
     pub fn seat_status(&mut self, function: &str) -> &SeatStatus {
         self.ownership.status(function)
     }
 
-    /// Sets the silent members whose functions are leased here, because no controller scales that could remove them.
+    /// Sets the unresponsive members whose functions are leased here while there is no scaler that could remove them from
+    /// the table.
     pub fn set_failover_for(&mut self, now: u64, members: BTreeSet<String>) {
         if self.ownership.set_failover_for(members) {
             self.issue_all_leases(now);
         }
     }
 
-    /// Another gateway asks for the seats that fell to it under a version of the table.
+    /// Handles a gateway's request for the seats that moved to it under a version of the table.
     pub fn handover_requested(&mut self, gateway: &str, version: UpdateVersion) {
         if self.ownership.handover_requested(gateway, version) {
             self.send_handover(gateway);
         }
     }
 
-    /// Tells a gateway all that is known of the functions that the table gives to it.
+    /// Sends a gateway the state of all functions that the table assigns to it.
     fn send_handover(&mut self, gateway: &str) {
         let Some(table) = self.ownership.agreed_table() else {
             return;
@@ -132,11 +134,11 @@
         }
     }
 
-    /// A former owner has answered.
+    /// Handles a handover from a former owner.
     ///
     /// # Errors
-    /// Where the answer was given under another version of the table than the one in force, or by a gateway that is no member of it.
-    /// Nothing is leased by it then, and nothing is lost: members are asked anew under each version.
+    /// If the handover was sent under a version other than that of the current table, or by a gateway that is not a member
+    /// of it. It is then ignored. Nothing is lost, because members are asked again under each version.
     pub fn receive_handover(
         &mut self,
         now: u64,
@@ -153,7 +155,7 @@
         Ok(())
     }
 
-    /// Takes over what the former owner knows of a function. Its leases count until their gateways have told what they use.
+    /// Adopts a function's state from its former owner. The leases stay in use until their gateways confirm or end them.
     fn adopt_function(&mut self, now: u64, handover: FunctionHandover) {
         let function = handover.function.clone();
         if matches!(self.ownership.status(&function), SeatStatus::OwnedBy(_)) {
@@ -177,7 +179,7 @@
         for runner in runners {
             for request_id in runner.requests {
                 let holder = LeaseHolder::new(&gateway, request_id);
-                // What its gateway itself has said since is newer.
+                // What the gateway itself has reported since is newer.
                 if self.function_by_holder.contains_key(&holder) {
                     continue;
                 }
@@ -194,7 +196,7 @@
         self.request_confirmation(gateway, requests);
     }
 
-    /// Takes the requests that wait here for seats of other owners that can be reached now.
+    /// Takes the requests that wait here for seats of other owners which are reachable now.
     pub fn take_waiting_for_other_owners(
         &mut self,
         now: u64,
@@ -212,7 +214,7 @@
                 continue;
             }
             let owner = owner.clone();
-            // What was relayed goes no further, nor does what the owner itself asks for, which has another table.
+            // Relayed requests are not forwarded again. Neither are the owner's own requests, since it uses another table.
             let is_taken = |holder: &LeaseHolder| {
                 !RelayedRequests::is_relayed(holder.request_id) && holder.gateway != owner
             };
@@ -225,7 +227,7 @@
         taken
     }
 
-    /// Members that have not handed over in time are no longer waited for.
+    /// Stops waiting for handovers that did not arrive in time.
     pub(super) fn expire_handovers(&mut self, now: u64) {
         if !self.ownership.is_awaiting() {
             return;
@@ -238,7 +240,7 @@
         self.issue_all_leases(now);
     }
 
-    /// Leases what may be leased by now.
+    /// Issues all leases that are possible now.
     pub(super) fn issue_all_leases(&mut self, now: u64) {
         for function in self.functions_with_waiting() {
             self.issue_leases(now, &function);
--- a/crates/seat_leases/src/lease_owner/pauses.rs
+++ b/crates/seat_leases/src/lease_owner/pauses.rs
@@ -1,13 +1,13 @@
-//! What an owner does about pauses of its process.
+//! Handling of pauses of the owner's process.
 
 use super::LeaseOwner;
 use process_pause::ProcessPause;
 
 impl LeaseOwner {
-    /// The process stood still. Nothing is leased by what was known before until the scaler has confirmed it, and members that owe a
-    /// hand-over, which may have come meanwhile, get their time anew.
+    /// Handles a pause of the process. State from before the pause is not used for leases until the scaler confirms it.
+    /// Pending handovers get a new timeout, because they may have arrived during the pause.
     pub fn process_paused(&mut self, pause: ProcessPause) {
-        // Without other gateways nobody can have taken its place.
+        // Without other gateways, none can have taken over its functions.
         if self.ownership.is_standalone() {
             return;
         }
@@ -16,16 +16,16 @@
         self.unconfirmed.restart_timeouts(pause);
     }
 
-    /// The scaler has said since the last pause of the process that the table in force here is the newest, and has told over the same link
-    /// all that changed in the lists.
+    /// Handles the scaler's confirmation, given since the last pause, that the current ownership table is the newest and
+    /// that all changes of runner lists were sent over the same link.
     pub fn confirm_after_pause(&mut self, now: u64) {
         if self.rules.pause_recovery.confirm() {
             self.issue_all_leases(now);
         }
     }
 
-    /// The scaler has said that the table in force here is the newest, over a link that was opened since the pause. The lists are asked for
-    /// anew, and those from before the pause are not used meanwhile.
+    /// Handles the scaler's confirmation that the current ownership table is the newest, given over a link opened since the
+    /// pause. The runner lists are requested again, and those from before the pause are not used until then.
     pub fn confirm_table_after_pause(&mut self, now: u64) {
         if !self.rules.pause_recovery.await_lists(now) {
             return;
@@ -36,14 +36,14 @@
         }
     }
 
-    /// Notices a pause before anything is leased, whatever comes first after it.
+    /// Detects a pause before any lease is issued, whichever event comes first after it.
     pub(super) fn observe_clock(&mut self, now: u64) {
         if !self.ownership.is_standalone() {
             self.rules.pause_recovery.observe(now);
         }
     }
 
-    /// Goes on without the scaler's word where that does not come in time.
+    /// Resumes without the scaler's confirmation if it does not arrive in time.
     pub(super) fn expire_pause(&mut self, now: u64) {
         if !self.ownership.is_standalone() {
             self.rules.pause_recovery.tick(now);
--- a/crates/seat_leases/src/lease_owner/reporting.rs
+++ b/crates/seat_leases/src/lease_owner/reporting.rs
@@ -1,4 +1,4 @@
-//! What an owner of seats reports: to the scaler about functions, and to its gateway about usage.
+//! Reports to the scaler about functions, and to the gateway about usage.
 
 use super::{LeaseOwner, EVICTION_AFTER_MS};
 use crate::action::{LeaseSnapshot, OwnerSnapshot, OwnerUsage, RunnerUsage};
@@ -6,7 +6,7 @@
 use protocol::{FunctionReport, RequestId};
 
 impl LeaseOwner {
-    /// Takes the reports that are due. `is_all` takes those of all functions, as after a new scaler was met.
+    /// Takes the reports that are due, or those of all functions if `is_all` is set, as for a new scaler.
     pub fn reports(&mut self, now: u64, is_all: bool) -> Vec<FunctionReport> {
         let names: Vec<String> = if is_all {
             self.functions.keys().cloned().collect()
@@ -37,7 +37,7 @@
         Some(seats.report(name))
     }
 
-    /// Evicts functions that another gateway owns and that are not used here any more.
+    /// Evicts functions that another gateway owns and that are no longer used here.
     pub fn evict_unowned(&mut self, now: u64) {
         let ownership = &self.ownership;
         self.functions.retain(|name, seats| {
@@ -50,7 +50,7 @@
             .retain_functions(|name| functions.contains_key(name));
     }
 
-    /// Usage of a function's runners; empty where the function is not known here.
+    /// Usage of a function's runners; empty if the function is unknown.
     #[must_use]
     pub fn runner_usage(&self, function: &str) -> Vec<RunnerUsage> {
         let Some(seats) = self.functions.get(function) else {
@@ -67,7 +67,7 @@
             .collect()
     }
 
-    /// What is leased and who waits, over all functions.
+    /// Number of leases and waiting requests, summed over all functions.
     #[must_use]
     pub fn usage(&self) -> OwnerUsage {
         let mut usage = OwnerUsage::default();
@@ -79,7 +79,7 @@
         usage
     }
 
-    /// Who holds a seat or waits for one here, and what is awaited of other gateways.
+    /// Snapshot of all leases, the number of waiting requests, and the pending handovers.
     #[must_use]
     pub fn snapshot(&self) -> OwnerSnapshot {
         let mut snapshot = OwnerSnapshot {
@@ -108,20 +108,20 @@
         snapshot
     }
 
-    /// Whether a request of a gateway holds a seat or waits for one.
+    /// Whether a gateway's request holds a seat or waits for one.
     #[must_use]
     pub fn is_holder(&self, gateway: &str, request_id: RequestId) -> bool {
         let holder = LeaseHolder::new(gateway, request_id);
         self.function_by_holder.contains_key(&holder)
     }
 
-    /// Number of functions that are known here.
+    /// Number of known functions.
     #[must_use]
     pub fn len(&self) -> usize {
         self.functions.len()
     }
 
-    /// Whether no function is known here.
+    /// Whether no function is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.functions.is_empty()
--- a/crates/seat_leases/src/lib.rs
+++ b/crates/seat_leases/src/lib.rs
@@ -1,25 +1,25 @@
-//! Leases of the seats of a function's runners. A seat is the right to have one request at a runner; each function's
-//! seats are owned by one gateway, which leases them to the requests of all gateways, by priority and then by age, and
-//! never more of a runner at once than its quota.
+//! Leases for the seats of a function's runners. A seat is the right to run one request at a runner. The seats of each
+//! function are owned by one gateway, which leases them to requests of all gateways by priority and then by age, and
+//! never leases more seats of a runner than its quota.
 //!
-//! Everything here is a state machine without I/O: calls come in with the time, in milliseconds of a steady clock, and
-//! what is to be done is taken out as [`LeaseAction`]s.
+//! All types here are state machines without I/O. Callers pass the current time in milliseconds of a monotonic clock and
+//! carry out the resulting [`LeaseAction`]s.
 //!
 //! - `ownership_table`, `legacy_hash`: which gateway owns a function.
-//! - `seat_ownership`: whether this gateway may lease a function's seats now, or who does.
-//! - `lease_owner`: the owner's entry points, over all functions that fell to it, with `handover` from owner to owner, `confirmation`
-//!   of leases that may have ended unheard, `pauses` of the process, and `reporting`.
-//! - `cancelled_requests`: which answers of an owner are void.
-//! - `relayed_requests`: lease requests that are passed on to an owner which their own gateway cannot reach.
-//! - `function_seats`: the seats of one function: who waits, who is issued a lease, who is rejected.
-//! - `list_confirmation`: whether seats may be leased by the list of a function's runners that there is.
-//! - `pause_recovery`: what may be leased by after the process stood still.
-//! - `runner_set`: the runners of one function, and which of them suits a request best.
-//! - `seat_runner`, `rejection_backoff`: one runner, and how much of its quota is leased after it rejected a request.
-//! - `wait_queue`: requests that wait for a seat.
-//! - `start_block`: requests that nothing can serve in time.
-//! - `probe_schedule`, `report_state`: when starting runners are probed, and when the scaler is reported to.
-//! - `request_end`: how a request ends at an owner, and the message that tells of it.
+//! - `seat_ownership`: whether this gateway may currently lease a function's seats, and otherwise which gateway may.
+//! - `lease_owner`: the owner's entry points for all functions that it owns, with `handover` between owners,
+//!   `confirmation` of leases that may have ended unnoticed, process `pauses` and `reporting`.
+//! - `cancelled_requests`: which messages of an owner refer to cancelled requests.
+//! - `relayed_requests`: lease requests forwarded to an owner that their own gateway cannot reach.
+//! - `function_seats`: the seats of one function: queueing, leasing and rejection of requests.
+//! - `list_confirmation`: whether the known runner list of a function may be used for leases.
+//! - `pause_recovery`: which state may be used for leases after a process pause.
+//! - `runner_set`: the runners of one function, and the choice of a runner for a request.
+//! - `seat_runner`, `rejection_backoff`: one runner, and how much of its quota is used after it rejected a request.
+//! - `wait_queue`: requests waiting for a seat.
+//! - `start_block`: rejection of requests that no runner can serve in time.
+//! - `probe_schedule`, `report_state`: when to probe starting runners and when to report to the scaler.
+//! - `request_end`: how a request ends at its owner, and the corresponding message.
 //! - `retry_budget`: how many retries a gateway may send.
 #![warn(missing_docs)]
 
--- a/crates/seat_leases/src/list_confirmation.rs
+++ b/crates/seat_leases/src/list_confirmation.rs
@@ -1,38 +1,39 @@
-//! Whether an owner may lease by the list of a function's runners that it has.
+//! Whether an owner may use its runner list of a function to issue leases.
 //!
-//! The scaler tells changes of the list to the function's owner alone. A list from an earlier time as owner, or one that is made of the
-//! leases that gateways report, may name runners that have left since. It is reported to the scaler as unknown, and nothing is leased by it
-//! until the scaler, or a former owner that it told, has named the runners anew.
+//! The scaler sends changes of the list to the function's owner only. A list kept from an earlier period of ownership, or
+//! reconstructed from the leases that gateways report, may contain runners that have been removed since. Such a list is
+//! reported to the scaler as unknown and is not used until the scaler, or a former owner with a confirmed list, sends it
+//! again.
 
 use crate::lease_rules::LeaseRules;
 use protocol::UpdateVersion;
 
-/// Milliseconds for which an owner waits for the scaler to confirm a list. A scaler that has the platform's lists answers within a turn and a
-/// round trip; one that has just begun does not, and service goes on by what is known.
+/// Milliseconds to wait for the scaler to confirm a list. A scaler that has the platform's runner lists answers within one
+/// iteration of its loop and a round trip. One that has just started does not, and the known list is used after this time.
 const CONFIRMATION_TIMEOUT_MS: u64 = 250;
 
-/// When an update left the scaler, as far as its receiver can tell.
+/// When an update was sent, as far as the receiver can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateAge {
-    /// After the last pause of this process.
+    /// Sent after the last pause of this process.
     Fresh,
-    /// Perhaps before: it may have waited in a socket while the process stood still.
+    /// Possibly sent before the last pause: it may have waited in a socket while the process was paused.
     Unknown,
 }
 
-/// The version of a function's list of runners, and whether it was confirmed since the function is owned here.
+/// Version of a function's runner list, and whether it was confirmed since this gateway owns the function.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ListConfirmation {
-    /// Newest version that was ever told here; an older one is no news, also where the list is doubted.
+    /// Newest version ever received. Older versions are rejected even while the list is unconfirmed.
     newest: UpdateVersion,
     is_confirmed: bool,
     unconfirmed_since: u64,
-    /// When the scaler told it, where that is certain.
+    /// When the scaler's last update was received, if it is known to have been sent after the last pause.
     received_at: Option<u64>,
 }
 
 impl ListConfirmation {
-    /// A list that nobody has confirmed.
+    /// Creates the state of a list that has not been confirmed.
     pub fn unconfirmed(now: u64) -> Self {
         Self {
             unconfirmed_since: now,
@@ -40,13 +41,14 @@
         }
     }
 
-    /// The list may be old from now on.
+    /// Marks the list as possibly outdated.
     pub fn invalidate(&mut self, now: u64) {
         self.is_confirmed = false;
         self.unconfirmed_since = now;
     }
 
-    /// A list of this version is told by the scaler, or by an owner that it told. Returns whether it is in force.
+    /// Accepts a list from the scaler, or from an owner whose list the scaler confirmed. Returns false if its version is
+    /// older than the newest one.
     pub fn confirm(&mut self, version: UpdateVersion) -> bool {
         let is_accepted = version >= self.newest;
         if is_accepted {
@@ -56,19 +58,20 @@
         is_accepted
     }
 
-    /// The scaler has told the list that is in force now.
+    /// Records that the scaler sent the current list at `now`.
     pub fn record_received(&mut self, now: u64) {
         self.received_at = Some(now);
     }
 
-    /// The same as [`confirm`](Self::confirm), of an owner that hands over, whose list may be old: then it bears version zero. What the scaler has told here itself holds.
+    /// Like [`confirm`](Self::confirm), for a list handed over by another owner. Version zero marks an unconfirmed list and
+    /// is rejected. A confirmed list of the same or a newer version from the scaler takes precedence.
     pub fn confirm_handed_over(&mut self, version: UpdateVersion) -> bool {
         let is_old = version == UpdateVersion::default();
         let is_known = self.is_confirmed && version <= self.newest;
         !is_old && !is_known && self.confirm(version)
     }
 
-    /// Version of the list; zero while it is not confirmed, so that the scaler tells it anew.
+    /// Version of the list; zero while it is unconfirmed, which makes the scaler send it again.
     pub fn version(&self) -> UpdateVersion {
         match self.is_confirmed {
             true => self.newest,
@@ -76,19 +79,20 @@
         }
     }
 
-    /// Whether runners that the list does not name have left.
+    /// Whether the list is confirmed, so that runners missing from it have been removed.
     pub fn is_confirmed(&self) -> bool {
         self.is_confirmed
     }
 
-    /// Whether it was told before a pause of the process after which lists are awaited.
+    /// Whether the list predates a process pause after which lists must be received again.
     pub fn is_from_before_pause(&self, rules: &LeaseRules) -> bool {
         !rules
             .pause_recovery
             .allows_list_received_at(self.received_at)
     }
 
-    /// Whether seats may be leased by the list: it is confirmed, or nobody can confirm it, or nobody has in time.
+    /// Whether the list may be used for leases: it is confirmed, or the scaler is unreachable or did not confirm it in
+    /// time. A list from before an unconfirmed process pause must not be used.
     pub fn may_be_used(&self, now: u64, rules: &LeaseRules) -> bool {
         let is_late = now >= self.unconfirmed_since + CONFIRMATION_TIMEOUT_MS;
         let is_trusted = self.is_confirmed || !rules.is_scaler_reachable || is_late;
--- a/crates/seat_leases/src/ownership_table.rs
+++ b/crates/seat_leases/src/ownership_table.rs
@@ -1,31 +1,32 @@
-//! Which gateway owns the seats of a function: a table of the gateways, published by the controller that scales, and rendezvous hashing
-//! (highest random weight) over it. A gateway that goes or comes moves only its own functions.
+//! Maps each function to the gateway that owns its seats, by rendezvous hashing (highest random weight) over a table of
+//! gateways that the scaler publishes. When a gateway joins or leaves, only its own functions move.
 //!
-//! A table is *agreed* where all of its members understand hand-overs. Only then does its version bind: a member leases no seat of a
-//! function that the table gives to another. Under a table that is not agreed each gateway decides by itself whom it takes for the owner.
+//! A table is *agreed* if all its members support handovers. Only then is its version binding: a member leases no seats of
+//! functions that the table assigns to another. Under a table that is not agreed, each gateway decides on its own which
+//! owner to use.
 
 use crate::legacy_hash;
 use protocol::{Member, OwnershipChange, UpdateVersion};
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Which gateways own functions, under one version.
+/// The gateways that own functions, under one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnershipTable {
     version: UpdateVersion,
     is_agreed: bool,
-    /// In the order of their names.
+    /// Sorted by name.
     members: Vec<Member>,
-    /// Names of the members that owned nothing under the version before.
+    /// Names of members that owned nothing under the previous version.
     joined: BTreeSet<String>,
-    /// Names of the members that own nothing any more.
+    /// Names of members that are leaving and no longer own functions.
     leaving: BTreeSet<String>,
-    /// Whether its receiver came anew, so that it owns nothing before a hand-over.
+    /// Whether the receiver joined with this table, so that it owns nothing before a handover.
     is_for_newcomer: bool,
 }
 
 impl OwnershipTable {
-    /// The agreed table of a message.
+    /// Creates an agreed table from a message.
     #[must_use]
     pub fn agreed(message: protocol::OwnershipTable) -> Self {
         let mut members = message.members;
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The message that tells an agreed table.
+    /// The message for an agreed table.
     #[must_use]
     pub fn to_message(&self) -> protocol::OwnershipTable {
         protocol::OwnershipTable {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A table of gateways of which some do not understand hand-overs.
+    /// Creates a table with members that may not support handovers.
     #[must_use]
     pub fn not_agreed(version: UpdateVersion, mut members: Vec<Member>) -> Self {
         members.sort_by(|one, other| one.name.cmp(&other.name));
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The table after a change; none where the change builds on another version.
+    /// The table after a change; `None` if the change is based on another version.
     #[must_use]
     pub fn changed(&self, change: &OwnershipChange) -> Option<Self> {
         if !self.is_agreed || change.base != self.version {
@@ -84,7 +85,8 @@
         })
     }
 
-    /// The table as it was before a newcomer and all others joined that joined under this version, as far as it tells.
+    /// Reconstructs the table from before a newcomer and all other members of this version joined, as far as this table
+    /// shows it.
     #[must_use]
     pub(crate) fn before_joins(&self, newcomer: &str) -> Self {
         let members = self.members.iter();
@@ -98,25 +100,25 @@
         }
     }
 
-    /// Its version; the highest one wins.
+    /// Version of the table; the highest version wins.
     #[must_use]
     pub fn version(&self) -> UpdateVersion {
         self.version
     }
 
-    /// Whether all members understand hand-overs, so that it binds them.
+    /// Whether all members support handovers, which makes the table binding.
     #[must_use]
     pub fn is_agreed(&self) -> bool {
         self.is_agreed
     }
 
-    /// The gateways, in the order of their names, also those that are leaving.
+    /// All members, sorted by name, including leaving ones.
     #[must_use]
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// The member with this name.
+    /// Looks up a member by name.
     #[must_use]
     pub fn member(&self, name: &str) -> Option<&Member> {
         let index = self
@@ -125,36 +127,36 @@
         index.ok().map(|index| &self.members[index])
     }
 
-    /// Whether a gateway that receives this table owned nothing before.
+    /// Whether a receiver of this table owned nothing before it.
     pub(crate) fn is_for_newcomer(&self, receiver: &str) -> bool {
         self.is_for_newcomer || self.has_joined(receiver)
     }
 
-    /// Whether a member owned nothing under the version before.
+    /// Whether a member owned nothing under the previous version.
     #[must_use]
     pub fn has_joined(&self, name: &str) -> bool {
         self.joined.contains(name)
     }
 
-    /// Whether a gateway owns functions.
+    /// Whether a gateway is a member that may own functions.
     #[must_use]
     pub fn is_owner(&self, name: &str) -> bool {
         self.member(name).is_some() && !self.leaving.contains(name)
     }
 
-    /// Names of the members that own functions.
+    /// Names of the members that may own functions.
     pub(crate) fn owners(&self) -> impl Iterator<Item = &str> {
         let members = self.members.iter().map(|member| member.name.as_str());
         members.filter(|name| !self.leaving.contains(*name))
     }
 
-    /// The owner of a function; none without a member that may own one.
+    /// The owner of a function; `None` if no member may own functions.
     #[must_use]
     pub fn owner_of(&self, function: &str) -> Option<&Member> {
         self.owner_among(function, |_| true)
     }
 
-    /// The owner of a function, were the members that may not own it none.
+    /// The owner of a function among the members accepted by `may_own`.
     pub fn owner_among(
         &self,
         function: &str,
@@ -172,7 +174,8 @@
     }
 }
 
-/// Members after some joined, in place of those of the same name, and some left; in the order of their names.
+/// Applies joined and left members to a member list. A joined member replaces one of the same name. The result is sorted by
+/// name.
 #[must_use]
 pub fn changed_members(members: &[Member], joined: &[Member], left: &[String]) -> Vec<Member> {
     let joined_names = names(joined);
--- a/crates/seat_leases/src/probe_schedule.rs
+++ b/crates/seat_leases/src/probe_schedule.rs
@@ -1,27 +1,27 @@
-//! When starting runners are probed.
+//! When to probe starting runners.
 
 use std::collections::BTreeMap;
 
-/// A runner that is started and not known to be up.
+/// A runner that has been started and is not known to be up.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ProbeTarget {
     pub function: String,
     pub runner: String,
 }
 
-/// Times of the next probes, in milliseconds of the clock.
+/// Times of the next probes in milliseconds of the clock.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProbeSchedule {
     due_at: BTreeMap<ProbeTarget, u64>,
 }
 
 impl ProbeSchedule {
-    /// Schedules the probe of a runner, in place of one that is scheduled already.
+    /// Schedules a runner's probe, replacing an already scheduled one.
     pub fn schedule(&mut self, target: ProbeTarget, at: u64) {
         self.due_at.insert(target, at);
     }
 
-    /// Schedules the probe of a runner, unless one is scheduled already.
+    /// Schedules a runner's probe unless one is already scheduled.
     pub fn schedule_first(&mut self, target: ProbeTarget, at: u64) {
         self.due_at.entry(target).or_insert(at);
     }
@@ -40,12 +40,12 @@
         due
     }
 
-    /// When the next probe is due.
+    /// Time of the next probe.
     pub fn next_at(&self) -> Option<u64> {
         self.due_at.values().min().copied()
     }
 
-    /// Keeps only probes of functions that fulfil a condition.
+    /// Keeps only the probes of functions that satisfy a predicate.
     pub fn retain_functions(&mut self, is_kept: impl Fn(&str) -> bool) {
         self.due_at.retain(|target, _| is_kept(&target.function));
     }
--- a/crates/seat_leases/src/rejection_backoff.rs
+++ b/crates/seat_leases/src/rejection_backoff.rs
@@ -1,23 +1,24 @@
-//! How many requests a runner gets at once after it rejected one as over its concurrency.
+//! Limits the concurrent requests of a runner after it rejected a request because its concurrency was exceeded.
 //!
-//! A rejection says that another owner leases seats of the same runner, or that the runner holds what this owner takes
-//! for ended. Which of the two cannot be known here, so the window shrinks below what was in flight at the rejection,
-//! stays so for a time that doubles with each further rejection, and grows again by one request a step.
+//! A rejection means that another owner leases seats of the same runner, or that the runner still holds a request that this
+//! owner considers ended. The owner cannot tell which. It shrinks the window below the number of requests in flight at the
+//! rejection, holds it for a time that doubles with each further rejection, and then grows it by one request per step.
 
-/// Milliseconds for which the window stays small after a first rejection.
+/// Milliseconds for which the window is held after a first rejection.
 const HOLD_MS: u64 = 1_000;
-/// Most doublings of that time.
+/// Maximum number of doublings of the hold time.
 const HOLD_DOUBLINGS_MAX: u32 = 2;
-/// Milliseconds for which a runner gets nothing after a rejection.
+/// Milliseconds without new requests after a rejection.
 const BACKOFF_MS: u64 = 25;
-/// Most doublings of that time, where it has nothing from here.
+/// Maximum number of doublings of the backoff of a runner that holds no requests of this owner.
 const BACKOFF_DOUBLINGS_MAX: u32 = 5;
-/// Milliseconds after which the window grows by one more request.
+/// Milliseconds after which the window grows by one request.
 const GROWTH_STEP_MS: u64 = 1_000;
-/// Milliseconds without a rejection after which the next one counts as a first.
+/// Milliseconds without a rejection, counted from the end of the hold, after which the next rejection counts as a first
+/// one.
 const RESET_AFTER_MS: u64 = 6_000;
 
-/// The window of one runner. It is open to the whole quota until the first rejection.
+/// The request window of one runner. Until the first rejection it is the whole quota.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RejectionBackoff {
     window: Option<Window>,
@@ -25,18 +26,19 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Window {
-    /// Most requests at once while the window is held small.
+    /// Maximum number of concurrent requests during the hold.
     requests: u32,
-    /// No request at all before this.
+    /// Time before which the runner gets no requests.
     backoff_until: u64,
     rejected_at: u64,
     held_until: u64,
-    /// Rejections in a row; 0 where only other runners of the function have rejected requests.
+    /// Consecutive rejections; 0 if only other runners of the function have rejected requests.
     rejections: u32,
 }
 
 impl RejectionBackoff {
-    /// The runner rejected a request beside so many that it still holds. Rejections of one moment count once.
+    /// Records a rejection by a runner that still holds `in_flight` other requests. Rejections within one backoff interval
+    /// count as one.
     pub fn record_rejection(&mut self, now: u64, in_flight: u32) {
         let Some(window) = self.window.as_mut() else {
             self.window = Some(Window::after_rejection(now, in_flight, 1));
@@ -51,13 +53,14 @@
         *window = Window::after_rejection(now, in_flight, rejections);
     }
 
-    /// Whether the runner rejected a request lately.
+    /// Whether the runner has rejected a request recently.
     pub fn has_rejected_lately(&self, now: u64) -> bool {
         self.window
             .is_some_and(|window| window.rejections > 0 && now < window.rejected_at + HOLD_MS)
     }
 
-    /// Other runners of the function reject requests: this one gets no more than it has for a while.
+    /// Limits the runner to its current number of requests for a while, because other runners of the function are rejecting
+    /// requests.
     pub fn limit_to_current(&mut self, now: u64, in_flight: u32) {
         if self.window.is_none_or(|window| now >= window.held_until) {
             let mut window = Window::after_rejection(now, in_flight, 1);
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Most requests that the runner gets at once now, of its quota.
+    /// Maximum number of concurrent requests at this time.
     pub fn limit(&self, now: u64, quota: u32) -> u32 {
         let Some(window) = self.window else {
             return quota;
@@ -97,8 +100,8 @@
     }
 }
 
-/// Milliseconds for which a runner gets nothing. One that rejects a request while it has nothing from here is full of
-/// requests of others; asking again at once would only be rejected again.
+/// Milliseconds without new requests after a rejection. A runner that rejects a request while it holds none of this owner
+/// is full of other owners' requests, and an immediate retry would be rejected again.
 fn backoff_ms(in_flight: u32, rejections: u32) -> u64 {
     let doublings = if in_flight == 0 { rejections - 1 } else { 0 };
     BACKOFF_MS << doublings.min(BACKOFF_DOUBLINGS_MAX)
--- a/crates/seat_leases/src/relayed_requests.rs
+++ b/crates/seat_leases/src/relayed_requests.rs
@@ -1,55 +1,56 @@
-//! Lease requests that this gateway passes on to a function's owner, for gateways that cannot reach it.
+//! Lease requests that this gateway relays to a function's owner for gateways that cannot reach it.
 //!
-//! The owner takes a relayed request for one of this gateway, under a number of its own; leases and rejections go back the same way, and so
-//! does the release. So the owner alone leases the function's seats, whoever cannot hear it.
+//! The owner treats a relayed request as one of this gateway, under an id of its own. Leases, rejections and releases take
+//! the same route. That way the owner remains the only gateway that leases the function's seats, even if others cannot
+//! reach it.
 
 use crate::lease_holder::LeaseHolder;
 use crate::unconfirmed_leases::LEASE_EXPIRY_MS;
 use protocol::{LeaseRequest, RelayedLeaseRequest, RequestId, RunnerLeases, SeatLease};
 use std::collections::{BTreeMap, HashMap};
 
-/// Most requests that are relayed at once.
+/// Maximum number of requests relayed at once.
 const RELAYED_MAX: usize = 4_096;
-/// Numbers of relayed requests have this bit, those of a gateway's own requests never.
+/// Set in the ids of relayed requests and never in those of a gateway's own requests.
 const RELAYED_BIT: u64 = 1 << 63;
 
-/// A lease request of a gateway, which may go elsewhere.
+/// A lease request with the gateway it came from. It may be relayed to another gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewayLeaseRequest {
-    /// Name of the gateway that has the client.
+    /// Name of the gateway that received the client's request.
     pub gateway: String,
-    /// Its zone.
+    /// Zone of that gateway.
     pub zone: String,
-    /// The request.
+    /// The lease request.
     pub request: LeaseRequest,
 }
 
-/// Who knows a relayed request, and by which number.
+/// The id of a relayed request, and the owners that know it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayedId {
-    /// Names of the owner that it was relayed to and of all later ones that were told of its lease.
+    /// The owner that it was relayed to and all later owners that were told of its lease.
     pub owners: Vec<String>,
-    /// Number of the request there.
+    /// Id of the request at these owners.
     pub request_id: RequestId,
-    /// The function.
+    /// Name of the function.
     pub function: String,
 }
 
 #[derive(Debug)]
 struct RelayedRequest {
     owner: String,
-    /// Later owners of the function's seats that were told of the lease.
+    /// Later owners of the function that were told of the lease.
     reported_to: Vec<String>,
     original: GatewayLeaseRequest,
     since: u64,
-    /// Milliseconds of the clock from which a seat is of no use.
+    /// Time in milliseconds of the clock after which a seat is of no use.
     deadline: u64,
     lease: Option<SeatLease>,
-    /// When its lease counts as ended; none while there is a link with its gateway.
+    /// Time at which its lease is considered ended; `None` while its gateway is connected.
     expires_at: Option<u64>,
 }
 
-/// All relayed requests, by their numbers.
+/// All relayed requests by id.
 #[derive(Debug, Default)]
 pub struct RelayedRequests {
     relayed: BTreeMap<RequestId, RelayedRequest>,
@@ -58,30 +59,30 @@
 }
 
 impl RelayedRequests {
-    /// Whether a number is that of a relayed request.
+    /// Whether an id belongs to a relayed request.
     pub(crate) fn is_relayed(id: RequestId) -> bool {
         id.0 & RELAYED_BIT != 0
     }
 
-    /// Whether one more request may be relayed.
+    /// Whether another request may be relayed.
     #[must_use]
     pub fn has_room(&self) -> bool {
         self.relayed.len() < RELAYED_MAX
     }
 
-    /// Requests that are relayed now.
+    /// Number of relayed requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.relayed.len()
     }
 
-    /// Whether none is.
+    /// Whether no request is relayed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.relayed.is_empty()
     }
 
-    /// Relays a request to an owner. Returns the message for it.
+    /// Relays a request to an owner. Returns the message to send.
     pub fn relay(
         &mut self,
         now: u64,
@@ -107,7 +108,8 @@
         message
     }
 
-    /// An owner has leased a seat: the gateway that it is for, and the lease as it knows it. None where it is not awaited.
+    /// Records a lease from an owner. Returns the gateway that it is for and the lease with that gateway's request id, or
+    /// `None` if no lease of this owner is awaited.
     pub fn record_lease(&mut self, owner: &str, lease: &SeatLease) -> Option<(String, SeatLease)> {
         let relayed = self.relayed.get_mut(&lease.request_id)?;
         if relayed.owner != owner || relayed.lease.is_some() {
@@ -121,7 +123,7 @@
         Some((relayed.original.gateway.clone(), lease))
     }
 
-    /// An owner has rejected a request: the gateway that it is for, and its number there.
+    /// Records a rejection from an owner. Returns the gateway that it is for and the request's id there.
     pub fn record_rejection(&mut self, owner: &str, id: RequestId) -> Option<(String, RequestId)> {
         if self.relayed.get(&id)?.owner != owner {
             return None;
@@ -130,7 +132,7 @@
         Some((original.gateway, original.request.request_id))
     }
 
-    /// A gateway needs its request's seat no more, or waits for none: where its owner is to be told.
+    /// Removes a request that needs no seat any more. Returns the id and the owners to notify.
     pub fn end(&mut self, gateway: &str, request_id: RequestId) -> Option<RelayedId> {
         let holder = LeaseHolder::new(gateway, request_id);
         let id = *self.by_holder.get(&holder)?;
@@ -138,8 +140,8 @@
         Some(relayed.relayed_id(id))
     }
 
-    /// The link with a gateway has ended: which of its requests are to be cancelled where. Those that hold a lease may be at their runners;
-    /// they count as ended after a while.
+    /// Handles the end of the link with a gateway. Returns its waiting requests, which must be cancelled at their owners.
+    /// Requests with a lease may be running and are considered ended after a while.
     pub fn remove_gateway(&mut self, now: u64, gateway: &str) -> Vec<RelayedId> {
         for relayed in self.relayed.values_mut() {
             if relayed.original.gateway == gateway && relayed.lease.is_some() {
@@ -154,7 +156,7 @@
             .collect()
     }
 
-    /// Takes the requests whose leases count as ended.
+    /// Takes the requests whose leases are considered ended.
     pub fn take_expired(&mut self, now: u64) -> Vec<RelayedId> {
         let expired = self.take(|relayed| relayed.expires_at.is_some_and(|at| now >= at));
         expired
@@ -163,8 +165,8 @@
             .collect()
     }
 
-    /// The link with an owner has ended, and with it what waits there. Returns these requests. What it has leased it asks about once there
-    /// is a link again.
+    /// Handles the end of the link with an owner. Returns the requests that were waiting there. The owner asks about its
+    /// leases once the link is open again.
     pub fn remove_owner(&mut self, now: u64, owner: &str) -> Vec<GatewayLeaseRequest> {
         let waiting = self.take(|relayed| relayed.owner == owner && relayed.lease.is_none());
         let waiting = waiting.into_iter();
@@ -173,7 +175,7 @@
             .collect()
     }
 
-    /// Takes the waiting requests whose function has another owner now, each with where it is to be cancelled.
+    /// Takes the waiting requests whose function has a new owner, each with the id to cancel at the former owner.
     pub fn take_moved(
         &mut self,
         now: u64,
@@ -188,7 +190,7 @@
         moved.collect()
     }
 
-    /// The owners from which a response is awaited since this time or before.
+    /// Owners that have not responded to a request relayed at or before this time.
     pub fn awaited_owners(&self, until: u64) -> impl Iterator<Item = &str> {
         let relayed = self.relayed.values();
         let overdue =
@@ -196,8 +198,8 @@
         overdue.map(|request| request.owner.as_str())
     }
 
-    /// An owner of a function's seats is told of the lease of a relayed request. Returns whether there is one, or may be: the lease of
-    /// another owner may be on its way.
+    /// Records that an owner was told of the lease of a relayed request. Returns whether the request holds a lease or may
+    /// hold one, because a lease from another owner may be on its way.
     pub fn report_lease(&mut self, owner: &str, id: RequestId) -> bool {
         let Some(relayed) = self.relayed.get_mut(&id) else {
             return false;
@@ -209,7 +211,7 @@
         relayed.owner != owner
     }
 
-    /// Seats of a function's runners that relayed requests hold, for an owner that is told of them.
+    /// The seats of a function's runners held by relayed requests, recorded as reported to this owner.
     pub fn report_leases(&mut self, owner: &str, function: &str) -> Vec<RunnerLeases> {
         let mut runners: BTreeMap<String, RunnerLeases> = BTreeMap::new();
         for (id, relayed) in &mut self.relayed {
@@ -276,7 +278,7 @@
         }
     }
 
-    /// The request as it is to be placed anew, with the time that is left; none where that is over.
+    /// The request with its remaining timeout, to be sent again; `None` after its deadline.
     fn remaining(self, now: u64) -> Option<GatewayLeaseRequest> {
         let left_ms = self.deadline.checked_sub(now).filter(|left| *left > 0)?;
         let mut original = self.original;
--- a/crates/seat_leases/src/report_state.rs
+++ b/crates/seat_leases/src/report_state.rs
@@ -1,12 +1,12 @@
-//! When the scaler is reported to about one function.
+//! When to report a function to the scaler.
 
-/// Milliseconds between reports of a function while a request waits or a runner is gone.
+/// Milliseconds between reports of a function while a request is waiting or a runner is gone.
 const URGENT_INTERVAL_MS: u64 = 15;
-/// Milliseconds after which it is reported again that requests wait, since the scaler forgets what it has not heard for
-/// long.
+/// Milliseconds after which waiting requests are reported again, because the scaler drops information that is not
+/// refreshed.
 const REMINDER_INTERVAL_MS: u64 = 500;
 
-/// What of a function is not reported yet.
+/// Reporting state of one function.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReportState {
     is_changed: bool,
@@ -19,7 +19,7 @@
         self.is_changed = true;
     }
 
-    /// Lets the next report leave sooner, where there is something to report.
+    /// Uses the shorter interval for the next report, if there is a change to report.
     pub fn mark_urgent(&mut self) {
         self.is_urgent = true;
     }
@@ -28,7 +28,7 @@
         self.is_changed
     }
 
-    /// Whether there is something to report and the interval since the last report is over; where nothing is urgent, the regular one.
+    /// Whether there is a change to report and the urgent or regular interval since the last report has passed.
     pub fn is_due(&self, now: u64, regular_interval_ms: u64) -> bool {
         let interval_ms = if self.is_urgent {
             URGENT_INTERVAL_MS
@@ -38,7 +38,7 @@
         self.is_changed && now >= self.reported_at + interval_ms
     }
 
-    /// Whether it was not reported for long that requests wait.
+    /// Whether waiting requests have to be reported again.
     pub fn is_reminder_due(&self, now: u64) -> bool {
         now >= self.reported_at + REMINDER_INTERVAL_MS
     }
--- a/crates/seat_leases/src/request_end.rs
+++ b/crates/seat_leases/src/request_end.rs
@@ -1,4 +1,4 @@
-//! How a request ends at an owner that holds a seat or a place in its queue for it.
+//! How a request ends at the owner that leased it a seat or queued it.
 
 use crate::LeaseOwner;
 use protocol::{LeaseRelease, Message, RequestId};
@@ -6,14 +6,14 @@
 /// The end of a lease request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseRequestEnd {
-    /// Its lease was used and is given back.
+    /// Its lease was used and is released.
     Release(LeaseRelease),
-    /// It wants no seat any more.
+    /// It no longer wants a seat.
     Cancel(RequestId),
 }
 
 impl LeaseRequestEnd {
-    /// Number of the request that has ended.
+    /// Id of the request.
     #[must_use]
     pub const fn request_id(&self) -> RequestId {
         match self {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The same end under the number that the request has where it is relayed to.
+    /// The same end with the id that the request has at the owner it was relayed to.
     #[must_use]
     pub fn with_request_id(&self, request_id: RequestId) -> Self {
         match self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The message that tells another gateway of it.
+    /// The message that reports the end to another gateway.
     #[must_use]
     pub fn into_message(self) -> Message {
         match self {
@@ -45,7 +45,7 @@
 }
 
 impl LeaseOwner {
-    /// A gateway's request has ended.
+    /// Ends a gateway's request.
     pub fn end_request(&mut self, now: u64, gateway: &str, end: &LeaseRequestEnd) {
         match end {
             LeaseRequestEnd::Release(release) => self.release(now, gateway, release),
--- a/crates/seat_leases/src/retry_budget.rs
+++ b/crates/seat_leases/src/retry_budget.rs
@@ -1,6 +1,6 @@
-//! How many retries may be sent: a bounded balance that first attempts earn and retries spend.
+//! Limits retries with a bounded budget that first attempts fill and retries spend.
 
-/// A balance of retries. In any window of time retries stay below the capacity plus the ratio times the first attempts.
+/// A retry budget. In any time window there are fewer retries than the capacity plus `ratio` times the first attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     balance: f64,
@@ -9,8 +9,8 @@
 }
 
 impl RetryBudget {
-    /// A budget that earns `ratio` retries with each first attempt and holds at most `capacity`. It begins with one
-    /// retry, or with its capacity where that is less.
+    /// Creates a budget that earns `ratio` retries per first attempt and holds at most `capacity`. It starts with one
+    /// retry, or with its capacity if that is lower.
     #[must_use]
     pub fn new(ratio: f64, capacity: f64) -> Self {
         Self {
@@ -20,31 +20,31 @@
         }
     }
 
-    /// Changes the capacity, as the number of gateways that share it changes. A higher balance falls to it at once.
+    /// Sets the capacity, which depends on the number of gateways sharing it. A balance above it is reduced immediately.
     pub fn set_capacity(&mut self, capacity: f64) {
         self.capacity = capacity;
         self.balance = self.balance.min(capacity);
     }
 
-    /// A first attempt was sent.
+    /// Records a first attempt.
     pub fn deposit(&mut self) {
         let most = self.capacity.max(self.ratio);
         self.balance = (self.balance + self.ratio).min(most);
     }
 
-    /// Whether there is a retry to take.
+    /// Whether a retry is available.
     #[must_use]
     pub fn has_balance(&self) -> bool {
         self.balance >= 1.0
     }
 
-    /// Whether a deposit would be lost, since the balance is at its capacity.
+    /// Whether the balance is at its capacity, so that a deposit would have no effect.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.balance >= self.capacity
     }
 
-    /// Takes a retry; false where there is none.
+    /// Spends a retry; returns false if none is available.
     #[must_use]
     pub fn try_withdraw(&mut self) -> bool {
         if !self.has_balance() {
--- a/crates/seat_leases/src/runner_set.rs
+++ b/crates/seat_leases/src/runner_set.rs
@@ -1,4 +1,4 @@
-//! The runners of one function, and which of their seats a request gets.
+//! The runners of one function, and the choice of a runner for a request.
 
 use crate::lease_holder::LeaseHolder;
 use crate::lease_rules::LeaseRules;
@@ -7,18 +7,19 @@
 use protocol::{FunctionHandover, RunnerLeases, RunnerStage, RunnerUpdate};
 use std::collections::BTreeMap;
 
-/// Runners of one function that reject requests within a second where another owner must be leasing their seats too.
+/// Number of runners of a function rejecting requests within a second from which on another owner must be leasing the same
+/// seats.
 const CONTENDED_RUNNERS: usize = 2;
-/// Milliseconds of a response that are assumed until one was seen.
+/// Response time in milliseconds assumed until one has been measured.
 const DEFAULT_RESPONSE_MS: f64 = 60.0;
 /// Quota of a runner that a gateway reported before the scaler did.
 const UNKNOWN_QUOTA: u32 = 1;
 
-/// What a request asks of a runner.
+/// What a request requires of its runner.
 pub(crate) struct RunnerCriteria<'a> {
-    /// Runners that failed it.
+    /// Runners that have failed the request.
     pub excluded: &'a [String],
-    /// Regions that it must not leave; empty where all are allowed.
+    /// Regions that the request may run in; empty if all are allowed.
     pub allowed_regions: &'a [String],
 }
 
@@ -39,12 +40,12 @@
         self.runners.iter()
     }
 
-    /// The runner with this id.
+    /// Looks up a runner by id.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut SeatRunner> {
         self.runners.iter_mut().find(|runner| runner.id() == id)
     }
 
-    /// Takes the runners as the scaler wants them. One that is not wanted any more keeps its leases until they end.
+    /// Applies the scaler's runner list. A runner that is missing from it is kept until its leases end.
     pub fn apply_updates(&mut self, now: u64, updates: Vec<RunnerUpdate>, policy: &LeasingPolicy) {
         let mut known: BTreeMap<String, SeatRunner> = std::mem::take(&mut self.runners)
             .into_iter()
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Takes the runners that the function's former owner hands over. Where the scaler has said something newer here, it holds. What the
-    /// newer list does not name drains.
+    /// Adopts the runners handed over by the function's former owner. Newer information from the scaler takes precedence.
+    /// Runners missing from a newer list are drained.
     pub fn adopt(
         &mut self,
         now: u64,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The runner at which a gateway has leases; where it is not known yet it is added in this stage.
+    /// Returns the runner at which a gateway holds leases. An unknown runner is added in the given stage.
     pub fn get_or_add(
         &mut self,
         now: u64,
@@ -129,20 +130,20 @@
         &mut self.runners[index]
     }
 
-    /// Ends a lease; the runner whose seat is free now.
+    /// Ends a lease and returns the runner whose seat was freed.
     pub fn remove_lease(&mut self, holder: &LeaseHolder) -> Option<&mut SeatRunner> {
         let mut runners = self.runners.iter_mut();
         runners.find_map(|runner| runner.remove_lease(holder).then_some(runner))
     }
 
-    /// Ends the leases of a gateway.
+    /// Ends all leases of a gateway.
     pub fn remove_gateway(&mut self, gateway: &str) {
         for runner in &mut self.runners {
             runner.remove_gateway(gateway);
         }
     }
 
-    /// Leases of a gateway.
+    /// Holders of the leases of a gateway.
     pub fn holders_of(&self, gateway: &str) -> Vec<LeaseHolder> {
         let holders = self.runners.iter().flat_map(SeatRunner::holders);
         let of_gateway = holders.filter(|holder| holder.gateway == gateway);
@@ -154,8 +155,8 @@
         self.runners.iter().any(SeatRunner::has_leases)
     }
 
-    /// Where several runners reject requests at a time, somebody else leases the function's seats too: none of its
-    /// runners gets more than it has for a while.
+    /// If several runners reject requests at the same time, another owner is leasing seats of the function too. All runners
+    /// are then limited to their current number of requests for a while.
     pub fn limit_if_contended(&mut self, now: u64) {
         let runners = self.runners.iter();
         let rejecting = runners.filter(|runner| runner.has_rejected_lately(now));
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Runners with a free seat, by place, that are in no evacuated zone.
+    /// Indices of the runners with a free seat outside evacuated zones.
     pub fn free_runners(&self, now: u64, rules: &LeaseRules) -> Vec<usize> {
         let is_free = |index: &usize| {
             let runner = &self.runners[*index];
@@ -176,8 +177,8 @@
         (0..self.runners.len()).filter(is_free).collect()
     }
 
-    /// Of these places those that a request may use: in a region that it may enter, and not at a runner that failed it while
-    /// there is another one to wait for.
+    /// Filters the candidates that a request may use: those in an allowed region, excluding runners that have failed the
+    /// request as long as there is an alternative to wait for.
     pub fn usable<'a>(
         &'a self,
         candidates: &'a [usize],
@@ -193,7 +194,7 @@
         })
     }
 
-    /// Whether a runner that did not fail a request serves, or may come up, where the request may run.
+    /// Whether a runner that has not failed the request is serving or starting in an allowed region.
     fn has_alternative(&self, criteria: &RunnerCriteria<'_>, rules: &LeaseRules) -> bool {
         let mut runners = self.in_regions(criteria.allowed_regions, rules);
         runners.any(|runner| {
@@ -203,7 +204,7 @@
         })
     }
 
-    /// Of these places the one that costs a request of this zone least.
+    /// The candidate with the lowest cost for a request from this zone.
     pub fn cheapest(
         &self,
         candidates: &[usize],
@@ -217,7 +218,7 @@
         usable.min_by(|one, other| cost(*one).total_cmp(&cost(*other)))
     }
 
-    /// Expected time of a response, and what the way to another zone or region adds.
+    /// Expected response time plus the cost of the distance to another zone or region.
     fn cost(&self, index: usize, zone: &str, rules: &LeaseRules, mean_ms: f64) -> f64 {
         let runner = &self.runners[index];
         let response_ms = runner.mean_response_ms().unwrap_or(mean_ms);
@@ -225,12 +226,12 @@
         response_ms * (1.0 + runner.utilization() * rules.policy.full_cost) + distance_ms
     }
 
-    /// The runner at a place.
+    /// The runner at an index.
     pub fn at_mut(&mut self, index: usize) -> &mut SeatRunner {
         &mut self.runners[index]
     }
 
-    /// Mean milliseconds of a response, over the runners.
+    /// Mean response time in milliseconds over all runners.
     pub fn mean_response_ms(&self) -> f64 {
         let means = self.runners.iter().filter_map(SeatRunner::mean_response_ms);
         let (count, sum) = means.fold((0, 0.0), |(count, sum), mean| (count + 1, sum + mean));
@@ -240,7 +241,7 @@
         sum / f64::from(count)
     }
 
-    /// Runners in the regions that a request may enter.
+    /// Runners in the allowed regions of a request.
     fn in_regions<'a>(
         &'a self,
         allowed_regions: &'a [String],
@@ -250,7 +251,8 @@
         runners.filter(|runner| rules.allows(allowed_regions, runner.zone()))
     }
 
-    /// Milliseconds until a request with so many ahead gets a seat in these regions; none where nothing serves nor starts there.
+    /// Expected milliseconds until a request with `ahead` requests before it gets a seat in the allowed regions; `None` if
+    /// no runner is serving or starting there.
     pub fn expected_wait_ms(
         &self,
         now: u64,
@@ -270,7 +272,7 @@
         first.min().map(|wait| wait as f64)
     }
 
-    /// Whether a runner in these regions serves, pauses or may come up.
+    /// Whether a runner in the allowed regions is serving, even if it is backed off, or starting.
     pub fn may_serve(&self, allowed_regions: &[String], rules: &LeaseRules) -> bool {
         let mut runners = self.in_regions(allowed_regions, rules);
         runners.any(|runner| runner.is_serving() || runner.is_starting())
--- a/crates/seat_leases/src/seat_ownership.rs
+++ b/crates/seat_leases/src/seat_ownership.rs
@@ -1,8 +1,10 @@
-//! Which functions' seats this gateway may lease now, by the tables that it has applied and the hand-overs that it has received.
+//! Which functions' seats this gateway may lease, according to the ownership tables it has applied and the handovers it has
+//! received.
 //!
-//! A function that falls to this gateway is leased once its former owner has answered under *the same version* of the table: then it
-//! leases none of its seats until a later table makes it the owner again, and it asks for a hand-over then. A former owner that is no
-//! member any more was removed by agreement; it is not waited for.
+//! The seats of a function that moves to this gateway are leased once its former owner has answered under *the same
+//! version* of the table. From then on the former owner leases none of them until a later table makes it the owner again,
+//! and it then requests a handover itself. A former owner that is no longer a member was removed by agreement, so nobody
+//! waits for it.
 
 use crate::ownership_table::OwnershipTable;
 use invariants::{check, Invariant};
@@ -12,33 +14,33 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Milliseconds after which a hand-over of a member that does not answer is no longer waited for. A member that the scaler can reach has
-/// the table by then and leases nothing any more; what it has leased is known from the gateways that use it.
+/// Milliseconds to wait for the handover of a member that does not answer. By then, a member that the scaler can reach has
+/// the table and leases no more of the seats. Its earlier leases are known from the gateways that use them.
 const HANDOVER_TIMEOUT_MS: u64 = 1_000;
-/// Most functions whose status is remembered.
+/// Maximum number of functions with a cached status.
 const STATUSES_MAX: usize = 65_536;
 
-/// What this gateway is to a function's seats.
+/// Whether this gateway may lease a function's seats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SeatStatus {
-    /// It leases them.
+    /// This gateway owns the seats and may lease them.
     Owned,
-    /// It owns them and waits for the hand-over of their former owner.
+    /// This gateway owns the seats but waits for the former owner's handover.
     AwaitsHandover,
-    /// The gateway of this name owns them.
+    /// The named gateway owns the seats.
     OwnedBy(String),
-    /// Nobody may own them.
+    /// No gateway may own the seats.
     Unowned,
 }
 
-/// Why a hand-over is not taken.
+/// Why a handover is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoverRefusal {
-    /// No agreed table is in force here.
+    /// The current table is not agreed, or there is none.
     NotAgreed,
-    /// It was given under another version of the table than the one in force.
+    /// The handover was sent under this version, which is not that of the current table.
     OtherVersion(UpdateVersion),
-    /// The table does not name the gateway that gave it.
+    /// The sender is not a member of the current table.
     NotAMember,
 }
 
@@ -54,34 +56,34 @@
 
 impl std::error::Error for HandoverRefusal {}
 
-/// Functions have moved to this gateway with one table.
+/// Functions that moved to this gateway under one table and whose handovers are pending.
 #[derive(Clone, Debug)]
 struct Transition {
     former: Arc<OwnershipTable>,
     began_at: u64,
-    /// Names of the former owners that have not answered.
+    /// Names of the former owners that have not answered yet.
     awaited: BTreeSet<String>,
 }
 
-/// Ownership as one gateway sees it.
+/// One gateway's view of the ownership of functions.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SeatOwnership {
-    /// Name of this gateway; none where it stands alone and owns all functions.
+    /// Name of this gateway; `None` if it is standalone and owns all functions.
     name: Option<String>,
     table: Option<Arc<OwnershipTable>>,
     transitions: Vec<Transition>,
-    /// Members whose functions this gateway leases while no controller scales that could remove them.
+    /// Members whose functions this gateway leases while there is no scaler that could remove them.
     failover: BTreeSet<String>,
-    /// Gateways that asked under a version which is not applied here yet.
+    /// Gateways that requested a handover under a version that is not applied here yet.
     unanswered: BTreeMap<String, UpdateVersion>,
-    /// Status of functions, until any of the above changes.
+    /// Cached status of functions. It is cleared when any of the fields above changes.
     statuses: HashMap<String, SeatStatus>,
-    /// Owners of functions by the table, until that changes.
+    /// Cached owners of functions under the current table.
     table_owners: HashMap<String, Option<Member>>,
 }
 
 impl SeatOwnership {
-    /// The ownership of a gateway of a fleet. Without a table it leases nothing.
+    /// Creates the ownership of a gateway that is part of a cluster. Without a table it leases nothing.
     pub fn new(name: &str) -> Self {
         Self {
             name: Some(name.into()),
@@ -94,31 +96,33 @@
         self.name.is_none()
     }
 
-    /// The process stood still: hand-overs that came meanwhile are not read yet.
+    /// Restarts the handover timeouts after a process pause, because handovers that arrived meanwhile have not been read
+    /// yet.
     pub fn restart_timeouts(&mut self, pause: ProcessPause) {
         for transition in &mut self.transitions {
             transition.began_at = pause.restart(transition.began_at);
         }
     }
 
-    /// The table in force.
+    /// The current table.
     pub fn table(&self) -> Option<&Arc<OwnershipTable>> {
         self.table.as_ref()
     }
 
-    /// The table in force where it is agreed.
+    /// The current table, if it is agreed.
     pub fn agreed_table(&self) -> Option<&OwnershipTable> {
         let table = self.table.as_deref();
         table.filter(|table| table.is_agreed())
     }
 
-    /// Whether this gateway owned nothing before a table, so that nothing that it knows is current under it.
+    /// Whether this gateway owned nothing before a table, so that nothing it knows is up to date under it.
     pub fn is_newcomer_under(&self, table: &OwnershipTable) -> bool {
         let name = self.name.as_deref().unwrap_or_default();
         self.table.is_none() || (table.is_agreed() && table.is_for_newcomer(name))
     }
 
-    /// Whether this gateway leases a function's seats though the table, which is not agreed, gives them to another one.
+    /// Whether the current table is not agreed and assigns the function to another gateway, in whose place this one leases
+    /// its seats.
     pub fn leases_for_other_owner(&mut self, function: &str) -> bool {
         let is_agreed = self.table.as_ref().is_none_or(|table| table.is_agreed());
         let Some(name) = self.name.clone().filter(|_| !is_agreed) else {
@@ -128,7 +132,7 @@
         owner.is_none_or(|owner| owner.name != name)
     }
 
-    /// Applies a newer table. Returns the members that are to be asked for a hand-over under its version.
+    /// Applies a newer table. Returns the members from which to request a handover under its version.
     pub fn apply_table(&mut self, now: u64, table: Arc<OwnershipTable>) -> Vec<String> {
         let former = self.table.replace(Arc::clone(&table));
         let former_version = former.as_ref().map(|former| former.version());
@@ -170,8 +174,8 @@
         asked.into_iter().cloned().collect()
     }
 
-    /// Members from which functions may have moved here. With rendezvous hashing a function moves only to a gateway that came, or from
-    /// one that goes.
+    /// Members from which functions may have moved here. With rendezvous hashing a function only moves to a gateway that
+    /// joins or from one that leaves.
     fn former_owners(&self, former: &OwnershipTable, table: &OwnershipTable) -> BTreeSet<String> {
         let name = self.name.as_deref().unwrap_or_default();
         let was_owner = former.is_owner(name);
@@ -188,7 +192,7 @@
             .collect()
     }
 
-    /// Members that are gone, or began anew, answer nothing any more.
+    /// Stops waiting for members that left or restarted, which no longer answer.
     fn drop_departed(&mut self, table: &OwnershipTable) {
         for transition in &mut self.transitions {
             let awaited = &mut transition.awaited;
@@ -198,8 +202,8 @@
             .retain(|transition| !transition.awaited.is_empty());
     }
 
-    /// Sets the silent members whose functions are leased here, because no controller scales that could remove them. Returns whether they
-    /// are others than before.
+    /// Sets the unresponsive members whose functions are leased here while there is no scaler that could remove them.
+    /// Returns whether the set changed.
     pub fn set_failover_for(&mut self, members: BTreeSet<String>) -> bool {
         let has_changed = self.failover != members;
         if has_changed {
@@ -209,10 +213,10 @@
         has_changed
     }
 
-    /// Whether a hand-over of a gateway, given under a version, is to be taken.
+    /// Checks the sender and the version of a handover.
     ///
     /// # Errors
-    /// Where it is not.
+    /// If the handover must be refused.
     pub fn check_handover(
         &self,
         from: &str,
@@ -226,12 +230,13 @@
         member.map(|_| ()).ok_or(HandoverRefusal::NotAMember)
     }
 
-    /// A former owner has answered completely under the version in force. Returns whether functions may be leased now that were not.
+    /// Records that a former owner has answered completely under the current version. Returns whether more functions may be
+    /// leased now.
     pub fn handover_completed(&mut self, from: &str) -> bool {
         self.stop_awaiting(|name, _| name == from)
     }
 
-    /// Waits no more for members that have not answered in time. Returns their names.
+    /// Stops waiting for members that did not answer in time. Returns their names.
     pub fn expire(&mut self, now: u64) -> Vec<String> {
         let is_late = |began_at: u64| now >= began_at + HANDOVER_TIMEOUT_MS;
         let late = self
@@ -263,7 +268,8 @@
         has_changed
     }
 
-    /// Another gateway asks for a hand-over under a version. Returns whether it is answered now; else it is once that version is applied.
+    /// Records a gateway's handover request under a version. Returns whether it is answered now; otherwise it is answered
+    /// once that version is applied.
     pub fn handover_requested(&mut self, from: &str, version: UpdateVersion) -> bool {
         let has_applied = self
             .table
@@ -275,7 +281,7 @@
         has_applied
     }
 
-    /// Takes the gateways that asked under versions which are applied by now.
+    /// Takes the gateways whose requested versions have been applied by now.
     pub fn take_answerable(&mut self) -> Vec<String> {
         let Some(version) = self.table.as_ref().map(|table| table.version()) else {
             return Vec::new();
@@ -289,7 +295,7 @@
         answerable
     }
 
-    /// The owner of a function by the table in force. Without an agreed table that is whom this gateway takes for its owner.
+    /// The owner of a function under the current table. If the table is not agreed, this is only this gateway's own choice.
     pub fn table_owner(&mut self, function: &str) -> Option<&Member> {
         let table = self.table.as_ref()?;
         if !self.table_owners.contains_key(function) {
@@ -302,19 +308,19 @@
         self.table_owners[function].as_ref()
     }
 
-    /// Whether a member of the table is this gateway.
+    /// Whether a member is this gateway.
     pub fn is_this_gateway(&self, member: &Member) -> bool {
         self.name.as_ref() == Some(&member.name)
     }
 
-    /// Whether the table gives a function to this gateway.
+    /// Whether the table assigns a function to this gateway.
     pub fn is_assigned(&self, function: &str) -> bool {
         let table = self.table.as_ref();
         let owner = table.and_then(|table| table.owner_of(function));
         owner.is_some_and(|owner| self.is_this_gateway(owner))
     }
 
-    /// Names of the former owners whose hand-over is awaited.
+    /// Names of the former owners whose handover is pending.
     pub fn awaited(&self) -> BTreeSet<&str> {
         let awaited = self
             .transitions
@@ -323,17 +329,17 @@
         awaited.map(String::as_str).collect()
     }
 
-    /// Names of the gateways that asked under a version which is not applied here yet.
+    /// Names of the gateways that requested a handover under a version that is not applied here yet.
     pub fn unanswered(&self) -> impl Iterator<Item = &str> {
         self.unanswered.keys().map(String::as_str)
     }
 
-    /// Whether hand-overs are awaited.
+    /// Whether any handover is pending.
     pub fn is_awaiting(&self) -> bool {
         !self.transitions.is_empty()
     }
 
-    /// What this gateway is to a function's seats.
+    /// Whether this gateway may lease a function's seats, and otherwise which gateway owns them.
     pub fn status(&mut self, function: &str) -> &SeatStatus {
         if !self.statuses.contains_key(function) {
             if self.statuses.len() >= STATUSES_MAX {
--- a/crates/seat_leases/src/seat_runner.rs
+++ b/crates/seat_leases/src/seat_runner.rs
@@ -1,5 +1,4 @@
-//! One runner as the owner of its function's seats knows it: its quota, who holds its seats, whether it is up and how
-//! fast it answers.
+//! One runner as seen by the owner of its function's seats: quota, lease holders, availability and response time.
 
 use crate::lease_holder::LeaseHolder;
 use crate::rejection_backoff::RejectionBackoff;
@@ -8,15 +7,16 @@
 use protocol::{RequestId, RunnerHandover, RunnerReport, RunnerStage, RunnerUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Responses over which a runner's response time is averaged; the newest weigh most.
+/// Number of responses over which the mean response time is taken. Newer responses weigh more.
 const MEAN_SAMPLES: f64 = 20.0;
-/// Times in a row that a runner may be unreachable, or lose a response, before it counts as gone.
+/// Consecutive failures (unreachable or lost response) after which a runner is considered gone.
 const CONSECUTIVE_FAILURES_MAX: u32 = 3;
-/// Milliseconds for which the connection of a probe may hold a seat.
+/// Milliseconds for which a probe's connection may occupy a seat.
 const PROBE_SEAT_MS: u64 = 120;
-/// Milliseconds for which a runner may hold the seat of a request whose connection was closed, until it notices.
-const BROKEN_OFF_SEAT_MS: u64 = 100;
-/// Bounds of the milliseconds between two probes, and the part of the expected start that it is within them.
+/// Milliseconds for which an aborted request may occupy a seat until its runner notices that the connection was closed.
+const ABORTED_SEAT_MS: u64 = 100;
+/// Limits of the interval between two probes in milliseconds. Within them the interval is the expected start time divided
+/// by `PROBE_INTERVAL_DIVISOR`.
 const PROBE_INTERVAL_MIN_MS: u64 = 15;
 const PROBE_INTERVAL_MAX_MS: u64 = 150;
 const PROBE_INTERVAL_DIVISOR: u64 = 20;
@@ -24,20 +24,20 @@
 /// One runner of a function. Its leases never exceed its quota.
 #[derive(Clone, Debug)]
 pub(crate) struct SeatRunner {
-    /// What the scaler said last.
+    /// The scaler's latest update.
     update: RunnerUpdate,
     is_up: bool,
     is_gone: bool,
     holders: BTreeSet<LeaseHolder>,
     backoff: RejectionBackoff,
-    /// Until when the connection of a probe may hold a seat.
+    /// Time until which a probe's connection may occupy a seat.
     probe_seat_until: u64,
-    /// Until when the runner may work on requests that were broken off, each of them on one seat.
-    broken_off_until: Vec<u64>,
+    /// Times until which aborted requests may still occupy a seat each.
+    aborted_until: Vec<u64>,
     probe_at: u64,
     is_probing: bool,
     mean_response_ms: f64,
-    /// Responses in the mean, up to its span.
+    /// Number of responses in the mean, limited by `MEAN_SAMPLES`.
     mean_count: f64,
     consecutive_failures: u32,
     succeeded: u64,
@@ -46,7 +46,8 @@
 }
 
 impl SeatRunner {
-    /// A runner that is new here. It is first probed after a part of its expected start, since starts spread around their average.
+    /// Creates a newly known runner. Its first probe is due after a fraction of the expected start time, because start
+    /// times vary around their average.
     pub fn new(update: RunnerUpdate, now: u64, policy: &LeasingPolicy) -> Self {
         let is_up = update.stage != RunnerStage::Starting;
         let probe_at = now + u64::from(update.starts_in_ms) * policy.first_probe_percent / 100;
@@ -57,7 +58,7 @@
             holders: BTreeSet::new(),
             backoff: RejectionBackoff::default(),
             probe_seat_until: 0,
-            broken_off_until: Vec::new(),
+            aborted_until: Vec::new(),
             probe_at,
             is_probing: false,
             mean_response_ms: 0.0,
@@ -69,14 +70,14 @@
         }
     }
 
-    /// A runner that its former owner hands over.
+    /// Creates a runner handed over by its former owner.
     pub fn from_handover(handover: &RunnerHandover, now: u64, policy: &LeasingPolicy) -> Self {
         let mut runner = Self::new(handover.update.clone(), now, policy);
         runner.merge_handover(handover);
         runner
     }
 
-    /// What its next owner is to know of it.
+    /// The state handed over to its next owner.
     pub fn handover(&self) -> RunnerHandover {
         RunnerHandover {
             update: self.update.clone(),
@@ -86,13 +87,13 @@
         }
     }
 
-    /// Takes what the scaler says now.
+    /// Applies an update from the scaler.
     pub fn apply_update(&mut self, update: RunnerUpdate) {
         self.is_up |= update.stage == RunnerStage::Serving;
         self.update = update;
     }
 
-    /// The scaler wants it no more: it gets no new requests.
+    /// Marks the runner as draining: it gets no new requests.
     pub fn drain(&mut self) {
         self.update.stage = RunnerStage::Draining;
     }
@@ -113,43 +114,43 @@
         self.update.quota
     }
 
-    /// Seats that are leased.
+    /// Number of leased seats.
     pub fn in_use(&self) -> u32 {
         self.holders.len() as u32
     }
 
-    /// Part of the quota that is leased.
+    /// Leased fraction of the quota.
     pub fn utilization(&self) -> f64 {
         f64::from(self.in_use()) / f64::from(self.quota().max(1))
     }
 
-    /// Whether it gets new requests.
+    /// Whether the runner accepts new requests.
     pub fn is_serving(&self) -> bool {
         self.is_up && !self.is_gone && self.update.stage != RunnerStage::Draining
     }
 
-    /// Whether it is starting and may still come up.
+    /// Whether the runner is starting and may still come up.
     pub fn is_starting(&self) -> bool {
         !self.is_up && !self.is_gone && self.update.stage != RunnerStage::Draining
     }
 
-    /// Whether one more of its seats may be leased now.
+    /// Whether another seat may be leased now.
     pub fn has_free_seat(&self, now: u64) -> bool {
         let (in_use, quota) = (self.in_use(), self.backoff.limit(now, self.quota()));
-        // The connection of a probe may hold a seat, but never the only one.
+        // A probe's connection may occupy a seat, but it must not block the only one.
         let probes = u32::from(now < self.probe_seat_until && quota > 1);
-        let broken_off = self.broken_off_until.iter();
-        let broken_off = broken_off.filter(|until| now < **until).count() as u32;
-        self.is_serving() && in_use + probes + broken_off < quota
+        let aborted = self.aborted_until.iter();
+        let aborted = aborted.filter(|until| now < **until).count() as u32;
+        self.is_serving() && in_use + probes + aborted < quota
     }
 
-    /// A request was broken off while the runner was at work on it.
-    pub fn record_broken_off(&mut self, now: u64) {
-        self.broken_off_until.retain(|until| now < *until);
-        self.broken_off_until.push(now + BROKEN_OFF_SEAT_MS);
+    /// Records that a request was aborted while the runner was processing it.
+    pub fn record_aborted(&mut self, now: u64) {
+        self.aborted_until.retain(|until| now < *until);
+        self.aborted_until.push(now + ABORTED_SEAT_MS);
     }
 
-    /// Leases one more seat, which must be free.
+    /// Leases a seat, which must be free.
     pub fn lease(&mut self, holder: LeaseHolder) {
         let (in_use, quota) = (self.in_use(), self.quota());
         check(Invariant::SeatsWithinQuota, in_use < quota, || {
@@ -158,12 +159,12 @@
         self.add_lease(holder);
     }
 
-    /// Counts a seat that is in use already, as another owner leased it.
+    /// Adds a lease that another owner issued.
     pub fn add_lease(&mut self, holder: LeaseHolder) {
         self.holders.insert(holder);
     }
 
-    /// Whether the holder had a lease of it, which is free now.
+    /// Ends a holder's lease. Returns whether there was one.
     pub fn remove_lease(&mut self, holder: &LeaseHolder) -> bool {
         self.holders.remove(holder)
     }
@@ -182,7 +183,7 @@
         leases
     }
 
-    /// A former owner knows of it what is not known here yet.
+    /// Adds what the former owner knows about the runner and this owner does not.
     pub fn merge_handover(&mut self, handover: &RunnerHandover) {
         self.is_up |= handover.is_up;
         self.is_gone |= handover.is_gone;
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Who holds its seats.
+    /// Holders of its leases.
     pub fn holders(&self) -> impl Iterator<Item = &LeaseHolder> {
         self.holders.iter()
     }
@@ -201,7 +202,7 @@
         !self.holders.is_empty()
     }
 
-    /// A request of it was answered.
+    /// Records a successful response.
     pub fn record_success(&mut self, duration_ms: u32) {
         self.is_up = true;
         self.consecutive_failures = 0;
@@ -212,7 +213,7 @@
         self.mean_response_ms += difference / self.mean_count;
     }
 
-    /// It rejected a request beside those that it still holds.
+    /// Records that the runner rejected a request while holding its current ones.
     pub fn record_rejection(&mut self, now: u64, policy: &LeasingPolicy) {
         if policy.backs_off_after_rejections {
             self.backoff.record_rejection(now, self.in_use());
@@ -220,51 +221,53 @@
         self.rejected += 1;
     }
 
-    /// It could not be reached in time, or lost a response. Several times in a row mean that it is gone; whether it is.
+    /// Records that the runner was unreachable or lost a response. Returns whether it is considered gone, which happens
+    /// after several consecutive failures.
     pub fn record_failure(&mut self) -> bool {
         self.consecutive_failures += 1;
         self.is_gone |= self.consecutive_failures >= CONSECUTIVE_FAILURES_MAX;
         self.is_gone
     }
 
-    /// Nobody is at its address, or another runner.
+    /// Records that nothing, or another runner, answers at its address.
     pub fn record_gone(&mut self) {
         self.is_gone = true;
     }
 
-    /// Whether it rejected a request lately.
+    /// Whether the runner has rejected a request recently.
     pub fn has_rejected_lately(&self, now: u64) -> bool {
         self.backoff.has_rejected_lately(now)
     }
 
-    /// Other runners of the function reject requests: this one gets no more than it has for a while.
+    /// Limits the runner to its current number of requests for a while, because other runners of the function are rejecting
+    /// requests.
     pub fn limit_to_current(&mut self, now: u64) {
         self.backoff.limit_to_current(now, self.in_use());
     }
 
-    /// Mean milliseconds of a response; none before the first.
+    /// Mean response time in milliseconds; `None` before the first response.
     pub fn mean_response_ms(&self) -> Option<f64> {
         (self.mean_response_ms > 0.0).then_some(self.mean_response_ms)
     }
 
-    /// When it is probed next, in milliseconds of the clock.
+    /// Time of its next probe in milliseconds of the clock.
     pub fn probe_at(&self) -> u64 {
         self.probe_at
     }
 
-    /// Begins a probe; false where one is under way.
+    /// Begins a probe; returns false if one is already running.
     pub fn begin_probe(&mut self) -> bool {
         !std::mem::replace(&mut self.is_probing, true)
     }
 
-    /// A probe's connection came up: the runner is up, and the connection may hold a seat for a moment.
+    /// Records that a probe connected: the runner is up, and the connection may occupy a seat for a moment.
     pub fn record_probe_success(&mut self, now: u64) {
         self.is_probing = false;
         self.is_up = true;
         self.probe_seat_until = now + PROBE_SEAT_MS;
     }
 
-    /// A probe failed: when the next one is due. The pause grows with how long the start takes.
+    /// Records a failed probe. Returns the time of the next one, which is later for runners with a longer start time.
     pub fn record_probe_failure(&mut self, now: u64) -> u64 {
         self.is_probing = false;
         let interval_ms = u64::from(self.update.starts_in_ms) / PROBE_INTERVAL_DIVISOR;
@@ -272,7 +275,7 @@
         self.probe_at
     }
 
-    /// Its part in the report of the function to the scaler.
+    /// The runner's part of the function's report to the scaler.
     pub fn report(&self) -> RunnerReport {
         RunnerReport {
             id: self.update.id.clone(),
--- a/crates/seat_leases/src/start_block.rs
+++ b/crates/seat_leases/src/start_block.rs
@@ -1,15 +1,15 @@
-//! The scaler's statement that no runner of a function can be up for some time, on the owner's clock.
+//! The scaler's statement that no new runner of a function can be up for some time, converted to the owner's clock.
 
 use protocol::StartBlock;
 
-/// Most milliseconds for which one statement is acted on, whatever it says.
+/// Maximum validity of one statement in milliseconds, regardless of the validity that it states.
 const VALID_MAX_MS: u64 = 5_000;
-/// Least milliseconds after which a rejected request is to come back.
+/// Minimum retry delay of a rejected request in milliseconds.
 const RETRY_AFTER_MIN_MS: u64 = 250;
-/// Most milliseconds after which a rejected request is to come back.
+/// Maximum retry delay of a rejected request in milliseconds.
 const RETRY_AFTER_MAX_MS: u64 = 60_000;
 
-/// A [`StartBlock`] with times of the clock of the owner that received it.
+/// A [`StartBlock`] with times in the receiving owner's clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReceivedStartBlock {
     ready_at: Option<u64>,
@@ -27,12 +27,12 @@
         }
     }
 
-    /// Whether no new runner can be up before a deadline.
+    /// Whether no new runner can be up before the deadline.
     pub fn rules_out(&self, now: u64, deadline: u64) -> bool {
         now < self.expires_at && self.ready_at.is_none_or(|at| at >= deadline)
     }
 
-    /// Milliseconds after which a rejected request is to come back.
+    /// Milliseconds after which to retry a rejected request.
     pub fn retry_after_ms(&self, now: u64) -> u32 {
         let wait_ms = self.retry_at.saturating_sub(now);
         wait_ms.clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS) as u32
--- a/crates/seat_leases/src/unconfirmed_leases.rs
+++ b/crates/seat_leases/src/unconfirmed_leases.rs
@@ -1,4 +1,4 @@
-//! Leases of which it is not known whether their gateways still use them. Their seats are not leased to others meanwhile.
+//! Leases whose gateways may no longer use them. Their seats stay reserved until this is known.
 
 use crate::lease_holder::LeaseHolder;
 use process_pause::ProcessPause;
@@ -7,8 +7,8 @@
 
 /// Milliseconds between two questions about a lease.
 const CONFIRMATION_INTERVAL_MS: u64 = 500;
-/// Milliseconds after which a lease counts as ended of which nobody tells anything. It bounds how long the seat of a request is lost to
-/// others whose gateway the scaler hears and this one does not.
+/// Milliseconds after which an unconfirmed lease is considered ended. This limits how long a seat is lost if the scaler can
+/// reach the request's gateway and this gateway cannot.
 pub(crate) const LEASE_EXPIRY_MS: u64 = 5_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -17,14 +17,14 @@
     expires_at: u64,
 }
 
-/// Leases by their holders.
+/// Unconfirmed leases by holder.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UnconfirmedLeases {
     leases: HashMap<LeaseHolder, Unconfirmed>,
 }
 
 impl UnconfirmedLeases {
-    /// A lease whose gateway is asked about it now.
+    /// Adds a lease whose gateway is asked about it now.
     pub fn insert(&mut self, now: u64, holder: LeaseHolder) {
         let unconfirmed = Unconfirmed {
             asked_at: now,
@@ -33,7 +33,7 @@
         self.leases.entry(holder).or_insert(unconfirmed);
     }
 
-    /// The process stood still: answers that came meanwhile are not read yet.
+    /// Extends the expiry after a process pause, because answers that arrived meanwhile have not been read yet.
     pub fn restart_timeouts(&mut self, pause: ProcessPause) {
         for lease in self.leases.values_mut() {
             let expires_at = lease
@@ -43,22 +43,22 @@
         }
     }
 
-    /// Whether nothing has been heard of a lease yet.
+    /// Whether a lease is still unconfirmed.
     pub fn contains(&self, holder: &LeaseHolder) -> bool {
         self.leases.contains_key(holder)
     }
 
-    /// Something was heard of a lease, or it has ended.
+    /// Removes a lease that was confirmed or has ended.
     pub fn remove(&mut self, holder: &LeaseHolder) {
         self.leases.remove(holder);
     }
 
-    /// A gateway is gone.
+    /// Removes the leases of a gateway that is gone.
     pub fn remove_gateway(&mut self, gateway: &str) {
         self.leases.retain(|holder, _| holder.gateway != gateway);
     }
 
-    /// Takes the leases of which nothing was heard for long.
+    /// Takes the leases that stayed unconfirmed for too long.
     pub fn take_expired(&mut self, now: u64) -> Vec<LeaseHolder> {
         let leases = self.leases.iter();
         let expired = leases.filter(|(_, lease)| now >= lease.expires_at);
@@ -69,7 +69,7 @@
         expired
     }
 
-    /// Takes the questions that are due, by gateway.
+    /// Takes the leases whose gateways have to be asked again, by gateway.
     pub fn take_due(&mut self, now: u64) -> BTreeMap<String, Vec<RequestId>> {
         let mut due: BTreeMap<String, Vec<RequestId>> = BTreeMap::new();
         for (holder, lease) in &mut self.leases {
--- a/crates/seat_leases/src/wait_queue.rs
+++ b/crates/seat_leases/src/wait_queue.rs
@@ -1,57 +1,57 @@
-//! Requests that wait for a seat of one function: by priority, then in turns of their tenants, then in the order in which they came.
+//! Requests waiting for a seat of one function, ordered by priority, then by the round of their tenant, then by arrival.
 //!
-//! Within a priority each tenant gets a seat in turn, as in fair queueing: the requests of a tenant take one turn after the other, and
-//! the first of a tenant that did not wait takes the turn that is being served. So a tenant that sends many times what others send
-//! waits behind its own requests and not the others behind them. Nothing is kept of tenants that do not wait, but of those that were
-//! served in the present turn.
+//! Within a priority, tenants are served by fair queueing, one seat each per round. A tenant's requests take consecutive
+//! rounds, and the first request of a tenant that was not waiting takes the current round. So a tenant that sends many
+//! times more requests than others waits behind its own requests and does not delay the others. No state is kept of tenants
+//! without waiting requests, except for those served in the current round.
 
 use crate::lease_holder::LeaseHolder;
 use protocol::{LeaseRequest, RequestTenant};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// What goes first, before turns: the tenant's priority, then that of the request. 0 goes first.
+/// Priority of the tenant, then priority of the request. 0 is the highest priority.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RequestClass {
     tenant_priority: u8,
     priority: u8,
 }
 
-/// A request's position in the queue. The least goes first.
+/// A request's position in the queue. The lowest position is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
     class: RequestClass,
-    /// Turn in which its tenant is served with it.
+    /// Round in which the request is served.
     round: u64,
-    /// Number among the requests of the function, in the order in which they came.
+    /// Arrival number within the function.
     arrival: u64,
 }
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingRequest {
     pub holder: LeaseHolder,
-    /// Zone of its gateway.
+    /// Zone of the gateway.
     pub zone: String,
-    /// 0 goes first.
+    /// 0 is the highest priority.
     pub priority: u8,
-    /// The tenant that sends it, if any.
+    /// The tenant that sent it, if any.
     pub tenant: Option<RequestTenant>,
-    /// Runners that failed it.
+    /// Runners that have failed the request.
     pub excluded_runners: Vec<String>,
-    /// Regions that it must not leave; empty where all are allowed.
+    /// Regions that the request may run in; empty if all are allowed.
     pub allowed_regions: Vec<String>,
-    /// Milliseconds of the clock from which a seat is of no use.
+    /// Time in milliseconds of the clock after which a seat is of no use.
     pub deadline: u64,
 }
 
-/// Whose turn it is in one class. Requests without a tenant share one place, under an empty name.
+/// Fair-queueing rounds of one class. Requests without a tenant share one entry under an empty name.
 #[derive(Clone, Debug, Default)]
 struct TenantRounds {
-    /// The turn that is being served.
+    /// The current round.
     current: u64,
-    /// Tenants that were served in it.
+    /// Tenants already served in the current round.
     served: HashSet<String>,
-    /// Turns of the requests that wait, by tenant.
+    /// Rounds of the waiting requests, by tenant.
     waiting: HashMap<String, BTreeSet<u64>>,
 }
 
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WaitQueue {
     waiting: BTreeMap<QueuePosition, WaitingRequest>,
-    /// Of the classes that wait.
+    /// Rounds of the classes with waiting requests.
     rounds: BTreeMap<RequestClass, TenantRounds>,
     arrivals: u64,
 }
@@ -74,7 +74,7 @@
 }
 
 impl WaitingRequest {
-    /// A request of a holder, as of a time.
+    /// Creates a waiting request that arrived at `now`.
     pub fn new(now: u64, holder: LeaseHolder, zone: &str, request: LeaseRequest) -> Self {
         Self {
             holder,
@@ -89,7 +89,7 @@
 }
 
 impl TenantRounds {
-    /// The turn of a tenant's next request.
+    /// The round of a tenant's next request.
     fn next_round(&self, tenant: &str) -> u64 {
         let waiting = self.waiting.get(tenant);
         if let Some(last) = waiting.and_then(BTreeSet::last) {
@@ -151,19 +151,19 @@
         self.waiting.is_empty()
     }
 
-    /// Requests in the order in which they get seats.
+    /// Waiting requests in the order in which they are served.
     pub fn iter(&self) -> impl Iterator<Item = (QueuePosition, &WaitingRequest)> {
         let waiting = self.waiting.iter();
         waiting.map(|(position, request)| (*position, request))
     }
 
-    /// How many requests get a seat before one that comes now.
+    /// Number of requests served before a new request.
     pub fn ahead_of(&self, request: &LeaseRequest) -> usize {
         let position = self.position_for(request);
         self.waiting.range(..=position).count()
     }
 
-    /// The request that gets a seat last, where one that comes now would get it before.
+    /// The last request in the queue, if a new request would precede it.
     pub fn displaced_by(&self, request: &LeaseRequest) -> Option<QueuePosition> {
         let (last, _) = self.waiting.last_key_value()?;
         (self.position_for(request) < *last).then_some(*last)
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Takes out a request that gets a seat: it was its tenant's turn.
+    /// Removes a request that gets a seat, which uses its tenant's share of the round.
     pub fn serve(&mut self, position: QueuePosition) -> Option<WaitingRequest> {
         let request = self.waiting.remove(&position)?;
         if let Some(rounds) = self.rounds.get_mut(&position.class) {
@@ -190,14 +190,14 @@
         Some(request)
     }
 
-    /// Takes out a request that gets no seat.
+    /// Removes a request that gets no seat.
     pub fn remove(&mut self, position: QueuePosition) -> Option<WaitingRequest> {
         let request = self.waiting.remove(&position)?;
         self.remove_from_round(position, &request);
         Some(request)
     }
 
-    /// A request waits no more. Where it was the last of its class nobody is owed a turn.
+    /// Removes a request from its round. The rounds of a class are dropped with its last waiting request.
     fn remove_from_round(&mut self, position: QueuePosition, request: &WaitingRequest) {
         let Some(rounds) = self.rounds.get_mut(&position.class) else {
             return;
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Takes requests out, in the order in which they would get seats.
+    /// Removes matching requests, in the order in which they would be served.
     pub fn take(&mut self, is_taken: impl Fn(&LeaseHolder) -> bool) -> Vec<WaitingRequest> {
         let waiting = self.waiting.iter();
         let positions: Vec<QueuePosition> = waiting
