--- a/crates/autoscaler/src/lib.rs
+++ b/crates/autoscaler/src/lib.rs
@@ -1,30 +1,30 @@
-//! Scaling decisions of the controller that holds the scaler's role, as a pure state machine.
+//! Scaling decisions of the controller that holds the scaler role, as a pure state machine.
 //!
-//! Owners' reports, the platform's lists and answers, and the operator's configuration go in; commands to the platform
-//! and updates for the owners come out. Nothing is stored: a new term learns everything from the lists and reports. The
-//! design and what was changed of it is in docs/source.md.
+//! Inputs are owners' reports, the platform's lists and responses, and the operator's configuration. Outputs are commands
+//! to the platform and updates for the owners. Nothing is persisted: in a new term, the state is rebuilt from the lists and
+//! reports. The design and the deviations from it are described in docs/source.md.
 //!
 //! | step of the design | module |
 //! |---|---|
 //! | forecast of the arrival rate by a Kalman filter | `arrivals` |
 //! | demand and capacity | `load` |
-//! | above alpha: quotas first, then new runners | `scaling_decision`, `quotas`, `starts` |
-//! | least-occupied used worker, then a fresh one | `placement`, `memory_account` |
-//! | below beta after a cooldown: quotas fall | `scaling_decision`, `quotas` |
-//! | a runner at quota zero drains and is stopped once nothing is in flight | `draining`, `ending`, `runner_commands` |
-//! | ours: eviction where memory is short, and the statement to owners that no worker has room | `eviction`, `start_block` |
+//! | above alpha: raise quotas first, then start runners | `scaling_decision`, `quotas`, `starts` |
+//! | least-occupied used worker, then an unused one | `placement`, `memory_account` |
+//! | below beta after a cooldown: lower quotas | `scaling_decision`, `quotas` |
+//! | a runner at quota zero is drained, and stopped once nothing is in flight | `draining`, `ending`, `runner_commands` |
+//! | added to the design: eviction if memory is short, notice to owners that no worker has room | `eviction`, `start_block` |
 //!
-//! | message | handled by | changes |
+//! | input | handled by | effect |
 //! |---|---|---|
-//! | owner's report | `reports` | arrivals, waiting requests and runner states; decides at once if requests wait |
-//! | lists of workers and runners | `listings` | workers, adopted and gone runners |
-//! | operator's configuration, evacuated zones | `configuration` | sizes, priorities, which runners drain |
-//! | answers to starts and stops | `runner_commands` | runner states, retries, pauses |
+//! | owner's report | `reports` | arrivals, waiting requests, runner states; immediate decision if requests are waiting |
+//! | lists of workers and runners | `listings` | workers, adopted and removed runners |
+//! | operator's configuration, evacuated zones | `configuration` | sizes, priorities, runners to drain |
+//! | responses to starts and stops | `runner_commands` | runner states, retries, pauses |
 //! | time | `evaluation`, `ending` | samples, cooldowns, expired drains and starts |
 //!
-//! The state consists of parts that each keep an invariant (`function_table`, `runner_table`, `worker_capacity`,
-//! `start_queue`, `token_bucket`, `update_log`, `stopped_runners`), put together in `state`. Imports run one way: values,
-//! parts, `state`, steps, decision, handlers, and `autoscaler` on top.
+//! The state consists of parts that each maintain an invariant (`function_table`, `runner_table`, `worker_capacity`,
+//! `start_queue`, `token_bucket`, `update_log`, `stopped_runners`) and are combined in `state`. Modules depend on each other
+//! in one direction only, from the bottom: values, parts, `state`, steps, decision, handlers, `autoscaler`.
 
 mod allowed_regions;
 mod arrivals;
--- a/crates/autoscaler/src/listings.rs
+++ b/crates/autoscaler/src/listings.rs
@@ -1,7 +1,8 @@
 //! Reconciles the state with the platform's lists of workers and runners.
 //!
-//! The lists are complete but lag behind. Unknown runners are adopted, whoever started them; this is how a new term learns
-//! what an earlier one started. A runner that was listed and is missing for longer than lists lag is gone.
+//! The lists are complete but lag behind the actual state. Unknown runners are adopted, whoever started them; this is how a
+//! new term learns of runners that an earlier term started. A runner that was listed and has been missing for longer than
+//! lists may lag is gone.
 
 use crate::draining::{apply_evacuation, apply_worker_drain, mark_terminating, withdraw_start};
 use crate::function_configuration::FunctionConfiguration;
@@ -31,8 +32,8 @@
     decide_after_listing(state, is_first);
 }
 
-/// A worker that is not listed is down, so starts on it have failed. Whether its serving runners are gone is decided by
-/// owners' reports and the list of runners.
+/// Handles a worker that is no longer listed. It is down, so starts on it have failed. Whether its serving runners are gone
+/// follows from owners' reports and the list of runners.
 fn handle_unlisted_worker(state: &mut ClusterState, worker: &str) {
     let since = state.now;
     state.runners.forget_account(worker);
@@ -51,7 +52,7 @@
     }
 }
 
-/// Compares the complete list of runners with the known ones.
+/// Reconciles the known runners with the platform's complete list.
 pub(crate) fn update_runners(state: &mut ClusterState, listings: Vec<RunnerListing>) {
     let is_first = state.runners_listed_at.is_none();
     state.runners_listed_at = Some(state.now);
@@ -67,12 +68,13 @@
     decide_after_listing(state, is_first);
 }
 
+/// Makes the decisions that are due after a list was received, once both lists are known.
 fn decide_after_listing(state: &mut ClusterState, is_first: bool) {
     if !state.has_lists() {
         return;
     }
     if is_first {
-        // From now on updates are authoritative, also for functions without runners.
+        // From now on updates are authoritative, including those for functions without runners.
         for name in state.functions.active().clone() {
             state.updates.mark_changed(&name);
             state.functions.make_due(&name);
@@ -121,8 +123,8 @@
     apply_worker_drain(state, serial);
 }
 
-/// A runner that was stopped is listed. If it is listed for longer than lists lag and requests take, the stop failed and
-/// is repeated.
+/// Handles a listed runner that has already been stopped. If it is still listed after lists have caught up and its drain
+/// and requests must have ended, the stop failed and is repeated.
 fn handle_stopped_runner(state: &mut ClusterState, listing: &RunnerListing, stopped_at: u64) {
     let options = &state.options;
     let longest_ms = state.functions.longest_timeout_ms();
@@ -135,7 +137,7 @@
     state.set_runner_state(serial, RunnerState::STOP_NOW);
 }
 
-/// Drops an unconfirmed start that probably gave the listed runner.
+/// Removes an unconfirmed start of the same function on the same worker, which probably resulted in the listed runner.
 fn replace_unconfirmed_start(state: &mut ClusterState, listing: &RunnerListing) {
     let mut placed = state.runners.on_worker(&listing.worker);
     let unconfirmed = placed.find(|(_, runner)| {
@@ -149,7 +151,7 @@
     }
 }
 
-/// Adds a runner that this autoscaler did not start.
+/// Adds a listed runner that this autoscaler did not start. Returns its serial.
 fn adopt(state: &mut ClusterState, listing: &RunnerListing) -> u64 {
     let now = state.now;
     let name = listing.function.as_str();
@@ -193,13 +195,13 @@
     state.add_runner(runner)
 }
 
-/// Forgets runners that are missing from the list for longer than it lags.
+/// Removes runners that have been missing from the list for longer than it may lag.
 fn forget_unlisted(state: &mut ClusterState, listed: &HashSet<&str>) {
     let unlisted_ms = state.options.unlisted_ms();
     let gone = state.runners.mark_unlisted(listed, unlisted_ms, state.now);
     for (serial, id) in gone {
         log::info!("scaler: runner gone runner={id}");
-        // Lists that lag may show it again.
+        // A stale list may still show it.
         state.stopped_runners.record(id, state.now);
         state.forget_runner(serial);
     }
--- a/crates/autoscaler/src/owner_reports.rs
+++ b/crates/autoscaler/src/owner_reports.rs
@@ -1,12 +1,12 @@
-//! The last reports of the gateways that own a function's seats.
+//! The last report of each gateway that owns a function's seats.
 //!
-//! The gateway that owns a function's seats reports what arrived, what waits and what each runner does. While ownership
-//! moves, two gateways may report on one function.
+//! The gateway that owns a function's seats reports the arrivals, the waiting requests and the state of each runner. While
+//! ownership is being transferred, two gateways may report on one function.
 
 use protocol::{FunctionReport, RunnerReport};
 use std::collections::BTreeMap;
 
-/// Milliseconds without a report after which a gateway counts as no owner of the function any more.
+/// Milliseconds without a report after which a gateway no longer counts as an owner of the function.
 pub(crate) const REPORT_TIMEOUT_MS: u64 = 3_000;
 
 /// The last report of one owner.
@@ -20,38 +20,38 @@
 }
 
 impl OwnerReport {
-    /// Whether it was received within the last `limit_ms`.
+    /// Whether the report was received within the last `limit_ms` milliseconds.
     pub fn is_within(&self, limit_ms: u64, now: u64) -> bool {
         self.reported_at + limit_ms > now
     }
 
-    /// Whether its owner counts as one.
+    /// Whether the report is recent enough for its sender to count as an owner.
     pub fn is_current(&self, now: u64) -> bool {
         self.is_within(REPORT_TIMEOUT_MS, now)
     }
 
-    /// Number of the update that the owner held.
+    /// Number of the update that the owner had received when it sent the report.
     pub fn update_number(&self) -> u64 {
         self.update_number
     }
 
-    /// Requests in flight at a runner.
+    /// Number of requests in flight at a runner.
     pub fn in_flight(&self, id: &str) -> u32 {
         self.runners.get(id).map_or(0, |report| report.in_use)
     }
 
-    /// Whether any runner holds a request.
+    /// Whether a request is in flight at any runner.
     pub fn has_requests_in_flight(&self) -> bool {
         self.runners.values().any(|report| report.in_use > 0)
     }
 
-    /// Takes the counter of a zone's arrivals; gives by how much it grew.
+    /// Stores the arrival counter of a zone. Returns its increase since the previous report.
     pub fn update_arrival_counter(&mut self, zone: &str, counter: u64) -> u64 {
         let before = self.arrived_by_zone.insert(zone.to_owned(), counter);
         counter.saturating_sub(before.unwrap_or(0))
     }
 
-    /// Takes all else that a report says.
+    /// Stores everything in a report except the arrivals.
     pub fn replace(&mut self, report: &FunctionReport, now: u64) {
         self.reported_at = now;
         self.update_number = report.update_number;
@@ -68,7 +68,7 @@
 }
 
 impl OwnerReports {
-    /// Whether the owner reported before.
+    /// Whether there is a report of this owner.
     pub fn contains(&self, owner: &str) -> bool {
         self.by_owner.contains_key(owner)
     }
@@ -78,39 +78,39 @@
         self.by_owner.keys()
     }
 
-    /// The reports, in the order of their owners' names.
+    /// The reports, sorted by owner name.
     pub fn iter(&self) -> impl Iterator<Item = &OwnerReport> {
         self.by_owner.values()
     }
 
-    /// The report of an owner, blank where it is new.
+    /// The report of an owner. An empty one is inserted for a new owner.
     pub fn entry(&mut self, owner: &str) -> &mut OwnerReport {
         self.by_owner.entry(owner.to_owned()).or_default()
     }
 
-    /// Forgets an owner.
+    /// Removes the report of an owner.
     pub fn remove(&mut self, owner: &str) {
         self.by_owner.remove(owner);
     }
 
-    /// What an owner reported of a runner before.
+    /// The last report of an owner on a runner.
     pub fn runner(&self, owner: &str, id: &str) -> Option<&RunnerReport> {
         self.by_owner.get(owner)?.runners.get(id)
     }
 
-    /// Requests that wait for a seat, at owners that reported lately.
+    /// Number of requests waiting for a seat, by the current reports.
     pub fn waiting(&self, now: u64) -> u32 {
         let current = self.iter().filter(|report| report.is_current(now));
         current.fold(0, |sum, report| sum.saturating_add(report.waiting))
     }
 
-    /// Whether an owner that reported lately has a request in flight.
+    /// Whether any current report shows a request in flight.
     pub fn has_requests_in_flight(&self, now: u64) -> bool {
         let mut current = self.iter().filter(|report| report.is_current(now));
         current.any(OwnerReport::has_requests_in_flight)
     }
 
-    /// Requests in flight at a runner, by the last report of each owner.
+    /// Number of requests in flight at a runner, by the last report of each owner.
     pub fn in_flight(&self, id: &str) -> u32 {
         let reported = self.iter().map(|report| report.in_flight(id));
         reported.fold(0, u32::saturating_add)
--- a/crates/autoscaler/src/platform.rs
+++ b/crates/autoscaler/src/platform.rs
@@ -1,30 +1,30 @@
-//! Types of the platform's lists and answers, and of the commands to it.
+//! Types for the platform's lists and responses, and for the commands sent to it.
 
 use std::error::Error;
 use std::fmt;
 
-/// A worker on the platform's list. Lists lag behind what happens by up to
+/// An entry in the platform's list of workers. Lists lag behind the actual state by up to
 /// [`AutoscalerOptions::list_lag_ms`](crate::AutoscalerOptions::list_lag_ms).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkerListing {
-    /// Name.
+    /// Name of the worker.
     pub name: String,
-    /// Zone that it stands in.
+    /// Zone in which it is located.
     pub zone: String,
-    /// Memory, in megabytes.
+    /// Total memory, in megabytes.
     pub memory_mb: u64,
-    /// Memory that was free when the list was made, in megabytes.
+    /// Memory that was free when the list was created, in megabytes.
     pub free_mb: u64,
-    /// The platform drains it: it accepts no starts, and its runners are ended.
+    /// Whether the platform is draining it: it accepts no starts, and its runners are terminated.
     pub is_draining: bool,
 }
 
-/// A runner on the platform's list.
+/// An entry in the platform's list of runners.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RunnerListing {
-    /// Id that the platform gave it.
+    /// Id assigned by the platform.
     pub id: String,
-    /// Its function.
+    /// Name of its function.
     pub function: String,
     /// Address (ip and port).
     pub address: String,
@@ -32,38 +32,38 @@
     pub zone: String,
     /// Name of its worker.
     pub worker: String,
-    /// Most requests that it may hold at once.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
-    /// The platform is going to end it.
+    /// Whether the platform is going to terminate it.
     pub is_terminating: bool,
 }
 
-/// The runner that a start gave.
+/// The runner that resulted from a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedRunner {
-    /// Id that the platform gave it.
+    /// Id assigned by the platform.
     pub id: String,
     /// Address (ip and port).
     pub address: String,
 }
 
-/// Why a start gave no runner.
+/// Reason why a start failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartError {
-    /// The worker has no room, is down, is draining or is unknown (409).
+    /// The worker has no room, is down, is draining or is unknown (status 409).
     NoRoom,
-    /// There is no such function (400).
+    /// The platform does not know the function (status 400).
     UnknownFunction,
-    /// Too many commands (429).
+    /// Too many commands were sent (status 429).
     RateLimited,
-    /// No answer came; the start may have been carried out.
+    /// No response arrived. The start may have been carried out.
     Unanswered,
 }
 
 impl fmt::Display for StartError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::NoRoom => "the worker cannot take the runner",
+            Self::NoRoom => "the worker cannot accept the runner",
             Self::UnknownFunction => "the platform does not know the function",
             Self::RateLimited => "the platform limits the rate of commands",
             Self::Unanswered => "the platform did not answer",
@@ -73,16 +73,16 @@
 
 impl Error for StartError {}
 
-/// A command to the platform.
+/// A command for the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunnerCommand {
-    /// Start a runner. Repeating it under the same nonce starts no second one.
+    /// Start a runner. Repeating the command with the same nonce does not start a second one.
     Start {
-        /// The function.
+        /// Name of the function.
         function: String,
         /// Name of the worker.
         worker: String,
-        /// The start's own nonce.
+        /// Nonce that identifies this start.
         nonce: String,
     },
     /// Stop a runner.
