--- a/crates/autoscaler/src/load.rs
+++ b/crates/autoscaler/src/load.rs
@@ -1,41 +1,41 @@
-//! Demand and capacity of one function at one moment: what the design's alpha and beta compare.
+//! Current demand and capacity of one function, which the design's thresholds alpha and beta compare.
 
 use crate::function::Function;
 use crate::state::ClusterState;
 use std::fmt;
 
-/// Requests that wait are to be served within this share of the latency target...
+/// Share of the latency target within which waiting requests should be served.
 const BACKLOG_TARGET_SHARE: f64 = 1.0;
-/// ...but within no less than so many seconds...
+/// Lower bound in seconds of the time within which waiting requests should be served.
 const BACKLOG_TIMEOUT_MIN_S: f64 = 0.3;
-/// ...and no more.
+/// Upper bound in seconds of the time within which waiting requests should be served.
 const BACKLOG_TIMEOUT_MAX_S: f64 = 0.5;
 
-/// Demand and capacity of a function. Rates are in requests a second.
+/// Demand and capacity of a function. Rates are in requests per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
-    /// Rate over about the last second.
+    /// Arrival rate over approximately the last second.
     pub measured_rate: f64,
-    /// Rate that the Kalman filter forecasts.
+    /// Arrival rate forecast by the Kalman filter.
     pub forecast_rate: f64,
-    /// Rate of a burst that the filter has not followed yet.
+    /// Arrival rate of a burst that the filter does not reflect yet.
     pub burst_rate: f64,
-    /// Requests that wait for a seat.
+    /// Number of requests waiting for a seat.
     pub waiting: u32,
-    /// Requests that runners hold.
+    /// Number of requests in flight at runners.
     pub in_flight: u32,
-    /// Rate to be carried, with what waits.
+    /// Rate that the runners have to serve, including the waiting requests.
     pub demand: f64,
-    /// Rate that the quotas of all runners carry, also of those that start.
+    /// Rate that all runners can serve at their quotas, including runners that are starting.
     pub capacity: f64,
-    /// The quotas of these runners, summed.
+    /// Sum of the quotas of these runners.
     pub seats: u32,
-    /// Their number.
+    /// Number of these runners.
     pub runners: usize,
 }
 
 impl Load {
-    /// The load of a function now.
+    /// Computes the current load of a function.
     pub fn of(state: &ClusterState, function: &Function) -> Self {
         let mut load = Self::default();
         load.add_arrivals(state, function);
@@ -44,7 +44,7 @@
         let target_s = f64::from(configuration.latency_target_ms) / 1_000.0;
         let timeout_s =
             (target_s * BACKLOG_TARGET_SHARE).clamp(BACKLOG_TIMEOUT_MIN_S, BACKLOG_TIMEOUT_MAX_S);
-        // What runs now serves some of those that wait before any new runner is up.
+        // Part of the waiting requests is served by the running runners before a new runner could be up.
         let start_s = configuration.start_ms as f64 / 1_000.0;
         let served = (serving - load.rate()).max(0.0) * start_s;
         let unserved = (f64::from(load.waiting) - served).max(0.0);
@@ -52,13 +52,14 @@
         load
     }
 
-    /// Rate of the arrivals, without what waits.
+    /// Highest of the measured, forecast and burst arrival rates, without the waiting requests.
     pub fn rate(&self) -> f64 {
         self.measured_rate
             .max(self.forecast_rate)
             .max(self.burst_rate)
     }
 
+    /// Adds the arrival rates, if the function has recent demand, and the waiting requests.
     fn add_arrivals(&mut self, state: &ClusterState, function: &Function) {
         if function.has_recent_demand(state.now, &state.options) {
             let arrivals = function.arrivals();
@@ -74,7 +75,7 @@
         self.waiting = function.waiting(state.now);
     }
 
-    /// Adds the runners; returns the rate that those which are up can carry.
+    /// Adds the runners. Returns the rate that those that are up can serve.
     fn add_runners(&mut self, state: &ClusterState, function: &Function) -> f64 {
         let mut serving = 0.0;
         for (_, runner) in state.runners_of(function) {
@@ -93,7 +94,7 @@
     }
 }
 
-/// As log lines tell it: rates in requests a second.
+/// Formats the load for log lines, with rates in requests per second.
 impl fmt::Display for Load {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
--- a/crates/autoscaler/src/placement.rs
+++ b/crates/autoscaler/src/placement.rs
@@ -1,7 +1,7 @@
-//! The worker on which a start is placed.
+//! Chooses the worker on which a runner is started.
 //!
-//! The design takes the least-occupied used worker, then a fresh one. On the platform the zone goes first: where the
-//! function's calls come from and it has no runner, and for functions that nobody calls yet the emptiest zone.
+//! The design chooses the least-occupied used worker, then an unused one. Here the zone takes precedence over both: a zone
+//! that calls the function and has no runner of it is preferred, and for a function without calls the emptiest zone.
 
 use crate::function::Function;
 use crate::memory_account::MemoryAccount;
@@ -10,15 +10,16 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Steps of occupancy within which workers count as equally occupied, so that spreading over zones decides.
+/// Number of steps into which occupancy is divided. Workers within one step count as equally occupied, so that the spread
+/// over zones decides between them.
 const OCCUPANCY_STEPS: f64 = 10.0;
 
-/// How well a worker suits a start; the lowest is chosen.
+/// Ranks a worker for a start. The worker that compares lowest is chosen.
 struct Fitness {
     is_outside_preferred_zone: bool,
     has_no_runners: bool,
     occupancy_step: u64,
-    /// Runners of the function in the worker's zone.
+    /// Number of runners of the function in the worker's zone.
     runners_in_zone: usize,
     occupancy: f64,
 }
@@ -38,18 +39,18 @@
     }
 }
 
-/// What a runner is started for.
+/// Reason for starting a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum StartPurpose {
-    /// More load than the present runners carry.
+    /// The load exceeds what the existing runners can serve.
     Load,
-    /// A route that may use none of the present runners.
+    /// A route may use none of the existing runners.
     UncoveredRoute,
-    /// Calls of a region that has no runner.
+    /// This region calls the function often enough for a runner of its own and has none.
     Region(String),
 }
 
-/// Chooses a worker for one more runner of a function; none where no worker has room.
+/// Chooses a worker for one more runner of a function; `None` if no worker has room.
 pub(crate) fn choose_worker(
     state: &mut ClusterState,
     name: &str,
@@ -64,7 +65,7 @@
         _ => allowed_regions(state, function, &runners_by_zone),
     };
     let chosen = best_worker(state, function, &runners_by_zone, &regions);
-    // Where the home of one route is full, load of the others may still go anywhere.
+    // If the allowed regions of one route are full, runners for the load of unrestricted routes may still be placed anywhere.
     let configured = &function.configuration().allowed_regions;
     let may_go_anywhere = *purpose == StartPurpose::Load
         && configured.has_unrestricted_route()
@@ -75,7 +76,7 @@
     }
 }
 
-/// The worker in these regions that suits a runner of the function best.
+/// The best worker in these regions for a runner of the function. An empty list allows all regions.
 fn best_worker(
     state: &ClusterState,
     function: &Function,
@@ -113,6 +114,7 @@
     best.map(|(_, chosen_worker)| chosen_worker.to_owned())
 }
 
+/// Updates the memory accounts of all workers.
 fn refresh_accounts(state: &mut ClusterState) {
     for worker in state.workers.iter() {
         let listed_until = state.workers.listed_until(worker);
@@ -121,6 +123,7 @@
     }
 }
 
+/// Whether a worker accepts starts and has enough free memory for a runner.
 fn has_room(
     state: &ClusterState,
     worker: &Worker,
@@ -131,7 +134,7 @@
     workers.accepts_starts(worker, state.now) && workers.free_mb(worker, account) >= memory_mb
 }
 
-/// Runners of a function that count as capacity, by zone.
+/// Number of runners of a function that count as capacity, by zone.
 fn runners_by_zone<'a>(
     state: &'a ClusterState,
     function: &'a Function,
@@ -145,7 +148,7 @@
     by_zone
 }
 
-/// The regions in which the next runner of a function may stand; empty where all may.
+/// The regions in which the next runner of a function may be placed. Empty if every region is allowed.
 fn allowed_regions(
     state: &ClusterState,
     function: &Function,
@@ -156,8 +159,8 @@
     regions.for_next_runner(&state.options.topology, &zones)
 }
 
-/// The zone of most calls among those without a runner of the function, in a region without one first; the emptiest zone where
-/// there are neither calls nor runners.
+/// The zone with the most calls among those that have no runner of the function; zones in regions without a runner come
+/// first. If there are neither such calls nor runners, the emptiest zone.
 fn preferred_zone<'a>(
     state: &'a ClusterState,
     function: &'a Function,
@@ -188,8 +191,8 @@
     }
 }
 
-/// The zone whose runners take the least memory. Minimal runners that nobody called yet are spread by it, so that the
-/// loss of one worker or zone does not take them all.
+/// The zone whose runners use the least memory. It spreads prewarmed runners that have not been called yet, so that the loss
+/// of one worker or zone does not affect all of them.
 fn emptiest_zone<'a>(
     state: &'a ClusterState,
     is_allowed: &impl Fn(&str) -> bool,
--- a/crates/autoscaler/src/quotas.rs
+++ b/crates/autoscaler/src/quotas.rs
@@ -1,5 +1,5 @@
-//! How many requests owners may send each runner at once: the design's fine-grained step, taken before runners start or
-//! end.
+//! Quotas: how many concurrent requests owners may send to each runner. Adjusting them is the design's fine-grained scaling
+//! step, which comes before runners are started or stopped.
 
 use crate::draining::drain;
 use crate::function::Function;
@@ -8,13 +8,13 @@
 use scaler::RunnerQuota;
 use std::collections::BTreeSet;
 
-/// Runners whose quotas may rise: those that count as capacity, and those that can be revived.
+/// Quotas that may be raised: those of runners that count as capacity or can resume serving.
 pub(crate) fn growable(state: &ClusterState, function: &Function) -> Vec<RunnerQuota> {
     let can_grow = |_: u64, runner: &Runner| runner.counts_as_capacity() || runner.can_resume();
     select_quotas(state, function, can_grow)
 }
 
-/// Runners whose quotas may fall: those that count as capacity and are known to exist, but for some that are kept.
+/// Quotas that may be lowered: those of runners that count as capacity and are known to exist, except for the `kept` ones.
 pub(crate) fn shrinkable(
     state: &ClusterState,
     function: &Function,
@@ -34,7 +34,7 @@
     let runners = state.runners_of(function);
     let accepted = runners.filter(|(serial, runner)| accepts(*serial, runner));
     let runner_quotas = accepted.map(|(serial, runner)| RunnerQuota {
-        // The serials in equal lengths, so that ties go by age.
+        // Zero-padded serials, so that ties are resolved by age.
         id: format!("{serial:020}"),
         quota: runner.quota,
         most: runner.max_quota,
@@ -43,7 +43,7 @@
     runner_quotas.collect()
 }
 
-/// Applies the quotas in the given order. Returns whether any changed.
+/// Applies the quotas in the given order. Returns whether any of them changed.
 pub(crate) fn apply(state: &mut ClusterState, runner_quotas: &[RunnerQuota]) -> bool {
     let mut has_changed = false;
     for runner_quota in runner_quotas {
@@ -55,7 +55,8 @@
     has_changed
 }
 
-/// Sets one quota. A runner at zero drains; one that drained and gets a quota serves again.
+/// Sets the quota of one runner and returns whether it changed. A quota of zero drains the runner; a higher quota makes a
+/// drained surplus runner resume serving.
 pub(crate) fn set_quota(state: &mut ClusterState, serial: u64, quota: u32) -> bool {
     let Some(runner) = state.runners.get(serial) else {
         return false;
--- a/crates/autoscaler/src/regional_runners.rs
+++ b/crates/autoscaler/src/regional_runners.rs
@@ -1,14 +1,14 @@
-//! Runners near their callers: a region whose own calls fill enough of a runner's seats gets a runner of its own.
+//! Places runners close to their callers: a region whose calls fill enough of a runner's seats gets a runner of its own.
 //!
-//! One runner could serve all regions where each calls little. Once a region would fill a fair share of a runner, the runner costs less
-//! than the way to another region, there and back, of each of its calls.
+//! If every region makes few calls, one runner can serve all of them. Once the calls of a region fill the configured share
+//! of a runner, an additional runner costs less than the round trip of each call to another region.
 
 use crate::function::Function;
 use crate::runner::Runner;
 use crate::state::ClusterState;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A region that calls enough for a runner of its own and has none.
+/// The busiest region that makes enough calls for a runner of its own and has none.
 pub(crate) fn unserved_region(state: &ClusterState, function: &Function) -> Option<String> {
     let share = state.options.policy.region_share;
     let served = served_regions(state, function);
@@ -20,7 +20,7 @@
     busiest.map(|(region, _)| region.to_owned())
 }
 
-/// Runners that are the only ones in a region that calls enough for one.
+/// Serials of the runners that are the only ones in a region that makes enough calls to keep one.
 pub(crate) fn kept_runners(state: &ClusterState, function: &Function) -> BTreeSet<u64> {
     let policy = &state.options.policy;
     let share = policy.region_share * policy.region_kept_part;
@@ -33,7 +33,7 @@
     only.collect()
 }
 
-/// Regions whose calls fill this share of a runner's seats, with the seats that they fill.
+/// Regions whose calls fill at least this share of a runner's seats, with the number of seats that they fill.
 fn busy_regions<'a>(
     state: &'a ClusterState,
     function: &'a Function,
@@ -60,7 +60,7 @@
         .collect()
 }
 
-/// The runners that count as capacity, by region.
+/// Serials of the function's runners that count as capacity, by region.
 fn served_regions<'a>(
     state: &'a ClusterState,
     function: &'a Function,
