--- a/crates/autoscaler/src/reports.rs
+++ b/crates/autoscaler/src/reports.rs
@@ -6,7 +6,7 @@
 use crate::state::ClusterState;
 use protocol::{FunctionReport, RunnerReport};
 
-/// Handles an owner's report on a function. If requests wait, the function is decided about at once.
+/// Handles an owner's report on a function. If requests are waiting, a scaling decision is made immediately.
 pub(crate) fn handle_report(state: &mut ClusterState, owner: &str, report: &FunctionReport) {
     let now = state.now;
     let name = report.function.as_str();
@@ -49,20 +49,20 @@
     }
 }
 
-/// The difference to the owner's previous report. Counters only grow.
+/// Computes the change since the owner's previous report. The counters in reports never decrease.
 fn observation(report: &RunnerReport, before: Option<&RunnerReport>) -> RunnerObservation {
     let (succeeded, duration_ms) =
         before.map_or((0, 0), |one| (one.succeeded, one.total_duration_ms));
     RunnerObservation {
-        answers: report.succeeded.saturating_sub(succeeded),
+        responses: report.succeeded.saturating_sub(succeeded),
         total_ms: report.total_duration_ms.saturating_sub(duration_ms),
-        holds_requests: report.in_use > 0,
+        has_requests_in_flight: report.in_use > 0,
         is_up: report.is_up && !report.is_gone,
         is_unreachable: report.is_gone,
     }
 }
 
-/// An owner reported that a runner cannot be reached any more.
+/// Handles an owner's report that a runner cannot be reached any more.
 fn handle_unreachable(state: &mut ClusterState, serial: u64) {
     let Some(runner) = state.runners.get(serial) else {
         return;
--- a/crates/autoscaler/src/runner.rs
+++ b/crates/autoscaler/src/runner.rs
@@ -1,62 +1,62 @@
-//! A runner and its lifecycle.
+//! A runner, its lifecycle states and its measured service time.
 
 use protocol::RunnerStage;
 
-/// Answers over which the mean service time is smoothed.
-const SERVICE_TIME_ANSWERS: f64 = 20.0;
-/// Milliseconds for which a runner must have been idle before it may be drained to make room for another function.
+/// Number of responses over which the mean service time is smoothed.
+const SERVICE_TIME_RESPONSES: f64 = 20.0;
+/// Milliseconds for which a runner must have been idle before it may be evicted to make room for another function.
 const EVICTION_IDLE_MS: u64 = 1_000;
 
-/// Why a runner gets no new requests.
+/// Reason why a runner is draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DrainReason {
-    /// There are more than needed. It can be revived.
+    /// The function has more runners than it needs. The runner can resume serving.
     Surplus,
     /// Its zone is evacuated.
     ZoneEvacuated,
-    /// The configuration no longer names its function.
+    /// The configuration no longer contains its function.
     FunctionRemoved,
     /// No route of its function may use a runner in its region any more.
     RegionNotAllowed,
 }
 
-/// State in the lifecycle of a runner. Times are in milliseconds of the caller's clock.
+/// Lifecycle state of a runner. Times are in milliseconds of the caller's clock.
 ///
 /// ```text
 /// StartPending <-> StartRequested -> Starting -> Serving <-> Draining -> StopPending <-> StopRequested
 /// ```
 ///
-/// A start that was commanded but is not needed any more is `StartUnconfirmed`. A runner that owners cannot reach is
-/// `Unreachable`. A runner that the platform ends by itself is `Terminating`.
+/// A start that was commanded but is no longer needed is `StartUnconfirmed`. A runner that owners cannot reach is
+/// `Unreachable`. A runner that the platform terminates on its own is `Terminating`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunnerState {
-    /// Its start is to be commanded, at the earliest at that time.
+    /// The start command will be sent, at `not_before` at the earliest.
     StartPending { not_before: u64 },
-    /// Its start is commanded and not answered.
+    /// The start command has been sent, and the response is outstanding.
     StartRequested,
-    /// It was started and is not known to be up.
+    /// The platform has started the runner, but it is not known to be up yet.
     Starting,
-    /// It serves.
+    /// The runner serves requests.
     Serving,
-    /// It gets no new requests and is stopped once it holds none.
+    /// The runner receives no new requests and is stopped once none is in flight.
     Draining { reason: DrainReason, since: u64 },
-    /// The platform ends it.
+    /// The platform terminates the runner.
     Terminating { since: u64 },
-    /// Owners cannot reach it.
+    /// Owners cannot reach the runner.
     Unreachable { since: u64 },
-    /// Its start was commanded, is not answered and is not needed any more; the runner may exist.
+    /// The start command was sent but not answered, and the runner is no longer needed. It may exist.
     StartUnconfirmed { since: u64 },
-    /// Its stop is to be commanded, at the earliest at that time.
+    /// The stop command will be sent, at `not_before` at the earliest.
     StopPending { not_before: u64 },
-    /// Its stop is commanded and not answered.
+    /// The stop command has been sent, and the response is outstanding.
     StopRequested,
 }
 
 impl RunnerState {
-    /// The stop is to be commanded with the next commands.
+    /// The stop command is due immediately.
     pub const STOP_NOW: Self = Self::StopPending { not_before: 0 };
 
-    /// A runner in this state counts as capacity, now or soon.
+    /// Whether a runner in this state serves requests or is going to.
     pub fn counts_as_capacity(self) -> bool {
         matches!(
             self,
@@ -65,105 +65,107 @@
     }
 }
 
-/// Mean time that a runner takes to answer a request.
+/// Mean time that a runner takes to respond to a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServiceTime {
     mean_ms: f64,
-    answers: u64,
+    responses: u64,
 }
 
 impl ServiceTime {
-    /// Nothing was measured yet; the mean starts from the function's value.
+    /// Creates a mean without measurements that starts at the function's expected service time.
     pub fn unmeasured(initial_ms: f64) -> Self {
         Self {
             mean_ms: initial_ms,
-            answers: 0,
+            responses: 0,
         }
     }
 
-    /// Adds a number of answers and the milliseconds that they took in total.
-    pub fn observe(&mut self, answers: u64, total_ms: u64) {
-        if answers == 0 {
+    /// Adds a number of responses and their total duration in milliseconds.
+    pub fn observe(&mut self, responses: u64, total_ms: u64) {
+        if responses == 0 {
             return;
         }
-        let mean_ms = (total_ms as f64 / answers as f64).max(1.0);
-        self.answers += answers;
-        let share = answers as f64 / (self.answers as f64).min(SERVICE_TIME_ANSWERS);
+        let mean_ms = (total_ms as f64 / responses as f64).max(1.0);
+        self.responses += responses;
+        let share = responses as f64 / (self.responses as f64).min(SERVICE_TIME_RESPONSES);
         self.mean_ms += share.min(1.0) * (mean_ms - self.mean_ms);
     }
 
-    /// The mean in milliseconds; none before the first answer.
+    /// The mean in milliseconds; `None` before the first response.
     pub fn measured_ms(&self) -> Option<f64> {
-        (self.answers > 0).then_some(self.mean_ms)
+        (self.responses > 0).then_some(self.mean_ms)
     }
 }
 
-/// A runner. Only [`RunnerTable`](crate::runner_table::RunnerTable) gives it out to be changed.
+/// A runner. It is modified only through [`RunnerTable`](crate::runner_table::RunnerTable), which keeps its indexes
+/// consistent.
 #[derive(Clone, Debug)]
 pub(crate) struct Runner {
-    /// Its function.
+    /// Name of its function.
     pub function: String,
-    /// Nonce of its start; empty where it was found on a list.
+    /// Nonce of its start; empty if the runner was adopted from a list.
     pub nonce: String,
-    /// Id that the platform gave it, once it is known.
+    /// Id assigned by the platform, once known.
     pub id: Option<String>,
-    /// Address (ip and port), once it is known.
+    /// Address (ip and port), once known.
     pub address: String,
     /// Zone of its worker.
     pub zone: String,
-    /// Its worker.
+    /// Name of its worker.
     pub worker: String,
-    /// Memory that it takes, in megabytes.
+    /// Memory that it uses, in megabytes.
     pub memory_mb: u64,
-    /// Requests that owners may send it at once.
+    /// Number of concurrent requests that owners may send to it.
     pub quota: u32,
-    /// Highest quota that it may have.
+    /// Upper limit of the quota.
     pub max_quota: u32,
-    /// Requests that it may hold at once according to the platform's list.
+    /// Maximum number of concurrent requests according to the platform's list.
     pub capacity: u32,
-    /// Its state.
+    /// Lifecycle state.
     pub state: RunnerState,
-    /// When its start was first commanded; none where it was not or where nothing was taken by it.
+    /// Time at which its start was first commanded; `None` if it was not, or if the platform rejected it and no memory was
+    /// allocated.
     pub start_requested_at: Option<u64>,
-    /// When it began to start.
+    /// Time at which its start began.
     pub started_at: u64,
-    /// Attempts to start it that failed.
+    /// Number of failed attempts to start it.
     pub failed_attempts: u32,
-    /// When its id became known.
+    /// Time at which its id became known.
     pub id_known_at: u64,
-    /// It was reached or listed at least once.
+    /// Whether it has been reached or listed at least once.
     pub is_up: bool,
-    /// An owner reported that it is gone.
+    /// Whether an owner has reported it as unreachable.
     pub is_unreachable: bool,
-    /// A list showed it.
+    /// Whether a list has shown it.
     pub was_listed: bool,
-    /// Since when lists do not show it.
+    /// Time since which lists do not show it.
     pub unlisted_since: Option<u64>,
-    /// Number of the update that first told owners that it drains; 0 until that is made.
+    /// Number of the first update that includes it as draining; 0 until that update is created.
     pub drain_update: u64,
-    /// When it was last seen to hold or answer requests.
+    /// Time at which it was last reported to have requests in flight or new responses.
     pub last_used_at: u64,
-    /// How long it takes for a request.
+    /// Measured service time.
     pub service_time: ServiceTime,
 }
 
 impl Runner {
-    /// Whether it counts as capacity, now or soon.
+    /// Whether it serves requests or is going to.
     pub fn counts_as_capacity(&self) -> bool {
         self.state.counts_as_capacity()
     }
 
-    /// Whether it counts as capacity but does not serve yet.
+    /// Whether it counts as capacity but is not serving yet.
     pub fn is_pending(&self) -> bool {
         self.counts_as_capacity() && self.state != RunnerState::Serving
     }
 
-    /// Time from which it may be evicted, if it is not used again.
+    /// Time from which it may be evicted if it is not used again.
     pub fn evictable_at(&self) -> u64 {
         self.last_used_at + EVICTION_IDLE_MS
     }
 
-    /// Whether it drains only because it was not needed, so that it may serve again.
+    /// Whether it is draining only because it was surplus, so that it may serve again.
     pub fn can_resume(&self) -> bool {
         matches!(
             self.state,
@@ -174,7 +176,7 @@
         )
     }
 
-    /// The stage that updates to owners give; none if they do not include it.
+    /// The stage shown in updates to owners; `None` if they do not include the runner.
     pub fn stage(&self) -> Option<RunnerStage> {
         self.id.as_ref()?;
         match self.state {
--- a/crates/autoscaler/src/runner_commands.rs
+++ b/crates/autoscaler/src/runner_commands.rs
@@ -1,7 +1,7 @@
-//! Commands to the platform and its answers.
+//! Commands to the platform, and its responses.
 //!
-//! Within the platform's rate, starts for which requests wait go first, then stops, then other starts. A start that got
-//! no answer is repeated under its nonce, so that the platform starts no second runner for it.
+//! Within the platform's rate limit, starts with waiting requests are sent first, then stops, then other starts. A start
+//! without a response is repeated with the same nonce, so that the platform does not start a second runner for it.
 
 use crate::draining::{
     apply_evacuation, apply_worker_drain, has_requests_in_flight, withdraw_start,
@@ -12,18 +12,18 @@
 use crate::start_queue::{QueuedStart, StartUrgency};
 use crate::state::ClusterState;
 
-/// Milliseconds before the first retry of a start; they double with each one.
+/// Delay in milliseconds before the first retry of a start. It doubles with each retry.
 const START_RETRY_MS: u64 = 250;
-/// Milliseconds before a later retry of a start, at the most.
+/// Maximum delay in milliseconds before a retry of a start.
 const START_RETRY_MAX_MS: u64 = 4_000;
-/// Attempts after which the time before a retry stops doubling.
+/// Number of failed attempts after which the delay no longer doubles.
 const START_RETRY_DOUBLINGS: u32 = 5;
-/// Milliseconds before a stop is repeated.
+/// Delay in milliseconds before a stop is retried.
 const STOP_RETRY_MS: u64 = 500;
-/// Milliseconds for which no runner is started of a function that the platform does not know.
+/// Milliseconds for which starts of a function are paused after the platform responded that it does not know the function.
 const REFUSED_PAUSE_MS: u64 = 5_000;
 
-/// The commands to give now.
+/// Takes the commands to send now.
 pub(crate) fn take_commands(state: &mut ClusterState) -> Vec<RunnerCommand> {
     state.command_rate.refill(state.now);
     let mut commands = Vec::new();
@@ -42,7 +42,7 @@
     }
 }
 
-/// The command of a queued start; none if it is not due yet or its worker accepts no starts any more.
+/// Takes the command of a queued start; `None` if it is not due yet or its worker no longer accepts starts.
 fn take_start(state: &mut ClusterState, queued: QueuedStart) -> Option<RunnerCommand> {
     let serial = queued.serial;
     let runner = state.runners.get(serial);
@@ -56,7 +56,7 @@
     }
     let function = runner.function.clone();
     if !can_start(state, runner) {
-        // The next decision starts a runner on another worker, under a new nonce.
+        // The decision below starts a runner on another worker, with a new nonce.
         withdraw_start(state, serial);
         decide(state, &function);
         return None;
@@ -72,6 +72,7 @@
     Some(command)
 }
 
+/// Time from which the start command may be sent; `None` if no start is pending.
 fn due_at(runner: &Runner) -> Option<u64> {
     match runner.state {
         RunnerState::StartPending { not_before } => Some(not_before),
@@ -79,8 +80,8 @@
     }
 }
 
-/// Whether a start may be sent to its worker. A repeated start ignores the pause after another start found no room, since
-/// its own memory may be taken already.
+/// Whether a start may be sent to its worker. A repeated start ignores the pause that follows a start without room, because
+/// its own memory may already be allocated.
 fn can_start(state: &ClusterState, runner: &Runner) -> bool {
     let Some(worker) = state.workers.get(&runner.worker) else {
         return false;
@@ -100,7 +101,7 @@
     }
 }
 
-/// The command of a stop that is due. A reachable runner with requests in flight is not stopped.
+/// Takes the command of a stop that is due. A reachable runner with requests in flight is not stopped.
 fn take_stop(state: &mut ClusterState, serial: u64) -> Option<RunnerCommand> {
     let runner = state.runners.get(serial)?;
     if !runner.is_unreachable && has_requests_in_flight(state, runner) {
@@ -122,7 +123,7 @@
     Some(RunnerCommand::Stop { id })
 }
 
-/// Handles the platform's answer to a start. Answers to unknown nonces are ignored.
+/// Handles the platform's response to a start. Responses to unknown nonces are ignored.
 pub(crate) fn handle_start_result(
     state: &mut ClusterState,
     nonce: &str,
@@ -141,7 +142,7 @@
     let StartedRunner { id, address } = started;
     let known = state.runners.serial_of_id(&id);
     if known.is_some_and(|other| other != serial) {
-        // The runner was adopted from a list before the answer came.
+        // The runner was adopted from a list before the response arrived.
         state.forget_runner(serial);
         return;
     }
@@ -197,7 +198,7 @@
     decide_due(state);
 }
 
-/// Queues the same start once more, under the same nonce.
+/// Queues the same start again, with the same nonce, after a delay.
 fn retry_start(state: &mut ClusterState, serial: u64, name: &str) {
     let attempts = state.runners.count_failed_attempt(serial);
     let doublings = attempts.min(START_RETRY_DOUBLINGS).saturating_sub(1);
@@ -208,7 +209,8 @@
     state.queue_start(serial, name, StartUrgency::for_waiting(is_waiting));
 }
 
-/// Handles the platform's answer to a stop: done (or runner unknown), or to be retried.
+/// Handles the platform's response to a stop. `is_done` is true if the runner is stopped or unknown to the platform;
+/// otherwise the stop is retried.
 pub(crate) fn handle_stop_result(state: &mut ClusterState, id: &str, is_done: bool) {
     let Some(serial) = state.runners.serial_of_id(id) else {
         return;
--- a/crates/autoscaler/src/runner_table.rs
+++ b/crates/autoscaler/src/runner_table.rs
@@ -1,37 +1,37 @@
-//! All runners, with their indexes and the memory that they take on each worker.
+//! All runners, with their indexes and their memory usage on each worker.
 
 use crate::memory_account::MemoryAccount;
 use crate::runner::{DrainReason, Runner, RunnerState};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// Effect of a state change on other parts of the state.
+/// Describes a state change to the parts of the state that depend on it.
 #[derive(Clone, Debug)]
 pub(crate) struct StateChange {
-    /// Function of the runner.
+    /// Name of the runner's function.
     pub function: String,
-    /// The stage in updates to owners changed.
+    /// Whether the stage in updates to owners changed.
     pub has_new_stage: bool,
 }
 
-/// What an owner observed of a runner since its last report.
+/// Changes that an owner observed at a runner since its previous report.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunnerObservation {
-    /// Good answers that came.
-    pub answers: u64,
-    /// Milliseconds that these took together.
+    /// Number of successful responses.
+    pub responses: u64,
+    /// Total duration of these responses in milliseconds.
     pub total_ms: u64,
-    /// Requests are in flight at it.
-    pub holds_requests: bool,
-    /// It was reached.
+    /// Whether requests are in flight.
+    pub has_requests_in_flight: bool,
+    /// Whether the runner has been reached.
     pub is_up: bool,
-    /// It cannot be reached any more.
+    /// Whether the runner cannot be reached any more.
     pub is_unreachable: bool,
 }
 
-/// Runners by serial. A runner has the same serial throughout its lifecycle.
+/// Runners by serial. A runner keeps its serial throughout its lifecycle.
 ///
-/// All changes of runners go through this table, so that the indexes by id, nonce, worker and state, and the memory
-/// accounts of workers, match the runners at any time.
+/// Runners are modified only through this table, so that the indexes by id, nonce, worker and state and the memory accounts
+/// of workers always match the runners.
 #[derive(Debug, Default)]
 pub(crate) struct RunnerTable {
     runners: BTreeMap<u64, Runner>,
@@ -39,41 +39,41 @@
     by_id: HashMap<String, u64>,
     by_nonce: BTreeMap<String, u64>,
     by_worker: BTreeMap<String, BTreeSet<u64>>,
-    /// Runners that do not count as capacity any more.
+    /// Runners that no longer count as capacity.
     ending: BTreeSet<u64>,
-    /// Runners that were started and are not known to be up.
+    /// Runners that have been started but are not known to be up yet.
     starting: BTreeSet<u64>,
-    /// Accounts of workers, but for those where something has changed since they were summed.
+    /// Memory accounts by worker. An account is removed when a runner on the worker changes, and computed again when needed.
     accounts: BTreeMap<String, MemoryAccount>,
 }
 
 impl RunnerTable {
-    /// The runner of a serial.
+    /// The runner with this serial.
     pub fn get(&self, serial: u64) -> Option<&Runner> {
         self.runners.get(&serial)
     }
 
-    /// Serial of the runner with an id.
+    /// Serial of the runner with this id.
     pub fn serial_of_id(&self, id: &str) -> Option<u64> {
         self.by_id.get(id).copied()
     }
 
-    /// Serial of the runner that was started under a nonce.
+    /// Serial of the runner that was started with this nonce.
     pub fn serial_of_nonce(&self, nonce: &str) -> Option<u64> {
         self.by_nonce.get(nonce).copied()
     }
 
-    /// The serial that the next runner gets.
+    /// Serial that the next inserted runner will get.
     pub fn next_serial(&self) -> u64 {
         self.last_serial + 1
     }
 
-    /// All serials, the oldest first.
+    /// All serials, oldest first.
     pub fn serials(&self) -> Vec<u64> {
         self.runners.keys().copied().collect()
     }
 
-    /// The runners of these serials, the oldest first.
+    /// The runners with these serials, oldest first.
     pub fn select<'a>(
         &'a self,
         serials: &'a BTreeSet<u64>,
@@ -82,23 +82,23 @@
         serials.filter_map(|serial| Some((*serial, self.runners.get(serial)?)))
     }
 
-    /// Runners that take memory on a worker, as far as is known.
+    /// The known runners on a worker, including those whose start has not been commanded yet.
     pub fn on_worker(&self, worker: &str) -> impl Iterator<Item = (u64, &Runner)> {
         let serials = self.by_worker.get(worker).into_iter().flatten();
         serials.filter_map(|serial| Some((*serial, self.runners.get(serial)?)))
     }
 
-    /// Serials of runners that do not count as capacity any more.
+    /// Serials of the runners that no longer count as capacity.
     pub fn ending(&self) -> Vec<u64> {
         self.ending.iter().copied().collect()
     }
 
-    /// Runners that were started and are not known to be up.
+    /// Runners that have been started but are not known to be up yet.
     pub fn starting(&self) -> impl Iterator<Item = (u64, &Runner)> {
         self.select(&self.starting)
     }
 
-    /// Adds a runner and gives its serial.
+    /// Adds a runner and returns its serial.
     pub fn insert(&mut self, runner: Runner) -> u64 {
         self.last_serial += 1;
         let serial = self.last_serial;
@@ -115,7 +115,7 @@
         serial
     }
 
-    /// Removes a runner.
+    /// Removes a runner and returns it.
     pub fn remove(&mut self, serial: u64) -> Option<Runner> {
         let runner = self.runners.remove(&serial)?;
         self.accounts.remove(&runner.worker);
@@ -134,7 +134,7 @@
         Some(runner)
     }
 
-    /// Puts a runner into another state; none where it is gone or in that state already.
+    /// Changes the state of a runner. Returns `None` if it does not exist or is already in that state.
     pub fn set_state(&mut self, serial: u64, state: RunnerState) -> Option<StateChange> {
         let runner = self.runners.get_mut(&serial)?;
         if runner.state == state {
@@ -161,7 +161,7 @@
         })
     }
 
-    /// The start of a runner is commanded, for the first time or again.
+    /// Records that the start of a runner is commanded, for the first time or again.
     pub fn request_start(&mut self, serial: u64, now: u64) {
         let Some(runner) = self.runners.get_mut(&serial) else {
             return;
@@ -174,14 +174,14 @@
         runner.state = RunnerState::StartRequested;
     }
 
-    /// A start that was commanded took no memory.
+    /// Records that a commanded start allocated no memory.
     pub fn clear_start_request(&mut self, serial: u64) {
         if let Some(runner) = self.runners.get_mut(&serial) {
             runner.start_requested_at = None;
         }
     }
 
-    /// Counts a failed attempt to start a runner; returns their number.
+    /// Counts a failed attempt to start a runner. Returns the number of failed attempts so far.
     pub fn count_failed_attempt(&mut self, serial: u64) -> u32 {
         let Some(runner) = self.runners.get_mut(&serial) else {
             return 0;
@@ -190,14 +190,14 @@
         runner.failed_attempts
     }
 
-    /// The start is to be commanded again, under the same nonce.
+    /// Schedules the start to be commanded again with the same nonce.
     pub fn retry_start(&mut self, serial: u64, not_before: u64) {
         if let Some(runner) = self.runners.get_mut(&serial) {
             runner.state = RunnerState::StartPending { not_before };
         }
     }
 
-    /// The platform started a runner under this id.
+    /// Records the id and address of a runner that the platform has started.
     pub fn assign_id(&mut self, serial: u64, id: &str, address: String, now: u64) {
         let Some(runner) = self.runners.get_mut(&serial) else {
             return;
@@ -212,21 +212,21 @@
         self.by_id.insert(id.to_owned(), serial);
     }
 
-    /// The stop of a runner is commanded.
+    /// Records that the stop of a runner is commanded.
     pub fn request_stop(&mut self, serial: u64) {
         if let Some(runner) = self.runners.get_mut(&serial) {
             runner.state = RunnerState::StopRequested;
         }
     }
 
-    /// The stop is to be commanded again.
+    /// Schedules the stop to be commanded again.
     pub fn retry_stop(&mut self, serial: u64, not_before: u64) {
         if let Some(runner) = self.runners.get_mut(&serial) {
             runner.state = RunnerState::StopPending { not_before };
         }
     }
 
-    /// A runner that drains does so for another reason; since when stays.
+    /// Changes the reason why a runner is draining. The start time of the drain is kept.
     pub fn set_drain_reason(&mut self, serial: u64, reason: DrainReason) {
         let Some(runner) = self.runners.get_mut(&serial) else {
             return;
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Sets how many requests owners may send a runner at once.
+    /// Sets the number of concurrent requests that owners may send to a runner.
     pub fn set_quota(&mut self, serial: u64, quota: u32) {
         if let Some(runner) = self.runners.get_mut(&serial) {
             runner.quota = quota;
@@ -270,7 +270,7 @@
         exceeds_max
     }
 
-    /// Applies what an owner observed of a runner. Returns the runner's state, or none if the function has no such runner.
+    /// Applies an owner's observation of a runner. Returns the runner's state, or `None` if the function has no such runner.
     pub fn observe(
         &mut self,
         serial: u64,
@@ -283,10 +283,12 @@
             return None;
         }
         let RunnerObservation {
-            answers, total_ms, ..
+            responses,
+            total_ms,
+            ..
         } = observation;
-        runner.service_time.observe(answers, total_ms);
-        if answers > 0 || observation.holds_requests {
+        runner.service_time.observe(responses, total_ms);
+        if responses > 0 || observation.has_requests_in_flight {
             runner.last_used_at = now;
         }
         runner.is_up |= observation.is_up;
@@ -294,14 +296,14 @@
         Some(runner.state)
     }
 
-    /// A runner was reached or listed.
+    /// Records that a runner was reached or listed.
     pub fn mark_up(&mut self, serial: u64) {
         if let Some(runner) = self.runners.get_mut(&serial) {
             runner.is_up = true;
         }
     }
 
-    /// A list shows a runner. Returns its state.
+    /// Records that a list shows a runner. Returns its state.
     pub fn mark_listed(&mut self, serial: u64) -> Option<RunnerState> {
         let runner = self.runners.get_mut(&serial)?;
         runner.was_listed = true;
@@ -309,8 +311,8 @@
         Some(runner.state)
     }
 
-    /// Records which runners are missing from a list. Returns those that are gone: they were listed once, and have been
-    /// missing for longer than lists lag.
+    /// Records which runners are missing from a list. Returns those that are gone: they were listed before and have been
+    /// missing for longer than lists may lag. A terminating runner is gone as soon as it is missing.
     pub fn mark_unlisted(
         &mut self,
         listed: &HashSet<&str>,
@@ -340,13 +342,13 @@
         gone
     }
 
-    /// Sums the runners on a worker whose newest list shows all starts before `listed_until`.
+    /// Computes the memory account of a worker. The newest list shows all starts before `listed_until`.
     pub fn sum_account(&self, worker: &str, listed_until: u64) -> MemoryAccount {
         let runners = self.on_worker(worker).map(|(_, runner)| runner);
         MemoryAccount::sum(runners, listed_until)
     }
 
-    /// Sums the account of a worker where something has changed since it was summed last.
+    /// Computes the memory account of a worker again if a runner on it has changed.
     pub fn refresh_account(&mut self, worker: &str, listed_until: u64) {
         if !self.accounts.contains_key(worker) {
             let account = self.sum_account(worker, listed_until);
@@ -354,12 +356,12 @@
         }
     }
 
-    /// The account of a worker as it was refreshed; none where something has changed since.
+    /// The memory account of a worker; `None` if a runner on it has changed since the last refresh.
     pub fn account(&self, worker: &str) -> Option<&MemoryAccount> {
         self.accounts.get(worker)
     }
 
-    /// Forgets the account of a worker that is not listed any more.
+    /// Removes the memory account of a worker that is no longer listed.
     pub fn forget_account(&mut self, worker: &str) {
         self.accounts.remove(worker);
     }
