--- a/crates/gateway/src/controller_links.rs
+++ b/crates/gateway/src/controller_links.rs
@@ -307,7 +307,7 @@
     }
 
     /// Records a connection that was opened to a controller.
-    pub fn connection_opened(&mut self, address: &str, connection: ConnectionId, now: u64) {
+    pub fn opened(&mut self, address: &str, connection: ConnectionId, now: u64) {
         if let Some(link) = self.links.get_mut(address) {
             link.connection = Some(connection);
             link.heard_at = now;
@@ -316,7 +316,7 @@
     }
 
     /// Records that the connection to a controller is established.
-    pub fn connection_established(&mut self, address: &str) {
+    pub fn established(&mut self, address: &str) {
         if let Some(link) = self.links.get_mut(address) {
             link.is_established = true;
             link.hung_attempts.reset();
@@ -324,7 +324,7 @@
     }
 
     /// Records that the connection to a controller has ended.
-    pub fn connection_ended(&mut self, address: &str) {
+    pub fn ended(&mut self, address: &str) {
         if let Some(link) = self.links.get_mut(address) {
             link.reset();
         }
--- a/crates/gateway/src/controller_messages.rs
+++ b/crates/gateway/src/controller_messages.rs
@@ -189,8 +189,7 @@
         let Some(connection) = connection else {
             return;
         };
-        self.controllers
-            .connection_opened(address, connection, self.now);
+        self.controllers.opened(address, connection, self.now);
         self.pauses.confirmation.link_opened(address);
         let hello = frame(&Message::GatewayHello(self.identity.clone()));
         self.connections.send(connection, &hello);
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -195,7 +195,7 @@
     /// Handles the end of a link to another daemon.
     pub fn link_closed(&mut self, id: ConnectionId) {
         match self.connections.role(id) {
-            Some(ConnectionRole::Controller(address)) => self.controllers.connection_ended(address),
+            Some(ConnectionRole::Controller(address)) => self.controllers.ended(address),
             // This also applies if another link to the peer is in use: links may be accepted in another order than
             // they were opened, and messages over both may concern the same requests. Once all links have ended, the
             // state is agreed anew.
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -214,9 +214,7 @@
                 self.probe_connected(id, &probed);
             }
             Some(ConnectionRole::Upstream(_)) => self.send_upstream_request(id),
-            Some(ConnectionRole::Controller(address)) => {
-                self.controllers.connection_established(address)
-            }
+            Some(ConnectionRole::Controller(address)) => self.controllers.established(address),
             _ => {}
         }
     }
--- a/crates/gateway/tests/unit/controller_links.rs
+++ b/crates/gateway/tests/unit/controller_links.rs
@@ -55,8 +55,7 @@
     fn begin(&mut self, now: u64) {
         let task = self.links.next_task(&self.address, now, TIMING);
         assert_eq!(task, LinkTask::Connect, "at {now}");
-        self.links
-            .connection_opened(&self.address, self.connection, now);
+        self.links.opened(&self.address, self.connection, now);
     }
 
     /// The time at which a link that began at `from` is closed.
@@ -83,7 +82,7 @@
 fn an_established_link_is_kept_until_the_silence_timeout() {
     let mut links = Links::new();
     links.begin(100);
-    links.links.connection_established(&links.address);
+    links.links.established(&links.address);
     assert!(links.timed_out_at(100) > 100 + TIMING.silence_ms);
 }
 
@@ -100,8 +99,8 @@
     }
     assert_eq!(timeouts, [200, 200, 400, 400, 800, 800, 1_600]);
     links.begin(now);
-    links.links.connection_established(&links.address);
-    links.links.connection_ended(&links.address);
+    links.links.established(&links.address);
+    links.links.ended(&links.address);
     now += TIMING.interval_ms;
     links.begin(now);
     assert_eq!(links.timed_out_at(now), now + FIRST_TIMEOUT_MS);
@@ -113,7 +112,7 @@
     links.begin(100);
     assert!(links.links.accept_membership_changes(&links.address));
     assert!(!links.links.accept_membership_changes(&links.address));
-    links.links.connection_ended(&links.address);
+    links.links.ended(&links.address);
     links.begin(10_000);
     assert!(links.links.accept_membership_changes(&links.address));
     assert!(!links.links.accept_membership_changes("127.0.0.1:9"));
@@ -134,7 +133,7 @@
     assert_eq!(is_new(110), Some(true));
     assert_eq!(is_new(120), Some(false));
     // Messages sent over the former link may have been lost with it.
-    links.links.connection_ended(&links.address);
+    links.links.ended(&links.address);
     links.connection = links.connect();
     links.begin(600);
     links.links.record_heartbeat(&links.address, state(1));
