--- a/crates/consensus/src/action.rs
+++ b/crates/consensus/src/action.rs
@@ -1,26 +1,26 @@
-//! What the daemon does for its consensus.
+//! Actions that the consensus requests from the controller daemon.
 
 use crate::disk_work::DiskWork;
 use crate::message::ConsensusMessage;
 use register::ChangeOutcome;
 
-/// What the daemon does for its consensus. The order of actions counts.
+/// An action for the controller daemon. Actions must be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConsensusAction {
-    /// Send a message to the controller at an address. It may get lost.
+    /// Send a message to another controller. Delivery is not guaranteed.
     Send {
         /// The controller's address.
         to: String,
         /// The message.
         message: ConsensusMessage,
     },
-    /// Give this to the disk's thread, in the order of the actions.
+    /// Queue work for the disk thread, in the order of the actions.
     Disk(DiskWork),
-    /// A read or write has ended.
+    /// A read or write has completed.
     RequestCompleted {
-        /// Token that it was requested with.
+        /// Token that the caller passed with the request.
         token: u64,
-        /// How it ended.
+        /// Outcome of the request.
         outcome: ChangeOutcome,
     },
     /// A newer value is known to be committed.
@@ -30,11 +30,11 @@
         /// Version of the value.
         version: u64,
     },
-    /// This controller holds the scaler role from now on.
+    /// This controller now holds the scaler role.
     RoleAcquired {
-        /// Number that fences all that the holder does.
+        /// Fencing term for all commands of the role holder.
         term: u64,
     },
-    /// This controller holds the scaler role no more.
+    /// This controller no longer holds the scaler role.
     RoleLost,
 }
--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -1,5 +1,5 @@
-//! The coordinator: it owns the parts, gives each message, disk completion and tick to them, and puts what follows into
-//! actions. The files below this one each handle one concern of the protocol.
+//! Coordinator of the consensus state machine. It owns the components, passes messages, disk completions and ticks to
+//! them, and turns their results into actions. Each submodule implements one concern of the protocol.
 
 mod changes;
 mod contact;
@@ -33,18 +33,18 @@
 use std::sync::Arc;
 use voter::MembershipChange;
 
-/// Pause after the start before the own voter is compared with what is committed, in milliseconds.
+/// Delay after start before the own voter is first compared with the committed values, in milliseconds.
 const FIRST_REPAIR_AFTER_MS: u64 = 1_000;
 
-/// A controller's part in all that controllers decide among themselves.
+/// Consensus state machine of one controller.
 ///
-/// It does no I/O: [`Consensus::on_message`], [`Consensus::on_disk`] and [`Consensus::tick`] take what has happened,
-/// and [`Consensus::take_actions`] gives out what is to be done. All times are milliseconds of one monotonic clock.
+/// It performs no I/O. [`Consensus::on_message`], [`Consensus::on_disk`] and [`Consensus::tick`] are its inputs, and
+/// [`Consensus::take_actions`] returns the resulting actions. All times are milliseconds of one monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Consensus {
     options: ConsensusOptions,
     random: StdRng,
-    /// Random id of this run of the controller; another one once its disk was emptied.
+    /// Random id of this run of the controller. Replaced when the disk is reset.
     incarnation: u64,
     actions: Vec<ConsensusAction>,
     sets: VoterSets,
@@ -53,7 +53,7 @@
     peers: PeerTable,
     heartbeats: HeartbeatSchedule,
     contact: ContactLease,
-    /// Whether contact with a majority lasted when it was last looked at.
+    /// Whether this controller was in contact with a majority at the last check.
     has_contact: bool,
     changes: PendingChanges,
     role: ScalerRole,
@@ -65,7 +65,7 @@
 }
 
 impl Consensus {
-    /// Begins an incarnation, from what the own voter's disk holds.
+    /// Starts a new incarnation from the state stored by the own voter.
     pub fn new(options: ConsensusOptions, now: u64, voter: VoterSnapshot) -> Self {
         let mut random = StdRng::seed_from_u64(options.seed);
         let incarnation = new_incarnation(&mut random);
@@ -98,7 +98,7 @@
         consensus
     }
 
-    /// Takes a message from the controller that is reached at an address.
+    /// Handles a message from the controller at the given address.
     pub fn on_message(&mut self, now: u64, from: &str, message: ConsensusMessage) {
         self.expire_leases(now);
         if self.admit(from) {
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Takes what the disk's thread has done. Completions come in the order in which it gave them.
+    /// Handles a completion of the disk thread. Completions must be passed in the order in which the thread returned
+    /// them.
     pub fn on_disk(&mut self, now: u64, completion: DiskCompletion) {
         self.expire_leases(now);
         match completion {
@@ -178,7 +179,7 @@
 
     fn on_voter_state(&mut self, now: u64, snapshot: VoterSnapshot) {
         if snapshot.is_open && !self.sets.is_disk_trusted() {
-            // A lease that this voter backed before its disk failed may still be held.
+            // This voter may have backed a lease before its disk failed, and that lease may still be held.
             self.role.withhold_promises(now);
         }
         self.sets.set_disk_trusted(snapshot.is_open);
@@ -192,7 +193,7 @@
         self.poll_missing_values(now);
     }
 
-    /// Lets time pass. It is called every 50 ms or so, and at [`Consensus::next_deadline`].
+    /// Advances time. Must be called about every 50 ms and at [`Consensus::next_deadline`].
     pub fn tick(&mut self, now: u64) {
         self.expire_leases(now);
         self.start_required_reads(now);
@@ -203,7 +204,7 @@
         self.advance(now);
     }
 
-    /// What follows from any change: it comes last in every call.
+    /// Performs the follow-up steps of any state change. Called at the end of every input.
     fn advance(&mut self, now: u64) {
         self.update_contact(now);
         self.poll_changes(now);
@@ -211,7 +212,7 @@
         self.send_due_heartbeats(now);
     }
 
-    /// When a change that pauses, or a planned campaign, goes on, where that is soon.
+    /// The time at which the next paused change or planned campaign continues, if there is one.
     pub fn next_deadline(&self) -> Option<u64> {
         let pause_end = self.changes.next_pause_end();
         pause_end
@@ -220,7 +221,7 @@
             .min()
     }
 
-    /// Takes out what is to be done, in its order.
+    /// Returns the pending actions in the order in which they must be carried out, and clears them.
     #[must_use]
     pub fn take_actions(&mut self) -> Vec<ConsensusAction> {
         std::mem::take(&mut self.actions)
@@ -232,12 +233,12 @@
         Some((value.version, &value.bytes))
     }
 
-    /// The term under which this controller holds the scaler role at this moment.
+    /// The term under which this controller holds the scaler role at this time, if it does.
     pub fn role_term(&self, now: u64) -> Option<u64> {
         self.role.held_term(now)
     }
 
-    /// Addresses of this controller and all others that are known, in their order.
+    /// Sorted addresses of this controller and of all other known controllers.
     pub fn known_controllers(&self) -> Vec<String> {
         let voters = self.sets.newest().voters.iter();
         let voters = voters.map(|voter| voter.address.clone());
@@ -247,17 +248,17 @@
         all.into_iter().collect()
     }
 
-    /// Whether all required keys were read at a majority in this incarnation.
+    /// Whether all required keys have been read from a majority in this incarnation.
     pub fn has_read_required_keys(&self) -> bool {
         self.reads.are_complete()
     }
 
-    /// The newest set of voters that is known to be committed; epoch 0 where none is.
+    /// The newest voter set that is known to be committed; epoch 0 if none is.
     pub fn voter_set(&self) -> &VoterSet {
         self.sets.newest()
     }
 
-    /// Where this controller stands with the set of voters.
+    /// Relation of this controller to the voter set.
     pub fn membership_state(&self) -> MembershipState {
         if self.is_resetting() {
             return MembershipState::Resetting;
@@ -265,7 +266,7 @@
         self.sets.membership_state()
     }
 
-    /// What this controller is doing, in a few words for operators.
+    /// Short description of the current state for operators.
     pub fn status(&self) -> String {
         let version = self.sets.version();
         match self.reads.first_unread() {
--- a/crates/consensus/src/consensus/changes.rs
+++ b/crates/consensus/src/consensus/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of registers: proposed to a majority of voters, from the first request to the outcome.
+//! Register changes: proposing them to a majority of voters and tracking them until they complete.
 
 use super::Consensus;
 use crate::action::ConsensusAction;
@@ -16,23 +16,25 @@
     VoterSet,
 };
 
-/// Most changes of the daemon that are under way at once.
+/// Maximum number of concurrent changes requested by the daemon.
 const MAX_CLIENT_CHANGES: usize = 64;
-/// Most bytes of a value.
+/// Maximum size of a value in bytes.
 const MAX_VALUE_BYTES: usize = 4 << 20;
-/// Longest pause after a higher ballot was met, in milliseconds. It is random, so that two proposers do not race.
+/// Maximum pause after meeting a higher ballot, in milliseconds. The pause is random so that two proposers do not
+/// keep preempting each other.
 const MAX_CONTENTION_PAUSE_MS: u64 = 10;
-/// Most milliseconds by which the pause between proposals of voter sets is longer than that between retries.
+/// Maximum random addition to the retry pause between proposals of voter sets, in milliseconds.
 const SET_PROPOSAL_JITTER_MS: u64 = 400;
 
 impl Consensus {
-    /// Reads a register at a majority. The outcome comes as [`ConsensusAction::RequestCompleted`] with the token.
+    /// Reads a register from a majority. The result is reported as [`ConsensusAction::RequestCompleted`] with this
+    /// token.
     pub fn read(&mut self, now: u64, token: u64, key: &str) {
         self.start_client_change(now, token, key, Change::Read);
     }
 
-    /// Writes a register at a majority where its version is the expected one. The outcome comes as
-    /// [`ConsensusAction::RequestCompleted`] with the token.
+    /// Writes a register at a majority if its version is the expected one. The result is reported as
+    /// [`ConsensusAction::RequestCompleted`] with this token.
     pub fn write(&mut self, now: u64, token: u64, key: &str, expected: u64, bytes: Vec<u8>) {
         if bytes.len() > MAX_VALUE_BYTES {
             return self.reject_client_change(token, "the value is too large");
@@ -61,7 +63,7 @@
             .push(ConsensusAction::RequestCompleted { token, outcome });
     }
 
-    /// Begins reads of required registers that have not been read yet, or not recently enough.
+    /// Starts reads of required registers that have not been read yet or were not read recently enough.
     pub(super) fn start_required_reads(&mut self, now: u64) {
         if !self.sets.has_set() {
             return;
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Starts a change of a register under the set that is known.
+    /// Starts a change of a register under the newest known voter set.
     pub(super) fn propose(&mut self, now: u64, purpose: ChangePurpose, key: &str, change: Change) {
         let set = self.sets.newest().clone();
         if !self.sets.has_set() {
@@ -104,19 +106,20 @@
         }
     }
 
-    /// Whether a caller's change had better wait until this controller has the value that is on its way to it.
+    /// Whether a client's change should be delayed because this controller is still about to receive the register's
+    /// value.
     fn is_early(&self, now: u64, purpose: ChangePurpose, key: &str) -> bool {
         let is_client = matches!(purpose, ChangePurpose::Client(_));
         is_client && REQUIRED_KEYS.contains(&key) && self.awaits_value(now, key)
     }
 
-    /// Asks every voter something new.
+    /// Starts a new round: sends the current operation to every voter.
     fn start_round(&mut self, now: u64, id: u64) {
         self.changes.start_round(id);
         self.send_to_missing(now, id);
     }
 
-    /// Asks those voters that have not responded yet.
+    /// Sends the request of the current round to all voters that have not responded yet.
     fn send_to_missing(&mut self, now: u64, id: u64) {
         let Some(change) = self.changes.get_mut(id) else {
             return;
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Gives a request to this controller's voter, unless it is about a scaler role that is leased.
+    /// Passes a request to the own voter. Prepare requests for the scaler role are rejected while the role is leased.
     pub(super) fn on_voter_request(
         &mut self,
         now: u64,
@@ -185,7 +188,7 @@
         self.send(to, message);
     }
 
-    /// Takes the own voter's response, for this controller or for another one.
+    /// Routes the own voter's response to this controller or to the controller that sent the request.
     pub(super) fn on_own_voter_response(
         &mut self,
         now: u64,
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Takes a voter's response. It counts for the member whose disk gave it, wherever that is reached.
+    /// Handles a voter's response. It counts for the member whose disk sent it, regardless of the sender's address.
     pub(super) fn on_voter_response(
         &mut self,
         now: u64,
@@ -228,8 +231,8 @@
         }
     }
 
-    /// A voter is in another set: one of the two learns the newer. An empty voter is just not there yet. All voters are
-    /// asked again.
+    /// Handles a response from a voter that is in another set: whichever side has the older set learns the newer one.
+    /// An empty voter has not installed a set yet. The request is sent to all voters again.
     fn on_other_set(&mut self, now: u64, from: &str, set: &VoterSet) {
         if set.version() > self.sets.version() {
             return self.learn_set(now, set);
@@ -268,7 +271,7 @@
             return;
         };
         if let ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) = &outcome {
-            // Jobs come and go by the thousand; nobody replicates them here.
+            // Job registers number in the thousands and are not replicated by every controller.
             if !register::is_job_key(change.key()) {
                 self.learn_committed(now, change.key(), stored);
             }
@@ -308,7 +311,7 @@
         }
     }
 
-    /// Goes on with what has paused, asks again, and ends what has had its time.
+    /// Retries changes whose pause has ended, resends unanswered requests, and ends changes that have timed out.
     pub(super) fn poll_changes(&mut self, now: u64) {
         for id in self.changes.ids() {
             let Some(change) = self.changes.get(id) else {
@@ -339,7 +342,7 @@
         self.start_round(now, id);
     }
 
-    /// Begins all changes anew under a newer set. What was begun about the older one is dropped.
+    /// Restarts all changes under a newer voter set. Changes that only apply to the old set are dropped.
     pub(super) fn move_changes(&mut self, now: u64) {
         self.changes.drop_bound_to_set();
         for id in self.changes.ids() {
--- a/crates/consensus/src/consensus/contact.rs
+++ b/crates/consensus/src/consensus/contact.rs
@@ -1,18 +1,18 @@
-//! Whether what a controller knows may pass for current: it needs contact with a majority of the newest set, and
-//! to have read everything at a majority since that contact began.
+//! Decides whether this controller's state is current. This requires contact with a majority of the newest voter set,
+//! and a read of every required key from a majority since that contact began.
 
 use super::Consensus;
 use crate::message::Heartbeat;
 
 impl Consensus {
-    /// Whether a majority of the newest known set has lately acknowledged a heartbeat of this controller.
+    /// Whether a majority of the newest known voter set has recently acknowledged a heartbeat of this controller.
     pub fn is_in_contact(&self, now: u64) -> bool {
         let disk = self.sets.own_disk();
         self.contact.is_held(now, self.sets.newest(), disk)
     }
 
-    /// Whether what this controller knows may be published as the newest: it is in contact, and has read all keys at a
-    /// majority since it came into contact.
+    /// Whether this controller's state may be published as the newest: it is in contact, and has read all required
+    /// keys from a majority since contact began.
     pub fn is_current(&self, now: u64) -> bool {
         self.has_contact
             && self.is_in_contact(now)
@@ -20,15 +20,15 @@
             && self.reads.are_confirmed()
     }
 
-    /// Addresses of other controllers that were heard lately and said that they are in contact.
+    /// Addresses of other live controllers that reported to be in contact with a majority.
     pub fn peers_in_contact(&self, now: u64) -> Vec<String> {
         let live = self.peers.live(now);
         let in_contact = live.filter(|(_, heartbeat)| heartbeat.is_in_contact);
         in_contact.map(|(address, _)| address.clone()).collect()
     }
 
-    /// A heartbeat acknowledges what its sender heard from this controller. A sender that knows a newer set counts no
-    /// more under the one that is known here.
+    /// Records the acknowledgement contained in a heartbeat. It is ignored if the sender knows a newer voter set,
+    /// because the sender no longer counts as a member of the set known here.
     pub(super) fn on_acknowledgement(&mut self, heartbeat: &Heartbeat) {
         let acknowledged = heartbeat.acknowledged;
         let is_of_newer_set = heartbeat.known_set > self.sets.version();
@@ -39,8 +39,8 @@
             .record_acknowledgement(heartbeat.disk, acknowledged.number);
     }
 
-    /// Notes where contact has begun or ended. It comes first and last in every call, so that a controller that was
-    /// frozen sees the end before anything can renew the lease.
+    /// Records when contact begins or ends. It runs first and last in every input, so that a controller that was
+    /// frozen sees the end of its contact before any message can renew the lease.
     pub(super) fn update_contact(&mut self, now: u64) {
         let is_in_contact = self.is_in_contact(now);
         if is_in_contact == self.has_contact {
--- a/crates/consensus/src/consensus/heartbeats.rs
+++ b/crates/consensus/src/consensus/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: to whom they go, what they say, and what follows from those of others.
+//! Heartbeats: recipients, contents, and handling of received ones.
 
 use super::Consensus;
 use crate::keys::{REPLICATED_KEYS, SCALER_ROLE_KEY};
@@ -9,13 +9,13 @@
 use register::VoterRef;
 use std::collections::BTreeSet;
 
-/// Longest time between heartbeats while no voters are known, in milliseconds.
+/// Maximum heartbeat interval while no voter set is known, in milliseconds.
 const BOOTSTRAP_INTERVAL_MS: u64 = 100;
-/// Most members whose reachability a heartbeat tells, one bit for each.
+/// Maximum number of members whose reachability is reported in a heartbeat, one bit each.
 const MAX_REACHABLE_BITS: usize = 64;
 
 impl Consensus {
-    /// Takes further addresses at which other controllers may be found.
+    /// Replaces the list of seed addresses.
     pub fn update_seeds(&mut self, seeds: Vec<String>) {
         self.options.seeds = seeds;
         self.admit_seeds();
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Knows an address from now on, where there is room for it. False for this controller's own.
+    /// Adds a peer address if there is room. Returns false for this controller's own address.
     pub(super) fn admit(&mut self, address: &str) -> bool {
         let (sets, seeds) = (&self.sets, &self.options.seeds);
         let is_permanent = |address: &str| {
@@ -36,7 +36,7 @@
         self.peers.admit(address, is_permanent)
     }
 
-    /// Forgets controllers outside the set that have been silent for long.
+    /// Removes non-member peers that have been silent for a long time.
     pub(super) fn forget_silent_peers(&mut self, now: u64) {
         let (sets, seeds) = (&self.sets, &self.options.seeds);
         let is_permanent = |address: &str| {
@@ -45,7 +45,7 @@
         self.peers.forget_silent(now, is_permanent);
     }
 
-    /// Address of a member: where its disk was heard last, else what the set says.
+    /// Current address of a member: where its disk was last heard from, otherwise its address in the voter set.
     pub(super) fn locate(&self, voter: &VoterRef) -> String {
         if voter.disk == self.sets.own_disk() {
             return self.options.address.clone();
@@ -53,7 +53,7 @@
         self.peers.locate(voter)
     }
 
-    /// Sends heartbeats where their time has come, or where something is new.
+    /// Sends heartbeats if the interval has elapsed or a change is to be reported.
     pub(super) fn send_due_heartbeats(&mut self, now: u64) {
         if !self.heartbeats.is_due(now) {
             return;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Members notify all controllers that live; the others notify members and seeds.
+    /// Members send heartbeats to all live controllers; other controllers send them to members and seeds.
     fn heartbeat_receivers(&self, now: u64) -> BTreeSet<String> {
         let members = self.sets.newest().voters.iter();
         let members = members.map(|voter| voter.address.clone());
@@ -94,7 +94,7 @@
         receivers
     }
 
-    /// What this controller says of itself, but for what it says to each one.
+    /// Builds a heartbeat without its recipient-specific fields.
     fn heartbeat(&self, now: u64, number: u64) -> Heartbeat {
         let live = self.peers.live(now);
         let live: BTreeSet<u64> = live.map(|(_, heartbeat)| heartbeat.disk).collect();
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Whichever of two controllers knows the older set learns the newer one.
+    /// Compares the voter sets known to both sides, so that the side with the older set learns the newer one.
     fn compare_sets(&mut self, from: &str, heartbeat: &Heartbeat) {
         let version = self.sets.version();
         if heartbeat.known_set > version {
@@ -154,7 +154,7 @@
         if heartbeat.own_set.epoch > 0 || !self.sets.has_set() {
             return;
         }
-        // A member that is named by its disk and still empty missed the forming of the first set.
+        // A member that is listed by its disk but still empty has missed the formation of the first set.
         let is_member = self.sets.is_member_disk(heartbeat.disk);
         let is_first_set = version.number == 1 && self.sets.own() == self.sets.newest();
         if is_member && is_first_set {
@@ -165,8 +165,8 @@
         }
     }
 
-    /// A heartbeat says under which term its sender claims the scaler role, if it does. This controller acknowledges the
-    /// claim where its voter backs it.
+    /// Handles the scaler role claim in a heartbeat. Sends an acknowledgement if the own voter backs the claimed
+    /// lease.
     fn on_role_claim(&mut self, now: u64, from: &str, heartbeat: &Heartbeat) {
         let (incarnation, number, term) =
             (heartbeat.incarnation, heartbeat.number, heartbeat.role_term);
--- a/crates/consensus/src/consensus/installation.rs
+++ b/crates/consensus/src/consensus/installation.rs
@@ -1,4 +1,4 @@
-//! How an empty voter that the newest set names gathers all that it must hold, before it votes.
+//! Installation: an empty voter that is in the newest voter set copies the replicas of other members before it votes.
 
 use super::Consensus;
 use crate::disk_work::DiskWork;
@@ -8,12 +8,13 @@
 use register::{SetVersion, VoterRef};
 use voter::Installation;
 
-/// Silence after which nothing is taken to be on its way from a member, in milliseconds. Behind a slow link a heartbeat
-/// may wait for a page that is on its way.
+/// Silence after which no page is assumed to be in transit from a member, in milliseconds. On a slow link, heartbeats
+/// may be queued behind a page.
 const SOURCE_SILENT_AFTER_MS: u64 = 2_000;
 
 impl Consensus {
-    /// Members whose replicas count: the others of this set, and all of the set before, if it is known.
+    /// Members whose replicas may be copied: the other members of the newest set, and all members of the previous set
+    /// if known.
     fn replica_sources(&self) -> Vec<VoterRef> {
         let mut sources = self.sets.newest().voters.clone();
         for voter in self.sets.previous().iter().flat_map(|set| &set.voters) {
@@ -26,7 +27,7 @@
         sources
     }
 
-    /// Requests other members' replicas, as a member that holds nothing yet.
+    /// Requests replica pages from other members while the own voter is empty.
     pub(super) fn poll_installation(&mut self, now: u64) {
         if !self.copies.poll(now) {
             return;
@@ -64,7 +65,7 @@
         });
     }
 
-    /// Takes a page of a member's replica, as long as this controller's voter is empty and has a place in the set.
+    /// Handles a replica page if the own voter is empty and in the newest set.
     pub(super) fn on_replica_page(&mut self, now: u64, page: ReplicaPage) {
         let mut sources = self.replica_sources().into_iter();
         let source = sources.find(|source| source.disk == page.disk);
@@ -81,15 +82,16 @@
         }
     }
 
-    /// Votes from now on, where enough copies are complete; before that, this controller's disk never voted.
+    /// Installs the copied state once enough copies are complete. The own voter has never voted on this disk before.
     fn install(&mut self, now: u64) {
         let set = self.sets.newest().clone();
         if !self.copies.are_sufficient(&set, self.sets.previous()) {
             return;
         }
         let (claim_floors, registers) = self.copies.take_merged();
-        // No member of an old set backs a lease any more that a majority of it had backed, since one of
-        // them gave its copy here. What they had backed must be over before this controller's voter promises.
+        // A lease backed by a majority of an older set can no longer be renewed, since a member of that majority has
+        // given its copy under the newest set. It must still expire before the own voter promises the role to
+        // another controller.
         let mut states = registers.iter();
         if states.any(|(key, state)| key == SCALER_ROLE_KEY && state.value.version > 0) {
             self.role.withhold_promises(now);
--- a/crates/consensus/src/consensus/leaving.rs
+++ b/crates/consensus/src/consensus/leaving.rs
@@ -1,4 +1,4 @@
-//! How a controller whose place another took leaves the set and becomes a newcomer, without a restart.
+//! Leaving: a replaced controller leaves the voter set and rejoins as an empty one without a restart.
 
 use super::{new_incarnation, Consensus};
 use crate::departure::Departure;
@@ -14,7 +14,7 @@
         departure.is_some_and(Departure::is_resetting)
     }
 
-    /// Keeps this controller's replica until the newest set can do without it, and gives it up then.
+    /// Keeps this controller's replica until the newest set no longer depends on it, then resets the disk.
     pub(super) fn poll_departure(&mut self, now: u64) {
         let departure = self.departure.get_or_insert_with(|| Departure::new(now));
         let is_request_due = departure.poll_request(now);
@@ -41,7 +41,7 @@
         self.give_to_disk(DiskWork::ConfirmInstalled { to, set_version });
     }
 
-    /// A member confirmed that it durably is in a set.
+    /// Records that a member has durably installed a set.
     pub(super) fn on_installed(&mut self, disk: u64, set_version: SetVersion) {
         let is_newest = set_version == self.sets.version();
         if let Some(departure) = self.departure.as_mut().filter(|_| is_newest) {
@@ -70,8 +70,8 @@
         self.change_own_set(DiskWork::Reset(identity));
     }
 
-    /// The disk was emptied: this controller is another one from now on, which has voted for nothing. What it
-    /// knows of others, and which values are committed, stays true. Without an identity the disk failed.
+    /// Handles the end of a disk reset. The controller continues under a new identity that has never voted. Its
+    /// knowledge of peers and of committed values stays valid. No identity means that the disk failed.
     pub(super) fn on_reset_ended(&mut self, now: u64, identity: Option<u64>) {
         self.sets.end_disk_work();
         self.departure = None;
--- a/crates/consensus/src/consensus/membership.rs
+++ b/crates/consensus/src/consensus/membership.rs
@@ -1,4 +1,4 @@
-//! The voter set: how controllers learn it, form the first one, and propose the next.
+//! Voter set membership: learning sets, forming the first one, and proposing changes.
 
 use super::Consensus;
 use crate::disk_work::DiskWork;
@@ -10,13 +10,14 @@
 use std::collections::BTreeSet;
 use voter::{MembershipChange, MembershipStep, MembershipView};
 
-/// Most members whose reachability a heartbeat tells, one bit for each.
+/// Maximum number of members whose reachability is reported in a heartbeat, one bit each.
 const MAX_REACHABLE_BITS: usize = 64;
-/// An odd set grows only where this many controllers wait outside it: an even set tolerates no more losses.
+/// Number of spare controllers required before an odd set grows to an even size. An even set tolerates no more losses
+/// than the odd set below it.
 const MIN_SPARES_FOR_EVEN_SET: u8 = 2;
 
 impl Consensus {
-    /// Learns a set that is committed; an older one is ignored.
+    /// Records a committed set and adopts it. Older sets are ignored.
     pub(super) fn learn_set(&mut self, now: u64, set: &VoterSet) {
         if !self.sets.learn(set) {
             return;
@@ -38,7 +39,7 @@
         self.move_changes(now);
     }
 
-    /// Lets this controller's own voter follow into the newest set.
+    /// Moves the own voter to the newest set if it is in an older one of the same epoch.
     fn adopt_newest_set(&mut self) {
         if self.sets.needs_adoption() {
             let set = self.sets.newest().clone();
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Gives a change of the own voter's set to the disk.
+    /// Submits disk work that changes the set of the own voter.
     pub(super) fn change_own_set(&mut self, work: DiskWork) {
         self.sets.start_disk_work();
         self.give_to_disk(work);
@@ -63,7 +64,7 @@
         self.sets.learn_previous(update);
     }
 
-    /// Takes the first set, where it names this disk and the voter is empty.
+    /// Handles the first set. It is taken only if it contains this disk and the own voter is empty.
     pub(super) fn on_form_voter_set(&mut self, set: &VoterSet) {
         let own_disk = self.sets.own_disk();
         let is_named = set.voters.iter().any(|voter| voter.disk == own_disk);
@@ -79,7 +80,7 @@
         self.send(to, ConsensusMessage::VoterSet(update));
     }
 
-    /// Sends all members the newest set.
+    /// Sends the newest set to all other members.
     pub(super) fn spread_voter_set(&mut self) {
         for voter in self.sets.newest().voters.clone() {
             let to = self.locate(&voter);
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Takes this controller's next step into the set of voters, or out of it.
+    /// Performs the next step of joining, installing, voting or leaving.
     pub(super) fn poll_membership(&mut self, now: u64) {
         if !self.sets.is_disk_trusted() || self.sets.has_disk_work() {
             return;
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Forms the first set, where this controller is the first seed and all seeds say that they are empty.
+    /// Forms the first set if this controller is the first seed and all other seeds report that they are empty.
     fn form_first_set(&mut self) {
         let mut seeds: Vec<&String> = Vec::new();
         for seed in &self.options.seeds {
@@ -132,7 +133,7 @@
         }));
     }
 
-    /// A seed as a voter of the first set, where it said that it is empty and starts for the first time.
+    /// A seed as a voter of the first set, if it is empty and starting for the first time.
     fn founder(&self, seed: &str) -> Option<VoterRef> {
         if seed == self.options.address {
             return Some(self.own_ref());
@@ -153,11 +154,12 @@
         }
     }
 
-    /// Asks for a place in the set.
+    /// Proposes a voter set that includes this controller.
     fn request_place(&mut self, now: u64) {
         let voting = self.live_voting_members(now);
         if voting.len() < self.sets.newest().majority() {
-            // A silent member is only told apart from a partition of its own by a controller that hears a majority.
+            // Only a controller that hears from a majority can tell that a member is down rather than that it is
+            // partitioned itself.
             self.membership_change = MembershipChange::default();
             return;
         }
@@ -171,7 +173,7 @@
         self.propose_set(now, &next);
     }
 
-    /// Newest heartbeats of live members that are in the newest set.
+    /// Latest heartbeats of live members that have installed the newest set.
     fn live_voting_members(&self, now: u64) -> Vec<Heartbeat> {
         let version = self.sets.version();
         let live = self.peers.live(now).map(|(_, heartbeat)| heartbeat);
@@ -181,7 +183,7 @@
         voting.cloned().collect()
     }
 
-    /// The set that gives this controller a place: a silent member's, or a further one.
+    /// The next set that includes this controller: it replaces a silent member, or is added to the set.
     fn next_set_with_place(&mut self, now: u64, voting: &[Heartbeat]) -> Option<VoterSet> {
         let me = self.own_ref();
         let reachable = self.reachable_disks(now, voting);
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Disks that this controller hears, and those of members that a voting member hears.
+    /// Disks that this controller hears from, and members that any voting member hears from.
     fn reachable_disks(&self, now: u64, voting: &[Heartbeat]) -> Vec<u64> {
         let live = self.peers.live(now);
         let mut reachable: BTreeSet<u64> = live.map(|(_, heartbeat)| heartbeat.disk).collect();
@@ -218,7 +220,7 @@
         reachable.into_iter().collect()
     }
 
-    /// Whether the set may have another member, where every member is heard and votes.
+    /// Whether the set may grow. All members must be live and voting.
     fn may_grow(&self, voting: &[Heartbeat]) -> bool {
         let count = self.sets.newest().voters.len();
         let spares = voting.iter().map(|heartbeat| heartbeat.spare_controllers);
@@ -227,8 +229,8 @@
         count < self.options.target_voter_count && voting.len() == count && is_worth_it
     }
 
-    /// Asks the members to take the set that follows theirs. It is committed at a majority of voters that
-    /// are durably in the present one, and only where none other follows yet.
+    /// Proposes a set as successor of the newest one. It commits at a majority of voters that have durably installed
+    /// the newest set, and only if that has no other successor yet.
     fn propose_set(&mut self, now: u64, next: &VoterSet) {
         let bytes = next.write_to_vec().unwrap_or_default();
         let expected = self.sets.newest().number - 1;
@@ -236,8 +238,8 @@
         self.propose(now, ChangePurpose::VoterSet, VOTERS_KEY, change);
     }
 
-    /// Whether this controller may propose another set now. The next change leaves live members time to install the
-    /// newest set, so that one replica is missing at most.
+    /// Whether a set change may be proposed now. Live members are given time to install the newest set first, so that
+    /// at most one replica is missing at a time.
     fn may_propose_set(&mut self, now: u64) -> bool {
         let version = self.sets.version();
         let mut live = self.peers.live(now).map(|(_, heartbeat)| heartbeat);
@@ -252,7 +254,7 @@
         !must_wait && now >= self.next_set_proposal_at && !is_proposing
     }
 
-    /// Proposes the set that says where this member is reached, after its disk was moved to another address.
+    /// Proposes a set with this member's new address after its disk was moved to another host.
     fn propose_own_address(&mut self, now: u64) {
         let (set, own_disk) = (self.sets.newest(), self.sets.own_disk());
         let Some(next) = set.with_address(own_disk, &self.options.address) else {
--- a/crates/consensus/src/consensus/replication.rs
+++ b/crates/consensus/src/consensus/replication.rs
@@ -1,4 +1,4 @@
-//! How a controller learns the committed values that it missed, and how its own voter comes to hold them.
+//! Replication: fetching missed committed values, and repairing the own voter.
 
 use super::Consensus;
 use crate::action::ConsensusAction;
@@ -11,14 +11,15 @@
 use register::{Ballot, RegisterState, VersionedValue, VoterSet, VOTERS_KEY};
 use speedy::Readable;
 
-/// Time between comparisons of this controller's voter with what is committed, in milliseconds.
+/// Interval between comparisons of the own voter with the committed values, in milliseconds.
 const REPAIR_INTERVAL_MS: u64 = 6_000;
-/// Most milliseconds by which that time is longer.
+/// Maximum random addition to this interval, in milliseconds.
 const REPAIR_JITTER_MS: u64 = 1_000;
 
 impl Consensus {
-    /// Whether a value is on its way to this controller after its start, or may be: no other controller has listed its committed values yet.
-    /// A read that begins before would make the value travel from each of the others, in each of its rounds.
+    /// Whether a value is, or may be, in transit to this controller after its start. It may be in transit as long as
+    /// fewer than a majority of members have sent a heartbeat that lists their committed values. A read started
+    /// before then would transfer the value from each of the other voters in each round.
     pub(super) fn awaits_value(&self, now: u64, key: &str) -> bool {
         self.reads.is_waiting_for_values(now)
             && (self.values.is_missing(key) || !self.has_heard_majority(now))
@@ -34,7 +35,7 @@
         heard.count() >= set.majority()
     }
 
-    /// Takes committed values that have come to this controller's own voter, and requests the others.
+    /// Takes missing committed values that the own voter has received, and requests the others from peers.
     pub(super) fn poll_missing_values(&mut self, now: u64) {
         for key in self.values.missing_keys() {
             match self.values.poll_missing(now, &key) {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Sends a committed value, with the ballot where this controller's voter accepted it.
+    /// Sends a committed value, with the ballot under which the own voter accepted it.
     pub(super) fn on_value_request(&mut self, from: &str, key: String, version: u64) {
         let Some((ballot, value)) = self.values.committed_with_ballot(&key, version) else {
             return;
@@ -56,7 +57,7 @@
         self.send(from, message);
     }
 
-    /// Takes a committed value, also for this controller's voter where it lags behind.
+    /// Handles a committed value, and repairs the own voter with it if the voter is behind.
     pub(super) fn on_value(&mut self, now: u64, key: &str, ballot: Ballot, stored: VersionedValue) {
         self.learn_committed(now, key, &stored);
         let is_behind = self.values.is_own_behind(key, ValueId::of(&stored));
@@ -71,7 +72,7 @@
         self.give_to_disk(DiskWork::Repair(key.to_string(), state));
     }
 
-    /// Requests committed values that this controller's voter lacks from other members, now and then.
+    /// Periodically requests committed values that the own voter lacks from other members.
     pub(super) fn repair_own_voter(&mut self, now: u64) {
         if now < self.next_repair_at || !self.sets.is_voting() {
             return;
@@ -99,7 +100,7 @@
         live.collect()
     }
 
-    /// A value is known to be committed.
+    /// Records a value that is known to be committed.
     pub(super) fn learn_committed(&mut self, now: u64, key: &str, stored: &VersionedValue) {
         if stored.version > self.values.committed_version(key) {
             self.learn_value(now, key, Value::of(stored));
--- a/crates/consensus/src/consensus/scaler_role.rs
+++ b/crates/consensus/src/consensus/scaler_role.rs
@@ -1,4 +1,4 @@
-//! The scaler role: campaigns for it, the lease on it, and what this controller's voter backs.
+//! The scaler role: campaigns, the role lease, and what the own voter grants and backs.
 
 use super::Consensus;
 use crate::action::ConsensusAction;
@@ -10,16 +10,16 @@
 use register::{Change, ChangeOutcome};
 use speedy::Writable;
 
-/// Time between the campaigns of two neighbours in the set, so that they do not race, in milliseconds.
+/// Delay between the campaigns of adjacent members of the set, in milliseconds, so that they do not compete.
 const CAMPAIGN_STAGGER_MS: u64 = 40;
-/// Most milliseconds that a campaign is late beyond that.
+/// Maximum random addition to this delay, in milliseconds.
 const CAMPAIGN_JITTER_MS: u64 = 20;
-/// Pause after a campaign that was lost, in milliseconds; it is random.
+/// Range of the random pause after a lost campaign, in milliseconds.
 const LOST_CAMPAIGN_PAUSE_MS: std::ops::Range<u64> = 50..200;
 
 impl Consensus {
-    /// Ends contact and this controller's role lease where their time is over. A controller that was frozen does so
-    /// before anything else.
+    /// Ends contact and this controller's role lease if they have expired. This runs before anything else, so that a
+    /// controller that was frozen notices it first.
     pub(super) fn expire_leases(&mut self, now: u64) {
         self.update_contact(now);
         if self.role.is_lease_over(now) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Gives the scaler role up for good, since this controller shuts down.
+    /// Gives up the scaler role permanently because this controller shuts down.
     pub fn resign(&mut self, now: u64) {
         self.role.resign();
         self.end_role_lease(now);
@@ -46,14 +46,14 @@
         self.send_due_heartbeats(now);
     }
 
-    /// Whether this controller's voter would let a controller have the role.
+    /// Whether the own voter would promise the role to the given controller.
     pub(super) fn grants_role(&self, now: u64, to: &str) -> bool {
         let is_idle = !self.role.has_pending_rounds() && !self.sets.has_disk_work();
         let is_current = self.sets.is_voting() && self.sets.is_own_newest();
         is_idle && is_current && self.role.may_promise(now, to)
     }
 
-    /// Whether this controller's voter has accepted a holder's value and has promised nothing since.
+    /// Whether the own voter has accepted this holder's value and has made no newer promise since.
     pub(super) fn backs(&self, holder: &str, incarnation: u64, term: u64) -> bool {
         let is_idle = !self.role.has_pending_rounds() && !self.sets.has_disk_work();
         if !is_idle || !self.sets.is_voting() {
@@ -68,7 +68,8 @@
         is_firm && is_holder && term_of(self.sets.own().epoch, accepted.version) == term
     }
 
-    /// A heartbeat is about to leave: it claims the role where this controller has won it.
+    /// Records a heartbeat that claims the role, and the own voter's acknowledgement if it backs the claim. Called
+    /// just before the heartbeat is sent.
     pub(super) fn back_own_lease(&mut self, now: u64, number: u64) {
         let Some(term) = self.role.claimed_term() else {
             return;
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Another controller's voter backs the claim that a heartbeat of this one made.
+    /// Handles an acknowledgement of the role lease by another controller's voter.
     pub(super) fn on_role_lease_ack(&mut self, now: u64, ack: &RoleLeaseAck) {
         let Some(term) = self.role.claimed_term() else {
             return;
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Announces that this controller holds the role, once a majority has backed its claim.
+    /// Records an acknowledgement. The role is announced once a majority backs the claim.
     fn record_role_ack(&mut self, now: u64, disk: u64, number: u64) {
         let set = self.sets.newest();
         if let Some(term) = self.role.record_ack(now, set, disk, number) {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Campaigns for the role where it is vacant and a majority would let this controller have it.
+    /// Campaigns for the role if it is vacant and a majority would grant it to this controller.
     pub(super) fn poll_campaign(&mut self, now: u64) {
         let is_free = self.grants_role(now, &self.options.address);
         if self.role.record_free(is_free) {
@@ -113,7 +114,7 @@
         let mut voters = self.sets.newest().voters.iter();
         let place = voters.position(|voter| voter.disk == own_disk);
         let jitter = self.random.random_range(0..CAMPAIGN_JITTER_MS);
-        // The others grant the role to its last holder before anyone else, so that it races with none.
+        // The other voters grant the role to its last holder before anyone else, so it has no competitor to avoid.
         let place = match self.is_last_holder() {
             true => 0,
             false => place.unwrap_or(0) as u64,
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Whether this controller's own voter has it as the last holder of the role, in this or an earlier incarnation.
+    /// Whether the own voter records this controller as the last holder of the role, in this or an earlier
+    /// incarnation.
     fn is_last_holder(&self) -> bool {
         let accepted = self.values.own(SCALER_ROLE_KEY);
         accepted.is_some_and(|accepted| accepted.role_holder().address == self.options.address)
@@ -176,7 +178,7 @@
         }
     }
 
-    /// A newer holder is committed. It is left time to claim the role.
+    /// Handles a newly committed role holder. It is given time to claim the role.
     pub(super) fn on_role_holder(&mut self, now: u64, version: u64, bytes: &[u8]) {
         let won_version = self.role.won_version();
         if won_version.is_some_and(|won| won < version) {
--- a/crates/consensus/src/contact_lease.rs
+++ b/crates/consensus/src/contact_lease.rs
@@ -1,34 +1,35 @@
-//! The contact lease: until when a controller may take itself to be connected to a majority of voters.
+//! The contact lease: how long a controller may consider itself connected to a majority of voters.
 
 use register::VoterSet;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Fifths of the time span for which the lease lasts; the rest is left for clocks that run apart.
+/// Fifths of the configured time span for which the lease lasts. The rest is a margin for clock drift.
 const LEASE_FIFTHS: u64 = 4;
-/// Most heartbeats whose sending is remembered.
+/// Maximum number of sent heartbeats that are remembered.
 const MAX_SENT_HEARTBEATS: usize = 256;
 
-/// A heartbeat of this controller that others may still acknowledge.
+/// A heartbeat of this controller that may still be acknowledged.
 #[derive(Clone, Copy, Debug)]
 struct SentHeartbeat {
     number: u64,
     sent_at: u64,
 }
 
-/// When the newest acknowledged heartbeats of this controller left, by the voter that acknowledged them.
+/// Send times of the newest acknowledged heartbeats of this controller, per voter.
 ///
-/// The lease is counted from the *sending* of an acknowledged heartbeat on this controller's own monotonic
-/// clock. It needs both directions of a link, and nothing that arrives late or twice makes it longer.
+/// The lease is counted from the time an acknowledged heartbeat was *sent*, on this controller's own monotonic clock.
+/// It requires both directions of a link, and late or duplicate messages do not extend it.
 #[derive(Clone, Debug)]
 pub struct ContactLease {
     duration_ms: u64,
     sent: VecDeque<SentHeartbeat>,
-    /// When the newest acknowledged heartbeat was sent, by the voter's disk.
+    /// Send time of the newest acknowledged heartbeat, by the voter's disk.
     acknowledged: BTreeMap<u64, u64>,
 }
 
 impl ContactLease {
-    /// No contact yet. The lease lasts four fifths of the span (in milliseconds), counted from a heartbeat's sending.
+    /// Starts without contact. The lease lasts four fifths of the span (in milliseconds) from the sending of a
+    /// heartbeat.
     pub fn new(span_ms: u64) -> Self {
         Self {
             duration_ms: span_ms * LEASE_FIFTHS / 5,
@@ -37,12 +38,12 @@
         }
     }
 
-    /// Time for which the lease lasts from a heartbeat's sending, in milliseconds.
+    /// Duration of the lease from the sending of a heartbeat, in milliseconds.
     pub fn duration_ms(&self) -> u64 {
         self.duration_ms
     }
 
-    /// A heartbeat leaves now. The numbers of an incarnation ascend.
+    /// Records a heartbeat that is being sent. Numbers must ascend within an incarnation.
     pub fn record_sent(&mut self, now: u64, number: u64) {
         let span = self.duration_ms;
         self.sent.retain(|heartbeat| now < heartbeat.sent_at + span);
@@ -54,7 +55,8 @@
         self.sent.push_back(SentHeartbeat { number, sent_at });
     }
 
-    /// A controller has heard a heartbeat of this one. A number that was never sent, or long ago, says nothing.
+    /// Records that a voter acknowledged a heartbeat. Numbers that were never sent, or were sent too long ago, are
+    /// ignored.
     pub fn record_acknowledgement(&mut self, disk: u64, number: u64) {
         let sent = self
             .sent
@@ -67,7 +69,7 @@
         *newest = (*newest).max(sent_at);
     }
 
-    /// Whether a majority of a set is in contact now. A voter on this controller's own disk always is.
+    /// Whether a majority of the set is in contact. A voter on this controller's own disk always is.
     pub fn is_held(&self, now: u64, set: &VoterSet, own_disk: u64) -> bool {
         if set.voters.is_empty() {
             return false;
@@ -80,8 +82,8 @@
         in_contact.count() >= set.majority()
     }
 
-    /// Since when a majority has been in contact: the sending of the oldest heartbeat on which the lease rests. A
-    /// voter on this controller's own disk counts at any time.
+    /// When contact with a majority began: the send time of the oldest heartbeat that the lease depends on. A voter
+    /// on this controller's own disk is always in contact.
     pub fn held_since(&self, set: &VoterSet, own_disk: u64) -> Option<u64> {
         let mut times: Vec<u64> = Vec::new();
         for voter in &set.voters {
--- a/crates/consensus/src/departure.rs
+++ b/crates/consensus/src/departure.rs
@@ -1,25 +1,25 @@
-//! How far a controller whose place in the voter set another took is with leaving it.
+//! Progress of a replaced controller that is leaving the voter set.
 
 use register::VoterSet;
 use std::collections::BTreeSet;
 
-/// Time between requests to confirm that members have installed the set, in milliseconds.
+/// Interval between requests to members to confirm that they have installed the set, in milliseconds.
 const CONFIRM_INTERVAL_MS: u64 = 250;
-/// Replacement time-outs for which a member that is heard may take to install the set.
+/// Number of replacement timeouts that a live member may take to install the set.
 const INSTALL_TIMEOUTS: u64 = 4;
 
-/// A departure under way. Its replica is kept until a majority of the new set can do without it.
+/// State of a departure. The replica is kept until a majority of the new set no longer depends on it.
 #[derive(Clone, Debug)]
 pub(crate) struct Departure {
     since: u64,
     next_request_at: u64,
-    /// Disks of members that confirmed that they have durably installed the newest set.
+    /// Disks of members that have confirmed the durable installation of the newest set.
     installed: BTreeSet<u64>,
     is_resetting: bool,
 }
 
 impl Departure {
-    /// Begins now.
+    /// Starts a departure.
     pub fn new(now: u64) -> Self {
         Self {
             since: now,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether members are to be asked now whether they have installed the set.
+    /// Whether confirmation requests are due now.
     pub fn poll_request(&mut self, now: u64) -> bool {
         let is_due = now >= self.next_request_at;
         if is_due {
@@ -38,7 +38,7 @@
         is_due
     }
 
-    /// A member confirmed that it has durably installed the newest set.
+    /// Records that a member has durably installed the newest set.
     pub fn record_installed(&mut self, disk: u64) {
         self.installed.insert(disk);
     }
@@ -51,9 +51,9 @@
             .collect()
     }
 
-    /// Whether the new set can do without this replica. A majority must have installed the set, so that whatever was
-    /// acknowledged is held by one of its members. The others are left time beyond that, since a newcomer may need
-    /// this replica to install: longer where one of them is heard.
+    /// Whether the new set no longer depends on this replica. A majority must have installed the set, so that every
+    /// acknowledged value is held by one of its members. The other members get additional time, because a new member
+    /// may need this replica to install; the time is longer if one of them is live.
     pub fn may_leave(
         &self,
         now: u64,
@@ -72,12 +72,12 @@
         installed >= set.majority() && (missing.is_empty() || is_long_ago)
     }
 
-    /// The disk is being emptied from now on.
+    /// Marks the disk reset as started.
     pub fn start_reset(&mut self) {
         self.is_resetting = true;
     }
 
-    /// Whether the disk is being emptied.
+    /// Whether the disk is being reset.
     pub fn is_resetting(&self) -> bool {
         self.is_resetting
     }
--- a/crates/consensus/src/disk_execution.rs
+++ b/crates/consensus/src/disk_execution.rs
@@ -1,4 +1,4 @@
-//! Does work on the voter's disk. It runs in the thread that has the disk, not in the consensus.
+//! Executes work on the voter's disk. It runs in the disk thread, not in the consensus.
 
 use crate::disk_work::{register_size, DiskCompletion, DiskWork};
 use crate::keys::REPLICATED_KEYS;
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 use voter::{Voter, VoterDisk};
 
-/// Most bytes of a page, unless one register alone is larger: a quarter of a second at 2 Mbit/s.
+/// Maximum size of a page in bytes, unless a single register is larger: a quarter of a second at 2 Mbit/s.
 const MAX_PAGE_BYTES: usize = 64 << 10;
 
-/// Does a batch of work on a disk, in its order, with as few syncs as that allows.
+/// Executes a batch of disk work in order, with as few syncs as possible.
 pub fn execute_batch_on_disk(disk: &mut VoterDisk, batch: Vec<DiskWork>) -> Vec<DiskCompletion> {
     let mut completions = Vec::new();
     let mut waiting = Vec::new();
@@ -36,7 +36,7 @@
     completions
 }
 
-/// Does a batch of work with one sync. What is returned is safe on the disk.
+/// Executes a batch of work with a single sync. The returned completions are durable.
 pub fn execute_batch(voter: &mut Voter, batch: Vec<DiskWork>) -> Vec<DiskCompletion> {
     let before = replicated_ballots(voter);
     let mut completions: Vec<DiskCompletion> = batch
@@ -52,7 +52,7 @@
     completions
 }
 
-/// Takes back everything that says that something is durable.
+/// Removes or replaces every completion that would report something as durable.
 fn withhold_unsynced(completions: &mut Vec<DiskCompletion>) {
     completions.retain(|completion| {
         !matches!(
@@ -73,7 +73,7 @@
     }
 }
 
-/// Ballots that a register has promised and accepted.
+/// Promised and accepted ballot of a register.
 type RegisterBallots = (Ballot, Ballot);
 
 fn replicated_ballots(voter: &Voter) -> BTreeMap<&'static str, RegisterBallots> {
@@ -87,7 +87,7 @@
     ballots.unwrap_or_default()
 }
 
-/// What the voter holds of the registers whose ballots have changed, with the bytes of those that accepted a value.
+/// Snapshot of the registers whose ballots have changed, including the value bytes of those that accepted a value.
 fn changes_since(voter: &Voter, before: &BTreeMap<&'static str, RegisterBallots>) -> VoterSnapshot {
     let compared = before
         .iter()
@@ -119,7 +119,7 @@
             let confirmed = DiskCompletion::InstallationConfirmed { to, set_version };
             return is_installed(voter, set_version).then_some(confirmed);
         }
-        // It needs the whole disk: see `execute_batch_on_disk`.
+        // A reset needs the whole disk and is executed by `execute_batch_on_disk`.
         DiskWork::Reset(_) => return Some(DiskCompletion::ResetEnded(None)),
         DiskWork::ReadReplica {
             to,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Leaves a value out of a response where the receiver has it. Returns whether it did.
+/// Omits the value from a response if the receiver already has it. Returns whether it did.
 fn leave_out(response: &mut VoterResponse, known: ValueId) -> bool {
     let VoterResponse::LastAccepted { value, .. } = response else {
         return false;
@@ -170,7 +170,8 @@
     voter.is_open() && has_same_epoch && own >= set_version
 }
 
-/// Reads registers after a key, where the voter is in this very set: a newcomer must not mix sets.
+/// Reads the registers after a key. The voter must be in exactly this set, so that a new member does not mix state of
+/// different sets.
 fn read_page(voter: &Voter, set_version: SetVersion, after: String) -> Option<ReplicaPage> {
     let acceptor = voter.acceptor();
     if !voter.is_open() || acceptor.set().version() != set_version || set_version.epoch == 0 {
@@ -188,7 +189,7 @@
         registers.push((key.clone(), state.clone()));
     }
     Some(ReplicaPage {
-        // The consensus fills in its disk's identity.
+        // Filled in by the consensus, which knows the disk's identity.
         disk: 0,
         set_version,
         claim_floors: acceptor.claim_floors(),
--- a/crates/consensus/src/disk_work.rs
+++ b/crates/consensus/src/disk_work.rs
@@ -1,4 +1,4 @@
-//! Work for the thread that has the voter's disk, and what comes of it.
+//! Work for the disk thread, and its completions.
 
 use crate::message::ReplicaPage;
 use crate::role_register::{is_role_round, key_of};
@@ -7,55 +7,55 @@
 use register::{RegisterState, SetVersion, VoterOperation, VoterRequest, VoterResponse, VoterSet};
 use voter::Installation;
 
-/// Bytes that a register takes beside its key and its value.
+/// Approximate overhead of a register beyond its key and value, in bytes.
 const REGISTER_OVERHEAD_BYTES: usize = 80;
 
-/// Work for the thread that has the voter's disk.
+/// Work for the thread that owns the voter's disk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiskWork {
-    /// Give a request to the voter.
+    /// Pass a request to the voter.
     VoterRequest {
-        /// Address of the controller that sent it.
+        /// Address of the controller that sent the request.
         to: String,
         /// Number of the request.
         number: u64,
-        /// A value that the sender has, which the response leaves out.
+        /// A value that the sender already has; the response omits it.
         known: ValueId,
         /// The request.
         request: VoterRequest,
     },
-    /// Take the first set, into an empty voter.
+    /// Install the first set into an empty voter.
     FormSet(VoterSet),
-    /// Take the set that follows the voter's own.
+    /// Move the voter to the successor of its set.
     AdoptSet(VoterSet),
-    /// Take a set with all that its other members hold, into an empty voter.
+    /// Install a set into an empty voter, with the state copied from its other members.
     Install(Installation),
-    /// Take a newer committed value of a register from another replica.
+    /// Repair a register with a newer committed value from another replica.
     Repair(String, RegisterState),
-    /// Let one span pass for which jobs are remembered.
+    /// Rotate the time window for which finished jobs are remembered.
     RotateJobWindow,
-    /// Confirm where the voter is durably in this set, or in a later one of its epoch.
+    /// Confirm if the voter is durably in this set, or in a later one of its epoch.
     ConfirmInstalled {
-        /// Address of the controller that asks.
+        /// Address of the requesting controller.
         to: String,
         /// Version of the set.
         set_version: SetVersion,
     },
-    /// Give up all that is held and begin as an empty voter under this identity.
+    /// Erase all state and start as an empty voter with this identity.
     Reset(u64),
-    /// Read part of what is held.
+    /// Read a page of the replica.
     ReadReplica {
-        /// Address of the controller that asks.
+        /// Address of the requesting controller.
         to: String,
         /// Version of the set that the voter must be in.
         set_version: SetVersion,
-        /// The key after which the part begins.
+        /// The page starts after this key.
         after: String,
     },
 }
 
 impl DiskWork {
-    /// Bytes that the work takes while it waits for the disk.
+    /// Approximate memory used by the work while it is queued, in bytes.
     pub fn size(&self) -> usize {
         match self {
             Self::VoterRequest { request, .. } => operation_size(&request.operation),
@@ -75,8 +75,8 @@
         }
     }
 
-    /// What comes of work that was never given to the disk, since too much waits for it already. It is the same as a
-    /// request whose response got lost, or work on the set that comes again.
+    /// The completion of work that is rejected because the disk queue is full. It is equivalent to a request whose
+    /// response was lost, or to set work that will be retried.
     pub fn reject(self) -> Option<DiskCompletion> {
         match self {
             Self::VoterRequest {
@@ -113,15 +113,15 @@
     key_of(operation).len() + value_size + REGISTER_OVERHEAD_BYTES
 }
 
-/// Bytes that a register takes in memory and in messages, about.
+/// Approximate size of a register in memory and in messages, in bytes.
 pub(crate) fn register_size(key: &str, state: &RegisterState) -> usize {
     key.len() + state.value.bytes.len() + REGISTER_OVERHEAD_BYTES
 }
 
-/// What came of the disk's work. Give it to the consensus in this order.
+/// The result of disk work. Completions must be passed to the consensus in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiskCompletion {
-    /// What the voter holds now, of the replicated registers that have changed.
+    /// Current state of the voter, with the replicated registers that have changed.
     VoterState(VoterSnapshot),
     /// A voter's response to a request.
     VoterResponse {
@@ -129,29 +129,30 @@
         to: String,
         /// Number of the request.
         number: u64,
-        /// Whether the value is left out.
+        /// Whether the value was omitted because the requester has it.
         is_value_omitted: bool,
-        /// Whether the request was a round over the scaler role's register.
+        /// Whether the request was a round on the scaler role's register.
         is_role_round: bool,
         /// The response.
         response: VoterResponse,
     },
-    /// Work on the voter's set is over; what came of it is in [`DiskCompletion::VoterState`].
+    /// Work on the voter's set has ended; the result is in [`DiskCompletion::VoterState`].
     SetWorkEnded,
     /// The voter is durably in this set, or in a later one of its epoch.
     InstallationConfirmed {
-        /// Address of the controller that asked.
+        /// Address of the requesting controller.
         to: String,
-        /// Version of the set that was asked about.
+        /// Version of the requested set.
         set_version: SetVersion,
     },
-    /// The voter is empty and has this identity; none where the disk failed and nothing is known to have changed.
+    /// The voter is empty and has this identity. `None` if the disk failed, in which case the state is assumed to be
+    /// unchanged.
     ResetEnded(Option<u64>),
-    /// Part of what is held.
+    /// A page of the replica.
     ReplicaPage {
-        /// Address of the controller that asked.
+        /// Address of the requesting controller.
         to: String,
-        /// The part.
+        /// The page.
         page: ReplicaPage,
     },
 }
--- a/crates/consensus/src/heartbeat_schedule.rs
+++ b/crates/consensus/src/heartbeat_schedule.rs
@@ -1,20 +1,20 @@
-//! When the next heartbeat leaves, and which number it bears.
+//! Timing and numbering of heartbeats.
 
-/// Least time between two heartbeats, also where something new is to be said, in milliseconds.
+/// Minimum interval between two heartbeats, even if a change is to be reported, in milliseconds.
 const MIN_INTERVAL_MS: u64 = 10;
 
-/// When heartbeats leave: at regular intervals, and sooner where something has changed.
+/// Schedules heartbeats at regular intervals, and earlier when there is a change to report.
 #[derive(Clone, Debug)]
 pub(crate) struct HeartbeatSchedule {
     next_at: u64,
     last_sent_at: Option<u64>,
     is_requested: bool,
-    /// Number of the newest heartbeat of this incarnation.
+    /// Number of the latest heartbeat of this incarnation.
     number: u64,
 }
 
 impl HeartbeatSchedule {
-    /// A heartbeat is due at once.
+    /// The first heartbeat is due immediately.
     pub fn new(now: u64) -> Self {
         Self {
             next_at: now,
@@ -24,12 +24,12 @@
         }
     }
 
-    /// Asks for a heartbeat before the regular one, since something has changed that others want to know.
+    /// Requests a heartbeat before the regular one, because there is a change to report.
     pub fn request(&mut self) {
         self.is_requested = true;
     }
 
-    /// Asks for a heartbeat that does not even wait for the least interval.
+    /// Requests a heartbeat that ignores the minimum interval.
     pub fn request_at_once(&mut self) {
         self.is_requested = true;
         self.last_sent_at = None;
@@ -40,7 +40,7 @@
         self.next_at = now;
     }
 
-    /// Whether a heartbeat is to leave now.
+    /// Whether a heartbeat is due.
     pub fn is_due(&self, now: u64) -> bool {
         let is_rested = self
             .last_sent_at
@@ -48,7 +48,8 @@
         now >= self.next_at || (self.is_requested && is_rested)
     }
 
-    /// A heartbeat leaves now; the next regular one follows after the interval. Returns the heartbeat's number.
+    /// Records that a heartbeat is being sent and schedules the next regular one. Returns the number of the
+    /// heartbeat.
     pub fn start_heartbeat(&mut self, now: u64, interval_ms: u64) -> u64 {
         self.is_requested = false;
         self.last_sent_at = Some(now);
--- a/crates/consensus/src/keys.rs
+++ b/crates/consensus/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of the registers that controllers share. The strings are stored on disk and sent on the wire.
+//! Keys of the shared registers. The strings are stored on disk and sent on the wire.
 
 use register::VOTERS_KEY;
 
@@ -8,9 +8,9 @@
 pub const EVACUATIONS_KEY: &str = "closures";
 /// Register of the scaler role's holder.
 pub const SCALER_ROLE_KEY: &str = "duty";
-/// Registers that a controller must read at a majority before what it knows is complete.
+/// Registers that a controller must read from a majority before its state is complete.
 pub const REQUIRED_KEYS: [&str; 2] = [CONFIGURATION_KEY, EVACUATIONS_KEY];
-/// Registers whose committed values every controller replicates, in the order in which heartbeats list them.
+/// Registers whose committed values are replicated to every controller, in the order in which heartbeats list them.
 pub(crate) const REPLICATED_KEYS: [&str; 4] = [
     CONFIGURATION_KEY,
     EVACUATIONS_KEY,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,48 +1,50 @@
-//! All that controllers decide among themselves, as one pure state machine without threads, clock or I/O.
+//! Consensus among controllers, as a pure state machine without threads, clock or I/O.
 //!
-//! # What it is for
+//! # Purpose
 //!
-//! Controllers agree on a few registers (the operator's configuration, evacuated zones, jobs), on who votes about them,
-//! and on which one of them holds the scaler role. Each register is changed by a Paxos proposal of its own at a majority
-//! of voters (crate `register`); each controller has a voter on its own disk (crate `voter`).
+//! Controllers agree on a few registers (the operator's configuration, evacuated zones, jobs), on the set of voters, and
+//! on which controller holds the scaler role. Each register is changed by its own Paxos proposal at a majority of voters
+//! (crate `register`). Each controller has a voter on its own disk (crate `voter`).
 //!
-//! # What it must never do
+//! # Safety requirements
 //!
-//! * Lose a value, or replace it by another of the same version, once a caller was notified that it is committed.
-//! * Go back to an older voter set, or let a voter count that does not hold all that was committed before it joined.
-//! * Let two controllers hold the scaler role at one time, or tell a controller that it holds a role whose lease is over.
-//! * Pass what it knows off as current without contact with a majority ([`Consensus::is_current`]).
-//! * Say that something is durable before the disk has synced it.
+//! * A value is never lost, or replaced by another one of the same version, once a caller was told that it is committed.
+//! * A controller never returns to an older voter set. A voter counts only if it holds everything that was committed
+//!   before it joined.
+//! * Two controllers never hold the scaler role at the same time, and a controller is never told that it holds a role
+//!   whose lease has expired.
+//! * State is never presented as current without contact with a majority ([`Consensus::is_current`]).
+//! * Nothing is reported as durable before the disk has synced it.
 //!
-//! # How it is driven
+//! # Inputs and outputs
 //!
-//! | call | what it takes |
+//! | call | input |
 //! |---|---|
-//! | [`Consensus::on_message`] | a message of another controller |
-//! | [`Consensus::on_disk`] | what the disk's thread has done ([`execute_batch_on_disk`]) |
-//! | [`Consensus::tick`] | that time has passed |
-//! | [`Consensus::read`], [`Consensus::write`] | a change that the daemon wants |
-//! | [`Consensus::take_actions`] | nothing: it gives out what is to be done, in its order |
+//! | [`Consensus::on_message`] | a message from another controller |
+//! | [`Consensus::on_disk`] | a completion of the disk thread ([`execute_batch_on_disk`]) |
+//! | [`Consensus::tick`] | the passage of time |
+//! | [`Consensus::read`], [`Consensus::write`] | a change requested by the daemon |
+//! | [`Consensus::take_actions`] | none; it returns the actions to carry out, in order |
 //!
-//! # Who owns what
+//! # Ownership of state
 //!
-//! The coordinator (`consensus.rs`) owns one part for each invariant. A part's fields are private; the coordinator and
-//! its files reach them through methods.
+//! The coordinator (`consensus.rs`) owns one component for each invariant. The fields of a component are private; the
+//! coordinator and its submodules access them through methods.
 //!
-//! | part | owns |
+//! | component | owns |
 //! |---|---|
-//! | `voter_sets::VoterSets` | the newest committed set, the one before it, the set that the own voter is in |
-//! | `replicated_values::ReplicatedValues` | committed values, what the own voter holds, values that are missing |
-//! | `required_reads::RequiredReads` | which registers are to be read at a majority before this controller is current |
-//! | `pending_changes::PendingChanges` | changes under way (`pending_change.rs`), their ballots and numbers |
+//! | `voter_sets::VoterSets` | the newest committed set, its predecessor, and the own voter's set |
+//! | `replicated_values::ReplicatedValues` | committed values, the own voter's values, and missing values |
+//! | `required_reads::RequiredReads` | which registers must be read from a majority before this controller is current |
+//! | `pending_changes::PendingChanges` | pending changes (`pending_change.rs`), their ballots and request numbers |
 //! | `peers::PeerTable` | other controllers and their newest heartbeats |
-//! | `heartbeat_schedule::HeartbeatSchedule` | when the next heartbeat leaves |
-//! | `contact_lease::ContactLease` | until when a majority counts as in contact |
+//! | `heartbeat_schedule::HeartbeatSchedule` | when the next heartbeat is due |
+//! | `contact_lease::ContactLease` | how long a majority counts as in contact |
 //! | `scaler_role::ScalerRole` | the own lease on the scaler role, and what the own voter may promise about it |
-//! | `replica_copies::ReplicaCopies` | what has come of other members' replicas, for an empty voter |
-//! | `departure::Departure` | how far a member that was replaced is with leaving |
+//! | `replica_copies::ReplicaCopies` | copies of other members' replicas, for an empty voter |
+//! | `departure::Departure` | the progress of a replaced member that is leaving |
 //!
-//! # Which message changes what
+//! # Message handlers
 //!
 //! | message | handled in | changes |
 //! |---|---|---|
@@ -54,11 +56,11 @@
 //! | `RequestReplica`, `Replica` | `consensus/installation.rs` | replica copies, then the own voter's disk |
 //! | `RequestValue`, `Value` | `consensus/replication.rs` | committed values, repair of the own voter |
 //!
-//! # Where to begin reading
+//! # Where to start reading
 //!
-//! `message.rs` and `action.rs` say what goes in and out; `consensus.rs` gives each input to the file that handles it.
-//! From there, `consensus/changes.rs` is the way of one change, and `voter_sets.rs` and `scaler_role.rs` hold the two
-//! invariants that need the most care. `docs/control-safety.md` has the arguments.
+//! `message.rs` and `action.rs` define the inputs and outputs, and `consensus.rs` dispatches each input to its handler.
+//! From there, `consensus/changes.rs` follows one change from request to outcome, and `voter_sets.rs` and
+//! `scaler_role.rs` maintain the two most delicate invariants. `docs/control-safety.md` contains the safety arguments.
 
 mod action;
 mod consensus;
--- a/crates/consensus/src/options.rs
+++ b/crates/consensus/src/options.rs
@@ -1,26 +1,26 @@
-//! What a controller knows of itself when its consensus begins.
+//! Configuration of the consensus of one controller.
 
-/// What a controller knows of itself when its consensus begins.
+/// Configuration of the consensus of one controller.
 #[derive(Clone, Debug)]
 pub struct ConsensusOptions {
     /// Name of the controller.
     pub name: String,
     /// Address at which other controllers reach this one.
     pub address: String,
-    /// Addresses at which other controllers may be found; they may be stale.
+    /// Addresses at which other controllers may be found; they may be outdated.
     pub seeds: Vec<String>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system is starting for the first time.
     pub is_first_start: bool,
-    /// Random identity that was made with the voter's disk.
+    /// Random identity that was created with the voter's disk.
     pub disk_id: u64,
-    /// Time after the last heartbeat of the scaler role's holder at which the role is vacant, in milliseconds.
+    /// Time after the role holder's last heartbeat until the scaler role becomes vacant, in milliseconds.
     pub lease_ms: u64,
-    /// Time between heartbeats, in milliseconds.
+    /// Heartbeat interval in milliseconds.
     pub heartbeat_interval_ms: u64,
-    /// Silence of a member after which a newcomer may take its place, in milliseconds.
+    /// Silence after which a member may be replaced by another controller, in milliseconds.
     pub replacement_timeout_ms: u64,
-    /// Seed of all random numbers; no two incarnations of any controller may share one.
+    /// Seed of the random number generator. It must be unique among all incarnations of all controllers.
     pub seed: u64,
-    /// Number of voters up to which newcomers are added to the set.
+    /// Number of voters up to which controllers are added to the set.
     pub target_voter_count: usize,
 }
--- a/crates/consensus/src/peers.rs
+++ b/crates/consensus/src/peers.rs
@@ -1,44 +1,44 @@
-//! The other controllers that this one knows of, and what their newest heartbeats said.
+//! Table of known peers and their latest heartbeats.
 
 use crate::message::{Heartbeat, HeartbeatAck};
 use register::VoterRef;
 use std::collections::BTreeMap;
 
-/// Most peers that are known at once, beside members of the voter set and seeds.
+/// Maximum number of known peers, not counting members of the voter set and seeds.
 const MAX_PEERS: usize = 64;
-/// Silence after which a peer that is neither member nor seed is forgotten, in milliseconds.
+/// Silence after which a peer that is neither member nor seed is removed, in milliseconds.
 const FORGET_AFTER_MS: u64 = 30_000;
-/// Heartbeat intervals for which a heartbeat counts as a sign of life.
+/// Number of heartbeat intervals after which a silent peer no longer counts as live.
 const LIVENESS_INTERVALS: u64 = 3;
-/// Least time for which a heartbeat counts as a sign of life, in milliseconds.
+/// Minimum time after which a silent peer no longer counts as live, in milliseconds.
 const MIN_LIVENESS_MS: u64 = 600;
-/// Time between heartbeats to an address where nobody answers, in milliseconds.
+/// Heartbeat interval to addresses that do not respond, in milliseconds.
 const SILENT_HEARTBEAT_INTERVAL_MS: u64 = 1_000;
 
-/// An incarnation of a peer that was heard before another one. Which of two came later cannot be told, since ids are random: it is the
-/// one that goes on being heard.
+/// The incarnation of a peer that was replaced by the current one. Ids are random, so the order of two incarnations
+/// is unknown; the live one is the one whose heartbeats keep arriving.
 #[derive(Clone, Copy, Debug)]
 struct FormerIncarnation {
     incarnation: u64,
-    /// Number of its newest heartbeat that was heard.
+    /// Number of its newest heartbeat that was received.
     number: u64,
 }
 
 impl FormerIncarnation {
-    /// Whether a heartbeat is one of it that was not heard yet.
+    /// Whether a heartbeat is a new one of this incarnation.
     fn has_sent(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.incarnation == self.incarnation && heartbeat.number > self.number
     }
 }
 
-/// Another controller, as its newest heartbeat described it.
+/// Another controller, as described by its latest heartbeat.
 #[derive(Clone, Debug, Default)]
 struct Peer {
     heard_at: Option<u64>,
     heartbeat: Heartbeat,
-    /// The incarnation before the present one; its messages may still be on the way.
+    /// The incarnation before the current one. Its messages may still be in transit.
     former: Option<FormerIncarnation>,
-    /// When this controller last sent it a heartbeat.
+    /// When this controller last sent a heartbeat to the peer.
     notified_at: Option<u64>,
 }
 
@@ -48,27 +48,26 @@
     }
 }
 
-/// What a heartbeat says about its sender's incarnation.
+/// Relation of a heartbeat to the known incarnation of its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatOrigin {
-    /// The incarnation that was heard last.
+    /// The current incarnation.
     SameIncarnation,
-    /// Another incarnation than the one that was heard last, or the first that is heard.
+    /// A different incarnation than before, or the first one.
     NewIncarnation,
 }
 
-/// Every other controller that is known by its address. Which addresses are permanent, since they are members or
-/// seeds, is the caller's to say.
+/// All known peers by address. The caller decides which addresses are permanent, that is, members or seeds.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerTable {
     own_address: String,
-    /// Time for which a heartbeat counts as a sign of life, in milliseconds.
+    /// Time for which a peer counts as live after a heartbeat, in milliseconds.
     liveness_ms: u64,
     peers: BTreeMap<String, Peer>,
 }
 
 impl PeerTable {
-    /// No peers are known yet.
+    /// Creates an empty table.
     pub fn new(own_address: String, heartbeat_interval_ms: u64) -> Self {
         Self {
             own_address,
@@ -77,7 +76,7 @@
         }
     }
 
-    /// Adds an address, where it is not this controller's own and there is room. Returns whether it is known now.
+    /// Adds an address if it is not this controller's own and there is room. Returns whether the table contains it.
     pub fn admit(&mut self, address: &str, is_permanent: impl Fn(&str) -> bool) -> bool {
         if address == self.own_address {
             return false;
@@ -92,16 +91,17 @@
         has_room
     }
 
-    /// Forgets peers that have been silent for long, unless their addresses are permanent.
+    /// Removes peers that have been silent for a long time, except those with permanent addresses.
     pub fn forget_silent(&mut self, now: u64, is_permanent: impl Fn(&str) -> bool) {
         self.peers.retain(|address, peer| {
             peer.is_heard_within(now, FORGET_AFTER_MS) || is_permanent(address)
         });
     }
 
-    /// Takes a heartbeat. None where its sender is unknown, or where the heartbeat was overtaken by a newer one or
-    /// by one of another incarnation that is heard at present. Where the present incarnation is silent and the former one is
-    /// heard, the former is the one that lives: a late heartbeat had taken its place.
+    /// Records a heartbeat. Returns `None` if the sender is unknown, a newer heartbeat has already been received, or
+    /// the heartbeat belongs to the former incarnation while the current one is live. If the current incarnation is
+    /// silent and a new heartbeat of the former one arrives, the former one is restored: it had been displaced by a
+    /// delayed heartbeat.
     pub fn record_heartbeat(
         &mut self,
         now: u64,
@@ -138,20 +138,20 @@
         })
     }
 
-    /// This controller sends a heartbeat to a peer now.
+    /// Records that a heartbeat is being sent to a peer.
     pub fn record_notified(&mut self, now: u64, address: &str) {
         if let Some(peer) = self.peers.get_mut(address) {
             peer.notified_at = Some(now);
         }
     }
 
-    /// The newest heartbeat that was heard from an address, at any time.
+    /// The newest heartbeat ever received from an address.
     pub fn last_heartbeat(&self, address: &str) -> Option<&Heartbeat> {
         let peer = self.peers.get(address)?;
         peer.heard_at.map(|_| &peer.heartbeat)
     }
 
-    /// The acknowledgement that a peer gets for its newest heartbeat; blank where it was never heard.
+    /// The acknowledgement of a peer's newest heartbeat; the default value if none was received.
     pub fn acknowledgement(&self, address: &str) -> HeartbeatAck {
         let heartbeat = self.last_heartbeat(address);
         heartbeat.map_or_else(HeartbeatAck::default, |heartbeat| HeartbeatAck {
@@ -160,18 +160,18 @@
         })
     }
 
-    /// Whether a peer was heard lately.
+    /// Whether a heartbeat was received from a peer recently.
     pub fn is_live(&self, now: u64, address: &str) -> bool {
         self.is_heard_within(now, address, self.liveness_ms)
     }
 
-    /// Whether a peer was heard within a span.
+    /// Whether a heartbeat was received from a peer within a time span.
     pub fn is_heard_within(&self, now: u64, address: &str, span_ms: u64) -> bool {
         let peer = self.peers.get(address);
         peer.is_some_and(|peer| peer.is_heard_within(now, span_ms))
     }
 
-    /// Peers that were heard lately, with their newest heartbeats.
+    /// Live peers with their newest heartbeats.
     pub fn live(&self, now: u64) -> impl Iterator<Item = (&String, &Heartbeat)> {
         let live = self
             .peers
@@ -180,14 +180,14 @@
         live.map(|(address, peer)| (address, &peer.heartbeat))
     }
 
-    /// Addresses of all peers that were heard at any time.
+    /// Addresses of all peers that have ever sent a heartbeat.
     pub fn heard_addresses(&self) -> impl Iterator<Item = &String> {
         let heard = self.peers.iter();
         let heard = heard.filter(|(_, peer)| peer.heard_at.is_some());
         heard.map(|(address, _)| address)
     }
 
-    /// Address of a voter: where its disk was heard last, else what the voter set says.
+    /// Address of a voter: where its disk was last heard from, otherwise its address in the voter set.
     pub fn locate(&self, voter: &VoterRef) -> String {
         let mut heard: Vec<(u64, &String)> = Vec::new();
         for (address, peer) in &self.peers {
@@ -202,8 +202,8 @@
             .clone()
     }
 
-    /// Addresses that get a heartbeat although they are not members: seeds, less often where they are silent while a
-    /// voter set is known, and where this controller is a member, all peers that were heard.
+    /// Non-member addresses that get a heartbeat. Seeds always do, but silent seeds get fewer once a voter set is
+    /// known. If this controller is a member, all peers that were heard from also do.
     pub fn addresses_to_notify<'a>(
         &'a self,
         now: u64,
--- a/crates/consensus/src/pending_change.rs
+++ b/crates/consensus/src/pending_change.rs
@@ -1,4 +1,4 @@
-//! One change of a register under way, with what it is for, from its first request to its outcome.
+//! A pending register change, from its first request to its outcome.
 
 use crate::value::{Value, ValueId};
 use register::{
@@ -6,92 +6,92 @@
     VoterResponse, VoterSet,
 };
 
-/// Time in which a change ends, in milliseconds.
+/// Timeout of a change, in milliseconds.
 const CHANGE_TIMEOUT_MS: u64 = 1_500;
-/// Time after which a voter that did not respond is asked again, in milliseconds.
+/// Time after which the request is sent again to voters that did not respond, in milliseconds.
 const RESEND_AFTER_MS: u64 = 250;
-/// Pause after too few voters could respond, in milliseconds.
+/// Pause before a retry when too few voters could respond, in milliseconds.
 pub(crate) const RETRY_PAUSE_MS: u64 = 100;
 
-/// What a change of a register is for.
+/// Purpose of a register change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ChangePurpose {
-    /// The daemon asked for it, with this token.
+    /// Requested by the daemon with this token.
     Client(u64),
-    /// A required register is read.
+    /// Reads a required register.
     RequiredRead(&'static str),
-    /// Another voter set is proposed.
+    /// Proposes a new voter set.
     VoterSet,
-    /// The scaler role is campaigned for.
+    /// Campaigns for the scaler role.
     ScalerRole,
 }
 
-/// A change that is asked for.
+/// A requested change.
 #[derive(Clone, Debug)]
 pub(crate) struct ChangeRequest {
-    /// What it is for.
+    /// Purpose of the change.
     pub purpose: ChangePurpose,
     /// Key of the register.
     pub key: String,
-    /// What is to be done to the register.
+    /// The operation on the register.
     pub change: Change,
-    /// Random tag of the value, where the change is a write.
+    /// Random tag of the value if the change is a write.
     pub tag: u64,
 }
 
 impl ChangeRequest {
-    /// Starts a proposal of it to so many voters, under a ballot.
+    /// Starts a proposal with this ballot and number of voters.
     fn start(&self, ballot: Ballot, voters: usize) -> (Proposal, VoterOperation) {
         Proposal::start(&self.key, self.change.clone(), self.tag, ballot, voters)
     }
 }
 
-/// A pause of a change, after which it begins another round.
+/// A pause before the next round of a change.
 #[derive(Clone, Copy, Debug)]
 struct Pause {
     until: u64,
-    /// The ballot that the next round must exceed.
+    /// The next round needs a ballot above this one.
     above: Ballot,
 }
 
-/// What is sent to voters in one round of a change.
+/// The request sent to voters in one round of a change.
 #[derive(Clone, Debug)]
 pub(crate) struct RoundRequest {
-    /// Number that the responses bear.
+    /// Number that the responses repeat.
     pub number: u64,
-    /// The value that this controller has, which need not travel.
+    /// The value that this controller already has and that responses may omit.
     pub known: ValueId,
-    /// The request itself.
+    /// The request.
     pub request: VoterRequest,
     /// Voters that have not responded yet.
     pub voters: Vec<VoterRef>,
 }
 
-/// What is to be done about a change now.
+/// What to do with a change now.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ChangeStep {
-    /// Responses are waited for, or a pause.
+    /// Wait for responses or for the end of a pause.
     Wait,
-    /// Its time is over.
+    /// The change has timed out.
     TimedOut(ChangeOutcome),
-    /// Its pause is over: another round is to begin above a ballot.
+    /// The pause is over: start another round with a ballot above this one.
     Retry(Ballot),
-    /// Voters that have not responded are to be asked again.
+    /// Send the request again to voters that have not responded.
     Resend,
 }
 
-/// What a voter's response means for a change.
+/// Result of a voter's response.
 #[derive(Clone, Debug)]
 pub(crate) enum ResponseStep {
-    /// It says nothing new.
+    /// The response has no effect.
     Ignored,
     /// The voter is in another set.
     OtherSet(VoterSet),
-    /// The proposal goes on.
+    /// The proposal has advanced.
     Proposal(ProposalStep),
 }
 
-/// A change of a register under way.
+/// A register change in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingChange {
     change: ChangeRequest,
@@ -100,20 +100,20 @@
     /// Number of the current round.
     number: u64,
     set: VoterSet,
-    /// For each voter of the set, whether it has responded in this round.
+    /// For each voter of the set, whether it has responded in the current round.
     has_responded: Vec<bool>,
     started_at: u64,
     sent_at: u64,
     ends_at: u64,
     pause: Option<Pause>,
-    /// Whether its value was proposed under an earlier set.
+    /// Whether the value may have been proposed under an earlier set.
     has_proposed: bool,
-    /// The newest value that this controller had when the round began.
+    /// The newest value known to this controller when the round began.
     known: Option<Value>,
 }
 
 impl PendingChange {
-    /// Begins now, under a set of voters.
+    /// Starts a change under a voter set.
     pub fn new(
         now: u64,
         change: ChangeRequest,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// What it is for.
+    /// Purpose of the change.
     pub fn purpose(&self) -> ChangePurpose {
         self.change.purpose
     }
@@ -148,32 +148,32 @@
         &self.change.key
     }
 
-    /// When it began.
+    /// When the change was started.
     pub fn started_at(&self) -> u64 {
         self.started_at
     }
 
-    /// Whether its current round bears a number.
+    /// Whether the current round has this number.
     pub fn is_in_round(&self, number: u64) -> bool {
         self.number == number
     }
 
-    /// When its pause is over, where it pauses.
+    /// End of the current pause, if any.
     pub fn paused_until(&self) -> Option<u64> {
         self.pause.map(|pause| pause.until)
     }
 
-    /// Pauses; the next round is above a ballot.
+    /// Pauses the change. The next round will use a ballot above the given one.
     pub fn pause(&mut self, until: u64, above: Ballot) {
         self.pause = Some(Pause { until, above });
     }
 
-    /// Whether it may go on after a pause, although too few voters could respond.
+    /// Whether the change may be retried after a pause when too few voters could respond.
     pub fn may_retry(&self, now: u64) -> bool {
         now + RETRY_PAUSE_MS < self.ends_at && self.change.purpose != ChangePurpose::ScalerRole
     }
 
-    /// What is to be done now.
+    /// What to do with the change now.
     pub fn poll(&self, now: u64) -> ChangeStep {
         if now >= self.ends_at {
             return ChangeStep::TimedOut(self.proposal.abandon());
@@ -185,25 +185,25 @@
         }
     }
 
-    /// The proposal asks every voter something new, under a number that no other request bears.
+    /// Starts a round under a number that no other request uses.
     pub fn start_round(&mut self, number: u64) {
         self.number = number;
         self.has_responded = vec![false; self.set.voters.len()];
     }
 
-    /// The operation of the next round.
+    /// Sets the operation of the next round.
     pub fn set_operation(&mut self, operation: VoterOperation) {
         self.operation = operation;
     }
 
-    /// Begins again under a higher ballot, after a pause.
+    /// Restarts the proposal with a higher ballot after a pause.
     pub fn retry(&mut self, ballot: Ballot, known: Option<Value>) {
         self.pause = None;
         self.known = known;
         self.operation = self.proposal.retry(ballot);
     }
 
-    /// Begins anew under another set, as the same write.
+    /// Restarts the same change under another voter set.
     pub fn move_to(&mut self, set: &VoterSet, ballot: Ballot) {
         self.has_proposed |= matches!(self.proposal.abandon(), ChangeOutcome::Indeterminate);
         let (proposal, operation) = self.change.start(ballot, set.voters.len());
@@ -213,7 +213,7 @@
         self.pause = None;
     }
 
-    /// The request to all voters that have not responded in this round. It counts as sent now.
+    /// The request to all voters that have not responded in the current round. It is assumed to be sent now.
     pub fn request_missing(&mut self, now: u64) -> RoundRequest {
         self.sent_at = now;
         let voters = self.set.voters.iter().zip(&self.has_responded);
@@ -229,8 +229,8 @@
         }
     }
 
-    /// Takes a voter's response. It counts for the member whose disk gave it. Where the response leaves out a value that
-    /// is known here, that is filled in.
+    /// Handles a voter's response. It counts for the member whose disk sent it. If the response omits the value known
+    /// to this controller, the value is restored first.
     pub fn on_response(
         &mut self,
         disk: u64,
@@ -255,7 +255,7 @@
         ResponseStep::Proposal(self.proposal.on_response(place, response))
     }
 
-    /// Fills in a value that a voter left out. False where it is another one than is known here.
+    /// Restores the value omitted from a response. Returns false if it is not the value known here.
     fn fill_in(&self, response: &mut VoterResponse) -> bool {
         let VoterResponse::LastAccepted { value, .. } = response else {
             return true;
@@ -268,7 +268,7 @@
         true
     }
 
-    /// How it ended, with all that was proposed under earlier sets.
+    /// The outcome of the change, taking proposals under earlier sets into account.
     pub fn final_outcome(&self, outcome: ChangeOutcome) -> ChangeOutcome {
         let Change::Write { expected, .. } = &self.change.change else {
             return outcome;
--- a/crates/consensus/src/pending_changes.rs
+++ b/crates/consensus/src/pending_changes.rs
@@ -1,12 +1,12 @@
-//! All changes of registers that are under way, with the ballots and numbers that they use.
+//! All pending register changes, and the ballots and request numbers they use.
 
 use crate::pending_change::{ChangePurpose, PendingChange};
 use register::Ballot;
 use std::collections::BTreeMap;
 
-/// Changes of registers under way, by id.
+/// Pending register changes by id.
 ///
-/// No two rounds of this incarnation share a number or a ballot: both only ever rise.
+/// Request numbers and ballots only increase, so no two rounds of this incarnation share one.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingChanges {
     changes: BTreeMap<u64, PendingChange>,
@@ -15,7 +15,7 @@
 }
 
 impl PendingChanges {
-    /// Numbers and ballots rise from these on.
+    /// Starts above the given request number and ballot counter.
     pub fn new(last_number: u64, ballot_counter: u64) -> Self {
         Self {
             changes: BTreeMap::new(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A ballot of a proposer, above all that it used before and above another one.
+    /// Returns a ballot above all earlier ones and above the given one.
     pub fn next_ballot(&mut self, proposer: u64, above: Ballot) -> Ballot {
         self.ballot_counter = self.ballot_counter.max(above.counter) + 1;
         Ballot {
@@ -45,7 +45,7 @@
         id
     }
 
-    /// Begins a round of a change, under a new number.
+    /// Starts a round of a change under a new number.
     pub fn start_round(&mut self, id: u64) {
         let number = self.next_number();
         if let Some(change) = self.changes.get_mut(&id) {
@@ -63,7 +63,7 @@
         self.changes.get_mut(&id)
     }
 
-    /// Ends a change.
+    /// Removes and returns a change.
     pub fn remove(&mut self, id: u64) -> Option<PendingChange> {
         self.changes.remove(&id)
     }
@@ -73,20 +73,20 @@
         self.changes.keys().copied().collect()
     }
 
-    /// The change whose current round bears a number.
+    /// The change whose current round has this number.
     pub fn in_round(&mut self, number: u64) -> Option<(u64, &mut PendingChange)> {
         let mut changes = self.changes.iter_mut();
         let found = changes.find(|(_, change)| change.is_in_round(number));
         found.map(|(id, change)| (*id, change))
     }
 
-    /// Whether a change for this purpose is under way.
+    /// Whether a change for this purpose is pending.
     pub fn has(&self, purpose: ChangePurpose) -> bool {
         let mut changes = self.changes.values();
         changes.any(|change| change.purpose() == purpose)
     }
 
-    /// How many changes the daemon has asked for.
+    /// Number of pending changes requested by the daemon.
     pub fn client_count(&self) -> usize {
         let changes = self.changes.values();
         let of_clients =
@@ -94,13 +94,13 @@
         of_clients.count()
     }
 
-    /// When the first pause ends.
+    /// End of the earliest pause.
     pub fn next_pause_end(&self) -> Option<u64> {
         let changes = self.changes.values();
         changes.filter_map(PendingChange::paused_until).min()
     }
 
-    /// Drops changes that only make sense under the voter set that they began with.
+    /// Removes changes that only apply to the voter set under which they were started.
     pub fn drop_bound_to_set(&mut self) {
         self.changes.retain(|_, change| {
             let purpose = change.purpose();
--- a/crates/consensus/src/replica_copies.rs
+++ b/crates/consensus/src/replica_copies.rs
@@ -1,25 +1,25 @@
-//! Copies of other members' replicas that an empty voter gathers before it votes.
+//! Copies of other members' replicas, collected by an empty voter before it votes.
 
 use crate::message::ReplicaPage;
 use register::{merge_replicas, ClaimFloors, RegisterState, VoterSet};
 use std::collections::BTreeMap;
 
-/// Time between looks at which pages are to be requested, and after which a page is requested again the first time, in
-/// milliseconds; the latter doubles with each request.
+/// Interval between checks for due page requests, and delay before the first retry of a request, in milliseconds. The
+/// retry delay doubles with each request.
 const FIRST_RETRY_MS: u64 = 250;
-/// How often it doubles.
+/// Maximum number of doublings of the retry delay.
 const MAX_RETRY_DOUBLINGS: u32 = 4;
 
-/// What has come of one member's replica.
+/// The partial copy of one member's replica.
 #[derive(Clone, Debug, Default)]
 struct ReplicaCopy {
     floors: ClaimFloors,
     registers: Vec<(String, RegisterState)>,
-    /// The last key that has come.
+    /// The last key received.
     after: String,
     is_complete: bool,
     requested_at: Option<u64>,
-    /// How often pages had to be requested again. A page may take long to travel, and is not to travel many times.
+    /// Number of repeated page requests. A page may take long to transfer and should not be sent many times.
     retries: u32,
 }
 
@@ -30,18 +30,19 @@
     }
 }
 
-/// What a page was good for.
+/// Result of a received page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PageStep {
-    /// It was not the one that was requested.
+    /// The page was not the requested one.
     Ignored,
-    /// The next page is to be requested.
+    /// The next page should be requested.
     RequestNext,
-    /// The member's copy is complete.
+    /// The copy of this member's replica is complete.
     Complete,
 }
 
-/// Copies of other members' replicas, by the members' disks. All are of the newest set: they begin again with each.
+/// Copies of other members' replicas by disk. All are made under the newest set and are restarted when the set
+/// changes.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplicaCopies {
     copies: BTreeMap<u64, ReplicaCopy>,
@@ -49,7 +50,7 @@
 }
 
 impl ReplicaCopies {
-    /// Nothing has come yet.
+    /// Starts without any copies.
     pub fn new(now: u64) -> Self {
         Self {
             copies: BTreeMap::new(),
@@ -57,18 +58,18 @@
         }
     }
 
-    /// Begins again under a newer set.
+    /// Starts over under a newer set.
     pub fn restart(&mut self, now: u64) {
         self.copies.clear();
         self.next_poll_at = now;
     }
 
-    /// Drops all that has come.
+    /// Drops all copies.
     pub fn clear(&mut self) {
         self.copies.clear();
     }
 
-    /// Whether it is time to look at which pages are to be requested.
+    /// Whether due page requests should be checked now.
     pub fn poll(&mut self, now: u64) -> bool {
         if now < self.next_poll_at {
             return false;
@@ -77,8 +78,8 @@
         true
     }
 
-    /// Whether a page is to be requested from a member now. Nothing is on its way from a member that is not heard: it is
-    /// asked at once when it is heard again.
+    /// Whether a page should be requested from a member now. Nothing can be in transit from a silent member, so the
+    /// request is due immediately once the member is heard from again.
     pub fn poll_source(&mut self, now: u64, disk: u64, is_heard: bool) -> bool {
         let copy = self.copies.entry(disk).or_default();
         if !is_heard {
@@ -92,15 +93,15 @@
         is_due
     }
 
-    /// The next page is requested from a member now. Returns the key after which it begins.
+    /// Records that the next page is being requested from a member. Returns the key after which the page starts.
     pub fn start_request(&mut self, now: u64, disk: u64) -> String {
         let copy = self.copies.entry(disk).or_default();
         copy.requested_at = Some(now);
         copy.after.clone()
     }
 
-    /// Takes a page of a member's replica. Each page may be of its own time, as long as the member was in the set by
-    /// then.
+    /// Records a page of a member's replica. Pages may be read at different times, as long as the member was in the
+    /// set at each of them.
     pub fn record_page(&mut self, page: ReplicaPage) -> PageStep {
         let copy = self.copies.entry(page.disk).or_default();
         if copy.is_complete || copy.after != page.after {
@@ -119,9 +120,9 @@
         }
     }
 
-    /// Whether enough copies are complete: of a majority of the other members, or of a majority of the set before, all of
-    /// which are in this set now. Either shares a member with every majority that committed anything under the set
-    /// before.
+    /// Whether enough copies are complete: from a majority of the other members, or from a majority of the previous
+    /// set whose members are all in this set now. Either shares a member with every majority that committed a value
+    /// under the previous set.
     pub fn are_sufficient(&self, set: &VoterSet, previous: Option<&VoterSet>) -> bool {
         let is_complete = |disk: u64| self.copies.get(&disk).is_some_and(|copy| copy.is_complete);
         let count = |set: &VoterSet| {
@@ -132,7 +133,7 @@
         count(set) > others / 2 || previous.is_some_and(|set| count(set) >= set.majority())
     }
 
-    /// All that the complete copies hold. Nothing is kept.
+    /// Takes the merged state of all complete copies, and drops the copies.
     pub fn take_merged(&mut self) -> (ClaimFloors, Vec<(String, RegisterState)>) {
         let copies = std::mem::take(&mut self.copies).into_values();
         let complete: Vec<ReplicaCopy> = copies.filter(|copy| copy.is_complete).collect();
--- a/crates/consensus/src/replicated_values.rs
+++ b/crates/consensus/src/replicated_values.rs
@@ -1,4 +1,4 @@
-//! Values of the replicated registers: what is committed, what this controller's own voter holds, and what is missing.
+//! Values of the replicated registers: committed values, the own voter's values, and missing values.
 
 use crate::keys::REPLICATED_KEYS;
 use crate::snapshot::RegisterSnapshot;
@@ -7,54 +7,54 @@
 use register::{Ballot, VersionedValue};
 use std::collections::BTreeMap;
 
-/// Time in which a committed value may still come to this controller's own voter, in milliseconds.
+/// Time to wait for a committed value to reach the own voter before it is requested, in milliseconds.
 const OWN_VOTER_WAIT_MS: u64 = 100;
-/// Time after which a value is requested again the first time, in milliseconds; it doubles with each request.
+/// Delay before the first repeated request for a value, in milliseconds. It doubles with each request.
 const FIRST_RETRY_MS: u64 = 300;
-/// Longest time after which a value is requested again, in milliseconds.
+/// Maximum delay before a value is requested again, in milliseconds.
 const MAX_RETRY_MS: u64 = 4_800;
 
-/// A committed value that is not here yet.
+/// A committed value that this controller does not have yet.
 #[derive(Clone, Debug)]
 struct MissingValue {
     id: ValueId,
-    /// Address of a controller that has it.
+    /// Address of a controller that has the value.
     source: String,
     request_at: u64,
-    /// Time to wait once it was requested. A value may take long to travel, and is not to travel many times.
+    /// Delay before the next request. A value may take long to transfer and should not be sent many times.
     retry_after_ms: u64,
 }
 
-/// What is to be done about a missing value now.
+/// What to do about a missing value now.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum MissingValueStep {
-    /// It is waited for.
+    /// Wait for the value.
     Wait,
-    /// This controller's own voter holds it.
+    /// The own voter has the value.
     Found(Value),
-    /// It is to be requested from a controller that has it.
+    /// Request the value from a controller that has it.
     Request {
-        /// That controller's address.
+        /// Address of that controller.
         source: String,
-        /// The version that it has.
+        /// The version it has.
         version: u64,
     },
 }
 
 /// Values of the replicated registers.
 ///
-/// A committed value only ever gives way to one of a higher version. What the own voter holds is what its disk
-/// reported last, and may be a value that is not committed.
+/// A committed value is only replaced by one with a higher version. The own voter's values are those last reported by
+/// its disk and may be uncommitted.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplicatedValues {
     committed: BTreeMap<String, Value>,
-    /// What this controller's voter holds, by key.
+    /// The own voter's registers by key.
     own: BTreeMap<String, RegisterSnapshot>,
     missing: BTreeMap<String, MissingValue>,
 }
 
 impl ReplicatedValues {
-    /// From what the own voter holds at the start. Nothing is known to be committed.
+    /// Starts from the own voter's registers. No value is known to be committed.
     pub fn new(own: Vec<RegisterSnapshot>) -> Self {
         let own = own.into_iter();
         Self {
@@ -69,18 +69,18 @@
         self.committed.get(key)
     }
 
-    /// Version and tag of a key's committed value; blank where none is known.
+    /// Version and tag of a key's committed value; the default id if none is known.
     pub fn committed_id(&self, key: &str) -> ValueId {
         let committed = self.committed.get(key);
         committed.map_or_else(ValueId::default, Value::id)
     }
 
-    /// Version of a key's committed value; 0 where none is known.
+    /// Version of a key's committed value; 0 if none is known.
     pub fn committed_version(&self, key: &str) -> u64 {
         self.committed_id(key).version
     }
 
-    /// What the own voter holds for a key.
+    /// The own voter's register for a key.
     pub fn own(&self, key: &str) -> Option<&RegisterSnapshot> {
         self.own.get(key)
     }
@@ -91,7 +91,7 @@
         own.map(|value| value.promised.counter).max()
     }
 
-    /// The newest value of a key that this controller has, committed or not, and that others need not send.
+    /// The newest value known to this controller, committed or not, which others need not send.
     pub fn newest(&self, key: &str) -> Option<Value> {
         let committed = self.committed.get(key);
         let own = self.own.get(key).and_then(RegisterSnapshot::value);
@@ -99,7 +99,7 @@
         own.or_else(|| committed.cloned())
     }
 
-    /// The disk reports what the own voter holds for some keys. Bytes that are left out are as they were.
+    /// Records the own voter's registers as reported by the disk. Omitted value bytes are unchanged.
     pub fn record_own(&mut self, values: Vec<RegisterSnapshot>) {
         for mut value in values {
             if value.bytes.is_none() {
@@ -110,19 +110,19 @@
         }
     }
 
-    /// The own voter was emptied.
+    /// Drops the own voter's registers after the disk was reset.
     pub fn clear_own(&mut self) {
         self.own.clear();
     }
 
-    /// Takes a committed value. Returns whether it is newer than the one that was known.
+    /// Records a committed value. Returns whether it is newer than the known one.
     pub fn commit(&mut self, now: u64, key: &str, value: Value) -> bool {
         let version = value.version;
         if let Some(missing) = self.missing.get_mut(key) {
             if missing.id.version <= version {
                 self.missing.remove(key);
             } else {
-                // One that is newer still may be requested as if nothing were under way.
+                // The request for an even newer value starts over, as if none had been sent.
                 missing.request_at = now + OWN_VOTER_WAIT_MS;
                 missing.retry_after_ms = FIRST_RETRY_MS;
             }
@@ -140,7 +140,7 @@
         true
     }
 
-    /// Another controller lists the committed values that it has, in the order of [`REPLICATED_KEYS`].
+    /// Records the committed values listed by another controller, in the order of [`REPLICATED_KEYS`].
     pub fn record_listing(&mut self, now: u64, source: &str, listing: &[ValueId], is_voting: bool) {
         for (key, id) in REPLICATED_KEYS.iter().zip(listing) {
             let known = self.missing.get(*key);
@@ -148,7 +148,8 @@
             if id.version <= self.committed_version(key) || id.version < wanted {
                 continue;
             }
-            // A value that is newer still is requested no later: changes may come faster than it is waited.
+            // An even newer value keeps the request time of the one before: changes may arrive faster than the wait
+            // ends.
             let wait_ms = if is_voting { OWN_VOTER_WAIT_MS } else { 0 };
             let missing = MissingValue {
                 id: *id,
@@ -160,17 +161,17 @@
         }
     }
 
-    /// Whether a committed value of a key is not here yet.
+    /// Whether a committed value of a key is missing.
     pub fn is_missing(&self, key: &str) -> bool {
         self.missing.contains_key(key)
     }
 
-    /// Keys of all values that are not here yet.
+    /// Keys of all missing values.
     pub fn missing_keys(&self) -> Vec<String> {
         self.missing.keys().cloned().collect()
     }
 
-    /// What is to be done about a missing value now. A request that it returns counts as sent.
+    /// What to do about a missing value now. A returned request is assumed to be sent.
     pub fn poll_missing(&mut self, now: u64, key: &str) -> MissingValueStep {
         let Some(missing) = self.missing.get_mut(key) else {
             return MissingValueStep::Wait;
@@ -190,8 +191,8 @@
         }
     }
 
-    /// The committed value of a key, if it is not older than a version, with the ballot under which the own voter
-    /// accepted it; a blank ballot where it did not.
+    /// The committed value of a key if it is not older than the version, with the ballot under which the own voter
+    /// accepted it; the default ballot if the own voter did not accept it.
     pub fn committed_with_ballot(
         &self,
         key: &str,
@@ -206,7 +207,7 @@
         Some((ballot, value.to_versioned()))
     }
 
-    /// Whether the own voter holds an older value than a committed one, or another one of its version.
+    /// Whether the own voter's value is older than a committed one, or differs from it at the same version.
     pub fn is_own_behind(&self, key: &str, committed: ValueId) -> bool {
         let own = self.own.get(key);
         let own = own.map_or_else(ValueId::default, RegisterSnapshot::id);
@@ -214,7 +215,7 @@
             || (own.version == committed.version && own.tag != committed.tag)
     }
 
-    /// Replicated registers whose committed values the own voter lacks, with the versions that it lacks.
+    /// Replicated registers whose committed value the own voter lacks, with that value's version.
     pub fn lacking(&self) -> Vec<(String, u64)> {
         let replicated = self
             .committed
--- a/crates/consensus/src/role_register.rs
+++ b/crates/consensus/src/role_register.rs
@@ -1,13 +1,13 @@
-//! The register that says which controller won the scaler role last.
+//! The register that records the last winner of the scaler role.
 
 use crate::keys::SCALER_ROLE_KEY;
 use register::VoterOperation;
 use speedy::{Readable, Writable};
 
-/// Bits of a term below the voter set's epoch.
+/// Number of bits of a term below the voter set's epoch.
 const EPOCH_SHIFT: u32 = 40;
 
-/// Value of the scaler role's register: the controller that won it last.
+/// Value of the scaler role's register: the controller that last won the role.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct RoleHolder {
     /// Address of the holder.
@@ -19,13 +19,13 @@
 }
 
 impl RoleHolder {
-    /// Decodes the register's value. What cannot be decoded names nobody.
+    /// Decodes the register's value. Invalid values decode to an empty holder.
     pub(crate) fn decode(bytes: &[u8]) -> Self {
         Self::read_from_buffer(bytes).unwrap_or_default()
     }
 }
 
-/// Key of the register that an operation is about.
+/// Key of the register that an operation addresses.
 pub(crate) fn key_of(operation: &VoterOperation) -> &str {
     match operation {
         VoterOperation::Query { key }
@@ -34,12 +34,13 @@
     }
 }
 
-/// Whether an operation prepares or accepts a value of the scaler role's register.
+/// Whether an operation is a prepare or accept request for the scaler role's register.
 pub(crate) fn is_role_round(operation: &VoterOperation) -> bool {
     key_of(operation) == SCALER_ROLE_KEY && !matches!(operation, VoterOperation::Query { .. })
 }
 
-/// Term of a holder, which fences its commands: the version at which it won, under the voter set's epoch.
+/// Fencing term of a role holder: the epoch of the voter set, followed by the register version at which the role was
+/// won.
 pub(crate) fn term_of(epoch: u64, version: u64) -> u64 {
     (epoch << EPOCH_SHIFT) | version
 }
--- a/crates/consensus/src/scaler_role.rs
+++ b/crates/consensus/src/scaler_role.rs
@@ -1,31 +1,31 @@
-//! The scaler role: which one controller scales functions, as this controller's lease and its voter's vote decide it.
+//! State of the scaler role: this controller's own lease, and what its voter may promise to others.
 
 use crate::role_register::term_of;
 use crate::snapshot::RegisterSnapshot;
 use register::VoterSet;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most heartbeats whose sending is remembered.
+/// Maximum number of sent heartbeats that are remembered.
 const MAX_SENT_HEARTBEATS: usize = 64;
 
-/// Another controller's lease on the role, as this controller's voter heard it claimed last.
+/// Another controller's lease on the role, as last claimed in a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ObservedLease {
     /// Address of the holder.
     pub holder: String,
     /// The holder's incarnation.
     pub incarnation: u64,
-    /// Number of the heartbeat that claimed it; 0 for a lease that was restored at the start.
+    /// Number of the heartbeat that claimed the lease; 0 if it was restored at start.
     pub number: u64,
-    /// The term that was claimed.
+    /// The claimed term.
     pub term: u64,
-    /// When it was claimed.
+    /// When the claim was received.
     pub received_at: u64,
 }
 
 /// This controller's own lease on the role, won in the register.
 ///
-/// It is counted from the sending of the heartbeats that a majority of voters acknowledged.
+/// It is counted from the send times of heartbeats that a majority of voters acknowledged.
 #[derive(Clone, Debug)]
 struct RoleLease {
     version: u64,
@@ -33,9 +33,9 @@
     won_at: u64,
     held_until: u64,
     is_announced: bool,
-    /// Number and time of sending of heartbeats that claimed the role.
+    /// Numbers and send times of heartbeats that claimed the role.
     sent: VecDeque<(u64, u64)>,
-    /// When the newest acknowledged heartbeat was sent, by the voter's disk.
+    /// Send time of the newest acknowledged heartbeat, by the voter's disk.
     acknowledged: BTreeMap<u64, u64>,
 }
 
@@ -71,51 +71,51 @@
             .filter_map(|voter| self.acknowledged.get(&voter.disk).copied())
             .collect();
         times.sort_unstable_by(|one, other| other.cmp(one));
-        // A fifth is left for clocks that run apart.
+        // One fifth of the lease is a margin for clock drift.
         if let Some(sent_at) = times.get(set.majority() - 1) {
             self.held_until = self.held_until.max(sent_at + lease_ms * 4 / 5);
         }
     }
 
-    /// A lease that was just won is left half of its span to be backed by a majority.
+    /// A newly won lease has half of its duration to be backed by a majority before it ends.
     fn is_over(&self, now: u64, lease_ms: u64) -> bool {
         let is_young = !self.is_announced && now < self.won_at + lease_ms / 2;
         now >= self.held_until && !is_young
     }
 }
 
-/// A lease that this controller gave up or lost.
+/// A lease that this controller has given up or lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EndedLease {
-    /// Its term.
+    /// Term of the lease.
     pub term: u64,
-    /// Whether the daemon was notified that it holds the role.
+    /// Whether the daemon was told that it holds the role.
     pub was_announced: bool,
 }
 
-/// One controller's part in who has the scaler role.
+/// One controller's view of the scaler role.
 ///
-/// A voter backs a lease only where it accepted the holder's value and has promised nothing since, and promises
-/// something only when it has heard no lease claimed for the span of a lease. Both last on the disk, but for when a
-/// lease was heard: after a start that counts as just now.
+/// A voter backs a lease only if it has accepted the holder's value and made no newer promise. It makes a promise
+/// only if no lease was claimed for one lease duration. The disk preserves all of this except the time of the last
+/// claim, which is assumed to be now after a restart.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ScalerRole {
     lease_ms: u64,
     observed: Option<ObservedLease>,
     own: Option<RoleLease>,
-    /// This controller's voter promises nothing about the role before.
+    /// The own voter makes no promise about the role before this time.
     promises_from: u64,
-    /// This controller does not campaign before.
+    /// This controller does not campaign before this time.
     campaigns_from: u64,
     campaign_at: Option<u64>,
     is_resigned: bool,
     was_free: bool,
-    /// Rounds over the role's register that the disk has not ended yet.
+    /// Rounds on the role's register that the disk has not completed.
     pending_rounds: usize,
 }
 
 impl ScalerRole {
-    /// After a start, from what the own voter holds in the role's register.
+    /// Restores the state after a start from the own voter's role register.
     pub fn restored(
         now: u64,
         lease_ms: u64,
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Whether this controller's voter may promise the role to a controller now. A holder that campaigns anew has
-    /// dropped its lease, or was started anew.
+    /// Whether the own voter may promise the role to a controller now. A lease holder that campaigns again has
+    /// dropped its lease or was restarted, so its own lease does not exclude it.
     pub fn may_promise(&self, now: u64, to: &str) -> bool {
         let is_leased = self
             .observed
@@ -150,13 +150,13 @@
         self.own.is_none() && now >= self.promises_from && !is_leased
     }
 
-    /// This controller's voter promises nothing about the role until a lease from now is over, since it may have
-    /// backed one that it does not know any more.
+    /// Withholds promises about the role for one lease duration, because the own voter may have backed a lease that
+    /// it no longer knows of.
     pub fn withhold_promises(&mut self, now: u64) {
         self.promises_from = self.promises_from.max(now + self.lease_ms);
     }
 
-    /// A controller claimed in a heartbeat that it holds the role.
+    /// Records a role claim from a heartbeat.
     pub fn observe_lease(&mut self, now: u64, lease: ObservedLease) {
         let is_older = self.observed.as_ref().is_some_and(|known| {
             known.term > lease.term && now < known.received_at + self.lease_ms
@@ -166,8 +166,7 @@
         }
     }
 
-    /// A controller said in a heartbeat that it does not hold the role: it has dropped its lease for good, if it ever
-    /// had one.
+    /// Records a heartbeat without a role claim. If the sender held a lease, it has dropped it for good.
     pub fn observe_no_lease(&mut self, from: &str, incarnation: u64, number: u64) {
         let is_over = self.observed.as_ref().is_some_and(|lease| {
             lease.holder == from && lease.incarnation == incarnation && lease.number < number
@@ -177,17 +176,17 @@
         }
     }
 
-    /// The disk is given a round over the role's register.
+    /// Records that a round on the role's register was submitted to the disk.
     pub fn start_round(&mut self) {
         self.pending_rounds += 1;
     }
 
-    /// The disk has ended a round over the role's register.
+    /// Records that the disk has completed a round on the role's register.
     pub fn end_round(&mut self) {
         self.pending_rounds = self.pending_rounds.saturating_sub(1);
     }
 
-    /// Whether the disk has not ended a round over the role's register.
+    /// Whether the disk has not completed all rounds on the role's register.
     pub fn has_pending_rounds(&self) -> bool {
         self.pending_rounds > 0
     }
@@ -200,7 +199,7 @@
             .map(|lease| lease.term)
     }
 
-    /// The term that this controller has won, whether a majority backs it yet or not.
+    /// The term this controller has won, whether or not a majority backs it yet.
     pub fn claimed_term(&self) -> Option<u64> {
         self.own.as_ref().map(|lease| lease.term)
     }
@@ -210,13 +209,14 @@
         self.own.as_ref().map(|lease| lease.version)
     }
 
-    /// Whether this controller's lease has run out.
+    /// Whether this controller's lease has expired.
     pub fn is_lease_over(&self, now: u64) -> bool {
         let lease = self.own.as_ref();
         lease.is_some_and(|lease| lease.is_over(now, self.lease_ms))
     }
 
-    /// This controller won the role in the register, unless it has resigned. Returns whether it takes it.
+    /// Records that this controller won the role in the register. Returns whether it takes the role, which it does
+    /// not after it resigned.
     pub fn win(&mut self, now: u64, epoch: u64, version: u64) -> bool {
         if !self.is_resigned {
             self.own = Some(RoleLease::new(now, epoch, version));
@@ -224,7 +224,7 @@
         !self.is_resigned
     }
 
-    /// Ends this controller's lease, if it has one. Another campaign waits for a tenth of a lease.
+    /// Ends this controller's lease, if any. The next campaign is delayed by a tenth of the lease duration.
     pub fn end_lease(&mut self, now: u64) -> Option<EndedLease> {
         let lease = self.own.take()?;
         self.delay_campaigns(now + self.lease_ms / 10);
@@ -234,20 +234,20 @@
         })
     }
 
-    /// This controller campaigns for the role no more.
+    /// Stops all further campaigns for the role.
     pub fn resign(&mut self) {
         self.is_resigned = true;
     }
 
-    /// A heartbeat that claims the role leaves now.
+    /// Records that a heartbeat claiming the role is being sent.
     pub fn record_sent(&mut self, now: u64, number: u64) {
         if let Some(lease) = self.own.as_mut() {
             lease.record_sent(now, number);
         }
     }
 
-    /// A voter backs the claim that a heartbeat made. The lease is counted from the heartbeat's sending, not from now.
-    /// Returns the lease's term where a majority backs it for the first time, so that it is to be announced.
+    /// Records that a voter backs the claim in a heartbeat. The lease is counted from when the heartbeat was sent,
+    /// not from now. Returns the term to announce when a majority backs the lease for the first time.
     #[must_use]
     pub fn record_ack(&mut self, now: u64, set: &VoterSet, disk: u64, number: u64) -> Option<u64> {
         let lease_ms = self.lease_ms;
@@ -258,29 +258,30 @@
         is_new.then_some(lease.term)
     }
 
-    /// Notes whether the own voter would let this controller have the role. Returns whether that has just begun.
+    /// Records whether the own voter would grant the role to this controller. Returns whether this has just become
+    /// true.
     pub fn record_free(&mut self, is_free: bool) -> bool {
         let has_begun = is_free && !self.was_free;
         self.was_free = is_free;
         has_begun
     }
 
-    /// Whether this controller may campaign now, as far as its own pauses go.
+    /// Whether the delays between campaigns allow one now.
     pub fn may_campaign(&self, now: u64) -> bool {
         !self.is_resigned && now >= self.campaigns_from
     }
 
-    /// No campaign begins before.
+    /// Delays campaigns until the given time.
     pub fn delay_campaigns(&mut self, until: u64) {
         self.campaigns_from = self.campaigns_from.max(until);
     }
 
-    /// Another controller won the role. It is left time to claim it.
+    /// Gives another controller that won the role time to claim it.
     pub fn yield_to_winner(&mut self, now: u64) {
         self.delay_campaigns(now + self.lease_ms / 2);
     }
 
-    /// Whether a campaign begins now. Where none was planned, one is after the pause.
+    /// Whether a campaign is due now. If none is planned, one is planned after the pause.
     pub fn poll_campaign(&mut self, now: u64, pause_ms: u64) -> bool {
         let at = *self.campaign_at.get_or_insert(now + pause_ms);
         let is_due = now >= at;
@@ -290,12 +291,12 @@
         is_due
     }
 
-    /// Gives up a planned campaign.
+    /// Cancels the planned campaign.
     pub fn cancel_campaign(&mut self) {
         self.campaign_at = None;
     }
 
-    /// When a planned campaign begins.
+    /// Time of the planned campaign, if any.
     pub fn next_campaign_at(&self) -> Option<u64> {
         self.campaign_at
     }
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a controller's own voter holds, as its disk's thread reports it.
+//! State of a controller's own voter, as reported by the disk thread.
 
 use crate::keys::REPLICATED_KEYS;
 use crate::role_register::RoleHolder;
@@ -7,25 +7,25 @@
 use std::sync::Arc;
 use voter::Voter;
 
-/// What a voter holds of the replicated registers.
+/// State of a voter and its replicated registers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VoterSnapshot {
-    /// The voter's set; epoch 0 where it is empty.
+    /// The voter's set; epoch 0 if the voter is empty.
     pub set: VoterSet,
-    /// Whether the disk can be trusted.
+    /// Whether the disk is usable. False after a disk failure.
     pub is_open: bool,
-    /// Replicated registers: all of them, or those that have changed.
+    /// Replicated registers: either all of them or those that have changed.
     pub values: Vec<RegisterSnapshot>,
 }
 
 impl VoterSnapshot {
-    /// All that a voter holds, when it was just opened.
+    /// Full snapshot of a newly opened voter.
     pub fn of(voter: &Voter) -> Self {
         let keys = REPLICATED_KEYS.iter().map(|key| (*key, true));
         Self::of_keys(voter, keys)
     }
 
-    /// What a voter holds for some keys, each with its bytes or without them.
+    /// Snapshot of some registers, each with or without its value bytes.
     pub(crate) fn of_keys<'a>(voter: &Voter, keys: impl Iterator<Item = (&'a str, bool)>) -> Self {
         let acceptor = voter.acceptor();
         let values = keys.map(|(key, has_bytes)| {
@@ -47,12 +47,12 @@
     }
 }
 
-/// What a voter holds for one key.
+/// State of one register of a voter.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RegisterSnapshot {
     /// Key of the register.
     pub key: String,
-    /// Highest ballot promised.
+    /// Highest promised ballot.
     pub promised: Ballot,
     /// Ballot of the accepted value.
     pub accepted: Ballot,
@@ -60,7 +60,7 @@
     pub version: u64,
     /// Tag of the accepted value.
     pub tag: u64,
-    /// The value itself; none where it is as it was.
+    /// Bytes of the accepted value; `None` if unchanged.
     pub bytes: Option<Arc<Vec<u8>>>,
 }
 
@@ -70,7 +70,7 @@
         ValueId::new(self.version, self.tag)
     }
 
-    /// The accepted value, where its bytes are known.
+    /// The accepted value, if its bytes are known.
     pub(crate) fn value(&self) -> Option<Value> {
         let bytes = self.bytes.clone()?;
         Some(Value {
@@ -80,7 +80,7 @@
         })
     }
 
-    /// The holder that the scaler role's register names.
+    /// The role holder stored in the scaler role's register.
     pub(crate) fn role_holder(&self) -> RoleHolder {
         let bytes = self.bytes.as_ref().map_or(&[][..], |bytes| bytes);
         RoleHolder::decode(bytes)
--- a/crates/consensus/src/voter_sets.rs
+++ b/crates/consensus/src/voter_sets.rs
@@ -1,47 +1,47 @@
-//! Which voter sets a controller knows, and which one its own voter is in.
+//! The voter sets known to a controller, and the set of its own voter.
 
 use crate::message::VoterSetUpdate;
 use register::{SetVersion, VoterSet};
 
-/// Where a controller stands with the voter set.
+/// Relation of a controller to the voter set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipState {
     /// No set is known yet.
     Bootstrapping,
-    /// The voter is empty and has no place in the newest set.
+    /// The voter is empty and not in the newest set.
     Joining,
-    /// The newest set names the voter's disk, and the voter is still empty.
+    /// The newest set contains the voter's disk, but the voter is still empty.
     Installing,
-    /// The voter counts.
+    /// The voter is installed and in the newest set.
     Voting,
-    /// The newest set names the voter's disk no more. It keeps its replica until the set is installed.
+    /// The newest set no longer contains the voter's disk. The replica is kept until the set is installed.
     Leaving,
-    /// The disk is being emptied.
+    /// The disk is being reset.
     Resetting,
 }
 
-/// The newest committed voter set, the one before it, and the set that this controller's own voter is in.
+/// The newest committed voter set, the previous one, and the set of this controller's own voter.
 ///
-/// The newest set only ever becomes newer. The own voter's set changes where its disk reports so and nowhere else.
+/// The newest set is only replaced by newer ones. The own voter's set changes only when the disk reports it.
 #[derive(Clone, Debug)]
 pub(crate) struct VoterSets {
     own_disk: u64,
     /// The newest set that is known to be committed.
     newest: VoterSet,
-    /// The set directly before the newest, where it is known.
+    /// The immediate predecessor of the newest set, if known.
     previous: Option<VoterSet>,
-    /// The set that this controller's voter is durably in; epoch 0 where the voter is empty.
+    /// The set that the own voter is durably in; epoch 0 if the voter is empty.
     own: VoterSet,
-    /// Whether this controller's disk can be trusted.
+    /// Whether the own disk is usable. False after a disk failure.
     is_disk_trusted: bool,
-    /// Changes of the own voter's set that the disk has not ended yet.
+    /// Number of own set changes that the disk has not completed.
     pending_disk_work: usize,
     /// Since when a live member has not installed the newest set.
     uninstalled_since: Option<u64>,
 }
 
 impl VoterSets {
-    /// As the disk holds it at the start.
+    /// Starts with the set stored on the disk.
     pub fn new(own_disk: u64, own: VoterSet, is_disk_trusted: bool) -> Self {
         Self {
             own_disk,
@@ -54,17 +54,17 @@
         }
     }
 
-    /// The newest set that is known to be committed; epoch 0 where none is.
+    /// The newest set that is known to be committed; epoch 0 if none is.
     pub fn newest(&self) -> &VoterSet {
         &self.newest
     }
 
-    /// The set directly before the newest, where it is known.
+    /// The immediate predecessor of the newest set, if known.
     pub fn previous(&self) -> Option<&VoterSet> {
         self.previous.as_ref()
     }
 
-    /// The set that this controller's voter is durably in.
+    /// The set that the own voter is durably in.
     pub fn own(&self) -> &VoterSet {
         &self.own
     }
@@ -84,49 +84,49 @@
         self.newest.epoch > 0
     }
 
-    /// Whether this controller's disk can be trusted.
+    /// Whether the own disk is usable. False after a disk failure.
     pub fn is_disk_trusted(&self) -> bool {
         self.is_disk_trusted
     }
 
-    /// Whether the newest set names this controller's disk.
+    /// Whether the newest set contains the own disk.
     pub fn is_member(&self) -> bool {
         self.is_member_disk(self.own_disk)
     }
 
-    /// Whether the newest set names a disk.
+    /// Whether the newest set contains a disk.
     pub fn is_member_disk(&self, disk: u64) -> bool {
         self.newest.voters.iter().any(|voter| voter.disk == disk)
     }
 
-    /// Whether the newest set names an address.
+    /// Whether the newest set contains an address.
     pub fn is_member_address(&self, address: &str) -> bool {
         let mut voters = self.newest.voters.iter();
         voters.any(|voter| voter.address == address)
     }
 
-    /// Whether this controller's voter holds nothing.
+    /// Whether the own voter is empty.
     pub fn is_voter_empty(&self) -> bool {
         self.own.epoch == 0
     }
 
-    /// Whether this controller's voter counts.
+    /// Whether the own voter may vote.
     pub fn is_voting(&self) -> bool {
         self.is_disk_trusted && !self.is_voter_empty() && self.is_member()
     }
 
-    /// Whether this controller's voter is in the newest set.
+    /// Whether the own voter is in the newest set.
     pub fn is_own_newest(&self) -> bool {
         self.own.version() == self.newest.version()
     }
 
-    /// Whether this controller's voter has yet to follow into the newest set.
+    /// Whether the own voter has yet to move to the newest set.
     pub fn needs_adoption(&self) -> bool {
         let has_same_epoch = !self.is_voter_empty() && self.own.epoch == self.newest.epoch;
         self.is_disk_trusted && has_same_epoch && self.own.number < self.newest.number
     }
 
-    /// Where this controller stands, but for a reset under way.
+    /// Relation of this controller to the voter set, not considering a pending reset.
     pub fn membership_state(&self) -> MembershipState {
         match (!self.is_voter_empty(), self.is_member()) {
             _ if !self.has_set() => MembershipState::Bootstrapping,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The newest set and the one before it, as it is sent to other controllers.
+    /// The newest set and its predecessor, as sent to other controllers.
     pub fn update(&self) -> VoterSetUpdate {
         VoterSetUpdate {
             set: self.newest.clone(),
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Takes a committed set. Returns whether it is newer than the newest known; an older one is ignored.
+    /// Records a committed set. Returns whether it is newer than the newest known one; older sets are ignored.
     pub fn learn(&mut self, set: &VoterSet) -> bool {
         if set.version() <= self.newest.version() || set.voters.is_empty() {
             return false;
@@ -157,7 +157,7 @@
         true
     }
 
-    /// Takes the set before the newest from another controller, where it is not known yet.
+    /// Records the predecessor of the newest set from another controller, if it is not known yet.
     pub fn learn_previous(&mut self, update: VoterSetUpdate) {
         if update.set.version() != self.version() || self.previous.is_some() {
             return;
@@ -168,13 +168,13 @@
             .filter(|previous| is_directly_before(previous, newest));
     }
 
-    /// The disk reports whether it can be trusted.
+    /// Records whether the disk is usable.
     pub fn set_disk_trusted(&mut self, is_disk_trusted: bool) {
         self.is_disk_trusted = is_disk_trusted;
     }
 
-    /// The disk reports the set that its voter is in. Returns whether it is another one than before. What a failed disk
-    /// has taken in memory alone does not count.
+    /// Records the own voter's set as reported by the disk. Returns whether it has changed. A set that a failed disk
+    /// has taken only in memory is ignored.
     pub fn record_own(&mut self, set: VoterSet) -> bool {
         if !self.is_disk_trusted || set.version() == self.own.version() {
             return false;
@@ -183,30 +183,30 @@
         true
     }
 
-    /// The disk was emptied and has a new identity.
+    /// Records that the disk was reset and has a new identity.
     pub fn reset_own(&mut self, identity: u64) {
         self.own_disk = identity;
         self.own = VoterSet::default();
         self.is_disk_trusted = true;
     }
 
-    /// The disk is given a change of the own voter's set.
+    /// Records that a change of the own voter's set was submitted to the disk.
     pub fn start_disk_work(&mut self) {
         self.pending_disk_work += 1;
     }
 
-    /// The disk has ended a change of the own voter's set.
+    /// Records that the disk has completed a change of the own voter's set.
     pub fn end_disk_work(&mut self) {
         self.pending_disk_work = self.pending_disk_work.saturating_sub(1);
     }
 
-    /// Whether the disk has not ended a change of the own voter's set.
+    /// Whether the disk has not completed all changes of the own voter's set.
     pub fn has_disk_work(&self) -> bool {
         self.pending_disk_work > 0
     }
 
-    /// Notes whether a live member has not installed the newest set, and returns whether the next change has to leave
-    /// it time. A member that never gets there must not block repair, so the wait ends after a time-out.
+    /// Records whether a live member has not installed the newest set. Returns whether the next change must wait for
+    /// it. The wait ends after a timeout, because a member that never installs the set must not block repair.
     pub fn awaits_installation(
         &mut self,
         now: u64,
