--- a/crates/consensus/src/consensus/changes.rs
+++ b/crates/consensus/src/consensus/changes.rs
@@ -80,7 +80,7 @@
     pub(super) fn propose(&mut self, now: u64, purpose: ChangePurpose, key: &str, change: Change) {
         let set = self.sets.newest().clone();
         if !self.sets.has_set() {
-            let outcome = ChangeOutcome::NoQuorum("no voters are known yet".into());
+            let outcome = ChangeOutcome::NoQuorum("no voter set is known yet".into());
             return self.on_outcome(now, purpose, key, outcome);
         }
         let tag = self.random.random::<u64>() | 1;
@@ -88,7 +88,7 @@
             .changes
             .next_ballot(self.incarnation, Ballot::default());
         let known = self.values.newest(key);
-        let is_early = self.is_early(now, purpose, key);
+        let is_delayed = self.should_delay(now, purpose, key);
         let key = key.to_string();
         let request = ChangeRequest {
             purpose,
@@ -97,18 +97,18 @@
             tag,
         };
         let mut pending = PendingChange::new(now, request, ballot, set, known);
-        if is_early {
+        if is_delayed {
             pending.pause(now + RETRY_PAUSE_MS, Ballot::default());
         }
         let id = self.changes.insert(pending);
-        if !is_early {
+        if !is_delayed {
             self.start_round(now, id);
         }
     }
 
     /// Whether a client's change should be delayed because this controller is still about to receive the register's
     /// value.
-    fn is_early(&self, now: u64, purpose: ChangePurpose, key: &str) -> bool {
+    fn should_delay(&self, now: u64, purpose: ChangePurpose, key: &str) -> bool {
         let is_client = matches!(purpose, ChangePurpose::Client(_));
         is_client && REQUIRED_KEYS.contains(&key) && self.awaits_value(now, key)
     }
@@ -116,15 +116,15 @@
     /// Starts a new round: sends the current operation to every voter.
     fn start_round(&mut self, now: u64, id: u64) {
         self.changes.start_round(id);
-        self.send_to_missing(now, id);
+        self.send_to_remaining(now, id);
     }
 
     /// Sends the request of the current round to all voters that have not responded yet.
-    fn send_to_missing(&mut self, now: u64, id: u64) {
+    fn send_to_remaining(&mut self, now: u64, id: u64) {
         let Some(change) = self.changes.get_mut(id) else {
             return;
         };
-        let round = change.request_missing(now);
+        let round = change.request_for_remaining(now);
         let (number, known) = (round.number, round.known);
         for voter in round.voters {
             let request = round.request.clone();
@@ -160,7 +160,7 @@
             self.role.start_round();
         }
         let to = from.to_string();
-        self.give_to_disk(DiskWork::VoterRequest {
+        self.submit_disk_work(DiskWork::VoterRequest {
             to,
             number,
             known,
@@ -173,7 +173,7 @@
             return;
         }
         let response = VoterResponse::Unavailable {
-            reason: "the duty is not vacant".into(),
+            reason: "the scaler role is not vacant".into(),
         };
         self.respond(from, number, false, response);
     }
@@ -221,19 +221,19 @@
         is_value_omitted: bool,
         response: VoterResponse,
     ) {
-        let Some((id, change)) = self.changes.in_round(number) else {
+        let Some((id, change)) = self.changes.find_by_round(number) else {
             return;
         };
         match change.on_response(disk, is_value_omitted, response) {
             ResponseStep::Ignored => {}
-            ResponseStep::OtherSet(set) => self.on_other_set(now, from, &set),
+            ResponseStep::SetMismatch(set) => self.on_set_mismatch(now, from, &set),
             ResponseStep::Proposal(step) => self.on_proposal_step(now, id, step),
         }
     }
 
     /// Handles a response from a voter that is in another set: whichever side has the older set learns the newer one.
     /// An empty voter has not installed a set yet. The request is sent to all voters again.
-    fn on_other_set(&mut self, now: u64, from: &str, set: &VoterSet) {
+    fn on_set_mismatch(&mut self, now: u64, from: &str, set: &VoterSet) {
         if set.version() > self.sets.version() {
             return self.learn_set(now, set);
         }
@@ -301,7 +301,7 @@
                 let jitter = self.random.random_range(0..SET_PROPOSAL_JITTER_MS);
                 self.next_set_proposal_at = now + RETRY_PAUSE_MS + jitter;
                 if is_committed {
-                    self.spread_voter_set();
+                    self.broadcast_voter_set();
                 }
             }
             ChangePurpose::ScalerRole => {
@@ -321,7 +321,7 @@
                 ChangeStep::Wait => {}
                 ChangeStep::TimedOut(outcome) => self.finish(now, id, outcome),
                 ChangeStep::Retry(above) => self.retry_change(now, id, above),
-                ChangeStep::Resend => self.send_to_missing(now, id),
+                ChangeStep::Resend => self.send_to_remaining(now, id),
             }
         }
     }
@@ -331,10 +331,10 @@
         let Some(change) = self.changes.get(id) else {
             return;
         };
-        let is_early = self.is_early(now, change.purpose(), change.key());
+        let is_delayed = self.should_delay(now, change.purpose(), change.key());
         let known = self.values.newest(change.key());
         if let Some(change) = self.changes.get_mut(id) {
-            if is_early {
+            if is_delayed {
                 return change.pause(now + RETRY_PAUSE_MS, above);
             }
             change.retry(ballot, known);
@@ -343,14 +343,14 @@
     }
 
     /// Restarts all changes under a newer voter set. Changes that only apply to the old set are dropped.
-    pub(super) fn move_changes(&mut self, now: u64) {
-        self.changes.drop_bound_to_set();
+    pub(super) fn move_changes_to_newest_set(&mut self, now: u64) {
+        self.changes.remove_set_dependent();
         for id in self.changes.ids() {
             let ballot = self
                 .changes
                 .next_ballot(self.incarnation, Ballot::default());
             if let Some(change) = self.changes.get_mut(id) {
-                change.move_to(self.sets.newest(), ballot);
+                change.move_to_set(self.sets.newest(), ballot);
             }
             self.start_round(now, id);
         }
--- a/crates/consensus/src/consensus/heartbeats.rs
+++ b/crates/consensus/src/consensus/heartbeats.rs
@@ -69,7 +69,7 @@
         let heartbeat = self.heartbeat(now, number);
         for to in self.heartbeat_receivers(now) {
             self.admit(&to);
-            self.peers.record_notified(now, &to);
+            self.peers.record_heartbeat_sent(now, &to);
             let heartbeat = Heartbeat {
                 grants_role: self.grants_role(now, &to),
                 acknowledged: self.peers.acknowledgement(&to),
@@ -83,7 +83,7 @@
     fn heartbeat_receivers(&self, now: u64) -> BTreeSet<String> {
         let members = self.sets.newest().voters.iter();
         let members = members.map(|voter| voter.address.clone());
-        let others = self.peers.addresses_to_notify(
+        let others = self.peers.additional_receivers(
             now,
             &self.options.seeds,
             self.sets.has_set(),
@@ -100,9 +100,9 @@
         let live: BTreeSet<u64> = live.map(|(_, heartbeat)| heartbeat.disk).collect();
         let members = self.sets.newest().voters.iter().map(|voter| voter.disk);
         let mut reachable_members = 0;
-        for (place, disk) in members.clone().enumerate().take(MAX_REACHABLE_BITS) {
+        for (index, disk) in members.clone().enumerate().take(MAX_REACHABLE_BITS) {
             let is_reachable = disk == self.sets.own_disk() || live.contains(&disk);
-            reachable_members |= u64::from(is_reachable) << place;
+            reachable_members |= u64::from(is_reachable) << index;
         }
         let members: BTreeSet<u64> = members.collect();
         let committed = REPLICATED_KEYS.iter();
--- a/crates/consensus/src/consensus/installation.rs
+++ b/crates/consensus/src/consensus/installation.rs
@@ -58,7 +58,7 @@
         set_version: SetVersion,
         after: String,
     ) {
-        self.give_to_disk(DiskWork::ReadReplica {
+        self.submit_disk_work(DiskWork::ReadReplica {
             to: from.to_string(),
             set_version,
             after,
--- a/crates/consensus/src/consensus/leaving.rs
+++ b/crates/consensus/src/consensus/leaving.rs
@@ -38,7 +38,7 @@
 
     pub(super) fn on_confirmation_request(&mut self, from: &str, set_version: SetVersion) {
         let to = from.to_string();
-        self.give_to_disk(DiskWork::ConfirmInstalled { to, set_version });
+        self.submit_disk_work(DiskWork::ConfirmInstalled { to, set_version });
     }
 
     /// Records that a member has durably installed a set.
--- a/crates/consensus/src/consensus/membership.rs
+++ b/crates/consensus/src/consensus/membership.rs
@@ -36,7 +36,7 @@
             self.admit(&voter.address);
         }
         self.adopt_newest_set();
-        self.move_changes(now);
+        self.move_changes_to_newest_set(now);
     }
 
     /// Moves the own voter to the newest set if it is in an older one of the same epoch.
@@ -50,7 +50,7 @@
     /// Submits disk work that changes the set of the own voter.
     pub(super) fn change_own_set(&mut self, work: DiskWork) {
         self.sets.start_disk_work();
-        self.give_to_disk(work);
+        self.submit_disk_work(work);
     }
 
     pub(super) fn on_voter_set_request(&mut self, from: &str) {
@@ -81,7 +81,7 @@
     }
 
     /// Sends the newest set to all other members.
-    pub(super) fn spread_voter_set(&mut self) {
+    pub(super) fn broadcast_voter_set(&mut self) {
         for voter in self.sets.newest().voters.clone() {
             let to = self.locate(&voter);
             if to != self.options.address {
@@ -98,7 +98,7 @@
         self.adopt_newest_set();
         match self.membership_state() {
             MembershipState::Bootstrapping => self.form_first_set(),
-            MembershipState::Joining => self.request_place(now),
+            MembershipState::Joining => self.propose_joining_set(now),
             MembershipState::Installing => self.poll_installation(now),
             MembershipState::Voting => self.propose_own_address(now),
             MembershipState::Resetting => {}
@@ -118,7 +118,8 @@
         if !self.options.is_first_start || !is_first {
             return;
         }
-        let voters: Option<Vec<VoterRef>> = seeds.iter().map(|seed| self.founder(seed)).collect();
+        let voters: Option<Vec<VoterRef>> =
+            seeds.iter().map(|seed| self.initial_voter(seed)).collect();
         let Some(voters) = voters else {
             return;
         };
@@ -134,14 +135,14 @@
     }
 
     /// A seed as a voter of the first set, if it is empty and starting for the first time.
-    fn founder(&self, seed: &str) -> Option<VoterRef> {
+    fn initial_voter(&self, seed: &str) -> Option<VoterRef> {
         if seed == self.options.address {
             return Some(self.own_ref());
         }
         let heartbeat = self.peers.last_heartbeat(seed)?;
         let is_empty = heartbeat.own_set.epoch == 0 && heartbeat.known_set.epoch == 0;
-        let is_founder = is_empty && heartbeat.is_first_start;
-        is_founder.then(|| VoterRef {
+        let is_eligible = is_empty && heartbeat.is_first_start;
+        is_eligible.then(|| VoterRef {
             disk: heartbeat.disk,
             address: seed.to_string(),
         })
@@ -155,7 +156,7 @@
     }
 
     /// Proposes a voter set that includes this controller.
-    fn request_place(&mut self, now: u64) {
+    fn propose_joining_set(&mut self, now: u64) {
         let voting = self.live_voting_members(now);
         if voting.len() < self.sets.newest().majority() {
             // Only a controller that hears from a majority can tell that a member is down rather than that it is
@@ -166,7 +167,7 @@
         if !self.may_propose_set(now) {
             return;
         }
-        let Some(next) = self.next_set_with_place(now, &voting) else {
+        let Some(next) = self.next_set_with_self(now, &voting) else {
             return;
         };
         log::info!("consensus: proposing membership set={}", next.version());
@@ -184,7 +185,7 @@
     }
 
     /// The next set that includes this controller: it replaces a silent member, or is added to the set.
-    fn next_set_with_place(&mut self, now: u64, voting: &[Heartbeat]) -> Option<VoterSet> {
+    fn next_set_with_self(&mut self, now: u64, voting: &[Heartbeat]) -> Option<VoterSet> {
         let me = self.own_ref();
         let reachable = self.reachable_disks(now, voting);
         let set = self.sets.newest();
@@ -209,10 +210,10 @@
         let live = self.peers.live(now);
         let mut reachable: BTreeSet<u64> = live.map(|(_, heartbeat)| heartbeat.disk).collect();
         let members = self.sets.newest().voters.iter().enumerate();
-        for (place, voter) in members.take(MAX_REACHABLE_BITS) {
+        for (index, voter) in members.take(MAX_REACHABLE_BITS) {
             let is_heard = voting
                 .iter()
-                .any(|heartbeat| heartbeat.reachable_members >> place & 1 == 1);
+                .any(|heartbeat| heartbeat.reachable_members >> index & 1 == 1);
             if is_heard && voter.address != self.options.address {
                 reachable.insert(voter.disk);
             }
@@ -225,8 +226,8 @@
         let count = self.sets.newest().voters.len();
         let spares = voting.iter().map(|heartbeat| heartbeat.spare_controllers);
         let has_spares = spares.max().unwrap_or(0) >= MIN_SPARES_FOR_EVEN_SET;
-        let is_worth_it = count.is_multiple_of(2) || count == 1 || has_spares;
-        count < self.options.target_voter_count && voting.len() == count && is_worth_it
+        let is_useful_size = count.is_multiple_of(2) || count == 1 || has_spares;
+        count < self.options.target_voter_count && voting.len() == count && is_useful_size
     }
 
     /// Proposes a set as successor of the newest one. It commits at a majority of voters that have durably installed
--- a/crates/consensus/src/consensus/replication.rs
+++ b/crates/consensus/src/consensus/replication.rs
@@ -69,7 +69,7 @@
             accepted: ballot,
             value: stored,
         };
-        self.give_to_disk(DiskWork::Repair(key.to_string(), state));
+        self.submit_disk_work(DiskWork::Repair(key.to_string(), state));
     }
 
     /// Periodically requests committed values that the own voter lacks from other members.
@@ -83,10 +83,10 @@
         if sources.is_empty() {
             return;
         }
-        for (key, version) in self.values.lacking() {
-            let place = self.random.random_range(0..sources.len());
+        for (key, version) in self.values.outdated_own_values() {
+            let index = self.random.random_range(0..sources.len());
             self.send(
-                &sources[place],
+                &sources[index],
                 ConsensusMessage::RequestValue { key, version },
             );
         }
--- a/crates/consensus/src/consensus/scaler_role.rs
+++ b/crates/consensus/src/consensus/scaler_role.rs
@@ -63,9 +63,9 @@
             return false;
         };
         let named = accepted.role_holder();
-        let is_firm = accepted.promised == accepted.accepted;
+        let is_undisputed = accepted.promised == accepted.accepted;
         let is_holder = named.address == holder && named.incarnation == incarnation;
-        is_firm && is_holder && term_of(self.sets.own().epoch, accepted.version) == term
+        is_undisputed && is_holder && term_of(self.sets.own().epoch, accepted.version) == term
     }
 
     /// Records a heartbeat that claims the role, and the own voter's acknowledgement if it backs the claim. Called
@@ -103,23 +103,23 @@
 
     /// Campaigns for the role if it is vacant and a majority would grant it to this controller.
     pub(super) fn poll_campaign(&mut self, now: u64) {
-        let is_free = self.grants_role(now, &self.options.address);
-        if self.role.record_free(is_free) {
+        let is_grantable = self.grants_role(now, &self.options.address);
+        if self.role.record_grantable(is_grantable) {
             self.heartbeats.request();
         }
-        if !is_free || !self.may_campaign(now) {
+        if !is_grantable || !self.may_campaign(now) {
             return self.role.cancel_campaign();
         }
         let own_disk = self.sets.own_disk();
         let mut voters = self.sets.newest().voters.iter();
-        let place = voters.position(|voter| voter.disk == own_disk);
+        let index = voters.position(|voter| voter.disk == own_disk);
         let jitter = self.random.random_range(0..CAMPAIGN_JITTER_MS);
         // The other voters grant the role to its last holder before anyone else, so it has no competitor to avoid.
-        let place = match self.is_last_holder() {
+        let index = match self.is_last_holder() {
             true => 0,
-            false => place.unwrap_or(0) as u64,
+            false => index.unwrap_or(0) as u64,
         };
-        let pause = place * CAMPAIGN_STAGGER_MS + jitter;
+        let pause = index * CAMPAIGN_STAGGER_MS + jitter;
         if self.role.poll_campaign(now, pause) {
             self.campaign(now);
         }
@@ -173,7 +173,7 @@
         };
         let is_newest = stored.version == self.values.committed_version(SCALER_ROLE_KEY);
         let epoch = self.sets.newest().epoch;
-        if is_newest && self.role.win(now, epoch, stored.version) {
+        if is_newest && self.role.record_win(now, epoch, stored.version) {
             self.heartbeats.request_at_once();
         }
     }
--- a/crates/consensus/src/contact_lease.rs
+++ b/crates/consensus/src/contact_lease.rs
@@ -93,7 +93,7 @@
                 times.push(*sent_at);
             }
         }
-        times.sort_unstable_by(|one, other| other.cmp(one));
+        times.sort_unstable_by(|a, b| b.cmp(a));
         let oldest = times.get(set.majority().checked_sub(1)?);
         oldest.copied().filter(|sent_at| *sent_at != u64::MAX)
     }
--- a/crates/consensus/src/departure.rs
+++ b/crates/consensus/src/departure.rs
@@ -68,8 +68,8 @@
         } else {
             1
         };
-        let is_long_ago = now >= self.since + timeouts * timeout_ms;
-        installed >= set.majority() && (missing.is_empty() || is_long_ago)
+        let has_timed_out = now >= self.since + timeouts * timeout_ms;
+        installed >= set.majority() && (missing.is_empty() || has_timed_out)
     }
 
     /// Marks the disk reset as started.
--- a/crates/consensus/src/disk_execution.rs
+++ b/crates/consensus/src/disk_execution.rs
@@ -142,7 +142,7 @@
 ) -> DiskCompletion {
     let is_role_round = is_role_round(&request.operation);
     let mut response = voter.handle(request);
-    let is_value_omitted = leave_out(&mut response, known);
+    let is_value_omitted = omit_known_value(&mut response, known);
     DiskCompletion::VoterResponse {
         to,
         number,
@@ -153,7 +153,7 @@
 }
 
 /// Omits the value from a response if the receiver already has it. Returns whether it did.
-fn leave_out(response: &mut VoterResponse, known: ValueId) -> bool {
+fn omit_known_value(response: &mut VoterResponse, known: ValueId) -> bool {
     let VoterResponse::LastAccepted { value, .. } = response else {
         return false;
     };
--- a/crates/consensus/src/heartbeat_schedule.rs
+++ b/crates/consensus/src/heartbeat_schedule.rs
@@ -42,10 +42,10 @@
 
     /// Whether a heartbeat is due.
     pub fn is_due(&self, now: u64) -> bool {
-        let is_rested = self
+        let has_min_interval_elapsed = self
             .last_sent_at
             .is_none_or(|sent_at| now >= sent_at + MIN_INTERVAL_MS);
-        now >= self.next_at || (self.is_requested && is_rested)
+        now >= self.next_at || (self.is_requested && has_min_interval_elapsed)
     }
 
     /// Records that a heartbeat is being sent and schedules the next regular one. Returns the number of the
--- a/crates/consensus/src/peers.rs
+++ b/crates/consensus/src/peers.rs
@@ -39,7 +39,7 @@
     /// The incarnation before the current one. Its messages may still be in transit.
     former: Option<FormerIncarnation>,
     /// When this controller last sent a heartbeat to the peer.
-    notified_at: Option<u64>,
+    heartbeat_sent_at: Option<u64>,
 }
 
 impl Peer {
@@ -139,9 +139,9 @@
     }
 
     /// Records that a heartbeat is being sent to a peer.
-    pub fn record_notified(&mut self, now: u64, address: &str) {
+    pub fn record_heartbeat_sent(&mut self, now: u64, address: &str) {
         if let Some(peer) = self.peers.get_mut(address) {
-            peer.notified_at = Some(now);
+            peer.heartbeat_sent_at = Some(now);
         }
     }
 
@@ -204,7 +204,7 @@
 
     /// Non-member addresses that get a heartbeat. Seeds always do, but silent seeds get fewer once a voter set is
     /// known. If this controller is a member, all peers that were heard from also do.
-    pub fn addresses_to_notify<'a>(
+    pub fn additional_receivers<'a>(
         &'a self,
         now: u64,
         seeds: &'a [String],
@@ -214,7 +214,7 @@
         let notified = self.peers.iter().filter(move |(address, peer)| {
             let is_heard = peer.is_heard_within(now, FORGET_AFTER_MS);
             let is_due = peer
-                .notified_at
+                .heartbeat_sent_at
                 .is_none_or(|at| now >= at + SILENT_HEARTBEAT_INTERVAL_MS);
             let is_probed = seeds.contains(address) && (is_heard || is_due || !has_set);
             is_probed || (is_heard && is_member)
--- a/crates/consensus/src/pending_change.rs
+++ b/crates/consensus/src/pending_change.rs
@@ -86,7 +86,7 @@
     /// The response has no effect.
     Ignored,
     /// The voter is in another set.
-    OtherSet(VoterSet),
+    SetMismatch(VoterSet),
     /// The proposal has advanced.
     Proposal(ProposalStep),
 }
@@ -107,7 +107,7 @@
     ends_at: u64,
     pause: Option<Pause>,
     /// Whether the value may have been proposed under an earlier set.
-    has_proposed: bool,
+    was_proposed_earlier: bool,
     /// The newest value known to this controller when the round began.
     known: Option<Value>,
 }
@@ -133,7 +133,7 @@
             sent_at: now,
             ends_at: now + CHANGE_TIMEOUT_MS,
             pause: None,
-            has_proposed: false,
+            was_proposed_earlier: false,
             known,
         }
     }
@@ -204,8 +204,9 @@
     }
 
     /// Restarts the same change under another voter set.
-    pub fn move_to(&mut self, set: &VoterSet, ballot: Ballot) {
-        self.has_proposed |= matches!(self.proposal.abandon(), ChangeOutcome::Indeterminate);
+    pub fn move_to_set(&mut self, set: &VoterSet, ballot: Ballot) {
+        self.was_proposed_earlier |=
+            matches!(self.proposal.abandon(), ChangeOutcome::Indeterminate);
         let (proposal, operation) = self.change.start(ballot, set.voters.len());
         self.proposal = proposal;
         self.operation = operation;
@@ -214,7 +215,7 @@
     }
 
     /// The request to all voters that have not responded in the current round. It is assumed to be sent now.
-    pub fn request_missing(&mut self, now: u64) -> RoundRequest {
+    pub fn request_for_remaining(&mut self, now: u64) -> RoundRequest {
         self.sent_at = now;
         let voters = self.set.voters.iter().zip(&self.has_responded);
         let missing = voters.filter(|(_, has_responded)| !**has_responded);
@@ -238,25 +239,25 @@
         mut response: VoterResponse,
     ) -> ResponseStep {
         let mut voters = self.set.voters.iter();
-        let place = voters.position(|voter| voter.disk == disk);
-        let Some(place) = place.filter(|_| self.pause.is_none()) else {
+        let index = voters.position(|voter| voter.disk == disk);
+        let Some(index) = index.filter(|_| self.pause.is_none()) else {
             return ResponseStep::Ignored;
         };
         if let VoterResponse::SetMismatch { set } = response {
-            return ResponseStep::OtherSet(set);
+            return ResponseStep::SetMismatch(set);
         }
-        if self.has_responded[place] {
+        if self.has_responded[index] {
             return ResponseStep::Ignored;
         }
-        if is_value_omitted && !self.fill_in(&mut response) {
+        if is_value_omitted && !self.restore_omitted_value(&mut response) {
             return ResponseStep::Ignored;
         }
-        self.has_responded[place] = true;
-        ResponseStep::Proposal(self.proposal.on_response(place, response))
+        self.has_responded[index] = true;
+        ResponseStep::Proposal(self.proposal.on_response(index, response))
     }
 
     /// Restores the value omitted from a response. Returns false if it is not the value known here.
-    fn fill_in(&self, response: &mut VoterResponse) -> bool {
+    fn restore_omitted_value(&self, response: &mut VoterResponse) -> bool {
         let VoterResponse::LastAccepted { value, .. } = response else {
             return true;
         };
@@ -274,9 +275,9 @@
             return outcome;
         };
         match outcome {
-            ChangeOutcome::NoQuorum(_) if self.has_proposed => ChangeOutcome::Indeterminate,
+            ChangeOutcome::NoQuorum(_) if self.was_proposed_earlier => ChangeOutcome::Indeterminate,
             ChangeOutcome::Conflict(stored)
-                if self.has_proposed && stored.version > expected + 1 =>
+                if self.was_proposed_earlier && stored.version > expected + 1 =>
             {
                 ChangeOutcome::Indeterminate
             }
--- a/crates/consensus/src/pending_changes.rs
+++ b/crates/consensus/src/pending_changes.rs
@@ -74,7 +74,7 @@
     }
 
     /// The change whose current round has this number.
-    pub fn in_round(&mut self, number: u64) -> Option<(u64, &mut PendingChange)> {
+    pub fn find_by_round(&mut self, number: u64) -> Option<(u64, &mut PendingChange)> {
         let mut changes = self.changes.iter_mut();
         let found = changes.find(|(_, change)| change.is_in_round(number));
         found.map(|(id, change)| (*id, change))
@@ -101,7 +101,7 @@
     }
 
     /// Removes changes that only apply to the voter set under which they were started.
-    pub fn drop_bound_to_set(&mut self) {
+    pub fn remove_set_dependent(&mut self) {
         self.changes.retain(|_, change| {
             let purpose = change.purpose();
             !matches!(purpose, ChangePurpose::VoterSet | ChangePurpose::ScalerRole)
--- a/crates/consensus/src/replicated_values.rs
+++ b/crates/consensus/src/replicated_values.rs
@@ -216,13 +216,13 @@
     }
 
     /// Replicated registers whose committed value the own voter lacks, with that value's version.
-    pub fn lacking(&self) -> Vec<(String, u64)> {
+    pub fn outdated_own_values(&self) -> Vec<(String, u64)> {
         let replicated = self
             .committed
             .iter()
             .filter(|(key, _)| REPLICATED_KEYS.contains(&key.as_str()));
-        let lacking = replicated.filter(|(key, value)| self.is_own_behind(key, value.id()));
-        lacking
+        let outdated = replicated.filter(|(key, value)| self.is_own_behind(key, value.id()));
+        outdated
             .map(|(key, value)| (key.clone(), value.version))
             .collect()
     }
--- a/crates/consensus/src/scaler_role.rs
+++ b/crates/consensus/src/scaler_role.rs
@@ -60,7 +60,10 @@
     }
 
     fn record_ack(&mut self, set: &VoterSet, disk: u64, number: u64, lease_ms: u64) {
-        let sent = self.sent.iter().find(|(one, _)| *one == number);
+        let sent = self
+            .sent
+            .iter()
+            .find(|(sent_number, _)| *sent_number == number);
         let Some((_, sent_at)) = sent else {
             return;
         };
@@ -70,7 +73,7 @@
         let mut times: Vec<u64> = voters
             .filter_map(|voter| self.acknowledged.get(&voter.disk).copied())
             .collect();
-        times.sort_unstable_by(|one, other| other.cmp(one));
+        times.sort_unstable_by(|a, b| b.cmp(a));
         // One fifth of the lease is a margin for clock drift.
         if let Some(sent_at) = times.get(set.majority() - 1) {
             self.held_until = self.held_until.max(sent_at + lease_ms * 4 / 5);
@@ -79,8 +82,8 @@
 
     /// A newly won lease has half of its duration to be backed by a majority before it ends.
     fn is_over(&self, now: u64, lease_ms: u64) -> bool {
-        let is_young = !self.is_announced && now < self.won_at + lease_ms / 2;
-        now >= self.held_until && !is_young
+        let is_in_grace_period = !self.is_announced && now < self.won_at + lease_ms / 2;
+        now >= self.held_until && !is_in_grace_period
     }
 }
 
@@ -106,10 +109,10 @@
     /// The own voter makes no promise about the role before this time.
     promises_from: u64,
     /// This controller does not campaign before this time.
-    campaigns_from: u64,
+    next_campaign_allowed_at: u64,
     campaign_at: Option<u64>,
     is_resigned: bool,
-    was_free: bool,
+    was_grantable: bool,
     /// Rounds on the role's register that the disk has not completed.
     pending_rounds: usize,
 }
@@ -217,7 +220,7 @@
 
     /// Records that this controller won the role in the register. Returns whether it takes the role, which it does
     /// not after it resigned.
-    pub fn win(&mut self, now: u64, epoch: u64, version: u64) -> bool {
+    pub fn record_win(&mut self, now: u64, epoch: u64, version: u64) -> bool {
         if !self.is_resigned {
             self.own = Some(RoleLease::new(now, epoch, version));
         }
@@ -260,20 +263,20 @@
 
     /// Records whether the own voter would grant the role to this controller. Returns whether this has just become
     /// true.
-    pub fn record_free(&mut self, is_free: bool) -> bool {
-        let has_begun = is_free && !self.was_free;
-        self.was_free = is_free;
-        has_begun
+    pub fn record_grantable(&mut self, is_grantable: bool) -> bool {
+        let has_become_grantable = is_grantable && !self.was_grantable;
+        self.was_grantable = is_grantable;
+        has_become_grantable
     }
 
     /// Whether the delays between campaigns allow one now.
     pub fn may_campaign(&self, now: u64) -> bool {
-        !self.is_resigned && now >= self.campaigns_from
+        !self.is_resigned && now >= self.next_campaign_allowed_at
     }
 
     /// Delays campaigns until the given time.
     pub fn delay_campaigns(&mut self, until: u64) {
-        self.campaigns_from = self.campaigns_from.max(until);
+        self.next_campaign_allowed_at = self.next_campaign_allowed_at.max(until);
     }
 
     /// Gives another controller that won the role time to claim it.
