--- a/crates/consensus/tests/bad_messages.rs
+++ b/crates/consensus/tests/bad_messages.rs
@@ -1,4 +1,4 @@
-//! Messages that come again, late, cut or garbled: no controller panics, and nothing that is committed moves back.
+//! Duplicate, late, truncated and corrupted messages. No controller panics, and committed state never regresses.
 
 #[allow(dead_code)]
 mod cluster;
@@ -26,7 +26,7 @@
     REPLICATED_KEYS.iter().map(version).collect()
 }
 
-/// Changes some bytes of a message, or cuts it.
+/// Overwrites some bytes of a message, or truncates it.
 fn garbled(message: &ConsensusMessage, random: &mut StdRng) -> Option<ConsensusMessage> {
     let mut bytes = message.write_to_vec().ok()?;
     for _ in 0..random.random_range(1..4) {
@@ -44,7 +44,8 @@
     ConsensusMessage::read_from_buffer(&bytes).ok()
 }
 
-/// The oracle of the cluster looks at every step: two values or two holders are never seen at once.
+/// The oracle of the cluster checks after every event that no two committed values conflict and that there is at most
+/// one holder.
 #[test]
 fn messages_of_the_past_that_come_again_change_nothing() {
     for seed in 0..40 {
@@ -71,7 +72,7 @@
     }
 }
 
-/// A consensus with its voter, taken out of a cluster.
+/// A consensus and its voter, taken out of a cluster.
 struct Victim {
     consensus: Consensus,
     voter: VoterDisk,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Gives it a message and lets time pass; nothing that it has committed or promised may move back.
+    /// Delivers a message and advances time. No committed value or promise may regress.
     fn feed(&mut self, from: &str, message: ConsensusMessage, pause: u64) {
         let before = (
             committed(&self.consensus),
--- a/crates/consensus/tests/cluster/client.rs
+++ b/crates/consensus/tests/cluster/client.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 
 impl SimulatedCluster {
-    /// Reads or writes at one controller, and comes again.
+    /// Reads or writes at one controller, and schedules the next request.
     pub fn client(&mut self, place: usize) {
         let delay = self.random.random_range(40..240);
         self.later(delay, Event::Client(place));
--- a/crates/consensus/tests/cluster/faults.rs
+++ b/crates/consensus/tests/cluster/faults.rs
@@ -15,7 +15,7 @@
         live[self.random.random_range(0..live.len())]
     }
 
-    /// Whether all members of the newest set hold what they must, so that one more disk may go.
+    /// Whether all members of the newest set have installed it, so that one more disk may be lost.
     pub fn has_all_members(&self) -> bool {
         let sets = self.nodes.iter().filter_map(|node| node.consensus.as_ref());
         let newest = sets
@@ -107,7 +107,7 @@
         self.later(delay, Event::Boot(place));
     }
 
-    /// Takes a machine away for good; another comes at a new address.
+    /// Removes a machine permanently, and adds another at a new address.
     pub fn replace(&mut self) {
         if !self.has_all_members() {
             return;
--- a/crates/consensus/tests/cluster/machines.rs
+++ b/crates/consensus/tests/cluster/machines.rs
@@ -1,11 +1,11 @@
-//! Machines that come and go, and what is seen of the sets of voters on the way.
+//! Adding and removing machines, and observing the voter sets meanwhile.
 
 use super::{Event, SimulatedCluster};
 use consensus::{ConsensusMessage, MembershipState, CONFIGURATION_KEY};
 use register::{SetVersion, VoterOperation, VoterSet, VOTERS_KEY};
 
 impl SimulatedCluster {
-    /// Cuts a controller from all others.
+    /// Cuts a controller off from all others.
     pub fn isolate(&mut self, place: usize) {
         for other in 0..self.nodes.len() {
             if other != place {
@@ -14,14 +14,14 @@
         }
     }
 
-    /// Joins a controller with all others again.
+    /// Restores all links of a controller.
     pub fn rejoin(&mut self, place: usize) {
         for other in 0..self.nodes.len() {
             self.join(place, other);
         }
     }
 
-    /// Takes a machine away for good.
+    /// Removes a machine permanently, unless it is restored.
     pub fn lose(&mut self, place: usize) {
         self.kill(place);
         self.nodes[place].is_gone = true;
@@ -33,7 +33,7 @@
         self.add(seeds.collect(), false)
     }
 
-    /// Takes a machine away, and puts its disk into another one at a new address.
+    /// Removes a machine, and moves its disk to a new machine at another address.
     pub fn move_disk(&mut self, place: usize) -> usize {
         self.lose(place);
         self.moved.insert(place);
@@ -42,13 +42,13 @@
         newcomer
     }
 
-    /// Brings back a machine with the disk that it had when it was taken away.
+    /// Restores a removed machine with the disk it had.
     pub fn bring_back(&mut self, place: usize) {
         self.nodes[place].is_gone = false;
         self.later(0, Event::Boot(place));
     }
 
-    /// Whether a controller that holds nothing has nobody to ask, since all its seeds are gone.
+    /// Whether a controller that knows no set cannot contact anyone because none of its seeds exists any more.
     pub fn is_lost(&self, place: usize) -> bool {
         let node = &self.nodes[place];
         let is_live = |seed: &String| {
@@ -60,20 +60,20 @@
         node.set_version() == SetVersion::new(0, 0) && !node.seeds.iter().any(is_live)
     }
 
-    /// Where a controller stands with the voter set.
+    /// Relation of a controller to the voter set.
     pub fn membership_state(&self, place: usize) -> MembershipState {
         let consensus = self.nodes[place].consensus.as_ref();
         consensus.unwrap().membership_state()
     }
 
-    /// The newest set that any controller knows.
+    /// The newest set known to any controller.
     pub fn newest_set(&self) -> VoterSet {
         let consensus = self.nodes.iter().filter_map(|node| node.consensus.as_ref());
         let sets = consensus.map(|consensus| consensus.voter_set().clone());
         sets.max_by_key(VoterSet::version).unwrap_or_default()
     }
 
-    /// The newest set, and where each controller stands with it.
+    /// Describes the newest set and the state of each controller.
     pub fn describe(&self) -> String {
         let mut text = format!("{:?}", self.newest_set());
         for node in &self.nodes {
@@ -90,7 +90,7 @@
         text
     }
 
-    /// Writes the next version at one controller, and fails where that is not acknowledged in time.
+    /// Writes the next version at one controller. Panics if it is not acknowledged in time.
     pub fn must_write(&mut self, place: usize) {
         let newest = self.oracle.newest(CONFIGURATION_KEY);
         for _ in 0..20 {
@@ -103,7 +103,7 @@
         panic!("at {} controller {place} writes nothing", self.now);
     }
 
-    /// Reads the newest version at one controller, and fails where that does not succeed in time.
+    /// Reads the newest version at one controller. Panics if that does not succeed in time.
     pub fn must_read(&mut self, place: usize) {
         for _ in 0..20 {
             let reads = self.oracle.reads;
--- a/crates/consensus/tests/cluster/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A network of controllers in virtual time, with an oracle that looks at every step.
+//! A simulated network of controllers in virtual time. An oracle checks every step.
 
 mod client;
 mod faults;
@@ -23,7 +23,7 @@
 const TICK_MS: u64 = 50;
 /// 2 Mbit/s.
 const SLOW_BITS_PER_MS: u64 = 2_000;
-/// Messages of the past that are kept.
+/// Maximum number of recorded messages.
 const MAX_PAST_MESSAGES: usize = 4_000;
 
 pub enum Event {
@@ -35,7 +35,7 @@
     Thaw(usize),
 }
 
-/// Bytes of a message on the wire.
+/// Size of a message on the wire, in bytes.
 pub fn size(message: &ConsensusMessage) -> usize {
     4 + Writable::<LittleEndian>::bytes_needed(message).unwrap()
 }
@@ -46,21 +46,21 @@
     pub nodes: Vec<Node>,
     pub oracle: Oracle,
     pub wanted: usize,
-    /// Links that are cut, one way each.
+    /// Links that are cut, by direction.
     pub cuts: BTreeSet<(usize, usize)>,
     pub loss: f64,
     pub is_writing: bool,
     pub sent: u64,
     pub bytes: u64,
-    /// Bytes that came to each controller.
+    /// Bytes sent towards each controller.
     pub received: BTreeMap<usize, u64>,
-    /// Controllers behind a slow line, with the time until which it is busy with what comes in.
+    /// Controllers behind a slow link, with the time until which the link is busy with incoming messages.
     pub slow_lines: BTreeMap<usize, u64>,
-    /// Messages of the past, where they are kept to be sent again.
+    /// Recorded messages, if they are kept for replay.
     pub past: Option<Vec<(usize, String, ConsensusMessage)>>,
-    /// Controllers that asked for another set of voters, and when.
+    /// Times of proposals of voter sets, with the proposing controllers.
     pub set_proposals: Vec<(u64, usize)>,
-    /// Machines whose disks were carried over to others.
+    /// Machines whose disks were moved to other machines.
     pub moved: BTreeSet<usize>,
     events: BTreeMap<u64, Event>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
@@ -68,7 +68,7 @@
 }
 
 impl SimulatedCluster {
-    /// Controllers that start for the first time, of which the first three are seeds.
+    /// Controllers that start for the first time. The first three are seeds.
     pub fn first_start(seed: u64, count: usize, wanted: usize) -> Self {
         let mut cluster = Self {
             now: 0,
@@ -99,7 +99,7 @@
         cluster
     }
 
-    /// Controllers that have started, of which the first three vote, and whose callers write nothing.
+    /// Started controllers without client writes. The first three vote.
     pub fn idle(seed: u64, count: usize) -> Self {
         let mut cluster = Self::first_start(seed, count, 3);
         cluster.is_writing = false;
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Does what a consensus asks for.
+    /// Carries out the actions of a consensus.
     pub fn drain(&mut self, place: usize) {
         let Some(consensus) = self.nodes[place].consensus.as_mut() else {
             return;
@@ -267,7 +267,7 @@
         self.later(line + delay, Event::Deliver(place, address, message));
     }
 
-    /// Time until a message has come through a controller's line.
+    /// Time until a message has passed a controller's link.
     fn transfer(&mut self, place: usize, bytes: u64) -> u64 {
         *self.received.entry(place).or_default() += bytes;
         let Some(busy_until) = self.slow_lines.get_mut(&place) else {
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Sends a controller a message again that came at any time before, perhaps in an earlier incarnation.
+    /// Delivers a random recorded message again, possibly one from an earlier incarnation.
     pub fn replay(&mut self) {
         let past = self.past.iter().flatten();
         let count = past.count();
--- a/crates/consensus/tests/cluster/network.rs
+++ b/crates/consensus/tests/cluster/network.rs
@@ -1,13 +1,13 @@
 use super::SimulatedCluster;
 
 impl SimulatedCluster {
-    /// Cuts two controllers from each other.
+    /// Cuts the link between two controllers in both directions.
     pub fn part(&mut self, one: usize, other: usize) {
         self.cuts.insert((one, other));
         self.cuts.insert((other, one));
     }
 
-    /// Joins two controllers again.
+    /// Restores the link between two controllers.
     pub fn join(&mut self, one: usize, other: usize) {
         self.cuts.remove(&(one, other));
         self.cuts.remove(&(other, one));
@@ -21,7 +21,7 @@
         Some((holder, others.next()?, others.next()?))
     }
 
-    /// Runs until something is so, and returns how long that took.
+    /// Runs until the condition holds, and returns the elapsed time.
     pub fn until(&mut self, span: u64, is_so: impl Fn(&SimulatedCluster) -> bool) -> Option<u64> {
         let began = self.now;
         while self.now <= began + span {
--- a/crates/consensus/tests/cluster/node.rs
+++ b/crates/consensus/tests/cluster/node.rs
@@ -10,7 +10,7 @@
 use std::io;
 use voter::VoterDisk;
 
-/// A machine with a disk and a controller on it.
+/// A machine with a disk and a controller.
 pub struct Node {
     pub address: String,
     pub seeds: Vec<String>,
@@ -52,17 +52,17 @@
         }
     }
 
-    /// The machine's own steady clock.
+    /// The machine's own monotonic clock.
     pub fn clock(&self, now: u64) -> u64 {
         now + self.offset
     }
 
-    /// The term under which the controller holds the scaler role, as it would say at this moment.
+    /// The term under which the controller holds the scaler role now, by its own account.
     pub fn term(&self, now: u64) -> Option<u64> {
         self.consensus.as_ref()?.role_term(self.clock(now))
     }
 
-    /// Whether the controller would pass for current at this moment.
+    /// Whether the controller considers itself current now.
     pub fn is_current(&self, now: u64) -> bool {
         let consensus = self.consensus.as_ref();
         consensus.is_some_and(|consensus| consensus.is_current(self.clock(now)))
@@ -75,7 +75,7 @@
         committed.map_or(0, |(version, _)| version)
     }
 
-    /// Does the work that has come for the disk.
+    /// Executes the queued disk work.
     pub fn perform(&mut self, now: u64) {
         let disk_work = std::mem::take(&mut self.disk_work);
         let local = self.clock(now);
@@ -89,7 +89,7 @@
         self.disk = voter.identity();
     }
 
-    /// Version of the set in which the controller's voter is.
+    /// Version of the set that the controller's voter is in.
     pub fn set_version(&self) -> SetVersion {
         let voter = self.voter.as_ref();
         voter.map_or(SetVersion::default(), |disk| {
@@ -97,7 +97,7 @@
         })
     }
 
-    /// The set in which the controller's voter is.
+    /// The set that the controller's voter is in.
     pub fn voter_set(&self) -> Option<&VoterSet> {
         let disk = self.voter.as_ref()?;
         let set = disk.voter().acceptor().set();
@@ -146,7 +146,7 @@
         self.later(0, Event::Tick(place, incarnation));
     }
 
-    /// Opens a disk anew that had failed.
+    /// Reopens a failed disk.
     pub fn reopen(&mut self, place: usize) {
         let node = &mut self.nodes[place];
         let disk = node.voter.as_mut().unwrap();
@@ -159,7 +159,7 @@
         self.drain(place);
     }
 
-    /// Kills the controller; work that the disk has not begun may or may not be done.
+    /// Kills the controller. Queued disk work may or may not be executed.
     pub fn kill(&mut self, place: usize) {
         let is_done = self.random.random_bool(0.5);
         let node = &mut self.nodes[place];
@@ -173,7 +173,7 @@
         node.frozen.clear();
     }
 
-    /// Kills the controller and empties its disk.
+    /// Kills the controller and wipes its disk.
     pub fn wipe(&mut self, place: usize) {
         self.kill(place);
         let disk = self.random.random();
--- a/crates/consensus/tests/cluster/oracle.rs
+++ b/crates/consensus/tests/cluster/oracle.rs
@@ -6,11 +6,11 @@
     key: String,
     /// Expected version of a write, and its bytes.
     write: Option<(u64, Vec<u8>)>,
-    /// The newest acknowledged version when it began.
+    /// The newest acknowledged version when the request began.
     floor: u64,
 }
 
-/// No two sets of voters may have a majority at one time.
+/// At most one voter set may have a majority at any time.
 fn check_sets(now: u64, nodes: &[Node]) {
     let mut voting: BTreeMap<SetVersion, usize> = BTreeMap::new();
     let mut quorate: Vec<SetVersion> = Vec::new();
@@ -33,7 +33,7 @@
     );
 }
 
-/// Knows what was promised, and panics where it is not kept.
+/// Records what was acknowledged, and panics if that is violated.
 #[derive(Default)]
 pub struct Oracle {
     request: BTreeMap<u64, PendingRequest>,
--- a/crates/consensus/tests/cluster_seeds.rs
+++ b/crates/consensus/tests/cluster_seeds.rs
@@ -1,5 +1,5 @@
-//! Seeded runs of controllers under faults of all kinds. What was acknowledged lasts, one controller at most holds
-//! the scaler role at any time, and all is well again soon after the last fault.
+//! Seeded runs of controllers under random faults. Acknowledged values persist, at most one controller holds the
+//! scaler role at any time, and the cluster recovers soon after the last fault.
 
 #[allow(dead_code)]
 mod cluster;
@@ -99,7 +99,7 @@
     run_all(2_000..2_040, 4, 3);
 }
 
-/// All lose power at once, and as many disks are lost as five voters bear.
+/// All controllers lose power at once, and two disks are lost, the most that five voters tolerate.
 #[test]
 fn five_voters_bear_the_loss_of_two_disks_while_all_lose_power() {
     for seed in 0..40 {
--- a/crates/consensus/tests/contact.rs
+++ b/crates/consensus/tests/contact.rs
@@ -1,5 +1,5 @@
-//! A controller takes itself to be in contact only while a majority acknowledges its heartbeats, counted from their
-//! sending; out of contact it passes for current nowhere.
+//! A controller is in contact only while a majority acknowledges its heartbeats, counted from their send times.
+//! Without contact it is not current.
 
 #[allow(dead_code)]
 mod cluster;
@@ -11,10 +11,10 @@
 use std::collections::VecDeque;
 
 const SPAN: u64 = 1_000;
-/// What is left of the span when clocks may run apart.
+/// The lease duration that remains after the margin for clock drift.
 const LASTS: u64 = SPAN * 4 / 5;
 const OWN: u64 = 1;
-/// In this time a committed value comes from the controller that wrote it to all that it reaches.
+/// Time in which a committed value reaches all connected controllers.
 const SPREAD: u64 = 600;
 
 fn set_of(disks: &[u64]) -> VoterSet {
@@ -35,7 +35,7 @@
     let mut lease = ContactLease::new(SPAN);
     lease.record_sent(100, 1);
     assert!(!lease.is_held(100, &set, OWN), "nobody acknowledged");
-    // The acknowledgement is on its way for long; the lease is as short as if it had come at once.
+    // A late acknowledgement does not extend the lease.
     lease.record_acknowledgement(2, 1);
     assert!(lease.is_held(100 + LASTS - 1, &set, OWN));
     assert!(!lease.is_held(100 + LASTS, &set, OWN));
@@ -47,7 +47,7 @@
     let mut lease = ContactLease::new(SPAN);
     for number in 1..=100 {
         lease.record_sent(number * 100, number);
-        // From the tenth on nothing of this controller arrives, but it goes on hearing the others.
+        // From the eleventh heartbeat on, only the incoming direction works.
         lease.record_acknowledgement(2, number.min(10));
         lease.record_acknowledgement(3, number.min(10));
         let now = number * 100;
@@ -109,7 +109,7 @@
     assert!(lease.is_held(100_000, &set, OWN));
 }
 
-/// Newest acknowledged versions over time, so that what was committed some time ago is known.
+/// Newest acknowledged versions over time, to look up what had been committed some time ago.
 struct CommittedHistory {
     since: VecDeque<(u64, [u64; 2])>,
 }
@@ -131,7 +131,7 @@
         }
     }
 
-    /// No controller that passes for current knows less than what was acknowledged a lease ago.
+    /// Checks that no current controller lacks a version that was acknowledged one lease ago.
     fn look(&self, cluster: &SimulatedCluster, seed: u64) {
         let (_, floor) = self.since[0];
         for (place, node) in cluster.nodes.iter().enumerate() {
@@ -181,7 +181,7 @@
             .filter(|place| *place != cut)
             .collect();
         for other in &others {
-            // A cut of one way alone is enough.
+            // Cutting one direction is sufficient.
             if seed % 3 != 1 {
                 cluster.cuts.insert((cut, *other));
             }
@@ -220,7 +220,7 @@
         assert!(!cluster.nodes[0].is_current(cluster.now), "seed {seed}");
         let mut history = CommittedHistory::new();
         history.run(&mut cluster, 3_000, seed);
-        // Heartbeats that came while it was frozen acknowledge what it sent before.
+        // Heartbeats delivered after the freeze acknowledge heartbeats that were sent before it.
         cluster.thaw(0);
         history.run(&mut cluster, 2_000, seed);
         assert!(cluster.nodes[0].is_current(cluster.now), "seed {seed}");
--- a/crates/consensus/tests/disks.rs
+++ b/crates/consensus/tests/disks.rs
@@ -1,4 +1,4 @@
-//! Disks that come back, move to another address or are lost: a disk counts by its identity, not by its address.
+//! Disks that return, move to another address or are lost. A disk is identified by its identity, not by its address.
 
 #[allow(dead_code)]
 mod cluster;
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -1,4 +1,4 @@
-//! What a controller says of its voter's set is durable: a set that its disk has not taken is not passed on.
+//! A controller only reports a voter set that its disk has durably installed.
 
 #[allow(dead_code)]
 mod cluster;
@@ -39,7 +39,7 @@
     DiskWork::ConfirmInstalled { to, set_version }
 }
 
-/// Whether a batch of work that ends with a request for confirmation brings one.
+/// Whether a batch of work that ends with a confirmation request produces a confirmation.
 fn is_confirmed(disk: &mut VoterDisk, batch: Vec<DiskWork>) -> bool {
     let completions = execute_batch_on_disk(disk, batch);
     completions
--- a/crates/consensus/tests/identities.rs
+++ b/crates/consensus/tests/identities.rs
@@ -1,4 +1,4 @@
-//! Messages of a controller's former identity or incarnation that are still on the way count for nothing.
+//! Messages still in transit from a controller's former disk identity or incarnation are ignored.
 
 #[allow(dead_code)]
 mod cluster;
@@ -46,7 +46,7 @@
             value: VersionedValue::default(),
         },
     };
-    // One member answers from both addresses, as where its disk was carried over; a stranger answers too.
+    // One member responds from both addresses, as if its disk had been moved. An unknown disk responds too.
     consensus.on_message(local, "at-1", answer(disks[1] ^ 1));
     consensus.on_message(local, "at-2", answer(disks[2] ^ 1));
     consensus.on_message(local, "at-1", answer(disks[1]));
@@ -86,7 +86,7 @@
     assert!(sent(consensus).iter().any(wants_set));
 }
 
-/// Milliseconds after which a controller that is not heard counts as silent.
+/// Silence in milliseconds after which a controller no longer counts as live.
 const SILENT_AFTER_MS: u64 = 1_000;
 
 #[test]
@@ -105,14 +105,14 @@
     };
     let (older, newer) = (SetVersion::new(1, 1), SetVersion::new(1, 2));
     consensus.on_message(local, "at-9", heartbeat(6, 1, older));
-    // A partition held back what the one before had sent, which this controller never heard.
+    // A heartbeat of the former incarnation, delayed by a partition, arrives first after the current one was heard.
     consensus.on_message(local, "at-9", heartbeat(5, 100, older));
     let _ = consensus.take_actions();
     let later = local + SILENT_AFTER_MS;
     consensus.on_message(later, "at-9", heartbeat(6, 2, newer));
     let wants_set = |message: &ConsensusMessage| *message == ConsensusMessage::RequestVoterSet;
     assert!(sent(consensus).iter().any(wants_set), "it is not heard");
-    // What comes of the other one beside it is late.
+    // Further heartbeats of the former incarnation are late.
     consensus.on_message(later, "at-9", heartbeat(5, 101, SetVersion::new(1, 3)));
     assert!(
         !sent(consensus).iter().any(wants_set),
--- a/crates/consensus/tests/installation.rs
+++ b/crates/consensus/tests/installation.rs
@@ -1,4 +1,4 @@
-//! Which copies an empty member may begin from, shown at one consensus alone, without a network.
+//! Which copies an empty member may install, tested with a single consensus and no network.
 
 use consensus::{
     Consensus, ConsensusAction, ConsensusMessage, ConsensusOptions, DiskWork, ReplicaPage,
@@ -11,7 +11,7 @@
 const NEWCOMER_DISK: u64 = 9;
 const MEMBERS: [&str; 2] = ["one", "other"];
 
-/// The set in which the newcomer has taken the place of a third member.
+/// The set in which the new member has replaced a third member.
 fn set() -> VoterSet {
     let addresses = MEMBERS.into_iter().zip(1..);
     let newcomer = (NEWCOMER, NEWCOMER_DISK);
@@ -26,7 +26,7 @@
     }
 }
 
-/// An empty controller that has learnt that it is in the set.
+/// An empty controller that has learned that it is in the set.
 fn newcomer() -> Consensus {
     let options = ConsensusOptions {
         name: NEWCOMER.into(),
@@ -54,7 +54,7 @@
     consensus
 }
 
-/// Whether the newcomer installs once it has a whole copy of each member, held under a set.
+/// Whether the new member installs after receiving a complete copy from each member, made under the given set.
 fn installs_copies_under(set_version: SetVersion) -> bool {
     let mut consensus = newcomer();
     for (address, disk) in MEMBERS.into_iter().zip(1..) {
@@ -75,7 +75,7 @@
 #[test]
 fn a_newcomer_installs_copies_that_members_held_under_its_own_set_alone() {
     assert!(installs_copies_under(SetVersion::new(1, 2)));
-    // A member that still votes under the set before may settle more after it gave its copy.
+    // A member that still votes under the previous set may commit more values after sending its copy.
     assert!(!installs_copies_under(SetVersion::new(1, 1)));
     assert!(!installs_copies_under(SetVersion::new(1, 3)));
 }
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Changes of the set of voters with a loss right before, in the middle or after: what was acknowledged
-//! lasts, and a majority comes back, as long as one copy is lost at a time.
+//! Voter set changes with failures just before, during or after the change. Acknowledged values persist and a
+//! majority recovers, as long as only one copy is lost at a time.
 
 #[allow(dead_code)]
 mod cluster;
@@ -11,8 +11,8 @@
 
 const SEEDS: std::ops::Range<u64> = 0..12;
 
-/// Commits a value that members 0 and 2 alone hold, cuts 2 off, and lets a newcomer take its place by
-/// the votes of 0 and 1. Returns when that is committed and the newcomer holds nothing yet.
+/// Commits a value that only members 0 and 2 hold, isolates 2, and lets a new member replace it by the votes of 0 and
+/// 1. Returns when the new set is committed and the new member is still empty.
 fn replaced_holder(seed: u64) -> (SimulatedCluster, usize) {
     let mut cluster = SimulatedCluster::idle(seed, 3);
     cluster.part(0, 1);
@@ -42,7 +42,7 @@
 fn a_leaving_member_keeps_the_only_copy_until_the_newcomer_has_it() {
     for seed in SEEDS {
         let (mut cluster, newcomer) = replaced_holder(seed);
-        // Member 1 learns of the new set; then 0 is lost, and nobody but 2 has the value.
+        // Member 1 learns the new set. Then 0 is lost, so that only 2 holds the value.
         cluster.until(1_000, |cluster| {
             cluster.nodes[1].set_version() == SetVersion::new(1, 2)
         });
@@ -120,7 +120,7 @@
         cluster.until(1_000, |cluster| {
             cluster.nodes[0].set_version() == SetVersion::new(1, 2)
         });
-        // Of the new set {0, 1, newcomer}, 1 is gone for good and the newcomer is kept from copies of 0.
+        // In the new set {0, 1, new member}, 1 is lost permanently and the new member cannot copy from 0.
         cluster.lose(1);
         cluster.run(1_000);
         cluster.set_proposals.clear();
@@ -200,7 +200,7 @@
             cluster.newest_set()
         );
         cluster.must_write(3);
-        // Two more losses may follow now.
+        // Two more losses are tolerated now.
         cluster.lose(0);
         cluster.lose(1);
         cluster.must_read(newcomer);
@@ -290,7 +290,7 @@
                 "seed {seed}: no place was given"
             );
         }
-        // The newcomer is heard by the next one, and gets no copies.
+        // The next controller hears from the new member, which cannot receive copies.
         cluster.isolate(newcomer);
         cluster.join(newcomer, 3);
         cluster.wipe(3);
--- a/crates/consensus/tests/membership_seeds.rs
+++ b/crates/consensus/tests/membership_seeds.rs
@@ -1,5 +1,5 @@
-//! Seeded runs in which machines and disks come, go, move and return while messages are lost. One copy is
-//! lost at a time, two of five; whatever was acknowledged is read by all controllers in the end.
+//! Seeded runs in which machines and disks are added, lost, moved and returned while messages are lost. At most one
+//! copy is lost at a time, or two of five. All controllers can read every acknowledged value at the end.
 
 #[allow(dead_code)]
 mod cluster;
@@ -18,7 +18,7 @@
     live[cluster.random.random_range(0..live.len())]
 }
 
-/// How many copies may be lost now.
+/// Number of copies that may be lost now.
 fn spare_copies(cluster: &SimulatedCluster) -> usize {
     if !cluster.has_all_members() {
         return 0;
@@ -26,7 +26,7 @@
     (cluster.newest_set().voters.len() - 1) / 2
 }
 
-/// A machine is lost for good, with a new one in its place.
+/// Removes a machine permanently and adds a new one.
 fn replace(cluster: &mut SimulatedCluster) {
     let place = any(cluster);
     cluster.lose(place);
@@ -35,7 +35,7 @@
     }
 }
 
-/// A disk is lost, and the controller comes back empty under its old name.
+/// Wipes a disk and restarts the controller at the same address.
 fn wipe(cluster: &mut SimulatedCluster) {
     let place = any(cluster);
     cluster.wipe(place);
@@ -43,7 +43,7 @@
     cluster.later(delay, Event::Boot(place));
 }
 
-/// A machine that was taken for lost comes back with its old disk.
+/// Restores a removed machine with its old disk.
 fn bring_back(cluster: &mut SimulatedCluster) {
     let gone = (0..cluster.nodes.len()).find(|place| {
         let node = &cluster.nodes[*place];
@@ -54,7 +54,7 @@
     }
 }
 
-/// A disk is carried over to a machine at another address.
+/// Moves a disk to a machine at another address.
 fn carry_over(cluster: &mut SimulatedCluster) {
     let place = any(cluster);
     if cluster.nodes.len() < MACHINES_MAX && cluster.nodes[place].consensus.is_some() {
@@ -62,7 +62,7 @@
     }
 }
 
-/// A controller is cut off for long enough that another takes its place.
+/// Isolates a controller, often for long enough that another one replaces it.
 fn partition_for_long(cluster: &mut SimulatedCluster) {
     let place = any(cluster);
     cluster.isolate(place);
@@ -98,7 +98,7 @@
     cluster.is_writing = false;
     cluster.run(2_000);
     for place in 0..cluster.nodes.len() {
-        // Who knows no set, and whose every seed is gone, has nobody to ask.
+        // A controller that knows no set and has no live seed has nobody to contact.
         if cluster.nodes[place].consensus.is_none() || cluster.is_lost(place) {
             continue;
         }
--- a/crates/consensus/tests/replicas.rs
+++ b/crates/consensus/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Values come to all controllers with few bytes, and last through the loss of a disk.
+//! Values are replicated to all controllers with few bytes, and survive the loss of a disk.
 
 #[allow(dead_code)]
 mod cluster;
@@ -35,7 +35,7 @@
         cluster.part(0, 2);
         cluster.part(1, 2);
         write(&mut cluster, 0);
-        // The third controller lacks the value, and can learn it from none but the one that lost its disk.
+        // The third controller lacks the value, and can only learn it from the one that lost its disk.
         cluster.wipe(1);
         cluster.join(1, 2);
         cluster.boot(1);
@@ -134,7 +134,8 @@
     assert_eq!(held.value.version, 1);
 }
 
-/// It read the value at the others before it heard their heartbeats, so it lacks nothing but its own copy.
+/// The controller has learned the value without its voter, and does not miss it in the heartbeats it receives later.
+/// Only the comparison of the own voter with the committed values repairs the voter.
 #[test]
 fn a_controller_that_knows_a_value_which_its_voter_lacks_is_repaired() {
     for seed in 0..20 {
@@ -149,7 +150,8 @@
             tag: 1,
             bytes: bytes.to_vec(),
         };
-        // It comes from a controller that is no voter, and so without the ballot under which it was accepted.
+        // The value comes from a controller that is not a voter, hence without the ballot under which it was
+        // accepted.
         let message = consensus::ConsensusMessage::Value {
             key: CONFIGURATION_KEY.into(),
             ballot: register::Ballot::default(),
--- a/crates/consensus/tests/replication.rs
+++ b/crates/consensus/tests/replication.rs
@@ -1,5 +1,5 @@
-//! A member that was away for thousands of changes catches up with few bytes over a slow line, and serves nothing
-//! old on the way.
+//! A member that missed thousands of changes catches up with few bytes over a slow link, and never serves outdated
+//! values meanwhile.
 
 #[allow(dead_code)]
 mod cluster;
@@ -8,12 +8,12 @@
 use consensus::{CONFIGURATION_KEY, EVACUATIONS_KEY};
 use rand::Rng;
 
-/// A configuration of 700 routes, deflated.
+/// Size of a compressed configuration with 700 routes.
 const VALUE_BYTES: usize = 64 << 10;
 const CHANGES: u64 = 2_000;
-/// Time between reads at the member that returns.
+/// Interval between reads at the returning member.
 const READ_MS: u64 = 500;
-/// Time between changes in a storm.
+/// Interval between rapid changes.
 const STORM_MS: u64 = 80;
 
 fn known(cluster: &SimulatedCluster, place: usize) -> u64 {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Reads at a controller whenever it can answer; the oracle panics where an answer is older than what was acknowledged.
+/// Reads at a returning controller. The oracle panics if a result is older than what was acknowledged.
 fn read_while_it_returns(cluster: &mut SimulatedCluster, span: u64) -> Option<u64> {
     let began = cluster.now;
     let newest = cluster.oracle.newest(CONFIGURATION_KEY);
@@ -157,8 +157,8 @@
     assert!(bytes < 4 * state as u64, "{bytes} bytes of {state}");
 }
 
-/// The one that changes the value cannot reach it; it hears from another that there are newer ones, which come
-/// faster than it waits for each.
+/// The writer cannot reach the member, which learns from another controller that there are newer values. These change
+/// faster than the member waits for each of them.
 #[test]
 fn a_member_keeps_up_with_a_storm_that_it_only_hears_of() {
     for seed in 0..10 {
--- a/crates/consensus/tests/role_promises.rs
+++ b/crates/consensus/tests/role_promises.rs
@@ -1,4 +1,4 @@
-//! What a member promises a holder of the scaler role, shown at one consensus alone, without a network.
+//! What a member promises to a holder of the scaler role, tested with a single consensus and no network.
 
 use consensus::{
     Consensus, ConsensusAction, ConsensusMessage, ConsensusOptions, DiskWork, Heartbeat,
@@ -17,7 +17,7 @@
 const HOLDER: &str = "holder";
 const OTHER: &str = "other";
 const HOLDER_INCARNATION: u64 = 7;
-/// The first version of the register under the first epoch.
+/// Epoch 1, register version 1.
 const TERM: u64 = (1 << 40) | 1;
 
 fn set() -> VoterSet {
@@ -40,7 +40,7 @@
     }
 }
 
-/// A member that is started with the holder's value accepted under the first ballot.
+/// A member that was started after its voter had accepted the holder's value under the first ballot.
 fn started(promised: Ballot) -> Consensus {
     let role_holder = RoleHolder {
         address: HOLDER.into(),
@@ -75,7 +75,7 @@
     Consensus::new(options, STARTED_AT, held)
 }
 
-/// The holder's heartbeat, which claims the scaler role.
+/// A heartbeat of the holder that claims the scaler role.
 fn holders_claim() -> ConsensusMessage {
     ConsensusMessage::Heartbeat(Heartbeat {
         disk: 2,
@@ -88,7 +88,7 @@
     })
 }
 
-/// Whether the member backs the holder's claim when it hears of it.
+/// Whether the member acknowledges the holder's claim.
 fn backs_claim(consensus: &mut Consensus) -> bool {
     consensus.on_message(STARTED_AT, HOLDER, holders_claim());
     let mut actions = consensus.take_actions().into_iter();
@@ -98,7 +98,8 @@
     })
 }
 
-/// Whether the member's voter is asked for a promise that another controller wants at a time; if not, it is refused.
+/// Whether the member passes another controller's prepare request at this time to its voter. Otherwise it must reject
+/// the request.
 fn passes_promise_on(consensus: &mut Consensus, now: u64) -> bool {
     let ask = VoterOperation::Prepare {
         key: SCALER_ROLE_KEY.into(),
--- a/crates/consensus/tests/scaler_role.rs
+++ b/crates/consensus/tests/scaler_role.rs
@@ -1,5 +1,5 @@
-//! One controller at most holds the scaler role, also where members restart, lose their disks or wake up; the oracle
-//! looks at every step.
+//! At most one controller holds the scaler role, even if members restart, lose their disks or are frozen. The oracle
+//! checks this after every event.
 
 #[allow(dead_code)]
 mod cluster;
@@ -186,7 +186,8 @@
     }
 }
 
-/// Lets a member's acks of a term come late to a controller, for all heartbeats that it may have sent.
+/// Delivers acknowledgements of a term from a member to a controller, for all heartbeats that the controller may have
+/// sent.
 fn acknowledge_all_heartbeats(
     cluster: &mut SimulatedCluster,
     member: usize,
@@ -206,8 +207,8 @@
     }
 }
 
-/// The holder is backed by a member that then loses its disk. The others, which have not heard the holder for long, give
-/// the member its place again without the holder, so that only the newcomer's own pause spares the holder's lease.
+/// A member backs the holder and then loses its disk. The other members, which have not heard from the holder for
+/// long, readmit it without the holder. Only its own delay before making promises protects the holder's lease.
 #[test]
 fn a_newcomer_in_place_of_a_member_that_backed_the_holder_lets_the_lease_pass_first() {
     let mut tried = 0;
@@ -228,7 +229,7 @@
         cluster.wipe(others[0]);
         cluster.part(holder, others[0]);
         cluster.boot(others[0]);
-        // The oracle fails the test where two hold at once.
+        // The oracle fails the test if there are two holders at once.
         cluster.run(4 * LEASE_MS);
         assert!(cluster.holder().is_some(), "seed {seed}: nobody holds");
     }
--- a/crates/consensus/tests/unit/committed_values.rs
+++ b/crates/consensus/tests/unit/committed_values.rs
@@ -1,4 +1,4 @@
-//! What is known to be committed gives way to newer values only.
+//! A committed value is only replaced by newer ones.
 
 use crate::replicated_values::ReplicatedValues;
 use crate::value::Value;
