--- a/crates/consensus/tests/bad_messages.rs
+++ b/crates/consensus/tests/bad_messages.rs
@@ -27,14 +27,14 @@
 }
 
 /// Overwrites some bytes of a message, or truncates it.
-fn garbled(message: &ConsensusMessage, random: &mut StdRng) -> Option<ConsensusMessage> {
+fn corrupted(message: &ConsensusMessage, random: &mut StdRng) -> Option<ConsensusMessage> {
     let mut bytes = message.write_to_vec().ok()?;
     for _ in 0..random.random_range(1..4) {
-        let place = random.random_range(0..bytes.len());
-        bytes[place] = match random.random_range(0..4) {
+        let index = random.random_range(0..bytes.len());
+        bytes[index] = match random.random_range(0..4) {
             0 => 0,
             1 => u8::MAX,
-            2 => bytes[place] ^ (1 << random.random_range(0..8)),
+            2 => bytes[index] ^ (1 << random.random_range(0..8)),
             _ => random.random(),
         };
     }
@@ -47,10 +47,10 @@
 /// The oracle of the cluster checks after every event that no two committed values conflict and that there is at most
 /// one holder.
 #[test]
-fn messages_of_the_past_that_come_again_change_nothing() {
+fn replayed_messages_do_not_affect_committed_state() {
     for seed in 0..40 {
         let mut cluster = SimulatedCluster::first_start(seed, 4, 3);
-        cluster.past = Some(Vec::new());
+        cluster.recorded = Some(Vec::new());
         cluster.run(1_500);
         for _ in 0..150 {
             for _ in 0..10 {
@@ -61,55 +61,58 @@
             }
             cluster.run(100);
         }
-        cluster.past = None;
+        cluster.recorded = None;
         cluster.heal();
         let writes = cluster.oracle.writes;
         cluster.run(8_000);
         assert!(
             cluster.oracle.writes > writes + 10,
-            "seed {seed}: it stands"
+            "seed {seed}: no progress after healing"
         );
     }
 }
 
 /// A consensus and its voter, taken out of a cluster.
-struct Victim {
+struct Target {
     consensus: Consensus,
     voter: VoterDisk,
-    local: u64,
+    local_now: u64,
 }
 
-impl Victim {
+impl Target {
     /// Takes the first controller out of a cluster.
-    fn take(cluster: &mut SimulatedCluster) -> Self {
+    fn extract(cluster: &mut SimulatedCluster) -> Self {
         let node = &mut cluster.nodes[0];
         Self {
             consensus: node.consensus.take().unwrap(),
             voter: node.voter.take().unwrap(),
-            local: node.clock(cluster.now),
+            local_now: node.clock(cluster.now),
         }
     }
 
     /// Delivers a message and advances time. No committed value or promise may regress.
-    fn feed(&mut self, from: &str, message: ConsensusMessage, pause: u64) {
+    fn deliver(&mut self, from: &str, message: ConsensusMessage, pause_ms: u64) {
         let before = (
             committed(&self.consensus),
             self.consensus.voter_set().version(),
         );
-        self.consensus.on_message(self.local, from, message);
-        self.local += pause;
-        self.consensus.tick(self.local);
+        self.consensus.on_message(self.local_now, from, message);
+        self.local_now += pause_ms;
+        self.consensus.tick(self.local_now);
         self.execute_disk_work();
         let after = (
             committed(&self.consensus),
             self.consensus.voter_set().version(),
         );
         let mut versions = before.0.iter().zip(&after.0);
-        assert!(versions.all(|(old, new)| old <= new), "a value moved back");
-        assert!(before.1 <= after.1, "the set moved back");
+        assert!(
+            versions.all(|(old, new)| old <= new),
+            "a committed version decreased"
+        );
+        assert!(before.1 <= after.1, "the voter set version decreased");
         assert!(
             self.consensus.known_controllers().len() <= 80,
-            "addresses are bounded"
+            "too many known addresses"
         );
     }
 
@@ -121,7 +124,7 @@
         });
         let before = self.voter.voter().acceptor().clone();
         for completion in execute_batch_on_disk(&mut self.voter, work.collect()) {
-            self.consensus.on_disk(self.local, completion);
+            self.consensus.on_disk(self.local_now, completion);
         }
         let registers = before.registers_after("");
         for (key, old) in registers.filter(|(key, _)| REPLICATED_KEYS.contains(&key.as_str())) {
@@ -132,25 +135,25 @@
 }
 
 #[test]
-fn garbled_messages_in_any_order_never_panic_and_move_nothing_back() {
-    let mut fed = 0;
+fn corrupted_messages_in_any_order_never_panic_or_regress_state() {
+    let mut delivered = 0;
     for seed in 0..40 {
         let mut cluster = SimulatedCluster::first_start(seed, 4, 3);
-        cluster.past = Some(Vec::new());
+        cluster.recorded = Some(Vec::new());
         cluster.run(3_000);
         cluster.is_writing = false;
-        let past = cluster.past.take().unwrap();
+        let recorded = cluster.recorded.take().unwrap();
         let mut random = StdRng::seed_from_u64(seed);
-        let mut victim = Victim::take(&mut cluster);
+        let mut target = Target::extract(&mut cluster);
         for _ in 0..3_000 {
-            let (_, from, message) = &past[random.random_range(0..past.len())];
-            let Some(message) = garbled(message, &mut random) else {
+            let (_, from, message) = &recorded[random.random_range(0..recorded.len())];
+            let Some(message) = corrupted(message, &mut random) else {
                 continue;
             };
-            fed += 1;
-            victim.feed(from, message, random.random_range(0..40));
+            delivered += 1;
+            target.deliver(from, message, random.random_range(0..40));
         }
     }
-    println!("{fed} garbled messages");
-    assert!(fed > 20_000);
+    println!("{delivered} corrupted messages");
+    assert!(delivered > 20_000);
 }
--- a/crates/consensus/tests/cluster/client.rs
+++ b/crates/consensus/tests/cluster/client.rs
@@ -4,10 +4,10 @@
 
 impl SimulatedCluster {
     /// Reads or writes at one controller, and schedules the next request.
-    pub fn client(&mut self, place: usize) {
+    pub fn run_client(&mut self, index: usize) {
         let delay = self.random.random_range(40..240);
-        self.later(delay, Event::Client(place));
-        if !self.is_writing || self.nodes[place].is_frozen {
+        self.schedule(delay, Event::Client(index));
+        if !self.is_writing || self.nodes[index].is_frozen {
             return;
         }
         let key = if self.random.random_bool(0.5) {
@@ -16,12 +16,12 @@
             EVACUATIONS_KEY
         };
         let is_write = self.random.random_bool(0.6);
-        self.change(place, key, is_write);
+        self.request_change(index, key, is_write);
     }
 
-    pub fn change(&mut self, place: usize, key: &str, is_write: bool) {
-        let local = self.nodes[place].clock(self.now);
-        let Some(consensus) = self.nodes[place].consensus.as_mut() else {
+    pub fn request_change(&mut self, index: usize, key: &str, is_write: bool) {
+        let local_now = self.nodes[index].clock(self.now);
+        let Some(consensus) = self.nodes[index].consensus.as_mut() else {
             return;
         };
         if is_write {
@@ -30,11 +30,11 @@
             let token = self
                 .oracle
                 .begin_request(key, Some((expected, bytes.clone())));
-            consensus.write(local, token, key, expected, bytes);
+            consensus.write(local_now, token, key, expected, bytes);
         } else {
             let token = self.oracle.begin_request(key, None);
-            consensus.read(local, token, key);
+            consensus.read(local_now, token, key);
         }
-        self.drain(place);
+        self.process_actions(index);
     }
 }
--- a/crates/consensus/tests/cluster/faults.rs
+++ b/crates/consensus/tests/cluster/faults.rs
@@ -5,12 +5,12 @@
 impl SimulatedCluster {
     fn live(&self) -> Vec<usize> {
         let live = self.nodes.iter().enumerate();
-        live.filter(|(_, node)| !node.is_gone)
-            .map(|(place, _)| place)
+        live.filter(|(_, node)| !node.is_removed)
+            .map(|(index, _)| index)
             .collect()
     }
 
-    fn any(&mut self) -> usize {
+    fn random_node(&mut self) -> usize {
         let live = self.live();
         live[self.random.random_range(0..live.len())]
     }
@@ -34,12 +34,12 @@
     pub fn inject_fault(&mut self) {
         match self.random.random_range(0..12) {
             0 | 1 => self.cut_link(),
-            2 => self.cut_off(),
-            3 => self.cuts.clear(),
+            2 => self.isolate_random_node(),
+            3 => self.cut_links.clear(),
             4 | 5 => self.freeze(),
             6 | 7 => {
-                let place = self.any();
-                self.restart(place);
+                let index = self.random_node();
+                self.restart(index);
             }
             8 => self.lose_power(None),
             9 => self.lose_disk(false),
@@ -49,48 +49,48 @@
     }
 
     fn cut_link(&mut self) {
-        let (one, other) = (self.any(), self.any());
-        self.cuts.insert((one, other));
+        let (one, other) = (self.random_node(), self.random_node());
+        self.cut_links.insert((one, other));
         if self.random.random_bool(0.5) {
-            self.cuts.insert((other, one));
+            self.cut_links.insert((other, one));
         }
     }
 
-    fn cut_off(&mut self) {
-        let one = self.any();
+    fn isolate_random_node(&mut self) {
+        let one = self.random_node();
         for other in self.live() {
-            self.cuts.insert((one, other));
-            self.cuts.insert((other, one));
+            self.cut_links.insert((one, other));
+            self.cut_links.insert((other, one));
         }
     }
 
     fn freeze(&mut self) {
-        let place = self.any();
-        if self.nodes[place].is_frozen {
+        let index = self.random_node();
+        if self.nodes[index].is_frozen {
             return;
         }
-        self.nodes[place].is_frozen = true;
-        let span = self.random.random_range(100..4_000);
-        self.later(span, Event::Thaw(place));
+        self.nodes[index].is_frozen = true;
+        let duration = self.random.random_range(100..4_000);
+        self.schedule(duration, Event::Thaw(index));
     }
 
-    fn restart(&mut self, place: usize) {
-        self.kill(place);
+    fn restart(&mut self, index: usize) {
+        self.kill(index);
         let delay = self.random.random_range(10..3_000);
-        self.later(delay, Event::Boot(place));
+        self.schedule(delay, Event::Boot(index));
     }
 
     fn lose_power(&mut self, wiped: Option<usize>) {
-        for place in self.live() {
-            if wiped == Some(place) {
-                self.wipe(place);
+        for index in self.live() {
+            if wiped == Some(index) {
+                self.wipe(index);
             } else {
-                self.nodes[place].disk_work.clear();
-                self.kill(place);
-                self.nodes[place].folder.inject(FaultKind::PowerLoss(0));
+                self.nodes[index].disk_work.clear();
+                self.kill(index);
+                self.nodes[index].folder.inject(FaultKind::PowerLoss(0));
             }
             let delay = self.random.random_range(10..1_000);
-            self.later(delay, Event::Boot(place));
+            self.schedule(delay, Event::Boot(index));
         }
     }
 
@@ -98,13 +98,13 @@
         if !self.has_all_members() {
             return;
         }
-        let place = self.any();
+        let index = self.random_node();
         if is_power_lost {
-            return self.lose_power(Some(place));
+            return self.lose_power(Some(index));
         }
-        self.wipe(place);
+        self.wipe(index);
         let delay = self.random.random_range(10..3_000);
-        self.later(delay, Event::Boot(place));
+        self.schedule(delay, Event::Boot(index));
     }
 
     /// Removes a machine permanently, and adds another at a new address.
@@ -112,25 +112,25 @@
         if !self.has_all_members() {
             return;
         }
-        let place = self.any();
-        self.kill(place);
-        self.nodes[place].is_gone = true;
+        let index = self.random_node();
+        self.kill(index);
+        self.nodes[index].is_removed = true;
         let live = self.live();
-        let seeds = live.iter().map(|place| format!("at-{place}"));
+        let seeds = live.iter().map(|index| format!("at-{index}"));
         let mut seeds: Vec<String> = seeds.take(2).collect();
-        seeds.push(format!("at-{place}"));
+        seeds.push(format!("at-{index}"));
         self.add(seeds, false);
     }
 
     /// Ends all faults.
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.cut_links.clear();
         self.loss = 0.0;
-        for place in self.live() {
-            if self.nodes[place].is_frozen {
-                self.thaw(place);
+        for index in self.live() {
+            if self.nodes[index].is_frozen {
+                self.thaw(index);
             }
-            self.later(0, Event::Boot(place));
+            self.schedule(0, Event::Boot(index));
         }
     }
 }
--- a/crates/consensus/tests/cluster/machines.rs
+++ b/crates/consensus/tests/cluster/machines.rs
@@ -6,63 +6,63 @@
 
 impl SimulatedCluster {
     /// Cuts a controller off from all others.
-    pub fn isolate(&mut self, place: usize) {
+    pub fn isolate(&mut self, index: usize) {
         for other in 0..self.nodes.len() {
-            if other != place {
-                self.part(place, other);
+            if other != index {
+                self.partition(index, other);
             }
         }
     }
 
     /// Restores all links of a controller.
-    pub fn rejoin(&mut self, place: usize) {
+    pub fn reconnect_all(&mut self, index: usize) {
         for other in 0..self.nodes.len() {
-            self.join(place, other);
+            self.reconnect(index, other);
         }
     }
 
     /// Removes a machine permanently, unless it is restored.
-    pub fn lose(&mut self, place: usize) {
-        self.kill(place);
-        self.nodes[place].is_gone = true;
+    pub fn remove_machine(&mut self, index: usize) {
+        self.kill(index);
+        self.nodes[index].is_removed = true;
     }
 
     /// Adds an empty machine that may join.
-    pub fn add_newcomer(&mut self) -> usize {
-        let seeds = (0..self.nodes.len().min(3)).map(|place| format!("at-{place}"));
+    pub fn add_empty_machine(&mut self) -> usize {
+        let seeds = (0..self.nodes.len().min(3)).map(|index| format!("at-{index}"));
         self.add(seeds.collect(), false)
     }
 
     /// Removes a machine, and moves its disk to a new machine at another address.
-    pub fn move_disk(&mut self, place: usize) -> usize {
-        self.lose(place);
-        self.moved.insert(place);
-        let newcomer = self.add_newcomer();
-        self.nodes[newcomer].folder = self.nodes[place].folder.clone();
-        newcomer
+    pub fn move_disk(&mut self, index: usize) -> usize {
+        self.remove_machine(index);
+        self.moved_disks.insert(index);
+        let new_member = self.add_empty_machine();
+        self.nodes[new_member].folder = self.nodes[index].folder.clone();
+        new_member
     }
 
     /// Restores a removed machine with the disk it had.
-    pub fn bring_back(&mut self, place: usize) {
-        self.nodes[place].is_gone = false;
-        self.later(0, Event::Boot(place));
+    pub fn restore_machine(&mut self, index: usize) {
+        self.nodes[index].is_removed = false;
+        self.schedule(0, Event::Boot(index));
     }
 
     /// Whether a controller that knows no set cannot contact anyone because none of its seeds exists any more.
-    pub fn is_lost(&self, place: usize) -> bool {
-        let node = &self.nodes[place];
+    pub fn has_no_live_seed(&self, index: usize) -> bool {
+        let node = &self.nodes[index];
         let is_live = |seed: &String| {
             let mut nodes = self.nodes.iter();
             nodes.any(|other| {
-                other.address == *seed && !other.is_gone && other.address != node.address
+                other.address == *seed && !other.is_removed && other.address != node.address
             })
         };
         node.set_version() == SetVersion::new(0, 0) && !node.seeds.iter().any(is_live)
     }
 
     /// Relation of a controller to the voter set.
-    pub fn membership_state(&self, place: usize) -> MembershipState {
-        let consensus = self.nodes[place].consensus.as_ref();
+    pub fn membership_state(&self, index: usize) -> MembershipState {
+        let consensus = self.nodes[index].consensus.as_ref();
         consensus.unwrap().membership_state()
     }
 
@@ -78,7 +78,7 @@
         let mut text = format!("{:?}", self.newest_set());
         for node in &self.nodes {
             let reason = node.consensus.as_ref().map(|consensus| consensus.status());
-            let reason = reason.unwrap_or_else(|| format!("down, gone {}", node.is_gone));
+            let reason = reason.unwrap_or_else(|| format!("down, removed {}", node.is_removed));
             let line = format!(
                 "\n{} disk {} {:?}: {reason}",
                 node.address,
@@ -91,29 +91,29 @@
     }
 
     /// Writes the next version at one controller. Panics if it is not acknowledged in time.
-    pub fn must_write(&mut self, place: usize) {
+    pub fn must_write(&mut self, index: usize) {
         let newest = self.oracle.newest(CONFIGURATION_KEY);
         for _ in 0..20 {
-            self.change(place, CONFIGURATION_KEY, true);
+            self.request_change(index, CONFIGURATION_KEY, true);
             self.run(200);
             if self.oracle.newest(CONFIGURATION_KEY) > newest {
                 return;
             }
         }
-        panic!("at {} controller {place} writes nothing", self.now);
+        panic!("at {}: no write succeeded at controller {index}", self.now);
     }
 
     /// Reads the newest version at one controller. Panics if that does not succeed in time.
-    pub fn must_read(&mut self, place: usize) {
+    pub fn must_read(&mut self, index: usize) {
         for _ in 0..20 {
             let reads = self.oracle.reads;
-            self.change(place, CONFIGURATION_KEY, false);
+            self.request_change(index, CONFIGURATION_KEY, false);
             self.run(200);
             if self.oracle.reads > reads {
                 return;
             }
         }
-        panic!("at {} controller {place} reads nothing", self.now);
+        panic!("at {}: no read succeeded at controller {index}", self.now);
     }
 
     pub fn record_proposal(&mut self, from: usize, message: &ConsensusMessage) {
--- a/crates/consensus/tests/cluster/node.rs
+++ b/crates/consensus/tests/cluster/node.rs
@@ -22,21 +22,21 @@
     pub voter: Option<VoterDisk>,
     pub disk_work: Vec<DiskWork>,
     pub is_frozen: bool,
-    pub is_gone: bool,
+    pub is_removed: bool,
     pub frozen: Vec<Event>,
-    offset: u64,
+    clock_offset: u64,
 }
 
 impl Node {
     pub fn new(
-        place: usize,
+        index: usize,
         seeds: Vec<String>,
         is_first_start: bool,
-        offset: u64,
+        clock_offset: u64,
         random: &mut StdRng,
     ) -> Self {
         Self {
-            address: format!("at-{place}"),
+            address: format!("at-{index}"),
             seeds,
             is_first_start,
             disk: random.random(),
@@ -46,15 +46,15 @@
             voter: None,
             disk_work: Vec::new(),
             is_frozen: false,
-            is_gone: false,
+            is_removed: false,
             frozen: Vec::new(),
-            offset,
+            clock_offset,
         }
     }
 
     /// The machine's own monotonic clock.
     pub fn clock(&self, now: u64) -> u64 {
-        now + self.offset
+        now + self.clock_offset
     }
 
     /// The term under which the controller holds the scaler role now, by its own account.
@@ -76,14 +76,14 @@
     }
 
     /// Executes the queued disk work.
-    pub fn perform(&mut self, now: u64) {
+    pub fn execute_disk_work(&mut self, now: u64) {
         let disk_work = std::mem::take(&mut self.disk_work);
-        let local = self.clock(now);
+        let local_now = self.clock(now);
         let (Some(voter), Some(consensus)) = (self.voter.as_mut(), self.consensus.as_mut()) else {
             return;
         };
         for completion in execute_batch_on_disk(voter, disk_work) {
-            consensus.on_disk(local, completion);
+            consensus.on_disk(local_now, completion);
         }
         voter.voter_mut().compact();
         self.disk = voter.identity();
@@ -104,23 +104,23 @@
         (set.epoch > 0).then_some(set)
     }
 
-    fn open_disk(&mut self, fresh: u64) -> VoterDisk {
+    fn open_disk(&mut self, new_identity: u64) -> VoterDisk {
         let folder = self.folder.clone();
         let open_folder = move || -> io::Result<Box<dyn Folder>> { Ok(Box::new(folder.clone())) };
-        let disk = VoterDisk::open(Box::new(open_folder), fresh).unwrap();
+        let disk = VoterDisk::open(Box::new(open_folder), new_identity).unwrap();
         self.disk = disk.identity();
         disk
     }
 }
 
 impl SimulatedCluster {
-    pub fn boot(&mut self, place: usize) {
-        if self.nodes[place].consensus.is_some() || self.nodes[place].is_gone {
+    pub fn boot(&mut self, index: usize) {
+        if self.nodes[index].consensus.is_some() || self.nodes[index].is_removed {
             return;
         }
         let (now, seed) = (self.now, self.random.random());
-        let wanted = self.wanted;
-        let node = &mut self.nodes[place];
+        let target_voters = self.target_voters;
+        let node = &mut self.nodes[index];
         node.incarnation += 1;
         let voter = node.open_disk(node.disk);
         let options = ConsensusOptions {
@@ -133,36 +133,36 @@
             heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
             replacement_timeout_ms: REPLACEMENT_TIMEOUT_MS,
             seed,
-            target_voter_count: wanted,
+            target_voter_count: target_voters,
         };
-        let local = node.clock(now);
+        let local_now = node.clock(now);
         node.consensus = Some(Consensus::new(
             options,
-            local,
+            local_now,
             VoterSnapshot::of(voter.voter()),
         ));
         node.voter = Some(voter);
         let incarnation = node.incarnation;
-        self.later(0, Event::Tick(place, incarnation));
+        self.schedule(0, Event::Tick(index, incarnation));
     }
 
     /// Reopens a failed disk.
-    pub fn reopen(&mut self, place: usize) {
-        let node = &mut self.nodes[place];
+    pub fn reopen(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
         let disk = node.voter.as_mut().unwrap();
         disk.reopen().unwrap();
         let held = VoterSnapshot::of(disk.voter());
-        let local = node.clock(self.now);
+        let local_now = node.clock(self.now);
         if let Some(consensus) = node.consensus.as_mut() {
-            consensus.on_disk(local, DiskCompletion::VoterState(held));
+            consensus.on_disk(local_now, DiskCompletion::VoterState(held));
         }
-        self.drain(place);
+        self.process_actions(index);
     }
 
     /// Kills the controller. Queued disk work may or may not be executed.
-    pub fn kill(&mut self, place: usize) {
+    pub fn kill(&mut self, index: usize) {
         let is_done = self.random.random_bool(0.5);
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[index];
         let disk_work = std::mem::take(&mut node.disk_work);
         if let Some(voter) = node.voter.as_mut().filter(|_| is_done) {
             execute_batch_on_disk(voter, disk_work);
@@ -174,20 +174,20 @@
     }
 
     /// Kills the controller and wipes its disk.
-    pub fn wipe(&mut self, place: usize) {
-        self.kill(place);
+    pub fn wipe(&mut self, index: usize) {
+        self.kill(index);
         let disk = self.random.random();
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[index];
         node.folder = MemoryFolder::default();
         node.disk = disk;
         node.is_first_start = false;
     }
 
-    pub fn thaw(&mut self, place: usize) {
-        self.nodes[place].is_frozen = false;
-        let frozen = std::mem::take(&mut self.nodes[place].frozen);
+    pub fn thaw(&mut self, index: usize) {
+        self.nodes[index].is_frozen = false;
+        let frozen = std::mem::take(&mut self.nodes[index].frozen);
         for event in frozen {
-            self.later(0, event);
+            self.schedule(0, event);
         }
     }
 }
--- a/crates/consensus/tests/cluster/oracle.rs
+++ b/crates/consensus/tests/cluster/oracle.rs
@@ -29,14 +29,14 @@
     }
     assert!(
         quorate.len() <= 1,
-        "at {now} several sets have a majority: {quorate:?}"
+        "at {now}: several sets have a majority: {quorate:?}"
     );
 }
 
 /// Records what was acknowledged, and panics if that is violated.
 #[derive(Default)]
 pub struct Oracle {
-    request: BTreeMap<u64, PendingRequest>,
+    pending: BTreeMap<u64, PendingRequest>,
     committed: BTreeMap<(String, u64), Vec<u8>>,
     acknowledged: BTreeMap<String, u64>,
     terms: BTreeMap<u64, (usize, u64)>,
@@ -55,7 +55,7 @@
             write,
             floor,
         };
-        self.request.insert(self.last_token, request);
+        self.pending.insert(self.last_token, request);
         self.last_token
     }
 
@@ -65,11 +65,17 @@
         }
         let known = self.committed.entry((key.to_string(), version));
         let known = known.or_insert_with(|| bytes.to_vec());
-        assert_eq!(known, bytes, "two values are committed at {key} {version}");
+        assert_eq!(
+            known, bytes,
+            "two values are committed for {key} at version {version}"
+        );
     }
 
     pub fn end_request(&mut self, now: u64, token: u64, outcome: &ChangeOutcome) {
-        let request = self.request.remove(&token).expect("a change ended twice");
+        let request = self
+            .pending
+            .remove(&token)
+            .expect("a request completed twice");
         let (ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored)) = outcome else {
             return;
         };
@@ -82,13 +88,16 @@
     fn acknowledge(&mut self, now: u64, request: &PendingRequest, stored: &VersionedValue) {
         if let Some((expected, bytes)) = &request.write {
             assert_eq!(stored.version, expected + 1);
-            assert_eq!(&stored.bytes, bytes, "another's write was acknowledged");
+            assert_eq!(
+                &stored.bytes, bytes,
+                "the write of another request was acknowledged"
+            );
             self.writes += 1;
             self.last_write_at = now;
         } else {
             assert!(
                 stored.version >= request.floor,
-                "{} was acknowledged at version {} and is read at {}",
+                "{} was acknowledged at version {} but read at version {}",
                 request.key,
                 request.floor,
                 stored.version
@@ -99,15 +108,15 @@
         *newest = (*newest).max(stored.version);
     }
 
-    pub fn record_term(&mut self, now: u64, term: u64, place: usize, incarnation: u64) {
-        let holder = *self.terms.entry(term).or_insert((place, incarnation));
+    pub fn record_term(&mut self, now: u64, term: u64, index: usize, incarnation: u64) {
+        let holder = *self.terms.entry(term).or_insert((index, incarnation));
         assert_eq!(
             holder,
-            (place, incarnation),
+            (index, incarnation),
             "two holders won term {term} at {now}"
         );
         let newest = self.terms.keys().next_back().copied();
-        assert_eq!(newest, Some(term), "a term fell back at {now}");
+        assert_eq!(newest, Some(term), "the term decreased at {now}");
     }
 
     pub fn check(&self, now: u64, nodes: &[Node]) {
@@ -115,7 +124,7 @@
         let holders: Vec<(&str, Option<u64>)> = holders
             .map(|node| (node.address.as_str(), node.term(now)))
             .collect();
-        assert!(holders.len() <= 1, "at {now} several hold: {holders:?}");
+        assert!(holders.len() <= 1, "at {now}: several holders: {holders:?}");
         check_sets(now, nodes);
     }
 
--- a/crates/consensus/tests/cluster_seeds.rs
+++ b/crates/consensus/tests/cluster_seeds.rs
@@ -16,8 +16,8 @@
     holders.count() == 1 && cluster.oracle.last_write_at > since
 }
 
-fn run(seed: u64, count: usize, wanted: usize) -> (usize, usize) {
-    let mut cluster = SimulatedCluster::first_start(seed, count, wanted);
+fn run(seed: u64, count: usize, target_voters: usize) -> (usize, usize) {
+    let mut cluster = SimulatedCluster::first_start(seed, count, target_voters);
     cluster.run(1_500);
     assert!(
         is_healthy(&cluster, 0),
@@ -28,8 +28,8 @@
         for _ in 0..cluster.random.random_range(1..4) {
             cluster.inject_fault();
         }
-        let span = cluster.random.random_range(100..3_000);
-        cluster.run(span);
+        let duration = cluster.random.random_range(100..3_000);
+        cluster.run(duration);
         if cluster.random.random_bool(0.5) {
             cluster.heal();
             cluster.run(1_000);
@@ -40,7 +40,7 @@
     cluster.run(6_000);
     assert!(
         is_healthy(&cluster, since + 4_000),
-        "seed {seed}: not well again"
+        "seed {seed}: not healthy again"
     );
     read_back(&mut cluster, seed);
     (cluster.oracle.writes, cluster.oracle.reads)
@@ -49,32 +49,32 @@
 fn read_back(cluster: &mut SimulatedCluster, seed: u64) {
     cluster.is_writing = false;
     cluster.run(2_000);
-    for place in 0..cluster.nodes.len() {
+    for index in 0..cluster.nodes.len() {
         for key in [CONFIGURATION_KEY, EVACUATIONS_KEY] {
-            let Some(consensus) = cluster.nodes[place].consensus.as_ref() else {
+            let Some(consensus) = cluster.nodes[index].consensus.as_ref() else {
                 continue;
             };
             let known = consensus.committed(key).map_or(0, |(version, _)| version);
             let newest = cluster.oracle.newest(key);
             assert!(
                 known >= newest,
-                "seed {seed}: controller {place} lags behind at {key}"
+                "seed {seed}: controller {index} has an old version of {key}"
             );
             let reads = cluster.oracle.reads;
-            cluster.change(place, key, false);
+            cluster.request_change(index, key, false);
             cluster.run(100);
             assert!(
                 cluster.oracle.reads > reads,
-                "seed {seed}: controller {place} reads nothing"
+                "seed {seed}: read at controller {index} failed"
             );
         }
     }
 }
 
-fn run_all(seeds: std::ops::Range<u64>, count: usize, wanted: usize) {
+fn run_all(seeds: std::ops::Range<u64>, count: usize, target_voters: usize) {
     let (mut writes, mut reads) = (0, 0);
     for seed in seeds {
-        let (more_writes, more_reads) = run(seed, count, wanted);
+        let (more_writes, more_reads) = run(seed, count, target_voters);
         writes += more_writes;
         reads += more_reads;
     }
@@ -85,46 +85,46 @@
 }
 
 #[test]
-fn three_controllers_keep_what_they_acknowledged() {
+fn three_controllers_preserve_acknowledged_values() {
     run_all(0..160, 3, 3);
 }
 
 #[test]
-fn five_controllers_keep_what_they_acknowledged() {
+fn five_controllers_preserve_acknowledged_values() {
     run_all(1_000..1_040, 5, 5);
 }
 
 #[test]
-fn three_voters_and_a_spare_controller_keep_what_they_acknowledged() {
+fn three_voters_and_a_spare_controller_preserve_acknowledged_values() {
     run_all(2_000..2_040, 4, 3);
 }
 
 /// All controllers lose power at once, and two disks are lost, the most that five voters tolerate.
 #[test]
-fn five_voters_bear_the_loss_of_two_disks_while_all_lose_power() {
+fn five_voters_survive_two_disk_losses_during_a_power_failure() {
     for seed in 0..40 {
         let mut cluster = SimulatedCluster::first_start(seed, 6, 5);
         cluster.run(2_500);
         assert!(
             is_healthy(&cluster, 0),
-            "seed {seed}: not well after the start"
+            "seed {seed}: not healthy after the start"
         );
         let one = cluster.random.random_range(0..6);
         let other = (one + cluster.random.random_range(1..6)) % 6;
-        for place in 0..6 {
-            cluster.kill(place);
+        for index in 0..6 {
+            cluster.kill(index);
         }
-        for place in [one, other] {
-            cluster.wipe(place);
+        for index in [one, other] {
+            cluster.wipe(index);
         }
-        for place in 0..6 {
-            cluster.boot(place);
+        for index in 0..6 {
+            cluster.boot(index);
         }
         let since = cluster.now;
         cluster.run(6_000);
         assert!(
             is_healthy(&cluster, since + 4_000),
-            "seed {seed}: not well again without the disks of {one} and {other}"
+            "seed {seed}: not healthy again without the disks of {one} and {other}"
         );
         read_back(&mut cluster, seed);
     }
--- a/crates/consensus/tests/contact.rs
+++ b/crates/consensus/tests/contact.rs
@@ -10,12 +10,12 @@
 use register::{VoterRef, VoterSet};
 use std::collections::VecDeque;
 
-const SPAN: u64 = 1_000;
+const SPAN_MS: u64 = 1_000;
 /// The lease duration that remains after the margin for clock drift.
-const LASTS: u64 = SPAN * 4 / 5;
-const OWN: u64 = 1;
+const DURATION_MS: u64 = SPAN_MS * 4 / 5;
+const OWN_DISK: u64 = 1;
 /// Time in which a committed value reaches all connected controllers.
-const SPREAD: u64 = 600;
+const PROPAGATION_MS: u64 = 600;
 
 fn set_of(disks: &[u64]) -> VoterSet {
     let voters = disks.iter().map(|disk| VoterRef {
@@ -30,88 +30,104 @@
 }
 
 #[test]
-fn contact_is_counted_from_the_sending_of_the_acknowledged_heartbeat() {
-    let set = set_of(&[OWN, 2, 3]);
-    let mut lease = ContactLease::new(SPAN);
+fn contact_lasts_from_the_send_time_of_the_acknowledged_heartbeat() {
+    let set = set_of(&[OWN_DISK, 2, 3]);
+    let mut lease = ContactLease::new(SPAN_MS);
     lease.record_sent(100, 1);
-    assert!(!lease.is_held(100, &set, OWN), "nobody acknowledged");
+    assert!(
+        !lease.is_held(100, &set, OWN_DISK),
+        "no acknowledgement received"
+    );
     // A late acknowledgement does not extend the lease.
     lease.record_acknowledgement(2, 1);
-    assert!(lease.is_held(100 + LASTS - 1, &set, OWN));
-    assert!(!lease.is_held(100 + LASTS, &set, OWN));
+    assert!(lease.is_held(100 + DURATION_MS - 1, &set, OWN_DISK));
+    assert!(!lease.is_held(100 + DURATION_MS, &set, OWN_DISK));
 }
 
 #[test]
-fn a_partition_of_either_way_ends_contact() {
-    let set = set_of(&[OWN, 2, 3]);
-    let mut lease = ContactLease::new(SPAN);
+fn a_one_way_partition_ends_contact() {
+    let set = set_of(&[OWN_DISK, 2, 3]);
+    let mut lease = ContactLease::new(SPAN_MS);
     for number in 1..=100 {
         lease.record_sent(number * 100, number);
         // From the eleventh heartbeat on, only the incoming direction works.
         lease.record_acknowledgement(2, number.min(10));
         lease.record_acknowledgement(3, number.min(10));
         let now = number * 100;
-        assert_eq!(lease.is_held(now, &set, OWN), now < 1_000 + LASTS, "{now}");
+        assert_eq!(
+            lease.is_held(now, &set, OWN_DISK),
+            now < 1_000 + DURATION_MS,
+            "{now}"
+        );
     }
 }
 
 #[test]
-fn late_doubled_and_made_up_acknowledgements_prolong_nothing() {
-    let set = set_of(&[OWN, 2, 3]);
-    let mut lease = ContactLease::new(SPAN);
+fn late_duplicate_and_forged_acknowledgements_do_not_extend_contact() {
+    let set = set_of(&[OWN_DISK, 2, 3]);
+    let mut lease = ContactLease::new(SPAN_MS);
     lease.record_sent(0, 1);
     lease.record_sent(300, 2);
     lease.record_acknowledgement(2, 2);
     for number in [1, 2, 1, 0, 3, u64::MAX] {
         lease.record_acknowledgement(2, number);
     }
-    assert!(lease.is_held(300 + LASTS - 1, &set, OWN));
-    assert!(!lease.is_held(300 + LASTS, &set, OWN));
+    assert!(lease.is_held(300 + DURATION_MS - 1, &set, OWN_DISK));
+    assert!(!lease.is_held(300 + DURATION_MS, &set, OWN_DISK));
     lease.record_sent(5_000, 4);
     lease.record_acknowledgement(2, 2);
-    assert!(!lease.is_held(5_000, &set, OWN), "a number from long ago");
+    assert!(
+        !lease.is_held(5_000, &set, OWN_DISK),
+        "an acknowledgement of a forgotten heartbeat"
+    );
 }
 
 #[test]
-fn another_set_counts_its_own_voters_only() {
-    let mut lease = ContactLease::new(SPAN);
+fn only_voters_of_the_given_set_count() {
+    let mut lease = ContactLease::new(SPAN_MS);
     lease.record_sent(0, 1);
     lease.record_acknowledgement(2, 1);
-    assert!(lease.is_held(1, &set_of(&[OWN, 2, 3]), OWN));
+    assert!(lease.is_held(1, &set_of(&[OWN_DISK, 2, 3]), OWN_DISK));
     assert!(
-        !lease.is_held(1, &set_of(&[OWN, 3, 4]), OWN),
-        "2 was replaced"
+        !lease.is_held(1, &set_of(&[OWN_DISK, 3, 4]), OWN_DISK),
+        "voter 2 was replaced"
     );
-    assert!(!lease.is_held(1, &set_of(&[OWN, 2, 3, 4]), OWN), "2 of 4");
     assert!(
-        !lease.is_held(1, &set_of(&[2, 3, 4]), OWN),
-        "it is no voter itself"
+        !lease.is_held(1, &set_of(&[OWN_DISK, 2, 3, 4]), OWN_DISK),
+        "2 of 4 voters"
+    );
+    assert!(
+        !lease.is_held(1, &set_of(&[2, 3, 4]), OWN_DISK),
+        "the controller is not a voter"
     );
     lease.record_acknowledgement(4, 1);
     assert!(
-        lease.is_held(1, &set_of(&[2, 3, 4]), OWN),
-        "a spare controller"
+        lease.is_held(1, &set_of(&[2, 3, 4]), OWN_DISK),
+        "a controller outside the set can be in contact"
+    );
+    assert!(!lease.is_held(1, &set_of(&[]), OWN_DISK), "no set is known");
+    assert!(
+        lease.is_held(1, &set_of(&[OWN_DISK]), OWN_DISK),
+        "the only voter is always in contact"
     );
-    assert!(!lease.is_held(1, &set_of(&[]), OWN), "no set is known");
-    assert!(lease.is_held(1, &set_of(&[OWN]), OWN), "alone in its set");
 }
 
 #[test]
-fn what_is_remembered_of_heartbeats_is_bounded() {
-    let set = set_of(&[OWN, 2, 3]);
+fn memory_of_sent_heartbeats_is_bounded() {
+    let set = set_of(&[OWN_DISK, 2, 3]);
     let mut lease = ContactLease::new(u64::MAX / 8);
     for number in 0..100_000 {
         lease.record_sent(number, number);
     }
     lease.record_acknowledgement(2, 99_000);
-    assert!(!lease.is_held(100_000, &set, OWN), "forgotten");
+    assert!(!lease.is_held(100_000, &set, OWN_DISK), "forgotten");
     lease.record_acknowledgement(2, 99_990);
-    assert!(lease.is_held(100_000, &set, OWN));
+    assert!(lease.is_held(100_000, &set, OWN_DISK));
 }
 
 /// Newest acknowledged versions over time, to look up what had been committed some time ago.
 struct CommittedHistory {
-    since: VecDeque<(u64, [u64; 2])>,
+    entries: VecDeque<(u64, [u64; 2])>,
 }
 
 const REQUIRED_KEYS: [&str; 2] = [CONFIGURATION_KEY, EVACUATIONS_KEY];
@@ -119,22 +135,23 @@
 impl CommittedHistory {
     fn new() -> Self {
         Self {
-            since: VecDeque::from([(0, [0, 0])]),
+            entries: VecDeque::from([(0, [0, 0])]),
         }
     }
 
-    fn note(&mut self, cluster: &SimulatedCluster) {
+    fn record(&mut self, cluster: &SimulatedCluster) {
         let newest = REQUIRED_KEYS.map(|key| cluster.oracle.newest(key));
-        self.since.push_back((cluster.now, newest));
-        while self.since.len() > 1 && self.since[1].0 + LEASE_MS + SPREAD <= cluster.now {
-            self.since.pop_front();
+        self.entries.push_back((cluster.now, newest));
+        while self.entries.len() > 1 && self.entries[1].0 + LEASE_MS + PROPAGATION_MS <= cluster.now
+        {
+            self.entries.pop_front();
         }
     }
 
     /// Checks that no current controller lacks a version that was acknowledged one lease ago.
-    fn look(&self, cluster: &SimulatedCluster, seed: u64) {
-        let (_, floor) = self.since[0];
-        for (place, node) in cluster.nodes.iter().enumerate() {
+    fn check(&self, cluster: &SimulatedCluster, seed: u64) {
+        let (_, floor) = self.entries[0];
+        for (index, node) in cluster.nodes.iter().enumerate() {
             if !node.is_current(cluster.now) {
                 continue;
             }
@@ -142,24 +159,24 @@
                 let known = node.committed_version(key);
                 assert!(
                     known >= floor,
-                    "seed {seed}: at {} controller {place} passes for current with {key} {known}, and {floor} is committed",
+                    "seed {seed}: at {} controller {index} is current with {key} {known}, but {floor} is committed",
                     cluster.now
                 );
             }
         }
     }
 
-    fn run(&mut self, cluster: &mut SimulatedCluster, span: u64, seed: u64) {
-        let end = cluster.now + span;
+    fn run(&mut self, cluster: &mut SimulatedCluster, duration: u64, seed: u64) {
+        let end = cluster.now + duration;
         while cluster.now < end {
             cluster.run(10);
-            self.note(cluster);
-            self.look(cluster, seed);
+            self.record(cluster);
+            self.check(cluster, seed);
         }
     }
 }
 
-fn started(seed: u64, count: usize) -> SimulatedCluster {
+fn started_cluster(seed: u64, count: usize) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::first_start(seed, count, 3);
     cluster.run(2_000);
     let nodes = cluster.nodes.iter();
@@ -172,49 +189,52 @@
 }
 
 #[test]
-fn a_controller_that_is_partitioned_for_twenty_seconds_passes_for_current_nowhere() {
+fn a_controller_partitioned_for_twenty_seconds_is_never_current() {
     for seed in 0..30 {
-        let mut cluster = started(seed, 3 + seed as usize % 2);
+        let mut cluster = started_cluster(seed, 3 + seed as usize % 2);
         let mut history = CommittedHistory::new();
         let cut = cluster.random.random_range(0..cluster.nodes.len());
         let others: Vec<usize> = (0..cluster.nodes.len())
-            .filter(|place| *place != cut)
+            .filter(|index| *index != cut)
             .collect();
         for other in &others {
             // Cutting one direction is sufficient.
             if seed % 3 != 1 {
-                cluster.cuts.insert((cut, *other));
+                cluster.cut_links.insert((cut, *other));
             }
             if seed % 3 != 2 {
-                cluster.cuts.insert((*other, cut));
+                cluster.cut_links.insert((*other, cut));
             }
         }
-        let began = cluster.now;
+        let started_at = cluster.now;
         let writes = cluster.oracle.writes;
         history.run(&mut cluster, LEASE_MS, seed);
-        while cluster.now < began + 20_000 {
+        while cluster.now < started_at + 20_000 {
             history.run(&mut cluster, 10, seed);
             assert!(!cluster.nodes[cut].is_current(cluster.now), "seed {seed}");
             for other in &others {
                 assert!(cluster.nodes[*other].is_current(cluster.now), "seed {seed}");
             }
         }
-        assert!(cluster.oracle.writes > writes + 50, "seed {seed}: no load");
-        cluster.cuts.clear();
-        let mut took = 0;
+        assert!(
+            cluster.oracle.writes > writes + 50,
+            "seed {seed}: too few writes"
+        );
+        cluster.cut_links.clear();
+        let mut elapsed = 0;
         while !cluster.nodes[cut].is_current(cluster.now) {
             history.run(&mut cluster, 10, seed);
-            took += 10;
-            assert!(took < 1_000, "seed {seed}: not current again");
+            elapsed += 10;
+            assert!(elapsed < 1_000, "seed {seed}: not current again");
         }
         history.run(&mut cluster, 1_000, seed);
     }
 }
 
 #[test]
-fn a_controller_that_thaws_finds_its_contact_over_before_anything_else() {
+fn a_thawed_controller_first_notices_that_contact_has_ended() {
     for seed in 0..30 {
-        let mut cluster = started(seed, 3);
+        let mut cluster = started_cluster(seed, 3);
         cluster.nodes[0].is_frozen = true;
         cluster.run(LEASE_MS + 10);
         assert!(!cluster.nodes[0].is_current(cluster.now), "seed {seed}");
@@ -228,15 +248,15 @@
 }
 
 #[test]
-fn no_controller_passes_for_current_with_old_values_under_any_faults() {
+fn no_controller_is_current_with_outdated_values_under_random_faults() {
     for seed in 0..60 {
         let mut cluster = SimulatedCluster::first_start(seed, 4, 3);
         cluster.run(2_000);
         let mut history = CommittedHistory::new();
         for _ in 0..12 {
             cluster.inject_fault();
-            let span = cluster.random.random_range(100..1_500);
-            history.run(&mut cluster, span, seed);
+            let duration = cluster.random.random_range(100..1_500);
+            history.run(&mut cluster, duration, seed);
             if cluster.random.random_bool(0.3) {
                 cluster.heal();
                 history.run(&mut cluster, 1_000, seed);
--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -16,19 +16,19 @@
 const FIRST: SetVersion = SetVersion::new(1, 1);
 const SECOND: SetVersion = SetVersion::new(1, 2);
 
-fn set(no: u64) -> VoterSet {
+fn set(set_number: u64) -> VoterSet {
     let voter = |disk: u64| VoterRef {
         disk,
         address: format!("at-{disk}"),
     };
     VoterSet {
         epoch: 1,
-        number: no,
+        number: set_number,
         voters: (1..=3).map(voter).collect(),
     }
 }
 
-fn opened(folder: &MemoryFolder) -> VoterDisk {
+fn open_disk(folder: &MemoryFolder) -> VoterDisk {
     let folder = folder.clone();
     let open_folder = move || -> io::Result<Box<dyn Folder>> { Ok(Box::new(folder.clone())) };
     VoterDisk::open(Box::new(open_folder), 1).unwrap()
@@ -48,9 +48,9 @@
 }
 
 #[test]
-fn a_set_is_confirmed_once_it_is_synced_and_not_before() {
+fn a_set_is_confirmed_only_after_it_is_synced() {
     let folder = MemoryFolder::default();
-    let mut disk = opened(&folder);
+    let mut disk = open_disk(&folder);
     assert!(!is_confirmed(&mut disk, vec![confirm(FIRST)]));
     let form = DiskWork::FormSet(set(1));
     assert!(is_confirmed(&mut disk, vec![form, confirm(FIRST)]));
@@ -70,33 +70,33 @@
 }
 
 #[test]
-fn a_heartbeat_tells_no_set_that_a_failed_disk_took_in_memory_alone() {
+fn a_heartbeat_does_not_report_a_set_that_a_failed_disk_has_only_in_memory() {
     let mut cluster = SimulatedCluster::first_start(4, 3, 3);
     cluster.is_writing = false;
     cluster.run(1_500);
     cluster.isolate(0);
     cluster.nodes[0].folder.inject(FaultKind::Full);
-    let newcomer = VoterRef {
+    let new_member = VoterRef {
         disk: 77,
         address: "at-9".into(),
     };
     let next = cluster
         .newest_set()
-        .with_replacement(cluster.nodes[2].disk, newcomer)
+        .with_replacement(cluster.nodes[2].disk, new_member)
         .unwrap();
     let update = VoterSetUpdate {
         set: next,
         previous: None,
     };
-    let local = cluster.nodes[0].clock(cluster.now);
+    let local_now = cluster.nodes[0].clock(cluster.now);
     let consensus = cluster.nodes[0].consensus.as_mut().unwrap();
-    consensus.on_message(local, "at-1", ConsensusMessage::VoterSet(update));
-    cluster.drain(0);
+    consensus.on_message(local_now, "at-1", ConsensusMessage::VoterSet(update));
+    cluster.process_actions(0);
     cluster.run(500);
-    let local = cluster.nodes[0].clock(cluster.now) + 500;
+    let local_now = cluster.nodes[0].clock(cluster.now) + 500;
     let consensus = cluster.nodes[0].consensus.as_mut().unwrap();
     assert_eq!(consensus.voter_set().version(), SECOND);
-    consensus.tick(local);
+    consensus.tick(local_now);
     let heartbeats: Vec<Heartbeat> = consensus
         .take_actions()
         .into_iter()
@@ -123,30 +123,30 @@
 }
 
 #[test]
-fn a_copy_is_given_under_the_set_that_it_is_asked_for_and_under_no_other() {
+fn a_replica_is_only_read_under_the_requested_set() {
     let folder = MemoryFolder::default();
-    let mut disk = opened(&folder);
-    let pull = |set_version| DiskWork::ReadReplica {
+    let mut disk = open_disk(&folder);
+    let read_replica = |set_version| DiskWork::ReadReplica {
         to: "at-3".into(),
         set_version,
         after: String::new(),
     };
-    let is_given = |completions: &[DiskCompletion]| {
-        let is_copy =
+    let has_page = |completions: &[DiskCompletion]| {
+        let is_page =
             |completion: &DiskCompletion| matches!(completion, DiskCompletion::ReplicaPage { .. });
-        completions.iter().any(is_copy)
+        completions.iter().any(is_page)
     };
-    assert!(!is_given(&execute_batch_on_disk(
+    assert!(!has_page(&execute_batch_on_disk(
         &mut disk,
-        vec![pull(SetVersion::new(0, 0))]
+        vec![read_replica(SetVersion::new(0, 0))]
     )));
     execute_batch_on_disk(&mut disk, vec![DiskWork::FormSet(set(1))]);
-    assert!(!is_given(&execute_batch_on_disk(
+    assert!(!has_page(&execute_batch_on_disk(
         &mut disk,
-        vec![pull(SECOND)]
+        vec![read_replica(SECOND)]
     )));
-    assert!(is_given(&execute_batch_on_disk(
+    assert!(has_page(&execute_batch_on_disk(
         &mut disk,
-        vec![pull(FIRST)]
+        vec![read_replica(FIRST)]
     )));
 }
--- a/crates/consensus/tests/installation.rs
+++ b/crates/consensus/tests/installation.rs
@@ -7,18 +7,20 @@
 use register::{ClaimFloors, SetVersion, VoterRef, VoterSet};
 
 const STARTED_AT: u64 = 50_000;
-const NEWCOMER: &str = "newcomer";
-const NEWCOMER_DISK: u64 = 9;
+const NEW_MEMBER: &str = "new_member";
+const NEW_MEMBER_DISK: u64 = 9;
 const MEMBERS: [&str; 2] = ["one", "other"];
 
 /// The set in which the new member has replaced a third member.
 fn set() -> VoterSet {
     let addresses = MEMBERS.into_iter().zip(1..);
-    let newcomer = (NEWCOMER, NEWCOMER_DISK);
-    let voters = addresses.chain([newcomer]).map(|(address, disk)| VoterRef {
-        disk,
-        address: address.into(),
-    });
+    let new_member = (NEW_MEMBER, NEW_MEMBER_DISK);
+    let voters = addresses
+        .chain([new_member])
+        .map(|(address, disk)| VoterRef {
+            disk,
+            address: address.into(),
+        });
     VoterSet {
         epoch: 1,
         number: 2,
@@ -27,13 +29,13 @@
 }
 
 /// An empty controller that has learned that it is in the set.
-fn newcomer() -> Consensus {
+fn new_member() -> Consensus {
     let options = ConsensusOptions {
-        name: NEWCOMER.into(),
-        address: NEWCOMER.into(),
+        name: NEW_MEMBER.into(),
+        address: NEW_MEMBER.into(),
         seeds: MEMBERS.map(str::to_string).to_vec(),
         is_first_start: false,
-        disk_id: NEWCOMER_DISK,
+        disk_id: NEW_MEMBER_DISK,
         lease_ms: 1_000,
         heartbeat_interval_ms: 200,
         replacement_timeout_ms: 2_000,
@@ -56,7 +58,7 @@
 
 /// Whether the new member installs after receiving a complete copy from each member, made under the given set.
 fn installs_copies_under(set_version: SetVersion) -> bool {
-    let mut consensus = newcomer();
+    let mut consensus = new_member();
     for (address, disk) in MEMBERS.into_iter().zip(1..) {
         let page = ReplicaPage {
             disk,
@@ -73,7 +75,7 @@
 }
 
 #[test]
-fn a_newcomer_installs_copies_that_members_held_under_its_own_set_alone() {
+fn a_new_member_only_installs_copies_made_under_its_own_set() {
     assert!(installs_copies_under(SetVersion::new(1, 2)));
     // A member that still votes under the previous set may commit more values after sending its copy.
     assert!(!installs_copies_under(SetVersion::new(1, 1)));
--- a/crates/consensus/tests/membership_seeds.rs
+++ b/crates/consensus/tests/membership_seeds.rs
@@ -9,11 +9,11 @@
 use rand::Rng;
 
 const ROUNDS: usize = 8;
-const MACHINES_MAX: usize = 14;
+const MAX_MACHINES: usize = 14;
 
-fn any(cluster: &mut SimulatedCluster) -> usize {
+fn random_node(cluster: &mut SimulatedCluster) -> usize {
     let live: Vec<usize> = (0..cluster.nodes.len())
-        .filter(|place| !cluster.nodes[*place].is_gone)
+        .filter(|index| !cluster.nodes[*index].is_removed)
         .collect();
     live[cluster.random.random_range(0..live.len())]
 }
@@ -27,69 +27,69 @@
 }
 
 /// Removes a machine permanently and adds a new one.
-fn replace(cluster: &mut SimulatedCluster) {
-    let place = any(cluster);
-    cluster.lose(place);
-    if cluster.nodes.len() < MACHINES_MAX {
-        cluster.add_newcomer();
+fn replace_machine(cluster: &mut SimulatedCluster) {
+    let index = random_node(cluster);
+    cluster.remove_machine(index);
+    if cluster.nodes.len() < MAX_MACHINES {
+        cluster.add_empty_machine();
     }
 }
 
 /// Wipes a disk and restarts the controller at the same address.
-fn wipe(cluster: &mut SimulatedCluster) {
-    let place = any(cluster);
-    cluster.wipe(place);
+fn wipe_disk(cluster: &mut SimulatedCluster) {
+    let index = random_node(cluster);
+    cluster.wipe(index);
     let delay = cluster.random.random_range(10..2_500);
-    cluster.later(delay, Event::Boot(place));
+    cluster.schedule(delay, Event::Boot(index));
 }
 
 /// Restores a removed machine with its old disk.
-fn bring_back(cluster: &mut SimulatedCluster) {
-    let gone = (0..cluster.nodes.len()).find(|place| {
-        let node = &cluster.nodes[*place];
-        node.is_gone && !cluster.moved.contains(place)
+fn restore_machine(cluster: &mut SimulatedCluster) {
+    let removed = (0..cluster.nodes.len()).find(|index| {
+        let node = &cluster.nodes[*index];
+        node.is_removed && !cluster.moved_disks.contains(index)
     });
-    if let Some(place) = gone {
-        cluster.bring_back(place);
+    if let Some(index) = removed {
+        cluster.restore_machine(index);
     }
 }
 
 /// Moves a disk to a machine at another address.
-fn carry_over(cluster: &mut SimulatedCluster) {
-    let place = any(cluster);
-    if cluster.nodes.len() < MACHINES_MAX && cluster.nodes[place].consensus.is_some() {
-        cluster.move_disk(place);
+fn move_disk(cluster: &mut SimulatedCluster) {
+    let index = random_node(cluster);
+    if cluster.nodes.len() < MAX_MACHINES && cluster.nodes[index].consensus.is_some() {
+        cluster.move_disk(index);
     }
 }
 
 /// Isolates a controller, often for long enough that another one replaces it.
-fn partition_for_long(cluster: &mut SimulatedCluster) {
-    let place = any(cluster);
-    cluster.isolate(place);
-    let span = cluster.random.random_range(2_000..6_000);
-    cluster.run(span);
-    cluster.rejoin(place);
+fn isolate_temporarily(cluster: &mut SimulatedCluster) {
+    let index = random_node(cluster);
+    cluster.isolate(index);
+    let duration = cluster.random.random_range(2_000..6_000);
+    cluster.run(duration);
+    cluster.reconnect_all(index);
 }
 
 fn restart(cluster: &mut SimulatedCluster) {
-    let place = any(cluster);
-    cluster.kill(place);
+    let index = random_node(cluster);
+    cluster.kill(index);
     let delay = cluster.random.random_range(10..3_000);
-    cluster.later(delay, Event::Boot(place));
+    cluster.schedule(delay, Event::Boot(index));
 }
 
 fn inject_fault(cluster: &mut SimulatedCluster) {
     let spare = spare_copies(cluster);
     match cluster.random.random_range(0..10) {
-        0 | 1 if spare > 0 => replace(cluster),
-        2 if spare > 0 => wipe(cluster),
+        0 | 1 if spare > 0 => replace_machine(cluster),
+        2 if spare > 0 => wipe_disk(cluster),
         3 if spare > 1 => {
-            replace(cluster);
-            wipe(cluster);
+            replace_machine(cluster);
+            wipe_disk(cluster);
         }
-        4 | 5 => partition_for_long(cluster),
-        6 => carry_over(cluster),
-        7 => bring_back(cluster),
+        4 | 5 => isolate_temporarily(cluster),
+        6 => move_disk(cluster),
+        7 => restore_machine(cluster),
         _ => restart(cluster),
     }
 }
@@ -97,35 +97,35 @@
 fn read_back(cluster: &mut SimulatedCluster, seed: u64) {
     cluster.is_writing = false;
     cluster.run(2_000);
-    for place in 0..cluster.nodes.len() {
+    for index in 0..cluster.nodes.len() {
         // A controller that knows no set and has no live seed has nobody to contact.
-        if cluster.nodes[place].consensus.is_none() || cluster.is_lost(place) {
+        if cluster.nodes[index].consensus.is_none() || cluster.has_no_live_seed(index) {
             continue;
         }
         for key in [CONFIGURATION_KEY, EVACUATIONS_KEY] {
             let reads = cluster.oracle.reads;
-            cluster.change(place, key, false);
+            cluster.request_change(index, key, false);
             cluster.run(400);
             assert!(
                 cluster.oracle.reads > reads,
-                "seed {seed}: controller {place} reads nothing of {key}; {}",
+                "seed {seed}: read of {key} at controller {index} failed; {}",
                 cluster.describe()
             );
         }
     }
 }
 
-fn run(seed: u64, count: usize, wanted: usize) -> usize {
-    let mut cluster = SimulatedCluster::first_start(seed, count, wanted);
+fn run(seed: u64, count: usize, target_voters: usize) -> usize {
+    let mut cluster = SimulatedCluster::first_start(seed, count, target_voters);
     cluster.run(1_500);
     for _ in 0..ROUNDS {
         cluster.loss = [0.0, 0.02, 0.1][cluster.random.random_range(0..3)];
         inject_fault(&mut cluster);
-        let span = cluster.random.random_range(100..2_500);
-        cluster.run(span);
+        let duration = cluster.random.random_range(100..2_500);
+        cluster.run(duration);
         if cluster.random.random_bool(0.5) {
             cluster.heal();
-            cluster.until(8_000, SimulatedCluster::has_all_members);
+            cluster.run_until(8_000, SimulatedCluster::has_all_members);
         }
     }
     cluster.heal();
@@ -134,24 +134,24 @@
     cluster.run(3_000);
     assert!(
         cluster.oracle.last_write_at > since,
-        "seed {seed}: no majority came back; {}",
+        "seed {seed}: no majority recovered; {}",
         cluster.describe()
     );
     read_back(&mut cluster, seed);
     cluster.oracle.writes
 }
 
-fn run_all(seeds: std::ops::Range<u64>, count: usize, wanted: usize) {
-    let writes: usize = seeds.map(|seed| run(seed, count, wanted)).sum();
+fn run_all(seeds: std::ops::Range<u64>, count: usize, target_voters: usize) {
+    let writes: usize = seeds.map(|seed| run(seed, count, target_voters)).sum();
     assert!(writes > 2_000, "{writes} writes");
 }
 
 #[test]
-fn three_voters_and_spares_keep_what_they_acknowledged() {
+fn three_voters_and_spares_preserve_acknowledged_values() {
     run_all(5_000..5_060, 4, 3);
 }
 
 #[test]
-fn three_voters_that_grow_to_five_keep_what_they_acknowledged() {
+fn three_voters_that_grow_to_five_preserve_acknowledged_values() {
     run_all(6_000..6_035, 5, 5);
 }
--- a/crates/consensus/tests/replicas.rs
+++ b/crates/consensus/tests/replicas.rs
@@ -9,54 +9,54 @@
 use rand::Rng;
 use register::{ChangeOutcome, SetVersion};
 
-fn known(cluster: &SimulatedCluster, place: usize) -> u64 {
-    let consensus = cluster.nodes[place].consensus.as_ref().unwrap();
+fn committed_version(cluster: &SimulatedCluster, index: usize) -> u64 {
+    let consensus = cluster.nodes[index].consensus.as_ref().unwrap();
     consensus
         .committed(CONFIGURATION_KEY)
         .map_or(0, |(version, _)| version)
 }
 
-fn write(cluster: &mut SimulatedCluster, place: usize) {
+fn write(cluster: &mut SimulatedCluster, index: usize) {
     let newest = cluster.oracle.newest(CONFIGURATION_KEY);
     for _ in 0..10 {
-        cluster.change(place, CONFIGURATION_KEY, true);
+        cluster.request_change(index, CONFIGURATION_KEY, true);
         cluster.run(150);
         if cluster.oracle.newest(CONFIGURATION_KEY) > newest {
             return;
         }
     }
-    panic!("no write went through");
+    panic!("no write succeeded");
 }
 
 #[test]
-fn a_newcomer_installs_what_only_one_of_the_others_holds() {
+fn a_wiped_member_installs_a_value_that_only_one_other_holds() {
     for seed in 0..150 {
         let mut cluster = SimulatedCluster::idle(seed, 3);
-        cluster.part(0, 2);
-        cluster.part(1, 2);
+        cluster.partition(0, 2);
+        cluster.partition(1, 2);
         write(&mut cluster, 0);
         // The third controller lacks the value, and can only learn it from the one that lost its disk.
         cluster.wipe(1);
-        cluster.join(1, 2);
+        cluster.reconnect(1, 2);
         cluster.boot(1);
-        let span = cluster.random.random_range(0..400);
-        cluster.run(span);
-        cluster.part(0, 1);
+        let duration = cluster.random.random_range(0..400);
+        cluster.run(duration);
+        cluster.partition(0, 1);
         cluster.run(1_000);
-        for place in [1, 2] {
-            cluster.change(place, CONFIGURATION_KEY, false);
+        for index in [1, 2] {
+            cluster.request_change(index, CONFIGURATION_KEY, false);
         }
         cluster.run(2_000);
-        cluster.cuts.clear();
+        cluster.cut_links.clear();
         cluster.run(2_000);
-        for place in 0..3 {
-            assert_eq!(known(&cluster, place), 1, "seed {seed}");
+        for index in 0..3 {
+            assert_eq!(committed_version(&cluster, index), 1, "seed {seed}");
         }
     }
 }
 
 #[test]
-fn a_value_comes_to_all_controllers_in_one_heartbeat_and_travels_once_to_each() {
+fn a_value_reaches_all_controllers_in_one_heartbeat_and_is_sent_once_to_each() {
     for seed in 0..10 {
         let mut cluster = SimulatedCluster::idle(seed, 4);
         let before = cluster.bytes;
@@ -64,84 +64,87 @@
         let token = cluster
             .oracle
             .begin_request(CONFIGURATION_KEY, Some((0, bytes.clone())));
-        let local = cluster.nodes[0].clock(cluster.now);
+        let local_now = cluster.nodes[0].clock(cluster.now);
         let consensus = cluster.nodes[0].consensus.as_mut().unwrap();
-        consensus.write(local, token, CONFIGURATION_KEY, 0, bytes);
-        cluster.drain(0);
+        consensus.write(local_now, token, CONFIGURATION_KEY, 0, bytes);
+        cluster.process_actions(0);
         cluster.run(150);
         assert_eq!(cluster.oracle.writes, 1, "seed {seed}");
-        for place in 0..4 {
-            assert_eq!(known(&cluster, place), 1, "seed {seed}");
+        for index in 0..4 {
+            assert_eq!(committed_version(&cluster, index), 1, "seed {seed}");
         }
-        let travelled = (cluster.bytes - before) >> 20;
+        let transferred = (cluster.bytes - before) >> 20;
         let is_voter = cluster.nodes[0].set_version().epoch > 0;
         let copies = if is_voter { 3 } else { 4 };
         assert!(
-            travelled <= copies,
-            "seed {seed}: {travelled} MiB travelled"
+            transferred <= copies,
+            "seed {seed}: {transferred} MiB transferred"
         );
     }
 }
 
 #[test]
-fn values_do_not_travel_again_after_all_controllers_were_killed() {
+fn values_are_not_transferred_again_after_all_controllers_were_killed() {
     for seed in 0..10 {
         let mut cluster = SimulatedCluster::idle(seed, 3);
         let bytes = vec![7; 1 << 20];
         let token = cluster
             .oracle
             .begin_request(CONFIGURATION_KEY, Some((0, bytes.clone())));
-        let local = cluster.nodes[1].clock(cluster.now);
+        let local_now = cluster.nodes[1].clock(cluster.now);
         let consensus = cluster.nodes[1].consensus.as_mut().unwrap();
-        consensus.write(local, token, CONFIGURATION_KEY, 0, bytes);
-        cluster.drain(1);
+        consensus.write(local_now, token, CONFIGURATION_KEY, 0, bytes);
+        cluster.process_actions(1);
         cluster.run(500);
-        for place in 0..3 {
-            cluster.kill(place);
+        for index in 0..3 {
+            cluster.kill(index);
         }
         let before = cluster.bytes;
-        for place in 0..3 {
-            cluster.boot(place);
+        for index in 0..3 {
+            cluster.boot(index);
         }
-        let took = cluster.until(2_000, |cluster| {
-            (0..3).all(|place| known(cluster, place) == 1)
+        let elapsed = cluster.run_until(2_000, |cluster| {
+            (0..3).all(|index| committed_version(cluster, index) == 1)
         });
-        assert!(took.is_some_and(|took| took < 400), "seed {seed}: {took:?}");
-        let travelled = cluster.bytes - before;
         assert!(
-            travelled < 1 << 16,
-            "seed {seed}: {travelled} bytes travelled"
+            elapsed.is_some_and(|elapsed| elapsed < 400),
+            "seed {seed}: {elapsed:?}"
+        );
+        let transferred = cluster.bytes - before;
+        assert!(
+            transferred < 1 << 16,
+            "seed {seed}: {transferred} bytes transferred"
         );
     }
 }
 
-fn voter_version(cluster: &SimulatedCluster, place: usize) -> u64 {
-    let voter = cluster.nodes[place].voter.as_ref().unwrap();
+fn voter_version(cluster: &SimulatedCluster, index: usize) -> u64 {
+    let voter = cluster.nodes[index].voter.as_ref().unwrap();
     let held = voter.voter().acceptor().register(CONFIGURATION_KEY);
     held.map_or(0, |held| held.value.version)
 }
 
 #[test]
-fn a_controller_whose_voter_lags_is_repaired() {
+fn a_voter_that_lags_behind_is_repaired() {
     let mut cluster = SimulatedCluster::idle(3, 3);
-    cluster.part(0, 2);
-    cluster.part(1, 2);
+    cluster.partition(0, 2);
+    cluster.partition(1, 2);
     write(&mut cluster, 0);
-    cluster.cuts.clear();
+    cluster.cut_links.clear();
     cluster.run(1_000);
     let voter = cluster.nodes[2].voter.as_ref().unwrap().voter();
     let held = voter.acceptor().register(CONFIGURATION_KEY).unwrap();
     assert_eq!(held.value.version, 1);
 }
 
-/// The controller has learned the value without its voter, and does not miss it in the heartbeats it receives later.
+/// The controller learned the value before it received heartbeats that list it, so the value does not count as missing.
 /// Only the comparison of the own voter with the committed values repairs the voter.
 #[test]
-fn a_controller_that_knows_a_value_which_its_voter_lacks_is_repaired() {
+fn a_voter_that_lacks_a_value_known_to_its_controller_is_repaired() {
     for seed in 0..20 {
         let mut cluster = SimulatedCluster::idle(seed, 3);
-        cluster.part(0, 2);
-        cluster.part(1, 2);
+        cluster.partition(0, 2);
+        cluster.partition(1, 2);
         write(&mut cluster, 0);
         let stored = cluster.nodes[0].consensus.as_ref().unwrap();
         let (version, bytes) = stored.committed(CONFIGURATION_KEY).unwrap();
@@ -157,26 +160,29 @@
             ballot: register::Ballot::default(),
             value: sent,
         };
-        let local = cluster.nodes[2].clock(cluster.now);
+        let local_now = cluster.nodes[2].clock(cluster.now);
         let consensus = cluster.nodes[2].consensus.as_mut().unwrap();
-        consensus.on_message(local, "at-0", message);
-        cluster.drain(2);
-        assert_eq!((known(&cluster, 2), voter_version(&cluster, 2)), (1, 0));
-        cluster.cuts.clear();
+        consensus.on_message(local_now, "at-0", message);
+        cluster.process_actions(2);
+        assert_eq!(
+            (committed_version(&cluster, 2), voter_version(&cluster, 2)),
+            (1, 0)
+        );
+        cluster.cut_links.clear();
         cluster.run(9_000);
         assert_eq!(voter_version(&cluster, 2), 1, "seed {seed}");
     }
 }
 
 #[test]
-fn a_controller_takes_no_more_than_so_many_changes_at_once() {
+fn concurrent_client_changes_are_limited() {
     let mut cluster = SimulatedCluster::idle(5, 3);
-    cluster.part(0, 1);
-    cluster.part(0, 2);
-    let local = cluster.nodes[0].clock(cluster.now);
+    cluster.partition(0, 1);
+    cluster.partition(0, 2);
+    let local_now = cluster.nodes[0].clock(cluster.now);
     let consensus = cluster.nodes[0].consensus.as_mut().unwrap();
     for token in 0..65 {
-        consensus.read(local, token, CONFIGURATION_KEY);
+        consensus.read(local_now, token, CONFIGURATION_KEY);
     }
     let completed = |action: ConsensusAction| match action {
         ConsensusAction::RequestCompleted { token, outcome } => Some((token, outcome)),
@@ -187,9 +193,9 @@
         .into_iter()
         .filter_map(completed)
         .collect();
-    let refused = ChangeOutcome::NoQuorum("too many changes at once".into());
-    assert_eq!(ended, vec![(64, refused)]);
-    consensus.tick(local + 1_600);
+    let rejected = ChangeOutcome::NoQuorum("too many changes at once".into());
+    assert_eq!(ended, vec![(64, rejected)]);
+    consensus.tick(local_now + 1_600);
     let ended: Vec<(u64, ChangeOutcome)> = consensus
         .take_actions()
         .into_iter()
@@ -199,31 +205,34 @@
 }
 
 #[test]
-fn a_member_that_was_replaced_comes_back_as_a_newcomer() {
+fn a_replaced_member_returns_as_an_empty_controller() {
     let mut cluster = SimulatedCluster::idle(6, 3);
     write(&mut cluster, 0);
     cluster.kill(2);
     let seeds = vec!["at-0".to_string(), "at-2".to_string()];
-    let newcomer = cluster.add(seeds, false);
-    let took = cluster.until(6_000, |cluster| {
-        cluster.nodes[newcomer].set_version() == SetVersion::new(1, 2)
+    let new_member = cluster.add(seeds, false);
+    let elapsed = cluster.run_until(6_000, |cluster| {
+        cluster.nodes[new_member].set_version() == SetVersion::new(1, 2)
     });
-    assert!(took.is_some(), "it got no place");
+    assert!(
+        elapsed.is_some(),
+        "the new controller did not become a member"
+    );
     let old = cluster.nodes[2].disk;
     cluster.boot(2);
     cluster.run(3_000);
     let node = &cluster.nodes[2];
     assert!(
         node.disk != old && node.set_version() == SetVersion::new(0, 0),
-        "it kept its state"
+        "the replaced member kept its state"
     );
-    assert_eq!(known(&cluster, 2), 1);
+    assert_eq!(committed_version(&cluster, 2), 1);
     let controllers = node.consensus.as_ref().unwrap().known_controllers();
     assert_eq!(controllers, ["at-0", "at-1", "at-2", "at-3"]);
 }
 
 #[test]
-fn a_controller_whose_disk_failed_counts_again_once_it_was_opened_anew() {
+fn a_member_votes_again_after_its_failed_disk_is_reopened() {
     let mut cluster = SimulatedCluster::idle(7, 3);
     cluster.nodes[2].folder.inject(FaultKind::Full);
     write(&mut cluster, 0);
--- a/crates/consensus/tests/role_promises.rs
+++ b/crates/consensus/tests/role_promises.rs
@@ -41,14 +41,16 @@
 }
 
 /// A member that was started after its voter had accepted the holder's value under the first ballot.
-fn started(promised: Ballot) -> Consensus {
+fn started_member(promised: Ballot) -> Consensus {
     let role_holder = RoleHolder {
         address: HOLDER.into(),
         name: HOLDER.into(),
         incarnation: HOLDER_INCARNATION,
     };
-    let bytes = role_holder.write_to_vec().expect("it can be written");
-    let held = VoterSnapshot {
+    let bytes = role_holder
+        .write_to_vec()
+        .expect("the holder can be encoded");
+    let snapshot = VoterSnapshot {
         set: set(),
         is_open: true,
         values: vec![RegisterSnapshot {
@@ -72,7 +74,7 @@
         seed: 1,
         target_voter_count: 3,
     };
-    Consensus::new(options, STARTED_AT, held)
+    Consensus::new(options, STARTED_AT, snapshot)
 }
 
 /// A heartbeat of the holder that claims the scaler role.
@@ -100,8 +102,8 @@
 
 /// Whether the member passes another controller's prepare request at this time to its voter. Otherwise it must reject
 /// the request.
-fn passes_promise_on(consensus: &mut Consensus, now: u64) -> bool {
-    let ask = VoterOperation::Prepare {
+fn passes_prepare_on(consensus: &mut Consensus, now: u64) -> bool {
+    let prepare = VoterOperation::Prepare {
         key: SCALER_ROLE_KEY.into(),
         ballot: ballot(9),
     };
@@ -110,49 +112,50 @@
         known: ValueId::default(),
         request: VoterRequest {
             set_version: SetVersion::new(1, 1),
-            operation: ask,
+            operation: prepare,
         },
     };
     consensus.on_message(now, OTHER, message);
     let actions = consensus.take_actions();
-    let is_refused = actions.iter().any(|action| {
+    let is_rejected = actions.iter().any(|action| {
         matches!(action, ConsensusAction::Send { to, message: ConsensusMessage::VoterResponse { response, .. } }
             if to == OTHER && matches!(response, VoterResponse::Unavailable { .. }))
     });
     let is_passed_on = actions.iter().any(
         |action| matches!(action, ConsensusAction::Disk(DiskWork::VoterRequest { to, .. }) if to == OTHER),
     );
-    assert_ne!(is_refused, is_passed_on);
+    assert_ne!(is_rejected, is_passed_on);
     is_passed_on
 }
 
 #[test]
-fn a_member_backs_a_claim_only_while_its_voter_has_promised_nothing_since() {
-    assert!(backs_claim(&mut started(ballot(1))));
-    assert!(!backs_claim(&mut started(ballot(2))));
+fn a_member_backs_a_claim_only_while_its_voter_has_made_no_newer_promise() {
+    assert!(backs_claim(&mut started_member(ballot(1))));
+    assert!(!backs_claim(&mut started_member(ballot(2))));
 }
 
 #[test]
-fn a_member_that_is_started_anew_promises_the_role_to_no_other_for_a_lease() {
-    let promises = |after: u64| passes_promise_on(&mut started(ballot(1)), STARTED_AT + after);
+fn a_restarted_member_withholds_promises_for_one_lease() {
+    let promises =
+        |after: u64| passes_prepare_on(&mut started_member(ballot(1)), STARTED_AT + after);
     assert!(!promises(0));
     assert!(!promises(LEASE_MS - 1));
     assert!(promises(LEASE_MS));
 }
 
 #[test]
-fn a_member_that_hears_a_claim_promises_the_role_to_no_other_for_a_lease() {
-    let mut consensus = started(ballot(1));
+fn a_member_that_receives_a_claim_withholds_promises_to_others_for_one_lease() {
+    let mut consensus = started_member(ballot(1));
     let late = STARTED_AT + 400;
     consensus.on_message(late, HOLDER, holders_claim());
     let _ = consensus.take_actions();
-    assert!(!passes_promise_on(&mut consensus, late + LEASE_MS - 1));
-    assert!(passes_promise_on(&mut consensus, late + LEASE_MS));
+    assert!(!passes_prepare_on(&mut consensus, late + LEASE_MS - 1));
+    assert!(passes_prepare_on(&mut consensus, late + LEASE_MS));
 }
 
 #[test]
-fn a_claim_older_than_the_committed_role_keeps_no_other_from_the_role() {
-    let mut consensus = started(ballot(1));
+fn a_claim_older_than_the_committed_holder_does_not_withhold_promises() {
+    let mut consensus = started_member(ballot(1));
     let successor = ConsensusMessage::Value {
         key: SCALER_ROLE_KEY.into(),
         ballot: Ballot::default(),
@@ -166,5 +169,5 @@
     consensus.on_message(later, OTHER, successor);
     consensus.on_message(later, HOLDER, holders_claim());
     let _ = consensus.take_actions();
-    assert!(passes_promise_on(&mut consensus, later + 1));
+    assert!(passes_prepare_on(&mut consensus, later + 1));
 }
