--- a/crates/seat_leases/tests/broken_off_requests.rs
+++ b/crates/seat_leases/tests/aborted_requests.rs
@@ -1,9 +1,10 @@
-//! A request that its gateway breaks off holds its seat at the runner until the runner notices.
+//! A request aborted by its gateway occupies its seat until the runner notices.
 //!
-//! In series of 72 gateways (seed 424) the runners of one function rejected 11 and 12 requests within 5 s as over their concurrency, where 10
-//! may be. Each of the twelve met a runner that still worked on a request whose connection its gateway had closed, since its answer was
-//! overdue, and that noticed 0.2 to 9.8 ms later: "LIMIT: 12 rejections of function-0 in 5s: r12-000328@i-ee 21.7s (abandoned r93-000365
-//! noticed 2.7ms later), …". The owner had leased the seat anew at once.
+//! Guards against a failure in a series of runs with 72 gateways (seed 424). The runners of one function rejected 11 and 12
+//! requests within 5 s because their concurrency was exceeded, where 10 are allowed. In all twelve cases the owner had
+//! leased the seat again at once, while the runner was still processing a request whose gateway had closed the connection
+//! because the response was overdue. The runner noticed 0.2 to 9.8 ms later: "LIMIT: 12 rejections of function-0 in 5s:
+//! r12-000328@i-ee 21.7s (abandoned r93-000365 noticed 2.7ms later), …".
 
 mod common;
 
@@ -14,10 +15,10 @@
 use seat_leases::LeaseOwner;
 
 const GATEWAY: &str = "edge-1";
-/// Milliseconds by which a runner that notices that a connection was closed has freed the seat.
+/// Milliseconds within which a runner notices a closed connection and frees the seat.
 const NOTICED_AFTER_MS: u64 = 50;
 
-/// An owner with one runner of two seats, both of which are leased.
+/// An owner with one runner whose two seats are both leased.
 fn full_owner() -> LeaseOwner {
     let mut owner = LeaseOwner::standalone(LeasingPolicy::default(), Topology::default());
     owner.update_runners(0, update(1, &[runner("r", "north", 2)]));
@@ -30,15 +31,15 @@
     owner
 }
 
-fn broken_off(outcome: LeaseOutcome) -> LeaseRelease {
+fn aborted(outcome: LeaseOutcome) -> LeaseRelease {
     release(1, outcome, BROKEN_OFF_DURATION_MS)
 }
 
 #[test]
-fn the_seat_of_a_request_that_was_broken_off_is_not_leased_until_its_runner_has_noticed() {
+fn the_seat_of_an_aborted_request_is_not_leased_until_its_runner_notices() {
     for outcome in [LeaseOutcome::Lost, LeaseOutcome::Unused] {
         let mut owner = full_owner();
-        owner.release(1_000, GATEWAY, &broken_off(outcome));
+        owner.release(1_000, GATEWAY, &aborted(outcome));
         assert!(leases(&mut owner).is_empty(), "{outcome:?}");
         owner.tick(1_000 + NOTICED_AFTER_MS);
         assert!(leases(&mut owner).is_empty(), "{outcome:?}");
--- a/crates/seat_leases/tests/adopted_leases.rs
+++ b/crates/seat_leases/tests/adopted_leases.rs
@@ -1,4 +1,4 @@
-//! What an owner makes of the seats that gateways report to it.
+//! How an owner handles the leases that gateways report to it.
 
 mod common;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_later_report_of_a_gateway_stands_in_place_of_the_former() {
+fn a_later_report_of_a_gateway_replaces_the_earlier_one() {
     let mut owner = LeaseOwner::default();
     let report = |requests: &[u64]| {
         vec![RunnerLeases {
@@ -48,9 +48,9 @@
 }
 
 #[test]
-fn a_request_that_is_repeated_holds_one_seat_alone() {
+fn a_repeated_request_holds_only_one_seat() {
     let mut owner = common::owner_with(&[runner("a", "north", 2), runner("b", "north", 2)]);
-    // A partition held the first back, and the second overtook it; or the other way round.
+    // Either request may arrive first if a partition delayed one of them.
     owner.request_lease(0, "f", "north", lease_request(1, 1));
     owner.request_lease(0, "f", "north", lease_request(1, 1));
     owner.take_actions();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_removed_gateway_holds_nothing_whatever_it_asked_for() {
+fn a_removed_gateway_holds_no_leases() {
     let mut owner = common::owner_with(&[runner("a", "north", 2), runner("b", "north", 2)]);
     owner.request_lease(0, "f", "north", lease_request(1, 1));
     owner.request_lease(0, "f", "north", lease_request(1, 1));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_late_release_leaves_a_request_that_waits_where_it_is() {
+fn a_late_release_does_not_affect_a_waiting_request() {
     let mut owner = LeaseOwner::default();
     owner.request_lease(0, "f", "north", lease_request(1, 1));
     owner.release(1, "f", &release(1, LeaseOutcome::Unreachable, 0));
--- a/crates/seat_leases/tests/allowed_regions.rs
+++ b/crates/seat_leases/tests/allowed_regions.rs
@@ -1,4 +1,4 @@
-//! Requests that must not leave some regions get no seat elsewhere, whatever is free there.
+//! Requests restricted to some regions get no seat in other regions, even if seats are free there.
 
 mod common;
 
@@ -43,11 +43,11 @@
 }
 
 #[test]
-fn the_only_runner_is_not_used_where_it_stands_in_another_region() {
+fn the_only_runner_is_not_used_if_it_is_in_another_region() {
     let mut owner = owner_with(&[runner("r-b", "b1", 4)]);
     owner.request_lease(1, "g", "a1", restricted(1, &["a", "c"]));
     assert_eq!(leases(&mut owner), []);
-    // Neither as the last way out, when all others have failed it.
+    // Not even as a last resort after all other runners have failed it.
     let retried = LeaseRequest {
         excluded_runners: vec!["r-a".into()],
         ..restricted(2, &["a"])
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_runner_that_a_gateway_reported_counts_with_its_zone() {
+fn a_runner_reported_by_a_gateway_keeps_its_zone() {
     let mut owner = owner_with(&[]);
     let reported = RunnerLeases {
         runner: "r-b".into(),
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_request_that_waits_for_its_region_holds_up_no_other() {
+fn a_request_waiting_for_its_region_does_not_block_others() {
     let mut owner = owner_with(&[runner("r-b", "b1", 1)]);
     owner.request_lease(1, "g", "a1", restricted(1, &["a"]));
     owner.request_lease(2, "g", "a1", lease_request(2, 1));
@@ -92,14 +92,14 @@
 }
 
 #[test]
-fn seats_in_other_regions_shorten_no_expected_wait() {
+fn seats_in_other_regions_do_not_shorten_the_expected_wait() {
     let slow = RunnerUpdate {
         stage: RunnerStage::Starting,
         starts_in_ms: 8_000,
         ..runner("r-a", "a1", 4)
     };
     let mut owner = owner_with(&[runner("r-b", "b1", 4), slow]);
-    // The first probe of the runner that starts is due after 4,800 ms, beyond nine tenths of the time that is left.
+    // The first probe of the starting runner is due after 4,800 ms, which is more than nine tenths of the timeout.
     owner.request_lease(1, "g", "a1", restricted(1, &["a"]));
     let rejected = rejections(&mut owner);
     assert!(
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_request_is_rejected_at_once_where_its_regions_have_no_runner_and_none_can_start() {
+fn a_request_is_rejected_at_once_if_its_regions_have_no_runner_and_none_can_start() {
     let mut owner = owner_with(&[runner("r-b", "b1", 4)]);
     let mut blocked = update(2, &[runner("r-b", "b1", 4)]);
     blocked.start_block = Some(StartBlock {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn an_evacuated_zone_of_its_region_sends_a_request_nowhere_else() {
+fn an_evacuated_zone_does_not_move_a_request_out_of_its_region() {
     let mut owner = owner_with(&[runner("r-a", "a1", 4), runner("r-b", "b1", 4)]);
     owner.set_evacuated_zones(BTreeSet::from(["a1".to_owned()]));
     owner.request_lease(1, "g", "a1", restricted(1, &["a"]));
--- a/crates/seat_leases/tests/common/mod.rs
+++ b/crates/seat_leases/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builders of lease requests, updates and releases, and what the owner did with them.
+//! Builders for lease requests, updates and releases, and helpers that extract an owner's actions.
 #![allow(dead_code)]
 
 use protocol::{
@@ -57,21 +57,21 @@
     }
 }
 
-/// An owner that knows these runners.
+/// An owner with these runners.
 pub fn owner_with(runners: &[RunnerUpdate]) -> LeaseOwner {
     let mut owner = LeaseOwner::default();
     owner.update_runners(0, update(1, runners));
     owner
 }
 
-/// Requests and runners of the seats that were leased since the last call.
+/// Request ids and runners of the seats leased since the last call.
 pub fn leases(owner: &mut LeaseOwner) -> Vec<(u64, String)> {
     let actions = owner.take_actions().into_iter();
-    let lent = actions.filter_map(|action| match action {
+    let leased = actions.filter_map(|action| match action {
         LeaseAction::Lease { lease, .. } => Some((lease.request_id.0, lease.runner)),
         _ => None,
     });
-    lent.collect()
+    leased.collect()
 }
 
 pub fn request_ids(owner: &mut LeaseOwner) -> Vec<u64> {
@@ -81,7 +81,7 @@
         .collect()
 }
 
-/// Requests that were rejected since the last call, and when each is to come back.
+/// Ids and retry delays of the requests rejected since the last call.
 pub fn rejections(owner: &mut LeaseOwner) -> Vec<(u64, u32)> {
     let actions = owner.take_actions().into_iter();
     let rejected = actions.filter_map(|action| match action {
--- a/crates/seat_leases/tests/failed_runners.rs
+++ b/crates/seat_leases/tests/failed_runners.rs
@@ -1,4 +1,4 @@
-//! Requests that were at runners which failed them: another runner comes first, and where there is none they go to one of these again.
+//! A request prefers runners that have not failed it and returns to a failed one only if there is no alternative.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use seat_leases::LeaseOwner;
 use std::collections::BTreeSet;
 
-fn in_stage(id: &str, stage: RunnerStage) -> RunnerUpdate {
+fn runner_in_stage(id: &str, stage: RunnerStage) -> RunnerUpdate {
     RunnerUpdate {
         stage,
         starts_in_ms: 1_000,
@@ -30,20 +30,20 @@
 }
 
 #[test]
-fn a_runner_that_leaves_is_no_other_to_wait_for() {
+fn a_draining_runner_is_not_an_alternative_to_wait_for() {
     let mut owner = owner_with(&[runner("a", "north", 4), runner("b", "north", 1)]);
     assert_eq!(
         request(&mut owner, excluding(1, &["a"])),
         [(1, "b".to_string())]
     );
-    // It is kept for its lease, and gets no request any more.
+    // The runner stays in the list until its lease ends, but gets no new requests.
     owner.update_runners(2, update(2, &[runner("a", "north", 4)]));
     let leased = request(&mut owner, excluding(2, &["a"]));
     assert_eq!(leased, [(2, "a".to_string())]);
 }
 
 #[test]
-fn a_runner_that_is_gone_is_no_other_to_wait_for() {
+fn a_runner_that_is_gone_is_not_an_alternative_to_wait_for() {
     let mut owner = owner_with(&[runner("a", "north", 4), runner("b", "north", 4)]);
     assert_eq!(
         request(&mut owner, excluding(1, &["a"])),
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_runner_in_an_evacuated_zone_is_no_other_to_wait_for() {
+fn a_runner_in_an_evacuated_zone_is_not_an_alternative_to_wait_for() {
     let mut owner = owner_with(&[runner("a", "north", 4), runner("b", "south", 4)]);
     owner.set_evacuated_zones(BTreeSet::from(["south".to_string()]));
     let leased = request(&mut owner, excluding(1, &["a"]));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_runner_in_a_region_that_the_request_must_not_enter_is_no_other_to_wait_for() {
+fn a_runner_in_a_forbidden_region_is_not_an_alternative_to_wait_for() {
     let zones = [("north", "n"), ("south", "s")];
     let zones = zones.map(|(zone, region)| (zone.to_string(), region.to_string()));
     let mut owner = LeaseOwner::standalone(LeasingPolicy::default(), Topology::new(zones.into()));
@@ -77,10 +77,10 @@
 }
 
 #[test]
-fn a_request_waits_for_another_runner_that_serves_or_starts() {
+fn a_request_waits_for_another_runner_that_is_serving_or_starting() {
     let mut owner = owner_with(&[
         runner("a", "north", 4),
-        in_stage("b", RunnerStage::Starting),
+        runner_in_stage("b", RunnerStage::Starting),
     ]);
     assert_eq!(request(&mut owner, excluding(1, &["a"])), []);
     let mut owner = owner_with(&[runner("a", "north", 4), runner("b", "north", 1)]);
@@ -92,15 +92,15 @@
 }
 
 #[test]
-fn a_request_that_waits_goes_back_once_the_other_runner_leaves() {
+fn a_waiting_request_returns_to_a_failed_runner_once_the_alternative_drains() {
     let mut owner = owner_with(&[
         runner("a", "north", 4),
-        in_stage("b", RunnerStage::Starting),
+        runner_in_stage("b", RunnerStage::Starting),
     ]);
     assert_eq!(request(&mut owner, excluding(1, &["a"])), []);
     let leaving = [
         runner("a", "north", 4),
-        in_stage("b", RunnerStage::Draining),
+        runner_in_stage("b", RunnerStage::Draining),
     ];
     owner.update_runners(2, update(2, &leaving));
     assert_eq!(leases(&mut owner), [(1, "a".to_string())]);
--- a/crates/seat_leases/tests/fleet/faults.rs
+++ b/crates/seat_leases/tests/fleet/faults.rs
@@ -1,11 +1,11 @@
-//! What befalls the simulated fleet.
+//! Faults injected into the simulated fleet.
 
 use super::gateway::{Gateway, Health};
 use super::network::Event;
 use super::{gateway_name, Fleet, TICK_MS};
 
 impl Fleet {
-    /// A gateway's process ends; its peers and the scaler notice soon.
+    /// Ends a gateway's process. Its peers and the scaler notice shortly after.
     pub fn kill(&mut self, index: usize) {
         self.gateways[index].health = Health::Down;
         self.gateways[index].incarnation += 1;
@@ -14,67 +14,68 @@
                 continue;
             }
             self.network.lose_link(index, peer);
-            self.network.notice(index, peer);
+            self.network.observe_link(index, peer);
             self.schedule_link_lost(peer, index);
         }
-        let event = Event::Notice {
+        let event = Event::ScalerLink {
             gateway: index,
             is_linked: false,
         };
         self.network.schedule(self.now + 5, event);
     }
 
-    /// A gateway's process starts again, as another incarnation that knows nothing.
+    /// Starts a gateway's process again, as a new incarnation without state.
     pub fn restart(&mut self, index: usize) {
         assert_eq!(self.gateways[index].health, Health::Down);
         let incarnation = self.gateways[index].incarnation;
         self.gateways[index] = Gateway::new(index);
         self.gateways[index].incarnation = incarnation;
-        self.gateways[index].is_scaled = self.scaler.is_up;
+        self.gateways[index].has_scaler = self.scaler.is_up;
         for peer in 0..self.gateways.len() {
-            self.network.notice(index, peer);
+            self.network.observe_link(index, peer);
         }
         let tick = Event::Tick(index, incarnation);
         self.network.schedule(self.now + TICK_MS, tick);
-        let event = Event::Notice {
+        let event = Event::ScalerLink {
             gateway: index,
             is_linked: true,
         };
         self.network.schedule(self.now + 20, event);
     }
 
-    /// A gateway is asked to stop: it tells the scaler, and serves what it has.
+    /// Asks a gateway to stop: it informs the scaler and finishes its requests.
     pub fn terminate(&mut self, index: usize) {
-        self.gateways[index].leaves = true;
-        self.scaler_hears_of_leaving(index);
+        self.gateways[index].is_leaving = true;
+        self.announce_leaving(index);
     }
 
-    /// A gateway's process stands still.
-    pub fn freeze(&mut self, index: usize) {
-        self.gateways[index].health = Health::Frozen;
+    /// Pauses a gateway's process.
+    pub fn pause(&mut self, index: usize) {
+        self.gateways[index].health = Health::Paused;
     }
 
-    /// It goes on, and reads what came meanwhile: what daemons say before what clients ask.
-    pub fn thaw(&mut self, index: usize) {
+    /// Resumes a gateway's process. It first handles messages from other daemons that arrived during the pause, then
+    /// clients' requests.
+    pub fn resume(&mut self, index: usize) {
         self.gateways[index].health = Health::Up;
-        self.read_held(index);
+        self.handle_deferred(index);
         if !self.is_published(index) {
-            self.relink(index);
+            self.reopen_scaler_link(index);
         }
     }
 
-    /// A gateway that the scaler has given up links anew.
-    pub fn relink(&mut self, index: usize) {
-        let event = Event::Notice {
+    /// Reopens the scaler's link with a gateway that the scaler has given up.
+    pub fn reopen_scaler_link(&mut self, index: usize) {
+        let event = Event::ScalerLink {
             gateway: index,
             is_linked: true,
         };
         self.network.schedule(self.now + 30, event);
     }
 
-    fn read_held(&mut self, index: usize) {
-        let held = std::mem::take(&mut self.gateways[index].held);
-        let (tables, rest): (Vec<Event>, Vec<Event>) = held
+    fn handle_deferred(&mut self, index: usize) {
+        let deferred = std::mem::take(&mut self.gateways[index].deferred);
+        let (tables, rest): (Vec<Event>, Vec<Event>) = deferred
             .into_iter()
             .partition(|event| matches!(event, Event::Table { .. }));
         for event in tables.into_iter().chain(rest) {
@@ -90,32 +91,32 @@
         }
     }
 
-    /// A gateway is cut off from all others and from the scaler, while its clients and runners reach it.
+    /// Partitions a gateway from all other gateways and the scaler. Its clients and runners still reach it.
     pub fn cut_off(&mut self, index: usize) {
         self.gateways[index].is_cut_off = true;
         for peer in 0..self.gateways.len() {
             self.network.cut(index, peer);
             self.network.cut(peer, index);
         }
-        let event = Event::Notice {
+        let event = Event::ScalerLink {
             gateway: index,
             is_linked: false,
         };
         self.network.schedule(self.now + 1_000, event);
     }
 
-    /// It is joined again.
-    pub fn join_again(&mut self, index: usize) {
+    /// Ends the partition of a gateway.
+    pub fn reconnect(&mut self, index: usize) {
         self.gateways[index].is_cut_off = false;
         for peer in 0..self.gateways.len() {
             self.heal(index, peer);
             self.heal(peer, index);
         }
-        self.read_held(index);
-        self.relink(index);
+        self.handle_deferred(index);
+        self.reopen_scaler_link(index);
     }
 
-    /// The link between two gateways carries nothing, one way or both.
+    /// Stops traffic between two gateways, in one direction or both.
     pub fn cut_link(&mut self, one: usize, other: usize, both: bool) {
         self.network.cut(one, other);
         if both {
@@ -130,16 +131,16 @@
 
     fn heal(&mut self, from: usize, to: usize) {
         self.network.heal(self.now, from, to);
-        if self.network.take_unheard_end(from, to) {
+        if self.network.take_pending_close(from, to) {
             self.schedule_link_lost(to, from);
         }
     }
 
-    /// No controller scales from now on, or one does again.
+    /// Stops or restarts the scaler.
     pub fn set_scaler(&mut self, is_up: bool) {
         self.scaler.is_up = is_up;
         for gateway in &mut self.gateways {
-            gateway.is_scaled = is_up;
+            gateway.has_scaler = is_up;
         }
         if !is_up {
             return;
@@ -147,12 +148,12 @@
         self.begin_term();
         for index in 0..self.gateways.len() {
             if self.gateways[index].answers_scaler() {
-                self.read_held(index);
+                self.handle_deferred(index);
             }
         }
     }
 
-    /// Gateways that the others know as members.
+    /// Gateways that currently serve clients.
     pub fn up(&self) -> Vec<usize> {
         let all = 0..self.gateways.len();
         all.filter(|index| self.gateways[*index].serves_clients())
--- a/crates/seat_leases/tests/fleet/gateway.rs
+++ b/crates/seat_leases/tests/fleet/gateway.rs
@@ -1,4 +1,4 @@
-//! One simulated gateway: its clients' requests, and what it does for the owner's state machine, as the product's gateway does.
+//! A simulated gateway. It sends its clients' requests and runs the owner's state machine as the real gateway does.
 
 use super::network::Event;
 use super::{function_name, gateway_name, index_of, Fleet, REGIONS};
@@ -12,16 +12,17 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Milliseconds without a response after which an owner that cannot be heard is passed over, and for how long.
-const DEAD_AFTER_MS: u64 = 450;
+/// Milliseconds without a response after which an unreachable owner is suspected. `SUSPECT_MS` is how long it is then
+/// bypassed.
+const SUSPECT_AFTER_MS: u64 = 450;
 const SUSPECT_MS: u64 = 1_500;
 const BACKOFF_MS: u64 = 30;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     Up,
-    /// It stands still, and is told nothing until it goes on.
-    Frozen,
+    /// The process is paused and handles events only after it resumes.
+    Paused,
     Down,
 }
 
@@ -49,11 +50,11 @@
     pub name: String,
     pub incarnation: u64,
     pub health: Health,
-    /// Whether it is cut off from all other daemons.
+    /// Whether it is partitioned from all other daemons.
     pub is_cut_off: bool,
-    /// Whether a controller scales.
-    pub is_scaled: bool,
-    pub leaves: bool,
+    /// Whether a controller has the scaler role.
+    pub has_scaler: bool,
+    pub is_leaving: bool,
     pub owner: LeaseOwner,
     relayed: RelayedRequests,
     cancelled: CancelledRequests,
@@ -62,8 +63,8 @@
     count: u64,
     suspects: BTreeMap<String, u64>,
     known_owners: BTreeMap<usize, String>,
-    /// What it is told while it stands still.
-    pub held: Vec<Event>,
+    /// Events received while they cannot be handled.
+    pub deferred: Vec<Event>,
 }
 
 impl Gateway {
@@ -77,8 +78,8 @@
             incarnation: 1,
             health: Health::Up,
             is_cut_off: false,
-            is_scaled: true,
-            leaves: false,
+            has_scaler: true,
+            is_leaving: false,
             relayed: RelayedRequests::default(),
             cancelled: CancelledRequests::default(),
             table: None,
@@ -86,28 +87,28 @@
             count: 0,
             suspects: BTreeMap::new(),
             known_owners: BTreeMap::new(),
-            held: Vec::new(),
+            deferred: Vec::new(),
         }
     }
 
     pub fn serves_clients(&self) -> bool {
-        self.health == Health::Up && self.table.is_some() && !self.leaves
+        self.health == Health::Up && self.table.is_some() && !self.is_leaving
     }
 
     pub fn answers_scaler(&self) -> bool {
-        self.health == Health::Up && self.hears_scaler()
+        self.health == Health::Up && self.reaches_scaler()
     }
 
-    /// Whether the scaler hears it and is heard.
-    pub fn hears_scaler(&self) -> bool {
-        !self.is_cut_off && self.is_scaled
+    /// Whether it and the scaler can reach each other.
+    pub fn reaches_scaler(&self) -> bool {
+        !self.is_cut_off && self.has_scaler
     }
 
     fn is_suspect(&self, name: &str, now: u64) -> bool {
         self.suspects.get(name).is_some_and(|until| now < *until)
     }
 
-    /// The gateway to ask for a function's seats.
+    /// The gateway from which to request a function's seats.
     fn owner_of(&self, function: usize, now: u64) -> Option<String> {
         let table = self.table.as_ref()?;
         let function = function_name(function);
@@ -115,16 +116,16 @@
         if !self.is_suspect(&owner.name, now) {
             return Some(owner.name.clone());
         }
-        let heard = |member: &protocol::Member| !self.is_suspect(&member.name, now);
-        let relay = match self.hears_scaler() {
-            true => table.owner_among(&function, |one| heard(one) && one.name != self.name),
+        let is_reachable = |member: &protocol::Member| !self.is_suspect(&member.name, now);
+        let relay = match self.reaches_scaler() {
+            true => table.owner_among(&function, |one| is_reachable(one) && one.name != self.name),
             false => None,
         };
-        let next = relay.or_else(|| table.owner_among(&function, heard));
+        let next = relay.or_else(|| table.owner_among(&function, is_reachable));
         next.map(|member| member.name.clone())
     }
 
-    /// Which of these requests hold no lease; the others give theirs back to this owner too.
+    /// Returns which of these requests hold no lease. The leases of the others will be released at this owner too.
     fn confirm(&mut self, owner: &str, requests: &[RequestId]) -> Vec<RequestId> {
         let mut ended = Vec::new();
         for id in requests {
@@ -143,7 +144,7 @@
         ended
     }
 
-    /// Seats of a function that are in use here, for an owner that is told of them.
+    /// Seats of a function in use here, reported to an owner.
     fn leases_in_use(&mut self, owner: &str, function: usize) -> Vec<RunnerLeases> {
         let mut runners = self.relayed.report_leases(owner, &function_name(function));
         for (id, request) in &self.requests {
@@ -207,7 +208,7 @@
         self.report_to_new_owner(index, function, &owner);
         let name = gateway_name(index);
         if owner == name {
-            self.place(index, &name, lease_request);
+            self.place_request(index, &name, lease_request);
         } else {
             let message = Message::lease_request(lease_request, true);
             self.send(index, index_of(&owner), message);
@@ -246,8 +247,8 @@
         self.send(index, index_of(owner), message);
     }
 
-    /// A lease request is placed at this gateway or passed on to the function's owner.
-    fn place(&mut self, index: usize, from: &str, request: LeaseRequest) {
+    /// Handles a lease request at this gateway, or relays it to the function's owner.
+    fn place_request(&mut self, index: usize, from: &str, request: LeaseRequest) {
         let now = self.now;
         let zone = format!("zone-{}", index_of(from) % REGIONS);
         let gateway = &mut self.gateways[index];
@@ -287,7 +288,7 @@
             return;
         }
         if !gateway.answers_scaler() {
-            gateway.held.push(Event::Update {
+            gateway.deferred.push(Event::Update {
                 to: index,
                 incarnation,
                 update,
--- a/crates/seat_leases/tests/fleet/gateway/changes.rs
+++ b/crates/seat_leases/tests/fleet/gateway/changes.rs
@@ -1,4 +1,4 @@
-//! Tables that change, and links that are lost.
+//! Changes of the ownership table, and lost links.
 
 use super::{Health, Phase, SUSPECT_MS};
 use crate::fleet::network::Event;
@@ -21,7 +21,7 @@
                 incarnation,
                 table,
             };
-            gateway.held.push(event);
+            gateway.deferred.push(event);
             return;
         }
         let newest = gateway.table.as_ref().map(|table| table.version());
@@ -54,7 +54,7 @@
         let is_owner = |function: &str, name: &str| matches!(owner.seat_status(function), SeatStatus::OwnedBy(owner) if owner == name);
         for (relayed, waiting) in gateway.relayed.take_moved(now, is_owner) {
             self.cancel_relayed(index, vec![relayed]);
-            self.place(index, &waiting.gateway, waiting.request);
+            self.place_request(index, &waiting.gateway, waiting.request);
         }
     }
 
@@ -70,7 +70,7 @@
         });
         for (id, owner) in moved.collect::<Vec<_>>() {
             if owner == gateway_name(index) {
-                self.cancel_placed(index, &owner, RequestId(id));
+                self.cancel_locally(index, &owner, RequestId(id));
                 self.run_actions(index);
             } else {
                 self.cancel_at_peer(index, &owner, RequestId(id));
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The link with a peer is lost, or the peer is taken for dead.
+    /// Handles the loss of the link with a peer, or the suspicion that the peer is dead.
     pub fn link_lost(&mut self, index: usize, peer: usize) {
         let now = self.now;
         let name = gateway_name(peer);
@@ -87,9 +87,9 @@
         match gateway.health {
             Health::Up => {}
             Health::Down => return,
-            Health::Frozen => {
+            Health::Paused => {
                 let incarnation = gateway.incarnation;
-                gateway.held.push(Event::LinkLost {
+                gateway.deferred.push(Event::LinkLost {
                     at: index,
                     peer,
                     incarnation,
@@ -97,7 +97,7 @@
                 return;
             }
         }
-        self.network.notice(index, peer);
+        self.network.observe_link(index, peer);
         gateway.suspects.insert(name.clone(), now + SUSPECT_MS);
         for known in gateway.known_owners.values_mut() {
             if *known == name {
@@ -108,24 +108,24 @@
         let cancelled = gateway.relayed.remove_gateway(now, &name);
         let waiting = gateway.relayed.remove_owner(now, &name);
         gateway.cancelled.remove_owner(&name);
-        let hears_scaler = gateway.hears_scaler();
+        let reaches_scaler = gateway.reaches_scaler();
         self.run_actions(index);
         self.cancel_relayed(index, cancelled);
         for one in waiting {
-            self.place(index, &one.gateway, one.request);
+            self.place_request(index, &one.gateway, one.request);
         }
-        if hears_scaler {
+        if reaches_scaler {
             let event = Event::Suspicion { gateway: peer };
             self.network.schedule(now + 10, event);
         }
         self.move_waiting(index);
     }
 
-    /// One of two gateways gives up their link; the other one learns of it, unless it cannot be reached.
+    /// One gateway closes the link with a peer. The peer notices unless it is unreachable.
     pub fn lose_link(&mut self, index: usize, peer: usize) {
         self.network.lose_link(index, peer);
         self.link_lost(index, peer);
-        if self.network.end_arrives(index, peer) {
+        if self.network.close_arrives(index, peer) {
             self.schedule_link_lost(peer, index);
         }
     }
--- a/crates/seat_leases/tests/fleet/gateway/messages.rs
+++ b/crates/seat_leases/tests/fleet/gateway/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between gateways, and what the owner's state machine asks for.
+//! Messages between gateways, and actions of the owner's state machine.
 
 use super::Health;
 use crate::fleet::network::Event;
@@ -35,14 +35,14 @@
         if link != self.network.link(from, to) || self.gateways[to].health == Health::Down {
             return;
         }
-        if self.gateways[to].health == Health::Frozen {
+        if self.gateways[to].health == Health::Paused {
             let event = Event::Deliver {
                 from,
                 to,
                 link,
                 message,
             };
-            self.gateways[to].held.push(event);
+            self.gateways[to].deferred.push(event);
             return;
         }
         let name = gateway_name(from);
@@ -54,7 +54,7 @@
         let now = self.now;
         let gateway = &mut self.gateways[index];
         match message {
-            Message::LeaseRequest(request) => self.place(index, from, request),
+            Message::LeaseRequest(request) => self.place_request(index, from, request),
             Message::RelayedLeaseRequest(relayed) => {
                 let zone = relayed.zone.clone();
                 let request = relayed.into_request();
@@ -62,12 +62,12 @@
                 owner.request_lease(now, from, &zone, request);
             }
             Message::CancelRequest(id) => {
-                self.cancel_placed(index, from, id);
+                self.cancel_locally(index, from, id);
                 self.send(index, index_of(from), Message::LeaseRequestCancelled(id));
             }
             Message::SeatLease(lease) if gateway.cancelled.is_cancelled(from, lease.request_id) => {
             }
-            Message::LeaseRelease(release) => self.release_placed(index, from, &release),
+            Message::LeaseRelease(release) => self.release_locally(index, from, &release),
             Message::LeasesInUse { function, runners } => {
                 gateway.owner.adopt_leases(now, from, &function, &runners);
             }
@@ -77,14 +77,14 @@
                 }
                 Some((_, lease)) => {
                     let name = gateway_name(index);
-                    self.lease_granted(index, &name, lease);
+                    self.lease_received(index, &name, lease);
                 }
-                None => self.lease_granted(index, from, lease),
+                None => self.lease_received(index, from, lease),
             },
             Message::Reject {
                 request_id,
                 retry_after_ms,
-            } => self.rejected(index, from, request_id, retry_after_ms),
+            } => self.rejection_received(index, from, request_id, retry_after_ms),
             other => self.ownership_message(index, from, other),
         }
         self.run_actions(index);
--- a/crates/seat_leases/tests/fleet/gateway/requests.rs
+++ b/crates/seat_leases/tests/fleet/gateway/requests.rs
@@ -1,6 +1,6 @@
-//! Leases that come and end, tables that change, peers that are silent, and periodic work.
+//! Start and end of leases, unresponsive peers, and periodic work.
 
-use super::{Health, Phase, BACKOFF_MS, DEAD_AFTER_MS, TICK_MS, TIMEOUT_MS, WORK_MS};
+use super::{Health, Phase, BACKOFF_MS, SUSPECT_AFTER_MS, TICK_MS, TIMEOUT_MS, WORK_MS};
 use crate::fleet::network::Event;
 use crate::fleet::LATE_MS;
 use crate::fleet::{gateway_name, index_of, Fleet};
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 impl Fleet {
-    pub(super) fn lease_granted(&mut self, index: usize, from: &str, lease: SeatLease) {
+    pub(super) fn lease_received(&mut self, index: usize, from: &str, lease: SeatLease) {
         let id = lease.request_id;
         let gateway = &mut self.gateways[index];
         let request = gateway.requests.get_mut(&id.0);
@@ -36,7 +36,10 @@
         if runner.in_flight > runner.quota {
             self.outcomes.over_quota += 1;
         }
-        if runner.left_at.is_some_and(|at| self.now > at + LATE_MS) {
+        if runner
+            .draining_since
+            .is_some_and(|at| self.now > at + LATE_MS)
+        {
             self.outcomes.late += 1;
         }
         let event = Event::WorkDone {
@@ -51,16 +54,16 @@
 
     pub fn work_done(&mut self, runner: &str, index: usize, incarnation: u64, request: u64) {
         let gateway = &mut self.gateways[index];
-        if gateway.incarnation == incarnation && gateway.health == Health::Frozen {
+        if gateway.incarnation == incarnation && gateway.health == Health::Paused {
             let event = Event::WorkDone {
                 runner: runner.into(),
                 gateway: index,
                 incarnation,
                 request,
             };
-            // The runner is done with it; its gateway reads the response once it goes on.
+            // The runner has finished. The gateway reads the response after it resumes.
             self.runners.get_mut(runner).unwrap().in_flight -= 1;
-            gateway.held.push(event);
+            gateway.deferred.push(event);
             return;
         }
         self.runners.get_mut(runner).unwrap().in_flight -= 1;
@@ -93,7 +96,7 @@
 
     fn release_at(&mut self, index: usize, owner: &str, release: &LeaseRelease) {
         if owner == gateway_name(index) {
-            self.release_placed(index, owner, release);
+            self.release_locally(index, owner, release);
             self.run_actions(index);
         } else {
             self.send(
@@ -104,11 +107,11 @@
         }
     }
 
-    pub(super) fn release_placed(&mut self, index: usize, from: &str, release: &LeaseRelease) {
-        self.end_placed(index, from, &LeaseRequestEnd::Release(release.clone()));
+    pub(super) fn release_locally(&mut self, index: usize, from: &str, release: &LeaseRelease) {
+        self.end_locally(index, from, &LeaseRequestEnd::Release(release.clone()));
     }
 
-    fn end_placed(&mut self, index: usize, from: &str, end: &LeaseRequestEnd) {
+    fn end_locally(&mut self, index: usize, from: &str, end: &LeaseRequestEnd) {
         let now = self.now;
         self.gateways[index].owner.end_request(now, from, end);
         self.end_relay(index, from, end);
@@ -121,8 +124,8 @@
         self.send(index, index_of(owner), Message::CancelRequest(id));
     }
 
-    pub(super) fn cancel_placed(&mut self, index: usize, from: &str, id: RequestId) {
-        self.end_placed(index, from, &LeaseRequestEnd::Cancel(id));
+    pub(super) fn cancel_locally(&mut self, index: usize, from: &str, id: RequestId) {
+        self.end_locally(index, from, &LeaseRequestEnd::Cancel(id));
     }
 
     fn end_relay(&mut self, index: usize, from: &str, end: &LeaseRequestEnd) {
@@ -159,7 +162,13 @@
         }
     }
 
-    pub(super) fn rejected(&mut self, index: usize, from: &str, id: RequestId, retry_ms: u32) {
+    pub(super) fn rejection_received(
+        &mut self,
+        index: usize,
+        from: &str,
+        id: RequestId,
+        retry_ms: u32,
+    ) {
         let gateway = &mut self.gateways[index];
         if gateway.cancelled.is_cancelled(from, id) {
             return;
@@ -216,7 +225,7 @@
             outcomes.last_timed_out_arrival = outcomes.last_timed_out_arrival.max(ended.arrived_at);
             if let Phase::Waiting { owner, .. } = ended.phase {
                 if owner == gateway_name(index) {
-                    self.cancel_placed(index, &owner, RequestId(id));
+                    self.cancel_locally(index, &owner, RequestId(id));
                 } else {
                     self.cancel_at_peer(index, &owner, RequestId(id));
                 }
@@ -227,7 +236,7 @@
     fn suspect_silent_owners(&mut self, index: usize) {
         let now = self.now;
         let gateway = &self.gateways[index];
-        let overdue = now.saturating_sub(DEAD_AFTER_MS);
+        let overdue = now.saturating_sub(SUSPECT_AFTER_MS);
         let waiting = gateway.requests.values().filter_map(|request| {
             let Phase::Waiting { owner, since } = &request.phase else {
                 return None;
@@ -238,7 +247,7 @@
         let awaited: BTreeSet<usize> = waiting.chain(relayed).collect();
         for peer in awaited {
             let is_heard =
-                self.network.is_whole(index, peer) && self.gateways[peer].health == Health::Up;
+                self.network.is_connected(index, peer) && self.gateways[peer].health == Health::Up;
             if !is_heard {
                 self.lose_link(index, peer);
             }
@@ -253,21 +262,21 @@
             .filter(|(_, until)| now < **until)
             .map(|(name, _)| name.clone())
             .collect();
-        let acts_for = match gateway.hears_scaler() {
+        let failover_for = match gateway.reaches_scaler() {
             true => BTreeSet::new(),
             false => suspects.clone(),
         };
         gateway.owner.tick(now);
-        gateway.owner.set_failover_for(now, acts_for);
-        let hears_scaler = gateway.hears_scaler();
-        gateway.owner.set_scaler_reachable(now, hears_scaler);
+        gateway.owner.set_failover_for(now, failover_for);
+        let reaches_scaler = gateway.reaches_scaler();
+        gateway.owner.set_scaler_reachable(now, reaches_scaler);
         let expired = gateway.relayed.take_expired(now);
         let is_reachable = |owner: &str| !suspects.contains(owner);
-        let foreign = gateway
+        let forwarded = gateway
             .owner
             .take_waiting_for_other_owners(now, is_reachable);
         self.cancel_relayed(index, expired);
-        for (owner, waiting) in foreign {
+        for (owner, waiting) in forwarded {
             self.relay(index, &owner, waiting);
         }
         self.run_actions(index);
--- a/crates/seat_leases/tests/fleet/mod.rs
+++ b/crates/seat_leases/tests/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! A simulated fleet of gateways in virtual time. The owners' state machines are the product's; the gateways around them, the scaler
-//! that publishes tables, the network and the runners are simulated. Runners count the requests that they hold.
+//! A simulated fleet of gateways in virtual time. The owners' state machines are the real ones. The gateways around them,
+//! the scaler that publishes ownership tables, the network and the runners are simulated. Runners count their requests in
+//! flight.
 #![allow(dead_code)]
 
 mod faults;
@@ -17,46 +18,46 @@
 
 pub const BUSY_FUNCTIONS: usize = 12;
 pub const REGIONS: usize = 3;
-/// Milliseconds between two turns of a gateway's periodic work.
+/// Interval of a gateway's periodic work in milliseconds.
 const TICK_MS: u64 = 50;
-/// Milliseconds of a request's work at its runner.
+/// Range of processing times at a runner in milliseconds.
 const WORK_MS: std::ops::Range<u64> = 5..90;
-/// Milliseconds after which no request reaches a runner that the scaler knows to leave.
+/// Milliseconds after the scaler starts draining a runner from which on no request should reach it.
 const LATE_MS: u64 = 500;
-/// Milliseconds after which a request is given up.
+/// Request timeout in milliseconds.
 const TIMEOUT_MS: u64 = 3_000;
 
-/// What the fleet is made of.
+/// Size and configuration of the fleet.
 pub struct FleetOptions {
     pub seed: u64,
     pub gateways: usize,
     pub functions: usize,
-    /// Whether the table of owners binds the gateways. Without that each takes for the owner whom it hears.
+    /// Whether the ownership table is binding. Otherwise each gateway treats the members it can reach as owners.
     pub is_agreed: bool,
 }
 
-/// A runner, which takes what it is sent and tells when that is too much.
+/// A runner. It accepts every request and records if its quota is exceeded.
 pub struct Runner {
     pub quota: u32,
     pub in_flight: u32,
-    /// Since when the scaler knows that it leaves; none while it serves.
-    pub left_at: Option<u64>,
+    /// Time at which the scaler started draining it; `None` while it is serving.
+    pub draining_since: Option<u64>,
 }
 
-/// What came of the requests.
+/// Counts of request outcomes.
 #[derive(Debug, Default)]
 pub struct Outcomes {
     pub arrived: u64,
     pub served: u64,
     pub rejected: u64,
     pub timed_out: u64,
-    /// Requests that were sent to a runner which held its quota already.
+    /// Requests sent to a runner that had already reached its quota.
     pub over_quota: u64,
-    /// Requests that were served though their gateway had to let another one pass them on.
+    /// Requests that a gateway relayed to the owner for another gateway.
     pub relayed: u64,
-    /// Requests that were sent to a runner long after it had left.
+    /// Requests sent to a runner more than `LATE_MS` after it started draining.
     pub late: u64,
-    /// When the last request arrived that timed out.
+    /// Latest arrival time of a request that timed out.
     pub last_timed_out_arrival: u64,
 }
 
@@ -83,8 +84,8 @@
             } else {
                 random.random_range(1..=3)
             };
-            for place in 0..count {
-                // The functions that most requests are for have seats for them all.
+            for number in 0..count {
+                // Functions that get most of the requests have enough seats for them.
                 let quota = match is_busy {
                     true => 16,
                     false => [1, 1, 2, 4, 8][random.random_range(0..5)],
@@ -92,9 +93,9 @@
                 let runner = Runner {
                     quota,
                     in_flight: 0,
-                    left_at: None,
+                    draining_since: None,
                 };
-                runners.insert(runner_id(function, place), runner);
+                runners.insert(runner_id(function, number), runner);
             }
         }
         let mut fleet = Self {
@@ -115,7 +116,7 @@
         fleet
     }
 
-    /// Lets clients send so many requests in a second, over all gateways, until a time.
+    /// Runs the fleet until a given time, with this rate of client requests over all gateways.
     pub fn run_until(&mut self, until: u64, requests_per_second: f64) {
         let mut next_arrival = self.now as f64;
         loop {
@@ -172,12 +173,12 @@
                     self.link_lost(at, peer);
                 }
             }
-            Event::Notice { gateway, is_linked } => self.scaler_notices(gateway, is_linked),
-            Event::Suspicion { gateway } => self.scaler_suspects(gateway),
+            Event::ScalerLink { gateway, is_linked } => self.set_linked(gateway, is_linked),
+            Event::Suspicion { gateway } => self.check_suspicion(gateway),
         }
     }
 
-    /// Seats that owners take for leased, and requests that they take for waiting.
+    /// Numbers of leases and waiting requests at all owners that are up.
     pub fn usage(&self) -> (u64, u64) {
         let up = self.gateways.iter();
         let up = up.filter(|gateway| gateway.health == gateway::Health::Up);
@@ -198,7 +199,7 @@
         }
     }
 
-    /// A message of one gateway to another, if there is a link between them.
+    /// Sends a message to another gateway. If the recipient is down, the sender learns that the link is lost.
     pub fn send(&mut self, from: usize, to: usize, message: Message) {
         let delay = self.delay(from, to);
         if self.gateways[to].health == gateway::Health::Down {
@@ -223,8 +224,8 @@
     }
 }
 
-pub fn runner_id(function: usize, place: usize) -> String {
-    format!("r{function}-{place}")
+pub fn runner_id(function: usize, number: usize) -> String {
+    format!("r{function}-{number}")
 }
 
 pub fn function_name(function: usize) -> String {
--- a/crates/seat_leases/tests/fleet/network.rs
+++ b/crates/seat_leases/tests/fleet/network.rs
@@ -1,4 +1,5 @@
-//! The network of the simulated fleet: messages on a link keep their order, and are lost with the link. A cut link holds what is sent.
+//! The network of the simulated fleet. Messages on a link arrive in order and are lost with the link. A cut link holds
+//! messages back until it is healed.
 
 use protocol::{FunctionUpdate, Message};
 use seat_leases::OwnershipTable;
@@ -7,7 +8,7 @@
 use std::sync::Arc;
 
 pub enum Event {
-    /// Periodic work of a gateway's incarnation.
+    /// Periodic work of one incarnation of a gateway.
     Tick(usize, u64),
     Deliver {
         from: usize,
@@ -15,34 +16,34 @@
         link: u64,
         message: Message,
     },
-    /// The scaler tells a gateway a table.
+    /// A gateway receives an ownership table from the scaler.
     Table {
         to: usize,
         incarnation: u64,
         table: Arc<OwnershipTable>,
     },
-    /// The scaler tells a gateway a function's runners.
+    /// A gateway receives a function's runners from the scaler.
     Update {
         to: usize,
         incarnation: u64,
         update: FunctionUpdate,
     },
-    /// A runner has done a request's work.
+    /// A runner has finished processing a request.
     WorkDone {
         runner: String,
         gateway: usize,
         incarnation: u64,
         request: u64,
     },
-    /// A gateway learns that its link with a peer has ended.
+    /// A gateway notices that its link with a peer was lost.
     LinkLost {
         at: usize,
         peer: usize,
         incarnation: u64,
     },
-    /// The scaler learns that a gateway has a link, or none any more.
-    Notice { gateway: usize, is_linked: bool },
-    /// A gateway has told the scaler that another one is silent.
+    /// The scaler notices that a gateway's link was opened or closed.
+    ScalerLink { gateway: usize, is_linked: bool },
+    /// A gateway has reported to the scaler that another one is unresponsive.
     Suspicion { gateway: usize },
 }
 
@@ -51,17 +52,17 @@
     events: BinaryHeap<Reverse<(u64, u64)>>,
     by_number: BTreeMap<u64, Event>,
     count: u64,
-    /// Number of the link between two gateways; it rises as the link is lost.
+    /// Number of the current link between two gateways. It is incremented when the link is lost.
     links: BTreeMap<(usize, usize), u64>,
-    /// Number of the link with another gateway as each one knows it: who has not noticed yet that a link is lost writes to nobody.
+    /// The link number that each gateway knows. Messages of a gateway that has not noticed the loss of a link are lost.
     known_links: BTreeMap<(usize, usize), u64>,
-    /// When the last message on a link's direction is delivered.
+    /// Delivery time of the last message in each direction of a link.
     delivered_at: BTreeMap<(usize, usize), u64>,
-    /// Directions that carry nothing.
+    /// Directions in which no messages pass.
     cut: BTreeSet<(usize, usize)>,
-    held: BTreeMap<(usize, usize), Vec<(u64, Message)>>,
-    /// Directions on which the end of a link is still to arrive.
-    unheard_ends: BTreeSet<(usize, usize)>,
+    queued: BTreeMap<(usize, usize), Vec<(u64, Message)>>,
+    /// Directions in which the close of a link has not arrived yet.
+    pending_closes: BTreeSet<(usize, usize)>,
 }
 
 fn pair(one: usize, other: usize) -> (usize, usize) {
@@ -88,8 +89,8 @@
     pub fn send(&mut self, now: u64, delay: u64, from: usize, to: usize, message: Message) {
         let link = self.known_links.get(&(from, to)).copied().unwrap_or(0);
         if self.cut.contains(&(from, to)) {
-            let held = self.held.entry((from, to)).or_default();
-            held.push((link, message));
+            let queued = self.queued.entry((from, to)).or_default();
+            queued.push((link, message));
             return;
         }
         let last = self.delivered_at.get(&(from, to)).copied().unwrap_or(0);
@@ -108,17 +109,17 @@
         self.links.get(&pair(one, other)).copied().unwrap_or(0)
     }
 
-    /// A gateway has noticed that its link with a peer is lost; what it sends from now on goes over the next one.
-    pub fn notice(&mut self, at: usize, peer: usize) {
+    /// Records that a gateway noticed the loss of a link. Its next messages use the new link.
+    pub fn observe_link(&mut self, at: usize, peer: usize) {
         let link = self.link(at, peer);
         self.known_links.insert((at, peer), link);
     }
 
-    /// The link between two gateways is lost, with all that is under way on it.
+    /// Drops the link between two gateways with all messages in flight.
     pub fn lose_link(&mut self, one: usize, other: usize) {
         *self.links.entry(pair(one, other)).or_default() += 1;
-        self.held.remove(&(one, other));
-        self.held.remove(&(other, one));
+        self.queued.remove(&(one, other));
+        self.queued.remove(&(other, one));
     }
 
     pub fn cut(&mut self, from: usize, to: usize) {
@@ -127,29 +128,30 @@
 
     pub fn heal(&mut self, now: u64, from: usize, to: usize) {
         self.cut.remove(&(from, to));
-        for (link, message) in self.held.remove(&(from, to)).unwrap_or_default() {
+        for (link, message) in self.queued.remove(&(from, to)).unwrap_or_default() {
             if link == self.link(from, to) {
                 self.send(now, 1, from, to, message);
             }
         }
     }
 
-    /// Whether the end of a link, which one gateway has closed, arrives at the other one now; else it does once the direction is healed.
-    pub fn end_arrives(&mut self, from: usize, to: usize) -> bool {
+    /// Whether the close of a link by one gateway reaches the other one now. Otherwise it does once the direction is
+    /// healed.
+    pub fn close_arrives(&mut self, from: usize, to: usize) -> bool {
         let is_cut = self.cut.contains(&(from, to));
         if is_cut {
-            self.unheard_ends.insert((from, to));
+            self.pending_closes.insert((from, to));
         }
         !is_cut
     }
 
-    /// Takes the end of a link that is still to arrive, if there is one.
-    pub fn take_unheard_end(&mut self, from: usize, to: usize) -> bool {
-        self.unheard_ends.remove(&(from, to))
+    /// Takes the close of a link that has not arrived yet, if there is one.
+    pub fn take_pending_close(&mut self, from: usize, to: usize) -> bool {
+        self.pending_closes.remove(&(from, to))
     }
 
-    /// Whether two gateways hear each other.
-    pub fn is_whole(&self, one: usize, other: usize) -> bool {
+    /// Whether messages pass between two gateways in both directions.
+    pub fn is_connected(&self, one: usize, other: usize) -> bool {
         !self.cut.contains(&(one, other)) && !self.cut.contains(&(other, one))
     }
 }
--- a/crates/seat_leases/tests/fleet/scaler.rs
+++ b/crates/seat_leases/tests/fleet/scaler.rs
@@ -1,4 +1,4 @@
-//! The scaler of the simulated fleet: who is linked, the table that follows, and the runners of functions.
+//! The scaler of the simulated fleet: linked gateways, the ownership tables derived from them, and the functions' runners.
 
 use super::network::Event;
 use super::{function_name, gateway_name, index_of, runner_id, Fleet, REGIONS};
@@ -8,22 +8,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Milliseconds within which a suspected gateway answers a ping of the scaler.
+/// Milliseconds within which a suspected gateway must answer the scaler's ping.
 const PING_TIMEOUT_MS: u64 = 200;
-/// Number of the update that tells a function's runners first.
+/// Number of a function's first runner update.
 const FIRST_UPDATE: u64 = 1;
 
 pub struct Scaler {
     term: u64,
     number: u64,
-    /// Whether it publishes anything.
+    /// Whether it is running and publishes tables.
     pub is_up: bool,
     /// Incarnations of the linked gateways.
     linked: BTreeMap<usize, u64>,
     leaving: BTreeSet<usize>,
     published: Vec<Member>,
-    /// When each gateway is told the last message.
-    told_at: BTreeMap<usize, u64>,
+    /// Delivery time of the last message to each gateway.
+    delivered_at: BTreeMap<usize, u64>,
     is_agreed: bool,
     table: Option<Arc<OwnershipTable>>,
     /// Number of the newest update of each function whose runners have changed.
@@ -39,7 +39,7 @@
             linked: (0..gateways).map(|index| (index, 1)).collect(),
             leaving: BTreeSet::new(),
             published: Vec::new(),
-            told_at: BTreeMap::new(),
+            delivered_at: BTreeMap::new(),
             is_agreed,
             table: None,
             updates: BTreeMap::new(),
@@ -67,7 +67,7 @@
 }
 
 impl Fleet {
-    /// Publishes the gateways that are linked now.
+    /// Publishes a table of the linked gateways.
     pub fn publish(&mut self) {
         if !self.scaler.is_up {
             return;
@@ -95,11 +95,16 @@
             is_first: true,
         };
         self.scaler.published = members;
-        self.tell(&message, &joined, is_first);
+        self.send_table(&message, &joined, is_first);
     }
 
-    /// Tells all linked gateways a table, each in the order of publication.
-    fn tell(&mut self, message: &protocol::OwnershipTable, joined: &[String], is_first: bool) {
+    /// Sends a table to all linked gateways. Each receives tables in the order of publication.
+    fn send_table(
+        &mut self,
+        message: &protocol::OwnershipTable,
+        joined: &[String],
+        is_first: bool,
+    ) {
         let linked: Vec<(usize, u64)> = self
             .scaler
             .linked
@@ -115,7 +120,7 @@
                 }),
                 false => OwnershipTable::not_agreed(message.version, message.members.clone()),
             };
-            let at = self.told_in_order(index);
+            let at = self.next_delivery_at(index);
             let table = Arc::new(table);
             self.scaler.table = Some(Arc::clone(&table));
             let event = Event::Table {
@@ -127,33 +132,33 @@
         }
     }
 
-    /// When a gateway is told what the scaler sends now: messages on its link keep their order.
-    fn told_in_order(&mut self, index: usize) -> u64 {
-        let last = self.scaler.told_at.get(&index).copied().unwrap_or(0);
+    /// Delivery time of a message sent to a gateway now. Messages on a link arrive in order.
+    fn next_delivery_at(&mut self, index: usize) -> u64 {
+        let last = self.scaler.delivered_at.get(&index).copied().unwrap_or(0);
         let at = last.max(self.now + self.random.random_range(1..60));
-        self.scaler.told_at.insert(index, at);
+        self.scaler.delivered_at.insert(index, at);
         at
     }
 
-    /// The scaler learns that a runner leaves, or that it is back, and tells the function's owner.
-    pub fn runner_changes(&mut self, function: usize, place: usize, leaves: bool) {
+    /// Starts draining a runner, or makes it serve again, and updates the function's owner.
+    pub fn set_runner_draining(&mut self, function: usize, number: usize, is_draining: bool) {
         let now = self.now;
-        let runner = self.runners.get_mut(&runner_id(function, place));
-        runner.expect("it is there").left_at = leaves.then_some(now);
+        let runner = self.runners.get_mut(&runner_id(function, number));
+        runner.expect("it is there").draining_since = is_draining.then_some(now);
         *self.scaler.updates.entry(function).or_insert(FIRST_UPDATE) += 1;
         let table = self.scaler.table.as_ref();
         let owner = table.and_then(|table| table.owner_of(&function_name(function)));
         if let Some(owner) = owner.map(|owner| index_of(&owner.name)) {
-            self.tell_update(owner, function);
+            self.send_update(owner, function);
         }
     }
 
-    fn tell_update(&mut self, index: usize, function: usize) {
+    fn send_update(&mut self, index: usize, function: usize) {
         let Some(&incarnation) = self.scaler.linked.get(&index) else {
             return;
         };
         let update = self.function_update(function);
-        let at = self.told_in_order(index);
+        let at = self.next_delivery_at(index);
         let event = Event::Update {
             to: index,
             incarnation,
@@ -163,14 +168,14 @@
     }
 
     fn function_update(&self, function: usize) -> FunctionUpdate {
-        let ids = (0..3).map(|place| runner_id(function, place));
+        let ids = (0..3).map(|number| runner_id(function, number));
         let known = ids.filter_map(|id| Some((self.runners.get(&id)?, id)));
         let runners = known.map(|(runner, id)| RunnerUpdate {
             address: format!("{id}:1"),
             zone: format!("zone-{}", function % REGIONS),
             id,
             quota: runner.quota,
-            stage: match runner.left_at {
+            stage: match runner.draining_since {
                 None => RunnerStage::Serving,
                 Some(_) => RunnerStage::Draining,
             },
@@ -192,7 +197,8 @@
         number.copied().unwrap_or(FIRST_UPDATE)
     }
 
-    /// A gateway reports its functions; it is told the runners of those of which it has an older list.
+    /// Reports a gateway's functions to the scaler, which sends the runners of each function whose list at the gateway is
+    /// older.
     pub fn report_to_scaler(&mut self, index: usize) {
         let gateway = &mut self.gateways[index];
         if !gateway.answers_scaler() {
@@ -202,20 +208,20 @@
             let function = report.function.trim_start_matches('f').parse();
             let function = function.expect("a function's number");
             if report.update_number != self.update_number(function) {
-                self.tell_update(index, function);
+                self.send_update(index, function);
             }
         }
     }
 
-    /// Another scaler begins, which knows the gateways that are linked.
+    /// Starts a new scaler term with the gateways that are linked.
     pub fn begin_term(&mut self) {
         self.scaler.term += 1;
         self.scaler.number = 0;
         self.publish();
     }
 
-    /// The scaler learns that a gateway has a link or has none any more.
-    pub fn scaler_notices(&mut self, gateway: usize, is_linked: bool) {
+    /// Records that a gateway's link with the scaler was opened or closed.
+    pub fn set_linked(&mut self, gateway: usize, is_linked: bool) {
         let incarnation = self.gateways[gateway].incarnation;
         if !is_linked && self.gateways[gateway].answers_scaler() {
             return;
@@ -230,19 +236,19 @@
         }
     }
 
-    /// A gateway is about to stop.
-    pub fn scaler_hears_of_leaving(&mut self, gateway: usize) {
+    /// Records that a gateway is about to stop.
+    pub fn announce_leaving(&mut self, gateway: usize) {
         if self.scaler.leaving.insert(gateway) {
             self.publish();
         }
     }
 
-    /// Others take a gateway for silent; it is gone where it does not answer the scaler either.
-    pub fn scaler_suspects(&mut self, gateway: usize) {
+    /// Handles a report that a gateway is unresponsive. It is removed if it does not answer the scaler either.
+    pub fn check_suspicion(&mut self, gateway: usize) {
         let is_linked = self.scaler.linked.contains_key(&gateway);
         if is_linked && !self.gateways[gateway].answers_scaler() {
             let at = self.now + PING_TIMEOUT_MS;
-            let event = Event::Notice {
+            let event = Event::ScalerLink {
                 gateway,
                 is_linked: false,
             };
--- a/crates/seat_leases/tests/handover.rs
+++ b/crates/seat_leases/tests/handover.rs
@@ -1,4 +1,4 @@
-//! One owner under agreed tables: when it may lease the seats that fall to it, what it hands over, and what it takes for in use.
+//! One owner under agreed tables: when it may lease seats assigned to it, what it hands over, and which leases it counts.
 
 mod common;
 
@@ -45,13 +45,13 @@
     LeaseOwner::new(ME, LeasingPolicy::default(), Topology::default())
 }
 
-/// The scaler tells the function's runner, as it does once a table makes this gateway the owner.
-fn tell_runner(owner: &mut LeaseOwner) {
+/// Sends the function's runner, as the scaler does when a table makes this gateway the owner.
+fn send_runner(owner: &mut LeaseOwner) {
     owner.update_runners(0, update(1, &[runner("r", "north", 1)]));
 }
 
-/// An owner under a first table of itself and a gateway with clients, of which the latter is about to stop and owns nothing.
-fn owner_of_all() -> LeaseOwner {
+/// An owner under a first table of itself and a gateway with clients. The latter is about to stop and owns nothing.
+fn sole_owner() -> LeaseOwner {
     let mut owner = owner();
     let first = OwnershipTable {
         joined: vec![ME.into(), CLIENT.into()],
@@ -59,12 +59,12 @@
         ..table(1, &[ME, CLIENT])
     };
     apply(&mut owner, first);
-    tell_runner(&mut owner);
+    send_runner(&mut owner);
     owner
 }
 
-/// An owner to which the functions of another gateway fall, which is about to stop.
-fn owner_that_awaits_a_handover() -> LeaseOwner {
+/// An owner that takes over the functions of another gateway, which is about to stop.
+fn owner_awaiting_handover() -> LeaseOwner {
     let mut owner = owner();
     let first = OwnershipTable {
         joined: vec![ME.into(), OTHER.into(), CLIENT.into()],
@@ -77,7 +77,7 @@
         ..table(2, &[ME, OTHER, CLIENT])
     };
     apply(&mut owner, second);
-    tell_runner(&mut owner);
+    send_runner(&mut owner);
     owner
 }
 
@@ -89,7 +89,7 @@
     }
 }
 
-/// The other gateway has leased the only seat to a request of this number.
+/// A handover in which the other gateway has leased the only seat to this request.
 fn one_lease(request_id: u64) -> FunctionHandover {
     FunctionHandover {
         function: FUNCTION.into(),
@@ -110,14 +110,14 @@
     }
 }
 
-fn asks_for_handover(actions: &[LeaseAction], number: u64) -> bool {
+fn requests_handover(actions: &[LeaseAction], number: u64) -> bool {
     actions.contains(&LeaseAction::RequestHandover {
         gateway: OTHER.into(),
         version: version(number),
     })
 }
 
-fn asks_about(actions: &[LeaseAction], request_id: u64) -> bool {
+fn requests_confirmation(actions: &[LeaseAction], request_id: u64) -> bool {
     actions.contains(&LeaseAction::ConfirmLeases {
         gateway: CLIENT.into(),
         requests: vec![RequestId(request_id)],
@@ -127,16 +127,16 @@
 #[test]
 fn nothing_is_leased_without_a_table() {
     let mut owner = owner();
-    tell_runner(&mut owner);
+    send_runner(&mut owner);
     owner.request_lease(0, CLIENT, "north", lease_request(1, 1));
     assert!(request_ids(&mut owner).is_empty());
     assert_eq!(*owner.seat_status(FUNCTION), SeatStatus::Unowned);
 }
 
 #[test]
-fn seats_that_fall_here_are_leased_once_their_former_owner_has_answered() {
-    let mut owner = owner_that_awaits_a_handover();
-    assert!(asks_for_handover(&owner.take_actions(), 2));
+fn newly_assigned_seats_are_leased_once_their_former_owner_answers() {
+    let mut owner = owner_awaiting_handover();
+    assert!(requests_handover(&owner.take_actions(), 2));
     owner.request_lease(0, CLIENT, "north", lease_request(1, 1));
     assert!(request_ids(&mut owner).is_empty());
     assert_eq!(*owner.seat_status(FUNCTION), SeatStatus::AwaitsHandover);
@@ -148,8 +148,8 @@
 }
 
 #[test]
-fn an_answer_under_another_table_or_of_a_stranger_frees_nothing() {
-    let mut owner = owner_that_awaits_a_handover();
+fn a_handover_under_another_table_or_from_a_non_member_is_refused() {
+    let mut owner = owner_awaiting_handover();
     owner.request_lease(0, CLIENT, "north", lease_request(1, 1));
     for number in [1, 3] {
         let refused = owner.receive_handover(0, OTHER, handover(number, Vec::new()));
@@ -163,7 +163,7 @@
     assert_eq!(refused, Err(HandoverRefusal::NotAgreed));
 }
 
-/// An owner is told a whole table, as one that came anew: a request of this number waits until the other gateway has answered.
+/// Applies a whole table that marks this gateway as a newcomer. Its request must wait until the other gateway has answered.
 fn assert_waits_as_newcomer(owner: &mut LeaseOwner, request_id: u64) {
     let whole = OwnershipTable {
         is_first: false,
@@ -171,8 +171,8 @@
         ..table(5, &[ME, OTHER])
     };
     apply(owner, whole);
-    tell_runner(owner);
-    assert!(asks_for_handover(&owner.take_actions(), 5));
+    send_runner(owner);
+    assert!(requests_handover(&owner.take_actions(), 5));
     owner.request_lease(0, ME, "north", lease_request(request_id, 1));
     assert!(request_ids(owner).is_empty());
     owner
@@ -182,12 +182,12 @@
 }
 
 #[test]
-fn a_gateway_that_came_anew_leases_nothing_before_those_that_were_there_have_answered() {
+fn a_new_gateway_leases_nothing_before_the_existing_members_answer() {
     assert_waits_as_newcomer(&mut owner(), 1);
 }
 
 #[test]
-fn an_owner_that_was_away_leases_nothing_before_those_that_stayed_have_answered() {
+fn a_returning_owner_leases_nothing_before_the_remaining_members_answer() {
     let mut owner = owner();
     let first = OwnershipTable {
         joined: vec![ME.into(), OTHER.into()],
@@ -195,43 +195,43 @@
         ..table(1, &[ME, OTHER])
     };
     apply(&mut owner, first);
-    tell_runner(&mut owner);
+    send_runner(&mut owner);
     owner.request_lease(0, ME, "north", lease_request(1, 1));
     assert_eq!(request_ids(&mut owner), [1]);
     owner.release(0, ME, &release(1, LeaseOutcome::Succeeded, 5));
-    // Under the versions between, its functions may have been another gateway's.
+    // Under the versions in between, another gateway may have owned its functions.
     assert_waits_as_newcomer(&mut owner, 2);
 }
 
 #[test]
-fn a_handed_over_lease_counts_until_its_gateway_has_told() {
-    let mut owner = owner_that_awaits_a_handover();
+fn a_handed_over_lease_stays_in_use_until_its_gateway_ends_it() {
+    let mut owner = owner_awaiting_handover();
     owner.request_lease(0, CLIENT, "north", lease_request(2, 1));
     owner.take_actions();
     owner
         .receive_handover(0, OTHER, handover(2, vec![one_lease(1)]))
         .unwrap();
     let actions = owner.take_actions();
-    assert!(asks_about(&actions, 1), "{actions:?}");
+    assert!(requests_confirmation(&actions, 1), "{actions:?}");
     assert_eq!(in_use(&owner, "r"), Some(1));
     owner.leases_ended(0, CLIENT, &[RequestId(1)]);
     assert_eq!(leases(&mut owner), [(2, "r".to_string())]);
-    // What was leased here since is none of the leases that the question was about.
+    // The question did not concern leases issued here since.
     owner.leases_ended(0, CLIENT, &[RequestId(2)]);
     assert_eq!(in_use(&owner, "r"), Some(1));
 }
 
 #[test]
-fn an_unanswered_question_is_repeated_and_the_lease_ends_in_time() {
-    let mut owner = owner_that_awaits_a_handover();
+fn an_unanswered_question_is_repeated_and_the_lease_expires() {
+    let mut owner = owner_awaiting_handover();
     owner
         .receive_handover(0, OTHER, handover(2, vec![one_lease(1)]))
         .unwrap();
     owner.take_actions();
     owner.tick(499);
-    assert!(!asks_about(&owner.take_actions(), 1));
+    assert!(!requests_confirmation(&owner.take_actions(), 1));
     owner.tick(500);
-    assert!(asks_about(&owner.take_actions(), 1));
+    assert!(requests_confirmation(&owner.take_actions(), 1));
     owner.tick(4_999);
     assert_eq!(in_use(&owner, "r"), Some(1));
     owner.tick(5_000);
@@ -239,11 +239,11 @@
 }
 
 #[test]
-fn a_former_owner_that_does_not_answer_is_waited_for_in_bounds_and_asked_over_the_next_link() {
-    let mut owner = owner_that_awaits_a_handover();
+fn the_wait_for_a_former_owner_is_bounded_and_its_handover_requested_again_over_the_next_link() {
+    let mut owner = owner_awaiting_handover();
     owner.take_actions();
     owner.gateway_disconnected(0, OTHER);
-    assert!(asks_for_handover(&owner.take_actions(), 2));
+    assert!(requests_handover(&owner.take_actions(), 2));
     owner.request_lease(0, CLIENT, "north", lease_request(1, 1));
     owner.tick(999);
     assert!(request_ids(&mut owner).is_empty());
@@ -252,8 +252,8 @@
 }
 
 #[test]
-fn a_former_owner_that_is_no_member_any_more_is_not_waited_for() {
-    let mut owner = owner_that_awaits_a_handover();
+fn a_former_owner_that_is_no_longer_a_member_is_not_waited_for() {
+    let mut owner = owner_awaiting_handover();
     owner.request_lease(0, CLIENT, "north", lease_request(1, 1));
     let without = OwnershipTable {
         leaving: vec![CLIENT.into()],
@@ -265,7 +265,7 @@
 
 #[test]
 fn a_lease_outlives_the_link_with_its_gateway_and_ends_with_its_membership() {
-    let mut owner = owner_of_all();
+    let mut owner = sole_owner();
     owner.request_lease(0, CLIENT, "north", lease_request(1, 1));
     assert_eq!(request_ids(&mut owner), [1]);
     owner.gateway_disconnected(0, CLIENT);
@@ -276,21 +276,21 @@
 }
 
 #[test]
-fn a_report_that_does_not_name_a_lease_frees_no_seat_before_its_gateway_has_told() {
-    let mut owner = owner_of_all();
+fn a_lease_missing_from_a_report_stays_in_use_until_its_gateway_ends_it() {
+    let mut owner = sole_owner();
     owner.request_lease(0, CLIENT, "north", lease_request(1, 1));
     assert_eq!(request_ids(&mut owner), [1]);
-    // The report and the lease cross on their way.
+    // The report and the lease crossed on their way.
     owner.adopt_leases(0, CLIENT, FUNCTION, &[]);
-    assert!(asks_about(&owner.take_actions(), 1));
+    assert!(requests_confirmation(&owner.take_actions(), 1));
     assert_eq!(in_use(&owner, "r"), Some(1));
     owner.leases_ended(0, CLIENT, &[RequestId(1)]);
     assert_eq!(in_use(&owner, "r"), Some(0));
 }
 
 #[test]
-fn a_request_that_waits_is_forgotten_with_the_link_of_its_gateway() {
-    let mut owner = owner_of_all();
+fn a_waiting_request_is_dropped_when_the_link_of_its_gateway_ends() {
+    let mut owner = sole_owner();
     owner.request_lease(0, ME, "north", lease_request(1, 1));
     owner.request_lease(0, CLIENT, "north", lease_request(2, 1));
     owner.gateway_disconnected(0, CLIENT);
@@ -301,8 +301,8 @@
 }
 
 #[test]
-fn an_owner_hands_over_once_it_has_the_table_under_which_it_is_asked() {
-    let mut owner = owner_of_all();
+fn a_handover_is_sent_once_the_requested_table_version_is_applied() {
+    let mut owner = sole_owner();
     owner.request_lease(0, CLIENT, "north", lease_request(1, 1));
     owner.take_actions();
     owner.handover_requested(OTHER, version(2));
@@ -313,16 +313,16 @@
         ..table(2, &[ME, OTHER, CLIENT])
     };
     apply(&mut owner, second);
-    let handed = owner
+    let received = owner
         .take_actions()
         .into_iter()
         .find_map(|action| match action {
             LeaseAction::HandOver { gateway, handover } if gateway == OTHER => Some(handover),
             _ => None,
         });
-    let handed = handed.expect("a hand-over");
-    assert_eq!((handed.version, handed.is_last), (version(2), true));
-    let leased = &handed.functions[0].leases[0];
+    let received = received.expect("a handover");
+    assert_eq!((received.version, received.is_last), (version(2), true));
+    let leased = &received.functions[0].leases[0];
     assert_eq!(
         (leased.gateway.as_str(), &leased.runners[0].requests[..]),
         (CLIENT, &[RequestId(1)][..])
@@ -334,14 +334,14 @@
 }
 
 #[test]
-fn who_acts_for_a_silent_owner_leases_its_seats_until_it_acts_no_more() {
+fn a_gateway_leases_the_seats_of_an_unresponsive_owner_until_failover_ends() {
     let mut owner = owner();
     let first = OwnershipTable {
         joined: vec![ME.into(), OTHER.into()],
         ..table(1, &[ME, OTHER])
     };
     apply(&mut owner, first);
-    tell_runner(&mut owner);
+    send_runner(&mut owner);
     owner.set_failover_for(0, [OTHER.to_string()].into());
     owner.request_lease(0, ME, "north", lease_request(1, 1));
     assert_eq!(request_ids(&mut owner), [1]);
--- a/crates/seat_leases/tests/lease_oracle.rs
+++ b/crates/seat_leases/tests/lease_oracle.rs
@@ -1,4 +1,4 @@
-//! Random days of one function's owner, beside an oracle that knows who holds and who waits.
+//! Random sequences of events for one function's owner, checked against an oracle that tracks leases and waiting requests.
 
 mod common;
 
@@ -16,16 +16,16 @@
 const ZONES: [&str; 3] = ["north", "south", "west"];
 const RUNNERS: u8 = 4;
 
-/// A request that waits.
+/// A waiting request.
 struct Waiting {
     holder: Holder,
     excluded: Vec<String>,
-    /// Regions that it must not leave; each zone is a region of its own. Empty where all are allowed.
+    /// Regions that the request may run in; empty if all are allowed. Each zone is a region of its own.
     regions: Vec<String>,
 }
 
 impl Waiting {
-    fn may_enter(&self, zone: &String) -> bool {
+    fn allows_zone(&self, zone: &String) -> bool {
         self.regions.is_empty() || self.regions.contains(zone)
     }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// What must hold, by what was said to the owner.
+/// The expected state, derived from the events passed to the owner.
 struct Oracle {
     owner: LeaseOwner,
     now: u64,
@@ -46,15 +46,15 @@
     held: BTreeMap<Holder, String>,
 }
 
-/// No list of regions for most requests, one or two regions for the others.
-fn drawn_regions(draw: u8) -> Vec<String> {
+/// No region list for most requests, one or two regions for the others.
+fn random_regions(draw: u8) -> Vec<String> {
     let first = usize::from(draw / 4) % ZONES.len();
     let count = match draw % 4 {
         1 => 1,
         2 => 2,
         _ => 0,
     };
-    let regions = (0..count).map(|place| ZONES[(first + place) % ZONES.len()].to_string());
+    let regions = (0..count).map(|index| ZONES[(first + index) % ZONES.len()].to_string());
     regions.collect()
 }
 
@@ -79,7 +79,7 @@
         let priority = one % 3;
         let excluded = [format!("r{}", other % RUNNERS)];
         let excluded = excluded[..usize::from(other % 5 == 0)].to_vec();
-        let regions = drawn_regions(other);
+        let regions = random_regions(other);
         let request = LeaseRequest {
             timeout_ms: 50 + u32::from(other) * 20,
             excluded_runners: excluded.clone(),
@@ -100,9 +100,9 @@
         self.number += 1;
         let known_runners = (0..RUNNERS).zip(stages).filter(|(_, stage)| stage % 4 != 0);
         self.known_runners = known_runners
-            .map(|(place, stage)| {
-                let zone = ZONES[usize::from(place) % ZONES.len()];
-                let update = runner(&format!("r{place}"), zone, u32::from(stage / 4 % 4));
+            .map(|(index, stage)| {
+                let zone = ZONES[usize::from(index) % ZONES.len()];
+                let update = runner(&format!("r{index}"), zone, u32::from(stage / 4 % 4));
                 let stage = match stage % 4 {
                     1 => RunnerStage::Draining,
                     _ => RunnerStage::Serving,
@@ -110,7 +110,7 @@
                 RunnerUpdate { stage, ..update }
             })
             .collect();
-        // One that the scaler names no more, and holds nothing, is new when it comes back.
+        // A runner that is missing from the scaler's list and holds no lease counts as new when it returns.
         let is_known = |id: &String| {
             self.known_runners.iter().any(|one| one.id == *id)
                 || self.held.values().any(|held| held == id)
@@ -126,11 +126,11 @@
             .update_runners(self.now, update(self.number, &self.known_runners));
     }
 
-    fn release(&mut self, place: usize, outcome: LeaseOutcome) {
+    fn release(&mut self, index: usize, outcome: LeaseOutcome) {
         let Some(holder) = self
             .held
             .keys()
-            .nth(place % self.held.len().max(1))
+            .nth(index % self.held.len().max(1))
             .cloned()
         else {
             return;
@@ -143,10 +143,10 @@
         self.owner.release(self.now, &holder.0, &release);
     }
 
-    fn cancel(&mut self, place: usize) {
+    fn cancel(&mut self, index: usize) {
         let waiting = self.waiting.values().map(|one| &one.holder);
         let holders: Vec<Holder> = waiting.chain(self.held.keys()).cloned().collect();
-        let Some(holder) = holders.get(place % holders.len().max(1)) else {
+        let Some(holder) = holders.get(index % holders.len().max(1)) else {
             return;
         };
         self.waiting.retain(|_, one| one.holder != *holder);
@@ -203,16 +203,16 @@
                     request_id,
                     retry_after_ms: after,
                 } => {
-                    assert!(after > 0, "no time to come back");
+                    assert!(after > 0, "no retry delay");
                     let holder = (gateway, request_id.0);
                     let key = self.waiting.iter().find(|(_, one)| one.holder == holder);
-                    let key = *key.expect("rejected though it did not wait").0;
+                    let key = *key.expect("rejected a request that was not waiting").0;
                     self.waiting.remove(&key);
                 }
-                LeaseAction::Probe { .. } => panic!("all runners were said to be up"),
+                LeaseAction::Probe { .. } => panic!("no runner is starting"),
                 LeaseAction::RequestHandover { .. }
                 | LeaseAction::HandOver { .. }
-                | LeaseAction::ConfirmLeases { .. } => panic!("this owner stands alone"),
+                | LeaseAction::ConfirmLeases { .. } => panic!("the owner is standalone"),
             }
         }
         for RunnerUsage { id, in_use, .. } in self.owner.runner_usage(FUNCTION) {
@@ -221,27 +221,27 @@
         }
     }
 
-    /// Whether a runner that did not fail a waiting request may serve it at some time.
+    /// Whether a runner that has not failed a waiting request may serve it at some time.
     fn has_alternative(&self, waiting: &Waiting) -> bool {
         self.known_runners.iter().any(|runner| {
             let may_serve = runner.stage != RunnerStage::Draining
                 && runner.quota > 0
                 && !self.gone.contains(&runner.id)
                 && !self.evacuated.contains(&runner.zone);
-            may_serve && waiting.may_enter(&runner.zone) && !waiting.excludes(runner)
+            may_serve && waiting.allows_zone(&runner.zone) && !waiting.excludes(runner)
         })
     }
 
-    /// Whether a free seat of a runner is of no use to a waiting request.
-    fn is_refused(&self, waiting: &Waiting, runner: &RunnerUpdate) -> bool {
-        let is_outside = !waiting.may_enter(&runner.zone);
+    /// Whether a waiting request cannot use a free seat of a runner.
+    fn is_unusable(&self, waiting: &Waiting, runner: &RunnerUpdate) -> bool {
+        let is_outside = !waiting.allows_zone(&runner.zone);
         is_outside || (waiting.excludes(runner) && self.has_alternative(waiting))
     }
 
     fn leased(&mut self, holder: Holder, id: &str) {
         let update = self.known_runners.iter().find(|one| one.id == id);
         let update = update.unwrap_or_else(|| panic!("{id} is not known to the owner"));
-        assert_ne!(update.stage, RunnerStage::Draining, "{id} leaves");
+        assert_ne!(update.stage, RunnerStage::Draining, "{id} is draining");
         assert!(!self.gone.contains(id), "{id} is gone");
         assert!(
             !self.evacuated.contains(&update.zone),
@@ -254,16 +254,16 @@
             update.quota
         );
         let found = self.waiting.iter().find(|(_, one)| one.holder == holder);
-        let (key, waiting) = found.expect("leased to one that did not wait");
+        let (key, waiting) = found.expect("leased to a request that was not waiting");
         let key = *key;
         assert!(
-            !self.is_refused(waiting, update),
-            "{id} is in no region that the request may enter, or failed it while there is another"
+            !self.is_unusable(waiting, update),
+            "{id} is outside the allowed regions, or failed the request while there is an alternative"
         );
-        // Whoever is ahead may only have stayed because that runner is of no use to it.
+        // Requests ahead of this one may only still wait if they cannot use the runner.
         for (ahead, waiting) in self.waiting.range(..key) {
-            let is_refused = self.is_refused(waiting, update);
-            assert!(is_refused, "{ahead:?} is ahead of {key:?}");
+            let is_unusable = self.is_unusable(waiting, update);
+            assert!(is_unusable, "{ahead:?} is ahead of {key:?}");
         }
         self.waiting.remove(&key);
         self.held.insert(holder, id.to_string());
@@ -281,14 +281,14 @@
         true
     }
 
-    fn no_request_waits_beside_a_free_seat(events: Vec<(u8, u8, u8)>) -> bool {
+    fn no_request_waits_while_a_seat_is_free(events: Vec<(u8, u8, u8)>) -> bool {
         let mut oracle = Oracle::new();
         oracle.update_runners([14, 14, 14, 0]);
         for event in &events {
             oracle.act(*event);
             oracle.check();
         }
-        // No zone is evacuated, and in each a runner with many seats has come that nobody was at before.
+        // Without evacuated zones, and with a new large runner in each zone, every request must get a seat.
         oracle.evacuated.clear();
         oracle.owner.set_evacuated_zones(BTreeSet::new());
         oracle.now += 30;
--- a/crates/seat_leases/tests/lease_owner.rs
+++ b/crates/seat_leases/tests/lease_owner.rs
@@ -1,4 +1,4 @@
-//! What the owner of a function promises to the gateways that request leases.
+//! What the owner of a function guarantees to the gateways that request leases.
 
 mod common;
 
@@ -93,7 +93,7 @@
         owner.request_lease(0, "f", "north", lease_request(1, 1));
         owner.release(1, "f", &release(1, outcome, 10));
         assert_eq!(in_use(&owner, "a"), Some(0), "{outcome:?}");
-        // A second release, or one of a gateway that holds nothing, changes nothing.
+        // A second release, or one of a gateway without a lease, has no effect.
         owner.release(1, "f", &release(1, outcome, 10));
         owner.release(1, "g", &release(1, outcome, 10));
         assert_eq!(in_use(&owner, "a"), Some(0), "{outcome:?}");
@@ -110,14 +110,14 @@
     owner.remove_gateway(1, "f");
     let actions = owner.take_actions();
     let [LeaseAction::Lease { gateway, lease }] = &actions[..] else {
-        panic!("not one seat was leased: {actions:?}");
+        panic!("expected exactly one lease: {actions:?}");
     };
     assert_eq!((gateway.as_str(), lease.request_id), ("g", RequestId(1)));
     assert_eq!(in_use(&owner, "a"), Some(1));
 }
 
 #[test]
-fn a_runner_that_rejected_a_request_pauses() {
+fn a_runner_that_rejected_a_request_backs_off() {
     let mut owner = owner_with(&[runner("a", "north", 2)]);
     owner.request_lease(0, "f", "north", lease_request(1, 1));
     assert_eq!(request_ids(&mut owner), [1]);
@@ -143,7 +143,7 @@
     assert!(reports[0].runners[0].is_gone);
 }
 
-/// A runner of one seat, used with one outcome after the other, is gone after the last and not before.
+/// Checks that a runner with one seat is gone after the last of these outcomes and not before.
 fn assert_gone_after(outcomes: &[LeaseOutcome]) {
     let mut owner = owner_with(&[runner("a", "north", 1)]);
     for (request_id, outcome) in (1..).zip(outcomes) {
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn three_misses_in_a_row_mean_gone_unless_a_success_intervenes() {
+fn three_consecutive_failures_mean_gone_unless_a_success_intervenes() {
     assert_gone_after(&[
         LeaseOutcome::Unreachable,
         LeaseOutcome::Unreachable,
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn three_lost_responses_in_a_row_mean_gone() {
+fn three_consecutive_lost_responses_mean_gone() {
     assert_gone_after(&[
         LeaseOutcome::Lost,
         LeaseOutcome::Lost,
@@ -303,7 +303,7 @@
 fn a_free_seat_is_leased_however_slow_the_last_response_was() {
     let mut owner = owner_with(&[runner("a", "north", 1)]);
     owner.request_lease(0, "f", "north", lease_request(1, 1));
-    // A runner is slow after its start, and if nothing is sent to it, nobody learns that it is fast by now.
+    // A runner is slow just after its start. If it got no requests, nobody would notice that it has become fast.
     owner.release(3_000, "f", &release(1, LeaseOutcome::Succeeded, 3_000));
     assert_eq!(request_ids(&mut owner), [1]);
     owner.request_lease(
@@ -329,34 +329,34 @@
     owner.request_lease(0, "f", "north", lease_request(1, 1));
     owner.request_lease(0, "f", "north", lease_request(2, 1));
     assert_eq!(owner.take_actions(), []);
-    let mut looks = 0;
+    let mut probes = 0;
     for now in 0..1_200 {
         owner.tick(now);
         let actions = owner.take_actions();
         if actions.is_empty() {
             continue;
         }
-        let look = LeaseAction::Probe {
+        let probe = LeaseAction::Probe {
             function: FUNCTION.into(),
             runner: "a".into(),
             address: "a:1".into(),
         };
-        assert_eq!(actions, [look], "at {now}");
-        looks += 1;
+        assert_eq!(actions, [probe], "at {now}");
+        probes += 1;
         owner.record_probe(now, FUNCTION, "a", now >= 1_000);
         if now >= 1_000 {
             break;
         }
     }
-    assert!((2..=40).contains(&looks), "{looks} looks");
-    // The connection of the look may hold a seat for a moment.
+    assert!((2..=40).contains(&probes), "{probes} probes");
+    // The probe's connection may occupy a seat for a moment.
     assert_eq!(request_ids(&mut owner), [1]);
     owner.tick(1_500);
     assert_eq!(request_ids(&mut owner), [2]);
 }
 
 #[test]
-fn a_release_frees_the_seat_of_its_own_gateway_alone() {
+fn a_release_frees_only_the_seat_of_its_own_gateway() {
     let mut owner = owner_with(&[runner("a", "north", 2)]);
     for gateway in ["f", "g"] {
         owner.request_lease(0, gateway, "north", lease_request(1, 1));
--- a/crates/seat_leases/tests/ownership_fleet.rs
+++ b/crates/seat_leases/tests/ownership_fleet.rs
@@ -1,7 +1,8 @@
-//! A fleet of gateways over three regions, whose owners come, go and lose sight of one another. A runner never gets more requests than
-//! its quota where ownership moves by plan or links between gateways are cut, and no request is forgotten whatever happens.
+//! A fleet of gateways in three regions whose owners join, leave and lose contact with one another. A runner never gets
+//! more requests than its quota during planned ownership changes or cut links between gateways, and no request is lost
+//! under any fault.
 //!
-//! `FLEET_SEEDS=0-200 cargo test --release -p seat_leases --test ownership_fleet` plays more seeds than the usual ones.
+//! `FLEET_SEEDS=0-200 cargo test --release -p seat_leases --test ownership_fleet` runs more seeds than the default.
 
 mod fleet;
 
@@ -9,9 +10,9 @@
 use rand::Rng;
 
 const REQUESTS_PER_SECOND: f64 = 500.0;
-/// Milliseconds for which a runner that leaves is away.
-const LEFT_FOR_MS: u64 = 7_000;
-/// Seeds that are played where nothing else is asked for.
+/// Milliseconds for which a drained runner stays away.
+const DRAINED_FOR_MS: u64 = 7_000;
+/// Number of seeds run by default.
 const SEEDS: u64 = 12;
 
 fn seeds() -> std::ops::Range<u64> {
@@ -37,25 +38,25 @@
     fleet.run_until(fleet.now + span_ms, REQUESTS_PER_SECOND);
 }
 
-/// Whatever happened, requests are served again once it is calm, and within the quotas.
-fn assert_calm_is_served(fleet: &mut Fleet, seed: u64) {
+/// Checks that after any faults requests are served again within the quotas, and that no seats are leaked.
+fn assert_recovers(fleet: &mut Fleet, seed: u64) {
     run(fleet, 4_000);
-    let calm_since = fleet.now;
+    let recovered_at = fleet.now;
     let before = fleet.outcomes.over_quota;
     run(fleet, 4_500);
     let outcomes = &fleet.outcomes;
     assert!(
-        outcomes.last_timed_out_arrival < calm_since,
-        "seed {seed}: requests were forgotten: {outcomes:?}"
+        outcomes.last_timed_out_arrival < recovered_at,
+        "seed {seed}: requests were lost: {outcomes:?}"
     );
     assert_eq!(outcomes.over_quota, before, "seed {seed}: {outcomes:?}");
-    // Without clients every seat comes back to its owner.
+    // Without clients, all seats are returned to their owners.
     fleet.run_until(fleet.now + 6_000, 1e-9);
-    assert_eq!(fleet.usage(), (0, 0), "seed {seed}: seats were lost");
+    assert_eq!(fleet.usage(), (0, 0), "seed {seed}: seats were leaked");
 }
 
-/// Gateways stop by plan and come back, and scalers follow one another.
-fn play_planned_moves(fleet: &mut Fleet) {
+/// Gateways stop as planned and restart, and new scaler terms begin.
+fn simulate_planned_moves(fleet: &mut Fleet) {
     for step in 0..12 {
         let up = fleet.up();
         let index = up[fleet.random.random_range(0..up.len())];
@@ -67,13 +68,13 @@
         }
         run(fleet, 150);
         fleet.restart(index);
-        let calm = fleet.random.random_range(5..300);
-        run(fleet, calm);
+        let span = fleet.random.random_range(5..300);
+        run(fleet, span);
     }
 }
 
-/// Links between two gateways carry nothing for a while, one way or both ways.
-fn play_cut_links(fleet: &mut Fleet, gateways: usize) {
+/// Links between gateways are cut for a while, in one direction or both.
+fn simulate_cut_links(fleet: &mut Fleet, gateways: usize) {
     for _ in 0..8 {
         let one = fleet.random.random_range(0..gateways);
         let others: Vec<usize> = (0..gateways).filter(|other| *other != one).collect();
@@ -91,8 +92,8 @@
     }
 }
 
-/// Gateways die, stand still and are cut off, at any moment and several at a time, with and without a scaler.
-fn play_losses(fleet: &mut Fleet, gateways: usize) {
+/// Gateways are killed, paused and partitioned at any moment and several at a time, with and without a scaler.
+fn simulate_losses(fleet: &mut Fleet, gateways: usize) {
     for step in 0..8 {
         let drawn = [(); 3].map(|()| fleet.random.random_range(0..gateways));
         let up = fleet.up();
@@ -109,7 +110,7 @@
         for (index, kind) in chosen.iter().zip(&kinds) {
             match kind {
                 0 => fleet.kill(*index),
-                1 => fleet.freeze(*index),
+                1 => fleet.pause(*index),
                 _ => fleet.cut_off(*index),
             }
             let pause = fleet.random.random_range(1..200);
@@ -123,8 +124,8 @@
         for (index, kind) in chosen.iter().zip(&kinds) {
             match kind {
                 0 => fleet.restart(*index),
-                1 => fleet.thaw(*index),
-                _ => fleet.join_again(*index),
+                1 => fleet.resume(*index),
+                _ => fleet.reconnect(*index),
             }
             run(fleet, 20);
         }
@@ -132,20 +133,21 @@
     }
 }
 
-/// Gateways die and come back, some twice within seconds, others stop by plan, while one runner of a busy function after the other leaves and
-/// is back some time later. A scaler is there all the time.
-fn play_leaving_runners(fleet: &mut Fleet) {
-    let mut left: Vec<(usize, usize, u64)> = Vec::new();
+/// Gateways are killed and restarted, some twice within seconds, or stop as planned. Meanwhile runners of busy functions
+/// are drained one after the other and return later. A scaler is running all the time.
+fn simulate_draining_runners(fleet: &mut Fleet) {
+    let mut drained: Vec<(usize, usize, u64)> = Vec::new();
     for _ in 0..60 {
         let now = fleet.now;
-        for (function, place, _) in left.extract_if(.., |(.., at)| *at + LEFT_FOR_MS <= now) {
-            fleet.runner_changes(function, place, false);
+        for (function, number, _) in drained.extract_if(.., |(.., at)| *at + DRAINED_FOR_MS <= now)
+        {
+            fleet.set_runner_draining(function, number, false);
         }
         let function = fleet.random.random_range(0..BUSY_FUNCTIONS);
-        if !left.iter().any(|(other, ..)| *other == function) {
-            let place = fleet.random.random_range(0..3);
-            fleet.runner_changes(function, place, true);
-            left.push((function, place, fleet.now));
+        if !drained.iter().any(|(other, ..)| *other == function) {
+            let number = fleet.random.random_range(0..3);
+            fleet.set_runner_draining(function, number, true);
+            drained.push((function, number, fleet.now));
         }
         let up = fleet.up();
         let index = up[fleet.random.random_range(0..up.len())];
@@ -156,8 +158,8 @@
         fleet.kill(index);
         run(fleet, 150);
         fleet.restart(index);
-        let again_after = fleet.random.random_range(50..2_500);
-        run(fleet, again_after);
+        let kill_again_after = fleet.random.random_range(50..2_500);
+        run(fleet, kill_again_after);
         if fleet.random.random_bool(0.5) && fleet.up().contains(&index) {
             fleet.kill(index);
             run(fleet, 100);
@@ -165,67 +167,67 @@
         }
         run(fleet, 60);
     }
-    for (function, place, _) in left {
-        fleet.runner_changes(function, place, false);
+    for (function, number, _) in drained {
+        fleet.set_runner_draining(function, number, false);
     }
 }
 
-/// Whatever is played, no runner gets more requests than its quota, and calm is served.
-fn assert_within_quotas(play: impl Fn(&mut Fleet)) {
+/// Checks that a simulation never exceeds a runner's quota and that the fleet recovers afterwards.
+fn assert_within_quotas(simulate: impl Fn(&mut Fleet)) {
     for seed in seeds() {
         let mut fleet = fleet(seed, 20, true);
-        play(&mut fleet);
+        simulate(&mut fleet);
         assert_eq!(
             fleet.outcomes.over_quota, 0,
             "seed {seed}: {:?}",
             fleet.outcomes
         );
-        assert_calm_is_served(&mut fleet, seed);
+        assert_recovers(&mut fleet, seed);
     }
 }
 
 #[test]
 fn planned_moves_never_exceed_a_quota() {
-    assert_within_quotas(play_planned_moves);
+    assert_within_quotas(simulate_planned_moves);
 }
 
 #[test]
 fn cut_links_never_exceed_a_quota() {
-    assert_within_quotas(|fleet| play_cut_links(fleet, 20));
+    assert_within_quotas(|fleet| simulate_cut_links(fleet, 20));
 }
 
 #[test]
-fn no_request_reaches_a_runner_long_after_it_left() {
+fn no_request_reaches_a_runner_long_after_it_began_to_drain() {
     for seed in seeds() {
         let mut fleet = fleet(seed, 20, true);
-        play_leaving_runners(&mut fleet);
+        simulate_draining_runners(&mut fleet);
         assert_eq!(fleet.outcomes.late, 0, "seed {seed}: {:?}", fleet.outcomes);
-        assert_calm_is_served(&mut fleet, seed);
+        assert_recovers(&mut fleet, seed);
     }
 }
 
 #[test]
-fn lost_gateways_leave_no_request_behind() {
+fn lost_gateways_strand_no_requests() {
     let (mut sent, mut over_quota) = (0, 0);
     for seed in seeds() {
         let mut fleet = fleet(seed, 75, true);
-        play_losses(&mut fleet, 75);
+        simulate_losses(&mut fleet, 75);
         sent += fleet.outcomes.served;
         over_quota += fleet.outcomes.over_quota;
-        assert_calm_is_served(&mut fleet, seed);
+        assert_recovers(&mut fleet, seed);
     }
     println!("over a quota: {over_quota} of {sent} requests");
 }
 
-/// What the agreement is for: the same without it.
+/// Shows that the agreed table is needed: the same simulations exceed quotas without it.
 #[test]
 fn without_an_agreed_table_owners_exceed_quotas() {
     let mut over_quota = 0;
     for seed in 0..4 {
         let mut planned = fleet(seed, 20, false);
-        play_planned_moves(&mut planned);
+        simulate_planned_moves(&mut planned);
         let mut cut = fleet(seed, 20, false);
-        play_cut_links(&mut cut, 20);
+        simulate_cut_links(&mut cut, 20);
         over_quota += planned.outcomes.over_quota + cut.outcomes.over_quota;
     }
     assert!(over_quota > 0);
--- a/crates/seat_leases/tests/ownership_table.rs
+++ b/crates/seat_leases/tests/ownership_table.rs
@@ -1,4 +1,4 @@
-//! Functions move only with a member that goes or comes, by the present hash and by that of older daemons.
+//! Functions only move when a member joins or leaves, under both the current hash and that of older daemons.
 
 use fuzzing::seeded;
 use protocol::{Member, OwnershipChange, UpdateVersion};
@@ -15,7 +15,7 @@
     named.collect()
 }
 
-/// A table of these members, by either hash.
+/// A table of these members, with the current or the older hash.
 fn table(members: &[Member], is_agreed: bool) -> OwnershipTable {
     if !is_agreed {
         return OwnershipTable::not_agreed(UpdateVersion::default(), members.to_vec());
@@ -39,10 +39,10 @@
         let mut owned = [0; 5];
         for function in 0..1_000 {
             let name = owner(function, &table);
-            let place = members
+            let index = members
                 .iter()
                 .position(|one| Some(&one.name) == name.as_ref());
-            owned[place.unwrap()] += 1;
+            owned[index.unwrap()] += 1;
         }
         assert!(
             owned.iter().all(|count| (120..=280).contains(count)),
@@ -62,20 +62,21 @@
     assert_eq!(table.owner_among("f", |_| false), None);
 }
 
-const OLDER_OWNERS: [&str; 8] = [
+const LEGACY_OWNERS: [&str; 8] = [
     "edge-1", "edge-2", "edge-5", "edge-4", "edge-1", "edge-3", "edge-1", "edge-2",
 ];
 
-/// Owners that daemons before agreed tables choose: other ones would be taken for owners during an upgrade.
+/// Owners chosen by daemons that predate agreed tables. If this hash changed, old and new daemons would disagree during an
+/// upgrade.
 #[test]
-fn the_hash_of_older_daemons_stays_as_it_was() {
+fn the_hash_of_older_daemons_is_unchanged() {
     let table = table(&members(&[1, 2, 3, 4, 5]), false);
     let owners = (0..8).map(|function| owner(function, &table).unwrap());
-    assert_eq!(owners.collect::<Vec<_>>(), OLDER_OWNERS);
+    assert_eq!(owners.collect::<Vec<_>>(), LEGACY_OWNERS);
 }
 
 #[test]
-fn a_leaving_member_stays_known_and_owns_nothing() {
+fn a_leaving_member_remains_listed_but_owns_nothing() {
     let before = table(&members(&[1, 2, 3]), true);
     let after = before.changed(&OwnershipChange {
         version: UpdateVersion { term: 1, number: 2 },
@@ -92,23 +93,23 @@
 }
 
 seeded! {
-    fn only_the_functions_of_a_removed_member_move(names: Vec<u8>, gone: usize) -> bool {
+    fn only_the_functions_of_a_removed_member_move(names: Vec<u8>, removed: usize) -> bool {
         let all = members(&names);
         if all.len() < 2 {
             return true;
         }
-        let gone = all[gone % all.len()].name.clone();
-        let left: Vec<Member> = all.iter().filter(|one| one.name != gone).cloned().collect();
+        let removed = all[removed % all.len()].name.clone();
+        let left: Vec<Member> = all.iter().filter(|one| one.name != removed).cloned().collect();
         (0..200).all(|function| {
             let before = owner(function, &table(&all, true));
             let after = owner(function, &table(&left, true));
-            after.is_some() && (before == after || before.as_ref() == Some(&gone))
+            after.is_some() && (before == after || before.as_ref() == Some(&removed))
         })
     }
 
-    fn the_order_of_the_membership_does_not_matter(names: Vec<u8>) -> bool {
+    fn the_order_of_members_does_not_matter(names: Vec<u8>) -> bool {
         let all = members(&names);
-        let turned: Vec<Member> = all.iter().rev().cloned().collect();
-        (0..50).all(|function| owner(function, &table(&all, true)) == owner(function, &table(&turned, true)))
+        let reversed: Vec<Member> = all.iter().rev().cloned().collect();
+        (0..50).all(|function| owner(function, &table(&all, true)) == owner(function, &table(&reversed, true)))
     }
 }
--- a/crates/seat_leases/tests/rejecting_runners.rs
+++ b/crates/seat_leases/tests/rejecting_runners.rs
@@ -1,5 +1,5 @@
-//! Two owners lease the seats of the same runners, as while gateways disagree on who owns a function. The runners
-//! reject what is over their concurrency; the owners must find their common bound soon and stay there.
+//! Two owners lease seats of the same runners, as happens while gateways disagree on a function's owner. The runners reject
+//! requests above their concurrency. The owners must converge to the common limit quickly and stay there.
 
 mod common;
 
@@ -14,8 +14,8 @@
 const RUNNERS: usize = 6;
 const WORK_MS: u64 = 45;
 const STEP_MS: u64 = 5;
-/// Span over which rejections are counted.
-const SPAN_MS: u64 = 5_000;
+/// Time window over which rejections are counted.
+const WINDOW_MS: u64 = 5_000;
 
 struct InFlight {
     owner: usize,
@@ -38,7 +38,7 @@
 impl SimulatedCluster {
     fn new(seed: u64, owners: usize) -> Self {
         let runners: Vec<RunnerUpdate> = (0..RUNNERS)
-            .map(|place| runner(&format!("r{place}"), "north", CONCURRENCY))
+            .map(|index| runner(&format!("r{index}"), "north", CONCURRENCY))
             .collect();
         Self {
             now: 0,
@@ -53,16 +53,16 @@
 
     fn step(&mut self, arrivals: f64) {
         self.now += STEP_MS;
-        self.end_what_is_due();
-        for place in 0..self.owners.len() {
+        self.end_due_requests();
+        for index in 0..self.owners.len() {
             if self.random.random_bool(arrivals) {
                 self.request_id += 1;
                 let request = lease_request(self.request_id, 1);
-                self.owners[place].request_lease(self.now, "f", "north", request);
+                self.owners[index].request_lease(self.now, "f", "north", request);
             }
-            self.owners[place].tick(self.now);
-            for (request_id, runner) in leases(&mut self.owners[place]) {
-                self.send(place, request_id, runner);
+            self.owners[index].tick(self.now);
+            for (request_id, runner) in leases(&mut self.owners[index]) {
+                self.send(index, request_id, runner);
             }
         }
     }
@@ -72,7 +72,7 @@
         let runs =
             runs.filter(|one| one.runner == runner && one.outcome == LeaseOutcome::Succeeded);
         let is_full = runs.count() >= CONCURRENCY as usize;
-        let (outcome, takes) = if is_full {
+        let (outcome, work_ms) = if is_full {
             self.rejected_at.push(self.now);
             (LeaseOutcome::Rejected, STEP_MS)
         } else {
@@ -85,12 +85,12 @@
             owner,
             request_id,
             runner,
-            ends_at: self.now + takes,
+            ends_at: self.now + work_ms,
             outcome,
         });
     }
 
-    fn end_what_is_due(&mut self) {
+    fn end_due_requests(&mut self) {
         let now = self.now;
         let (due, rest) = std::mem::take(&mut self.in_flight)
             .into_iter()
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Most rejections within a span, from a time on.
-    fn worst_span(&self, from: u64) -> usize {
+    /// Maximum number of rejections in a window, from a given time on.
+    fn max_rejections_in_window(&self, from: u64) -> usize {
         let counted: Vec<u64> = self
             .rejected_at
             .iter()
@@ -114,7 +114,7 @@
         let within = |start: &u64| {
             counted
                 .iter()
-                .filter(|at| (*start..*start + SPAN_MS).contains(at))
+                .filter(|at| (*start..*start + WINDOW_MS).contains(at))
                 .count()
         };
         counted.iter().map(within).max().unwrap_or(0)
@@ -129,11 +129,11 @@
         while cluster.now < 25_000 {
             cluster.step(0.85);
         }
-        worst.insert(seed, cluster.worst_span(0));
+        worst.insert(seed, cluster.max_rejections_in_window(0));
         let share = cluster.answered as f64 / cluster.request_id as f64;
         assert!(share > 0.5, "seed {seed}: {share} of all were answered");
     }
-    println!("most rejections in {SPAN_MS} ms by seed: {worst:?}");
+    println!("most rejections in {WINDOW_MS} ms by seed: {worst:?}");
     let bound = 4 * RUNNERS;
     assert!(worst.values().all(|count| *count <= bound), "{worst:?}");
 }
@@ -154,8 +154,8 @@
     );
 }
 
-/// Leases of an owner that is asked for more than its runner can carry.
-fn lent_at(owner: &mut LeaseOwner, now: u64, first: u64) -> usize {
+/// Number of leases issued when more are requested than the runner has seats.
+fn leased_at(owner: &mut LeaseOwner, now: u64, first: u64) -> usize {
     for request_id in first..first + u64::from(CONCURRENCY) {
         owner.request_lease(now, "f", "north", lease_request(request_id, 1));
     }
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn after_a_rejection_the_window_is_held_then_grows_by_one_a_second() {
+fn after_a_rejection_the_window_is_held_and_then_grows_by_one_per_second() {
     let mut owner = owner_with(&[runner("a", "north", CONCURRENCY)]);
     for request_id in 1..=3 {
         owner.request_lease(0, "f", "north", lease_request(request_id, 1));
@@ -184,16 +184,16 @@
     assert_eq!(
         leases(&mut owner).len(),
         2,
-        "as many as it carried beside the rejected one"
+        "as many as it held besides the rejected one"
     );
     for request_id in 10..=12 {
         owner.cancel(200, "f", RequestId(request_id));
     }
     leases(&mut owner);
-    assert_eq!(lent_at(&mut owner, 1_020, 20), 3);
+    assert_eq!(leased_at(&mut owner, 1_020, 20), 3);
     for request_id in 20..30 {
         owner.cancel(1_030, "f", RequestId(request_id));
     }
     leases(&mut owner);
-    assert_eq!(lent_at(&mut owner, 2_020, 40), 4);
+    assert_eq!(leased_at(&mut owner, 2_020, 40), 4);
 }
--- a/crates/seat_leases/tests/relayed_requests.rs
+++ b/crates/seat_leases/tests/relayed_requests.rs
@@ -1,4 +1,4 @@
-//! Lease requests that a gateway passes on for another one: which owners know of them, so that they end everywhere.
+//! Which owners know a relayed lease request, so that its end is reported to all of them.
 
 mod common;
 
@@ -8,8 +8,8 @@
 
 const GATEWAY: &str = "gateway";
 
-/// A request of a gateway that is passed on to the owner `first`, which has leased a seat for it.
-fn granted(relayed: &mut RelayedRequests) -> RequestId {
+/// Relays a gateway's request to the owner `first`, which leases a seat to it.
+fn leased_request(relayed: &mut RelayedRequests) -> RequestId {
     let original = GatewayLeaseRequest {
         gateway: GATEWAY.into(),
         zone: "north".into(),
@@ -27,19 +27,21 @@
     };
     let (to, lease) = relayed
         .record_lease("first", &lease)
-        .expect("it is awaited");
+        .expect("the lease is awaited");
     assert_eq!((to.as_str(), lease.request_id), (GATEWAY, RequestId(1)));
     request_id
 }
 
 #[test]
-fn a_relayed_lease_ends_at_the_owner_that_granted_it_and_at_all_that_were_told_of_it() {
+fn a_relayed_lease_ends_at_its_owner_and_at_all_owners_told_of_it() {
     let mut relayed = RelayedRequests::default();
-    let id = granted(&mut relayed);
-    // The next owner asks about the lease, and another one is told all that are in use.
+    let id = leased_request(&mut relayed);
+    // The next owner asks about the lease, and another one receives a report of all leases in use.
     assert!(relayed.report_lease("second", id));
     assert_eq!(relayed.report_leases("third", FUNCTION).len(), 1);
-    let ended = relayed.end(GATEWAY, RequestId(1)).expect("it is known");
+    let ended = relayed
+        .end(GATEWAY, RequestId(1))
+        .expect("the request is known");
     assert_eq!(ended.request_id, id);
     assert_eq!(ended.owners, ["first", "second", "third"]);
     assert!(relayed.is_empty());
--- a/crates/seat_leases/tests/runner_lists.rs
+++ b/crates/seat_leases/tests/runner_lists.rs
@@ -1,5 +1,5 @@
-//! By which list of runners an owner leases. What it knew at an earlier time as owner is no reason to lease anything: the scaler has told
-//! others since what became of the runners.
+//! Which runner list an owner uses for leases. It must not use a list from an earlier period of ownership, because the
+//! scaler has since sent changes of the runners to other owners.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 const ME: &str = "me";
-/// When the other owner is gone, in milliseconds since it came.
+/// Time in milliseconds at which the other owner is gone, long after it joined.
 const LATER: u64 = 4_300;
 
 fn member(name: &str) -> Member {
@@ -46,10 +46,10 @@
     owner.apply_table(now, Arc::new(table));
 }
 
-/// A gateway to which the function falls while it is a member beside this one.
+/// Name of a gateway that owns the function in a table with this one.
 fn other_owner(is_agreed: bool) -> String {
     let names = (0..).map(|number| format!("other-{number}"));
-    let mut owning = names.filter(|name| {
+    let mut owners = names.filter(|name| {
         let members = vec![member(ME), member(name)];
         let version = UpdateVersion::default();
         let table = match is_agreed {
@@ -63,7 +63,7 @@
             .owner_of(FUNCTION)
             .is_some_and(|owner| owner.name == *name)
     });
-    owning.next().expect("some name wins")
+    owners.next().expect("a name that owns the function")
 }
 
 fn draining(id: &str) -> RunnerUpdate {
@@ -73,7 +73,7 @@
     }
 }
 
-/// A gateway has a request of this number at a runner.
+/// A report that a gateway has this request at a runner.
 fn seat_in_use(runner: &str, request_id: u64) -> RunnerLeases {
     RunnerLeases {
         runner: runner.into(),
@@ -83,8 +83,8 @@
     }
 }
 
-/// An owner of all functions that knows one runner of two seats.
-fn owner_of_all() -> LeaseOwner {
+/// An owner of all functions that knows one runner with two seats.
+fn sole_owner() -> LeaseOwner {
     let mut owner = LeaseOwner::new(ME, LeasingPolicy::default(), Topology::default());
     apply(&mut owner, 0, table(1, &[ME], &[ME]));
     owner.update_runners(0, update(1, &[runner("r", "north", 2)]));
@@ -95,16 +95,19 @@
 }
 
 #[test]
-fn an_owner_that_owns_again_leases_at_no_runner_that_left_meanwhile() {
-    let mut owner = owner_of_all();
+fn a_returning_owner_does_not_lease_at_a_runner_removed_meanwhile() {
+    let mut owner = sole_owner();
     let other = other_owner(true);
     apply(&mut owner, 10, table(2, &[ME, &other], &[&other]));
-    // The scaler tells the other owner that the runner leaves. Then that owner dies, and hands nothing over.
+    // The scaler tells the other owner that the runner is draining. Then that owner crashes without a handover.
     apply(&mut owner, LATER, table(3, &[ME], &[]));
     owner.request_lease(LATER, ME, "north", lease_request(2, 1));
     assert!(leases(&mut owner).is_empty());
     let report = owner.reports(LATER + 50, false).pop().expect("a report");
-    assert_eq!(report.update_number, 0, "the scaler would not tell it anew");
+    assert_eq!(
+        report.update_number, 0,
+        "the scaler would not send the list again"
+    );
     owner.update_runners(
         LATER + 55,
         update(2, &[draining("r"), runner("s", "north", 2)]),
@@ -113,8 +116,8 @@
 }
 
 #[test]
-fn an_owner_that_owns_on_under_another_table_leases_on() {
-    let mut owner = owner_of_all();
+fn an_owner_that_keeps_a_function_under_a_new_table_keeps_leasing() {
+    let mut owner = sole_owner();
     let other = other_owner(true);
     let mut still = table(2, &[ME, &other], &[&other]);
     still.leaving = vec![other];
@@ -125,8 +128,8 @@
 }
 
 #[test]
-fn a_list_that_is_handed_over_replaces_what_was_known_before() {
-    let mut owner = owner_of_all();
+fn a_handed_over_list_replaces_the_known_one() {
+    let mut owner = sole_owner();
     let other = other_owner(true);
     apply(&mut owner, 10, table(2, &[ME, &other], &[&other]));
     let mut back = table(3, &[ME, &other], &[]);
@@ -150,14 +153,14 @@
     };
     owner
         .receive_handover(LATER, &other, handover)
-        .expect("it is taken");
-    // The former owner's list does not name the runner of before, so that it has left.
+        .expect("the handover is accepted");
+    // The former owner's list does not contain the earlier runner, so that runner has been removed.
     assert_eq!(leases(&mut owner), [(2, "s".to_string())]);
     owner.tick(LATER + 100);
     assert!(leases(&mut owner).is_empty());
 }
 
-/// The list of the function that an owner hands over to a gateway under a version.
+/// The function's part of the handover that an owner sends to a gateway under a version.
 fn handed_over(owner: &mut LeaseOwner, to: &str, number: u64) -> FunctionHandover {
     owner.take_actions();
     owner.handover_requested(to, UpdateVersion { term: 1, number });
@@ -170,18 +173,18 @@
 }
 
 #[test]
-fn a_list_is_handed_over_to_the_next_owner_and_to_no_later_one() {
-    let mut owner = owner_of_all();
+fn a_list_is_handed_over_only_to_the_next_owner() {
+    let mut owner = sole_owner();
     let other = other_owner(true);
     apply(&mut owner, 10, table(2, &[ME, &other], &[&other]));
     let handed = handed_over(&mut owner, &other, 2);
     assert_eq!(handed.version, UpdateVersion { term: 1, number: 1 });
-    // Another gateway changes nothing about the function.
+    // Another gateway joins, which does not affect the function.
     let mut third = table(3, &[ME, &other, "third"], &["third"]);
     third.leaving = vec!["third".into()];
     apply(&mut owner, 20, third);
     assert!(handed_over(&mut owner, &other, 3).is_confirmed());
-    // The next owner dies, and is there again as another incarnation, which asks all.
+    // The next owner crashes and restarts as another incarnation, which requests handovers from all members.
     let mut again = table(4, &[ME, &other], &[&other]);
     again.members[1].incarnation = 2;
     apply(&mut owner, LATER, again);
@@ -189,7 +192,7 @@
 }
 
 #[test]
-fn a_runner_that_only_a_gateway_reports_gets_nothing_new_before_the_scaler_names_it() {
+fn a_runner_reported_only_by_a_gateway_gets_no_leases_before_the_scaler_lists_it() {
     let mut owner = LeaseOwner::new(ME, LeasingPolicy::default(), Topology::default());
     let mut first = table(1, &[ME, "client"], &[ME, "client"]);
     first.leaving = vec!["client".into()];
@@ -204,8 +207,8 @@
 }
 
 #[test]
-fn a_reported_runner_that_the_scaler_does_not_name_has_left() {
-    let mut owner = owner_of_all();
+fn a_reported_runner_missing_from_the_scalers_list_gets_no_leases() {
+    let mut owner = sole_owner();
     owner.adopt_leases(10, ME, FUNCTION, &[seat_in_use("gone", 7)]);
     owner.release(15, ME, &release(7, LeaseOutcome::Succeeded, 5));
     for number in 2..6 {
@@ -229,13 +232,13 @@
 }
 
 #[test]
-fn who_takes_a_silent_owners_place_without_agreed_tables_leases_by_no_former_list() {
+fn a_substitute_owner_without_agreed_tables_does_not_use_an_old_list() {
     let other = other_owner(false);
     let mut owner = LeaseOwner::new(ME, LeasingPolicy::default(), Topology::default());
     apply_not_agreed(&mut owner, 0, 1, &[ME]);
     owner.update_runners(0, update(1, &[runner("r", "north", 2)]));
     apply_not_agreed(&mut owner, 10, 2, &[ME, &other]);
-    // A gateway does not hear the owner and asks this one.
+    // A gateway that cannot reach the owner asks this one.
     owner.request_lease(LATER, "client", "north", lease_request(2, 1));
     assert!(leases(&mut owner).is_empty());
     owner.update_runners(
@@ -246,14 +249,14 @@
 }
 
 #[test]
-fn who_is_asked_in_place_of_the_owner_now_and_then_asks_for_the_list_each_time() {
+fn an_occasional_substitute_owner_requests_the_list_each_time() {
     let other = other_owner(false);
     let mut owner = LeaseOwner::new(ME, LeasingPolicy::default(), Topology::default());
     apply_not_agreed(&mut owner, 0, 1, &[ME, &other]);
     owner.request_lease(0, "client", "north", lease_request(1, 1));
     owner.update_runners(20, update(1, &[runner("r", "north", 2)]));
     assert_eq!(leases(&mut owner), [(1, "r".to_string())]);
-    // While the function is in use its reports show the scaler each old list.
+    // While the function is in use, its reports show the scaler when the list is outdated.
     owner.request_lease(30, "client", "north", lease_request(2, 1));
     assert_eq!(leases(&mut owner), [(2, "r".to_string())]);
     for number in [1, 2] {
@@ -264,8 +267,8 @@
 }
 
 #[test]
-fn a_list_that_nobody_confirms_is_used_after_a_while() {
-    let mut owner = owner_of_all();
+fn an_unconfirmed_list_is_used_after_a_timeout() {
+    let mut owner = sole_owner();
     let other = other_owner(true);
     apply(&mut owner, 10, table(2, &[ME, &other], &[&other]));
     apply(&mut owner, 20, table(3, &[ME], &[]));
@@ -277,12 +280,12 @@
 }
 
 #[test]
-fn a_list_is_asked_for_by_the_functions_owner_alone() {
-    let mut owner = owner_of_all();
+fn only_the_functions_owner_requests_a_list() {
+    let mut owner = sole_owner();
     owner.reports(1_000, true);
     let other = other_owner(true);
     apply(&mut owner, 1_010, table(2, &[ME, &other], &[&other]));
-    // The other owner is there as another incarnation, so that the list here is old.
+    // The other owner restarts as another incarnation, so the list here is outdated.
     let mut again = table(3, &[ME, &other], &[&other]);
     again.members[1].incarnation = 2;
     apply(&mut owner, 1_020, again);
@@ -292,12 +295,12 @@
 }
 
 #[test]
-fn an_idle_function_whose_list_was_never_confirmed_waits_for_it_with_its_first_request() {
-    let mut owner = owner_of_all();
+fn an_idle_function_with_an_unconfirmed_list_waits_for_it_on_its_first_request() {
+    let mut owner = sole_owner();
     let other = other_owner(true);
     apply(&mut owner, 10, table(2, &[ME, &other], &[&other]));
     apply(&mut owner, 20, table(3, &[ME], &[]));
-    // The scaler has just begun and tells nothing; the function is used again later.
+    // The scaler has just started and sends nothing. The function is used again later.
     owner.request_lease(LATER, ME, "north", lease_request(2, 1));
     assert!(leases(&mut owner).is_empty());
     owner.tick(LATER + 250);
@@ -305,8 +308,8 @@
 }
 
 #[test]
-fn a_late_update_of_an_earlier_time_confirms_nothing() {
-    let mut owner = owner_of_all();
+fn an_outdated_update_does_not_confirm_a_list() {
+    let mut owner = sole_owner();
     owner.update_runners(6, update(5, &[draining("r"), runner("s", "north", 2)]));
     let other = other_owner(true);
     apply(&mut owner, 10, table(2, &[ME, &other], &[&other]));
--- a/crates/seat_leases/tests/start_block.rs
+++ b/crates/seat_leases/tests/start_block.rs
@@ -1,4 +1,4 @@
-//! Requests of a function that has no runner while no worker has room for one: rejected at once, never too early.
+//! Requests of a function without runners are rejected at once while no worker has room for one, and never too early.
 
 mod common;
 
@@ -27,7 +27,7 @@
     }
 }
 
-fn short(request_id: u64, timeout_ms: u32) -> LeaseRequest {
+fn with_timeout(request_id: u64, timeout_ms: u32) -> LeaseRequest {
     LeaseRequest {
         timeout_ms,
         ..lease_request(request_id, 1)
@@ -69,7 +69,7 @@
     assert_eq!(rejections(&mut owner).len(), 1);
     owner.request_lease(2_000, "f", "north", lease_request(2, 1));
     owner.tick(2_100);
-    assert_eq!(rejections(&mut owner), [], "nobody repeated it");
+    assert_eq!(rejections(&mut owner), [], "the start block has expired");
     owner.update_runners(2_200, blocked(2, None, &[]));
     assert_eq!(rejections(&mut owner), [(2, RETRY_AFTER_MS)]);
 }
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_later_term_that_knows_nothing_yet_does_not_repeat_it() {
+fn a_new_term_without_a_start_block_ends_it() {
     let mut owner = LeaseOwner::default();
     owner.update_runners(0, blocked(9, None, &[]));
     let later = FunctionUpdate {
@@ -115,11 +115,11 @@
 #[test]
 fn only_requests_with_a_deadline_before_the_earliest_start_are_rejected() {
     let mut owner = LeaseOwner::default();
-    owner.request_lease(0, "f", "north", short(1, 1_000));
-    owner.request_lease(0, "f", "north", short(2, 1_001));
+    owner.request_lease(0, "f", "north", with_timeout(1, 1_000));
+    owner.request_lease(0, "f", "north", with_timeout(2, 1_001));
     owner.update_runners(100, blocked(1, Some(900), &[]));
-    owner.request_lease(100, "f", "north", short(3, 900));
-    owner.request_lease(100, "f", "north", short(4, 901));
+    owner.request_lease(100, "f", "north", with_timeout(3, 900));
+    owner.request_lease(100, "f", "north", with_timeout(4, 901));
     let rejected: Vec<u64> = rejections(&mut owner).iter().map(|one| one.0).collect();
     assert_eq!(rejected, [1, 3]);
 }
@@ -152,7 +152,7 @@
     owner.release(100, "f", &release(1, LeaseOutcome::Rejected, 5));
     owner.request_lease(101, "f", "north", lease_request(3, 1));
     owner.tick(110);
-    assert_eq!(rejections(&mut owner), [], "the runner only rests");
+    assert_eq!(rejections(&mut owner), [], "the runner is only backed off");
     owner.tick(200);
     assert_eq!(leases(&mut owner), [(2, "a".to_string())]);
     owner.release(300, "f", &release(2, LeaseOutcome::Gone, 5));
--- a/crates/seat_leases/tests/tenant_shares.rs
+++ b/crates/seat_leases/tests/tenant_shares.rs
@@ -1,4 +1,4 @@
-//! Seats are shared by tenant: one that sends many times what others send waits behind its own requests.
+//! Seats are shared fairly between tenants: a tenant that sends many more requests than others waits behind its own.
 
 mod common;
 
@@ -8,14 +8,14 @@
 use seat_leases::LeaseOwner;
 use std::collections::BTreeMap;
 
-/// Most requests that wait for one function.
+/// Maximum number of waiting requests per function.
 const WAITING_MAX: u64 = 512;
-/// Milliseconds that a request waits, so that none is rejected for the expected wait.
-const PATIENT_MS: u32 = 600_000;
+/// Request timeout in milliseconds, long enough that no request is rejected because of its expected wait.
+const LONG_TIMEOUT_MS: u32 = 600_000;
 
 fn of_tenant(request_id: u64, tenant: &str) -> LeaseRequest {
     LeaseRequest {
-        timeout_ms: PATIENT_MS,
+        timeout_ms: LONG_TIMEOUT_MS,
         tenant: Some(RequestTenant {
             name: tenant.into(),
             priority: 0,
@@ -24,7 +24,7 @@
     }
 }
 
-fn ranked(request_id: u64, tenant_priority: u8, priority: u8) -> LeaseRequest {
+fn with_priorities(request_id: u64, tenant_priority: u8, priority: u8) -> LeaseRequest {
     LeaseRequest {
         tenant: Some(RequestTenant {
             name: format!("tenant-{tenant_priority}"),
@@ -34,7 +34,7 @@
     }
 }
 
-/// Owner of one seat, which is in use.
+/// An owner of one seat, which is in use.
 fn busy_owner() -> LeaseOwner {
     let mut owner = owner_with(&[runner("a", "north", 1)]);
     owner.request_lease(0, "f", "north", of_tenant(0, "first"));
@@ -42,7 +42,7 @@
     owner
 }
 
-/// Gives the seat back again and again: the requests that got it, in order.
+/// Releases the seat up to `most` times. Returns the requests that got it, in order.
 fn serve(owner: &mut LeaseOwner, first: u64, most: usize) -> Vec<u64> {
     let mut in_use = first;
     let mut served = Vec::new();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_tenant_that_begins_late_owes_and_is_owed_nothing() {
+fn a_tenant_that_starts_late_gets_an_equal_share_from_then_on() {
     let mut owner = busy_owner();
     for request_id in 1..=50 {
         owner.request_lease(0, "f", "north", of_tenant(request_id, "flood"));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn requests_that_are_cancelled_cost_their_tenant_no_turn() {
+fn cancelled_requests_do_not_cost_their_tenant_a_round() {
     let mut owner = busy_owner();
     for request_id in 1..=100 {
         owner.request_lease(0, "f", "north", of_tenant(request_id, "fickle"));
@@ -104,18 +104,18 @@
 }
 
 #[test]
-fn a_tenants_priority_goes_before_that_of_the_request() {
+fn a_tenants_priority_takes_precedence_over_that_of_the_request() {
     let mut owner = busy_owner();
-    let ranks = [(1, 1, 0), (2, 0, 2), (3, 0, 1), (4, 2, 0), (5, 1, 3)];
-    for (request_id, tenant_priority, priority) in ranks {
-        let request = ranked(request_id, tenant_priority, priority);
+    let priorities = [(1, 1, 0), (2, 0, 2), (3, 0, 1), (4, 2, 0), (5, 1, 3)];
+    for (request_id, tenant_priority, priority) in priorities {
+        let request = with_priorities(request_id, tenant_priority, priority);
         owner.request_lease(0, "f", "north", request);
     }
     assert_eq!(serve(&mut owner, 0, 5), [3, 2, 1, 5, 4]);
 }
 
 #[test]
-fn a_full_queue_gives_up_its_last_place_for_one_that_goes_before_it() {
+fn a_full_queue_displaces_its_last_request_for_one_that_precedes_it() {
     let mut owner = busy_owner();
     for request_id in 1..=WAITING_MAX {
         owner.request_lease(0, "f", "north", of_tenant(request_id, "flood"));
@@ -141,8 +141,8 @@
 }
 
 seeded! {
-    // While several tenants wait all the time, none of them gets more than one seat more than another.
-    fn tenants_that_wait_all_the_time_get_equal_shares(sizes: Vec<u8>, seats: u8) -> bool {
+    // Among tenants that always have waiting requests, none gets more than one seat more than another.
+    fn constantly_waiting_tenants_get_equal_shares(sizes: Vec<u8>, seats: u8) -> bool {
         let sizes: Vec<u64> = sizes.iter().take(6).map(|size| 20 + u64::from(*size % 60)).collect();
         let mut owner = busy_owner();
         for (tenant, size) in sizes.iter().enumerate() {
--- a/crates/seat_leases/tests/unit/broken_invariants.rs
+++ b/crates/seat_leases/tests/unit/broken_invariants.rs
@@ -1,4 +1,4 @@
-//! Each invariant of the seats is broken on purpose, and its check ends the test.
+//! Breaks each invariant of the seats on purpose and expects its check to panic.
 
 use crate::lease_holder::LeaseHolder;
 use crate::seat_runner::SeatRunner;
