--- a/crates/controller/src/clock.rs
+++ b/crates/controller/src/clock.rs
@@ -1,46 +1,46 @@
-//! Time since the start of the daemon, in whole milliseconds, and its regular ticks.
+//! Time since the start of the daemon in whole milliseconds, and its periodic ticks.
 
 use std::time::{Duration, Instant};
 
-/// Milliseconds between ticks, at which time-outs and retries are looked at.
+/// Milliseconds between ticks, at which timeouts and retries are checked.
 const TICK_INTERVAL_MS: u64 = 50;
 
-/// A monotonic clock that begins at zero.
+/// A monotonic clock that starts at zero.
 pub(crate) struct Clock {
     started_at: Instant,
-    ticked_at: u64,
+    last_tick_at: u64,
 }
 
 impl Clock {
-    /// Begins at zero, with the first tick one interval away.
+    /// Starts at zero; the first tick is due after one interval.
     pub fn start() -> Self {
         Self {
             started_at: Instant::now(),
-            ticked_at: 0,
+            last_tick_at: 0,
         }
     }
 
-    /// Milliseconds since the start, at this very moment.
+    /// Milliseconds since the start, read from the system clock.
     pub fn now(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Whether a tick is due; it counts as done from then on.
+    /// Returns whether a tick is due, and if so schedules the next one.
     pub fn take_tick(&mut self, now: u64) -> bool {
-        let is_due = now >= self.ticked_at + TICK_INTERVAL_MS;
+        let is_due = now >= self.last_tick_at + TICK_INTERVAL_MS;
         if is_due {
-            self.ticked_at = now;
+            self.last_tick_at = now;
         }
         is_due
     }
 
-    /// Time until the next tick, at least a millisecond.
+    /// Time until the next tick, at least one millisecond.
     pub fn until_tick(&self, now: u64) -> Duration {
-        let next = self.ticked_at + TICK_INTERVAL_MS;
+        let next = self.last_tick_at + TICK_INTERVAL_MS;
         Duration::from_millis(next.saturating_sub(now).max(1))
     }
 
-    /// Time between ticks.
+    /// The time between ticks.
     pub fn tick_interval() -> Duration {
         Duration::from_millis(TICK_INTERVAL_MS)
     }
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,6 +1,6 @@
-//! The wiring of a controller: hands events, completions and time to the parts that decide, and does what they ask for.
+//! The top level of a controller: dispatches events, completions and ticks to its parts, and executes the actions they return.
 
-mod figures;
+mod exported_metrics;
 mod gateway_messages;
 
 use crate::clock::Clock;
@@ -24,15 +24,15 @@
 use signals::{ReloadSignal, Signals};
 use std::time::Duration;
 
-/// Part of the grace period for which a stopping controller still answers, while its role is taken over.
-const SHUTDOWN_SHARE: u64 = 4;
+/// A stopping controller keeps serving for the grace period divided by this, while another one takes over its role.
+const SERVING_GRACE_DIVISOR: u64 = 4;
 
-/// All state of a controller, on one thread beside the disk's. Each part owns what its own doc says, and knows nothing of
-/// this type.
+/// All state of a controller that lives on its main thread; the disk has a thread of its own. Each part owns the state that its
+/// module documents, and does not depend on this type.
 struct Controller {
     options: ControllerOptions,
     clock: Clock,
-    /// Milliseconds since the start, taken anew with each turn of the loop.
+    /// Milliseconds since the start; updated at least once per loop iteration.
     now: u64,
     stops_at: Option<u64>,
     connections: ControllerConnections,
@@ -47,10 +47,10 @@
     scaler: Scaler,
 }
 
-/// Runs a controller until it is asked to stop.
+/// Runs a controller until it receives a stop signal.
 ///
 /// # Errors
-/// Where an address cannot be listened at, the data folder cannot be used, or the system refuses what every daemon needs.
+/// If an address cannot be bound, the data folder cannot be used, or the system denies a required resource.
 pub fn run(options: ControllerOptions, reload: ReloadSignal) -> Result<(), ControllerError> {
     let signals = Signals::register(reload).map_err(ControllerError::System)?;
     let grace_period = Duration::from_millis(options.grace_period_ms);
@@ -62,7 +62,7 @@
 }
 
 impl Controller {
-    /// The system ends a process only once its calls of the disk have returned, so that a disk that stalls keeps it.
+    /// Logs pending disk work: the system ends a process only after its disk calls have returned, so a stalled disk delays the exit.
     fn report_unfinished_disk_work(&self) {
         let bytes = self.disk.unfinished_bytes();
         if bytes > 0 {
@@ -80,7 +80,8 @@
         self.now
     }
 
-    /// What other controllers were promised and have granted is judged by the time that has passed; gateways alone are waited for anew.
+    /// Restarts the timeouts of gateways only. Promises and leases between controllers keep running through a pause: they are judged
+    /// by the time that has really passed.
     fn process_paused(&mut self, pause: ProcessPause) {
         self.gateways.process_paused(pause);
     }
@@ -88,7 +89,7 @@
     fn begin_shutdown(&mut self) -> Duration {
         log::info!("controller: shutting down");
         self.consensus.resign(self.now);
-        self.stops_at = Some(self.now + self.options.grace_period_ms / SHUTDOWN_SHARE);
+        self.stops_at = Some(self.now + self.options.grace_period_ms / SERVING_GRACE_DIVISOR);
         shutdown_deadline::within(self.options.grace_period_ms)
     }
 
@@ -96,7 +97,7 @@
         self.stops_at.is_some_and(|at| self.now >= at)
     }
 
-    /// Takes other controllers' addresses from settings that have changed.
+    /// Rereads the other controllers' addresses if the settings have changed.
     fn reload(&mut self) {
         let Some(seeds) = (self.options.reload_seeds)() else {
             return;
@@ -186,7 +187,7 @@
             .gateways
             .close_suspects(self.now, &mut self.connections);
         for name in suspects {
-            self.scaler.gateway_gone(&name);
+            self.scaler.on_gateway_unlinked(&name);
         }
         self.poll_scaler();
         self.bound_operator_memory();
@@ -198,8 +199,8 @@
         }
     }
 
-    /// Operators together may make this controller hold a part of its memory. Requests that have arrived completely are held by the
-    /// commands in progress, of which there are few.
+    /// Limits the memory that all operators' connections may hold together. Requests that have arrived completely are not counted:
+    /// they belong to the commands in progress, whose number is bounded.
     fn bound_operator_memory(&mut self) {
         let memory_bytes = self.options.memory_bytes;
         let closed = self
@@ -239,7 +240,7 @@
     fn handle_metrics_readable(&mut self, connection: ConnectionId) {
         let connections = &mut self.connections;
         if let Some(request) = self.metrics.take_request(connection, connections) {
-            let response = metrics::respond(&request, || self.figures());
+            let response = metrics::respond(&request, || self.exported_metrics());
             let connections = &mut self.connections;
             self.metrics
                 .respond(connection, connections, &response, request.keeps_alive);
@@ -297,7 +298,7 @@
         }
     }
 
-    /// Takes newer committed values, and notifies the gateways of them.
+    /// Applies newly committed values, and notifies the gateways.
     fn apply_committed_values(&mut self) {
         let Some(change) = self.configuration.update(&self.consensus) else {
             return;
@@ -310,7 +311,7 @@
         self.heartbeat_gateways();
     }
 
-    /// Sends a heartbeat at once where contact with a majority has begun or ended.
+    /// Sends a heartbeat immediately if contact with a majority has been gained or lost.
     fn publish_contact(&mut self) {
         self.update_clock();
         let is_current = self.consensus.is_current(self.now);
@@ -322,7 +323,7 @@
     fn heartbeat_gateways(&mut self) {
         let (gateways, mut context) = self.gateway_parts();
         for name in gateways.heartbeat(&mut context) {
-            self.scaler.gateway_gone(&name);
+            self.scaler.on_gateway_unlinked(&name);
         }
     }
 
@@ -340,7 +341,7 @@
         scaler.poll(&mut context);
     }
 
-    /// The scaler, with what it decides by and works with.
+    /// Borrows the scaler together with the configuration and the context that it needs.
     fn scaler_parts(&mut self) -> (&mut Scaler, &CommittedConfiguration, ScalerContext<'_>) {
         self.update_clock();
         let context = ScalerContext {
@@ -353,7 +354,7 @@
         (&mut self.scaler, &self.configuration, context)
     }
 
-    /// The operators' part, with what it works with.
+    /// Borrows the operator service together with its context.
     fn operator_parts(&mut self) -> (&mut OperatorService, OperatorContext<'_>) {
         let context = OperatorContext {
             now: self.now,
@@ -365,7 +366,7 @@
         (&mut self.operators, context)
     }
 
-    /// The gateways, with what they work with.
+    /// Borrows the gateway table together with its context.
     fn gateway_parts(&mut self) -> (&mut GatewayTable, GatewayContext<'_>) {
         let context = GatewayContext {
             status: ControllerStatus {
--- a/crates/controller/src/controller/figures.rs
+++ b/crates/controller/src/controller/exported_metrics.rs
@@ -1,13 +1,13 @@
-//! A controller's figures for operators.
+//! The values of a controller's metrics.
 
 use super::Controller;
 use metrics::Snapshot;
 
 impl Controller {
-    /// All figures at this moment.
-    pub(super) fn figures(&self) -> Snapshot {
+    /// All metrics with their current values.
+    pub(super) fn exported_metrics(&self) -> Snapshot {
         let mut snapshot = Snapshot::new();
-        self.add_version_figures(&mut snapshot);
+        self.add_version_metrics(&mut snapshot);
         let term = self.consensus.role_term(self.now).unwrap_or(0);
         snapshot.gauge(
             "scaler_term",
@@ -20,8 +20,8 @@
             "Whether it is in contact with a majority",
             u64::from(is_current),
         );
-        self.add_membership_figures(&mut snapshot);
-        self.add_platform_figures(&mut snapshot);
+        self.add_membership_metrics(&mut snapshot);
+        self.add_platform_metrics(&mut snapshot);
         let commands = self.operators.commands_in_progress() as u64;
         snapshot.gauge(
             "operator_commands",
@@ -39,7 +39,7 @@
         snapshot
     }
 
-    fn add_version_figures(&self, snapshot: &mut Snapshot) {
+    fn add_version_metrics(&self, snapshot: &mut Snapshot) {
         let versions = [
             ("configuration", self.configuration.version()),
             ("evacuations", self.configuration.evacuations_version()),
@@ -52,7 +52,7 @@
         );
     }
 
-    fn add_platform_figures(&self, snapshot: &mut Snapshot) {
+    fn add_platform_metrics(&self, snapshot: &mut Snapshot) {
         let lists = self.scaler.lists();
         snapshot.gauge(
             "runner_list_age_ms",
@@ -66,7 +66,7 @@
         );
     }
 
-    fn add_membership_figures(&self, snapshot: &mut Snapshot) {
+    fn add_membership_metrics(&self, snapshot: &mut Snapshot) {
         let set = self.consensus.voter_set();
         snapshot.gauge(
             "voter_set_epoch",
--- a/crates/controller/src/controller/gateway_messages.rs
+++ b/crates/controller/src/controller/gateway_messages.rs
@@ -1,4 +1,4 @@
-//! What gateways send: who they are, what they know and lack, reports about functions, and requests for job registers.
+//! Handles messages from gateways: registration, configuration requests, function reports and job register requests.
 
 use super::Controller;
 use crate::committed_configuration::KnownVersions;
@@ -25,7 +25,7 @@
     fn handle_gateway_message(&mut self, connection: ConnectionId, message: Message) {
         match message {
             Message::GatewayHello(member) => {
-                self.scaler.gateway_linked(self.now, &member.name);
+                self.scaler.on_gateway_linked(self.now, &member.name);
                 let (gateways, mut context) = self.gateway_parts();
                 gateways.register(connection, member, &mut context);
             }
@@ -42,7 +42,7 @@
                 context.reply(connection, &heartbeat);
             }
             message => {
-                if let Some(gateway) = self.gateways.note_heard(self.now, connection) {
+                if let Some(gateway) = self.gateways.record_activity(self.now, connection) {
                     self.handle_registered_gateway(&gateway, message);
                 }
             }
@@ -55,7 +55,7 @@
                 configuration_version,
                 evacuations_version,
             } => {
-                // A gateway hears that contact is over before it hears anything that may be old.
+                // A loss of contact is announced before any update that may be stale.
                 self.publish_contact();
                 let known = KnownVersions {
                     configuration: configuration_version,
@@ -89,7 +89,8 @@
         }
     }
 
-    /// What the published owners follow from: what gateways understand and have in force, and who is silent or about to stop.
+    /// Messages that affect the published ownership table: which messages a gateway supports, which version it has in force, and which
+    /// gateways are suspected or about to stop.
     fn handle_ownership_message(&mut self, gateway: &str, message: Message) {
         match message {
             Message::AcceptsMembershipChanges => {
@@ -115,7 +116,7 @@
 
     pub(super) fn remove_gateway(&mut self, connection: ConnectionId) {
         if let Some(name) = self.gateways.remove(connection) {
-            self.scaler.gateway_gone(&name);
+            self.scaler.on_gateway_unlinked(&name);
         }
     }
 }
--- a/crates/controller/src/daemon_loop.rs
+++ b/crates/controller/src/daemon_loop.rs
@@ -1,5 +1,5 @@
-//! The loop of a daemon on one thread: signals, then timers, then what arrives on connections. After a pause of the process what has arrived
-//! comes before timers, so that nobody is taken for silent who was not heard yet.
+//! The main loop of a daemon on one thread: each iteration handles signals, then timers, then I/O events. After a pause of the process,
+//! events that have already arrived are handled before timers, so that no peer is timed out whose messages have not been read yet.
 
 use crate::shutdown_deadline;
 use event_loop::Event;
@@ -10,42 +10,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the loop drives. Both daemons of this crate are run by it.
+/// A daemon that the loop drives: the controller or the redirector.
 pub(crate) trait Daemon {
-    /// Takes the time that holds until the next call of this.
+    /// Reads the clock; [`now`](Self::now) returns this time until the next call.
     fn update_clock(&mut self);
-    /// That time, in milliseconds.
+    /// The time of the last clock update, in milliseconds since the start.
     fn now(&self) -> u64;
-    /// The process stood still. What came meanwhile is not read yet.
+    /// The process was paused. Data that arrived during the pause has not been read yet.
     fn process_paused(&mut self, pause: ProcessPause);
-    /// The process was asked to stop. Called once. Returns after how long it is to end by force.
+    /// Begins the shutdown; called once. Returns the time after which the process is forced to exit.
     fn begin_shutdown(&mut self) -> Duration;
-    /// Whether the daemon is ready to end.
+    /// Whether the shutdown is complete.
     fn is_shut_down(&self) -> bool;
-    /// The settings are to be read anew.
+    /// Rereads the settings.
     fn reload(&mut self);
-    /// Does what is due by time and sends what is ready. Returns for how long the next wait may last.
+    /// Runs due timers and sends queued messages. Returns the timeout of the next poll.
     fn advance(&mut self) -> Duration;
-    /// Waits for events for at most that long.
+    /// Waits for events, up to the timeout.
     fn poll(&mut self, timeout: Duration, events: &mut Vec<Event>);
     /// Handles one event.
     fn handle_event(&mut self, event: Event);
-    /// All events of a turn were handled.
+    /// Called after all events of an iteration were handled.
     fn finish_turn(&mut self);
 }
 
-/// Polls after a pause before timers run. One takes up to 256 events of connections.
+/// Number of polls after a pause before timers run again. One poll returns up to 256 I/O events.
 const POLLS_BEFORE_TIMERS: u32 = 4;
 
-/// Pauses of the process, and how many polls come before the next timers.
+/// Detects pause_handler of the process and postpones timers after them.
 #[derive(Default)]
-pub(crate) struct Pauses {
+pub(crate) struct PauseHandler {
     detector: PauseDetector,
     polls_before_timers: u32,
 }
 
-impl Pauses {
-    /// Takes the time of a daemon's turn, and tells it of a pause before it.
+impl PauseHandler {
+    /// Updates the daemon's clock, and notifies the daemon if this reveals a pause.
     pub fn update_clock(&mut self, daemon: &mut impl Daemon) {
         daemon.update_clock();
         if let Some(pause) = self.detector.observe(daemon.now()) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Does what is due by time, unless events come first. Returns for how long the next wait may last.
+    /// Runs the daemon's timers, unless they are postponed. Returns the timeout of the next poll.
     pub fn advance(&mut self, daemon: &mut impl Daemon) -> Duration {
         if self.polls_before_timers > 0 {
             self.polls_before_timers -= 1;
@@ -66,14 +66,14 @@
     }
 }
 
-/// Runs a daemon until it has stopped after it was asked to.
+/// Runs a daemon until it has shut down after a stop signal.
 pub(crate) fn run_loop(daemon: &mut impl Daemon, signals: &Signals, turns: &TurnRecord) {
     let mut events = Vec::new();
     let mut is_stopping = false;
-    let mut pauses = Pauses::default();
+    let mut pause_handler = PauseHandler::default();
     loop {
         turns.begin_turn(0);
-        pauses.update_clock(daemon);
+        pause_handler.update_clock(daemon);
         if signals.stop_requested() && !is_stopping {
             is_stopping = true;
             let deadline = daemon.begin_shutdown();
@@ -89,10 +89,10 @@
             daemon.reload();
         }
         turns.begin_step("timers");
-        let timeout = pauses.advance(daemon);
+        let timeout = pause_handler.advance(daemon);
         turns.wait();
         daemon.poll(timeout, &mut events);
-        pauses.update_clock(daemon);
+        pause_handler.update_clock(daemon);
         for event in events.drain(..) {
             turns.begin_step("event");
             daemon.handle_event(event);
@@ -102,10 +102,10 @@
     }
 }
 
-/// Starts the watchdog of a daemon, which is done before anything that may take long.
+/// Starts the watchdog of a daemon. This comes first, since later steps of the start may block.
 ///
 /// # Errors
-/// Where the system gives no thread.
+/// If the thread cannot be spawned.
 pub(crate) fn start_watchdog(
     grace_period: Duration,
     signals: &Signals,
--- a/crates/controller/src/gateway_table.rs
+++ b/crates/controller/src/gateway_table.rs
@@ -107,7 +107,7 @@
     }
 
     /// Something arrived on a connection. Returns the name of the gateway at its other end, once that is known.
-    pub fn note_heard(&mut self, now: u64, connection: ConnectionId) -> Option<String> {
+    pub fn record_activity(&mut self, now: u64, connection: ConnectionId) -> Option<String> {
         let name = self.names.get(&connection)?;
         if let Some(gateway) = self.gateways.get_mut(name) {
             gateway.heard_at = now;
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,47 +1,47 @@
-//! The daemons of the control plane: a controller stores the configuration together with the other controllers, brings it to the
-//! gateways, and scales functions by requests to the platform; a redirector, on a machine without a disk, sends operators to
-//! controllers.
+//! The daemons of the control plane. A controller replicates the configuration with the other controllers, distributes it to the
+//! gateways, and scales functions by sending requests to the platform. A redirector runs on a machine without a disk and redirects
+//! operators to controllers.
 //!
 //! # Parts of a controller
 //!
-//! A controller runs on one thread, with one more for the disk. Each part owns the state named here and changes it through its
-//! methods alone. `controller` wires them: no part imports it, and none reaches into another's state.
+//! A controller runs on one thread, plus one for the disk. Each part owns the state listed here, which changes only through the
+//! part's methods. `controller` connects the parts: no part imports it, and none accesses another part's state.
 //!
 //! | module | owns | decides |
 //! |---|---|---|
-//! | `peer_links` | links to the other controllers, tries to reach them | when to connect again |
-//! | `gateway_table` | links of gateways, when each was heard, the schedule of heartbeats | which gateways are silent |
-//! | `operator_service` | operators' connections (`operator_inbox`), commands in progress (`operator_requests`) | whether a request is executed, redirected or answered at once (`operator_routing`), and when a command's time is over |
-//! | `job_registers` | gateways' reads and writes of job registers in progress | how many run at once, when old jobs are forgotten |
-//! | `committed_configuration` | the newest committed configuration, its recent changes, the evacuated zones | what a gateway lacks |
-//! | `scaler` | the autoscaler of the role's term, incarnations of gateways that report | what follows on reports, on answers of the platform, and on a new term |
-//! | `ownership_publisher` | the published owners of functions, and who does not know them | when they change |
-//! | `platform_client` | requests to the platform in flight and waiting, idle connections | which connection carries which request |
-//! | `platform_lists` | pages of the list of runners, when lists were last asked for | when to ask again |
-//! | `metrics_service` | connections for figures | what is answered there |
-//! | `disk_thread` | the voter's disk, on a thread of its own | what is synced together |
-//! | `connections` | the event loop, and the kind of each connection | whose events are handled |
-//! | `shutdown_deadline` | the end by force of a process that was asked to stop | when it is due |
-//! | `clock`, `daemon_loop` | time and ticks | the order of a turn |
+//! | `peer_links` | links to the other controllers, connection attempts | when to reconnect |
+//! | `gateway_table` | links to gateways, when each was last seen, the heartbeat schedule | which gateways have timed out |
+//! | `operator_service` | operators' connections (`operator_inbox`), commands in progress (`operator_requests`) | whether a request is executed, redirected or answered at once (`operator_routing`), and when a command times out |
+//! | `job_registers` | gateways' reads and writes of job registers in progress | how many run concurrently, when old jobs expire |
+//! | `committed_configuration` | the newest committed configuration, its recent changes, the evacuated zones | which updates a gateway needs |
+//! | `scaler` | the autoscaler of the current term, incarnations of reporting gateways | how to handle gateways' reports, platform responses and a new term |
+//! | `ownership_publisher` | the published ownership table, and which gateways still lack it | when it changes |
+//! | `platform_client` | queued and in-flight requests to the platform, idle connections | which connection carries which request |
+//! | `platform_lists` | pages of the runner list, when each list was last requested | when to request them again |
+//! | `metrics_service` | connections to the metrics endpoint | when such a connection is closed |
+//! | `disk_thread` | the voter's disk, on a thread of its own | which writes share one sync |
+//! | `connections` | the event loop, and the kind of each connection | which connections' events are handled |
+//! | `shutdown_deadline` | the forced exit of a process that does not stop in time | when it happens |
+//! | `clock`, `daemon_loop` | time and ticks | the order of the steps of a loop iteration |
 //!
-//! Who votes, what is committed and which controller has the scaler's role is decided by the crate `consensus`; what is done
-//! about a command by `operator_commands`; which runners are started and stopped by `autoscaler`.
+//! The crate `consensus` decides who votes, what is committed and which controller holds the scaler role; `operator_commands`
+//! decides the outcome of a command, and `autoscaler` which runners are started and stopped.
 //!
-//! # The way of a configuration change
+//! # How a configuration change propagates
 //!
-//! 1. `operator_inbox` reads the request off its connection; `operator_routing` finds the command in it. A controller that
-//!    is not in contact with a majority redirects the operator to one that is.
-//! 2. `operator_requests` begins a `CommandExecution`, and the consensus reads the register at a majority.
-//! 3. The execution decides by what was read: it answers, or has the register written where it still has that version.
+//! 1. `operator_inbox` reads the request from its connection; `operator_routing` parses its command. A controller that is not in
+//!    contact with a majority redirects the operator to one that is.
+//! 2. `operator_requests` begins a `CommandExecution`, and the consensus reads the register from a majority.
+//! 3. The execution evaluates what was read: it either replies, or requests a write conditional on the version that was read.
 //! 4. The consensus reports that the value is committed; `operator_service` acknowledges the command.
 //! 5. `committed_configuration` takes the committed value, here and at every other controller that learns of it.
-//! 6. The scaler applies it, and `gateway_table` sends a heartbeat with the new version to all gateways at once.
-//! 7. Each gateway asks for what it lacks, and gets the changes, or the complete configuration where it is too far behind.
+//! 6. The scaler applies it, and `gateway_table` sends a heartbeat with the new version to all gateways immediately.
+//! 7. Each gateway requests what it lacks, and receives either the changes or, if it is too far behind, the complete configuration.
 //!
 //! # The redirector
 //!
 //! It shares `operator_inbox`, `operator_response`, `connections`, `clock` and `daemon_loop` with the controller.
-//! `member_directory` knows which controllers are alive and in contact with a majority.
+//! `member_directory` tracks which controllers are alive and in contact with a majority.
 
 mod clock;
 mod codec;
--- a/crates/controller/src/scaler.rs
+++ b/crates/controller/src/scaler.rs
@@ -166,12 +166,12 @@
     }
 
     /// A gateway came that does not know the membership.
-    pub fn gateway_linked(&mut self, now: u64, name: &str) {
+    pub fn on_gateway_linked(&mut self, now: u64, name: &str) {
         self.ownership.add_receiver(now, name);
     }
 
     /// A gateway's link has ended.
-    pub fn gateway_gone(&mut self, name: &str) {
+    pub fn on_gateway_unlinked(&mut self, name: &str) {
         self.ownership.remove_receiver(name);
         if let Some(autoscaler) = self.autoscaler.as_mut() {
             autoscaler.remove_owner(name);
--- a/crates/controller/tests/unit/process_pauses.rs
+++ b/crates/controller/tests/unit/process_pauses.rs
@@ -1,14 +1,14 @@
-//! After a pause of its process a daemon handles what has arrived before it does what is due by time: who has answered meanwhile must not be
-//! taken for silent.
+//! After a pause of the process, a daemon handles pending events before it runs timers. Otherwise it would time out peers whose messages
+//! arrived during the pause but have not been read yet.
 
-use crate::daemon_loop::{Daemon, Pauses};
+use crate::daemon_loop::{Daemon, PauseHandler};
 use event_loop::Event;
 use process_pause::ProcessPause;
 use std::time::Duration;
 
-const WAIT: Duration = Duration::from_millis(50);
+const POLL_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A daemon with the test's clock, which notes its pauses and how often it did what is due.
+/// A daemon with a simulated clock, which records its pauses and counts the calls of `advance`.
 #[derive(Default)]
 struct TestDaemon {
     now: u64,
@@ -39,7 +39,7 @@
 
     fn advance(&mut self) -> Duration {
         self.advances += 1;
-        WAIT
+        POLL_TIMEOUT
     }
 
     fn poll(&mut self, _: Duration, _: &mut Vec<Event>) {}
@@ -49,31 +49,37 @@
     fn finish_turn(&mut self) {}
 }
 
-/// One turn up to its wait at a time. Returns for how long it may wait.
-fn turn(pauses: &mut Pauses, daemon: &mut TestDaemon, now: u64) -> Duration {
+/// Runs one loop iteration up to its poll, at a given time. Returns the timeout of the poll.
+fn iterate(pause_handler: &mut PauseHandler, daemon: &mut TestDaemon, now: u64) -> Duration {
     daemon.now = now;
-    pauses.update_clock(daemon);
-    pauses.advance(daemon)
+    pause_handler.update_clock(daemon);
+    pause_handler.advance(daemon)
 }
 
 #[test]
-fn what_is_due_waits_until_events_of_a_pause_were_handled() {
-    let (mut pauses, mut daemon) = (Pauses::default(), TestDaemon::default());
-    assert_eq!(turn(&mut pauses, &mut daemon, 1_000), WAIT);
-    // The process stands still in its wait.
-    assert_eq!(turn(&mut pauses, &mut daemon, 2_300), Duration::ZERO);
+fn timers_are_postponed_until_events_of_a_pause_are_handled() {
+    let (mut pause_handler, mut daemon) = (PauseHandler::default(), TestDaemon::default());
+    assert_eq!(
+        iterate(&mut pause_handler, &mut daemon, 1_000),
+        POLL_TIMEOUT
+    );
+    // The process is paused while it polls.
+    assert_eq!(
+        iterate(&mut pause_handler, &mut daemon, 2_300),
+        Duration::ZERO
+    );
     assert_eq!(daemon.pauses, [1_300]);
     assert_eq!(daemon.advances, 1);
-    let waits = (2_301..2_306).map(|now| turn(&mut pauses, &mut daemon, now));
-    assert_eq!(waits.last(), Some(WAIT));
+    let timeouts = (2_301..2_306).map(|now| iterate(&mut pause_handler, &mut daemon, now));
+    assert_eq!(timeouts.last(), Some(POLL_TIMEOUT));
     assert_eq!(daemon.pauses, [1_300]);
 }
 
 #[test]
-fn a_loop_that_turns_does_what_is_due_in_each_turn() {
-    let (mut pauses, mut daemon) = (Pauses::default(), TestDaemon::default());
+fn without_a_pause_timers_run_in_each_iteration() {
+    let (mut pause_handler, mut daemon) = (PauseHandler::default(), TestDaemon::default());
     for now in (0..2_000).step_by(50) {
-        assert_eq!(turn(&mut pauses, &mut daemon, now), WAIT);
+        assert_eq!(iterate(&mut pause_handler, &mut daemon, now), POLL_TIMEOUT);
     }
     assert!(daemon.pauses.is_empty());
     assert_eq!(daemon.advances, 40);
