--- a/crates/controller/src/codec.rs
+++ b/crates/controller/src/codec.rs
@@ -1,4 +1,4 @@
-//! Ports to the forms in which operators and the platform speak. The daemon's crate implements them.
+//! Interfaces to the formats of the operators' API and the platform's API. The daemon's crate implements them.
 
 use autoscaler::{RunnerListing, StartError, StartedRunner, WorkerListing};
 use http1::Headers;
@@ -9,20 +9,20 @@
 /// A request to the platform's API.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlatformRequest {
-    /// Method.
+    /// HTTP method.
     pub method: &'static str,
     /// Path and query.
     pub target: String,
-    /// Header fields beside those that HTTP needs.
+    /// Header fields in addition to those that HTTP requires.
     pub headers: Vec<(&'static str, String)>,
-    /// Body, empty where there is none.
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
 }
 
-/// What came of a start: the runner's id and address, or why there is none.
+/// The result of a start: the started runner, or why there is none.
 pub type StartResult = Result<StartedRunner, StartError>;
 
-/// Names the writer of a start or stop, so that the platform rejects one whose term is over.
+/// Identifies the sender of a start or stop, so that the platform can reject requests of a superseded term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FencingToken<'a> {
     /// Name of the controller that holds the role lease.
@@ -31,16 +31,16 @@
     pub term: u64,
 }
 
-/// Why an operator's request names no command.
+/// Why an operator's request contains no command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandParseError {
-    /// The target is none of the operators' API.
+    /// The target does not exist in the operators' API.
     UnknownTarget,
-    /// The target is known, and the request is answered with this status.
+    /// The target exists, but the request is rejected with this HTTP status.
     Rejected(u16),
 }
 
-/// Why an answer of the platform cannot be read.
+/// Why a response of the platform cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnreadableResponse(pub String);
 
@@ -52,38 +52,38 @@
 
 impl std::error::Error for UnreadableResponse {}
 
-/// One page of the platform's list of runners.
+/// One page of the platform's runner list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerPage {
     /// The runners of this page.
     pub runners: Vec<RunnerListing>,
-    /// Names the page that follows; none on the last one.
+    /// Token of the next page; none on the last page.
     pub next: Option<String>,
 }
 
-/// The forms of the operators' API. It translates and decides nothing.
+/// The format of the operators' API. An implementation translates only, and makes no decisions.
 pub trait OperatorCodec {
-    /// Reader of the operators' documents.
+    /// Parser of the configuration documents.
     fn configuration_format(&self) -> &dyn ConfigurationFormat;
-    /// The operator's version that a document bears.
+    /// The version that the operator gave a document.
     fn document_version(&self, document: &[u8]) -> Option<u64>;
-    /// What a request asks for, by its method and target.
+    /// Parses the kind of command that a request's method and target denote.
     fn parse_command(&self, method: &str, target: &str) -> Result<CommandKind, CommandParseError>;
-    /// The version on which a change builds.
+    /// The version on which a change is based, according to the request's headers.
     fn base_version(&self, headers: &Headers) -> BaseVersion;
 }
 
-/// The forms of the platform's API. It translates and decides nothing.
+/// The format of the platform's API. An implementation translates only, and makes no decisions.
 pub trait PlatformCodec {
-    /// Asks for a page of the list of runners; the first one where none is named.
+    /// Builds a request for a page of the runner list; the first page if no token is given.
     fn list_runners(&self, page: Option<&str>) -> PlatformRequest;
-    /// Reads such a page.
+    /// Parses a page of the runner list.
     fn read_runners(&self, body: &[u8]) -> Result<RunnerPage, UnreadableResponse>;
-    /// Asks for the list of workers.
+    /// Builds a request for the worker list.
     fn list_workers(&self) -> PlatformRequest;
-    /// Reads that list.
+    /// Parses the worker list.
     fn read_workers(&self, body: &[u8]) -> Result<Vec<WorkerListing>, UnreadableResponse>;
-    /// Asks for a start. A start that is sent again with the same nonce starts nothing more.
+    /// Builds a request to start a runner. It is idempotent: repeating it with the same nonce starts no second runner.
     fn start(
         &self,
         function: &str,
@@ -91,10 +91,10 @@
         nonce: &str,
         fence: FencingToken<'_>,
     ) -> PlatformRequest;
-    /// Reads the answer to a start.
+    /// Parses the response to a start.
     fn read_start(&self, status: u16, body: &[u8]) -> StartResult;
-    /// Asks for a stop of the runner with this id.
+    /// Builds a request to stop the runner with this id.
     fn stop(&self, id: &str, fence: FencingToken<'_>) -> PlatformRequest;
-    /// Whether the answer to a stop says that it is done.
+    /// Whether this status of a response to a stop confirms that the runner is stopped.
     fn is_stopped(&self, status: u16) -> bool;
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -36,7 +36,7 @@
 //! 4. The consensus reports that the value is committed; `operator_service` acknowledges the command.
 //! 5. `committed_configuration` takes the committed value, here and at every other controller that learns of it.
 //! 6. The scaler applies it, and `gateway_table` sends a heartbeat with the new version to all gateways immediately.
-//! 7. Each gateway requests what it lacks, and receives either the changes or, if it is too far behind, the complete configuration.
+//! 7. Each gateway requests what it lacks, and receives the changes or, if it is too far behind, the complete configuration.
 //!
 //! # The redirector
 //!
--- a/crates/controller/src/platform_client.rs
+++ b/crates/controller/src/platform_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the platform's API: some in flight, each on a connection of its own, the others waiting.
+//! Client of the platform's API. Each request in flight has a connection of its own; further requests are queued.
 
 use crate::codec::PlatformRequest;
 use crate::controller_connections::{
@@ -9,39 +9,39 @@
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Most connections to the platform. One carries a call at a time, so that with the platform 40 ms away eight of them would
-/// carry 80 starts a second, whatever rate the platform takes.
+/// Maximum number of connections to the platform. Each carries one request at a time: with a latency of 40 ms to the platform,
+/// eight connections would limit starts to 80 per second, whatever rate the platform accepts.
 const CONNECTIONS_MAX: usize = 64;
-/// Most requests that wait for a connection.
-const WAITING_MAX: usize = 4_096;
-/// Largest answer of the platform: a page of its list of runners.
+/// Maximum number of requests queued for a connection.
+const QUEUE_MAX: usize = 4_096;
+/// Limits of a platform response; the largest one is a page of the runner list.
 const RESPONSE_LIMITS: MessageLimits = MessageLimits {
     header_bytes: 64 << 10,
     body_bytes: PLATFORM_INBOX_MAX,
 };
 
-/// What a request to the platform is for.
+/// The purpose of a request to the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum RequestPurpose {
-    /// The list of workers.
+    /// Fetches the worker list.
     ListWorkers,
-    /// A page of the list of runners.
+    /// Fetches a page of the runner list.
     ListRunners,
-    /// The start with this nonce.
+    /// Starts a runner, with this nonce.
     Start(String),
-    /// The stop of the runner with this id.
+    /// Stops the runner with this id.
     Stop(String),
 }
 
-/// How a request to the platform ended.
+/// The outcome of a request to the platform.
 pub(crate) enum PlatformOutcome {
-    /// It was answered.
+    /// A response was received.
     Answered(RequestPurpose, Box<Response>),
-    /// It was not answered. It may have been carried out all the same.
+    /// No response was received. The request may have been executed nevertheless.
     Failed(RequestPurpose),
 }
 
-struct WaitingRequest {
+struct QueuedRequest {
     request: PlatformRequest,
     purpose: RequestPurpose,
 }
@@ -49,74 +49,74 @@
 struct InFlightRequest {
     purpose: RequestPurpose,
     reader: ResponseReader,
-    ends_at: u64,
+    deadline: u64,
 }
 
-/// Requests to the platform and the connections that carry them.
+/// Requests to the platform, and the connections that carry them.
 #[derive(Default)]
 pub(crate) struct PlatformClient {
-    waiting: VecDeque<WaitingRequest>,
+    queued: VecDeque<QueuedRequest>,
     in_flight: HashMap<ConnectionId, InFlightRequest>,
     idle: Vec<ConnectionId>,
 }
 
-/// Where the platform is, and for how long a request may take.
+/// The platform's address and the timeout of requests to it.
 #[derive(Clone, Copy)]
 pub(crate) struct PlatformEndpoint {
-    /// Address of its API; without one every request fails.
+    /// Address of the platform's API; without one, every request fails.
     pub address: Option<SocketAddr>,
-    /// Milliseconds that a request may take.
+    /// Timeout of a request in milliseconds.
     pub timeout_ms: u64,
 }
 
 impl PlatformClient {
-    /// Lets a request wait for a connection. Gives its purpose back where too many wait.
+    /// Queues a request until a connection is available. Returns its purpose as the error if the queue is full.
     pub fn enqueue(
         &mut self,
         request: PlatformRequest,
         purpose: RequestPurpose,
     ) -> Result<(), RequestPurpose> {
-        if self.waiting.len() >= WAITING_MAX {
+        if self.queued.len() >= QUEUE_MAX {
             return Err(purpose);
         }
-        self.waiting.push_back(WaitingRequest { request, purpose });
+        self.queued.push_back(QueuedRequest { request, purpose });
         Ok(())
     }
 
-    /// Sends waiting requests while there are connections for them. Returns those that failed at once.
-    pub fn send_waiting(
+    /// Sends queued requests while connections are available. Returns those that failed immediately.
+    pub fn send_queued(
         &mut self,
         now: u64,
         endpoint: PlatformEndpoint,
         connections: &mut ControllerConnections,
     ) -> Vec<RequestPurpose> {
         let mut failed = Vec::new();
-        while let Some(waiting) = self.waiting.pop_front() {
+        while let Some(queued) = self.queued.pop_front() {
             let Some(address) = endpoint.address else {
-                failed.push(waiting.purpose);
+                failed.push(queued.purpose);
                 continue;
             };
-            if self.drop_ended_idle(connections) && self.in_flight.len() >= CONNECTIONS_MAX {
-                self.waiting.push_front(waiting);
+            if self.drop_closed_idle(connections) && self.in_flight.len() >= CONNECTIONS_MAX {
+                self.queued.push_front(queued);
                 return failed;
             }
-            let Some(connection) = self.connection(address, connections) else {
-                failed.push(waiting.purpose);
+            let Some(connection) = self.take_connection(address, connections) else {
+                failed.push(queued.purpose);
                 continue;
             };
-            connections.send(connection, &encode(&waiting.request, address));
+            connections.send(connection, &encode(&queued.request, address));
             let in_flight = InFlightRequest {
-                purpose: waiting.purpose,
+                purpose: queued.purpose,
                 reader: ResponseReader::new(false),
-                ends_at: now + endpoint.timeout_ms,
+                deadline: now + endpoint.timeout_ms,
             };
             self.in_flight.insert(connection, in_flight);
         }
         failed
     }
 
-    /// Drops idle connections that the platform has ended. Returns whether no idle one is left.
-    fn drop_ended_idle(&mut self, connections: &ControllerConnections) -> bool {
+    /// Drops closed connections from the end of the idle list until an open one is found. Returns whether none is left.
+    fn drop_closed_idle(&mut self, connections: &ControllerConnections) -> bool {
         while let Some(connection) = self.idle.last() {
             if connections.is_open(*connection) {
                 return false;
@@ -126,8 +126,8 @@
         true
     }
 
-    /// An idle connection, or a new one.
-    fn connection(
+    /// Takes an idle connection, or opens a new one.
+    fn take_connection(
         &mut self,
         address: SocketAddr,
         connections: &mut ControllerConnections,
@@ -136,8 +136,8 @@
         idle.or_else(|| connections.connect(address, ControllerConnection::Platform))
     }
 
-    /// Closes the connections whose requests took too long, and sends others in their place. Returns the requests that
-    /// failed, in the order in which they did.
+    /// Resets the connections of requests that have timed out, and sends queued requests in their place. Returns the requests
+    /// that failed, in the order of their failure.
     pub fn expire(
         &mut self,
         now: u64,
@@ -145,36 +145,37 @@
         connections: &mut ControllerConnections,
     ) -> Vec<RequestPurpose> {
         let in_flight = self.in_flight.iter();
-        let late = in_flight.filter(|(_, request)| request.ends_at <= now);
-        let late: Vec<ConnectionId> = late.map(|(connection, _)| *connection).collect();
+        let timed_out = in_flight.filter(|(_, request)| request.deadline <= now);
+        let timed_out: Vec<ConnectionId> = timed_out.map(|(connection, _)| *connection).collect();
         let mut failed = Vec::new();
-        for connection in late {
-            // A call that a cut holds up would arrive after its end, perhaps under a term that is over by then.
+        for connection in timed_out {
+            // After a network partition, a request that was only closed would still reach the platform, perhaps after its term
+            // ended.
             connections.reset(connection);
             if let Some(purpose) = self.remove(connection) {
                 failed.push(purpose);
-                failed.extend(self.send_waiting(now, endpoint, connections));
+                failed.extend(self.send_queued(now, endpoint, connections));
             }
         }
-        failed.extend(self.send_waiting(now, endpoint, connections));
+        failed.extend(self.send_queued(now, endpoint, connections));
         failed
     }
 
-    /// A connection has ended. Returns the request that it carried, which has failed.
+    /// Removes a connection that has ended. Returns the request that it carried, which has failed.
     pub fn remove(&mut self, connection: ConnectionId) -> Option<RequestPurpose> {
         self.idle.retain(|idle| *idle != connection);
         let request = self.in_flight.remove(&connection)?;
         Some(request.purpose)
     }
 
-    /// Reads what arrived on a connection. None while the answer is not complete.
+    /// Reads received data from a connection. None while the response is incomplete.
     pub fn receive(
         &mut self,
         connection: ConnectionId,
         connections: &mut ControllerConnections,
     ) -> Option<PlatformOutcome> {
         let Some(request) = self.in_flight.get_mut(&connection) else {
-            // Nothing was asked on it: what arrives is no answer.
+            // No request is in flight on it, so this data is not a response.
             self.idle.retain(|idle| *idle != connection);
             connections.close(connection);
             return None;
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Forgets all requests and closes all connections.
+    /// Discards all requests, and closes all connections.
     pub fn reset(&mut self, connections: &mut ControllerConnections) {
         let client = std::mem::take(self);
         for connection in client.in_flight.into_keys() {
@@ -227,8 +228,8 @@
     if !request.body.is_empty() {
         headers.push(("Content-Type", b"application/json"));
     }
-    let own = request.headers.iter();
-    headers.extend(own.map(|(name, value)| (*name, value.as_bytes())));
+    let extra = request.headers.iter();
+    headers.extend(extra.map(|(name, value)| (*name, value.as_bytes())));
     let mut out = Vec::new();
     write_request(
         &mut out,
--- a/crates/controller/src/scaler.rs
+++ b/crates/controller/src/scaler.rs
@@ -1,5 +1,5 @@
-//! The role of the scaler, which the holder of the role lease has: it feeds the autoscaler, carries out its commands at the
-//! platform, and publishes its updates to the gateways that own functions.
+//! The scaler role, which the holder of the role lease performs: it feeds reports and lists to the autoscaler, sends the
+//! autoscaler's commands to the platform, and publishes its updates to the gateways that own functions.
 
 mod platform_calls;
 
@@ -17,36 +17,37 @@
 use protocol::{FunctionReport, FunctionUpdate, Message, UpdateVersion};
 use std::collections::BTreeMap;
 
-/// Part of a heartbeat's interval without a new link after which the first membership waits for no more gateways.
+/// The first ownership table of a term is built once no gateway has linked for the heartbeat interval divided by this.
 const SETTLED_DIVISOR: u64 = 4;
 
-/// All that this controller knows as scaler. The next holder of the role learns it anew.
+/// The state of the scaler role. It is not replicated: the next holder of the role rebuilds it.
 #[derive(Default)]
 pub(crate) struct Scaler {
     term: u64,
-    began_at: u64,
-    /// None while another controller scales.
+    term_started_at: u64,
+    /// None while this controller does not hold the role.
     autoscaler: Option<Autoscaler>,
     ownership: OwnershipPublisher,
-    /// Revision of the gateways of which the published table is made; none where some are yet to be waited for.
+    /// Revision of the gateway table from which the published table was built; none while some gateways are still being
+    /// awaited.
     published_revision: Option<u64>,
-    /// Incarnation of each gateway that has reported under any term.
+    /// Incarnation of each gateway that has reported, kept across terms.
     incarnations: BTreeMap<String, u64>,
     platform: PlatformClient,
     lists: PlatformLists,
 }
 
-/// The other parts of the controller that the scaler works with.
+/// The other parts of the controller that the scaler uses.
 pub(crate) struct ScalerContext<'a> {
-    /// Milliseconds since the start, at this very moment.
+    /// Milliseconds since the start, read immediately before the call.
     pub now: u64,
-    /// Term under which this controller has the role at this moment; none where another one may have it.
+    /// Term under which this controller holds the role now; none if another controller may hold it.
     pub term: Option<u64>,
     /// Settings.
     pub options: &'a ControllerOptions,
-    /// Connections, for those to the platform.
+    /// Connections, for requests to the platform.
     pub connections: &'a mut ControllerConnections,
-    /// Gateways, which are notified.
+    /// Gateways, which are sent updates.
     pub gateways: &'a mut GatewayTable,
 }
 
@@ -60,7 +61,7 @@
 }
 
 impl Scaler {
-    /// Another controller may scale: everything is dropped.
+    /// Ends the term, since another controller may hold the role: drops all state.
     pub fn end_term(&mut self, context: &mut ScalerContext<'_>) {
         if self.autoscaler.is_some() {
             log::info!("scaler: role lost term={}", self.term);
@@ -68,9 +69,9 @@
         }
     }
 
-    /// Whether this controller still scales under its term. Where it does not everything is dropped: what has arrived while the
-    /// process stood still is handled before the next tick, and must command nothing.
-    fn keeps_role(&mut self, context: &mut ScalerContext<'_>) -> bool {
+    /// Whether this controller still holds the role under its term; if not, drops all state. After a pause of the process,
+    /// events are handled before the next tick, and must not cause commands under a term that has ended.
+    fn check_role(&mut self, context: &mut ScalerContext<'_>) -> bool {
         let is_held = context.term == Some(self.term);
         if !is_held {
             self.end_term(context);
@@ -80,12 +81,11 @@
 
     fn reset(&mut self, context: &mut ScalerContext<'_>) {
         self.autoscaler = None;
-        self.lists.drop_runners();
+        self.lists.discard_runners();
         self.platform.reset(context.connections);
     }
 
-    /// This controller holds the role lease under a term. Begins anew where the term is another one than before, and returns
-    /// whether it did.
+    /// Starts a term under which this controller holds the role lease, unless it has started already. Returns whether it did.
     pub fn begin_term(
         &mut self,
         term: u64,
@@ -107,7 +107,7 @@
             term,
         };
         self.term = term;
-        self.began_at = context.now;
+        self.term_started_at = context.now;
         self.autoscaler = Some(Autoscaler::new(options, context.now));
         self.ownership.begin_term(term);
         self.published_revision = None;
@@ -117,7 +117,7 @@
         true
     }
 
-    /// The configuration is another one than before.
+    /// Applies a changed configuration.
     pub fn apply_configuration(
         &mut self,
         configuration: &CommittedConfiguration,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The evacuated zones may be others than before.
+    /// Applies the evacuated zones, which may have changed.
     pub fn apply_evacuations(
         &mut self,
         configuration: &CommittedConfiguration,
@@ -144,12 +144,12 @@
             let zones = configuration.evacuated_zones().iter().cloned().collect();
             autoscaler.set_evacuated_zones(context.now, &zones);
         }
-        self.carry_out(context);
+        self.execute_autoscaler_actions(context);
     }
 
-    /// Does what is due by time.
+    /// Runs the periodic work.
     pub fn poll(&mut self, context: &mut ScalerContext<'_>) {
-        if !self.keeps_role(context) {
+        if !self.check_role(context) {
             return;
         }
         self.publish_ownership(context);
@@ -157,20 +157,20 @@
         if let Some(autoscaler) = self.autoscaler.as_mut() {
             autoscaler.tick(context.now);
         }
-        self.carry_out(context);
+        self.execute_autoscaler_actions(context);
         let endpoint = context.endpoint();
         let failed = self
             .platform
             .expire(context.now, endpoint, context.connections);
-        self.fail_all(failed, context.now);
+        self.handle_failures(failed, context.now);
     }
 
-    /// A gateway came that does not know the membership.
+    /// Handles a gateway that linked and has no ownership table.
     pub fn on_gateway_linked(&mut self, now: u64, name: &str) {
         self.ownership.add_receiver(now, name);
     }
 
-    /// A gateway's link has ended.
+    /// Handles the end of a gateway's link.
     pub fn on_gateway_unlinked(&mut self, name: &str) {
         self.ownership.remove_receiver(name);
         if let Some(autoscaler) = self.autoscaler.as_mut() {
@@ -192,7 +192,7 @@
             .ownership
             .is_settled(context.now, heartbeat_ms / SETTLED_DIVISOR)
             && declared.len() == context.gateways.len();
-        let is_early = context.now < self.began_at + heartbeat_ms && !is_settled;
+        let is_early = context.now < self.term_started_at + heartbeat_ms && !is_settled;
         self.ownership.update(&declared, is_early);
         let is_complete = !is_early && declared.len() == context.gateways.len();
         self.published_revision = is_complete.then_some(revision);
@@ -205,23 +205,23 @@
         }
     }
 
-    /// The owner of functions reports about them.
+    /// Handles the reports of a gateway on functions that it owns.
     pub fn handle_reports(
         &mut self,
         owner: &str,
         reports: &[FunctionReport],
         context: &mut ScalerContext<'_>,
     ) {
-        if !self.keeps_role(context) {
+        if !self.check_role(context) {
             return;
         }
         let incarnation = context.gateways.incarnation(owner).unwrap_or(0);
         let Some(autoscaler) = self.autoscaler.as_mut() else {
             return;
         };
-        // Counters begin anew with each incarnation of an owner.
-        let known = self.incarnations.insert(owner.into(), incarnation);
-        if known.is_some_and(|known| known != incarnation) {
+        // An owner's counters restart with each incarnation.
+        let previous = self.incarnations.insert(owner.into(), incarnation);
+        if previous.is_some_and(|previous| previous != incarnation) {
             autoscaler.remove_owner(owner);
         }
         for report in reports {
@@ -233,45 +233,45 @@
                 context.gateways.queue(owner, &message);
             }
         }
-        self.carry_out(context);
+        self.execute_autoscaler_actions(context);
     }
 
-    /// Something arrived on a connection to the platform.
+    /// Handles received data on a connection to the platform.
     pub fn handle_readable(&mut self, connection: ConnectionId, context: &mut ScalerContext<'_>) {
-        if !self.keeps_role(context) {
+        if !self.check_role(context) {
             return;
         }
         match self.platform.receive(connection, context.connections) {
             None => {}
             Some(PlatformOutcome::Failed(purpose)) => {
-                self.fail(purpose, context.now);
-                self.send_waiting(context);
+                self.handle_failure(purpose, context.now);
+                self.send_queued(context);
             }
             Some(PlatformOutcome::Answered(purpose, response)) => {
                 self.handle_response(purpose, &response, context);
-                self.carry_out(context);
-                self.send_waiting(context);
+                self.execute_autoscaler_actions(context);
+                self.send_queued(context);
             }
         }
     }
 
-    /// A connection to the platform has ended.
+    /// Handles the end of a connection to the platform.
     pub fn handle_closed(&mut self, connection: ConnectionId, context: &mut ScalerContext<'_>) {
-        if !self.keeps_role(context) {
+        if !self.check_role(context) {
             return;
         }
         if let Some(purpose) = self.platform.remove(connection) {
-            self.fail(purpose, context.now);
-            self.send_waiting(context);
+            self.handle_failure(purpose, context.now);
+            self.send_queued(context);
         }
     }
 
-    /// When the platform's lists came.
+    /// The schedule and age of the platform's lists.
     pub fn lists(&self) -> &PlatformLists {
         &self.lists
     }
 
-    /// What the autoscaler thinks of each function that has runners or waiting requests.
+    /// The autoscaler's view of each function that has runners or waiting requests.
     pub fn function_statuses(&self) -> Vec<FunctionStatus> {
         let autoscaler = self.autoscaler.as_ref();
         let statuses = autoscaler.map(Autoscaler::function_statuses);
@@ -280,9 +280,9 @@
         statuses
     }
 
-    /// Gives the autoscaler's commands to the platform and its updates to the owners of the functions.
-    fn carry_out(&mut self, context: &mut ScalerContext<'_>) {
-        if !self.keeps_role(context) {
+    /// Sends the autoscaler's commands to the platform, and its updates to the owners of the functions.
+    fn execute_autoscaler_actions(&mut self, context: &mut ScalerContext<'_>) {
+        if !self.check_role(context) {
             return;
         }
         let Some(autoscaler) = self.autoscaler.as_mut() else {
--- a/crates/controller/src/scaler/platform_calls.rs
+++ b/crates/controller/src/scaler/platform_calls.rs
@@ -1,4 +1,4 @@
-//! What the scaler asks of the platform, and what becomes of it.
+//! The scaler's requests to the platform, and the handling of their outcomes.
 
 use super::{Scaler, ScalerContext};
 use crate::codec::PlatformRequest;
@@ -8,8 +8,8 @@
 use http1::Response;
 
 const OK: u16 = 200;
-/// Why a list is not taken that did not come.
-const NO_LIST: &str = "rejected or unanswered";
+/// Reason logged for a list that was rejected by the platform or not received.
+const LIST_FAILURE_REASON: &str = "rejected or unanswered";
 
 impl Scaler {
     pub(super) fn poll_lists(&mut self, context: &mut ScalerContext<'_>) {
@@ -31,17 +31,17 @@
         context: &mut ScalerContext<'_>,
     ) {
         match self.platform.enqueue(request, purpose) {
-            Ok(()) => self.send_waiting(context),
-            Err(purpose) => self.fail(purpose, context.now),
+            Ok(()) => self.send_queued(context),
+            Err(purpose) => self.handle_failure(purpose, context.now),
         }
     }
 
-    pub(super) fn send_waiting(&mut self, context: &mut ScalerContext<'_>) {
+    pub(super) fn send_queued(&mut self, context: &mut ScalerContext<'_>) {
         let endpoint = context.endpoint();
         let failed = self
             .platform
-            .send_waiting(context.now, endpoint, context.connections);
-        self.fail_all(failed, context.now);
+            .send_queued(context.now, endpoint, context.connections);
+        self.handle_failures(failed, context.now);
     }
 
     pub(super) fn handle_response(
@@ -75,7 +75,7 @@
                 let is_done = codec.is_stopped(response.status);
                 autoscaler.handle_stop_result(context.now, &id, is_done);
             }
-            purpose => self.fail(purpose, context.now),
+            purpose => self.handle_failure(purpose, context.now),
         }
     }
 
@@ -102,23 +102,23 @@
         }
     }
 
-    pub(super) fn fail_all(&mut self, purposes: Vec<RequestPurpose>, now: u64) {
+    pub(super) fn handle_failures(&mut self, purposes: Vec<RequestPurpose>, now: u64) {
         for purpose in purposes {
-            self.fail(purpose, now);
+            self.handle_failure(purpose, now);
         }
     }
 
-    /// A request to the platform was not answered, or not as it should be.
-    pub(super) fn fail(&mut self, purpose: RequestPurpose, now: u64) {
+    /// Handles a request to the platform that got no response, or an unexpected one.
+    pub(super) fn handle_failure(&mut self, purpose: RequestPurpose, now: u64) {
         let Some(autoscaler) = self.autoscaler.as_mut() else {
             return;
         };
         match purpose {
             RequestPurpose::ListWorkers => {
-                log::warn!("scaler: worker list failed reason={NO_LIST}")
+                log::warn!("scaler: worker list failed reason={LIST_FAILURE_REASON}")
             }
             RequestPurpose::ListRunners => {
-                log::warn!("scaler: runner list failed reason={NO_LIST}");
+                log::warn!("scaler: runner list failed reason={LIST_FAILURE_REASON}");
                 self.lists.record_failure();
             }
             RequestPurpose::Start(nonce) => {
--- a/crates/controller/tests/unit/platform_lists.rs
+++ b/crates/controller/tests/unit/platform_lists.rs
@@ -1,4 +1,4 @@
-//! How old the scaler's list of runners is, also where pages fail.
+//! The age of the scaler's runner list, including when pages fail.
 
 use crate::codec::RunnerPage;
 use crate::platform_lists::{PageProgress, PlatformLists};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_list_is_as_old_as_the_request_of_its_first_page() {
+fn the_age_of_a_list_counts_from_the_request_of_its_first_page() {
     let mut lists = PlatformLists::default();
     assert_eq!(lists.runners_age_ms(500), 0);
     assert!(lists.take_runners_due(1_000, INTERVAL_MS));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_list_that_fails_is_counted_and_the_one_before_grows_older() {
+fn a_failed_list_is_counted_and_the_age_of_the_previous_one_grows() {
     let mut lists = PlatformLists::default();
     assert!(lists.take_runners_due(1_000, INTERVAL_MS));
     lists.add_page(1_000, page(None));
--- a/crates/controller/tests/unit/scaler_role.rs
+++ b/crates/controller/tests/unit/scaler_role.rs
@@ -1,9 +1,9 @@
-//! What arrives once the scaler's role is over, and before the next tick, commands nothing at the platform.
+//! Events that are handled after the scaler role has ended, but before the next tick, must not cause commands to the platform.
 //!
-//! A controller stood still for four seconds and woke. Its consensus knew at once that its lease was over ("consensus: scaler
-//! role lost term=1099511627778" at 44.066 s), the scaler only with the next tick ("scaler: role lost" at 44.103 s), and in
-//! between the ends of calls to the platform let 78 waiting starts leave under that term, while another controller had scaled
-//! under the next one since 41.1 s.
+//! Regression: a controller was paused for four seconds. After that its consensus saw at once that its lease had expired
+//! ("consensus: scaler role lost term=1099511627778" at 44.066 s), but its scaler only at the next tick ("scaler: role lost" at
+//! 44.103 s). In between, closed connections to the platform caused 78 queued starts to be sent under that term, although another
+//! controller had been scaling under the next term since 41.1 s.
 
 use crate::codec::{
     FencingToken, PlatformCodec, PlatformRequest, RunnerPage, StartResult, UnreadableResponse,
@@ -20,7 +20,7 @@
 
 const TERM: u64 = 7;
 
-/// A platform of which lists alone are asked.
+/// A platform API that supports only list requests.
 struct ListsOnly;
 
 fn list(target: &str) -> PlatformRequest {
@@ -37,7 +37,7 @@
     }
 
     fn read_runners(&self, _: &[u8]) -> Result<RunnerPage, UnreadableResponse> {
-        unreachable!("nothing is answered")
+        unreachable!("no response is sent")
     }
 
     fn list_workers(&self) -> PlatformRequest {
@@ -45,28 +45,28 @@
     }
 
     fn read_workers(&self, _: &[u8]) -> Result<Vec<WorkerListing>, UnreadableResponse> {
-        unreachable!("nothing is answered")
+        unreachable!("no response is sent")
     }
 
     fn start(&self, _: &str, _: &str, _: &str, _: FencingToken<'_>) -> PlatformRequest {
-        unreachable!("nothing is started")
+        unreachable!("no runner is started")
     }
 
     fn read_start(&self, _: u16, _: &[u8]) -> StartResult {
-        unreachable!("nothing is started")
+        unreachable!("no runner is started")
     }
 
     fn stop(&self, _: &str, _: FencingToken<'_>) -> PlatformRequest {
-        unreachable!("nothing is stopped")
+        unreachable!("no runner is stopped")
     }
 
     fn is_stopped(&self, _: u16) -> bool {
-        unreachable!("nothing is stopped")
+        unreachable!("no runner is stopped")
     }
 }
 
-/// A scaler with calls to the platform on their way, as of the time at which its role is over.
-struct Scaling {
+/// A scaler with requests to the platform in flight.
+struct ScalerFixture {
     scaler: Scaler,
     options: ControllerOptions,
     connections: ControllerConnections,
@@ -74,7 +74,7 @@
     _platform: TcpListener,
 }
 
-impl Scaling {
+impl ScalerFixture {
     fn begin() -> Self {
         let platform = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
         let options = ControllerOptions {
@@ -83,7 +83,7 @@
             ..controller_options()
         };
         let connections = ControllerConnections::new(64, options.lease_ms()).unwrap();
-        let mut scaling = Self {
+        let mut fixture = Self {
             scaler: Scaler::default(),
             options,
             connections,
@@ -91,12 +91,12 @@
             _platform: platform,
         };
         let configuration = CommittedConfiguration::default();
-        scaling.with_role(Some(TERM), |scaler, context| {
+        fixture.with_role(Some(TERM), |scaler, context| {
             assert!(scaler.begin_term(TERM, &configuration, context));
             scaler.poll(context);
         });
-        assert!(scaling.connections.len() > 0, "the platform was asked");
-        scaling
+        assert!(fixture.connections.len() > 0, "requests are in flight");
+        fixture
     }
 
     fn with_role(
@@ -115,17 +115,17 @@
     }
 }
 
-/// A connection that carries nothing.
-fn other_connection(scaling: &mut Scaling) -> ConnectionId {
-    let address = scaling.options.platform_address.unwrap();
+/// A connection to the platform that carried no request and was closed.
+fn closed_connection(fixture: &mut ScalerFixture) -> ConnectionId {
+    let address = fixture.options.platform_address.unwrap();
     let kind = crate::controller_connections::ControllerConnection::Platform;
-    let connection = scaling.connections.connect(address, kind).unwrap();
-    scaling.connections.close(connection);
+    let connection = fixture.connections.connect(address, kind).unwrap();
+    fixture.connections.close(connection);
     connection
 }
 
 #[test]
-fn each_event_after_the_role_is_over_ends_all_calls() {
+fn any_event_after_the_role_has_ended_closes_all_connections() {
     let events: [fn(&mut Scaler, ConnectionId, &mut ScalerContext<'_>); 4] = [
         |scaler, connection, context| scaler.handle_closed(connection, context),
         |scaler, connection, context| scaler.handle_readable(connection, context),
@@ -136,22 +136,22 @@
     ];
     for term in [None, Some(TERM + 1)] {
         for event in events {
-            let mut scaling = Scaling::begin();
-            let connection = other_connection(&mut scaling);
-            scaling.with_role(term, |scaler, context| event(scaler, connection, context));
-            assert_eq!(scaling.connections.len(), 0, "{term:?}");
+            let mut fixture = ScalerFixture::begin();
+            let connection = closed_connection(&mut fixture);
+            fixture.with_role(term, |scaler, context| event(scaler, connection, context));
+            assert_eq!(fixture.connections.len(), 0, "{term:?}");
         }
     }
 }
 
 #[test]
-fn events_under_the_role_end_no_calls() {
-    let mut scaling = Scaling::begin();
-    let connection = other_connection(&mut scaling);
-    let before = scaling.connections.len();
-    scaling.with_role(Some(TERM), |scaler, context| {
+fn events_while_the_role_is_held_close_no_connection() {
+    let mut fixture = ScalerFixture::begin();
+    let connection = closed_connection(&mut fixture);
+    let before = fixture.connections.len();
+    fixture.with_role(Some(TERM), |scaler, context| {
         scaler.handle_closed(connection, context);
         scaler.handle_reports("gateway-1", &[], context);
     });
-    assert_eq!(scaling.connections.len(), before);
+    assert_eq!(fixture.connections.len(), before);
 }
