--- a/crates/controller/src/committed_configuration.rs
+++ b/crates/controller/src/committed_configuration.rs
@@ -5,26 +5,26 @@
 use operator_commands::{ConfigurationRecord, Evacuations};
 use protocol::Message;
 
-/// What is newer than before.
+/// Which committed values have changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommittedChange {
-    /// The configuration, and perhaps the evacuations.
+    /// The configuration, and possibly the evacuations.
     Configuration,
-    /// The evacuations alone.
+    /// Only the evacuations.
     Evacuations,
 }
 
-/// Versions of the two registers that a gateway knows.
+/// Versions of the two registers that a gateway has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct KnownVersions {
-    /// Of the configuration.
+    /// Version of the configuration.
     pub configuration: u64,
-    /// Of the evacuations.
+    /// Version of the evacuations.
     pub evacuations: u64,
 }
 
-/// Values of the two registers of operators' commands, and what gateways need to follow them. Versions are those of the
-/// registers and only rise.
+/// Values of the two registers that operators' commands change, and the updates that gateways need. Versions are those of the
+/// registers, and never decrease.
 #[derive(Default)]
 pub(crate) struct CommittedConfiguration {
     record: ConfigurationRecord,
@@ -35,7 +35,7 @@
 }
 
 impl CommittedConfiguration {
-    /// Takes what the consensus has committed; none where nothing is newer. A value that cannot be read is passed over.
+    /// Takes the values that the consensus has committed; none if nothing is newer. A value that cannot be parsed is skipped.
     pub fn update(&mut self, consensus: &Consensus) -> Option<CommittedChange> {
         let configuration = consensus.committed(CONFIGURATION_KEY);
         let has_configuration =
@@ -66,7 +66,7 @@
             log::error!("controller: committed configuration unreadable version={version}");
             return false;
         };
-        self.recent_changes.note(version, &record);
+        self.recent_changes.push(version, &record);
         self.record = record;
         self.version = version;
         true
@@ -84,17 +84,17 @@
         true
     }
 
-    /// The configuration in force.
+    /// The committed configuration.
     pub fn record(&self) -> &ConfigurationRecord {
         &self.record
     }
 
-    /// The register's version of the configuration in force.
+    /// The register's version of the committed configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Zones that are evacuated.
+    /// The evacuated zones.
     pub fn evacuated_zones(&self) -> &[String] {
         &self.evacuations.zones
     }
@@ -104,8 +104,8 @@
         self.evacuations_version
     }
 
-    /// What brings a gateway up to date that knows these versions: the changes alone where they are known and smaller than
-    /// the whole configuration.
+    /// The messages that bring a gateway with these versions up to date: only the changes, if they are available and smaller
+    /// than the complete configuration.
     pub fn updates_since(&self, known: KnownVersions) -> Vec<Message> {
         let mut updates = Vec::new();
         if self.version > known.configuration {
@@ -126,11 +126,11 @@
             let size: usize = changes.iter().map(Vec::len).sum();
             size < self.record.packed.len()
         });
-        let whole = || Message::Configuration {
+        let complete = || Message::Configuration {
             version: self.version,
             document: self.record.packed.clone(),
         };
-        changes.map_or_else(whole, |changes| Message::ConfigurationChanges {
+        changes.map_or_else(complete, |changes| Message::ConfigurationChanges {
             base_version: known_version,
             changes,
         })
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -91,7 +91,7 @@
         log::info!("controller: shutting down");
         self.consensus.resign(self.now);
         self.stops_at = Some(self.now + self.options.grace_period_ms / SERVING_GRACE_DIVISOR);
-        shutdown_deadline::within(self.options.grace_period_ms)
+        shutdown_deadline::for_grace_period(self.options.grace_period_ms)
     }
 
     fn is_shut_down(&self) -> bool {
@@ -131,7 +131,7 @@
                     _ => {}
                 }
             }
-            Event::Connected(connection) => self.peers.established(connection),
+            Event::Connected(connection) => self.peers.mark_established(connection),
             Event::Drained(_) => {}
             Event::Readable(connection) => self.handle_readable(connection),
             Event::Closed(connection, _) => self.handle_closed(connection),
@@ -195,7 +195,7 @@
         let (operators, mut context) = self.operator_parts();
         operators.expire_requests(&mut context);
         let retention_ms = self.options.job_retention_ms;
-        if self.jobs.take_rotation(self.now, retention_ms) {
+        if self.jobs.take_rotation_due(self.now, retention_ms) {
             self.disk.submit(DiskWork::RotateJobWindow);
         }
     }
--- a/crates/controller/src/disk_thread.rs
+++ b/crates/controller/src/disk_thread.rs
@@ -11,33 +11,33 @@
 use std::time::{Duration, Instant};
 use voter::VoterDisk;
 
-/// Most pieces of work that one sync covers.
+/// Maximum number of work items that share one sync.
 const BATCH_SIZE_MAX: usize = 256;
-/// Most bytes of work that waits for the disk.
-const WAITING_BYTES_MAX: usize = 24 << 20;
-/// Pause between tries at a disk that failed.
+/// Maximum bytes of work queued for the disk.
+const UNFINISHED_BYTES_MAX: usize = 24 << 20;
+/// Interval between attempts to reopen a failed disk.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The handle of the thread that waits for the disk, so that nothing else does.
+/// Handle of the thread that waits for the disk, so that no other thread does.
 pub(crate) struct DiskThread {
     work: Sender<DiskWork>,
-    done: Receiver<DiskCompletion>,
-    /// Bytes of work that waits.
-    waiting: Arc<AtomicUsize>,
-    /// Completions of work that was not handed over.
+    completed: Receiver<DiskCompletion>,
+    /// Bytes of work that is queued or in progress.
+    unfinished: Arc<AtomicUsize>,
+    /// Completions of work that was refused without being queued.
     refused: Vec<DiskCompletion>,
 }
 
-/// What the thread works with.
-struct Worker {
+/// State of the thread.
+struct DiskWorker {
     disk: VoterDisk,
     work: Receiver<DiskWork>,
     results: Sender<DiskCompletion>,
-    waiting: Arc<AtomicUsize>,
+    unfinished: Arc<AtomicUsize>,
     waker: Arc<Waker>,
 }
 
-/// Opens the voter of a data folder.
+/// Opens the voter stored in a data folder.
 pub(crate) fn open(path: &Path) -> Result<VoterDisk, String> {
     let path = path.to_path_buf();
     let open_folder = move || -> io::Result<Box<dyn Folder>> {
@@ -49,66 +49,66 @@
 }
 
 impl DiskThread {
-    /// Hands the disk over to a new thread, which wakes the event loop when work is done.
+    /// Moves the disk to a new thread, which wakes the event loop when work completes.
     pub fn start(disk: VoterDisk, waker: Arc<Waker>) -> Self {
-        let (work, jobs) = unbounded::<DiskWork>();
-        let (results, done) = unbounded();
-        let waiting = Arc::new(AtomicUsize::new(0));
-        let worker = Worker {
+        let (work, work_queue) = unbounded::<DiskWork>();
+        let (results, completed) = unbounded();
+        let unfinished = Arc::new(AtomicUsize::new(0));
+        let worker = DiskWorker {
             disk,
-            work: jobs,
+            work: work_queue,
             results,
-            waiting: waiting.clone(),
+            unfinished: unfinished.clone(),
             waker,
         };
         std::thread::spawn(move || worker.serve());
         Self {
             work,
-            done,
-            waiting,
+            completed,
+            unfinished,
             refused: Vec::new(),
         }
     }
 
-    /// Gives work to the thread, or refuses it where too much waits, as while a disk hangs.
+    /// Queues work for the thread, or refuses it if too much is queued, as happens while a disk hangs.
     pub fn submit(&mut self, work: DiskWork) {
         let size = work.size();
-        let waiting = self.waiting.load(Ordering::Relaxed);
-        if waiting > 0 && waiting + size > WAITING_BYTES_MAX {
+        let unfinished = self.unfinished.load(Ordering::Relaxed);
+        if unfinished > 0 && unfinished + size > UNFINISHED_BYTES_MAX {
             self.refused.extend(work.reject());
             return;
         }
-        self.waiting.fetch_add(size, Ordering::Relaxed);
+        self.unfinished.fetch_add(size, Ordering::Relaxed);
         let _ = self.work.send(work);
     }
 
-    /// Bytes of work that was handed over and is not done.
+    /// Bytes of work that was submitted and is not completed.
     pub fn unfinished_bytes(&self) -> usize {
-        self.waiting.load(Ordering::Relaxed)
+        self.unfinished.load(Ordering::Relaxed)
     }
 
-    /// Work that is done or was refused since the last call.
+    /// Takes the completions of work that was completed or refused since the last call.
     pub fn take_completions(&mut self) -> Vec<DiskCompletion> {
         let refused = self.refused.drain(..);
-        refused.chain(self.done.try_iter()).collect()
+        refused.chain(self.completed.try_iter()).collect()
     }
 }
 
-impl Worker {
+impl DiskWorker {
     fn serve(mut self) {
-        let mut tried_at = Instant::now();
+        let mut last_attempt_at = Instant::now();
         loop {
             let first = match self.work.recv_timeout(REOPEN_INTERVAL) {
                 Ok(first) => Some(first),
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            if self.disk.voter().can_reopen() && tried_at.elapsed() >= REOPEN_INTERVAL {
-                tried_at = Instant::now();
+            if self.disk.voter().can_reopen() && last_attempt_at.elapsed() >= REOPEN_INTERVAL {
+                last_attempt_at = Instant::now();
                 self.reopen();
             }
             if let Some(first) = first {
-                self.perform(first);
+                self.execute_batch(first);
             }
         }
     }
@@ -119,19 +119,19 @@
             return;
         }
         log::warn!("controller: disk recovered, voter rewritten");
-        let held = VoterSnapshot::of(self.disk.voter());
-        let _ = self.results.send(DiskCompletion::VoterState(held));
+        let snapshot = VoterSnapshot::of(self.disk.voter());
+        let _ = self.results.send(DiskCompletion::VoterState(snapshot));
         let _ = self.waker.wake();
     }
 
-    fn perform(&mut self, first: DiskWork) {
+    fn execute_batch(&mut self, first: DiskWork) {
         let rest = self.work.try_iter().take(BATCH_SIZE_MAX);
         let batch: Vec<DiskWork> = std::iter::once(first).chain(rest).collect();
         let size = batch.iter().map(DiskWork::size).sum();
-        for done in execute_batch_on_disk(&mut self.disk, batch) {
-            let _ = self.results.send(done);
+        for completed in execute_batch_on_disk(&mut self.disk, batch) {
+            let _ = self.results.send(completed);
         }
-        self.waiting.fetch_sub(size, Ordering::Relaxed);
+        self.unfinished.fetch_sub(size, Ordering::Relaxed);
         let _ = self.waker.wake();
         self.disk.voter_mut().compact();
     }
--- a/crates/controller/src/error.rs
+++ b/crates/controller/src/error.rs
@@ -1,17 +1,17 @@
-//! Why a daemon of the control plane ended.
+//! The errors with which a control plane daemon exits.
 
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the daemon ended with a failure.
+/// Why the daemon failed.
 #[derive(Debug)]
 pub enum ControllerError {
-    /// An address could not be listened at.
+    /// An address could not be bound.
     Listen(SocketAddr, io::Error),
     /// The data folder could not be used.
     Data(String),
-    /// The system refused what every daemon needs.
+    /// The system denied a required resource.
     System(io::Error),
 }
 
@@ -22,7 +22,7 @@
                 write!(formatter, "cannot listen at {address}: {error}")
             }
             Self::Data(reason) => write!(formatter, "the data folder cannot be used: {reason}"),
-            Self::System(error) => write!(formatter, "the system refused: {error}"),
+            Self::System(error) => write!(formatter, "operating system error: {error}"),
         }
     }
 }
--- a/crates/controller/src/job_registers.rs
+++ b/crates/controller/src/job_registers.rs
@@ -1,4 +1,4 @@
-//! Gateways' reads and writes of registers of jobs that wait for the consensus.
+//! Gateways' reads and writes of job registers that are in progress at the consensus.
 
 use crate::gateway_table::GatewayTable;
 use consensus::Consensus;
@@ -6,24 +6,24 @@
 use register::{is_job_key, ChangeOutcome};
 use std::collections::HashMap;
 
-/// Tokens of the consensus's work for jobs begin here; those of operators' commands are counted from one.
+/// Start of the range of consensus tokens for jobs. Tokens of operators' commands count up from one.
 const FIRST_TOKEN: u64 = 1 << 63;
-/// Most reads and writes in progress; the consensus takes some more, which are left to operators.
+/// Maximum number of reads and writes in progress. The consensus accepts some more, which are left for operators' commands.
 const REQUESTS_MAX: usize = 48;
-/// Most bytes of a job's value.
+/// Maximum size of a job's value in bytes.
 const VALUE_BYTES_MAX: usize = 40 << 10;
 
-/// Which request of which gateway waits.
+/// The gateway that waits for a response, and its request number.
 #[derive(Clone, Debug)]
 pub(crate) struct JobCaller {
     /// Name of the gateway.
     pub gateway: String,
-    /// Number that the gateway gave its request.
+    /// Number that the gateway assigned to its request.
     pub number: u64,
 }
 
 impl JobCaller {
-    /// A request of a gateway.
+    /// Identifies a request of a gateway.
     pub fn new(gateway: &str, number: u64) -> Self {
         Self {
             gateway: gateway.into(),
@@ -32,20 +32,20 @@
     }
 }
 
-/// A read or write that a gateway asks for.
+/// A read or write that a gateway requests.
 pub(crate) struct JobOperation {
-    /// Who asks.
+    /// The gateway's request.
     pub caller: JobCaller,
     /// Key of the register.
     pub key: String,
-    /// The register's version on which a write builds; none for a read.
+    /// The version that the register must have for a write to succeed; none for a read.
     pub expected_version: Option<u64>,
     /// The value to write.
     pub value: Vec<u8>,
 }
 
 impl JobOperation {
-    /// Whether it is about a job's register, and its value is one of a job.
+    /// Whether the key belongs to a job register, and the value is not too large.
     fn is_valid(&self) -> bool {
         is_job_key(&self.key) && self.value.len() <= VALUE_BYTES_MAX
     }
@@ -56,7 +56,7 @@
     is_write: bool,
 }
 
-/// Requests in progress by the token of their work at the consensus, and when jobs were last forgotten.
+/// Requests in progress by their consensus token, and the time of the last rotation of the job window.
 #[derive(Default)]
 pub(crate) struct JobRegisters {
     in_progress: HashMap<u64, JobRequest>,
@@ -65,12 +65,12 @@
 }
 
 impl JobRegisters {
-    /// Whether work with this token was for a job, and not for an operator's command.
+    /// Whether a consensus token belongs to a job register request, and not to an operator's command.
     pub fn owns_token(token: u64) -> bool {
         token >= FIRST_TOKEN
     }
 
-    /// Begins a read or a write at the consensus. The gateway hears at once where too many are in progress.
+    /// Begins a read or a write at the consensus. If too many are in progress, the gateway is sent `Unavailable` immediately.
     pub fn begin(
         &mut self,
         now: u64,
@@ -108,7 +108,7 @@
         token
     }
 
-    /// The consensus is done with a read or a write: the gateway that waits for it hears the result.
+    /// Sends the result of a completed read or write to the gateway that waits for it.
     pub fn finish(&mut self, token: u64, outcome: &ChangeOutcome, gateways: &mut GatewayTable) {
         if let Some(request) = self.in_progress.remove(&token) {
             let response = response_to(outcome, request.is_write);
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Whether the oldest jobs are to be forgotten now; true once for each span of retention.
-    pub fn take_rotation(&mut self, now: u64, retention_ms: u64) -> bool {
+    /// Returns whether the oldest jobs expire now; true once per retention period.
+    pub fn take_rotation_due(&mut self, now: u64, retention_ms: u64) -> bool {
         let is_due = now >= self.rotated_at + retention_ms;
         if is_due {
             self.rotated_at = now;
--- a/crates/controller/src/member_directory.rs
+++ b/crates/controller/src/member_directory.rs
@@ -1,23 +1,23 @@
-//! What a redirector knows of the controllers, without I/O.
+//! The controllers that a redirector knows, without I/O.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Most members that are known at once; it bounds what a wrong heartbeat can add.
+/// Maximum number of known members; limits how many a malformed heartbeat can add.
 const MEMBERS_MAX: usize = 16;
-/// Milliseconds after which a member is removed that neither sent a heartbeat nor was named by another.
+/// Milliseconds after which a member is removed that neither sent a heartbeat nor was listed by another member.
 const MEMBER_TIMEOUT_MS: u64 = 5_000;
-/// Milliseconds between polls of a member that does not answer.
+/// Milliseconds between polls of a member that does not respond.
 const SILENT_POLL_INTERVAL_MS: u64 = 1_000;
 
-/// What is known of a member.
+/// The known state of a member.
 #[derive(Clone, Debug, Default)]
 struct KnownMember {
-    /// Its newest heartbeat, while its link lasts.
+    /// Its newest heartbeat; cleared when its link ends.
     heartbeat: Option<LastHeartbeat>,
-    /// When another member or the settings named it, in milliseconds since the start.
-    named_at: u64,
-    polled_at: Option<u64>,
+    /// When another member or the settings last listed it, in milliseconds since the start.
+    last_listed_at: u64,
+    last_polled_at: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -26,10 +26,10 @@
     is_current: bool,
 }
 
-/// The members of the consensus group that are known, by the address at which they listen for other daemons.
+/// The known members of the consensus group, by the address on which they listen for other daemons.
 #[derive(Clone, Debug)]
 pub struct MemberDirectory {
-    own: SocketAddr,
+    own_address: SocketAddr,
     poll_interval_ms: u64,
     freshness_ms: u64,
     seeds: Vec<SocketAddr>,
@@ -37,15 +37,16 @@
 }
 
 impl MemberDirectory {
-    /// Knows the seeds alone. Members are polled at the interval, and a heartbeat counts for `freshness_ms`.
+    /// Creates a directory of the seeds. Members are polled every `poll_interval_ms`, and a heartbeat is valid for
+    /// `freshness_ms`.
     pub fn new(
-        own: SocketAddr,
+        own_address: SocketAddr,
         seeds: Vec<SocketAddr>,
         poll_interval_ms: u64,
         freshness_ms: u64,
     ) -> Self {
         let mut directory = Self {
-            own,
+            own_address,
             poll_interval_ms,
             freshness_ms,
             seeds: Vec::new(),
@@ -55,25 +56,25 @@
         directory
     }
 
-    /// The settings name these seeds from now on.
+    /// Replaces the seeds after a change of the settings. Members that are no longer seeds stay until they time out.
     pub fn set_seeds(&mut self, now: u64, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
         for seed in self.seeds.clone() {
-            self.name(now, seed);
+            self.record_listed(now, seed);
         }
     }
 
-    fn name(&mut self, now: u64, address: SocketAddr) {
-        if address == self.own {
+    fn record_listed(&mut self, now: u64, address: SocketAddr) {
+        if address == self.own_address {
             return;
         }
         if self.members.len() >= MEMBERS_MAX && !self.members.contains_key(&address) {
             return;
         }
-        self.members.entry(address).or_default().named_at = now;
+        self.members.entry(address).or_default().last_listed_at = now;
     }
 
-    /// A member has sent a heartbeat, which names the members that it knows. One from a stranger is ignored.
+    /// Handles a heartbeat, which lists the members that its sender knows. A heartbeat from an unknown sender is ignored.
     pub fn on_heartbeat(
         &mut self,
         now: u64,
@@ -87,29 +88,29 @@
         let at = now;
         member.heartbeat = Some(LastHeartbeat { at, is_current });
         for address in members.take(MEMBERS_MAX) {
-            self.name(now, address);
+            self.record_listed(now, address);
         }
     }
 
-    /// The link to a member has ended: its heartbeat counts no more.
+    /// Handles the end of the link to a member: its heartbeat is no longer valid.
     pub fn on_link_ended(&mut self, address: SocketAddr) {
         if let Some(member) = self.members.get_mut(&address) {
             member.heartbeat = None;
         }
     }
 
-    /// Members whose newest heartbeat is fresh and said that they are in contact with a majority.
+    /// Members whose newest heartbeat is still valid and reported contact with a majority.
     pub fn members_in_contact(&self, now: u64) -> Vec<SocketAddr> {
-        let current = self.members.iter().filter(|(_, member)| {
+        let in_contact = self.members.iter().filter(|(_, member)| {
             let heartbeat = member.heartbeat;
             heartbeat.is_some_and(|heartbeat| {
                 heartbeat.is_current && now < heartbeat.at + self.freshness_ms
             })
         });
-        current.map(|(address, _)| *address).collect()
+        in_contact.map(|(address, _)| *address).collect()
     }
 
-    /// Members to poll now; they count as polled from then on.
+    /// Returns the members to poll now, and records them as polled.
     pub fn take_due_polls(&mut self, now: u64) -> Vec<SocketAddr> {
         let (poll_interval, freshness) = (self.poll_interval_ms, self.freshness_ms);
         let due = self.members.iter_mut().filter(|(_, member)| {
@@ -122,27 +123,27 @@
             } else {
                 SILENT_POLL_INTERVAL_MS
             };
-            member.polled_at.is_none_or(|at| now >= at + interval)
+            member.last_polled_at.is_none_or(|at| now >= at + interval)
         });
         due.map(|(address, member)| {
-            member.polled_at = Some(now);
+            member.last_polled_at = Some(now);
             *address
         })
         .collect()
     }
 
-    /// Removes members that are gone, and returns them. Seeds stay.
+    /// Removes members that have timed out, and returns them. Seeds are kept.
     pub fn remove_gone(&mut self, now: u64) -> Vec<SocketAddr> {
         let seeds = &self.seeds;
-        let gone = self.members.iter().filter(|(address, member)| {
-            let known_at = member.heartbeat.map_or(0, |heartbeat| heartbeat.at);
-            let is_old = now >= known_at.max(member.named_at) + MEMBER_TIMEOUT_MS;
+        let timed_out = self.members.iter().filter(|(address, member)| {
+            let last_heartbeat_at = member.heartbeat.map_or(0, |heartbeat| heartbeat.at);
+            let is_old = now >= last_heartbeat_at.max(member.last_listed_at) + MEMBER_TIMEOUT_MS;
             is_old && !seeds.contains(address)
         });
-        let gone: Vec<SocketAddr> = gone.map(|(address, _)| *address).collect();
-        for address in &gone {
+        let timed_out: Vec<SocketAddr> = timed_out.map(|(address, _)| *address).collect();
+        for address in &timed_out {
             self.members.remove(address);
         }
-        gone
+        timed_out
     }
 }
--- a/crates/controller/src/operator_inbox.rs
+++ b/crates/controller/src/operator_inbox.rs
@@ -1,58 +1,58 @@
-//! Operators' connections: reads one request after another off each.
+//! Operators' connections: reads requests from each, one at a time.
 
 use event_loop::ConnectionId;
 use http1::{HttpError, MessageLimits, Request, RequestReader};
 use std::collections::HashMap;
 
-/// Largest request of an operator: a complete configuration.
+/// Limits of an operator's request; the largest one is a complete configuration.
 const REQUEST_LIMITS: MessageLimits = MessageLimits {
     header_bytes: 64 << 10,
     body_bytes: 32 << 20,
 };
 
-/// What a connection brought.
+/// The result of reading from a connection.
 pub(crate) enum OperatorInput {
-    /// A request has not arrived completely.
+    /// The request is incomplete.
     Incomplete,
-    /// A request's head has arrived, and the client waits for "100 Continue" before it sends the body.
+    /// The request's head is complete, and the client waits for "100 Continue" before it sends the body.
     ExpectsContinue,
-    /// A complete request. The next one is read once this one has ended.
+    /// A complete request. The next one is read after this one is finished.
     Request(Box<Request>),
-    /// The bytes are no request; nothing more can be read from the connection.
+    /// The received bytes are not a valid request; nothing more can be read from the connection.
     Malformed(HttpError),
 }
 
 #[derive(Default)]
 struct OperatorConnection {
     reader: Box<RequestReader>,
-    /// A request was read and not answered yet.
+    /// Whether a request was read and has no response yet.
     is_busy: bool,
 }
 
-/// Operators' connections that may bring a request, or wait for an answer.
+/// Operators' connections on which a request may arrive or a response is pending.
 #[derive(Default)]
 pub(crate) struct OperatorInbox {
     connections: HashMap<ConnectionId, OperatorConnection>,
 }
 
 impl OperatorInbox {
-    /// An operator opened a connection.
+    /// Registers a connection that an operator opened.
     pub fn accept(&mut self, connection: ConnectionId) {
         self.connections
             .insert(connection, OperatorConnection::default());
     }
 
-    /// A connection has ended, or is closed once its last answer has left.
+    /// Removes a connection that has ended, or that is closing after its last response.
     pub fn remove(&mut self, connection: ConnectionId) {
         self.connections.remove(&connection);
     }
 
-    /// Whether an answer may be sent on the connection.
+    /// Whether a response may be sent on the connection.
     pub fn contains(&self, connection: ConnectionId) -> bool {
         self.connections.contains_key(&connection)
     }
 
-    /// Reads what arrived on a connection; none while its last request is not answered.
+    /// Reads received data from a connection; none while its last request has no response.
     pub fn read(
         &mut self,
         connection: ConnectionId,
@@ -73,7 +73,7 @@
         })
     }
 
-    /// The last request was answered, and the connection is kept for the next one.
+    /// Resets a connection for its next request, after a response was sent and the connection is kept alive.
     pub fn finish_request(&mut self, connection: ConnectionId) {
         self.accept(connection);
     }
--- a/crates/controller/src/operator_requests.rs
+++ b/crates/controller/src/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Operators' commands in progress: who waits for each, and until when. A command's `CommandExecution` decides on it.
+//! Operators' commands in progress, each with its caller and deadline. The `CommandExecution` of a command decides its outcome.
 
 use consensus::{CONFIGURATION_KEY, EVACUATIONS_KEY};
 use event_loop::ConnectionId;
@@ -7,46 +7,47 @@
 use routing::ConfigurationFormat;
 use std::collections::HashMap;
 
-/// Most commands in progress; each holds its body and a place among the consensus's rounds.
+/// Maximum number of commands in progress; each holds its body in memory and occupies a consensus round.
 const REQUESTS_MAX: usize = 32;
-/// Milliseconds after which a command gets its answer, so that an operator who waits for a second hears it.
+/// Milliseconds after which a command is answered in any case, so that an operator with a timeout of one second gets a
+/// response.
 const ANSWER_TIMEOUT_MS: u64 = 800;
-/// Bytes of a command for which an operator waits a millisecond longer.
+/// A command's timeout is one millisecond longer for each of so many bytes of its body.
 const BYTES_PER_MS: u64 = 250;
 
-/// Who waits for an answer.
+/// The operator's connection that waits for a response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OperatorCaller {
-    /// Its connection.
+    /// The connection.
     pub connection: ConnectionId,
-    /// Whether the connection is kept for the next request.
+    /// Whether the connection is kept alive for the next request.
     pub keeps_alive: bool,
 }
 
-/// A read of a register at a majority of the voters.
+/// A read of a register from a majority of the voters.
 pub(crate) struct RegisterRead {
-    /// Names the command when the read is done.
+    /// Identifies the command when the read completes.
     pub token: u64,
-    /// The register.
+    /// Key of the register.
     pub key: &'static str,
 }
 
-/// What follows on a read or write that is done.
+/// The next step after a completed read or write.
 pub(crate) enum RequestProgress {
-    /// Write the register where it still has the expected version.
+    /// Write the register if it still has the expected version.
     Write {
-        /// The register.
+        /// Key of the register.
         key: &'static str,
-        /// Its expected version.
+        /// Expected version of the register.
         expected: u64,
         /// The new value.
         bytes: Vec<u8>,
     },
-    /// The command has ended with this answer.
+    /// The command has ended with this reply.
     Reply {
-        /// Who waits for it.
+        /// The caller that waits for the reply.
         caller: OperatorCaller,
-        /// The answer.
+        /// The reply.
         reply: CommandReply,
     },
 }
@@ -54,11 +55,11 @@
 struct OperatorRequest {
     caller: OperatorCaller,
     execution: CommandExecution,
-    ends_at: u64,
+    deadline: u64,
     is_writing: bool,
 }
 
-/// Operators' commands in progress, by the token of their work at the consensus.
+/// Operators' commands in progress, by the token of their consensus request.
 #[derive(Default)]
 pub(crate) struct OperatorRequests {
     in_progress: HashMap<u64, OperatorRequest>,
@@ -71,13 +72,13 @@
         self.in_progress.len()
     }
 
-    /// Whether no further command can begin now.
+    /// Whether the maximum number of commands is in progress.
     pub fn is_full(&self) -> bool {
         self.in_progress.len() >= REQUESTS_MAX
     }
 
-    /// Begins a command. What is in force is read at a majority first, so that a controller which missed it rejects nothing
-    /// wrongly. A large command gets more time, up to the bound on changes.
+    /// Begins a command by reading the current value from a majority, so that a controller with a stale copy does not reject it
+    /// wrongly. A large command has a longer timeout, up to the propagation bound.
     pub fn begin(
         &mut self,
         now: u64,
@@ -88,11 +89,11 @@
         self.last_token += 1;
         let timeout_ms = ANSWER_TIMEOUT_MS + command.body.len() as u64 / BYTES_PER_MS;
         let timeout_ms = timeout_ms.min(timeout_max_ms.max(ANSWER_TIMEOUT_MS));
-        let key = register_of(&command);
+        let key = register_key(&command);
         let request = OperatorRequest {
             caller,
             execution: CommandExecution::new(command),
-            ends_at: now + timeout_ms,
+            deadline: now + timeout_ms,
             is_writing: false,
         };
         let token = self.last_token;
@@ -100,22 +101,22 @@
         RegisterRead { token, key }
     }
 
-    /// The consensus is done with a read or a write. None where nobody waits for it any more.
+    /// Handles a read or write that the consensus has completed. None if the command has already been dropped.
     pub fn handle_outcome(
         &mut self,
         token: u64,
         outcome: ChangeOutcome,
-        documents: &dyn ConfigurationFormat,
+        format: &dyn ConfigurationFormat,
     ) -> Option<RequestProgress> {
         let mut request = self.in_progress.remove(&token)?;
-        Some(match request.execution.on_outcome(outcome, documents) {
+        Some(match request.execution.on_outcome(outcome, format) {
             ExecutionStep::Reply(reply) => {
                 log_reply(request.execution.command(), &reply);
                 let caller = request.caller;
                 RequestProgress::Reply { caller, reply }
             }
             ExecutionStep::Write { expected, bytes } => {
-                let key = register_of(request.execution.command());
+                let key = register_key(request.execution.command());
                 request.is_writing = true;
                 self.in_progress.insert(token, request);
                 RequestProgress::Write {
@@ -127,20 +128,20 @@
         })
     }
 
-    /// Tokens of the commands whose time is over, or of all where contact with a majority is lost.
+    /// Tokens of the commands that have timed out, or of all commands if contact with a majority is lost.
     pub fn expired(&self, now: u64, has_contact: bool) -> Vec<u64> {
         let requests = self.in_progress.iter();
-        let expired = requests.filter(|(_, request)| !has_contact || request.ends_at <= now);
+        let expired = requests.filter(|(_, request)| !has_contact || request.deadline <= now);
         expired.map(|(token, _)| *token).collect()
     }
 
-    /// Drops a command, of which it is not known whether it was accepted, and returns its caller.
+    /// Drops a command without knowing whether it was accepted, and returns its caller.
     pub fn remove(&mut self, token: u64) -> Option<OperatorCaller> {
         let request = self.in_progress.remove(&token)?;
         Some(request.caller)
     }
 
-    /// Drops the commands of a caller that has gone, unless they are being written. The caller sends them again elsewhere,
+    /// Drops the commands of a caller that has disconnected, unless their write has begun. The caller retries them elsewhere,
     /// and a copy that is applied late could undo a newer command.
     pub fn remove_caller(&mut self, connection: ConnectionId) {
         self.in_progress
@@ -148,7 +149,7 @@
     }
 }
 
-fn register_of(command: &Command) -> &'static str {
+fn register_key(command: &Command) -> &'static str {
     if command.is_evacuation() {
         EVACUATIONS_KEY
     } else {
--- a/crates/controller/src/operator_response.rs
+++ b/crates/controller/src/operator_response.rs
@@ -1,18 +1,18 @@
-//! Answers to operators.
+//! Responses to operators.
 
 use http1::write_response;
 use operator_commands::{CommandReply, RejectionKind};
 use std::net::{IpAddr, SocketAddr};
 
-/// Seconds after which operators come back to a daemon that cannot answer now.
+/// Seconds after which operators retry a request to a daemon that cannot serve it now.
 const RETRY_AFTER_SECONDS: &str = "0.3";
 
-/// Status of an answer that sends an operator to another daemon.
+/// HTTP status of a response that redirects an operator to another daemon.
 pub(crate) const TEMPORARY_REDIRECT: u16 = 307;
-/// Status of an answer that says neither that a command was accepted nor that it was rejected.
+/// HTTP status of a response that neither accepts nor rejects a command.
 pub(crate) const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// An answer to an operator's request.
+/// A response to an operator's request.
 pub(crate) struct OperatorResponse {
     status: u16,
     headers: Vec<(&'static str, String)>,
@@ -20,7 +20,7 @@
 }
 
 impl OperatorResponse {
-    /// An answer without header fields beside those of its framing.
+    /// A response without header fields other than those of its framing.
     pub fn bare(status: u16, body: impl Into<Vec<u8>>) -> Self {
         Self {
             status,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// An answer with the type of its body, and where it is 503 the time after which to come back.
+    /// A response with the content type of its body, and with `Retry-After` if its status is 503.
     pub fn new(status: u16, body: impl Into<Vec<u8>>) -> Self {
         let mut response = Self::bare(status, body);
         let is_json = response.body.first() == Some(&b'{');
@@ -45,14 +45,14 @@
         response
     }
 
-    /// Names the time after which the operator may come back.
+    /// Adds the time after which the operator may retry.
     pub fn with_retry_after(mut self) -> Self {
         self.headers
             .push(("Retry-After", RETRY_AFTER_SECONDS.into()));
         self
     }
 
-    /// Names where else the request is served: at the operators' port of another daemon.
+    /// Adds the redirect location: the operators' port of another daemon.
     pub fn with_location(mut self, ip: IpAddr, port: u16, target: &str) -> Self {
         let address = SocketAddr::new(ip, port);
         self.headers
@@ -60,7 +60,7 @@
         self
     }
 
-    /// The answer in the protocol's form.
+    /// The response as HTTP/1.1 bytes.
     pub fn encode(&self, keeps_alive: bool) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.body.len() + 256);
         let headers = self.headers.iter();
--- a/crates/controller/src/operator_routing.rs
+++ b/crates/controller/src/operator_routing.rs
@@ -1,21 +1,22 @@
-//! What is done about an operator's request, before anything is read from the consensus.
+//! The first decision on an operator's request, before anything is read from the consensus.
 
 use crate::codec::{CommandParseError, OperatorCodec};
 use crate::operator_response::OperatorResponse;
 use http1::Request;
 use operator_commands::{Command, CommandKind};
 
-/// What a controller does about a request.
+/// How a controller handles a request.
 pub(crate) enum RequestRoute {
-    /// Answers it at once.
+    /// Responds immediately.
     Respond(OperatorResponse),
-    /// Sends the operator to a controller in contact with a majority, since this one may neither accept nor reject commands.
+    /// Redirects the operator to a controller in contact with a majority, since this one must neither accept nor reject
+    /// commands.
     Redirect,
-    /// Executes its command.
+    /// Executes the command.
     Execute(Command),
 }
 
-/// Decides on a request. Contact is asked for only where the request is a command.
+/// Decides how to handle a request. `is_in_contact` is only called if the request is a valid command.
 pub(crate) fn route(
     request: Request,
     codec: &dyn OperatorCodec,
@@ -25,12 +26,14 @@
     let kind = match codec.parse_command(&request.method, &request.target) {
         Ok(kind) => kind,
         Err(CommandParseError::UnknownTarget) => {
-            return respond(404, "there is no such call");
+            return respond(404, "unknown path");
+        }
+        Err(CommandParseError::Rejected(status)) => {
+            return respond(status, "invalid method or path")
         }
-        Err(CommandParseError::Rejected(status)) => return respond(status, "not this method"),
     };
     if names_unknown_zone(&kind, zones) {
-        return respond(404, "there is no such zone");
+        return respond(404, "unknown zone");
     }
     if !is_in_contact() {
         return RequestRoute::Redirect;
--- a/crates/controller/src/operator_service.rs
+++ b/crates/controller/src/operator_service.rs
@@ -1,4 +1,4 @@
-//! The operators' API of a controller: reads requests, executes their commands over the consensus, and answers.
+//! The operators' API of a controller: reads requests, executes their commands through the consensus, and sends responses.
 
 use crate::clock::Clock;
 use crate::controller_connections::ControllerConnections;
@@ -22,17 +22,17 @@
     requests: OperatorRequests,
 }
 
-/// The other parts of the controller that operators' requests work with.
+/// The other parts of the controller that operators' requests use.
 pub(crate) struct OperatorContext<'a> {
-    /// Milliseconds since the start, as of this turn.
+    /// Milliseconds since the start, as of this loop iteration.
     pub now: u64,
-    /// Tells the time at this very moment.
+    /// Gives the exact current time.
     pub clock: &'a Clock,
     /// Settings.
     pub options: &'a ControllerOptions,
-    /// Connections, for the answers.
+    /// Connections, for the responses.
     pub connections: &'a mut ControllerConnections,
-    /// The consensus, by which commands are executed.
+    /// The consensus, through which commands are executed.
     pub consensus: &'a mut Consensus,
 }
 
@@ -42,18 +42,18 @@
         self.requests.len()
     }
 
-    /// An operator opened a connection.
+    /// Registers a connection that an operator opened.
     pub fn accept(&mut self, connection: ConnectionId) {
         self.inbox.accept(connection);
     }
 
-    /// A connection has ended.
+    /// Removes a connection that has ended.
     pub fn remove(&mut self, connection: ConnectionId) {
         self.inbox.remove(connection);
         self.requests.remove_caller(connection);
     }
 
-    /// Something arrived on a connection.
+    /// Handles received data on a connection.
     pub fn handle_readable(&mut self, connection: ConnectionId, context: &mut OperatorContext<'_>) {
         let Some(buffer) = context.connections.read_buffer(connection) else {
             return;
@@ -89,7 +89,7 @@
         };
         let target = request.target.clone();
         let codec = context.options.operator_codec.as_ref();
-        // Contact is judged by the time at this moment: a turn may have taken long.
+        // Contact is checked against the exact time, since the loop iteration may have taken long.
         let is_in_contact = || context.consensus.is_in_contact(context.clock.now());
         match route(request, codec, &context.options.zones, is_in_contact) {
             RequestRoute::Respond(response) => self.respond(caller, &response, context),
@@ -119,7 +119,7 @@
         context.consensus.read(context.now, read.token, read.key);
     }
 
-    /// The consensus is done with a read or a write of a command.
+    /// Handles a command's read or write that the consensus has completed.
     pub fn handle_outcome(
         &mut self,
         token: u64,
@@ -127,8 +127,12 @@
         context: &mut OperatorContext<'_>,
     ) {
         let format = context.options.operator_codec.configuration_format();
-        let documents = &RegionalConfigurationFormat::new(format, &context.options.topology);
-        match self.requests.handle_outcome(token, outcome, documents) {
+        let configuration_format =
+            &RegionalConfigurationFormat::new(format, &context.options.topology);
+        match self
+            .requests
+            .handle_outcome(token, outcome, configuration_format)
+        {
             None => {}
             Some(RequestProgress::Reply { caller, reply }) => {
                 self.respond(caller, &reply.into(), context);
@@ -144,19 +148,19 @@
         }
     }
 
-    /// Answers commands whose time is over, or all where contact with a majority was lost on the way.
+    /// Responds to commands that have timed out, or to all if contact with a majority was lost meanwhile.
     pub fn expire_requests(&mut self, context: &mut OperatorContext<'_>) {
         let has_contact = context.consensus.is_in_contact(context.now);
         for token in self.requests.expired(context.now, has_contact) {
             if let Some(caller) = self.requests.remove(token) {
-                let reason = "it is not known whether it was taken: no majority of controllers answered in time";
+                let reason = "the outcome is unknown: no majority of controllers responded in time";
                 let response = OperatorResponse::new(SERVICE_UNAVAILABLE, reason);
                 self.respond(caller, &response, context);
             }
         }
     }
 
-    /// Answers an operator and goes on with what was sent meanwhile.
+    /// Responds to an operator, and continues with data that has arrived on the connection meanwhile.
     fn respond(
         &mut self,
         caller: OperatorCaller,
@@ -182,13 +186,14 @@
     }
 }
 
-/// Sends an operator to any controller in contact with a majority.
+/// Redirects an operator to a random controller in contact with a majority.
 fn redirect(target: &str, context: &OperatorContext<'_>) -> OperatorResponse {
     let peers = context.consensus.peers_in_contact(context.now);
-    let place = rand::random::<u32>() as usize % peers.len().max(1);
-    let peer: Option<SocketAddr> = peers.get(place).and_then(|peer| peer.parse().ok());
+    let index = rand::random::<u32>() as usize % peers.len().max(1);
+    let peer: Option<SocketAddr> = peers.get(index).and_then(|peer| peer.parse().ok());
     let Some(peer) = peer else {
-        let reason = "no majority of controllers is in contact; nothing was done";
+        let reason =
+            "no controller in contact with a majority is known; the request was not executed";
         return OperatorResponse::new(SERVICE_UNAVAILABLE, reason);
     };
     let port = context.options.operator_address.port();
--- a/crates/controller/src/options.rs
+++ b/crates/controller/src/options.rs
@@ -20,7 +20,7 @@
     pub zones: Vec<String>,
     /// The zones with their regions.
     pub topology: Topology,
-    /// Options of the scaling and routing policies.
+    /// Policy options, of which a controller uses those for scaling.
     pub policy: Policy,
     /// Address on which it listens for operators.
     pub operator_address: SocketAddr,
@@ -87,8 +87,8 @@
         self.heartbeat_ms() * 2
     }
 
-    /// Milliseconds between heartbeats to gateways while this controller does not scale. What changes is told at once in any
-    /// case.
+    /// Milliseconds between heartbeats to gateways while this controller is not the scaler. Changes are sent immediately
+    /// anyway.
     pub(crate) fn idle_heartbeat_ms(&self) -> u64 {
         self.gateway_heartbeat_ms() * 2
     }
--- a/crates/controller/src/peer_links.rs
+++ b/crates/controller/src/peer_links.rs
@@ -1,4 +1,4 @@
-//! Links to the other controllers, over which the consensus sends its messages.
+//! Links to the other controllers, which carry consensus messages.
 
 use crate::controller_connections::{ControllerConnection, ControllerConnections};
 use crate::outbox::Outbox;
@@ -8,21 +8,21 @@
 use speedy::{Readable, Writable};
 use std::collections::{HashMap, HashSet};
 
-/// Least milliseconds between tries to reach a controller.
+/// Minimum milliseconds between attempts to connect to a controller.
 const CONNECT_RETRY_MS: u64 = 100;
 /// Milliseconds within which a first attempt to connect must succeed.
 const CONNECT_TIMEOUT_MS: u64 = 150;
 
-/// What goes between two controllers.
+/// A frame on a link between two controllers.
 #[derive(Debug, PartialEq, Readable, Writable)]
 pub enum PeerFrame {
-    /// Who opened the link: its consensus address.
+    /// Introduces the controller that opened the link, by its consensus address.
     Hello(String),
-    /// A message of the consensus.
+    /// A consensus message.
     Consensus(ConsensusMessage),
 }
 
-/// A message of the consensus that has arrived.
+/// A received consensus message.
 struct ReceivedMessage {
     /// Consensus address of the sender.
     from: String,
@@ -30,7 +30,7 @@
     message: ConsensusMessage,
 }
 
-/// Attempts to connect to one address.
+/// Successive attempts to connect to one address.
 #[derive(Clone, Copy, Debug, Default)]
 struct ConnectAttempts {
     last_at: u64,
@@ -38,26 +38,26 @@
 }
 
 impl ConnectAttempts {
-    /// When the last attempt is given up.
+    /// When the last attempt times out.
     fn times_out_at(self) -> u64 {
         self.last_at + self.hung.timeout_ms(CONNECT_TIMEOUT_MS)
     }
 }
 
-/// Links to the other controllers, one for each consensus address. A link is opened once there is something to send.
+/// Links to the other controllers, one per consensus address. A link is opened when there is a message to send.
 pub(crate) struct PeerLinks {
     own_address: String,
     links: HashMap<String, Outbox>,
-    /// When and how often in a row a connection to an address was tried.
+    /// The last attempt to connect to each address, and how many in a row have hung.
     attempts: HashMap<String, ConnectAttempts>,
-    /// Connections that this controller has opened and that are not established yet.
+    /// Connections that this controller is opening and that are not established yet.
     unestablished: HashSet<ConnectionId>,
-    /// Who is at the other end of each connection, once it is known.
+    /// The consensus address of the peer of each connection, once it is known.
     addresses: HashMap<ConnectionId, String>,
 }
 
 impl PeerLinks {
-    /// No link is open yet.
+    /// Creates an empty set of links.
     pub fn new(own_address: String) -> Self {
         Self {
             own_address,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Queues a message, after it has begun to open a link where there is none. The message is lost where that fails; the
-    /// consensus sends anew what matters.
+    /// Queues a message, and starts to open a link if there is none. If that fails, the message is lost; the consensus resends
+    /// messages where necessary.
     pub fn queue(
         &mut self,
         now: u64,
@@ -106,8 +106,8 @@
         self.links.insert(to.into(), outbox);
     }
 
-    /// A connection that this controller has opened is established.
-    pub fn established(&mut self, connection: ConnectionId) {
+    /// Handles that a connection opened by this controller is established.
+    pub fn mark_established(&mut self, connection: ConnectionId) {
         self.unestablished.remove(&connection);
         let address = self.addresses.get(&connection);
         if let Some(attempts) = address.and_then(|address| self.attempts.get_mut(address)) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Closes connections that are not established in time, so that they are tried anew.
+    /// Closes connections that were not established in time, so that they are attempted again.
     pub fn close_hung(&mut self, now: u64, connections: &mut ControllerConnections) {
         let hung = self.unestablished.iter().filter(|connection| {
             let address = self.addresses.get(connection);
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Something arrived on a connection: hands the messages to the consensus. The link is closed where what follows them is
-    /// no frame.
+    /// Handles received data on a connection: passes its messages to the consensus, and closes the link if a malformed frame
+    /// follows.
     pub fn handle_readable(
         &mut self,
         now: u64,
@@ -165,7 +165,7 @@
         match frame {
             PeerFrame::Hello(address) => {
                 self.addresses.insert(connection, address.clone());
-                self.adopt(connection, address);
+                self.adopt_incoming(connection, address);
                 None
             }
             PeerFrame::Consensus(message) => {
@@ -175,9 +175,9 @@
         }
     }
 
-    /// Another controller has opened a link. It is used where there is none, or where the own one is not established: both may
-    /// have been tried at once, the own one while the other machine was down.
-    fn adopt(&mut self, connection: ConnectionId, address: String) {
+    /// Uses a link that another controller has opened, if there is none yet or this controller's own is not established. Both
+    /// may have connected at once, this one while the other machine was still down.
+    fn adopt_incoming(&mut self, connection: ConnectionId, address: String) {
         let own = self.links.get(&address).map(Outbox::connection);
         let is_usable = own.is_some_and(|own| !self.unestablished.contains(&own));
         if !is_usable {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// A connection has ended.
+    /// Removes a connection that has ended.
     pub fn remove(&mut self, connection: ConnectionId) {
         self.unestablished.remove(&connection);
         let Some(address) = self.addresses.remove(&connection) else {
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Sends what was queued since the last flush, in one piece for each controller.
+    /// Sends all queued messages, with one write per controller.
     pub fn flush(&mut self, connections: &mut ControllerConnections) {
         for outbox in self.links.values_mut() {
             outbox.flush(connections);
--- a/crates/controller/src/redirector.rs
+++ b/crates/controller/src/redirector.rs
@@ -1,5 +1,5 @@
-//! A daemon of the control plane without a disk: it stores nothing, and redirects operators to controllers that are alive and
-//! in contact with a majority.
+//! A control plane daemon without a disk: it stores nothing, and redirects operators to controllers that are alive and in
+//! contact with a majority.
 
 use crate::clock::Clock;
 use crate::codec::{CommandParseError, OperatorCodec};
@@ -22,54 +22,54 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// After how long the process ends by force that was asked to stop. It keeps nothing and has nothing to wait for.
+/// Time from the stop signal to the forced exit. A redirector has no state to save and nothing to wait for.
 const SHUTDOWN_DEADLINE: Duration = Duration::from_secs(1);
-/// Most unread bytes of a controller's answer; heartbeats are small.
+/// Maximum unread bytes on a connection to a controller; heartbeats are small.
 const MEMBER_INBOX_MAX: usize = 1 << 20;
 const NOT_FOUND: u16 = 404;
 
-/// Settings of a daemon of the control plane without a disk.
+/// Settings of a redirector.
 pub struct RedirectorOptions {
-    /// Address at which it listens for operators.
+    /// Address on which it listens for operators.
     pub operator_address: SocketAddr,
-    /// Address at which this daemon would listen for gateways, if it had a disk.
+    /// Address on which this machine would listen for gateways if it ran a controller.
     pub gateway_address: SocketAddr,
-    /// Address at which it tells its figures; none where it tells none.
+    /// Address of the metrics endpoint; none disables it.
     pub metrics_address: Option<SocketAddr>,
-    /// Such addresses of daemons that may have a disk, as far as they are known at the start.
+    /// Gateway addresses of the daemons that are known at the start and may be controllers.
     pub seeds: Vec<SocketAddr>,
-    /// Milliseconds within which an acknowledged change holds everywhere.
+    /// Milliseconds within which an acknowledged change must be in force everywhere: the propagation bound.
     pub propagation_timeout_ms: u64,
-    /// Memory that the process may take, in bytes.
+    /// Memory limit of the process, in bytes.
     pub memory_bytes: u64,
-    /// Most open connections.
+    /// Maximum number of open connections.
     pub connections_max: usize,
-    /// Forms of the operators' API.
+    /// Format of the operators' API.
     pub operator_codec: Box<dyn OperatorCodec>,
-    /// Reads the seeds anew.
+    /// Rereads the seeds.
     pub reload_seeds: SeedReloader,
 }
 
 impl RedirectorOptions {
-    /// Milliseconds between requests for a member's heartbeat: a tenth of the bound on changes.
+    /// Milliseconds between requests for a member's heartbeat: a tenth of the propagation bound.
     fn poll_interval_ms(&self) -> u64 {
         self.propagation_timeout_ms / 10
     }
 
-    /// Milliseconds for which a member's heartbeat counts: three tenths of the bound on changes.
+    /// Milliseconds for which a member's heartbeat is valid: three tenths of the propagation bound.
     fn freshness_ms(&self) -> u64 {
         self.propagation_timeout_ms * 3 / 10
     }
 }
 
-/// What a redirector's connection is for.
+/// The purpose of a redirector's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RedirectorConnection {
-    /// An operator sends a request.
+    /// An operator that sends a request.
     Operator,
-    /// The controller at this address tells whether it is in contact with a majority.
+    /// The controller at this address, which reports whether it is in contact with a majority.
     Member(SocketAddr),
-    /// Somebody asks for this daemon's figures.
+    /// A client of the metrics endpoint.
     Metrics,
 }
 
@@ -93,14 +93,14 @@
     metrics: MetricsService,
     links: HashMap<SocketAddr, ConnectionId>,
     directory: MemberDirectory,
-    /// Counts redirects, so that members take turns.
+    /// Number of redirects; also selects the next member in rotation.
     redirects: usize,
 }
 
-/// Serves operators on a machine without a disk, until it is asked to stop.
+/// Runs a redirector on a machine without a disk, until it receives a stop signal.
 ///
 /// # Errors
-/// Where the address for operators cannot be listened at, or the system refuses what every daemon needs.
+/// If the address for operators cannot be bound, or the system denies a required resource.
 pub fn run_redirector(
     options: RedirectorOptions,
     reload: ReloadSignal,
@@ -121,7 +121,7 @@
         self.now
     }
 
-    /// It takes nobody's place.
+    /// Does nothing: a redirector never takes over for another daemon.
     fn process_paused(&mut self, _: ProcessPause) {}
 
     fn begin_shutdown(&mut self) -> Duration {
@@ -233,7 +233,7 @@
     fn handle_metrics_readable(&mut self, connection: ConnectionId) {
         let connections = &mut self.connections;
         if let Some(request) = self.metrics.take_request(connection, connections) {
-            let response = metrics::respond(&request, || self.figures());
+            let response = metrics::respond(&request, || self.exported_metrics());
             let connections = &mut self.connections;
             self.metrics
                 .respond(connection, connections, &response, request.keeps_alive);
@@ -253,7 +253,7 @@
         self.connections.close(connection);
     }
 
-    fn figures(&self) -> Snapshot {
+    fn exported_metrics(&self) -> Snapshot {
         let mut snapshot = Snapshot::new();
         let redirects = self.redirects as u64;
         snapshot.counter(
@@ -340,7 +340,7 @@
         self.operators.remove(connection);
     }
 
-    /// Redirects a request to a member in contact with a majority; where none is known the operator comes again.
+    /// Redirects a request to a member in contact with a majority. If none is known, the operator is asked to retry.
     fn respond_to(&mut self, request: &Request) -> OperatorResponse {
         let codec = &self.options.operator_codec;
         match codec.parse_command(&request.method, &request.target) {
@@ -359,8 +359,10 @@
     }
 
     fn next_member(&mut self) -> Option<SocketAddr> {
-        let current = self.directory.members_in_contact(self.clock.now());
+        let in_contact = self.directory.members_in_contact(self.clock.now());
         self.redirects = self.redirects.wrapping_add(1);
-        current.get(self.redirects % current.len().max(1)).copied()
+        in_contact
+            .get(self.redirects % in_contact.len().max(1))
+            .copied()
     }
 }
--- a/crates/controller/src/regional_configuration.rs
+++ b/crates/controller/src/regional_configuration.rs
@@ -1,17 +1,17 @@
-//! Checks of a configuration that need to know the deployment: the regions that its routes name must exist.
+//! Checks of a configuration against the deployment: the regions that routes and tenants name must exist.
 
 use locality::Topology;
 use routing::{ConfigurationError, ConfigurationFormat, RoutingConfiguration, TenantDirectory};
 use std::collections::BTreeSet;
 
-/// The operators' format, with the regions that routes name checked as well.
+/// The operators' configuration format, with a check of the named regions.
 pub(crate) struct RegionalConfigurationFormat<'a> {
     format: &'a dyn ConfigurationFormat,
     topology: &'a Topology,
 }
 
 impl<'a> RegionalConfigurationFormat<'a> {
-    /// Adds the check to a format.
+    /// Wraps a format with the check.
     pub fn new(format: &'a dyn ConfigurationFormat, topology: &'a Topology) -> Self {
         Self { format, topology }
     }
--- a/crates/controller/src/shutdown_deadline.rs
+++ b/crates/controller/src/shutdown_deadline.rs
@@ -1,20 +1,20 @@
-//! The end by force of a process that was asked to stop and does not.
+//! Forced exit of a process that received a stop signal and does not stop in time.
 //!
-//! The loop that stops a daemon may be held up: by a call of the system that does not return, or by a defect. The platform
-//! would kill the process at the end of the grace period; ending it before is no worse, since whatever was told to others is on
-//! the disk by then, and the log says where it stood.
+//! The main loop, which stops a daemon, may be blocked by a system call or a defect. The platform would kill the process at the
+//! end of the grace period. Exiting earlier is no worse, since all acknowledged state is already on the disk, and the
+//! forced exit is logged.
 
 use std::time::Duration;
 
-/// Part of the grace period after which the process ends, whatever holds it up.
+/// The process exits after the grace period divided by this, whatever blocks it.
 const GRACE_DIVISOR: u64 = 2;
 
-/// After how long a process with this grace period ends by force.
-pub(crate) fn within(grace_period_ms: u64) -> Duration {
+/// Time after the stop signal at which a process with this grace period is forced to exit.
+pub(crate) fn for_grace_period(grace_period_ms: u64) -> Duration {
     Duration::from_millis(grace_period_ms / GRACE_DIVISOR)
 }
 
-/// Calls a function once the deadline has passed. Where the process ends before, it is not called.
+/// Calls a function once the deadline has passed, unless the process exits before.
 pub(crate) fn enforce(deadline: Duration, on_expiry: impl FnOnce() + Send + 'static) {
     std::thread::spawn(move || {
         std::thread::sleep(deadline);
@@ -22,7 +22,7 @@
     });
 }
 
-/// Ends the process.
+/// Logs the forced exit, and ends the process.
 pub(crate) fn end_process(deadline: Duration) {
     let after_ms = deadline.as_millis();
     log::warn!("controller: shutdown forced after_ms={after_ms}");
--- a/crates/controller/src/term_check.rs
+++ b/crates/controller/src/term_check.rs
@@ -1,9 +1,9 @@
-//! Checks that a controller scales under ascending terms.
+//! Checks that the terms under which a controller scales never decrease.
 
 use invariants::{check, Invariant};
 
-/// Checks the term under which scaling begins against the one before. The same may come again: a lease that was not backed in
-/// time may be backed once more.
+/// Checks a new term against the previous one. They may be equal: a lease that was not confirmed by a majority in time may be
+/// confirmed later under the same term.
 pub(crate) fn check_term(former: u64, next: u64) {
     check(Invariant::TermsRise, next >= former, || {
         format!("term={next} former={former}")
--- a/crates/controller/tests/member_directory.rs
+++ b/crates/controller/tests/member_directory.rs
@@ -1,4 +1,4 @@
-//! A redirector sends operators only to members that are alive and in contact, whoever was there at
+//! A redirector redirects operators only to members that are alive and in contact with a majority, whichever members it knew at
 //! its start.
 
 use controller::MemberDirectory;
@@ -6,7 +6,7 @@
 
 const POLL_INTERVAL_MS: u64 = 200;
 const FRESHNESS_MS: u64 = 600;
-const OWN: u8 = 99;
+const OWN_MACHINE: u8 = 99;
 
 fn address(machine: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, machine], 7300))
@@ -14,7 +14,7 @@
 
 fn directory(seeds: &[u8]) -> MemberDirectory {
     let seeds = seeds.iter().map(|seed| address(*seed)).collect();
-    MemberDirectory::new(address(OWN), seeds, POLL_INTERVAL_MS, FRESHNESS_MS)
+    MemberDirectory::new(address(OWN_MACHINE), seeds, POLL_INTERVAL_MS, FRESHNESS_MS)
 }
 
 fn receive_heartbeat(
@@ -22,19 +22,19 @@
     now: u64,
     from: u8,
     is_current: bool,
-    names: &[u8],
+    listed: &[u8],
 ) {
-    let names = names.iter().map(|name| address(*name));
-    directory.on_heartbeat(now, address(from), is_current, names);
+    let listed = listed.iter().map(|machine| address(*machine));
+    directory.on_heartbeat(now, address(from), is_current, listed);
 }
 
 #[test]
-fn only_members_with_a_fresh_heartbeat_and_contact_count() {
-    let mut directory = directory(&[1, 2, OWN]);
+fn only_members_with_a_valid_heartbeat_and_contact_are_returned() {
+    let mut directory = directory(&[1, 2, OWN_MACHINE]);
     assert_eq!(
         directory.members_in_contact(0),
         [],
-        "nobody sent a heartbeat"
+        "no heartbeat was received"
     );
     assert_eq!(directory.take_due_polls(0), [address(1), address(2)]);
     receive_heartbeat(&mut directory, 10, 1, true, &[1, 2, 3]);
@@ -44,30 +44,30 @@
     assert_eq!(
         directory.members_in_contact(10 + FRESHNESS_MS),
         [],
-        "it is silent"
+        "its heartbeat has expired"
     );
     receive_heartbeat(&mut directory, 700, 1, true, &[]);
     receive_heartbeat(&mut directory, 710, 1, false, &[]);
-    assert_eq!(directory.members_in_contact(710), [], "it was cut off");
+    assert_eq!(directory.members_in_contact(710), [], "it lost contact");
     receive_heartbeat(&mut directory, 720, 2, true, &[]);
     directory.on_link_ended(address(2));
-    assert_eq!(directory.members_in_contact(720), [], "its link is gone");
+    assert_eq!(directory.members_in_contact(720), [], "its link has ended");
 }
 
 #[test]
-fn members_are_learnt_and_dead_ones_removed_though_all_seeds_are_replaced() {
+fn members_are_learned_and_dead_ones_removed_after_all_seeds_are_replaced() {
     let mut directory = directory(&[1, 2]);
     receive_heartbeat(&mut directory, 0, 1, true, &[1, 2, 3]);
     receive_heartbeat(&mut directory, 100, 3, true, &[1, 3, 4]);
     directory.set_seeds(200, vec![address(3)]);
-    let mut forgotten = Vec::new();
+    let mut removed = Vec::new();
     for now in (200..20_000).step_by(100) {
-        // The first two are gone for good; the third and a newcomer answer.
+        // Members 1 and 2 are permanently gone; member 3 and the new member 4 respond.
         receive_heartbeat(&mut directory, now, 3, true, &[3, 4]);
         receive_heartbeat(&mut directory, now, 4, true, &[3, 4]);
-        forgotten.extend(directory.remove_gone(now));
+        removed.extend(directory.remove_gone(now));
     }
-    assert_eq!(forgotten, [address(2), address(1)]);
+    assert_eq!(removed, [address(2), address(1)]);
     assert_eq!(
         directory.members_in_contact(20_000),
         [address(3), address(4)]
@@ -75,23 +75,23 @@
     receive_heartbeat(&mut directory, 20_000, 1, true, &[]);
     assert!(
         !directory.members_in_contact(20_000).contains(&address(1)),
-        "it is unknown"
+        "it was removed"
     );
 }
 
 #[test]
-fn a_seed_is_polled_however_long_it_is_silent() {
+fn a_silent_seed_is_polled_forever() {
     let mut directory = directory(&[1]);
-    let mut asked = 0;
+    let mut polls = 0;
     for now in (0..60_000).step_by(50) {
-        asked += directory.take_due_polls(now).len();
+        polls += directory.take_due_polls(now).len();
         assert_eq!(directory.remove_gone(now), []);
     }
-    assert!((55..=70).contains(&asked), "{asked} questions in a minute");
+    assert!((55..=70).contains(&polls), "{polls} polls in a minute");
 }
 
 #[test]
-fn what_is_known_is_bounded() {
+fn the_number_of_members_is_bounded() {
     let mut directory = directory(&[1]);
     let many: Vec<u8> = (1..=200).collect();
     for now in 0..100 {
--- a/crates/controller/tests/unit/operator_reads/codecs.rs
+++ b/crates/controller/tests/unit/operator_reads/codecs.rs
@@ -1,4 +1,4 @@
-//! The forms in which operators and the platform speak, as far as these tests use them.
+//! Formats of the operators' API and the platform's API, as far as these tests use them.
 
 use crate::codec::{
     CommandParseError, FencingToken, OperatorCodec, PlatformCodec, PlatformRequest, RunnerPage,
@@ -9,14 +9,14 @@
 use operator_commands::{BaseVersion, CommandKind};
 use routing::{ConfigurationError, ConfigurationFormat, RoutingConfiguration};
 
-/// The one zone.
+/// The only zone.
 pub const ZONE: &str = "zone-1";
 /// Target of a request that reads the configuration.
 pub const READ_TARGET: &str = "/configuration";
 /// Target of a request that begins the zone's evacuation.
 pub const EVACUATE_TARGET: &str = "/evacuation";
 
-/// The operators' API, without documents.
+/// An operators' API without configuration documents.
 pub struct TestCodec;
 
 impl OperatorCodec for TestCodec {
@@ -43,7 +43,7 @@
 
 impl ConfigurationFormat for TestCodec {
     fn parse(&self, _: &[u8]) -> Result<RoutingConfiguration, ConfigurationError> {
-        unreachable!("no document is put in place")
+        unreachable!("no document is replaced")
     }
 
     fn apply_change(
@@ -59,7 +59,7 @@
     }
 }
 
-/// A platform that nobody calls.
+/// A platform API that is never called.
 pub struct NoPlatform;
 
 impl PlatformCodec for NoPlatform {
--- a/crates/controller/tests/unit/operator_reads/mod.rs
+++ b/crates/controller/tests/unit/operator_reads/mod.rs
@@ -1,5 +1,5 @@
-//! An operator's command is judged by what a majority holds, also at a controller that is in contact and has not heard yet
-//! what was committed elsewhere.
+//! An operator's command is evaluated against the state of a majority, even at a controller that is in contact but has not yet
+//! learned what was committed elsewhere.
 
 mod codecs;
 mod controller_pair;
@@ -12,11 +12,11 @@
 use operator_commands::{CommandKind, ConfigurationRecord, Evacuations};
 
 #[test]
-fn an_acknowledged_evacuation_is_in_force_though_its_end_was_not_heard_of_here() {
+fn an_acknowledged_evacuation_is_in_force_when_its_controller_missed_the_end_of_the_previous_one() {
     let mut pair = ControllerPair::in_contact();
     let evacuated = Evacuations::default().next(ZONE, true);
     let finished = evacuated.next(ZONE, false);
-    pair.commit_unheard(EVACUATIONS_KEY, &evacuated, &finished);
+    pair.commit_unannounced(EVACUATIONS_KEY, &evacuated, &finished);
     let mut call = OperatorCall::open();
     call.send(EVACUATE_TARGET, &mut pair);
     call.finish(&mut pair);
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn an_operator_reads_the_newest_configuration_though_it_was_not_heard_of_here() {
+fn an_operator_reads_the_newest_configuration_from_a_controller_that_missed_it() {
     let mut pair = ControllerPair::in_contact();
     let record = |version, document: &[u8]| {
         let replace = CommandKind::Replace;
         ConfigurationRecord::default().next(&replace, version, document, document)
     };
     let (first, second) = (record(1, b"first document"), record(2, b"second document"));
-    pair.commit_unheard(CONFIGURATION_KEY, &first, &second);
+    pair.commit_unannounced(CONFIGURATION_KEY, &first, &second);
     let mut call = OperatorCall::open();
     call.send(READ_TARGET, &mut pair);
     call.finish(&mut pair);
--- a/crates/controller/tests/unit/operator_reads/operator_call.rs
+++ b/crates/controller/tests/unit/operator_reads/operator_call.rs
@@ -12,7 +12,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Time for which one poll waits; it is repeated until what must come has come.
+/// Timeout of one poll; polls are repeated until the expected data has arrived.
 const POLL_TIMEOUT: Duration = Duration::from_millis(20);
 
 pub fn controller_options() -> ControllerOptions {
@@ -49,7 +49,7 @@
     }
 }
 
-/// The service for operators of the controller that is behind, with one operator's connection.
+/// The operator service of the controller that is behind, with one operator's connection.
 pub struct OperatorCall {
     service: OperatorService,
     options: ControllerOptions,
@@ -60,7 +60,7 @@
 }
 
 impl OperatorCall {
-    /// An operator has connected; the connection is taken like an accepted one.
+    /// Connects an operator. The service registers the connection like an accepted one.
     pub fn open() -> Self {
         let options = controller_options();
         let mut connections =
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The operator sends a request, and the service handles it.
+    /// Sends a request as the operator, and lets the service handle it.
     pub fn send(&mut self, target: &str, pair: &mut ControllerPair) {
         let request = format!("POST {target} HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
         self.operator.write_all(request.as_bytes()).unwrap();
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Lets the controllers work until the service has nothing left to do, with all messages arriving.
+    /// Runs the controllers until the service has nothing left to do, delivering all messages.
     pub fn finish(&mut self, pair: &mut ControllerPair) {
         loop {
             pair.exchange(|_| true);
@@ -113,7 +113,7 @@
                 return;
             }
             for change in completed {
-                assert_eq!(change.place, BEHIND);
+                assert_eq!(change.index, BEHIND);
                 let (service, mut context) = self.parts(pair);
                 service.handle_outcome(change.token, change.outcome, &mut context);
             }
@@ -134,7 +134,7 @@
         (&mut self.service, context)
     }
 
-    /// All that the operator was answered. The controller's end is closed first, so that this waits for nothing.
+    /// The complete response. Closes the controller's end first, so that reading it does not block.
     pub fn into_response(mut self) -> String {
         drop(self.connections);
         let mut response = String::new();
--- a/crates/controller/tests/unit/peer_links.rs
+++ b/crates/controller/tests/unit/peer_links.rs
@@ -1,4 +1,4 @@
-//! When a controller gives an attempt to reach another one up, and which of two links it uses.
+//! When a controller gives up an attempt to connect to another one, and which of two links it uses.
 
 use crate::controller_connections::{ControllerConnection, ControllerConnections};
 use crate::operator_reads_tests::operator_call;
@@ -10,19 +10,19 @@
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// The time within which a first attempt must succeed.
+/// Milliseconds within which a first attempt must succeed.
 const FIRST_TIMEOUT_MS: u64 = 150;
 const POLL_TIMEOUT: Duration = Duration::from_millis(5);
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The links of one controller, and the address at which another one listens.
-struct Links {
+/// The links of one controller, and the listener of another one.
+struct LinksFixture {
     links: PeerLinks,
     connections: ControllerConnections,
     other: TcpListener,
 }
 
-impl Links {
+impl LinksFixture {
     fn new() -> Self {
         Self {
             links: PeerLinks::new("127.0.0.1:1".into()),
@@ -35,7 +35,7 @@
         self.other.local_addr().unwrap().to_string()
     }
 
-    /// A message is sent to the other controller.
+    /// Queues a message to the other controller.
     fn send(&mut self, now: u64) {
         let to = self.other_address();
         let message = ConsensusMessage::Link {
@@ -60,14 +60,14 @@
     Consensus::new(options.consensus_options(1), 0, VoterSnapshot::default())
 }
 
-fn reads_something(stream: &mut TcpStream) -> bool {
+fn receives_bytes(stream: &mut TcpStream) -> bool {
     stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     matches!(stream.read(&mut [0; 64]), Ok(1..))
 }
 
 #[test]
-fn an_attempt_that_hangs_is_closed_and_made_anew() {
-    let mut links = Links::new();
+fn a_hung_attempt_is_closed_and_repeated() {
+    let mut links = LinksFixture::new();
     links.send(1_000);
     links.close_hung(1_000 + FIRST_TIMEOUT_MS - 1);
     assert_eq!(links.connections.len(), 1);
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn an_established_connection_stays() {
-    let mut links = Links::new();
+fn an_established_connection_is_not_closed() {
+    let mut links = LinksFixture::new();
     links.send(1_000);
     let (_accepted, _) = links.other.accept().unwrap();
     let mut events = Vec::new();
@@ -91,7 +91,7 @@
     }
     for event in events {
         if let Event::Connected(connection) = event {
-            links.links.established(connection);
+            links.links.mark_established(connection);
         }
     }
     links.close_hung(60_000);
@@ -99,8 +99,8 @@
 }
 
 #[test]
-fn far_controllers_are_left_more_time_with_each_second_attempt() {
-    let mut links = Links::new();
+fn the_connect_timeout_doubles_with_every_second_attempt() {
+    let mut links = LinksFixture::new();
     let mut now = 1_000;
     let mut timeouts = Vec::new();
     for _ in 0..5 {
@@ -109,7 +109,7 @@
             links.close_hung(*at);
             links.connections.len() == 0
         });
-        let closed_at = closed_at.expect("it is closed");
+        let closed_at = closed_at.expect("the attempt times out");
         timeouts.push(closed_at - now);
         now = closed_at;
     }
@@ -117,15 +117,15 @@
 }
 
 #[test]
-fn a_link_that_the_other_has_opened_replaces_an_own_attempt_that_hangs() {
-    let mut links = Links::new();
+fn an_incoming_link_replaces_a_hung_outgoing_attempt() {
+    let mut links = LinksFixture::new();
     links.send(1_000);
-    // The other controller connects while the own attempt is not established.
-    let entrance = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-    let role = ControllerConnection::Peer;
-    let address = entrance.local_addr().unwrap();
-    let incoming = links.connections.connect(address, role).unwrap();
-    let (mut other, _) = entrance.accept().unwrap();
+    // The other controller connects while the outgoing attempt is not established.
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+    let kind = ControllerConnection::Peer;
+    let address = listener.local_addr().unwrap();
+    let incoming = links.connections.connect(address, kind).unwrap();
+    let (mut other, _) = listener.accept().unwrap();
     let hello = frame(&PeerFrame::Hello(links.other_address()));
     other.write_all(&hello).unwrap();
     let mut consensus = consensus();
@@ -139,5 +139,5 @@
         .handle_readable(1_010, incoming, &mut consensus, connections);
     links.send(1_020);
     links.flush();
-    assert!(reads_something(&mut other));
+    assert!(receives_bytes(&mut other));
 }
--- a/crates/controller/tests/unit/shutdown_deadline.rs
+++ b/crates/controller/tests/unit/shutdown_deadline.rs
@@ -1,23 +1,23 @@
-//! A process that was asked to stop ends in bounds, whatever holds up the loop that stops it.
+//! A process exits within a bounded time after a stop signal, even if its main loop is blocked.
 
-use crate::shutdown_deadline::{enforce, within};
+use crate::shutdown_deadline::{enforce, for_grace_period};
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-const CALLED_WITHIN: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[test]
-fn the_deadline_lies_within_the_grace_period() {
-    assert_eq!(within(6_000), Duration::from_secs(3));
-    assert!(within(1) < Duration::from_millis(1));
+fn the_deadline_is_shorter_than_the_grace_period() {
+    assert_eq!(for_grace_period(6_000), Duration::from_secs(3));
+    assert!(for_grace_period(1) < Duration::from_millis(1));
 }
 
 #[test]
-fn a_deadline_is_enforced_while_the_thread_that_set_it_is_held_up() {
+fn a_deadline_is_enforced_while_the_thread_that_set_it_is_blocked() {
     let (called, calls) = channel();
     enforce(Duration::from_millis(1), move || {
         let _ = called.send(());
     });
-    // This thread waits here, as a loop that does not go on.
-    assert_eq!(calls.recv_timeout(CALLED_WITHIN), Ok(()));
+    // This thread blocks here, like a main loop that hangs.
+    assert_eq!(calls.recv_timeout(CALL_TIMEOUT), Ok(()));
 }
