--- a/crates/controller/src/disk_thread.rs
+++ b/crates/controller/src/disk_thread.rs
@@ -24,8 +24,8 @@
     completed: Receiver<DiskCompletion>,
     /// Bytes of work that is queued or in progress.
     unfinished: Arc<AtomicUsize>,
-    /// Completions of work that was refused without being queued.
-    refused: Vec<DiskCompletion>,
+    /// Completions of work that was rejected without being queued.
+    rejected: Vec<DiskCompletion>,
 }
 
 /// State of the thread.
@@ -66,16 +66,16 @@
             work,
             completed,
             unfinished,
-            refused: Vec::new(),
+            rejected: Vec::new(),
         }
     }
 
-    /// Queues work for the thread, or refuses it if too much is queued, as happens while a disk hangs.
+    /// Queues work for the thread, or rejects it if too much is queued, as happens while a disk hangs.
     pub fn submit(&mut self, work: DiskWork) {
         let size = work.size();
         let unfinished = self.unfinished.load(Ordering::Relaxed);
         if unfinished > 0 && unfinished + size > UNFINISHED_BYTES_MAX {
-            self.refused.extend(work.reject());
+            self.rejected.extend(work.reject());
             return;
         }
         self.unfinished.fetch_add(size, Ordering::Relaxed);
@@ -87,10 +87,10 @@
         self.unfinished.load(Ordering::Relaxed)
     }
 
-    /// Takes the completions of work that was completed or refused since the last call.
+    /// Takes the completions of work that was completed or rejected since the last call.
     pub fn take_completions(&mut self) -> Vec<DiskCompletion> {
-        let refused = self.refused.drain(..);
-        refused.chain(self.completed.try_iter()).collect()
+        let rejected = self.rejected.drain(..);
+        rejected.chain(self.completed.try_iter()).collect()
     }
 }
 
