--- a/crates/autoscaler/src/scaling_decision.rs
+++ b/crates/autoscaler/src/scaling_decision.rs
@@ -1,8 +1,9 @@
-//! The decision about one function, after the design's Algorithm 1 (docs/source.md).
+//! Scaling decision for one function, following the design's Algorithm 1 (docs/source.md).
 //!
-//! - Above alpha of the capacity: quotas rise, and new runners are started for what is left of the gap.
-//! - Below beta, after a cooldown: quotas fall; a runner at zero drains.
-//! - An idle function keeps no runner, unless a start does not fit into its latency target.
+//! - Demand above alpha times the capacity: quotas are raised, and runners are started for the remaining gap.
+//! - Demand below beta times the capacity, after a cooldown: quotas are lowered, and runners whose quota reaches zero are
+//!   drained.
+//! - An idle function keeps no runner, unless a start takes longer than its latency target allows.
 
 use crate::draining::drain;
 use crate::function::Function;
@@ -16,21 +17,22 @@
 use crate::state::ClusterState;
 use scaler::{grow, shrink, RunnerQuota};
 
-/// Runners are bounded by what serves so many times the demand.
+/// The number of runners is limited to what can serve this multiple of the demand.
 const MAX_OVERPROVISIONING: f64 = 4.0;
-/// Requests a second by which a surplus is raised, so that rounding keeps no seat.
+/// Requests per second added to a surplus, so that rounding errors do not prevent a seat from being removed.
 const ROUNDING_MARGIN: f64 = 1e-6;
-/// Minimal runners that are queued to start at once, at the least.
+/// Minimum length limit of the start queue for prewarmed runners. Their starts are added only while the queue is shorter
+/// than the command rate per second or, if that is lower, than this.
 const MIN_RUNNER_STARTS_QUEUED: f64 = 8.0;
 
-/// Decides about all functions that are due.
+/// Makes the scaling decisions for all functions that are due.
 pub(crate) fn decide_due(state: &mut ClusterState) {
     for name in state.functions.take_due() {
         decide(state, &name);
     }
 }
 
-/// Decides about one function. Nothing is decided before the configuration and both lists are known.
+/// Makes the scaling decision for one function. Does nothing until the configuration and both lists are known.
 pub(crate) fn decide(state: &mut ClusterState, name: &str) {
     if !state.has_lists() || !state.functions.is_configured() {
         return;
@@ -68,9 +70,9 @@
     }
 }
 
-/// Starts a runner for a route that may use none of those that there are; whether one was started.
+/// Starts a runner for a route that may use none of the existing ones. Returns whether one was started.
 ///
-/// The owners do not tell the demand of each route, so every route of a function that is awake counts as called.
+/// Owners do not report demand by route, so every route of a function with recent demand is assumed to be in use.
 fn cover_routes(state: &mut ClusterState, name: &str, load: Load) -> bool {
     let Some(function) = state.functions.get(name) else {
         return false;
@@ -89,7 +91,7 @@
     add_start(state, name, &StartPurpose::UncoveredRoute, urgency).is_ok()
 }
 
-/// Starts a runner in a region that calls enough for one of its own; whether one was started.
+/// Starts a runner in a region that makes enough calls for one of its own. Returns whether one was started.
 fn cover_regions(state: &mut ClusterState, name: &str, load: Load) -> bool {
     let Some(function) = state.functions.get(name) else {
         return false;
@@ -104,7 +106,7 @@
     add_start(state, name, &purpose, StartUrgency::Proactive).is_ok()
 }
 
-/// Puts the starts of a function before those for which nothing waits.
+/// Moves the queued starts of a function ahead of those without waiting requests.
 fn expedite_starts(state: &mut ClusterState, name: &str) {
     let Some(function) = state.functions.get(name) else {
         return;
@@ -121,7 +123,7 @@
     }
 }
 
-/// Quotas first, up to the concurrency; new runners for what is left of the gap.
+/// Raises quotas up to the concurrency, then starts runners for the remaining gap.
 fn scale_up(state: &mut ClusterState, name: &str, load: Load) {
     let Some(function) = state.functions.get(name) else {
         return;
@@ -147,7 +149,8 @@
     }
 }
 
-/// How many runners are started for a gap that quotas left, in requests a second.
+/// Number of runners to start for the gap that remains after quotas were raised, in requests per second. `before` is the
+/// load before that.
 fn new_runners(state: &ClusterState, name: &str, before: Load, gap: f64) -> usize {
     let Some(function) = state.functions.get(name) else {
         return 0;
@@ -167,10 +170,10 @@
         .saturating_sub(pending_seats(state, function));
     let for_waiting = runners_of_seats(waiting_without_seat);
     if load.runners == 0 && load.waiting > 0 {
-        // An idle function starts as many runners as its waiting requests need.
+        // A function without runners starts at most as many as its waiting requests need.
         return for_gap.min(for_waiting);
     }
-    // However slow the answers are, each recent or present request needs one seat at most.
+    // However slow the responses are, each recent or current request needs at most one seat.
     let seats_needed = seats_needed(state, function, load);
     let for_rate = runners_for(load.rate() - state.options.policy.alpha * load.capacity)
         .min(runners_of_seats(seats_needed.saturating_sub(load.seats)));
@@ -179,21 +182,21 @@
     count.min(max_runners.saturating_sub(load.runners))
 }
 
-/// Seats that hold all requests that wait, are in flight, or came lately; at least one.
+/// Number of seats sufficient for all waiting and in-flight requests and for all recent arrivals; at least one.
 fn seats_needed(state: &ClusterState, function: &Function, load: Load) -> u32 {
     let recent = u32::try_from(function.arrivals().recent_count(state.now)).unwrap_or(u32::MAX);
     let present = load.waiting.saturating_add(load.in_flight);
     present.max(recent).max(1)
 }
 
-/// Seats of runners that are not up yet.
+/// Sum of the quotas of runners that are not serving yet.
 fn pending_seats(state: &ClusterState, function: &Function) -> u32 {
     let runners = state.runners_of(function);
     let pending = runners.filter(|(_, runner)| runner.is_pending());
     pending.map(|(_, runner)| runner.quota).sum()
 }
 
-/// Lowers quotas once the demand was below beta for the cooldown. One whole runner's capacity stays.
+/// Lowers quotas once the demand has been below beta for the cooldown. The full capacity of one runner is kept.
 fn scale_down(state: &mut ClusterState, name: &str, load: Load) {
     let Some(function) = state.functions.get(name) else {
         return;
@@ -228,6 +231,7 @@
     }
 }
 
+/// Drains all runners of a function that count as capacity.
 fn drain_all(state: &mut ClusterState, name: &str, reason: DrainReason) {
     let Some(function) = state.functions.get(name) else {
         return;
@@ -244,7 +248,7 @@
     state.record_decision(name, "none needed");
 }
 
-/// A function whose start does not fit into its latency target always has one runner.
+/// Keeps one runner of a prewarmed function: one whose start takes longer than its latency target allows.
 fn ensure_min_runner(state: &mut ClusterState, name: &str) {
     let Some(function) = state.functions.get(name) else {
         return;
@@ -265,11 +269,11 @@
     if is_paused || is_queue_full {
         return;
     }
-    // Without room on any worker, starts are paused and retried later.
+    // If no worker has room, starts are paused and retried later.
     let _ = add_start(state, name, &StartPurpose::Load, StartUrgency::Proactive);
 }
 
-/// The oldest runner that can be taken back, with its highest quota.
+/// The oldest runner that can resume serving, with its maximum quota.
 fn resumable_runner(state: &ClusterState, function: &Function) -> Option<(u64, u32)> {
     let mut runners = state.runners_of(function);
     let found = runners.find(|(_, runner)| runner.can_resume());
--- a/crates/autoscaler/src/start_block.rs
+++ b/crates/autoscaler/src/start_block.rs
@@ -1,7 +1,7 @@
-//! The start block: a statement to owners that a function has no runner and that no worker has room for one.
+//! Start blocks: a start block tells owners that a function has no runner and that no worker has room for one.
 //!
-//! The owner may then reject at once what could not be served in time anyway. The statement is made only where the lists
-//! show that no runner exists, holds for a bounded time, and is repeated while it is true.
+//! The owner may then immediately reject requests that could not be served in time anyway. A start block is issued only if
+//! the lists show that no runner exists. It is valid for a limited time and is renewed while it applies.
 
 use crate::draining::is_in_allowed_region;
 use crate::eviction::surplus_runners;
@@ -13,14 +13,14 @@
 use protocol::StartBlock;
 use std::collections::BTreeMap;
 
-/// Milliseconds after which a start for which there was no room is tried again.
+/// Milliseconds after which a start that found no room is retried.
 pub(crate) const NO_ROOM_RETRY_MS: u64 = 1_000;
-/// Milliseconds for which the statement holds. It is renewed as often as the start is tried again.
+/// Milliseconds for which a start block is valid. It is renewed whenever the start is retried.
 const VALIDITY_MS: u64 = 2 * NO_ROOM_RETRY_MS;
-/// A start is never expected to be done before the usual time divided by this; owners rely on it.
+/// A start is assumed to take at least its usual time divided by this. Owners rely on this lower bound.
 const MIN_START_TIME_DIVISOR: u64 = 2;
 
-/// Records when a worker may have room for a function whose start found none.
+/// Records a shortage after a start of a function found no room, with the earliest time at which a worker may have room.
 pub(crate) fn record_shortage(state: &mut ClusterState, name: &str) {
     let Some(function) = state.functions.get(name) else {
         return;
@@ -39,7 +39,7 @@
     }
 }
 
-/// Clears the shortage, since a worker has room or the function may have a runner.
+/// Clears the shortage after a worker had room or because the function may have a runner.
 pub(crate) fn clear_shortage(state: &mut ClusterState, name: &str) {
     let function = state.functions.get_mut(name);
     if function.is_some_and(|function| function.replace_shortage(None).is_some()) {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Retries blocked starts at once after workers gained room, the most urgent priority first.
+/// Resumes blocked starts after workers gained room. The most urgent priority is decided first.
 pub(crate) fn retry_blocked_starts(state: &mut ClusterState) {
     for name in state.functions.active().clone() {
         let Some(function) = state.functions.get_mut(&name) else {
@@ -60,7 +60,7 @@
     }
 }
 
-/// The start block of a function at a time; none if a start is possible or a runner may exist.
+/// The start block of a function at time `now`; `None` if a start is possible or a runner may exist.
 pub(crate) fn start_block(state: &ClusterState, name: &str, now: u64) -> Option<StartBlock> {
     let function = state.functions.get(name)?;
     let shortage = function.shortage()?;
@@ -81,13 +81,13 @@
     })
 }
 
-/// Whether the list of runners shows everything that an earlier term started.
+/// Whether the list of runners is recent enough to show everything that an earlier term started.
 fn shows_all_starts(state: &ClusterState) -> bool {
     let since = state.created_at + 2 * state.options.list_lag_ms;
     state.runners_listed_at.is_some_and(|at| at >= since)
 }
 
-/// Whether a runner serves, starts or can be revived, or may exist without being listed yet.
+/// Whether a runner in an allowed region is serving, starting or able to resume, or may exist without being listed yet.
 fn may_have_runner(state: &ClusterState, function: &Function) -> bool {
     state.runners_of(function).any(|(_, runner)| {
         let is_unconfirmed = matches!(runner.state, RunnerState::StartUnconfirmed { .. });
@@ -96,7 +96,7 @@
     })
 }
 
-/// Earliest time at which a worker may have room; none if no known change would free enough memory.
+/// Earliest time at which any worker may have room; `None` if no known change would free enough memory.
 fn earliest_room_at(state: &ClusterState, name: &str, function: &Function) -> Option<u64> {
     let configuration = function.configuration();
     let mut surplus = surplus_by_worker(state, name, configuration.priority);
@@ -118,7 +118,8 @@
     times.min()
 }
 
-/// Earliest time at which a worker may have that much free memory, given the memory that becomes free.
+/// Earliest time at which a worker may have this much free memory. `freeing` is memory that evictions may free; memory of
+/// runners that are ending is added to it.
 fn earliest_room_on(
     state: &ClusterState,
     worker: &Worker,
@@ -144,7 +145,7 @@
     (free_mb >= memory_mb).then_some(room_at)
 }
 
-/// When the memory of a runner that ends counts as free at the earliest.
+/// Earliest time at which the memory of an ending runner may be free.
 fn freed_at(state: &ClusterState, runner: &Runner) -> u64 {
     match runner.state {
         RunnerState::Unreachable { since } => since + state.options.unlisted_ms(),
@@ -156,7 +157,7 @@
     }
 }
 
-/// Memory of surplus runners of other functions, by worker, with the time from which they may be evicted.
+/// Memory of surplus runners of other functions, by worker, each with the time from which the runner may be evicted.
 fn surplus_by_worker<'a>(
     state: &'a ClusterState,
     name: &str,
--- a/crates/autoscaler/src/start_queue.rs
+++ b/crates/autoscaler/src/start_queue.rs
@@ -1,18 +1,18 @@
-//! Order in which starts are commanded: those for which requests wait, then the others; each by priority and age.
+//! Queue of starts to be commanded: those with waiting requests first, then the others, each ordered by priority and age.
 
 use std::collections::BTreeSet;
 
-/// How soon a start is needed.
+/// Urgency of a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum StartUrgency {
-    /// Requests wait for it. Goes before stops.
+    /// Requests are waiting for it. Sent before stops.
     RequestsWaiting,
-    /// It adds to what serves already. Goes after stops.
+    /// It is not needed for waiting requests. Sent after stops.
     Proactive,
 }
 
 impl StartUrgency {
-    /// The urgency of a start for a function for which requests wait or not.
+    /// The urgency of a start, given whether requests of its function are waiting.
     pub fn for_waiting(is_waiting: bool) -> Self {
         if is_waiting {
             Self::RequestsWaiting
@@ -22,18 +22,18 @@
     }
 }
 
-/// Place of a start in the queue. The derived order is the queue's order.
+/// An entry of the start queue. The derived order is the order of the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuedStart {
-    /// How soon it is needed.
+    /// Urgency of the start.
     pub urgency: StartUrgency,
-    /// Priority of its function; the lowest goes first.
+    /// Priority of the function; lower numbers come first.
     pub priority: u8,
-    /// Serial of the runner.
+    /// Serial of the runner, which orders equal priorities by age.
     pub serial: u64,
 }
 
-/// Starts that are wanted and not commanded yet.
+/// Starts that have not been commanded yet.
 #[derive(Debug, Default)]
 pub(crate) struct StartQueue {
     queued: BTreeSet<QueuedStart>,
@@ -55,7 +55,7 @@
         self.queued.retain(|start| start.serial != serial);
     }
 
-    /// Moves a runner's start before those for which nothing waits.
+    /// Moves a runner's start ahead of those without waiting requests.
     pub fn expedite(&mut self, priority: u8, serial: u64) {
         let mut start = QueuedStart {
             urgency: StartUrgency::Proactive,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The entries of one urgency, in their order.
+    /// The entries of one urgency, in queue order.
     pub fn entries(&self, urgency: StartUrgency) -> Vec<QueuedStart> {
         let first = QueuedStart {
             urgency,
--- a/crates/autoscaler/src/starts.rs
+++ b/crates/autoscaler/src/starts.rs
@@ -1,4 +1,4 @@
-//! Adds one more runner: it is placed and queued at once, and commanded when the platform's rate allows it.
+//! Adds runners. A start is placed and queued immediately, and commanded once the platform's rate limit allows it.
 
 use crate::eviction::evict_for;
 use crate::function::Function;
@@ -10,12 +10,12 @@
 use crate::state::ClusterState;
 use crate::worker_capacity::Worker;
 
-/// Error: no worker has room for a runner of the function.
+/// Error returned if no worker has room for a runner of the function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NoWorkerHasRoom;
 
-/// Queues the start of one more runner of a function. If no worker has room, idle runners of other functions are evicted
-/// and the start is retried later.
+/// Queues the start of one more runner of a function. If no worker has room and the purpose is load, idle runners of other
+/// functions are evicted and the start is retried later.
 pub(crate) fn add_start(
     state: &mut ClusterState,
     name: &str,
@@ -43,7 +43,7 @@
     Ok(())
 }
 
-/// No worker has room. What one route or region lacks holds up no start for the load of all.
+/// Handles a start for which no worker has room. A missing runner for one route or region does not pause starts for load.
 fn handle_no_room(state: &mut ClusterState, name: &str, purpose: &StartPurpose) {
     match purpose {
         StartPurpose::Load => {
@@ -56,6 +56,7 @@
     }
 }
 
+/// Pauses starts for uncovered routes until the retry time.
 fn pause_covering(state: &mut ClusterState, name: &str) {
     let until = state.now + NO_ROOM_RETRY_MS;
     if let Some(function) = state.functions.get_mut(name) {
@@ -63,6 +64,7 @@
     }
 }
 
+/// A new runner on this worker whose start is pending.
 fn pending_runner(
     state: &ClusterState,
     name: &str,
@@ -97,6 +99,7 @@
     }
 }
 
+/// Pauses all starts of a function until the retry time.
 fn pause_starts(state: &mut ClusterState, name: &str) {
     let until = state.now + NO_ROOM_RETRY_MS;
     if let Some(function) = state.functions.get_mut(name) {
