--- a/crates/autoscaler/src/state.rs
+++ b/crates/autoscaler/src/state.rs
@@ -1,4 +1,4 @@
-//! The complete state of the autoscaler, and the changes that concern several of its parts.
+//! The complete state of the autoscaler, and the changes that affect several of its parts.
 
 use crate::function::{Function, DEFAULT_SERVICE_TIME_MS};
 use crate::function_table::FunctionTable;
@@ -11,36 +11,36 @@
 use crate::update_log::UpdateLog;
 use crate::worker_capacity::{Worker, WorkerCapacity};
 
-/// The parts of the state. Each keeps its own invariant; what changes several of them together is a method here.
+/// The parts of the state. Each part maintains its own invariant. Changes that affect several parts are methods of this type.
 pub(crate) struct ClusterState {
-    /// How to decide.
+    /// Settings.
     pub options: AutoscalerOptions,
-    /// When this autoscaler was created, in milliseconds.
+    /// Time at which this autoscaler was created, in milliseconds of the caller's clock.
     pub created_at: u64,
-    /// Milliseconds of the caller's clock, which never fall.
+    /// Current time in milliseconds of the caller's clock. It never decreases.
     pub now: u64,
-    /// When an owner reported first.
+    /// Time of the first report of any owner.
     pub observed_since: Option<u64>,
-    /// Functions with their configuration and demand.
+    /// Functions, with their configuration and demand.
     pub functions: FunctionTable,
-    /// Runners that are wanted, run or end.
+    /// Runners that are pending, running or ending.
     pub runners: RunnerTable,
-    /// When the list of runners came last.
+    /// Time at which the list of runners was last received.
     pub runners_listed_at: Option<u64>,
-    /// Runners that ended lately.
+    /// Runners that ended recently.
     pub stopped_runners: StoppedRunners,
-    /// Workers with their memory.
+    /// Workers, with their memory.
     pub workers: WorkerCapacity,
-    /// Starts to be commanded.
+    /// Starts that have not been commanded yet.
     pub start_queue: StartQueue,
-    /// Rate limit of commands.
+    /// Rate limiter for commands to the platform.
     pub command_rate: TokenBucket,
-    /// Versions of what owners are told.
+    /// Versions of the updates sent to owners.
     pub updates: UpdateLog,
 }
 
 impl ClusterState {
-    /// An empty state.
+    /// Creates an empty state.
     pub fn new(options: AutoscalerOptions, now: u64) -> Self {
         Self {
             created_at: now,
@@ -58,17 +58,17 @@
         }
     }
 
-    /// Advances the clock; it never goes back.
+    /// Advances the clock. Earlier times are ignored.
     pub fn advance_clock(&mut self, now: u64) {
         self.now = self.now.max(now);
     }
 
-    /// Whether both lists were received, so that it is known what runs and where there is room.
+    /// Whether both lists have been received, so that the existing runners and the free memory are known.
     pub fn has_lists(&self) -> bool {
         self.workers.has_list() && self.runners_listed_at.is_some()
     }
 
-    /// The runners of a function, the oldest first.
+    /// The runners of a function, oldest first.
     pub fn runners_of<'a>(
         &'a self,
         function: &'a Function,
@@ -76,7 +76,7 @@
         self.runners.select(function.runners())
     }
 
-    /// Requests a second that one seat of a runner carries.
+    /// Requests per second that one seat of a runner can serve.
     pub fn seat_rate(&self, runner: &Runner) -> f64 {
         let measured_ms = runner.service_time.measured_ms();
         let function = self.functions.get(&runner.function);
@@ -84,7 +84,7 @@
         1_000.0 / expected_ms.unwrap_or(DEFAULT_SERVICE_TIME_MS).max(1.0)
     }
 
-    /// Memory that is free on a worker.
+    /// Free memory of a worker, in megabytes.
     pub fn free_mb(&self, worker: &Worker) -> u64 {
         let listed_until = self.workers.listed_until(worker);
         let account = self
@@ -93,7 +93,7 @@
         self.workers.free_mb(worker, &account)
     }
 
-    /// Adds a runner to its function.
+    /// Adds a runner to the table and to its function. Returns its serial.
     pub fn add_runner(&mut self, runner: Runner) -> u64 {
         let name = runner.function.clone();
         let serial = self.runners.insert(runner);
@@ -104,7 +104,7 @@
         serial
     }
 
-    /// Removes a runner; its memory counts as free from now on.
+    /// Removes a runner. Its memory counts as free from now on.
     pub fn forget_runner(&mut self, serial: u64) {
         let Some(runner) = self.runners.remove(serial) else {
             return;
@@ -145,7 +145,7 @@
         });
     }
 
-    /// Records the last decision about a function, for operators.
+    /// Records the last scaling decision for a function, to be shown to operators.
     pub fn record_decision(&mut self, name: &str, decision: &'static str) {
         if let Some(function) = self.functions.get_mut(name) {
             function.set_last_decision(decision);
--- a/crates/autoscaler/src/stopped_runners.rs
+++ b/crates/autoscaler/src/stopped_runners.rs
@@ -1,30 +1,30 @@
-//! Runners that ended recently. Lists lag and may still show them; they must not be adopted again.
+//! Runners that ended recently. Lists lag and may still show them, but they must not be adopted again.
 
 use std::collections::{BTreeMap, HashSet};
 
-/// Ids of runners that ended, with the time of the end.
+/// Ids of runners that ended recently, with the time at which each ended.
 #[derive(Debug, Default)]
 pub(crate) struct StoppedRunners {
     stopped_at: BTreeMap<String, u64>,
 }
 
 impl StoppedRunners {
-    /// A runner ended.
+    /// Records that a runner ended.
     pub fn record(&mut self, id: String, now: u64) {
         self.stopped_at.insert(id, now);
     }
 
-    /// When a runner ended.
+    /// Time at which a runner ended; `None` if it is not recorded.
     pub fn stopped_at(&self, id: &str) -> Option<u64> {
         self.stopped_at.get(id).copied()
     }
 
-    /// Drops the record of a runner that turned out to exist still.
+    /// Removes the record of a runner that turned out to exist still.
     pub fn remove(&mut self, id: &str) {
         self.stopped_at.remove(id);
     }
 
-    /// Forgets runners that the newest list lacks and that ended longer ago than lists lag.
+    /// Removes the runners that are missing from the newest list and ended longer ago than lists may lag.
     pub fn forget_unlisted(&mut self, listed: &HashSet<&str>, unlisted_ms: u64, now: u64) {
         let is_recent = |at: u64| at + unlisted_ms > now;
         self.stopped_at
--- a/crates/autoscaler/src/update_log.rs
+++ b/crates/autoscaler/src/update_log.rs
@@ -1,12 +1,12 @@
-//! Versions of the updates to owners.
+//! Assigns versions to the updates for owners.
 
 use std::collections::BTreeSet;
 
-/// Bits of an update's number below the term: a number of a later term is above all of an earlier one, so that an
-/// owner's number of an earlier term is never taken for one of this term.
+/// Number of bits below the term in an update's number. All numbers of a later term are higher than those of an earlier one,
+/// so that a number that an owner holds from an earlier term is never mistaken for one of this term.
 const TERM_SHIFT: u32 = 32;
 
-/// Numbers updates and records which functions changed since their last one.
+/// Numbers updates and records which functions have changed since their last update.
 #[derive(Debug)]
 pub(crate) struct UpdateLog {
     term: u64,
@@ -15,7 +15,7 @@
 }
 
 impl UpdateLog {
-    /// The log of a term, with no update yet.
+    /// Creates the log of a term, without updates.
     pub fn new(term: u64) -> Self {
         Self {
             term,
@@ -24,29 +24,29 @@
         }
     }
 
-    /// The term under which updates are sent.
+    /// The term in which the updates are sent.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// The number below all updates of this term.
+    /// The number that precedes all updates of this term.
     pub fn base_number(&self) -> u64 {
         self.term << TERM_SHIFT
     }
 
-    /// An update of the function is to be sent.
+    /// Marks a function for which an update must be sent.
     pub fn mark_changed(&mut self, function: &str) {
         if !self.changed.contains(function) {
             self.changed.insert(function.to_owned());
         }
     }
 
-    /// The functions that changed since the last call, by name.
+    /// Takes the names of the functions that changed since the last call.
     pub fn take_changed(&mut self) -> BTreeSet<String> {
         std::mem::take(&mut self.changed)
     }
 
-    /// The number of the next update.
+    /// Assigns the number of the next update.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
--- a/crates/autoscaler/src/updates.rs
+++ b/crates/autoscaler/src/updates.rs
@@ -1,4 +1,4 @@
-//! Updates to owners: the runners of a function, the stage and quota of each.
+//! Updates for owners: the runners of a function with their stages and quotas, and its start block.
 
 use crate::function::Function;
 use crate::runner::Runner;
@@ -6,7 +6,7 @@
 use crate::state::ClusterState;
 use protocol::{FunctionUpdate, RunnerStage, RunnerUpdate, UpdateVersion};
 
-/// Updates of the functions whose runners changed since the last call. None before both lists were received.
+/// Takes the updates of the functions that changed since the last call. Empty until both lists have been received.
 pub(crate) fn take_updates(state: &mut ClusterState) -> Vec<FunctionUpdate> {
     if !state.has_lists() {
         return Vec::new();
@@ -16,6 +16,7 @@
     updates.collect()
 }
 
+/// Creates the next update of a function, and records its number for the function and for its draining runners.
 fn next_update(state: &mut ClusterState, name: &str) -> FunctionUpdate {
     let number = state.updates.next_number();
     if let Some(function) = state.functions.get_mut(name) {
@@ -35,8 +36,8 @@
     }
 }
 
-/// The current update of a function for an owner that does not have it. Before both lists were received it is empty and
-/// its version supersedes no other.
+/// The current update of a function, for an owner that does not have it. Until both lists have been received, it is empty
+/// and its version supersedes no other.
 pub(crate) fn update_for(state: &ClusterState, name: &str, now: u64) -> FunctionUpdate {
     if !state.has_lists() {
         return FunctionUpdate {
@@ -52,7 +53,7 @@
     }
 }
 
-/// Version of the current update of a function; zero before both lists were received.
+/// Version of the current update of a function; zero until both lists have been received.
 pub(crate) fn update_version(state: &ClusterState, name: &str) -> UpdateVersion {
     if !state.has_lists() {
         return UpdateVersion::default();
--- a/crates/autoscaler/src/worker_capacity.rs
+++ b/crates/autoscaler/src/worker_capacity.rs
@@ -1,13 +1,13 @@
-//! The platform's workers: which accept starts, and how much memory is free on them.
+//! The platform's workers: which of them accept starts, and how much memory is free on each.
 //!
-//! The free memory of a worker is the lesser of two views. One is its size less what the known runners take. The other is
-//! the platform's list, corrected by what was started and freed so lately that the list may lack it.
+//! The free memory of a worker is the lower of two estimates. One is its total memory minus that of the known runners. The
+//! other is the free memory in the platform's list, corrected for starts and ends that are too recent to be reflected there.
 
 use crate::memory_account::{unlisted_mb, MemoryAccount, TimedMemory};
 use crate::platform::WorkerListing;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A worker, with what changed since it was listed.
+/// A listed worker, with recent changes that its listing may not reflect.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Worker {
     listing: WorkerListing,
@@ -17,33 +17,33 @@
 }
 
 impl Worker {
-    /// The newest listing.
+    /// The newest listing of the worker.
     pub fn listing(&self) -> &WorkerListing {
         &self.listing
     }
 
-    /// Time before which no start is tried, because the last one found no room.
+    /// Time until which no starts are attempted because the last one found no room.
     pub fn starts_paused_until(&self) -> u64 {
         self.starts_paused_until
     }
 }
 
-/// What a new list of workers changed.
+/// Changes caused by a new list of workers.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerChanges {
-    /// Names of workers that are not listed any more.
+    /// Names of workers that are no longer listed.
     pub unlisted: Vec<String>,
-    /// A worker can take more than before.
+    /// Whether any worker has more room than before.
     pub has_gained_room: bool,
 }
 
-/// Whether a worker can take more than when it was listed before.
+/// Whether a worker has more room than in its previous listing.
 fn has_more_room(before: &WorkerListing, now: &WorkerListing) -> bool {
     let is_back = before.is_draining && !now.is_draining;
     is_back || !now.is_draining && now.free_mb > before.free_mb
 }
 
-/// All workers of the newest list, and the zones that operators evacuate.
+/// All workers in the newest list, and the evacuated zones.
 #[derive(Debug)]
 pub(crate) struct WorkerCapacity {
     workers: BTreeMap<String, Worker>,
@@ -53,7 +53,7 @@
 }
 
 impl WorkerCapacity {
-    /// No worker is known; lists lag by so many milliseconds.
+    /// Creates an empty table. Lists may lag by `list_lag_ms` milliseconds.
     pub fn new(list_lag_ms: u64) -> Self {
         Self {
             workers: BTreeMap::new(),
@@ -63,28 +63,28 @@
         }
     }
 
-    /// Whether a list was taken.
+    /// Whether a list has been received.
     pub fn has_list(&self) -> bool {
         self.has_list
     }
 
-    /// The worker of that name.
+    /// The worker with this name.
     pub fn get(&self, name: &str) -> Option<&Worker> {
         self.workers.get(name)
     }
 
-    /// All workers by name.
+    /// Iterates over all workers, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = &Worker> {
         self.workers.values()
     }
 
-    /// Whether the platform drains that worker.
+    /// Whether the platform is draining the worker with this name.
     pub fn is_draining(&self, name: &str) -> bool {
         let worker = self.workers.get(name);
         worker.is_some_and(|worker| worker.listing.is_draining)
     }
 
-    /// Whether operators evacuate a zone.
+    /// Whether a zone is evacuated.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.evacuated_zones.contains(zone)
     }
@@ -98,17 +98,17 @@
         is_changed
     }
 
-    /// Whether a worker accepts no starts at all: it drains, or its zone is evacuated.
+    /// Whether no starts may be placed on a worker because it is draining or its zone is evacuated.
     pub fn is_unschedulable(&self, worker: &Worker) -> bool {
         worker.listing.is_draining || self.is_evacuated(&worker.listing.zone)
     }
 
-    /// Whether a worker accepts new starts now.
+    /// Whether a worker accepts new starts at time `now`.
     pub fn accepts_starts(&self, worker: &Worker, now: u64) -> bool {
         !self.is_unschedulable(worker) && now >= worker.starts_paused_until
     }
 
-    /// Replaces the list of workers.
+    /// Replaces the list of workers. Returns the changes.
     pub fn replace(&mut self, listings: Vec<WorkerListing>, now: u64) -> WorkerChanges {
         self.has_list = true;
         let mut before = std::mem::take(&mut self.workers);
@@ -127,32 +127,32 @@
         changes
     }
 
-    /// Names of the workers that the platform drains.
+    /// Names of the workers that the platform is draining.
     pub fn draining(&self) -> impl Iterator<Item = &str> {
         let draining = self.iter().filter(|worker| worker.listing.is_draining);
         draining.map(|worker| worker.listing.name.as_str())
     }
 
-    /// Memory was freed on a worker; its list may not show it yet.
+    /// Records memory that was freed on a worker and that the list may not reflect yet.
     pub fn record_freed(&mut self, name: &str, memory_mb: u64, now: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.freed.push(TimedMemory { at: now, memory_mb });
         }
     }
 
-    /// A start found no room on a worker: none is tried there until lists show the reason, after twice their lag.
+    /// Pauses starts on a worker after one found no room there, until lists show the reason: for twice the list lag.
     pub fn pause_starts(&mut self, name: &str, now: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.starts_paused_until = now + 2 * self.list_lag_ms;
         }
     }
 
-    /// The time before which the newest list shows all that happened on a worker.
+    /// Time before which the newest list reflects everything that happened on a worker.
     pub fn listed_until(&self, worker: &Worker) -> u64 {
         worker.listed_at.saturating_sub(self.list_lag_ms)
     }
 
-    /// Memory that is free on a worker, by the account of its runners and by the list.
+    /// Free memory of a worker in megabytes: the lower of the values by the account of its runners and by the list.
     pub fn free_mb(&self, worker: &Worker, account: &MemoryAccount) -> u64 {
         let listed_until = self.listed_until(worker);
         let listing = &worker.listing;
