--- a/crates/autoscaler/tests/cluster/mod.rs
+++ b/crates/autoscaler/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: builders of workers, functions and the reports of one owner.
+//! Shared test helpers: builders for workers, runners, functions and the reports of one owner.
 #![allow(dead_code)]
 
 use autoscaler::{
@@ -7,10 +7,10 @@
 use protocol::{FunctionReport, FunctionUpdate, RunnerReport, RunnerStage, ZoneArrivals};
 use routing::{Binding, Function, RoutingConfiguration};
 
-/// The gateway that owns the functions.
+/// Name of the gateway that owns the functions.
 pub const OWNER: &str = "gateway-a/1";
 
-/// Options under which the rate of commands bounds nothing.
+/// Options with a command rate that is high enough not to limit the tests.
 pub fn options() -> AutoscalerOptions {
     AutoscalerOptions {
         commands_per_s: 100.0,
@@ -18,7 +18,7 @@
     }
 }
 
-/// An empty worker.
+/// The listing of a worker without runners.
 pub fn worker_listing(name: &str, zone: &str, memory_mb: u64) -> WorkerListing {
     WorkerListing {
         name: name.to_owned(),
@@ -29,7 +29,7 @@
     }
 }
 
-/// A runner that may hold four requests at once.
+/// The listing of a runner with a capacity of four concurrent requests.
 pub fn runner_listing(id: &str, function: &str, worker: &str, zone: &str) -> RunnerListing {
     RunnerListing {
         id: id.to_owned(),
@@ -42,7 +42,8 @@
     }
 }
 
-/// Functions with a start of one second, a concurrency of four and a latency target in milliseconds.
+/// A configuration of functions with a start time of one second, a concurrency of four and the given latency targets in
+/// milliseconds.
 pub fn configuration(functions: &[(&str, u32)]) -> RoutingConfiguration {
     let mut configuration = RoutingConfiguration::default();
     for (index, (name, latency_target_ms)) in functions.iter().enumerate() {
@@ -64,7 +65,7 @@
     configuration
 }
 
-/// A report without runners; all requests came from zone a.
+/// A report without runners. All requests arrived in zone a.
 pub fn function_report(function: &str, arrived: u64, waiting: u32) -> FunctionReport {
     FunctionReport {
         function: function.to_owned(),
@@ -87,7 +88,7 @@
     }
 }
 
-/// An autoscaler that knows these functions, workers and runners.
+/// An autoscaler that has received this configuration and these lists.
 pub fn autoscaler_with(
     options: AutoscalerOptions,
     functions: &[(&str, u32)],
@@ -102,7 +103,7 @@
     autoscaler
 }
 
-/// The platform's positive answer to a start.
+/// The platform's response to a successful start.
 pub fn started(id: &str, port: u16) -> StartedRunner {
     StartedRunner {
         id: id.to_owned(),
@@ -118,7 +119,7 @@
     pub worker: String,
 }
 
-/// The start commands among these.
+/// The start commands among `commands`.
 pub fn starts(commands: &[RunnerCommand]) -> Vec<Start> {
     let starts = commands.iter().filter_map(|command| match command {
         RunnerCommand::Start {
@@ -135,7 +136,7 @@
     starts.collect()
 }
 
-/// The ids of the runners that these commands stop.
+/// The ids of the runners that `commands` stop.
 pub fn stops(commands: &[RunnerCommand]) -> Vec<String> {
     let stops = commands.iter().filter_map(|command| match command {
         RunnerCommand::Stop { id } => Some(id.clone()),
@@ -144,7 +145,7 @@
     stops.collect()
 }
 
-/// Answers every start with runner r-NONCE; gives the commands.
+/// Takes the commands and answers every start with the runner `r-NONCE`. Returns the commands.
 pub fn answer_starts(autoscaler: &mut Autoscaler, now: u64) -> Vec<RunnerCommand> {
     let commands = autoscaler.take_commands();
     for start in starts(&commands) {
@@ -154,13 +155,13 @@
     commands
 }
 
-/// The stage of a runner in an update.
+/// The stage of a runner in an update; `None` if the update does not include it.
 pub fn stage(update: &FunctionUpdate, id: &str) -> Option<RunnerStage> {
     let runner = update.runners.iter().find(|runner| runner.id == id);
     runner.map(|runner| runner.stage)
 }
 
-/// The quota of each runner in an update.
+/// The quotas of all runners in an update.
 pub fn quotas(update: &FunctionUpdate) -> Vec<u32> {
     update.runners.iter().map(|runner| runner.quota).collect()
 }
--- a/crates/autoscaler/tests/decisions.rs
+++ b/crates/autoscaler/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! The design's ordinary path: alpha, quotas first, placing, shrinking after the cooldown, drained stops.
+//! Regular scaling decisions: raising quotas before starting runners, placement, lowering quotas after the cooldown, and
+//! stopping runners once they are drained.
 
 mod cluster;
 
@@ -6,8 +7,8 @@
 use cluster::*;
 use protocol::{FunctionReport, FunctionUpdate, RunnerStage};
 
-/// Reports arrivals at a rate for some seconds, with a report and a tick each 100 ms.
-fn call(
+/// Reports arrivals at a constant rate, with a report and a tick every 100 ms. Returns the commands.
+fn report_arrivals(
     autoscaler: &mut Autoscaler,
     from: u64,
     until: u64,
@@ -34,7 +35,7 @@
 
 #[test]
 fn quotas_rise_before_runners_start() {
-    // A seat carries 1000/60 a second: two runners of four seats carry 133, and 0.8 of it 106.
+    // A seat serves 1000/60 requests per second: two runners with four seats serve 133, and 0.8 of that is 106.
     let runners = [
         runner_listing("r-1", "f", "w-1", "a"),
         runner_listing("r-2", "f", "w-1", "a"),
@@ -42,21 +43,24 @@
     let mut autoscaler = autoscaler_with(options(), &[("f", 9_000)], &workers(), &runners);
     let mut arrived = 0;
     autoscaler.handle_report(0, OWNER, &function_report("f", 0, 0));
-    assert!(call(&mut autoscaler, 100, 8_000, 20, &mut arrived).is_empty());
+    assert!(report_arrivals(&mut autoscaler, 100, 8_000, 20, &mut arrived).is_empty());
     let update = autoscaler.update_for("f", 8_000);
     let seats: u32 = quotas(&update).iter().sum();
-    assert!((4..8).contains(&seats), "it fell to {seats} below beta");
-    assert!(call(&mut autoscaler, 8_000, 12_000, 70, &mut arrived).is_empty());
+    assert!(
+        (4..8).contains(&seats),
+        "the seats fell to {seats} below beta"
+    );
+    assert!(report_arrivals(&mut autoscaler, 8_000, 12_000, 70, &mut arrived).is_empty());
     let update = autoscaler.update_for("f", 12_000);
     assert!(quotas(&update).iter().sum::<u32>() > seats);
-    let commands = call(&mut autoscaler, 12_000, 15_000, 150, &mut arrived);
+    let commands = report_arrivals(&mut autoscaler, 12_000, 15_000, 150, &mut arrived);
     assert!(!starts(&commands).is_empty());
     let update = autoscaler.update_for("f", 15_000);
     assert!(quotas(&update).iter().all(|quota| *quota == 4));
 }
 
 #[test]
-fn what_is_left_goes_to_the_least_occupied_used_worker_then_to_a_fresh_one() {
+fn starts_go_to_the_least_occupied_used_worker_then_to_an_unused_one() {
     let runners = [
         runner_listing("r-1", "g", "w-1", "a"),
         runner_listing("r-2", "g", "w-1", "a"),
@@ -78,7 +82,7 @@
     assert_eq!(
         workers[..2],
         ["w-1", "w-2"][..],
-        "both half full: ties by name"
+        "both are half full, so the name decides"
     );
     assert_eq!(workers.len(), 2);
     autoscaler.handle_report(20, OWNER, &function_report("f", 150, 150));
@@ -90,7 +94,7 @@
     assert_eq!(workers[..2], ["w-1", "w-0"][..]);
 }
 
-/// Ticks until there is an update, which must come before a time. Gives when it came.
+/// Ticks until there is an update, which must happen before `before`. Returns the time and the update.
 fn tick_until_update(autoscaler: &mut Autoscaler, from: u64, before: u64) -> (u64, FunctionUpdate) {
     let mut now = from;
     loop {
@@ -103,7 +107,7 @@
     }
 }
 
-/// Reports a runner as idle until it is stopped. Gives when that is; 0 where it is not.
+/// Reports a runner as idle until it is stopped. Returns the time of the stop; 0 if it is not stopped.
 fn report_idle_until_stopped(autoscaler: &mut Autoscaler, id: &str) -> u64 {
     let mut update_number = 0;
     for now in (1_300..6_000).step_by(100) {
@@ -151,11 +155,14 @@
     autoscaler.tick(now + 50);
     assert!(
         autoscaler.take_commands().is_empty(),
-        "the owner does not know yet"
+        "the owner has not received the update yet"
     );
     autoscaler.handle_report(now + 100, OWNER, &report(update.version.number, 1));
     autoscaler.tick(now + 150);
-    assert!(autoscaler.take_commands().is_empty(), "it holds requests");
+    assert!(
+        autoscaler.take_commands().is_empty(),
+        "a request is in flight"
+    );
     autoscaler.handle_report(now + 200, OWNER, &report(update.version.number, 0));
     autoscaler.tick(now + 250);
     assert_eq!(stops(&autoscaler.take_commands()), ["r-2", "r-3"]);
@@ -181,8 +188,8 @@
 }
 
 #[test]
-fn one_call_starts_one_runner_which_ends_after_the_retention() {
-    // How retention adapts is shown by `retention.rs`.
+fn one_call_starts_one_runner_which_is_stopped_after_the_retention_time() {
+    // Adaptive retention is tested in `retention.rs`.
     let mut options = options();
     options.policy.adapts_retention = false;
     let mut autoscaler = autoscaler_with(options, &[("f", 9_000)], &workers(), &[]);
@@ -199,7 +206,7 @@
         autoscaler.tick(now);
         assert!(
             autoscaler.take_commands().is_empty(),
-            "one backlog starts once"
+            "a backlog starts runners only once"
         );
     }
     let busy = FunctionReport {
@@ -250,19 +257,22 @@
 }
 
 #[test]
-fn requests_that_waited_through_an_outage_start_no_more_than_running_runners_leave() {
+fn a_backlog_after_an_outage_starts_runners_only_for_what_running_ones_cannot_serve() {
     let runners = ["r-1", "r-2"].map(|id| runner_listing(id, "f", "w-1", "a"));
     let mut autoscaler = autoscaler_with(options(), &[("f", 500)], &workers(), &runners);
     autoscaler.take_updates();
-    // Two runners of four seats at 60 ms an answer serve 133 a second; a start takes one second.
+    // Two runners with four seats and a service time of 60 ms serve 133 requests per second; a start takes one second.
     autoscaler.handle_report(10, OWNER, &function_report("f", 100, 100));
     let commands = answer_starts(&mut autoscaler, 10);
     assert_eq!(
         starts(&commands).len(),
         0,
-        "they are served before a start is done"
+        "the requests are served before a new runner would be up"
     );
     autoscaler.handle_report(20, "other/1", &function_report("f", 400, 400));
     let commands = answer_starts(&mut autoscaler, 20);
-    assert!(!starts(&commands).is_empty(), "what is left asks for more");
+    assert!(
+        !starts(&commands).is_empty(),
+        "the remaining requests need more runners"
+    );
 }
--- a/crates/autoscaler/tests/platform.rs
+++ b/crates/autoscaler/tests/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform does: workers leave, answers fail, zones are evacuated, terms change.
+//! Events of the platform: draining workers, failed starts, evacuated zones, rate limits and changes of the term.
 
 mod cluster;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn runners_of_a_leaving_worker_drain_and_are_replaced() {
+fn runners_of_a_draining_worker_drain_and_are_replaced() {
     let runners = [runner_listing("r-1", "f", "w-1", "a")];
     let mut autoscaler = autoscaler_with(options(), &[("f", 500)], &workers(), &runners);
     autoscaler.take_updates();
@@ -31,13 +31,13 @@
     autoscaler.tick(5_000);
     assert!(
         autoscaler.take_commands().is_empty(),
-        "the platform ends it by itself"
+        "the platform terminates the runner itself"
     );
     assert_eq!(stage(&autoscaler.update_for("f", 5_000), "r-1"), None);
 }
 
 #[test]
-fn a_runner_that_is_listed_as_leaving_is_replaced() {
+fn a_runner_that_is_listed_as_terminating_is_replaced() {
     let mut runners = vec![runner_listing("r-1", "f", "w-1", "a")];
     let mut autoscaler = autoscaler_with(options(), &[("f", 500)], &workers(), &runners);
     runners[0].is_terminating = true;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_new_term_adopts_what_is_listed() {
+fn a_new_term_adopts_the_listed_runners() {
     let mut autoscaler = Autoscaler::new(
         AutoscalerOptions {
             term: 7,
@@ -61,7 +61,7 @@
     autoscaler.tick(50_100);
     assert!(
         autoscaler.take_commands().is_empty(),
-        "it does not know the lists"
+        "the lists are not known yet"
     );
     assert!(autoscaler.take_updates().is_empty());
     assert_eq!(
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_unanswered_start_is_repeated_under_its_nonce() {
+fn an_unanswered_start_is_retried_with_the_same_nonce() {
     let mut autoscaler = autoscaler_with(options(), &[("f", 9_000)], &workers(), &[]);
     autoscaler.handle_report(0, OWNER, &function_report("f", 1, 1));
     let first = starts(&autoscaler.take_commands());
@@ -109,11 +109,11 @@
 }
 
 #[test]
-fn a_start_without_room_goes_elsewhere() {
+fn a_start_without_room_is_placed_on_another_worker() {
     let mut autoscaler = autoscaler_with(options(), &[("f", 9_000)], &workers(), &[]);
     autoscaler.handle_report(0, OWNER, &function_report("f", 1, 1));
     let first = starts(&autoscaler.take_commands());
-    assert_eq!(first[0].worker, "w-1", "the callers' zone goes first");
+    assert_eq!(first[0].worker, "w-1", "the callers' zone is preferred");
     autoscaler.handle_start_result(100, &first[0].nonce, Err(StartError::NoRoom));
     let second = starts(&autoscaler.take_commands());
     assert_eq!(second[0].worker, "w-2");
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_refused_start_is_left_alone_for_a_while() {
+fn starts_of_an_unknown_function_are_paused() {
     let mut autoscaler = autoscaler_with(options(), &[("f", 9_000)], &workers(), &[]);
     autoscaler.handle_report(0, OWNER, &function_report("f", 1, 1));
     let first = starts(&autoscaler.take_commands());
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn an_evacuated_zone_is_left() {
+fn runners_in_an_evacuated_zone_are_replaced_and_stopped() {
     let runners = [runner_listing("r-1", "f", "w-1", "a")];
     let mut autoscaler = autoscaler_with(options(), &[("f", 500)], &workers(), &runners);
     autoscaler.take_updates();
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_function_that_is_configured_no_more_ends() {
+fn runners_of_a_function_removed_from_the_configuration_are_stopped() {
     let runners = [runner_listing("r-1", "f", "w-1", "a")];
     let mut autoscaler = autoscaler_with(options(), &[("f", 500)], &workers(), &runners);
     autoscaler.apply_configuration(100, &configuration(&[("g", 9_000)]));
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn commands_keep_to_the_platforms_rate() {
+fn commands_stay_within_the_platforms_rate_limit() {
     let options = AutoscalerOptions {
         commands_per_s: 10.0,
         ..options()
@@ -180,27 +180,27 @@
     let functions: Vec<(&str, u32)> = names.iter().map(|name| (name.as_str(), 500)).collect();
     let listings = [worker_listing("w-1", "a", 100_000)];
     let mut autoscaler = autoscaler_with(options, &functions, &listings, &[]);
-    let mut given = Vec::new();
+    let mut commanded_at = Vec::new();
     for now in (0..20_000).step_by(50) {
         autoscaler.tick(now);
-        given.extend(answer_starts(&mut autoscaler, now).iter().map(|_| now));
+        commanded_at.extend(answer_starts(&mut autoscaler, now).iter().map(|_| now));
     }
     let within = |from: u64| {
-        given
+        commanded_at
             .iter()
             .filter(|at| (from..from + 1_000).contains(*at))
             .count()
     };
     assert!((0..19_000).step_by(50).all(|from| within(from) <= 10));
     assert!(
-        (150..=162).contains(&given.len()),
+        (150..=162).contains(&commanded_at.len()),
         "{} in 20 s",
-        given.len()
+        commanded_at.len()
     );
 }
 
 #[test]
-fn a_start_that_never_shows_is_stopped() {
+fn a_runner_that_is_not_up_by_the_start_timeout_is_stopped_and_replaced() {
     let mut autoscaler = autoscaler_with(options(), &[("f", 500)], &workers(), &[]);
     let commanded = starts(&answer_starts(&mut autoscaler, 0));
     autoscaler.update_runners(7_000, vec![]);
@@ -210,5 +210,5 @@
     autoscaler.tick(8_150);
     let commands = answer_starts(&mut autoscaler, 8_150);
     assert_eq!(stops(&commands), [format!("r-{}", commanded[0].nonce)]);
-    assert_eq!(starts(&commands).len(), 1, "another is started");
+    assert_eq!(starts(&commands).len(), 1, "another runner is started");
 }
--- a/crates/autoscaler/tests/random.rs
+++ b/crates/autoscaler/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random events between an autoscaler, one owner and a platform, with an oracle over its commands.
+//! Random events between an autoscaler, one owner and a platform. A model of the platform checks every command.
 
 mod cluster;
 
@@ -10,9 +10,9 @@
 const FUNCTIONS: [(&str, u32); 4] = [("f", 9_000), ("g", 500), ("h", 9_000), ("i", 800)];
 /// Memory of each runner, in megabytes.
 const RUNNER_MB: u64 = 100;
-/// Milliseconds that a start takes.
+/// Duration of a start, in milliseconds.
 const START_MS: u64 = 1_000;
-/// Milliseconds for which a request may be in flight.
+/// Maximum duration of a request, in milliseconds.
 const TIMEOUT_MS: u64 = 10_000;
 
 #[derive(Clone)]
@@ -22,7 +22,7 @@
     started_at: u64,
     is_gone: bool,
     in_use: u32,
-    /// When it was reported last, and how many requests it held then.
+    /// Time of the last report on it, and the number of requests in flight in that report.
     reported: Option<(u64, u32)>,
 }
 
@@ -33,15 +33,15 @@
     workers: Vec<WorkerListing>,
     evacuated_zones: BTreeSet<String>,
     runners: BTreeMap<String, SimulatedRunner>,
-    /// Starts that were commanded and are not answered.
+    /// Starts that were commanded and not answered yet.
     pending_starts: Vec<Start>,
-    /// Ids of the runners that were started, by nonce.
+    /// Ids of the started runners, by nonce.
     started_by_nonce: BTreeMap<String, String>,
-    /// Runners whose stop was commanded and is not answered.
+    /// Ids of runners whose stop was commanded and not answered yet.
     stops: Vec<String>,
-    /// Numbers of the updates that the owner holds, by function.
+    /// Number of the last update that the owner received, by function.
     update_numbers: BTreeMap<String, u64>,
-    /// Runners to which the owner sends new requests by the update that it holds, by function.
+    /// Ids of the runners to which the owner sends new requests according to that update, by function.
     open_runners: BTreeMap<String, BTreeSet<String>>,
     arrived: u64,
     started: u64,
@@ -117,7 +117,7 @@
         }
     }
 
-    fn report(&mut self, index: usize, waiting: u32, uses: u8, marks_gone: bool) {
+    fn report(&mut self, index: usize, waiting: u32, in_use_bits: u8, marks_gone: bool) {
         let name = FUNCTIONS[index % 4].0;
         self.arrived += u64::from(waiting);
         let mut report = function_report(name, self.arrived, waiting);
@@ -126,10 +126,10 @@
         let own = self.runners.iter_mut();
         let own = own.filter(|(_, runner)| runner.function == name);
         for (at, (id, runner)) in own.enumerate() {
-            let in_use = u32::from(uses >> (at % 8) & 1);
-            // A runner that the owner does not know as open gets no new requests.
-            let most = if open.contains(id) { 1 } else { runner.in_use };
-            runner.in_use = in_use.min(most);
+            let in_use = u32::from(in_use_bits >> (at % 8) & 1);
+            // The owner sends no new requests to a runner that is not open in its last update.
+            let max_in_use = if open.contains(id) { 1 } else { runner.in_use };
+            runner.in_use = in_use.min(max_in_use);
         }
         self.send_report(name, report, marks_gone);
     }
@@ -218,7 +218,7 @@
     fn deliver_updates(&mut self) {
         for update in self.autoscaler.take_updates() {
             for runner in &update.runners {
-                assert!(runner.quota <= 4, "a quota above the concurrency");
+                assert!(runner.quota <= 4, "the quota exceeds the concurrency");
             }
             self.update_numbers
                 .insert(update.function.clone(), update.version.number);
@@ -232,8 +232,8 @@
     fn toggle_worker_drain(&mut self, index: usize) {
         let worker = &mut self.workers[index % 4];
         worker.is_draining = !worker.is_draining;
-        let (name, is_back) = (worker.name.clone(), !worker.is_draining);
-        if is_back {
+        let (name, is_restored) = (worker.name.clone(), !worker.is_draining);
+        if is_restored {
             self.runners.retain(|_, runner| runner.worker != name);
         }
         self.send_lists();
@@ -259,7 +259,7 @@
     fn check_start(&mut self, start: Start) {
         let mut workers = self.workers.iter();
         let worker = workers.find(|worker| worker.name == start.worker).unwrap();
-        assert!(!worker.is_draining, "a start on a worker that drains");
+        assert!(!worker.is_draining, "a start on a draining worker");
         assert!(
             !self.evacuated_zones.contains(&worker.zone),
             "a start in an evacuated zone"
@@ -282,11 +282,11 @@
 
     fn check_stop(&mut self, id: String) {
         if let Some(runner) = self.runners.get(&id) {
-            let told = runner.reported.unwrap_or_default();
-            let is_held = told.1 > 0 && told.0 + TIMEOUT_MS > self.now;
+            let reported = runner.reported.unwrap_or_default();
+            let has_requests_in_flight = reported.1 > 0 && reported.0 + TIMEOUT_MS > self.now;
             assert!(
-                runner.is_gone || !is_held,
-                "{id} is stopped at work at {}",
+                runner.is_gone || !has_requests_in_flight,
+                "{id} is stopped with requests in flight at {}",
                 self.now
             );
         }
@@ -320,7 +320,7 @@
 }
 
 fuzzing::seeded! {
-    fn commands_hold_under_random_events(events: Vec<(u8, u8, u8)>) -> bool {
+    fn commands_are_valid_under_random_events(events: Vec<(u8, u8, u8)>) -> bool {
         let mut simulation = Simulation::new();
         for (kind, one, other) in events {
             simulation.step(kind, one, other);
