--- a/crates/autoscaler/tests/allowed_regions.rs
+++ b/crates/autoscaler/tests/allowed_regions.rs
@@ -1,4 +1,4 @@
-//! Runners of functions whose routes must not leave some regions start in these regions alone.
+//! Runners of functions whose routes are restricted to some regions are started only in these regions.
 
 mod cluster;
 
@@ -24,13 +24,13 @@
     ]
 }
 
-/// One function `f` that sleeps until called, with one route for each list of regions.
+/// One function `f` that is not prewarmed, with one route for each list of regions.
 fn routes(lists: &[&[&str]]) -> RoutingConfiguration {
     let mut configuration = configuration(&[("f", 9_000)]);
     let route = configuration.bindings.remove(0);
-    for (place, regions) in lists.iter().enumerate() {
+    for (index, regions) in lists.iter().enumerate() {
         configuration.bindings.push(Binding {
-            name: format!("route-{place}"),
+            name: format!("route-{index}"),
             allowed_regions: regions.iter().map(|region| (*region).to_owned()).collect(),
             ..route.clone()
         });
@@ -51,7 +51,7 @@
     autoscaler
 }
 
-/// Requests from zone a wait; the workers on which runners start for them until a time.
+/// Reports waiting requests from zone a until the given time. Returns the workers on which runners start.
 fn started_on(autoscaler: &mut Autoscaler, waiting: u32, until: u64) -> Vec<String> {
     let mut workers = Vec::new();
     for now in (100..=until).step_by(100) {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn nothing_starts_elsewhere_where_the_allowed_region_is_full() {
+fn no_runner_starts_elsewhere_if_the_allowed_region_is_full() {
     let mut full = workers();
     full[1].free_mb = 0;
     let mut autoscaler = autoscaler(&[&["south"]], &full, &[]);
@@ -88,11 +88,11 @@
 }
 
 #[test]
-fn a_full_region_is_told_to_the_owner_though_other_regions_have_room() {
+fn the_owner_is_notified_of_a_full_allowed_region_though_other_regions_have_room() {
     let mut full = workers();
     full[1].free_mb = 0;
     let mut autoscaler = autoscaler(&[&["south"]], &full, &[]);
-    // The list of runners must be newer than the term by twice the lists' lag.
+    // The list of runners must be received at least twice the list lag after the start of the term.
     let listed_at = 2 * options().list_lag_ms + 100;
     autoscaler.update_runners(listed_at, Vec::new());
     autoscaler.handle_report(listed_at, OWNER, &function_report("f", 1, 1));
@@ -103,13 +103,13 @@
 }
 
 #[test]
-fn nothing_starts_where_no_worker_stands_in_an_allowed_region() {
+fn no_runner_starts_without_a_worker_in_an_allowed_region() {
     let mut autoscaler = autoscaler(&[&["east"]], &workers(), &[]);
     assert!(started_on(&mut autoscaler, 20, 3_000).is_empty());
 }
 
 #[test]
-fn a_minimal_runner_stands_in_an_allowed_region() {
+fn a_prewarmed_runner_is_placed_in_an_allowed_region() {
     let mut configuration = routes(&[&["west"]]);
     configuration.bindings[0].latency_target_ms = 100;
     let mut autoscaler = Autoscaler::new(options(), 0);
@@ -125,14 +125,14 @@
 }
 
 #[test]
-fn one_runner_serves_routes_whose_regions_meet() {
+fn one_runner_serves_routes_whose_regions_overlap() {
     let lists: &[&[&str]] = &[&["north", "south"], &["south", "west"], &[]];
     let mut autoscaler = autoscaler(lists, &workers(), &[]);
     assert_eq!(started_on(&mut autoscaler, 1, 500), ["w-b"]);
 }
 
 #[test]
-fn routes_whose_regions_do_not_meet_get_a_runner_each() {
+fn routes_whose_regions_do_not_overlap_get_a_runner_each() {
     let mut autoscaler = autoscaler(&[&["north"], &["south"]], &workers(), &[]);
     let mut started = started_on(&mut autoscaler, 1, 1_000);
     started.sort();
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_runner_drains_that_no_route_may_use_any_more() {
+fn a_runner_that_no_route_may_use_any_more_is_drained() {
     let runners = [
         runner_listing("r-a", "f", "w-a", "a"),
         runner_listing("r-b", "f", "w-b", "b"),
@@ -156,7 +156,7 @@
     let update = autoscaler.update_for("f", 1_100);
     assert_eq!(stage(&update, "r-a"), Some(protocol::RunnerStage::Draining));
     assert_eq!(stage(&update, "r-b"), Some(protocol::RunnerStage::Serving));
-    // It is of use again once a route may use it.
+    // The runner resumes serving once a route may use it again.
     autoscaler.apply_configuration(1_200, &routes(&[&["north"]]));
     autoscaler.handle_report(1_300, OWNER, &function_report("f", 700, 0));
     autoscaler.tick(1_300);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_route_gets_a_runner_in_its_region_beside_those_of_other_routes() {
+fn a_route_gets_a_runner_in_its_region_in_addition_to_those_of_other_routes() {
     let runners = [runner_listing("r-a", "f", "w-a", "a")];
     let mut autoscaler = autoscaler(&[&[], &["south"]], &workers(), &runners);
     assert_eq!(started_on(&mut autoscaler, 1, 1_000), ["w-b"]);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn the_full_home_of_one_route_starves_no_other_route() {
+fn the_full_region_of_one_route_does_not_block_other_routes() {
     let mut full = workers();
     full[1].free_mb = 0;
     let mut autoscaler = autoscaler(&[&[], &["south"]], &full, &[]);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn the_full_home_of_one_route_holds_up_no_growth_for_the_others() {
+fn the_full_region_of_one_route_does_not_prevent_starts_for_the_others() {
     let mut full = workers();
     full[1].free_mb = 0;
     let runners = [runner_listing("r-a", "f", "w-a", "a")];
--- a/crates/autoscaler/tests/regional_runners.rs
+++ b/crates/autoscaler/tests/regional_runners.rs
@@ -1,4 +1,4 @@
-//! A region whose calls fill a share of a runner's seats gets a runner of its own, and keeps it while they do.
+//! A region whose calls fill the configured share of a runner's seats gets a runner of its own and keeps it while they do.
 
 mod cluster;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// An autoscaler with one runner of the function in the north.
+/// An autoscaler with one runner of the function, in the region `north`.
 fn autoscaler(region_share: f64) -> Autoscaler {
     let workers = [
         worker_listing("w-a", "a", 1_000),
@@ -31,8 +31,8 @@
     autoscaler_with(options(region_share), &[("f", 100)], &workers, &runners)
 }
 
-/// Calls of the two zones, so many a second each, for a time; the commands meanwhile.
-fn call(
+/// Reports calls from the two zones at constant rates for a period. Returns the commands.
+fn report_calls(
     autoscaler: &mut Autoscaler,
     (from, until): (u64, u64),
     (a_per_s, b_per_s): (u64, u64),
@@ -59,12 +59,12 @@
     commands
 }
 
-// A request takes 60 ms until it is measured, and a runner has four seats: 20 calls a second fill 1.2 of them.
+// A service time of 60 ms is assumed until it is measured, and a runner has four seats: 20 calls per second fill 1.2 seats.
 
 #[test]
 fn a_region_that_calls_enough_gets_a_runner() {
     let mut autoscaler = autoscaler(0.2);
-    let commands = call(&mut autoscaler, (100, 5_000), (20, 20), &mut (0, 0));
+    let commands = report_calls(&mut autoscaler, (100, 5_000), (20, 20), &mut (0, 0));
     let workers: Vec<String> = starts(&commands)
         .into_iter()
         .map(|one| one.worker)
@@ -73,16 +73,16 @@
 }
 
 #[test]
-fn a_region_that_calls_little_is_served_from_afar() {
+fn a_region_that_calls_little_is_served_from_another_region() {
     let mut autoscaler = autoscaler(0.2);
-    let commands = call(&mut autoscaler, (100, 9_000), (30, 10), &mut (0, 0));
+    let commands = report_calls(&mut autoscaler, (100, 9_000), (30, 10), &mut (0, 0));
     assert!(starts(&commands).is_empty());
 }
 
 #[test]
-fn no_region_gets_a_runner_where_the_share_is_zero() {
+fn no_region_gets_a_runner_if_the_share_is_zero() {
     let mut autoscaler = autoscaler(0.0);
-    let commands = call(&mut autoscaler, (100, 9_000), (20, 20), &mut (0, 0));
+    let commands = report_calls(&mut autoscaler, (100, 9_000), (20, 20), &mut (0, 0));
     assert!(starts(&commands).is_empty());
 }
 
@@ -90,13 +90,13 @@
 fn a_region_keeps_its_runner_while_it_calls_enough_and_loses_it_afterwards() {
     let mut autoscaler = autoscaler(0.2);
     let mut counts = (0, 0);
-    let commands = call(&mut autoscaler, (100, 5_000), (20, 20), &mut counts);
+    let commands = report_calls(&mut autoscaler, (100, 5_000), (20, 20), &mut counts);
     let id = format!("r-{}", starts(&commands)[0].nonce);
     let stage_of = |autoscaler: &Autoscaler, now| stage(&autoscaler.update_for("f", now), &id);
-    // Both runners are hardly used, below beta for longer than the cooldown.
-    call(&mut autoscaler, (5_000, 20_000), (20, 20), &mut counts);
+    // Both runners are barely used: the demand stays below beta for longer than the cooldown.
+    report_calls(&mut autoscaler, (5_000, 20_000), (20, 20), &mut counts);
     assert_ne!(stage_of(&autoscaler, 20_000), Some(RunnerStage::Draining));
-    call(&mut autoscaler, (20_000, 60_000), (20, 0), &mut counts);
+    report_calls(&mut autoscaler, (20_000, 60_000), (20, 0), &mut counts);
     let after = stage_of(&autoscaler, 60_000);
     assert!(
         matches!(after, None | Some(RunnerStage::Draining)),
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_full_region_ends_no_other_runner_and_pauses_no_start() {
+fn a_full_region_evicts_no_runner_and_pauses_no_start() {
     let mut full = worker_listing("w-b", "b", 100);
     full.free_mb = 0;
     let workers = [worker_listing("w-a", "a", 1_000), full];
@@ -116,12 +116,12 @@
     let functions = [("f", 100), ("g", 9_000)];
     let mut autoscaler = autoscaler_with(options(0.2), &functions, &workers, &runners);
     let mut counts = (0, 0);
-    let commands = call(&mut autoscaler, (100, 2_400), (20, 20), &mut counts);
+    let commands = report_calls(&mut autoscaler, (100, 2_400), (20, 20), &mut counts);
     assert!(starts(&commands).is_empty());
     let other = autoscaler.update_for("g", 2_400);
     assert_eq!(stage(&other, "r-g"), Some(RunnerStage::Serving));
-    // Load beyond the only runner starts another one at once.
-    let commands = call(&mut autoscaler, (2_400, 3_400), (200, 20), &mut counts);
+    // Load that exceeds the capacity of the only runner starts another one without delay.
+    let commands = report_calls(&mut autoscaler, (2_400, 3_400), (200, 20), &mut counts);
     let workers: Vec<String> = starts(&commands)
         .into_iter()
         .map(|one| one.worker)
--- a/crates/autoscaler/tests/retention.rs
+++ b/crates/autoscaler/tests/retention.rs
@@ -1,4 +1,4 @@
-//! How long the last runner of a function that sleeps is retained, by how often the function is called.
+//! How long the last runner of an idle function is retained, depending on how often the function is called.
 
 mod cluster;
 
@@ -7,11 +7,11 @@
 use policy::ScalingPolicy;
 use protocol::{FunctionReport, RunnerReport, RunnerStage};
 
-/// Milliseconds between two steps of the autoscaler.
+/// Milliseconds between two steps of the simulation.
 const STEP_MS: u64 = 50;
-/// Milliseconds that a start takes; `configuration` says so too.
+/// Duration of a start in milliseconds; must equal `start_ms` in `configuration`.
 const START_MS: u64 = 1_000;
-/// Milliseconds that a request takes at its runner.
+/// Service time of a request, in milliseconds.
 const WORK_MS: u64 = 100;
 
 fn options() -> AutoscalerOptions {
@@ -28,12 +28,12 @@
     }
 }
 
-/// One function that sleeps until called, a call each so many milliseconds, and the runner that serves it.
+/// One function that has no runner until it is called, the calls to it, and the runner that serves them.
 struct Calls {
     autoscaler: Autoscaler,
     now: u64,
     arrived: u64,
-    /// The runner, with the time from which it is up.
+    /// Id of the runner, and the time from which it is up.
     runner: Option<(String, u64)>,
     is_waiting: bool,
     in_flight_until: u64,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Advances by a step. A request waits from its call until its runner is up, and is in flight for a while then.
+    /// Advances by one step. A request waits from its call until the runner is up, and is then in flight for `WORK_MS`.
     fn step(&mut self, called_at: &[u64]) {
         self.now += STEP_MS;
         let is_up = self.runner.as_ref().is_some_and(|(_, at)| *at <= self.now);
@@ -77,7 +77,7 @@
         };
         self.autoscaler.handle_report(self.now, OWNER, &report);
         self.autoscaler.tick(self.now);
-        // The owner has each update before its next report.
+        // The owner receives each update before its next report.
         let _ = self.autoscaler.take_updates();
         for command in answer_starts(&mut self.autoscaler, self.now) {
             match command {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Starts that calls at an interval cost within a minute.
+    /// Number of starts within one minute of calls at this interval.
     fn starts_of(interval_ms: u64) -> usize {
         let called_at: Vec<u64> = (1_000..60_000).step_by(interval_ms as usize).collect();
         let mut calls = Self::new();
@@ -103,7 +103,7 @@
         calls.starts
     }
 
-    /// Milliseconds for which the runner of a function stays after the last of its calls.
+    /// Milliseconds for which the runner is retained after the last call.
     fn retained_after(called_at: &[u64]) -> u64 {
         let last = *called_at.last().expect("there is a call");
         let mut calls = Self::new();
@@ -126,14 +126,14 @@
 }
 
 #[test]
-fn the_runner_of_a_rare_function_ends_soon_after_its_request() {
+fn the_runner_of_a_rarely_called_function_is_stopped_soon_after_its_request() {
     let rare: Vec<u64> = (1_000..50_000).step_by(16_000).collect();
     let retained_ms = Calls::retained_after(&rare);
     assert!(retained_ms < START_MS + WORK_MS + 1_000, "{retained_ms} ms");
 }
 
 #[test]
-fn the_runner_of_a_frequent_function_outlives_a_pause_of_twice_the_break_even_time_at_most() {
+fn the_runner_of_a_frequently_called_function_is_retained_for_one_to_two_break_even_times() {
     let frequent: Vec<u64> = (1_000..30_000).step_by(1_000).collect();
     let retained_ms = Calls::retained_after(&frequent);
     assert!(retained_ms >= 3_500, "{retained_ms} ms");
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_scaler_that_has_just_begun_ends_nothing_that_it_knows_nothing_of() {
+fn a_new_scaler_keeps_runners_of_functions_whose_call_rate_is_unknown() {
     let workers = [worker_listing("w-1", "a", 1_000)];
     let runners = [runner_listing("r-1", "f", "w-1", "a")];
     let mut autoscaler = autoscaler_with(options(), &[("f", 9_000)], &workers, &runners);
