--- a/crates/autoscaler/tests/decisions.rs
+++ b/crates/autoscaler/tests/decisions.rs
@@ -159,10 +159,7 @@
     );
     autoscaler.handle_report(now + 100, OWNER, &report(update.version.number, 1));
     autoscaler.tick(now + 150);
-    assert!(
-        autoscaler.take_commands().is_empty(),
-        "a request is in flight"
-    );
+    assert!(autoscaler.take_commands().is_empty(), "requests in flight");
     autoscaler.handle_report(now + 200, OWNER, &report(update.version.number, 0));
     autoscaler.tick(now + 250);
     assert_eq!(stops(&autoscaler.take_commands()), ["r-2", "r-3"]);
