--- a/crates/autoscaler/src/eviction.rs
+++ b/crates/autoscaler/src/eviction.rs
@@ -10,7 +10,7 @@
 /// A runner that its function does not need. The derived order puts the longest idle first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SurplusRunner {
-    /// When it was last used.
+    /// Time at which it was last used.
     pub last_used_at: u64,
     /// Serial in the runner table.
     pub serial: u64,
