--- a/crates/seat_leases/src/rejection_backoff.rs
+++ b/crates/seat_leases/src/rejection_backoff.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether the runner has rejected a request recently.
-    pub fn has_rejected_lately(&self, now: u64) -> bool {
+    pub fn has_rejected_recently(&self, now: u64) -> bool {
         self.window
             .is_some_and(|window| window.rejections > 0 && now < window.rejected_at + HOLD_MS)
     }
--- a/crates/seat_leases/src/relayed_requests.rs
+++ b/crates/seat_leases/src/relayed_requests.rs
@@ -42,7 +42,7 @@
     /// Later owners of the function that were told of the lease.
     reported_to: Vec<String>,
     original: GatewayLeaseRequest,
-    since: u64,
+    relayed_at: u64,
     /// Time in milliseconds of the clock after which a seat is of no use.
     deadline: u64,
     lease: Option<SeatLease>,
@@ -99,7 +99,7 @@
             owner: owner.into(),
             reported_to: Vec::new(),
             original,
-            since: now,
+            relayed_at: now,
             deadline,
             lease: None,
             expires_at: None,
@@ -194,7 +194,7 @@
     pub fn awaited_owners(&self, until: u64) -> impl Iterator<Item = &str> {
         let relayed = self.relayed.values();
         let overdue =
-            relayed.filter(move |request| request.lease.is_none() && request.since <= until);
+            relayed.filter(move |request| request.lease.is_none() && request.relayed_at <= until);
         overdue.map(|request| request.owner.as_str())
     }
 
--- a/crates/seat_leases/src/runner_set.rs
+++ b/crates/seat_leases/src/runner_set.rs
@@ -159,7 +159,7 @@
     /// are then limited to their current number of requests for a while.
     pub fn limit_if_contended(&mut self, now: u64) {
         let runners = self.runners.iter();
-        let rejecting = runners.filter(|runner| runner.has_rejected_lately(now));
+        let rejecting = runners.filter(|runner| runner.has_rejected_recently(now));
         if rejecting.count() < CONTENDED_RUNNERS {
             return;
         }
--- a/crates/seat_leases/src/seat_runner.rs
+++ b/crates/seat_leases/src/seat_runner.rs
@@ -235,8 +235,8 @@
     }
 
     /// Whether the runner has rejected a request recently.
-    pub fn has_rejected_lately(&self, now: u64) -> bool {
-        self.backoff.has_rejected_lately(now)
+    pub fn has_rejected_recently(&self, now: u64) -> bool {
+        self.backoff.has_rejected_recently(now)
     }
 
     /// Limits the runner to its current number of requests for a while, because other runners of the function are rejecting
