--- a/crates/seat_leases/src/pause_recovery.rs
+++ b/crates/seat_leases/src/pause_recovery.rs
@@ -53,7 +53,7 @@
         self.awaited_since.take().is_some()
     }
 
-    /// Records that the scaler confirmed only the ownership table, and waits anew for the runner lists. Returns whether
+    /// Records that the scaler confirmed only the ownership table, and continues to wait for the runner lists. Returns whether
     /// this was awaited.
     pub fn await_lists(&mut self, now: u64) -> bool {
         self.expires_at = now + ANSWER_TIMEOUT_MS;
--- a/crates/seat_leases/tests/start_block.rs
+++ b/crates/seat_leases/tests/start_block.rs
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_full_or_paused_runner_prevents_rejection_until_it_is_gone() {
+fn a_full_or_backed_off_runner_prevents_rejection_until_it_is_gone() {
     let mut owner = LeaseOwner::default();
     owner.update_runners(0, blocked(1, None, &[runner("a", "north", 1)]));
     owner.request_lease(0, "f", "north", lease_request(1, 1));
