--- a/crates/controller/src/gateway_table.rs
+++ b/crates/controller/src/gateway_table.rs
@@ -120,8 +120,8 @@
     /// yet.
     pub fn process_paused(&mut self, pause: ProcessPause) {
         for gateway in self.gateways.values_mut() {
-            gateway.last_seen_at = pause.restart(gateway.last_seen_at);
-            gateway.suspected_at = gateway.suspected_at.map(|at| pause.restart(at));
+            gateway.last_seen_at = pause.restart_wait(gateway.last_seen_at);
+            gateway.suspected_at = gateway.suspected_at.map(|at| pause.restart_wait(at));
         }
     }
 
--- a/crates/gateway/src/controller_links.rs
+++ b/crates/gateway/src/controller_links.rs
@@ -175,8 +175,8 @@
     pub fn process_paused(&mut self, pause: ProcessPause) {
         for link in self.links.values_mut() {
             if link.connection.is_some() {
-                link.heard_at = pause.restart(link.heard_at);
-                link.connect_attempted_at = pause.restart(link.connect_attempted_at);
+                link.heard_at = pause.restart_wait(link.heard_at);
+                link.connect_attempted_at = pause.restart_wait(link.connect_attempted_at);
             }
         }
     }
--- a/crates/gateway/src/peer_links.rs
+++ b/crates/gateway/src/peer_links.rs
@@ -174,7 +174,7 @@
     pub fn process_paused(&mut self, pause: ProcessPause) {
         for link in self.links.values_mut() {
             if link.pinged_at > link.heard_at {
-                link.pinged_at = pause.restart(link.pinged_at);
+                link.pinged_at = pause.restart_wait(link.pinged_at);
             }
         }
     }
--- a/crates/jobs/src/timeouts.rs
+++ b/crates/jobs/src/timeouts.rs
@@ -32,7 +32,7 @@
                 continue;
             };
             if let JobState::RunningElsewhere { since, .. } = &mut job.state {
-                *since = pause.restart(*since);
+                *since = pause.restart_wait(*since);
             }
             self.table.put(&key, job);
         }
--- a/crates/process_pause/src/lib.rs
+++ b/crates/process_pause/src/lib.rs
@@ -29,7 +29,7 @@
     /// A time of the clock from which something is waited for, as if it were waited for since the end of the pause: what came meanwhile was
     /// not read yet.
     #[must_use]
-    pub fn restart(&self, since: u64) -> u64 {
+    pub fn restart_wait(&self, since: u64) -> u64 {
         since.max(self.ended_at)
     }
 }
--- a/crates/process_pause/tests/detector.rs
+++ b/crates/process_pause/tests/detector.rs
@@ -22,6 +22,6 @@
         began_at: 100,
         ended_at: 900,
     };
-    assert_eq!(pause.restart(50), 900);
-    assert_eq!(pause.restart(950), 950);
+    assert_eq!(pause.restart_wait(50), 900);
+    assert_eq!(pause.restart_wait(950), 950);
 }
--- a/crates/seat_leases/src/seat_ownership.rs
+++ b/crates/seat_leases/src/seat_ownership.rs
@@ -100,7 +100,7 @@
     /// yet.
     pub fn restart_timeouts(&mut self, pause: ProcessPause) {
         for transition in &mut self.transitions {
-            transition.began_at = pause.restart(transition.began_at);
+            transition.began_at = pause.restart_wait(transition.began_at);
         }
     }
 
