--- a/crates/gateway/src/job_messages.rs
+++ b/crates/gateway/src/job_messages.rs
@@ -83,7 +83,7 @@
         let Some(job) = self.job_waiting_for(owner, id, attempt) else {
             return self.release_stale_claim(owner, id, attempt);
         };
-        job.claimed(register_version);
+        job.set_claimed(register_version);
         if !job.is_connected() {
             return;
         }
@@ -109,7 +109,7 @@
         let Some(job) = self.job_waiting_for(owner, id, attempt) else {
             return;
         };
-        job.joined();
+        job.set_joined();
         self.abandon_attempt(id);
         let since = self.now;
         if let Some(request) = self.requests.get(id) {
--- a/crates/gateway/src/upstream_requests.rs
+++ b/crates/gateway/src/upstream_requests.rs
@@ -148,7 +148,7 @@
         if request.awaits_claim() {
             // It is sent once its job is claimed.
             if let Some(job) = &mut request.job {
-                job.connected();
+                job.set_connected();
             }
             return;
         }
--- a/crates/jobs/src/job_admission.rs
+++ b/crates/jobs/src/job_admission.rs
@@ -56,20 +56,20 @@
     }
 
     /// The owner says that the request holds the claim.
-    pub fn claimed(&mut self, register_version: u64) {
+    pub fn set_claimed(&mut self, register_version: u64) {
         self.register_version = register_version;
         self.is_joined = false;
     }
 
     /// The owner says that another request holds the claim.
-    pub fn joined(&mut self) {
+    pub fn set_joined(&mut self) {
         self.register_version = 0;
         self.is_joined = true;
         self.is_connected = false;
     }
 
     /// The connection to a runner is open, and the request waits for the claim alone.
-    pub fn connected(&mut self) {
+    pub fn set_connected(&mut self) {
         self.is_connected = true;
     }
 
--- a/crates/jobs/tests/cluster/messages.rs
+++ b/crates/jobs/tests/cluster/messages.rs
@@ -141,7 +141,7 @@
         else {
             return;
         };
-        request.admission.claimed(version);
+        request.admission.set_claimed(version);
         self.send_to_runner(index, number);
     }
 
@@ -153,7 +153,7 @@
             return;
         };
         if !matches!(request.phase, RequestPhase::Sent(_, true, _)) {
-            request.admission.joined();
+            request.admission.set_joined();
             request.phase = RequestPhase::Waiting(from.into());
         }
     }
--- a/crates/jobs/tests/cluster/runner_attempts.rs
+++ b/crates/jobs/tests/cluster/runner_attempts.rs
@@ -57,7 +57,7 @@
         if let RequestPhase::Sent(_, false, opened) = &mut request.phase {
             if is_same {
                 *opened = now;
-                request.admission.connected();
+                request.admission.set_connected();
                 self.send_to_runner(index, number);
             }
         }
--- a/crates/jobs/tests/running_job/mod.rs
+++ b/crates/jobs/tests/running_job/mod.rs
@@ -44,7 +44,7 @@
     );
     let (number, claim) = last_register_request(&jobs.take_actions());
     jobs.register_responded(1, number, RegisterResponse::Written(1));
-    admission.claimed(1);
+    admission.set_claimed(1);
     jobs.take_actions();
     (jobs, claim)
 }
--- a/crates/jobs/tests/stale_messages.rs
+++ b/crates/jobs/tests/stale_messages.rs
@@ -143,7 +143,7 @@
     assert!(
         admission.is_current_attempt("k1", first) && !admission.is_current_attempt("k2", first)
     );
-    admission.claimed(3);
+    admission.set_claimed(3);
     assert!(admission.may_be_sent() && !admission.may_have_run_elsewhere());
     let second = admission.begin_attempt("k1").number;
     assert!(
@@ -153,7 +153,7 @@
         !admission.may_be_sent(),
         "what was said about the first attempt is void"
     );
-    admission.joined();
+    admission.set_joined();
     assert!(!admission.may_be_sent() && admission.may_have_run_elsewhere());
 }
 
@@ -161,7 +161,7 @@
 fn a_result_is_resent_until_it_is_persisted() {
     let mut admission = admission();
     admission.begin_attempt("k1");
-    admission.claimed(1);
+    admission.set_claimed(1);
     let mut unacknowledged_results = UnacknowledgedResults::default();
     unacknowledged_results.record(0, &completion(&admission, JobResult::Lost));
     assert!(unacknowledged_results.is_empty());
@@ -237,7 +237,7 @@
         let second = lease_request(4, admission.begin_attempt("k2"));
         other.request_arrived(0, "g1", "a", second);
         let (_, claim) = last_register_request(&other.take_actions());
-        admission.claimed(1);
+        admission.set_claimed(1);
         Self {
             admission,
             held_back,
