--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -15,7 +15,7 @@
 use crate::tenant_counts::TenantCounts;
 use crate::upstream_pool::UpstreamPool;
 use event_loop::{ConnectionId, EventLoop, ListenerId, Timers};
-use jobs::{JobCoordinator, UnacknowledgedResults, VoidedAttempts};
+use jobs::{AbandonedAttempts, JobCoordinator, UnacknowledgedResults};
 use loop_watchdog::TurnRecord;
 use protocol::{Member, RequestId};
 use seat_leases::{CancelledRequests, LeaseOwner, RelayedRequests};
@@ -67,7 +67,7 @@
     pub cancelled_requests: CancelledRequests,
     pub jobs: JobCoordinator,
     pub unacknowledged_results: UnacknowledgedResults,
-    pub voided_attempts: VoidedAttempts,
+    pub abandoned_attempts: AbandonedAttempts,
     pub upstream_pool: UpstreamPool,
     pub peers: PeerLinks,
     pub controllers: ControllerLinks,
@@ -106,7 +106,7 @@
             peers: PeerLinks::default(),
             jobs: JobCoordinator::new(identity.incarnation, options.job_retention_ms),
             unacknowledged_results: UnacknowledgedResults::default(),
-            voided_attempts: VoidedAttempts::default(),
+            abandoned_attempts: AbandonedAttempts::default(),
             identity,
             connections: Connections::new(event_loop),
             listeners,
--- a/crates/gateway/src/job_messages.rs
+++ b/crates/gateway/src/job_messages.rs
@@ -97,7 +97,7 @@
     /// Handles a claim for an attempt that no longer waits for it. If the attempt was voided before it was sent, the
     /// completion is sent to the owner again, because the lease request may have arrived after the first completion.
     fn release_stale_claim(&mut self, owner: &str, id: RequestId, attempt: u32) {
-        let completion = self.voided_attempts.find(id, attempt).cloned();
+        let completion = self.abandoned_attempts.find(id, attempt).cloned();
         if let Some(completion) = completion {
             self.send_completion(owner, completion);
         }
@@ -195,7 +195,7 @@
         };
         let completion = job.completion(request.id, &request.function, result);
         self.unacknowledged_results.record(self.now, &completion);
-        self.voided_attempts.record(&completion);
+        self.abandoned_attempts.record(&completion);
         let leased_from = match &request.phase {
             RequestPhase::AwaitingLease { owner, .. } => Some(owner.clone()),
             RequestPhase::Upstream(attempt) => Some(attempt.owner.clone()),
@@ -241,8 +241,8 @@
             return;
         };
         let completion = job.completion(id, &function, JobResult::NotRun);
-        job.void_attempt();
-        self.voided_attempts.record(&completion);
+        job.abandon_attempt();
+        self.abandoned_attempts.record(&completion);
         self.send_completion(owner, completion);
     }
 
--- a/crates/jobs/src/voided_attempts.rs
+++ b/crates/jobs/src/abandoned_attempts.rs
@@ -10,11 +10,11 @@
 ///
 /// A lease request may come late, when its attempt was given up long ago. Whoever claims a job for it hears that nobody will run it.
 #[derive(Default)]
-pub struct VoidedAttempts {
+pub struct AbandonedAttempts {
     completions: BTreeMap<RequestId, JobCompletion>,
 }
 
-impl VoidedAttempts {
+impl AbandonedAttempts {
     /// An attempt ended. Only one that has not run is remembered.
     pub fn record(&mut self, completion: &JobCompletion) {
         if completion.result != JobResult::NotRun || !completion.attempt.at_most_once {
--- a/crates/jobs/src/job_admission.rs
+++ b/crates/jobs/src/job_admission.rs
@@ -36,13 +36,13 @@
 
     /// Begins an attempt at an owner.
     pub fn begin_attempt(&mut self, owner: &str) -> JobAttempt {
-        self.void_attempt();
+        self.abandon_attempt();
         self.owner = owner.into();
         self.attempt.clone()
     }
 
     /// Ends the current attempt: nothing that was said about it holds any more.
-    pub fn void_attempt(&mut self) {
+    pub fn abandon_attempt(&mut self) {
         self.attempt.number += 1;
         self.register_version = 0;
         self.is_joined = false;
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -10,6 +10,7 @@
 //!
 //! All of them are state machines without I/O: events come in as calls, [`JobAction`]s are taken out.
 
+mod abandoned_attempts;
 mod action;
 mod arrivals;
 mod claim;
@@ -23,8 +24,8 @@
 mod register_responses;
 mod timeouts;
 mod unacknowledged_results;
-mod voided_attempts;
 
+pub use abandoned_attempts::AbandonedAttempts;
 pub use action::JobAction;
 pub use claim::{
     digest, is_key, job_key, register_key, Claim, ClaimHolder, ClaimState, ClaimWriter,
@@ -33,4 +34,3 @@
 pub use coordinator::JobCoordinator;
 pub use job_admission::JobAdmission;
 pub use unacknowledged_results::UnacknowledgedResults;
-pub use voided_attempts::VoidedAttempts;
--- a/crates/jobs/tests/cluster/gateway.rs
+++ b/crates/jobs/tests/cluster/gateway.rs
@@ -216,7 +216,7 @@
         let end = request
             .admission
             .completion(RequestId(number), FUNCTION, JobResult::NotRun);
-        request.admission.void_attempt();
+        request.admission.abandon_attempt();
         if asked_owner == node.name {
             node.lease_owner
                 .cancel(now, &asked_owner, RequestId(number));
--- a/crates/jobs/tests/stale_messages.rs
+++ b/crates/jobs/tests/stale_messages.rs
@@ -2,7 +2,9 @@
 
 mod running_job;
 
-use jobs::{Claim, JobAction, JobAdmission, JobCoordinator, UnacknowledgedResults, VoidedAttempts};
+use jobs::{
+    AbandonedAttempts, Claim, JobAction, JobAdmission, JobCoordinator, UnacknowledgedResults,
+};
 use protocol::{
     JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseRequest, RegisterResponse, RequestId,
 };
@@ -330,7 +332,7 @@
 
 #[test]
 fn only_attempts_up_to_the_last_voided_one_are_known_not_to_have_run() {
-    let mut voided = VoidedAttempts::default();
+    let mut voided = AbandonedAttempts::default();
     let mut admission = admission();
     admission.begin_attempt("k1");
     admission.begin_attempt("k2");
