--- a/crates/gateway/src/job_messages.rs
+++ b/crates/gateway/src/job_messages.rs
@@ -6,7 +6,7 @@
 use crate::request_accounting::RequestEnd;
 use crate::stored_response::{pack, unpack, StoredResponse};
 use http1::{Request, Response};
-use jobs::{digest, is_key, job_key, JobAdmission};
+use jobs::{digest, is_valid_idempotency_key, job_key, JobAdmission};
 use protocol::{JobCompletion, JobResult, JobVerdict, Message, RequestId};
 use std::sync::Arc;
 
@@ -34,7 +34,7 @@
             return Ok(None);
         };
         let text = std::str::from_utf8(key).map_err(|_| InvalidIdempotencyKey)?;
-        if keys.next().is_some() || !is_key(key) {
+        if keys.next().is_some() || !is_valid_idempotency_key(key) {
             return Err(InvalidIdempotencyKey);
         }
         let digest = digest(&request.method, &request.target, &request.body);
--- a/crates/jobs/src/claim.rs
+++ b/crates/jobs/src/claim.rs
@@ -103,6 +103,6 @@
 
 /// Whether a text may be an idempotency key: visible ASCII characters, up to [`MAX_KEY_CHARS`].
 #[must_use]
-pub fn is_key(text: &[u8]) -> bool {
+pub fn is_valid_idempotency_key(text: &[u8]) -> bool {
     (1..=MAX_KEY_CHARS).contains(&text.len()) && text.iter().all(u8::is_ascii_graphic)
 }
--- a/crates/jobs/tests/coordinator.rs
+++ b/crates/jobs/tests/coordinator.rs
@@ -2,8 +2,8 @@
 
 use fuzzing::seeded;
 use jobs::{
-    digest, is_key, register_key, Claim, ClaimHolder, ClaimState, ClaimWriter, JobAction,
-    JobCoordinator,
+    digest, is_valid_idempotency_key, register_key, Claim, ClaimHolder, ClaimState, ClaimWriter,
+    JobAction, JobCoordinator,
 };
 use protocol::{
     JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseRequest, RegisterResponse, RequestId,
@@ -162,10 +162,10 @@
 #[test]
 fn keys_are_visible_ascii_and_not_long() {
     for key in ["", " ", "a b", "k\u{e9}", "a\tb", &"k".repeat(201)] {
-        assert!(!is_key(key.as_bytes()), "{key:?}");
+        assert!(!is_valid_idempotency_key(key.as_bytes()), "{key:?}");
     }
     for key in ["1", "a-b_c/d", &"k".repeat(200)] {
-        assert!(is_key(key.as_bytes()), "{key:?}");
+        assert!(is_valid_idempotency_key(key.as_bytes()), "{key:?}");
     }
     assert_ne!(register_key("ab", "c"), register_key("a", "bc"));
     assert_ne!(digest("GET", "/a", b""), digest("GET", "/", b"a"));
