--- a/crates/gateway/src/job_messages.rs
+++ b/crates/gateway/src/job_messages.rs
@@ -6,7 +6,7 @@
 use crate::request_accounting::RequestEnd;
 use crate::stored_response::{pack, unpack, StoredResponse};
 use http1::{Request, Response};
-use jobs::{digest, is_valid_idempotency_key, job_key, JobAdmission};
+use jobs::{is_valid_idempotency_key, job_key, request_digest, JobAdmission};
 use protocol::{JobCompletion, JobResult, JobVerdict, Message, RequestId};
 use std::sync::Arc;
 
@@ -37,7 +37,7 @@
         if keys.next().is_some() || !is_valid_idempotency_key(key) {
             return Err(InvalidIdempotencyKey);
         }
-        let digest = digest(&request.method, &request.target, &request.body);
+        let digest = request_digest(&request.method, &request.target, &request.body);
         let incarnation = self.identity.incarnation;
         let key = job_key(tenant.map(AsRef::as_ref), text);
         let job = JobAdmission::new(key, digest, at_most_once, incarnation);
--- a/crates/jobs/src/claim.rs
+++ b/crates/jobs/src/claim.rs
@@ -80,7 +80,7 @@
 
 /// Digest of what a request asks for.
 #[must_use]
-pub fn digest(method: &str, target: &str, body: &[u8]) -> [u8; 16] {
+pub fn request_digest(method: &str, target: &str, body: &[u8]) -> [u8; 16] {
     digest_of([method.as_bytes(), target.as_bytes(), body])
 }
 
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -28,8 +28,8 @@
 pub use abandoned_attempts::AbandonedAttempts;
 pub use action::JobAction;
 pub use claim::{
-    digest, is_valid_idempotency_key, job_key, register_key, Claim, ClaimHolder, ClaimState,
-    ClaimWriter, StoredClaim, MAX_KEY_CHARS, MAX_STORED_RESPONSE_BYTES,
+    is_valid_idempotency_key, job_key, register_key, request_digest, Claim, ClaimHolder,
+    ClaimState, ClaimWriter, StoredClaim, MAX_KEY_CHARS, MAX_STORED_RESPONSE_BYTES,
 };
 pub use coordinator::JobCoordinator;
 pub use job_admission::JobAdmission;
--- a/crates/jobs/tests/cluster/gateway.rs
+++ b/crates/jobs/tests/cluster/gateway.rs
@@ -1,6 +1,6 @@
 use super::oracle::at_most_once;
 use super::{ClientOutcome, Cluster, Event, FUNCTION, MS};
-use jobs::{digest, JobAdmission, JobCoordinator, UnacknowledgedResults};
+use jobs::{request_digest, JobAdmission, JobCoordinator, UnacknowledgedResults};
 use protocol::{
     FunctionUpdate, JobResult, LeaseOutcome, LeaseRequest, Message, RequestId, RunnerStage,
     RunnerUpdate, UpdateVersion,
@@ -133,7 +133,7 @@
         let node = &mut self.nodes[index];
         node.last += 1;
         let number = node.last;
-        let digest_of_request = digest("POST", "/sign", format!("body {job}").as_bytes());
+        let digest_of_request = request_digest("POST", "/sign", format!("body {job}").as_bytes());
         let admission = JobAdmission::new(
             format!("key {job}"),
             digest_of_request,
--- a/crates/jobs/tests/coordinator.rs
+++ b/crates/jobs/tests/coordinator.rs
@@ -2,8 +2,8 @@
 
 use fuzzing::seeded;
 use jobs::{
-    digest, is_valid_idempotency_key, register_key, Claim, ClaimHolder, ClaimState, ClaimWriter,
-    JobAction, JobCoordinator,
+    is_valid_idempotency_key, register_key, request_digest, Claim, ClaimHolder, ClaimState,
+    ClaimWriter, JobAction, JobCoordinator,
 };
 use protocol::{
     JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseRequest, RegisterResponse, RequestId,
@@ -23,7 +23,7 @@
 fn attempt(key: &str, at_most_once: bool) -> JobAttempt {
     JobAttempt {
         key: key.into(),
-        digest: digest("POST", "/sign", b"build"),
+        digest: request_digest("POST", "/sign", b"build"),
         at_most_once,
         incarnation: 7,
         number: 1,
@@ -128,7 +128,7 @@
     assert!(jobs.lease_rejected(1, "g1", RequestId(4), 300));
     assert!(jobs.take_actions().is_empty());
     let done = Claim {
-        digest: digest("POST", "/sign", b"build"),
+        digest: request_digest("POST", "/sign", b"build"),
         holder: ClaimHolder::default(),
         writer: ClaimWriter {
             incarnation: 9,
@@ -168,7 +168,10 @@
         assert!(is_valid_idempotency_key(key.as_bytes()), "{key:?}");
     }
     assert_ne!(register_key("ab", "c"), register_key("a", "bc"));
-    assert_ne!(digest("GET", "/a", b""), digest("GET", "/", b"a"));
+    assert_ne!(
+        request_digest("GET", "/a", b""),
+        request_digest("GET", "/", b"a")
+    );
 }
 
 #[test]
--- a/crates/jobs/tests/running_job/mod.rs
+++ b/crates/jobs/tests/running_job/mod.rs
@@ -1,13 +1,18 @@
 //! A coordinator with a job that a request runs.
 #![allow(dead_code)]
 
-use jobs::{digest, JobAction, JobAdmission, JobCoordinator};
+use jobs::{request_digest, JobAction, JobAdmission, JobCoordinator};
 use protocol::{JobAttempt, LeaseRequest, RegisterResponse, RequestId};
 
 pub const KEY: &str = "k";
 
 pub fn admission() -> JobAdmission {
-    JobAdmission::new(KEY.into(), digest("POST", "/sign", b"build"), true, 7)
+    JobAdmission::new(
+        KEY.into(),
+        request_digest("POST", "/sign", b"build"),
+        true,
+        7,
+    )
 }
 
 pub fn lease_request(request: u64, attempt: JobAttempt) -> LeaseRequest {
--- a/tests/compatibility/src/samples/stored.rs
+++ b/tests/compatibility/src/samples/stored.rs
@@ -10,7 +10,7 @@
 /// A job's register while a request may be running.
 pub fn taken_job() -> Claim {
     Claim {
-        digest: jobs::digest("POST", "/resize?w=10", b"body"),
+        digest: jobs::request_digest("POST", "/resize?w=10", b"body"),
         holder: ClaimHolder {
             gateway: "gw-1".into(),
             incarnation: 0x0102_0304_0506_0708,
