--- a/crates/controller/src/daemon_loop.rs
+++ b/crates/controller/src/daemon_loop.rs
@@ -114,6 +114,6 @@
     loop_watchdog::start(WatchdogOptions {
         daemon: "controller",
         grace_period,
-        stop_requested: Box::new(signals.stop_probe()),
+        stop_requested: Box::new(signals.stop_requested_fn()),
     })
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -59,7 +59,7 @@
     let watchdog = WatchdogOptions {
         daemon: "gateway",
         grace_period: Duration::from_millis(options.shutdown_grace_ms),
-        stop_requested: Box::new(signals.stop_probe()),
+        stop_requested: Box::new(signals.stop_requested_fn()),
     };
     let turns = loop_watchdog::start(watchdog).map_err(GatewayError::System)?;
     let mut gateway = Gateway::open(options)?;
--- a/crates/signals/src/lib.rs
+++ b/crates/signals/src/lib.rs
@@ -53,7 +53,7 @@
     }
 
     /// Tells the same to another thread.
-    pub fn stop_probe(&self) -> impl Fn() -> bool + Send + 'static {
+    pub fn stop_requested_fn(&self) -> impl Fn() -> bool + Send + 'static {
         let (stop, interrupt) = (Arc::clone(&self.stop), Arc::clone(&self.interrupt));
         move || stop.load(Ordering::Relaxed) || interrupt.load(Ordering::Relaxed)
     }
