--- a/crates/controller/src/clock.rs
+++ b/crates/controller/src/clock.rs
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Milliseconds since the start, read from the system clock.
+    /// Milliseconds since the start, measured at the call.
     pub fn now(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64
     }
--- a/crates/controller/src/connections.rs
+++ b/crates/controller/src/connections.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// All operators' connections together may hold the process's memory divided by this.
+/// The memory limit of all operators' connections together is the process's memory divided by this.
 const OPERATOR_MEMORY_DIVISOR: u64 = 4;
 
 /// The purpose of a connection.
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -82,7 +82,7 @@
     }
 
     /// Restarts the timeouts of gateways only. Promises and leases between controllers keep running through a pause: they are
-    /// judged by the time that has really passed.
+    /// judged by the time that has actually elapsed.
     fn process_paused(&mut self, pause: ProcessPause) {
         self.gateways.process_paused(pause);
     }
--- a/crates/controller/src/daemon_loop.rs
+++ b/crates/controller/src/daemon_loop.rs
@@ -38,7 +38,7 @@
 /// Number of polls after a pause before timers run again. One poll returns up to 256 I/O events.
 const POLLS_BEFORE_TIMERS: u32 = 4;
 
-/// Detects pause_handler of the process and postpones timers after them.
+/// Detects pauses of the process, and postpones timers after them.
 #[derive(Default)]
 pub(crate) struct PauseHandler {
     detector: PauseDetector,
--- a/crates/controller/src/member_directory.rs
+++ b/crates/controller/src/member_directory.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Maximum number of known members; limits how many a malformed heartbeat can add.
+/// Maximum number of known members; limits how many an incorrect heartbeat can add.
 const MEMBERS_MAX: usize = 16;
 /// Milliseconds after which a member is removed that neither sent a heartbeat nor was listed by another member.
 const MEMBER_TIMEOUT_MS: u64 = 5_000;
--- a/crates/controller/src/ownership_publisher.rs
+++ b/crates/controller/src/ownership_publisher.rs
@@ -66,9 +66,9 @@
         now >= self.linked_at + quiet_ms
     }
 
-    /// Milliseconds within which a gateway that links must declare support for agreed tables. After that it is treated as an
-    /// older version, and all gateways fall back to a table that is not binding. The timeout is longer while all others support
-    /// agreed tables, since then a slow connection is the more likely reason for a missing declaration.
+    /// Milliseconds within which a gateway that links must declare support for agreed tables. After that it is treated as one
+    /// of an older version, and all gateways fall back to a table that is not binding. The timeout is longer while all others
+    /// support agreed tables, since then a slow connection is the more likely reason for a missing declaration.
     pub fn declaration_timeout_ms(&self, heartbeat_ms: u64) -> u64 {
         match self.table.is_agreed() {
             true => heartbeat_ms * AGREED_DECLARATION_HEARTBEATS,
--- a/crates/controller/src/platform_client.rs
+++ b/crates/controller/src/platform_client.rs
@@ -149,8 +149,8 @@
         let timed_out: Vec<ConnectionId> = timed_out.map(|(connection, _)| *connection).collect();
         let mut failed = Vec::new();
         for connection in timed_out {
-            // After a network partition, a request that was only closed would still reach the platform, perhaps after its term
-            // ended.
+            // A reset discards the request: after a network partition, it could otherwise still reach the platform, perhaps
+            // after its term ended.
             connections.reset(connection);
             if let Some(purpose) = self.remove(connection) {
                 failed.push(purpose);
--- a/crates/controller/src/scaler.rs
+++ b/crates/controller/src/scaler.rs
@@ -61,7 +61,7 @@
 }
 
 impl Scaler {
-    /// Ends the term, since another controller may hold the role: drops all state.
+    /// Ends the term, since another controller may hold the role. Drops the autoscaler and all requests to the platform.
     pub fn end_term(&mut self, context: &mut ScalerContext<'_>) {
         if self.autoscaler.is_some() {
             log::info!("scaler: role lost term={}", self.term);
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Whether this controller still holds the role under its term; if not, drops all state. After a pause of the process,
-    /// events are handled before the next tick, and must not cause commands under a term that has ended.
+    /// Whether this controller still holds the role under its term; if not, ends the term. After a pause of the process, events
+    /// are handled before the next tick, and must not cause commands under a term that has ended.
     fn check_role(&mut self, context: &mut ScalerContext<'_>) -> bool {
         let is_held = context.term == Some(self.term);
         if !is_held {
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -26,7 +26,7 @@
         self.consensus.is_current(self.now)
     }
 
-    /// Addresses at which the controllers listen for gateways.
+    /// Addresses on which the controllers listen for gateways.
     pub fn controller_addresses(&self) -> Vec<String> {
         let controllers = self.consensus.known_controllers();
         let addresses = controllers.iter().filter_map(|address| {
--- a/crates/controller/tests/unit/ownership_publisher.rs
+++ b/crates/controller/tests/unit/ownership_publisher.rs
@@ -278,7 +278,7 @@
     assert_eq!(publisher.declaration_timeout_ms(HEARTBEAT_MS), HEARTBEAT_MS);
     publisher.update(&[newer("a", 1), newer("b", 1)], false);
     assert!(publisher.declaration_timeout_ms(HEARTBEAT_MS) >= 2_000);
-    // An older gateway still joins once its time is over.
+    // An older gateway still joins, after its declaration timeout.
     publisher.update(&[newer("a", 1), newer("b", 1), older("c", 1)], false);
     assert!(!publisher.table().is_agreed());
     assert_eq!(publisher.declaration_timeout_ms(HEARTBEAT_MS), HEARTBEAT_MS);
--- a/crates/controller/tests/unit/process_pauses.rs
+++ b/crates/controller/tests/unit/process_pauses.rs
@@ -50,7 +50,7 @@
 }
 
 /// Runs one loop iteration up to its poll, at a given time. Returns the timeout of the poll.
-fn iterate(pause_handler: &mut PauseHandler, daemon: &mut TestDaemon, now: u64) -> Duration {
+fn run_iteration(pause_handler: &mut PauseHandler, daemon: &mut TestDaemon, now: u64) -> Duration {
     daemon.now = now;
     pause_handler.update_clock(daemon);
     pause_handler.advance(daemon)
@@ -60,17 +60,17 @@
 fn timers_are_postponed_until_events_of_a_pause_are_handled() {
     let (mut pause_handler, mut daemon) = (PauseHandler::default(), TestDaemon::default());
     assert_eq!(
-        iterate(&mut pause_handler, &mut daemon, 1_000),
+        run_iteration(&mut pause_handler, &mut daemon, 1_000),
         POLL_TIMEOUT
     );
     // The process is paused while it polls.
     assert_eq!(
-        iterate(&mut pause_handler, &mut daemon, 2_300),
+        run_iteration(&mut pause_handler, &mut daemon, 2_300),
         Duration::ZERO
     );
     assert_eq!(daemon.pauses, [1_300]);
     assert_eq!(daemon.advances, 1);
-    let timeouts = (2_301..2_306).map(|now| iterate(&mut pause_handler, &mut daemon, now));
+    let timeouts = (2_301..2_306).map(|now| run_iteration(&mut pause_handler, &mut daemon, now));
     assert_eq!(timeouts.last(), Some(POLL_TIMEOUT));
     assert_eq!(daemon.pauses, [1_300]);
 }
@@ -79,7 +79,10 @@
 fn without_a_pause_timers_run_in_each_iteration() {
     let (mut pause_handler, mut daemon) = (PauseHandler::default(), TestDaemon::default());
     for now in (0..2_000).step_by(50) {
-        assert_eq!(iterate(&mut pause_handler, &mut daemon, now), POLL_TIMEOUT);
+        assert_eq!(
+            run_iteration(&mut pause_handler, &mut daemon, now),
+            POLL_TIMEOUT
+        );
     }
     assert!(daemon.pauses.is_empty());
     assert_eq!(daemon.advances, 40);
--- a/crates/controller/tests/unit/scaler_role.rs
+++ b/crates/controller/tests/unit/scaler_role.rs
@@ -1,6 +1,6 @@
 //! Events that are handled after the scaler role has ended, but before the next tick, must not cause commands to the platform.
 //!
-//! Regression: a controller was paused for four seconds. After that its consensus saw at once that its lease had expired
+//! Regression: a controller was paused for four seconds. After that its consensus saw immediately that its lease had expired
 //! ("consensus: scaler role lost term=1099511627778" at 44.066 s), but its scaler only at the next tick ("scaler: role lost" at
 //! 44.103 s). In between, closed connections to the platform caused 78 queued starts to be sent under that term, although another
 //! controller had been scaling under the next term since 41.1 s.
