--- a/crates/controller/src/operator_routing.rs
+++ b/crates/controller/src/operator_routing.rs
@@ -28,9 +28,7 @@
         Err(CommandParseError::UnknownTarget) => {
             return respond(404, "unknown path");
         }
-        Err(CommandParseError::Rejected(status)) => {
-            return respond(status, "invalid method or path")
-        }
+        Err(CommandParseError::Rejected(status)) => return respond(status, "invalid request"),
     };
     if names_unknown_zone(&kind, zones) {
         return respond(404, "unknown zone");
