--- a/crates/gateway/src/peer_links.rs
+++ b/crates/gateway/src/peer_links.rs
@@ -3,7 +3,7 @@
 use crate::connections::Connections;
 use event_loop::ConnectionId;
 use process_pause::ProcessPause;
-use protocol::{frame, Message, SentMessages, UNDERSTANDS_TENANTS};
+use protocol::{frame, Message, SentMessages, TENANT_SUPPORT_FLAG};
 use std::collections::HashMap;
 
 /// Silence after which an owner whose response is awaited is pinged, in milliseconds.
@@ -135,7 +135,7 @@
     /// Records a pong, whose number contains the capabilities of the peer.
     pub fn record_pong(&mut self, name: &str, number: u64) {
         if let Some(link) = self.links.get_mut(name) {
-            link.understands_tenants |= number & UNDERSTANDS_TENANTS != 0;
+            link.understands_tenants |= number & TENANT_SUPPORT_FLAG != 0;
         }
     }
 
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -4,7 +4,7 @@
 use crate::gateway::{Gateway, LINK_BUFFER_MAX};
 use crate::peer_links::{HelloOutcome, Liveness, PING_AFTER_MS};
 use event_loop::ConnectionId;
-use protocol::{frame, take_frames, Member, Message, UNDERSTANDS_TENANTS};
+use protocol::{frame, take_frames, Member, Message, TENANT_SUPPORT_FLAG};
 
 impl Gateway {
     /// Queues a message to another gateway, and opens the link if there is none.
@@ -129,7 +129,7 @@
                 retry_after_ms,
             } => self.rejection_received(name, request_id, retry_after_ms),
             Message::Ping(number) => {
-                let answer = Message::Pong(number | UNDERSTANDS_TENANTS);
+                let answer = Message::Pong(number | TENANT_SUPPORT_FLAG);
                 self.send_to_peer(name, &answer);
             }
             Message::Pong(number) => self.peers.record_pong(name, number),
--- a/crates/gateway/tests/unit/relayed_tenants.rs
+++ b/crates/gateway/tests/unit/relayed_tenants.rs
@@ -94,7 +94,7 @@
 fn a_request_is_relayed_with_its_tenant_where_the_owner_understands_tenants() {
     let mut fleet = Fleet::new();
     fleet.gateway.send_to_peer(OWNER, &Message::Ping(0));
-    let understands = protocol::UNDERSTANDS_TENANTS;
+    let understands = protocol::TENANT_SUPPORT_FLAG;
     fleet.gateway.peers.record_pong(OWNER, understands);
     let lease_request = request(&fleet, FIRST, tenant("maker", 3));
     fleet
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -34,4 +34,4 @@
     RunnerHandover, SeatHandover,
 };
 pub use sent_messages::SentMessages;
-pub use tenants::{TenantUsage, UNDERSTANDS_TENANTS};
+pub use tenants::{TenantUsage, TENANT_SUPPORT_FLAG};
--- a/crates/protocol/src/tenants.rs
+++ b/crates/protocol/src/tenants.rs
@@ -4,7 +4,7 @@
 
 /// Bit of a [`Message::Pong`](crate::Message::Pong)'s number by which a gateway says that it understands [`Message::TenantLeaseRequest`](crate::Message::TenantLeaseRequest) and all messages after
 /// it. Gateways before it answer with the number of the ping, which bears no such bit.
-pub const UNDERSTANDS_TENANTS: u64 = 1 << 63;
+pub const TENANT_SUPPORT_FLAG: u64 = 1 << 63;
 
 /// What one tenant has sent to one gateway since that began.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
--- a/tests/compatibility/src/samples/tenants.rs
+++ b/tests/compatibility/src/samples/tenants.rs
@@ -3,7 +3,7 @@
 use crate::sample::{sample, Sample};
 use protocol::{
     LeaseRequest, Message, RelayedLeaseRequest, RequestId, RequestTenant, TenantUsage,
-    UNDERSTANDS_TENANTS,
+    TENANT_SUPPORT_FLAG,
 };
 
 /// Every message about tenants.
@@ -45,7 +45,7 @@
         sample("tenant_usage", Message::TenantUsage(vec![usage])),
         sample(
             "pong_of_a_gateway_that_understands_tenants",
-            Message::Pong(UNDERSTANDS_TENANTS | 7),
+            Message::Pong(TENANT_SUPPORT_FLAG | 7),
         ),
     ]
 }
