--- a/crates/gateway/src/pending_request.rs
+++ b/crates/gateway/src/pending_request.rs
@@ -7,7 +7,7 @@
 use invariants::{check, Invariant};
 use jobs::JobAdmission;
 use locality::Topology;
-use protocol::{RequestId, BROKEN_OFF_DURATION_MS};
+use protocol::{RequestId, ABORTED_DURATION_MS};
 use std::sync::Arc;
 
 /// Name of the gateway that owns the seats of a function.
@@ -160,7 +160,7 @@
     /// The duration to report to the owner if the gateway breaks off the current attempt now.
     pub fn broken_off_duration_ms(&self) -> u64 {
         match self.is_sent() {
-            true => u64::from(BROKEN_OFF_DURATION_MS),
+            true => u64::from(ABORTED_DURATION_MS),
             false => 0,
         }
     }
--- a/crates/gateway/src/request_outcomes.rs
+++ b/crates/gateway/src/request_outcomes.rs
@@ -8,7 +8,7 @@
 use crate::upstream_session::UpstreamResponse;
 use event_loop::ConnectionId;
 use http1::{end_to_end, Response};
-use protocol::{JobResult, LeaseOutcome, RequestId, BROKEN_OFF_DURATION_MS};
+use protocol::{JobResult, LeaseOutcome, RequestId, ABORTED_DURATION_MS};
 
 /// Minimum time after which a rejected client may retry, in milliseconds.
 const RETRY_AFTER_MIN_MS: u64 = 150;
@@ -117,7 +117,7 @@
     /// Like [`attempt_lost`](Self::attempt_lost), for an attempt that this gateway broke off and that the runner may
     /// still be processing.
     pub fn attempt_broken_off(&mut self, id: RequestId, reason: &'static str) {
-        self.end_lost_attempt(id, u64::from(BROKEN_OFF_DURATION_MS), reason);
+        self.end_lost_attempt(id, u64::from(ABORTED_DURATION_MS), reason);
     }
 
     fn end_lost_attempt(&mut self, id: RequestId, duration_ms: u64, reason: &'static str) {
--- a/crates/protocol/src/leases.rs
+++ b/crates/protocol/src/leases.rs
@@ -73,7 +73,7 @@
 
 /// Stands for the duration of a request that its gateway broke off at a runner. Owners of before do not look at the duration where there is
 /// no response.
-pub const BROKEN_OFF_DURATION_MS: u32 = u32::MAX;
+pub const ABORTED_DURATION_MS: u32 = u32::MAX;
 
 /// A lease that its gateway gives back.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
@@ -82,16 +82,16 @@
     pub request_id: RequestId,
     /// How its use ended.
     pub outcome: LeaseOutcome,
-    /// Milliseconds from the request's departure to the runner's response, or [`BROKEN_OFF_DURATION_MS`].
+    /// Milliseconds from the request's departure to the runner's response, or [`ABORTED_DURATION_MS`].
     pub duration_ms: u32,
 }
 
 impl LeaseRelease {
     /// Whether the gateway broke the request off while its runner was at work: the runner holds the seat until it notices.
     #[must_use]
-    pub fn is_broken_off(&self) -> bool {
+    pub fn is_aborted(&self) -> bool {
         let has_no_response = matches!(self.outcome, LeaseOutcome::Unused | LeaseOutcome::Lost);
-        has_no_response && self.duration_ms == BROKEN_OFF_DURATION_MS
+        has_no_response && self.duration_ms == ABORTED_DURATION_MS
     }
 }
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -25,7 +25,7 @@
 pub use jobs::{JobAttempt, JobCompletion, JobResult, JobVerdict, RegisterResponse};
 pub use leases::{
     LeaseOutcome, LeaseRelease, LeaseRequest, RequestTenant, RunnerLeases, SeatLease,
-    BROKEN_OFF_DURATION_MS,
+    ABORTED_DURATION_MS,
 };
 pub use member::Member;
 pub use message::Message;
--- a/crates/seat_leases/src/function_seats.rs
+++ b/crates/seat_leases/src/function_seats.rs
@@ -289,7 +289,7 @@
         let Some(runner) = self.runners.remove_lease(holder) else {
             return false;
         };
-        if release.is_broken_off() {
+        if release.is_aborted() {
             runner.record_aborted(now);
         }
         match release.outcome {
--- a/crates/seat_leases/tests/aborted_requests.rs
+++ b/crates/seat_leases/tests/aborted_requests.rs
@@ -11,7 +11,7 @@
 use common::{lease_request, leases, release, runner, update};
 use locality::Topology;
 use policy::LeasingPolicy;
-use protocol::{LeaseOutcome, LeaseRelease, BROKEN_OFF_DURATION_MS};
+use protocol::{LeaseOutcome, LeaseRelease, ABORTED_DURATION_MS};
 use seat_leases::LeaseOwner;
 
 const GATEWAY: &str = "edge-1";
@@ -32,7 +32,7 @@
 }
 
 fn aborted(outcome: LeaseOutcome) -> LeaseRelease {
-    release(1, outcome, BROKEN_OFF_DURATION_MS)
+    release(1, outcome, ABORTED_DURATION_MS)
 }
 
 #[test]
