--- a/crates/autoscaler/src/function_configuration.rs
+++ b/crates/autoscaler/src/function_configuration.rs
@@ -4,7 +4,7 @@
 use crate::call_rate::CallRate;
 use crate::options::AutoscalerOptions;
 use policy::ScalingPolicy;
-use routing::{regions_of_both, RoutingConfiguration, TenantDirectory};
+use routing::{intersect_regions, RoutingConfiguration, TenantDirectory};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Safety factor on the usual start time when it is compared with the latency target.
@@ -108,7 +108,7 @@
         function.timeout_ms = function.timeout_ms.max(u64::from(binding.timeout_ms));
         function.allowed_regions.add_route(&binding.allowed_regions);
         for regions in &tenant_regions {
-            let both = regions_of_both(&binding.allowed_regions, regions);
+            let both = intersect_regions(&binding.allowed_regions, regions);
             if !both.is_empty() {
                 function.allowed_regions.add_route(&both);
             }
--- a/crates/gateway/src/request_admission.rs
+++ b/crates/gateway/src/request_admission.rs
@@ -8,7 +8,7 @@
 use http1::Request;
 use jobs::JobAdmission;
 use protocol::RequestId;
-use routing::{regions_of_both, Binding, RoutingTable};
+use routing::{intersect_regions, Binding, RoutingTable};
 
 /// Longest time for which a request is held, in milliseconds, whatever the client and the binding ask for.
 const TIMEOUT_MAX_MS: u64 = 120_000;
@@ -229,7 +229,7 @@
     client: Option<&ClientIdentity>,
 ) -> Result<Vec<String>, AdmissionError> {
     let of_tenant = client.map_or(&[][..], |client| &client.tenant().allowed_regions);
-    let regions = regions_of_both(&binding.allowed_regions, of_tenant);
+    let regions = intersect_regions(&binding.allowed_regions, of_tenant);
     let is_restricted = !binding.allowed_regions.is_empty() || !of_tenant.is_empty();
     if is_restricted && regions.is_empty() {
         return Err(AdmissionError::NoCommonRegion);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -11,4 +11,4 @@
 };
 pub use key_digest::KeyDigest;
 pub use table::{plain_host, RoutingTable};
-pub use tenants::{regions_of_both, Tenant, TenantDirectory, TenantError};
+pub use tenants::{intersect_regions, Tenant, TenantDirectory, TenantError};
--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -188,7 +188,7 @@
 
 /// The regions that two lists have in common, of which an empty one allows all. Empty where they have none in common, or both allow all.
 #[must_use]
-pub fn regions_of_both(one: &[String], other: &[String]) -> Vec<String> {
+pub fn intersect_regions(one: &[String], other: &[String]) -> Vec<String> {
     match (one, other) {
         ([], only) | (only, []) => only.to_vec(),
         _ => {
--- a/crates/routing/tests/tenants.rs
+++ b/crates/routing/tests/tenants.rs
@@ -1,7 +1,7 @@
 //! Tenants by their keys: each key has one tenant at most, whatever changes, and no key can be read back.
 
 use fuzzing::{seeded, TestResult};
-use routing::{regions_of_both, KeyDigest, Tenant, TenantDirectory, TenantError};
+use routing::{intersect_regions, KeyDigest, Tenant, TenantDirectory, TenantError};
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
@@ -134,13 +134,13 @@
 fn regions_of_two_lists_are_those_in_both() {
     let list =
         |names: &[&str]| -> Vec<String> { names.iter().map(|name| name.to_string()).collect() };
-    assert_eq!(regions_of_both(&list(&[]), &list(&["a"])), list(&["a"]));
-    assert_eq!(regions_of_both(&list(&["a"]), &list(&[])), list(&["a"]));
+    assert_eq!(intersect_regions(&list(&[]), &list(&["a"])), list(&["a"]));
+    assert_eq!(intersect_regions(&list(&["a"]), &list(&[])), list(&["a"]));
     assert_eq!(
-        regions_of_both(&list(&["a", "b"]), &list(&["b", "c"])),
+        intersect_regions(&list(&["a", "b"]), &list(&["b", "c"])),
         list(&["b"])
     );
-    assert_eq!(regions_of_both(&list(&["a"]), &list(&["b"])), list(&[]));
+    assert_eq!(intersect_regions(&list(&["a"]), &list(&["b"])), list(&[]));
 }
 
 /// Tenants by number, each with numbers of keys.
