--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -10,5 +10,5 @@
     Binding, ConfigurationError, ConfigurationFormat, Function, Limits, RoutingConfiguration,
 };
 pub use key_digest::KeyDigest;
-pub use table::{plain_host, RoutingTable};
+pub use table::{normalize_host, RoutingTable};
 pub use tenants::{intersect_regions, Tenant, TenantDirectory, TenantError};
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -25,7 +25,7 @@
     pub fn new(configuration: Arc<RoutingConfiguration>) -> Self {
         let mut hosts: HashMap<Box<str>, Prefixes> = HashMap::new();
         for (index, binding) in configuration.bindings.iter().enumerate() {
-            let host = plain_host(&binding.host);
+            let host = normalize_host(&binding.host);
             if !hosts.contains_key(host.as_ref()) {
                 hosts.insert(host.as_ref().into(), Prefixes::default());
             }
@@ -52,7 +52,7 @@
     /// Finds the binding of a request, with its index and its function. The host may carry a port, the path a
     /// query.
     pub fn find(&self, host: &str, path: &str) -> Option<(usize, &Binding, &Function)> {
-        let prefixes = self.hosts.get(plain_host(host).as_ref())?;
+        let prefixes = self.hosts.get(normalize_host(host).as_ref())?;
         let index = prefixes.longest_of(path)?;
         let binding = self.configuration.bindings.get(index)?;
         let function = self.configuration.functions.get(binding.function_index)?;
@@ -84,7 +84,7 @@
 }
 
 /// A host in lower case, without a port.
-pub fn plain_host(host: &str) -> Cow<'_, str> {
+pub fn normalize_host(host: &str) -> Cow<'_, str> {
     let host = match host.rsplit_once(':') {
         Some((host, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => host,
         _ => host,
