--- a/crates/operator_commands/src/evacuations.rs
+++ b/crates/operator_commands/src/evacuations.rs
@@ -37,7 +37,7 @@
     }
 
     /// How often a zone's state has changed.
-    pub fn changes_of(&self, zone: &str) -> u64 {
+    pub fn change_count(&self, zone: &str) -> u64 {
         let mut changes = self.changes.iter();
         let change = changes.find(|change| change.zone == zone);
         change.map_or(0, |change| change.count)
--- a/crates/operator_commands/src/execution.rs
+++ b/crates/operator_commands/src/execution.rs
@@ -103,7 +103,7 @@
         let Some(evacuations) = Evacuations::read(&stored.bytes) else {
             return false;
         };
-        let changes = evacuations.changes_of(zone);
+        let changes = evacuations.change_count(zone);
         *self.zone_changes.get_or_insert(changes) == changes
     }
 }
--- a/crates/operator_commands/tests/decisions.rs
+++ b/crates/operator_commands/tests/decisions.rs
@@ -269,5 +269,5 @@
     assert_eq!(reply(&finish, &finished), CommandReply::Acknowledged);
     let evacuations = Evacuations::read(&finished).unwrap();
     assert!(evacuations.zones.is_empty());
-    assert_eq!(evacuations.changes_of("zone-a"), 2);
+    assert_eq!(evacuations.change_count("zone-a"), 2);
 }
