--- a/crates/protocol/src/ownership.rs
+++ b/crates/protocol/src/ownership.rs
@@ -71,7 +71,7 @@
 
     /// Whether a seat of this runner is leased.
     #[must_use]
-    pub fn has_leases_of(&self, runner: &str) -> bool {
+    pub fn has_leases_at(&self, runner: &str) -> bool {
         let mut leases = self.leases.iter().flat_map(|leases| &leases.runners);
         leases.any(|leases| leases.runner == runner)
     }
--- a/crates/seat_leases/src/runner_set.rs
+++ b/crates/seat_leases/src/runner_set.rs
@@ -97,7 +97,7 @@
             if !is_newer {
                 adopted.drain();
             }
-            if is_newer || handover.has_leases_of(&runner.update.id) {
+            if is_newer || handover.has_leases_at(&runner.update.id) {
                 self.runners.push(adopted);
             }
         }
