--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -34,7 +34,7 @@
     /// # Errors
     ///
     /// An option that does not exist, or a value that is of another type or out of bounds.
-    pub fn with(settings: &[PolicySetting]) -> Result<Self, PolicyError> {
+    pub fn with_settings(settings: &[PolicySetting]) -> Result<Self, PolicyError> {
         let mut policy = Self::default();
         for setting in settings {
             policy.set(setting)?;
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -4,7 +4,7 @@
 
 fn policy(texts: &[&str]) -> Result<Policy, PolicyError> {
     let settings = texts.iter().map(|text| text.parse::<PolicySetting>());
-    Policy::with(&settings.collect::<Result<Vec<_>, _>>()?)
+    Policy::with_settings(&settings.collect::<Result<Vec<_>, _>>()?)
 }
 
 fn refusal(text: &str) -> String {
@@ -70,5 +70,5 @@
         value: option.default.clone(),
     });
     let settings: Vec<PolicySetting> = settings.collect();
-    assert_eq!(Policy::with(&settings), Ok(Policy::default()));
+    assert_eq!(Policy::with_settings(&settings), Ok(Policy::default()));
 }
--- a/tests/experiment/src/bin/hallkeel-experiment.rs
+++ b/tests/experiment/src/bin/hallkeel-experiment.rs
@@ -64,7 +64,7 @@
 fn main() -> ExitCode {
     let flags = Flags::parse();
     for settings in [&flags.set, &flags.both] {
-        if let Err(error) = Policy::with(settings) {
+        if let Err(error) = Policy::with_settings(settings) {
             eprintln!("hallkeel-experiment: {error}");
             return ExitCode::from(2);
         }
