--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// Where a key would be there twice.
-    pub fn changed(
+    pub fn with_changes(
         &self,
         upserted: Vec<Tenant>,
         removed: &HashSet<String>,
--- a/crates/routing/tests/tenants.rs
+++ b/crates/routing/tests/tenants.rs
@@ -62,11 +62,11 @@
         vec![without.clone(), with.clone()],
         vec![with.clone(), without],
     ] {
-        let changed = base.changed(tenants, &removed(&[])).unwrap();
+        let changed = base.with_changes(tenants, &removed(&[])).unwrap();
         assert_eq!(holder(&changed, "a"), Some("south"));
         assert_eq!(changed.key_count(), 3);
     }
-    let refused = base.changed(vec![with], &removed(&[]));
+    let refused = base.with_changes(vec![with], &removed(&[]));
     assert!(matches!(refused, Err(TenantError::SharedKey { .. })));
     assert_eq!(
         holder(&base, "a"),
@@ -78,22 +78,22 @@
 #[test]
 fn a_tenant_without_keys_stays_and_one_that_is_dropped_may_come_back() {
     let base = directory(&[tenant("north", &["a"])]);
-    let keyless = base.changed(vec![tenant("north", &[])], &removed(&[]));
+    let keyless = base.with_changes(vec![tenant("north", &[])], &removed(&[]));
     let keyless = keyless.unwrap();
     assert_eq!((keyless.len(), keyless.key_count()), (1, 0));
     assert_eq!(holder(&keyless, "a"), None);
-    let dropped = base.changed(Vec::new(), &removed(&["north", "nobody"]));
+    let dropped = base.with_changes(Vec::new(), &removed(&["north", "nobody"]));
     let dropped = dropped.unwrap();
     assert!(dropped.is_empty());
     assert_eq!(holder(&dropped, "a"), None);
-    let back = dropped.changed(vec![tenant("north", &["z"])], &removed(&[]));
+    let back = dropped.with_changes(vec![tenant("north", &["z"])], &removed(&[]));
     assert_eq!(holder(&back.unwrap(), "a"), None);
 }
 
 #[test]
 fn what_is_removed_in_the_change_that_adds_it_is_not_there() {
     let base = directory(&[]);
-    let changed = base.changed(vec![tenant("north", &["a"])], &removed(&["north"]));
+    let changed = base.with_changes(vec![tenant("north", &["a"])], &removed(&["north"]));
     assert!(changed.unwrap().is_empty());
 }
 
@@ -107,7 +107,7 @@
         })
         .collect();
     let base = directory(&all);
-    let changed = base.changed(vec![tenant("tenant-7", &["new"])], &removed(&[]));
+    let changed = base.with_changes(vec![tenant("tenant-7", &["new"])], &removed(&[]));
     let changed = changed.unwrap();
     assert_eq!((changed.len(), changed.key_count()), (5_000, 19_997));
     let is_shared = |other: &&Arc<Tenant>| {
@@ -178,7 +178,7 @@
             }
             next.retain(|name, _| !gone.contains(name));
             let whole = TenantDirectory::new(next.values().cloned().collect());
-            let changed = directory.changed(drawn(upserted), &gone);
+            let changed = directory.with_changes(drawn(upserted), &gone);
             match (whole, changed) {
                 (Ok(whole), Ok(changed)) if whole == changed => {
                     plain = next;
