--- a/crates/autoscaler/src/reports.rs
+++ b/crates/autoscaler/src/reports.rs
@@ -57,8 +57,8 @@
         responses: report.succeeded.saturating_sub(succeeded),
         total_ms: report.total_duration_ms.saturating_sub(duration_ms),
         has_requests_in_flight: report.in_use > 0,
-        is_up: report.is_up && !report.is_gone,
-        is_unreachable: report.is_gone,
+        is_up: report.is_up && !report.is_unreachable,
+        is_unreachable: report.is_unreachable,
     }
 }
 
--- a/crates/autoscaler/tests/decisions.rs
+++ b/crates/autoscaler/tests/decisions.rs
@@ -236,7 +236,7 @@
     }
     let lost = FunctionReport {
         runners: vec![protocol::RunnerReport {
-            is_gone: true,
+            is_unreachable: true,
             ..runner_report(&id, 0)
         }],
         ..function_report("f", 0, 0)
--- a/crates/autoscaler/tests/random.rs
+++ b/crates/autoscaler/tests/random.rs
@@ -20,7 +20,7 @@
     function: String,
     worker: String,
     started_at: u64,
-    is_gone: bool,
+    is_unreachable: bool,
     in_use: u32,
     /// Time of the last report on it, and the number of requests in flight in that report.
     reported: Option<(u64, u32)>,
@@ -142,12 +142,12 @@
             .filter(|(_, one)| one.function == name)
         {
             let is_up = runner.started_at + START_MS <= now;
-            runner.is_gone |= marks_gone && is_up;
+            runner.is_unreachable |= marks_gone && is_up;
             let in_use = if is_up { runner.in_use } else { 0 };
             runner.reported = Some((now, in_use));
             report.runners.push(RunnerReport {
                 is_up,
-                is_gone: runner.is_gone,
+                is_unreachable: runner.is_unreachable,
                 ..runner_report(id, in_use)
             });
         }
@@ -198,7 +198,7 @@
             function: start.function,
             worker: start.worker,
             started_at: self.now,
-            is_gone: false,
+            is_unreachable: false,
             in_use: 0,
             reported: None,
         };
@@ -285,7 +285,7 @@
             let reported = runner.reported.unwrap_or_default();
             let has_requests_in_flight = reported.1 > 0 && reported.0 + TIMEOUT_MS > self.now;
             assert!(
-                runner.is_gone || !has_requests_in_flight,
+                runner.is_unreachable || !has_requests_in_flight,
                 "{id} is stopped with requests in flight at {}",
                 self.now
             );
--- a/crates/protocol/src/functions.rs
+++ b/crates/protocol/src/functions.rs
@@ -45,7 +45,7 @@
     /// It was reached at least once.
     pub is_up: bool,
     /// It cannot be reached any more, or another runner has its address.
-    pub is_gone: bool,
+    pub is_unreachable: bool,
 }
 
 /// All runners of one function, as the controller that scales wants them.
--- a/crates/protocol/src/ownership.rs
+++ b/crates/protocol/src/ownership.rs
@@ -85,7 +85,7 @@
     /// It was reached at least once.
     pub is_up: bool,
     /// It cannot be reached any more.
-    pub is_gone: bool,
+    pub is_unreachable: bool,
     /// Mean milliseconds of a response; 0 before the first.
     pub mean_response_ms: u32,
 }
--- a/crates/protocol/tests/drawn/mod.rs
+++ b/crates/protocol/tests/drawn/mod.rs
@@ -73,7 +73,7 @@
             total_duration_ms: any(gen),
             rejected: any(gen),
             is_up: any(gen),
-            is_gone: any(gen),
+            is_unreachable: any(gen),
         }),
     }
 }
--- a/crates/protocol/tests/drawn/ownership.rs
+++ b/crates/protocol/tests/drawn/ownership.rs
@@ -96,7 +96,7 @@
         runners: some(gen, |gen| RunnerHandover {
             update: runner_update(gen),
             is_up: any(gen),
-            is_gone: any(gen),
+            is_unreachable: any(gen),
             mean_response_ms: any(gen),
         }),
         leases: some(gen, |gen| GatewayLeases {
--- a/crates/seat_leases/src/seat_runner.rs
+++ b/crates/seat_leases/src/seat_runner.rs
@@ -27,7 +27,7 @@
     /// The scaler's latest update.
     update: RunnerUpdate,
     is_up: bool,
-    is_gone: bool,
+    is_unreachable: bool,
     holders: BTreeSet<LeaseHolder>,
     backoff: RejectionBackoff,
     /// Time until which a probe's connection may occupy a seat.
@@ -54,7 +54,7 @@
         Self {
             update,
             is_up,
-            is_gone: false,
+            is_unreachable: false,
             holders: BTreeSet::new(),
             backoff: RejectionBackoff::default(),
             probe_seat_until: 0,
@@ -82,7 +82,7 @@
         RunnerHandover {
             update: self.update.clone(),
             is_up: self.is_up,
-            is_gone: self.is_gone,
+            is_unreachable: self.is_unreachable,
             mean_response_ms: self.mean_response_ms.round() as u32,
         }
     }
@@ -126,12 +126,12 @@
 
     /// Whether the runner accepts new requests.
     pub fn is_serving(&self) -> bool {
-        self.is_up && !self.is_gone && self.update.stage != RunnerStage::Draining
+        self.is_up && !self.is_unreachable && self.update.stage != RunnerStage::Draining
     }
 
     /// Whether the runner is starting and may still come up.
     pub fn is_starting(&self) -> bool {
-        !self.is_up && !self.is_gone && self.update.stage != RunnerStage::Draining
+        !self.is_up && !self.is_unreachable && self.update.stage != RunnerStage::Draining
     }
 
     /// Whether another seat may be leased now.
@@ -186,7 +186,7 @@
     /// Adds what the former owner knows about the runner and this owner does not.
     pub fn merge_handover(&mut self, handover: &RunnerHandover) {
         self.is_up |= handover.is_up;
-        self.is_gone |= handover.is_gone;
+        self.is_unreachable |= handover.is_unreachable;
         if self.mean_count == 0.0 && handover.mean_response_ms > 0 {
             self.mean_response_ms = f64::from(handover.mean_response_ms);
             self.mean_count = 1.0;
@@ -225,13 +225,13 @@
     /// after several consecutive failures.
     pub fn record_failure(&mut self) -> bool {
         self.consecutive_failures += 1;
-        self.is_gone |= self.consecutive_failures >= CONSECUTIVE_FAILURES_MAX;
-        self.is_gone
+        self.is_unreachable |= self.consecutive_failures >= CONSECUTIVE_FAILURES_MAX;
+        self.is_unreachable
     }
 
     /// Records that nothing, or another runner, answers at its address.
     pub fn record_gone(&mut self) {
-        self.is_gone = true;
+        self.is_unreachable = true;
     }
 
     /// Whether the runner has rejected a request recently.
@@ -284,7 +284,7 @@
             total_duration_ms: self.total_duration_ms,
             rejected: self.rejected,
             is_up: self.is_up,
-            is_gone: self.is_gone,
+            is_unreachable: self.is_unreachable,
         }
     }
 }
--- a/crates/seat_leases/tests/lease_owner.rs
+++ b/crates/seat_leases/tests/lease_owner.rs
@@ -140,7 +140,7 @@
     owner.tick(500);
     assert_eq!(request_ids(&mut owner), [0; 0]);
     let reports = owner.reports(600, true);
-    assert!(reports[0].runners[0].is_gone);
+    assert!(reports[0].runners[0].is_unreachable);
 }
 
 /// Checks that a runner with one seat is gone after the last of these outcomes and not before.
@@ -153,7 +153,7 @@
     }
     owner.request_lease(0, "f", "north", lease_request(9, 1));
     assert_eq!(request_ids(&mut owner), [0; 0]);
-    assert!(owner.reports(1_000, true)[0].runners[0].is_gone);
+    assert!(owner.reports(1_000, true)[0].runners[0].is_unreachable);
 }
 
 #[test]
--- a/tests/compatibility/src/samples/ownership.rs
+++ b/tests/compatibility/src/samples/ownership.rs
@@ -88,7 +88,7 @@
             starts_in_ms: 0,
         },
         is_up: true,
-        is_gone: false,
+        is_unreachable: false,
         mean_response_ms: 61,
     }
 }
--- a/tests/compatibility/src/samples/protocol.rs
+++ b/tests/compatibility/src/samples/protocol.rs
@@ -138,10 +138,10 @@
         total_duration_ms: 0x0000_0009_0000_0001,
         rejected: 5,
         is_up: true,
-        is_gone: false,
+        is_unreachable: false,
     };
     let gone = RunnerReport {
-        is_gone: true,
+        is_unreachable: true,
         ..RunnerReport::default()
     };
     FunctionReport {
