--- a/crates/gateway/src/applied_configuration.rs
+++ b/crates/gateway/src/applied_configuration.rs
@@ -2,7 +2,7 @@
 //! update older than the applied one is dropped.
 
 use invariants::{check, Invariant};
-use protocol::{unpack, Member, UpdateVersion};
+use protocol::{inflate, Member, UpdateVersion};
 use routing::{ConfigurationFormat, Limits, RoutingConfiguration, RoutingTable, TenantDirectory};
 use seat_leases::OwnershipTable;
 use std::collections::BTreeSet;
@@ -136,7 +136,7 @@
         if version <= self.versions.configuration {
             return;
         }
-        let Some(document) = unpack(packed, DOCUMENT_MAX) else {
+        let Some(document) = inflate(packed, DOCUMENT_MAX) else {
             log::error!("gateway: configuration unreadable version={version}");
             return;
         };
@@ -165,7 +165,7 @@
         let mut configuration = table.configuration().as_ref().clone();
         let mut unknown_parts = self.unknown_parts.clone();
         for packed in changes {
-            let change = unpack(packed, DOCUMENT_MAX);
+            let change = inflate(packed, DOCUMENT_MAX);
             let updated = change.and_then(|change| {
                 let updated = configuration_format.apply_change(&configuration, &change);
                 unknown_parts.extend(configuration_format.unknown_parts_of_change(&change));
--- a/crates/gateway/src/stored_response.rs
+++ b/crates/gateway/src/stored_response.rs
@@ -30,12 +30,12 @@
         body: response.body.clone(),
     };
     let bytes = stored.write_to_vec().ok()?;
-    let packed = protocol::pack(&bytes);
+    let packed = protocol::deflate(&bytes);
     (packed.len() <= PACKED_MAX).then_some(packed)
 }
 
 /// Unpacks a response. Returns `None` if the bytes are not a packed response.
 pub fn unpack(packed: &[u8]) -> Option<StoredResponse> {
-    let bytes = protocol::unpack(packed, UNPACKED_MAX)?;
+    let bytes = protocol::inflate(packed, UNPACKED_MAX)?;
     StoredResponse::read_from_buffer(&bytes).ok()
 }
--- a/crates/operator_commands/src/configuration.rs
+++ b/crates/operator_commands/src/configuration.rs
@@ -4,7 +4,7 @@
 
 use crate::accepted_commands::{AcceptedCommand, AcceptedCommands, CommandDigest};
 use crate::command::CommandKind;
-use protocol::{pack, unpack};
+use protocol::{deflate, inflate};
 use speedy::{Readable, Writable};
 
 /// Largest document, in bytes.
@@ -37,7 +37,7 @@
         if self.version == 0 {
             return Some(Vec::new());
         }
-        unpack(&self.packed, DOCUMENT_MAX)
+        inflate(&self.packed, DOCUMENT_MAX)
     }
 
     /// The value after a command was accepted that puts a document in place.
@@ -54,8 +54,8 @@
         let is_update = *kind == CommandKind::Update;
         Self {
             version,
-            packed: pack(document),
-            change: if is_update { pack(body) } else { Vec::new() },
+            packed: deflate(document),
+            change: if is_update { deflate(body) } else { Vec::new() },
             accepted,
         }
     }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -15,7 +15,7 @@
 mod sent_messages;
 mod tenants;
 
-pub use compression::{pack, unpack};
+pub use compression::{deflate, inflate};
 pub use frame::{frame, take_frames, FrameError, FrameReader, MAX_FRAME_BYTES};
 pub use functions::{
     FunctionReport, FunctionUpdate, RunnerReport, RunnerStage, RunnerUpdate, StartBlock,
--- a/tests/compatibility/src/samples/protocol.rs
+++ b/tests/compatibility/src/samples/protocol.rs
@@ -75,7 +75,7 @@
     };
     let whole = Message::Configuration {
         version: 13,
-        document: protocol::pack(br#"{"version":13}"#),
+        document: protocol::deflate(br#"{"version":13}"#),
     };
     let changes = Message::ConfigurationChanges {
         base_version: 12,
