--- a/crates/controller/src/operator_routing.rs
+++ b/crates/controller/src/operator_routing.rs
@@ -26,12 +26,12 @@
     let kind = match codec.parse_command(&request.method, &request.target) {
         Ok(kind) => kind,
         Err(CommandParseError::UnknownTarget) => {
-            return respond(404, "unknown path");
+            return respond(404, "there is no such call");
         }
-        Err(CommandParseError::Rejected(status)) => return respond(status, "invalid request"),
+        Err(CommandParseError::Rejected(status)) => return respond(status, "not this method"),
     };
     if names_unknown_zone(&kind, zones) {
-        return respond(404, "unknown zone");
+        return respond(404, "there is no such zone");
     }
     if !is_in_contact() {
         return RequestRoute::Redirect;
--- a/crates/controller/src/operator_service.rs
+++ b/crates/controller/src/operator_service.rs
@@ -153,7 +153,7 @@
         let has_contact = context.consensus.is_in_contact(context.now);
         for token in self.requests.expired(context.now, has_contact) {
             if let Some(caller) = self.requests.remove(token) {
-                let reason = "the outcome is unknown: no majority of controllers responded in time";
+                let reason = "it is not known whether it was taken: no majority of controllers answered in time";
                 let response = OperatorResponse::new(SERVICE_UNAVAILABLE, reason);
                 self.respond(caller, &response, context);
             }
@@ -192,8 +192,7 @@
     let index = rand::random::<u32>() as usize % peers.len().max(1);
     let peer: Option<SocketAddr> = peers.get(index).and_then(|peer| peer.parse().ok());
     let Some(peer) = peer else {
-        let reason =
-            "no controller in contact with a majority is known; the request was not executed";
+        let reason = "no majority of controllers is in contact; nothing was done";
         return OperatorResponse::new(SERVICE_UNAVAILABLE, reason);
     };
     let port = context.options.operator_address.port();
