--- a/crates/jobs/src/abandoned_attempts.rs
+++ b/crates/jobs/src/abandoned_attempts.rs
@@ -1,21 +1,22 @@
-//! Attempts of a gateway's requests that were given up before they were sent.
+//! Attempts of a gateway's requests that ended without having run.
 
 use protocol::{JobCompletion, JobResult, RequestId};
 use std::collections::BTreeMap;
 
-/// Most requests whose attempts are remembered; the oldest are forgotten first.
+/// Maximum number of requests whose attempts are recorded; those with the lowest ids, the oldest, are dropped first.
 const MAX_REQUESTS: usize = 4_096;
 
-/// The last attempt of each request that surely has not run, and with it all earlier ones.
+/// The last attempt of each request that is known not to have run. The same holds for all earlier attempts of that request.
 ///
-/// A lease request may come late, when its attempt was given up long ago. Whoever claims a job for it hears that nobody will run it.
+/// A delayed lease request may reach an owner long after its attempt was abandoned. When that owner claims the job for it, the
+/// record is used to reply that the attempt will not run.
 #[derive(Default)]
 pub struct AbandonedAttempts {
     completions: BTreeMap<RequestId, JobCompletion>,
 }
 
 impl AbandonedAttempts {
-    /// An attempt ended. Only one that has not run is remembered.
+    /// Records an attempt that ended, if it belongs to an at-most-once job and has not run.
     pub fn record(&mut self, completion: &JobCompletion) {
         if completion.result != JobResult::NotRun || !completion.attempt.at_most_once {
             return;
@@ -27,7 +28,7 @@
         }
     }
 
-    /// That an attempt of a request has not run and never will, if it is known.
+    /// Returns the completion that states that an attempt has not run and never will, or `None` if this is not known.
     #[must_use]
     pub fn find(&self, request_id: RequestId, attempt: u32) -> Option<&JobCompletion> {
         let completion = self.completions.get(&request_id);
--- a/crates/jobs/src/action.rs
+++ b/crates/jobs/src/action.rs
@@ -1,75 +1,75 @@
-//! What the coordinator asks its gateway to do.
+//! Actions that the job coordinator requests from its gateway.
 
 use protocol::{JobVerdict, LeaseRequest, RequestId};
 
-/// What the coordinator asks its gateway to do.
+/// An action that the job coordinator requests from its gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobAction {
-    /// Request a lease for a request of a job.
+    /// Request a seat lease for a request of a job.
     RequestLease {
-        /// Name of the request's gateway.
+        /// Name of the gateway that received the request.
         gateway: String,
         /// Zone of that gateway.
         zone: String,
-        /// The lease request, with the time that is left.
+        /// The lease request; its timeout is the time remaining until the request's deadline.
         request: LeaseRequest,
     },
-    /// Cancel the lease request of a request that does not run for now.
+    /// Cancel the lease request of a request that will not run for now.
     CancelLeaseRequest {
-        /// Name of the request's gateway.
+        /// Name of the gateway that received the request.
         gateway: String,
-        /// The request.
+        /// Id of the request.
         request_id: RequestId,
     },
-    /// Tell a gateway that its request holds the claim on its job and may be sent to a runner.
+    /// Notify a gateway that its request holds the claim on its job and may be sent to a runner.
     NotifyClaimed {
-        /// Name of the gateway.
+        /// Name of the gateway that received the request.
         gateway: String,
-        /// The request.
+        /// Id of the request.
         request_id: RequestId,
-        /// Number of its attempt.
+        /// Number of the request's current attempt.
         attempt: u32,
         /// Version of the register that holds the claim.
         register_version: u64,
     },
-    /// Tell a gateway that its request waits for the result of another.
+    /// Notify a gateway that its request waits for the result of another request of the same job.
     NotifyJoined {
-        /// Name of the gateway.
+        /// Name of the gateway that received the request.
         gateway: String,
-        /// The request.
+        /// Id of the request.
         request_id: RequestId,
-        /// Number of its attempt.
+        /// Number of the request's current attempt.
         attempt: u32,
     },
-    /// Tell a gateway how the job of its request ended.
+    /// Notify a gateway of the verdict on its request.
     NotifyVerdict {
-        /// Name of the gateway.
+        /// Name of the gateway that received the request.
         gateway: String,
-        /// The request.
+        /// Id of the request.
         request_id: RequestId,
-        /// Number of its attempt.
+        /// Number of the request's current attempt.
         attempt: u32,
-        /// How the job ended for this request.
+        /// Outcome of the job for this request.
         verdict: JobVerdict,
     },
-    /// Tell a gateway that the result of its request is on the disks of a majority of controllers.
+    /// Notify a gateway that the result of its request is persisted on a majority of controllers.
     NotifyPersisted {
-        /// Name of the gateway.
+        /// Name of the gateway that received the request.
         gateway: String,
-        /// The request.
+        /// Id of the request.
         request_id: RequestId,
     },
-    /// Ask a controller to read or write a job's register.
+    /// Read or write a job's register through a controller.
     AccessRegister {
-        /// Number that the response repeats.
+        /// Identifies this access; the response repeats it.
         number: u64,
         /// Key of the register.
         key: String,
-        /// Version that the register must have for the write; none for a read.
+        /// Version that the register must have for the write to take effect; `None` for a read.
         expected_version: Option<u64>,
         /// The new value; empty for a read.
         value: Vec<u8>,
-        /// How often this was asked before; another controller is asked each time.
+        /// Number of earlier attempts at this access. Each retry goes to another controller.
         retries: u32,
     },
 }
--- a/crates/jobs/src/job_admission.rs
+++ b/crates/jobs/src/job_admission.rs
@@ -1,21 +1,21 @@
-//! Whether a gateway's request of a job may be sent to a runner.
+//! Decides whether a gateway may send a request of a job to a runner.
 
 use protocol::{JobAttempt, JobCompletion, JobResult, RequestId};
 
-/// The part of one request's gateway in the job: it knows whether the request may be sent to a runner. Each attempt
-/// invalidates everything that was said about an earlier one.
+/// The state of one request of a job at the gateway that received it: whether the request may be sent to a runner. A new
+/// attempt invalidates all messages about earlier ones.
 #[derive(Clone, Debug)]
 pub struct JobAdmission {
     attempt: JobAttempt,
     owner: String,
-    /// Version of the register that holds the request's claim; 0 while it holds none.
+    /// Version of the register that holds the request's claim; 0 without a claim.
     register_version: u64,
     is_joined: bool,
     is_connected: bool,
 }
 
 impl JobAdmission {
-    /// The admission of a request that has made no attempt yet.
+    /// Creates the admission of a request that has made no attempt yet.
     #[must_use]
     pub fn new(key: String, digest: [u8; 16], at_most_once: bool, incarnation: u64) -> Self {
         let attempt = JobAttempt {
@@ -34,14 +34,14 @@
         }
     }
 
-    /// Begins an attempt at an owner.
+    /// Begins an attempt at the given owner, and ends the current one.
     pub fn begin_attempt(&mut self, owner: &str) -> JobAttempt {
         self.abandon_attempt();
         self.owner = owner.into();
         self.attempt.clone()
     }
 
-    /// Ends the current attempt: nothing that was said about it holds any more.
+    /// Ends the current attempt. Messages about it no longer apply.
     pub fn abandon_attempt(&mut self) {
         self.attempt.number += 1;
         self.register_version = 0;
@@ -49,31 +49,31 @@
         self.is_connected = false;
     }
 
-    /// Whether a message from an owner is about the current attempt.
+    /// Whether a message from an owner refers to the current attempt.
     #[must_use]
     pub fn is_current_attempt(&self, owner: &str, attempt: u32) -> bool {
         self.owner == owner && self.attempt.number == attempt
     }
 
-    /// The owner says that the request holds the claim.
+    /// Records that the request holds the claim, as the owner reported.
     pub fn set_claimed(&mut self, register_version: u64) {
         self.register_version = register_version;
         self.is_joined = false;
     }
 
-    /// The owner says that another request holds the claim.
+    /// Records that another request holds the claim, as the owner reported.
     pub fn set_joined(&mut self) {
         self.register_version = 0;
         self.is_joined = true;
         self.is_connected = false;
     }
 
-    /// The connection to a runner is open, and the request waits for the claim alone.
+    /// Records that the connection to a runner is open, so that the request waits only for the claim.
     pub fn set_connected(&mut self) {
         self.is_connected = true;
     }
 
-    /// Whether the request waits for the claim alone.
+    /// Whether the connection to a runner is open, so that the request waits only for the claim.
     #[must_use]
     pub fn is_connected(&self) -> bool {
         self.is_connected
@@ -85,7 +85,7 @@
         !self.attempt.at_most_once || self.register_version > 0
     }
 
-    /// Whether another request may have run the job, for all that is known here.
+    /// Whether, as far as this gateway knows, another request may have run the job.
     #[must_use]
     pub fn may_have_run_elsewhere(&self) -> bool {
         self.is_joined || !self.may_be_sent()
@@ -97,7 +97,7 @@
         &self.attempt
     }
 
-    /// What the owner is told at the end of the request, or of its current attempt.
+    /// Returns the completion to send to the owner when the request, or its current attempt, ends.
     #[must_use]
     pub fn completion(
         &self,
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,14 +1,16 @@
-//! Jobs: requests that clients marked with one idempotency key. The function's owner lets one request run the job and
-//! gives the others its response. A job that may run at most once is claimed in a register on the controllers' disks
-//! before its request is sent to a runner.
+//! Deduplication of requests by idempotency key. A job is the work that all requests with the same key ask for, within one
+//! function and tenant. The gateway that owns the function lets one request run the job and returns its response to the
+//! others. An at-most-once job is first claimed in a replicated register on the controllers' disks, before its request is
+//! sent to a runner.
 //!
-//! - `claim`: what a job's register holds;
-//! - `job`, `job_table`, `register_requests`, `outbox`: the parts of the coordinator's state, each with its invariant;
-//! - `coordinator` and, on top of it, `arrivals`, `completions`, `register_responses`, `timeouts`: the transitions of a
-//!   job, by what causes them;
-//! - `job_admission`, `unacknowledged_results`: the part of the gateway whose request it is.
+//! - `claim`: the value of a job's register;
+//! - `job`, `job_table`, `register_requests`, `outbox`: the parts of the coordinator's state, each with its own invariant;
+//! - `coordinator` and its `impl` blocks in `arrivals`, `completions`, `register_responses` and `timeouts`: the state
+//!   transitions of a job, grouped by the event that causes them;
+//! - `job_admission`, `unacknowledged_results`, `abandoned_attempts`: the state at the gateway that received the request.
 //!
-//! All of them are state machines without I/O: events come in as calls, [`JobAction`]s are taken out.
+//! All of these are state machines without I/O: events are passed in as method calls, and the resulting [`JobAction`]s are
+//! taken out by the caller.
 
 mod abandoned_attempts;
 mod action;
--- a/crates/jobs/src/outbox.rs
+++ b/crates/jobs/src/outbox.rs
@@ -1,11 +1,11 @@
-//! Actions that the gateway has not taken yet.
+//! Queue of the actions that the gateway has not yet taken.
 
 use crate::action::JobAction;
 use crate::claim::ClaimHolder;
 use crate::job::JobRequest;
 use protocol::JobVerdict;
 
-/// Actions for the gateway, in the order in which they are to be done.
+/// Actions for the gateway, in the order in which they must be carried out.
 #[derive(Default)]
 pub(crate) struct Outbox {
     actions: Vec<JobAction>,
--- a/crates/jobs/src/register_requests.rs
+++ b/crates/jobs/src/register_requests.rs
@@ -1,22 +1,22 @@
-//! Requests to controllers that are in flight.
+//! Register requests to controllers that are in flight.
 
 use std::collections::HashMap;
 
-/// Milliseconds for which a controller's response is waited for.
+/// Milliseconds after which a request without a response is dropped.
 const RESPONSE_TIMEOUT_MS: u64 = 10_000;
 
-/// What a register is accessed for.
+/// Purpose of a register request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RegisterPurpose {
-    /// To write the claim of this number.
+    /// Write the claim with this number.
     Claim(u64),
-    /// To release claims under which nobody runs.
+    /// Release claims under which no request runs.
     Release,
-    /// To store the result.
+    /// Store the job's result.
     StoreResult,
-    /// To read what became of a job.
+    /// Read the current state of the job.
     Check {
-        /// Whether the gateway of the request that holds the claim is known to be gone.
+        /// Whether the gateway of the claim's holder is known to be gone.
         is_holder_gone: bool,
     },
 }
@@ -27,7 +27,7 @@
     sent_at: u64,
 }
 
-/// Requests to controllers that are in flight, by number. Claims are numbered in the same sequence.
+/// In-flight register requests by number. Claims are numbered in the same sequence.
 #[derive(Default)]
 pub(crate) struct RegisterRequests {
     last_number: u64,
@@ -35,13 +35,13 @@
 }
 
 impl RegisterRequests {
-    /// A number that was not used before in this incarnation.
+    /// Returns a number that has not been used before in this incarnation.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// Adds a request; gives its number.
+    /// Adds a request and returns its number.
     pub fn add(&mut self, now: u64, key: &str, purpose: RegisterPurpose) -> u64 {
         let number = self.next_number();
         let request = RegisterRequest {
@@ -53,13 +53,13 @@
         number
     }
 
-    /// Takes the request that a response is for; none where it came too late.
+    /// Removes the request that a response belongs to and returns it, or `None` if it has already been dropped.
     pub fn complete(&mut self, number: u64) -> Option<(String, RegisterPurpose)> {
         let request = self.in_flight.remove(&number)?;
         Some((request.key, request.purpose))
     }
 
-    /// Forgets requests that no response is expected for any more.
+    /// Drops requests that have waited too long for a response.
     pub fn expire(&mut self, now: u64) {
         let is_awaited = |request: &RegisterRequest| now < request.sent_at + RESPONSE_TIMEOUT_MS;
         self.in_flight.retain(|_, request| is_awaited(request));
--- a/crates/jobs/src/unacknowledged_results.rs
+++ b/crates/jobs/src/unacknowledged_results.rs
@@ -1,17 +1,18 @@
-//! Results of jobs that a gateway resends until they are persisted.
+//! Job results that a gateway resends until they are persisted.
 
 use protocol::{JobCompletion, JobResult, RequestId};
 use std::collections::BTreeMap;
 
-/// Milliseconds between two sendings of a result. The owner persists a result in far less, unless it is replaced.
+/// Interval in milliseconds at which a result is resent. The owner persists a result in far less, unless the owner is
+/// replaced.
 const RESEND_INTERVAL_MS: u64 = 300;
-/// Milliseconds for which a result is resent. A majority of controllers that is away for longer counts as lost.
+/// How long a result is resent, in milliseconds. A majority of controllers that is unreachable for longer is considered lost.
 const RESEND_LIMIT_MS: u64 = 30_000;
-/// Most results that are resent; it bounds the memory.
+/// Maximum number of results that are held for resending; bounds the memory.
 const MAX_RESULTS: usize = 4_096;
 
-/// Results of at-most-once jobs that are not known to be on the disks of a majority of controllers. Each is resent to
-/// the function's owner, which may be another than before, until it is.
+/// Results of at-most-once jobs that are not known to be persisted on a majority of controllers. Until then each is resent
+/// to the function's current owner, which may have changed since the last time.
 #[derive(Default)]
 pub struct UnacknowledgedResults {
     results: BTreeMap<RequestId, UnacknowledgedResult>,
@@ -24,7 +25,8 @@
 }
 
 impl UnacknowledgedResults {
-    /// Records a completion that was just sent. Only the responses of at-most-once jobs are resent.
+    /// Records a completion that was just sent. Ignored unless it is the response of an at-most-once job, or if the table is
+    /// full.
     pub fn record(&mut self, now: u64, completion: &JobCompletion) {
         let has_response = matches!(
             completion.result,
@@ -41,12 +43,12 @@
         self.results.insert(completion.request_id, result);
     }
 
-    /// A result is on the disks of a majority of controllers.
+    /// Removes a result that is persisted on a majority of controllers.
     pub fn acknowledge(&mut self, request_id: RequestId) {
         self.results.remove(&request_id);
     }
 
-    /// Results that are to be resent now.
+    /// Returns the results that are due to be resent, and schedules their next resend. Drops expired ones.
     pub fn take_due(&mut self, now: u64) -> Vec<JobCompletion> {
         self.results.retain(|_, result| now < result.expires_at);
         let results = self.results.values_mut();
@@ -58,13 +60,13 @@
         .collect()
     }
 
-    /// Number of results that are not acknowledged.
+    /// Number of results that have not been acknowledged.
     #[must_use]
     pub fn len(&self) -> usize {
         self.results.len()
     }
 
-    /// Whether every result is acknowledged.
+    /// Whether every result has been acknowledged.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.results.is_empty()
