--- a/crates/jobs/src/arrivals.rs
+++ b/crates/jobs/src/arrivals.rs
@@ -1,15 +1,15 @@
-//! Requests of jobs that arrive, and those that got no seat.
+//! Handling of requests of jobs that arrive, and of rejected lease requests.
 
 use crate::claim::register_key;
 use crate::coordinator::{JobCoordinator, RETRY_AFTER_MS};
 use crate::job::{completed_verdict, Job, JobRequest, JobState};
 use protocol::{JobVerdict, LeaseRequest, RequestId};
 
-/// Most requests of one job that wait.
+/// Maximum number of waiting requests per job.
 const MAX_WAITING_REQUESTS: usize = 256;
 
 impl JobCoordinator {
-    /// A gateway requests a lease for a request of a job. One without a job is not for the coordinator.
+    /// Handles a gateway's lease request for a request of a job. Ignores a lease request without a job.
     pub fn request_arrived(&mut self, now: u64, gateway: &str, zone: &str, request: LeaseRequest) {
         let Some(attempt) = request.job.clone() else {
             return;
@@ -22,7 +22,7 @@
             self.outbox.notify_verdict(&request, verdict);
             return;
         };
-        if job.is_late(&request) {
+        if job.is_stale(&request) {
             return self.table.put(&key, job);
         }
         job.used_at = now;
@@ -57,7 +57,7 @@
             JobState::Claiming { request: known, .. } if known.holder == request.holder => {
                 self.replace_claiming(now, job, request);
             }
-            // Its gateway makes another attempt, so that it is not running.
+            // A new attempt by the holder's gateway implies that the earlier attempt is not running.
             JobState::RunningElsewhere { holder, .. } if *holder == request.holder => {
                 self.admit(now, key, job, request);
             }
@@ -72,7 +72,8 @@
         self.table.index_request(holder, key);
     }
 
-    /// The request that is being claimed makes another attempt. The claim on its way names the same request.
+    /// Replaces the request that is being claimed by a new attempt of it. The claim write in flight stays valid, since it names
+    /// the same request.
     fn replace_claiming(&mut self, now: u64, job: &mut Job, new: JobRequest) {
         self.outbox.request_lease(now, &new);
         if let JobState::Claiming {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The owner of the seats rejected a request. Whether the coordinator tells its gateway.
+    /// The lease owner rejected a request. Returns whether the coordinator notifies the gateway; otherwise the caller does.
     pub fn lease_rejected(
         &mut self,
         now: u64,
@@ -103,9 +104,10 @@
         };
         let is_admitted = job.admitted().is_some_and(is_rejected);
         match &mut job.state {
-            // Another request may have run it before, which the claim tells.
+            // Another request may have run the job before, so the verdict waits until the claim is known.
             JobState::Claiming { rejected, .. } if is_admitted => *rejected = Some(retry_after_ms),
-            // Only its gateway knows that it was not sent, and says so.
+            // The next request is not admitted yet: only the gateway knows that this one was not sent, and reports it with
+            // a completion.
             JobState::Running { request, .. } if is_admitted => {
                 let verdict = JobVerdict::NotRun(retry_after_ms);
                 self.outbox.notify_verdict(request, verdict);
@@ -118,7 +120,7 @@
     }
 }
 
-/// What a request is told that finds too many others waiting.
+/// Returns the verdict for a request that arrives when the job's queue is full.
 fn overload_verdict(job: &Job) -> JobVerdict {
     if job.at_most_once {
         JobVerdict::MayHaveRun
--- a/crates/jobs/src/completions.rs
+++ b/crates/jobs/src/completions.rs
@@ -1,11 +1,11 @@
-//! Attempts that end, and gateways that are lost with theirs.
+//! Handling of completed attempts and of lost gateways.
 
 use crate::claim::{register_key, ClaimHolder, MAX_STORED_RESPONSE_BYTES};
 use crate::coordinator::JobCoordinator;
 use crate::job::{completed_verdict, Job, JobRequest, JobState, UnpersistedResult, WriteRetry};
 use protocol::{JobCompletion, JobResult};
 
-/// An attempt that ended, as the coordinator's states name it.
+/// An attempt that ended, in the terms of the coordinator's state.
 struct EndedAttempt {
     holder: ClaimHolder,
     number: u32,
@@ -18,38 +18,40 @@
         self.result != JobResult::NotRun
     }
 
-    /// Whether a request is at this attempt, or at an earlier one.
-    fn ends(&self, request: &JobRequest) -> bool {
+    /// Whether a request is at this attempt or an earlier one of the same request.
+    fn covers_request(&self, request: &JobRequest) -> bool {
         request.holder == self.holder && request.attempt <= self.number
     }
 
-    /// Whether the job's run ends with this attempt.
+    /// Whether this attempt ends the current run of a job.
     fn ends_run_of(&self, job: &Job) -> bool {
-        // It ran under a claim that this coordinator does not know yet.
+        // The attempt ran under a claim that this coordinator has not seen yet.
         let is_newer = self.has_run() && self.register_version > job.register_version;
         match &job.state {
             JobState::Claiming { request, .. } | JobState::Running { request, .. }
-                if self.ends(request) =>
+                if self.covers_request(request) =>
             {
                 true
             }
             JobState::Running { .. } | JobState::Completed { .. } => false,
             _ if is_newer => true,
             JobState::RunningElsewhere {
-                holder, attempt, ..
-            } => *holder == self.holder && (self.has_run() || self.ends_number(*attempt)),
+                holder,
+                admitted_attempt,
+                ..
+            } => *holder == self.holder && (self.has_run() || self.covers(*admitted_attempt)),
             JobState::Lost => matches!(self.result, JobResult::Answer(_) | JobResult::TooLarge),
             JobState::Idle | JobState::Claiming { .. } => false,
         }
     }
 
-    fn ends_number(&self, attempt: Option<u32>) -> bool {
+    fn covers(&self, attempt: Option<u32>) -> bool {
         attempt.is_some_and(|attempt| attempt <= self.number)
     }
 }
 
 impl JobCoordinator {
-    /// A gateway tells how an attempt of a job ended.
+    /// Handles a gateway's report of how an attempt ended.
     pub fn attempt_completed(&mut self, now: u64, gateway: &str, completion: JobCompletion) {
         let key = register_key(&completion.function, &completion.attempt.key);
         let attempt = EndedAttempt {
@@ -71,7 +73,8 @@
             return;
         };
         job.used_at = now;
-        job.waiting.retain(|request| !attempt.ends(request));
+        job.waiting
+            .retain(|request| !attempt.covers_request(request));
         if is_persisted(&job) && attempt.has_run() {
             self.outbox.notify_persisted(attempt.holder.clone());
         }
@@ -81,7 +84,8 @@
         self.table.put(&key, job);
     }
 
-    /// The job of an attempt that ran under another coordinator.
+    /// Creates the job of an attempt that ran under another coordinator. Returns `None` if the attempt has not run, or the
+    /// table is full.
     fn create_completed(
         &mut self,
         now: u64,
@@ -103,7 +107,7 @@
                 claimed_attempt: attempt.number,
                 since: now,
                 checked_at: now,
-                attempt: None,
+                admitted_attempt: None,
             },
             ..job
         })
@@ -122,7 +126,7 @@
         let response = match attempt.result {
             JobResult::NotRun => return self.admit_next(now, key, job),
             JobResult::Lost => return self.result_lost(now, key, job),
-            // The others can run it as well.
+            // The job may run again, so the waiting requests can run it themselves.
             JobResult::TooLarge if !job.at_most_once => return self.admit_next(now, key, job),
             JobResult::Answer(response) => Some(response),
             JobResult::TooLarge => None,
@@ -138,7 +142,7 @@
         holder: ClaimHolder,
         response: Option<Vec<u8>>,
     ) {
-        // Requests that wait get the response also where it is too large to be stored.
+        // Waiting requests receive the response even if it is too large to be stored.
         self.resolve_waiting(job, &completed_verdict(response.as_ref()));
         let stored = response.filter(|response| response.len() <= MAX_STORED_RESPONSE_BYTES);
         if !job.at_most_once && stored.is_none() {
@@ -156,7 +160,7 @@
         self.store_result(now, key, job);
     }
 
-    /// A gateway is lost: its requests need nothing any more, and those that were admitted may be running.
+    /// Handles the loss of a gateway: its waiting requests are dropped, and its admitted ones may still be running.
     pub fn gateway_lost(&mut self, now: u64, gateway: &str) {
         for key in self.table.forget_gateway(gateway) {
             let Some(mut job) = self.table.take(&key) else {
@@ -164,12 +168,12 @@
             };
             job.waiting
                 .retain(|request| request.holder.gateway != gateway);
-            self.admitted_lost(now, &key, &mut job, gateway);
+            self.admitted_request_lost(now, &key, &mut job, gateway);
             self.table.put(&key, job);
         }
     }
 
-    fn admitted_lost(&mut self, now: u64, key: &str, job: &mut Job, gateway: &str) {
+    fn admitted_request_lost(&mut self, now: u64, key: &str, job: &mut Job, gateway: &str) {
         let admitted = job.admitted();
         let Some(request) = admitted.filter(|request| request.holder.gateway == gateway) else {
             return;
@@ -185,12 +189,12 @@
             claimed_attempt: attempt,
             since: now,
             checked_at: now,
-            attempt: Some(attempt),
+            admitted_attempt: Some(attempt),
         };
     }
 }
 
-/// Whether an at-most-once job's result is in its register.
+/// Whether the job is at-most-once and its result is in its register.
 fn is_persisted(job: &Job) -> bool {
     let is_persisted = matches!(
         job.state,
--- a/crates/jobs/src/coordinator.rs
+++ b/crates/jobs/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator of jobs, and the transitions that several events cause.
+//! The job coordinator, and the state transitions that more than one kind of event causes.
 
 use crate::action::JobAction;
 use crate::claim::{Claim, ClaimState, ClaimWriter, StoredClaim};
@@ -9,11 +9,11 @@
 use protocol::JobVerdict;
 use speedy::Writable;
 
-/// Milliseconds after which a retry of a request that was not run is worthwhile, where nothing better is known.
+/// Default retry delay, in milliseconds, that is suggested for a request that was not run.
 pub(crate) const RETRY_AFTER_MS: u32 = 250;
 
-/// Coordinates the jobs of all functions that one gateway owns. A state machine without I/O; `now` is a steady clock
-/// in milliseconds.
+/// Coordinates the jobs of all functions that one gateway owns. A state machine without I/O; `now` is a reading of a
+/// monotonic clock in milliseconds.
 pub struct JobCoordinator {
     pub(crate) incarnation: u64,
     pub(crate) table: JobTable,
@@ -22,8 +22,8 @@
 }
 
 impl JobCoordinator {
-    /// The coordinator of one incarnation of a gateway. Jobs are known for `retention_ms` after their last use; no job
-    /// may run for as long.
+    /// Creates the coordinator for one incarnation of a gateway. Jobs are retained for `retention_ms` after their last use.
+    /// This must be longer than any job may run.
     #[must_use]
     pub fn new(incarnation: u64, retention_ms: u64) -> Self {
         Self {
@@ -34,30 +34,31 @@
         }
     }
 
-    /// Takes what is to be done now, in its order.
+    /// Takes the pending actions, in the order in which they must be carried out.
     pub fn take_actions(&mut self) -> Vec<JobAction> {
         self.outbox.take()
     }
 
-    /// Number of known jobs.
+    /// Number of jobs in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether no job is known.
+    /// Whether the table holds no job.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.table.len() == 0
     }
 
-    /// Bytes of the responses that are kept.
+    /// Total size in bytes of the responses that are held in memory.
     #[must_use]
     pub fn response_bytes(&self) -> usize {
         self.table.response_bytes()
     }
 
-    /// Lets a request run the job: a lease is requested for it, and its claim is written meanwhile.
+    /// Admits a request to run the job: requests a seat lease for it and, for an at-most-once job, writes its claim in
+    /// parallel.
     pub(crate) fn admit(&mut self, now: u64, key: &str, job: &mut Job, request: JobRequest) {
         self.outbox.request_lease(now, &request);
         job.release = None;
@@ -73,14 +74,15 @@
         job.state = JobState::Claiming {
             request,
             claim_number,
-            asked_at: now,
+            sent_at: now,
             retries: 0,
             rejected: None,
         };
         self.write_claim(now, key, job);
     }
 
-    /// The admitted request is known not to have run: the next one is admitted, or the claim is released.
+    /// The admitted request is known not to have run. Admits the next waiting request, or releases the claim if there is
+    /// none.
     pub(crate) fn admit_next(&mut self, now: u64, key: &str, job: &mut Job) {
         job.state = JobState::Idle;
         if !job.waiting.is_empty() {
@@ -95,7 +97,8 @@
         }
     }
 
-    /// No response will come. A job that may run more than once is run by the next request.
+    /// The admitted request may have run, but its response is lost. An at-most-once job is not run again; any other job is
+    /// run by the next waiting request.
     pub(crate) fn result_lost(&mut self, now: u64, key: &str, job: &mut Job) {
         if !job.at_most_once {
             self.admit_next(now, key, job);
@@ -105,7 +108,7 @@
         self.resolve_waiting(job, &JobVerdict::MayHaveRun);
     }
 
-    /// Tells all requests that wait how the job ended.
+    /// Sends a verdict to all waiting requests and removes them from the queue.
     pub(crate) fn resolve_waiting(&mut self, job: &mut Job, verdict: &JobVerdict) {
         for request in std::mem::take(&mut job.waiting) {
             self.table.forget_request(&request.holder);
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Asks a controller to write the claim of the request that wants to run.
+    /// Requests that a controller writes the claim of the admitted request.
     pub(crate) fn write_claim(&mut self, now: u64, key: &str, job: &Job) {
         let JobState::Claiming {
             request,
@@ -138,7 +141,7 @@
         self.write(now, key, purpose, job.register_version, &stored, *retries);
     }
 
-    /// Asks a controller to release a claim under which nobody runs.
+    /// Requests that a controller releases a claim under which no request runs.
     pub(crate) fn release_claim(&mut self, now: u64, key: &str, job: &Job) {
         let retries = job.release.map_or(0, |retry| retry.retries());
         let claim = Claim {
@@ -151,7 +154,7 @@
         self.write(now, key, purpose, job.register_version, &stored, retries);
     }
 
-    /// Asks a controller to store the result of a job.
+    /// Requests that a controller stores the result of a job.
     pub(crate) fn store_result(&mut self, now: u64, key: &str, job: &Job) {
         let JobState::Completed {
             response,
@@ -172,7 +175,7 @@
         self.write(now, key, purpose, job.register_version, &stored, retries);
     }
 
-    /// Asks a controller what became of a job.
+    /// Reads a job's register to learn the current state of the job.
     pub(crate) fn check_register(&mut self, now: u64, key: &str, is_holder_gone: bool) {
         let purpose = RegisterPurpose::Check { is_holder_gone };
         let number = self.registers.add(now, key, purpose);
@@ -190,7 +193,7 @@
         retries: u32,
     ) {
         let number = self.registers.add(now, key, purpose);
-        // Writing to memory does not fail.
+        // Serialization into memory does not fail.
         let value = stored.write_to_vec().unwrap_or_default();
         self.outbox
             .access_register(number, key, Some(expected_version), value, retries);
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -1,32 +1,32 @@
-//! One job at its owner.
+//! The state of one job at the gateway that owns its function.
 
 use crate::claim::ClaimHolder;
 use protocol::{JobAttempt, JobVerdict, LeaseRequest};
 
-/// Most milliseconds of a request's time that go into claiming its job; half of its time where that is less, so that
-/// the rest is left for a retry elsewhere.
+/// Maximum time in milliseconds that a request waits for the claim on its job. At most half of the request's timeout is
+/// used, so that the rest remains for a retry elsewhere.
 const MAX_CLAIM_MS: u64 = 2_000;
-/// Milliseconds without a response after which another controller is asked the first time.
+/// Milliseconds without a response after which the first retry is sent, to another controller.
 const REGISTER_TIMEOUT_MS: u64 = 100;
-/// The time-out for a register doubles with each retry, this often.
+/// The timeout of a register access doubles with each retry, up to this many times.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 3;
-/// Milliseconds for which a write is retried.
+/// How long a write is retried, in milliseconds.
 const WRITE_RETRY_LIMIT_MS: u64 = 60_000;
 
-/// One of the requests of a job.
+/// One request of a job.
 #[derive(Clone, Debug)]
 pub(crate) struct JobRequest {
-    /// The request, as claims name it.
+    /// Identifies the request in claims.
     pub holder: ClaimHolder,
-    /// Number of its attempt.
+    /// Number of the request's attempt.
     pub attempt: u32,
-    /// Zone of its gateway.
+    /// Zone of the request's gateway.
     pub zone: String,
-    /// Its lease request, as it arrived.
+    /// The lease request, as it arrived.
     pub request: LeaseRequest,
-    /// Time after which nothing is of use to it.
+    /// Time at which the request times out.
     pub deadline: u64,
-    /// Time until which it waits for the claim.
+    /// Time until which the request waits for the claim.
     pub claim_deadline: u64,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Its lease request, with the time that is left.
+    /// Returns the lease request, with the remaining time as its timeout.
     pub fn lease_request(&self, now: u64) -> LeaseRequest {
         LeaseRequest {
             timeout_ms: self.deadline.saturating_sub(now) as u32,
@@ -62,60 +62,60 @@
     }
 }
 
-/// What is known of a job's run.
+/// What the coordinator knows about the run of a job.
 #[derive(Clone, Debug, Default)]
 pub(crate) enum JobState {
-    /// Nobody runs it, and nobody ran it.
+    /// No request is running the job, and none has run it.
     #[default]
     Idle,
-    /// The claim for the request is being written; the request was not told that it may run.
+    /// The claim for the request is being written. The request has not been told that it may run.
     Claiming {
         request: JobRequest,
         claim_number: u64,
-        asked_at: u64,
+        sent_at: u64,
         retries: u32,
-        /// Set where the request got no seat: the milliseconds after which a retry is worthwhile. It is told once the
-        /// claim is known.
+        /// Set if the lease request was rejected: the suggested retry delay in milliseconds. The rejection is passed on
+        /// once the claim is known.
         rejected: Option<u32>,
     },
-    /// The request may run, or runs.
+    /// The request may run or is running.
     Running {
         request: JobRequest,
         checked_at: u64,
     },
-    /// A request that this coordinator did not admit, or whose gateway is lost, may be running it.
+    /// A request that this coordinator did not admit, or whose gateway is lost, may be running the job.
     RunningElsewhere {
         holder: ClaimHolder,
-        /// Number of the holder's attempt; 0 where it is not known.
+        /// Number of the holder's attempt; 0 if unknown.
         claimed_attempt: u32,
         since: u64,
         checked_at: u64,
-        /// The attempt that this coordinator itself admitted, where it did.
-        attempt: Option<u32>,
+        /// The holder's attempt that this coordinator itself admitted, if it did.
+        admitted_attempt: Option<u32>,
     },
-    /// It ran; its deflated response, none where it was too large.
+    /// The job ran. Holds its deflated response, or `None` if that was too large.
     Completed {
         response: Option<Vec<u8>>,
         /// Set until the result is in the register.
         unpersisted: Option<UnpersistedResult>,
     },
-    /// It may have run, and no response will come.
+    /// The job may have run, and its response is lost.
     Lost,
 }
 
-/// A result that is being written to its job's register.
+/// State of a result that is being written to its job's register.
 #[derive(Clone, Debug)]
 pub(crate) struct UnpersistedResult {
     /// The request that ran the job.
     pub holder: ClaimHolder,
-    /// When the write is retried.
+    /// Retry schedule of the write.
     pub retry: WriteRetry,
 }
 
-/// A write to a register that is retried until it succeeds or its time is over.
+/// Retry schedule of a register write, which is retried until it succeeds or the retry limit is over.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WriteRetry {
-    asked_at: u64,
+    sent_at: u64,
     retries: u32,
     expires_at: u64,
 }
@@ -123,13 +123,13 @@
 impl WriteRetry {
     pub fn new(now: u64) -> Self {
         Self {
-            asked_at: now,
+            sent_at: now,
             retries: 0,
             expires_at: now + WRITE_RETRY_LIMIT_MS,
         }
     }
 
-    /// How often it was retried.
+    /// Number of retries so far.
     pub fn retries(&self) -> u32 {
         self.retries
     }
@@ -138,52 +138,52 @@
         now >= self.expires_at
     }
 
-    /// Whether it is to be retried now; counts the retry.
+    /// Whether a retry is due. If so, counts it and restarts its timeout.
     pub fn is_due(&mut self, now: u64) -> bool {
-        let is_due = now >= self.asked_at + register_timeout_ms(self.retries);
+        let is_due = now >= self.sent_at + register_timeout_ms(self.retries);
         if is_due {
-            self.asked_at = now;
+            self.sent_at = now;
             self.retries += 1;
         }
         is_due
     }
 }
 
-/// Milliseconds without a response after which another controller is asked, after so many retries.
+/// Timeout in milliseconds of a register access that has been retried `retries` times; then another controller is tried.
 pub(crate) fn register_timeout_ms(retries: u32) -> u64 {
     REGISTER_TIMEOUT_MS << retries.min(MAX_TIMEOUT_DOUBLINGS)
 }
 
-/// What the requests of a completed job are told.
+/// Returns the verdict for the requests of a completed job.
 pub(crate) fn completed_verdict(response: Option<&Vec<u8>>) -> JobVerdict {
     response.map_or(JobVerdict::TooLarge, |response| {
         JobVerdict::Answer(response.clone())
     })
 }
 
-/// One job.
+/// A job.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Job {
-    /// Digest of what its requests ask for.
+    /// Digest of the job's requests. A request with another digest reuses the key for different content.
     pub digest: [u8; 16],
-    /// Whether it may run once at most.
+    /// Whether the job may run at most once.
     pub at_most_once: bool,
-    /// Newest known version of its register.
+    /// Newest known version of the job's register.
     pub register_version: u64,
-    /// What is known of its run.
+    /// What the coordinator knows about the job's run.
     pub state: JobState,
-    /// Requests that wait for the result, in the order of their arrival.
+    /// Requests that wait for the result, in order of arrival.
     pub waiting: Vec<JobRequest>,
-    /// Numbers of this coordinator's claims under which nobody runs, unless one is in force.
+    /// Numbers of the claims that this coordinator has issued. Except for the one in force, if any, no request runs under them.
     pub issued_claims: Vec<u64>,
-    /// Set while the register may hold a claim under which nobody runs, which is being released.
+    /// Set while a claim that the register may hold, and under which no request runs, is being released.
     pub release: Option<WriteRetry>,
-    /// When a request or a completion of it came last.
+    /// When the last request or completion of the job arrived.
     pub used_at: u64,
 }
 
 impl Job {
-    /// Whether time alone may change it.
+    /// Whether the job has work that a timer may trigger, even without another event.
     pub fn is_busy(&self) -> bool {
         let is_unpersisted = matches!(
             self.state,
@@ -196,8 +196,9 @@
         is_unpersisted || is_claiming || self.release.is_some() || !self.waiting.is_empty()
     }
 
-    /// Whether it may be forgotten: its register tells what is to be known of it.
-    pub fn is_over(&self) -> bool {
+    /// Whether the job may be evicted: the register of an at-most-once job holds all that must be kept, and no request or
+    /// write is pending.
+    pub fn is_evictable(&self) -> bool {
         let is_final = matches!(
             self.state,
             JobState::Idle
@@ -210,8 +211,8 @@
         is_final && self.release.is_none() && self.waiting.is_empty()
     }
 
-    /// Whether a request is late: this attempt of it, or a later one, is known.
-    pub fn is_late(&self, request: &JobRequest) -> bool {
+    /// Whether a request is stale: the same attempt of it, or a later one, is already known.
+    pub fn is_stale(&self, request: &JobRequest) -> bool {
         let is_later =
             |known: &JobRequest| known.holder == request.holder && known.attempt >= request.attempt;
         if self.waiting.iter().any(is_later) || self.admitted().is_some_and(is_later) {
@@ -221,7 +222,7 @@
             if *holder == request.holder && *claimed_attempt >= request.attempt)
     }
 
-    /// The request that this coordinator lets run, or will.
+    /// The request that this coordinator has admitted, if any: it may run, or its claim is being written.
     pub fn admitted(&self) -> Option<&JobRequest> {
         match &self.state {
             JobState::Claiming { request, .. } | JobState::Running { request, .. } => Some(request),
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Bytes of the response that it keeps in memory.
+    /// Size in bytes of the response that is held in memory.
     pub fn response_bytes(&self) -> usize {
         match &self.state {
             JobState::Completed { response, .. } => response.as_ref().map_or(0, Vec::len),
--- a/crates/jobs/src/job_table.rs
+++ b/crates/jobs/src/job_table.rs
@@ -1,24 +1,24 @@
-//! The jobs that one coordinator knows, within bounds of number, memory and age.
+//! The jobs of one coordinator, bounded by number, memory and age.
 
 use crate::claim::ClaimHolder;
 use crate::job::Job;
 use protocol::RequestId;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Most jobs that one coordinator knows.
+/// Maximum number of jobs in the table.
 const MAX_JOBS: usize = 50_000;
-/// Most bytes of responses that one coordinator keeps.
+/// Maximum total size in bytes of the responses that are held in memory.
 const MAX_RESPONSE_BYTES: usize = 32 << 20;
 
-/// The jobs, by the key of their register. A job is taken out, changed, and put back; the index of busy jobs and the
-/// sum of the responses are right whenever all jobs are in.
+/// Jobs by register key. To change a job, the caller takes it out and puts it back. The index of busy jobs and the total
+/// response size are accurate whenever no job is taken out.
 pub(crate) struct JobTable {
     retention_ms: u64,
     jobs: HashMap<String, Job>,
-    /// Key of the job of each request, by gateway and request id.
+    /// Register key of the job of each request, by gateway and request id.
     keys_by_request: HashMap<(String, RequestId), String>,
     busy: BTreeSet<String>,
-    /// Jobs by the time at which they were last seen to be in use, the oldest first.
+    /// Time at which each job was last known to be in use, with its key, oldest first.
     expiry_queue: VecDeque<(u64, String)>,
     response_bytes: usize,
 }
@@ -43,14 +43,14 @@
         self.response_bytes
     }
 
-    /// Takes a job out, to change it.
+    /// Takes a job out of the table so that it can be changed.
     pub fn take(&mut self, key: &str) -> Option<Job> {
         let job = self.jobs.remove(key)?;
         self.response_bytes -= job.response_bytes();
         Some(job)
     }
 
-    /// Puts a job back, or a new one in; evicts others where there are too many bytes.
+    /// Inserts a job that was taken out or newly created. Evicts jobs while the responses exceed their memory bound.
     pub fn put(&mut self, key: &str, job: Job) {
         if job.is_busy() {
             self.busy.insert(key.to_string());
@@ -62,7 +62,7 @@
         while self.response_bytes > MAX_RESPONSE_BYTES && self.evict() {}
     }
 
-    /// A new job, to be put in; none where the table is full of jobs in use.
+    /// Creates a job that the caller must insert with `put`. Returns `None` if the table is full and no job can be evicted.
     pub fn create(&mut self, now: u64, key: &str) -> Option<Job> {
         if self.jobs.len() >= MAX_JOBS && !self.evict() {
             return None;
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Takes a busy job out; one that is busy no more leaves the index.
+    /// Takes a busy job out of the table. If the job no longer exists, its key is removed from the index.
     pub fn take_busy(&mut self, key: &str) -> Option<Job> {
         let job = self.take(key);
         if job.is_none() {
@@ -83,17 +83,17 @@
         job
     }
 
-    /// Keys of the jobs that time alone may change.
+    /// Keys of the jobs that have work for a timer, see [`Job::is_busy`].
     pub fn busy_keys(&self) -> Vec<String> {
         self.busy.iter().cloned().collect()
     }
 
-    /// Notes that a request belongs to a job.
+    /// Records which job a request belongs to.
     pub fn index_request(&mut self, holder: (String, RequestId), key: &str) {
         self.keys_by_request.insert(holder, key.to_string());
     }
 
-    /// Key of the job of a request.
+    /// Register key of a request's job.
     pub fn key_of(&self, gateway: &str, request_id: RequestId) -> Option<String> {
         let holder = (gateway.to_string(), request_id);
         self.keys_by_request.get(&holder).cloned()
@@ -104,7 +104,7 @@
         self.keys_by_request.remove(&holder);
     }
 
-    /// Forgets all requests of a gateway; gives the keys of their jobs.
+    /// Removes all requests of a gateway from the index, and returns the keys of their jobs.
     pub fn forget_gateway(&mut self, gateway: &str) -> BTreeSet<String> {
         let requests = self.keys_by_request.iter();
         let lost = requests.filter(|((name, _), _)| name == gateway);
@@ -113,12 +113,12 @@
         keys
     }
 
-    /// Forgets the oldest job that is over. An at-most-once job is known again from its register.
+    /// Removes the oldest evictable job. The state of an at-most-once job can be read from its register again.
     fn evict(&mut self) -> bool {
         let jobs = &self.jobs;
         let mut queue = self.expiry_queue.iter();
-        let is_over = |key: &String| jobs.get(key).is_some_and(Job::is_over);
-        let Some(index) = queue.position(|(_, key)| is_over(key)) else {
+        let is_evictable = |key: &String| jobs.get(key).is_some_and(Job::is_evictable);
+        let Some(index) = queue.position(|(_, key)| is_evictable(key)) else {
             return false;
         };
         let Some((_, key)) = self.expiry_queue.remove(index) else {
@@ -127,7 +127,7 @@
         self.take(&key).is_some()
     }
 
-    /// Forgets jobs that were not used within the retention time.
+    /// Removes jobs that have not been used within the retention time.
     pub fn expire(&mut self, now: u64) {
         while let Some((used_at, key)) = self.expiry_queue.front().cloned() {
             if now < used_at + self.retention_ms {
--- a/crates/jobs/src/register_responses.rs
+++ b/crates/jobs/src/register_responses.rs
@@ -1,4 +1,4 @@
-//! Responses of controllers about the registers of jobs.
+//! Handling of controllers' responses to register requests.
 
 use crate::claim::{Claim, ClaimHolder, ClaimState, StoredClaim};
 use crate::coordinator::{JobCoordinator, RETRY_AFTER_MS};
@@ -7,17 +7,17 @@
 use protocol::{JobVerdict, RegisterResponse};
 use speedy::Readable;
 
-/// A register's value with its version.
+/// The claim found in a register, with the register's version.
 struct FoundClaim {
     version: u64,
     claim: Claim,
-    /// Number of the holder's attempt; 0 where it is not told.
+    /// Number of the holder's attempt; 0 if unknown.
     attempt: u32,
 }
 
 impl FoundClaim {
     fn read(version: u64, value: &[u8]) -> Self {
-        // A register that was never written, or was forgotten, is free; so is one that nobody can read.
+        // An empty register (never written, or its value was dropped) decodes to a free claim; so does a malformed value.
         let stored = StoredClaim::read_from_buffer(value).unwrap_or_default();
         Self {
             version,
@@ -26,14 +26,14 @@
         }
     }
 
-    /// Whether the register was never written, or was forgotten.
-    fn is_blank(&self) -> bool {
+    /// Whether the register is empty: never written, or its value was dropped after the retention time.
+    fn is_empty(&self) -> bool {
         self.claim.state == ClaimState::Free && self.version == 0
     }
 }
 
 impl JobCoordinator {
-    /// A controller responds to a request about a register.
+    /// Handles a controller's response to a register request.
     pub fn register_responded(&mut self, now: u64, number: u64, response: RegisterResponse) {
         let Some((key, purpose)) = self.registers.complete(number) else {
             return;
@@ -50,7 +50,7 @@
             RegisterPurpose::Check { is_holder_gone } => {
                 if let RegisterResponse::Found(version, value) = response {
                     let found = FoundClaim::read(version, &value);
-                    self.checked(now, &key, &mut job, is_holder_gone, found);
+                    self.check_responded(now, &key, &mut job, is_holder_gone, found);
                 }
             }
         }
@@ -65,11 +65,11 @@
         number: u64,
         response: RegisterResponse,
     ) {
-        let is_wanted = matches!(
+        let is_current = matches!(
             job.state,
             JobState::Claiming { claim_number, .. } if claim_number == number
         );
-        if !is_wanted {
+        if !is_current {
             return;
         }
         match response {
@@ -78,12 +78,12 @@
                 let found = FoundClaim::read(version, &value);
                 self.claim_conflicted(now, key, job, found);
             }
-            // The write is retried in time.
+            // The write is retried by a timer.
             RegisterResponse::Unavailable | RegisterResponse::Indeterminate => {}
         }
     }
 
-    /// The register holds the claim of the request that wants to run.
+    /// The claim of the admitted request is in the register.
     fn claim_written(&mut self, now: u64, key: &str, job: &mut Job, version: u64) {
         job.register_version = version;
         let JobState::Claiming {
@@ -105,7 +105,7 @@
         };
     }
 
-    /// Tells an admitted request that it was not run.
+    /// Rejects an admitted request that was not run: cancels its lease request and notifies its gateway.
     pub(crate) fn reject(&mut self, request: &JobRequest, retry_after_ms: u32) {
         self.outbox.cancel_lease_request(request);
         self.table.forget_request(&request.holder);
@@ -113,7 +113,7 @@
         self.outbox.notify_verdict(request, verdict);
     }
 
-    /// The register holds something else than what the claim builds on.
+    /// The claim was not written, since the register holds another version than expected.
     fn claim_conflicted(&mut self, now: u64, key: &str, job: &mut Job, found: FoundClaim) {
         let JobState::Claiming {
             request,
@@ -129,29 +129,30 @@
         if is_own && writer.claim_number == *claim_number {
             return self.claim_written(now, key, job, found.version);
         }
-        // Nobody runs under a claim of this coordinator that is not in force, nor under one of a request that makes
-        // another attempt since. A request may also come late, when a later attempt of it has the claim.
-        let is_void = is_own && job.issued_claims.contains(&writer.claim_number);
-        let is_same =
+        // The claim found can be replaced if no request runs under it. This is so for an earlier claim of this coordinator
+        // that is no longer in force, and for a claim of an earlier attempt of the same request. It is not so for a claim
+        // of a later attempt of it, which is found when this lease request was delayed.
+        let is_superseded = is_own && job.issued_claims.contains(&writer.claim_number);
+        let is_earlier_attempt =
             is_taken && found.claim.holder == request.holder && found.attempt < request.attempt;
-        if found.claim.state == ClaimState::Free || is_void || is_same {
+        if found.claim.state == ClaimState::Free || is_superseded || is_earlier_attempt {
             job.register_version = found.version;
-            if let JobState::Claiming { asked_at, .. } = &mut job.state {
-                *asked_at = now;
+            if let JobState::Claiming { sent_at, .. } = &mut job.state {
+                *sent_at = now;
             }
             return self.write_claim(now, key, job);
         }
-        self.yield_to(now, job, found);
+        self.join_found_claim(now, job, found);
     }
 
-    /// The request that wanted to run waits for the one that the register tells of.
-    fn yield_to(&mut self, now: u64, job: &mut Job, found: FoundClaim) {
+    /// The claim in the register prevails: the admitted request joins the waiting requests, at the front.
+    fn join_found_claim(&mut self, now: u64, job: &mut Job, found: FoundClaim) {
         let JobState::Claiming { request, .. } = std::mem::take(&mut job.state) else {
             return;
         };
         self.outbox.cancel_lease_request(&request);
         job.waiting.insert(0, request);
-        self.learn(now, job, found);
+        self.apply_found_claim(now, job, found);
         if let Some(request) = job.waiting.first() {
             self.outbox.notify_joined(request);
         }
@@ -177,7 +178,7 @@
             RegisterResponse::Unavailable | RegisterResponse::Indeterminate => return,
         };
         let writer = found.claim.writer;
-        let is_void = writer.incarnation == self.incarnation
+        let is_superseded = writer.incarnation == self.incarnation
             && job.issued_claims.contains(&writer.claim_number);
         match found.claim.state {
             ClaimState::Free => {
@@ -185,16 +186,16 @@
                 job.release = None;
                 job.issued_claims.clear();
             }
-            ClaimState::Taken if is_void => {
+            ClaimState::Taken if is_superseded => {
                 job.register_version = found.version;
                 self.release_claim(now, key, job);
             }
-            ClaimState::Taken | ClaimState::Done(_) => self.learn(now, job, found),
+            ClaimState::Taken | ClaimState::Done(_) => self.apply_found_claim(now, job, found),
         }
     }
 
-    /// The register tells that another request runs the job, or ran it.
-    fn learn(&mut self, now: u64, job: &mut Job, found: FoundClaim) {
+    /// Takes over the state found in the register: another request is running the job, or ran it.
+    fn apply_found_claim(&mut self, now: u64, job: &mut Job, found: FoundClaim) {
         job.register_version = found.version;
         job.release = None;
         job.issued_claims.clear();
@@ -215,7 +216,7 @@
             claimed_attempt: found.attempt,
             since: now,
             checked_at: now,
-            attempt: None,
+            admitted_attempt: None,
         };
     }
 
@@ -248,8 +249,8 @@
         self.outbox.notify_persisted(holder);
     }
 
-    /// A register was read to learn what became of a job.
-    fn checked(
+    /// Handles the state of a job as read from its register by a check.
+    fn check_responded(
         &mut self,
         now: u64,
         key: &str,
@@ -267,7 +268,8 @@
             return;
         }
         match found.claim.state {
-            // Forgotten while it runs: it goes on, for running takes less time than forgetting.
+            // The register's value was dropped while the job is running. The run is left to finish: it takes less time than the
+            // retention time after which values are dropped.
             ClaimState::Free if found.version == 0 && job.admitted().is_some() => {}
             ClaimState::Free => {
                 job.register_version = found.version;
@@ -279,13 +281,13 @@
                     self.result_lost(now, key, job);
                 }
             }
-            ClaimState::Taken | ClaimState::Done(_) => self.learn(now, job, found),
+            ClaimState::Taken | ClaimState::Done(_) => self.apply_found_claim(now, job, found),
         }
     }
 }
 
-/// Whether the result of a holder's run may be stored in place of a value.
+/// Whether the result of the holder's run may replace the claim found in the register.
 fn may_store_over(found: &FoundClaim, holder: &ClaimHolder) -> bool {
     let is_own_claim = found.claim.holder == *holder && found.claim.state == ClaimState::Taken;
-    is_own_claim || found.is_blank()
+    is_own_claim || found.is_empty()
 }
--- a/crates/jobs/src/timeouts.rs
+++ b/crates/jobs/src/timeouts.rs
@@ -1,17 +1,18 @@
-//! What time causes: retries of register requests, checks of jobs that run, and expiry.
+//! Timer-driven transitions: retries of register requests, checks of running jobs, and expiry.
 
 use crate::coordinator::{JobCoordinator, RETRY_AFTER_MS};
 use crate::job::{register_timeout_ms, Job, JobState};
 use process_pause::ProcessPause;
 
-/// Milliseconds between two checks of the register of a job that requests wait for.
+/// Interval in milliseconds at which the register of a running job is checked while other requests wait for the job.
 const CHECK_INTERVAL_MS: u64 = 250;
-/// Milliseconds after which a gateway that is not in the membership counts as gone. The membership may be older than
-/// the gateway.
+/// Milliseconds after which a claim holder's gateway that is missing from the membership is considered gone. The delay is
+/// needed because the known membership may be older than the gateway.
 const GONE_AFTER_MS: u64 = 2_000;
 
 impl JobCoordinator {
-    /// Does what is due; called often. `is_gone` tells whether a gateway's incarnation has surely ended.
+    /// Runs all timers that are due; must be called frequently. `is_gone` returns whether a gateway's incarnation is known to
+    /// have ended.
     pub fn advance_clock(&mut self, now: u64, is_gone: impl Fn(&str, u64) -> bool) {
         self.registers.expire(now);
         for key in self.table.busy_keys() {
@@ -25,7 +26,8 @@
         self.table.expire(now);
     }
 
-    /// The process stood still: the membership may be older than a gateway that runs a job, as if it had just been heard of.
+    /// Restarts the waits for missing gateways after a pause of the process: the known membership may be older than a gateway
+    /// that runs a job, just as if that gateway had only been learned of now.
     pub fn process_paused(&mut self, pause: ProcessPause) {
         for key in self.table.busy_keys() {
             let Some(mut job) = self.table.take_busy(&key) else {
@@ -80,7 +82,7 @@
     fn retry_claim(&mut self, now: u64, key: &str, job: &mut Job) {
         let JobState::Claiming {
             request,
-            asked_at,
+            sent_at,
             retries,
             ..
         } = &mut job.state
@@ -91,8 +93,8 @@
             let request = request.clone();
             self.reject(&request, RETRY_AFTER_MS);
             self.admit_next(now, key, job);
-        } else if now >= *asked_at + register_timeout_ms(*retries) {
-            *asked_at = now;
+        } else if now >= *sent_at + register_timeout_ms(*retries) {
+            *sent_at = now;
             *retries += 1;
             self.write_claim(now, key, job);
         }
