--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -33,7 +33,7 @@
 use std::sync::Arc;
 use voter::MembershipChange;
 
-/// Delay after start before the own voter is first compared with the committed values, in milliseconds.
+/// Delay after start before the local voter is first compared with the committed values, in milliseconds.
 const FIRST_REPAIR_AFTER_MS: u64 = 1_000;
 
 /// Consensus state machine of one controller.
@@ -65,7 +65,7 @@
 }
 
 impl Consensus {
-    /// Starts a new incarnation from the state stored by the own voter.
+    /// Starts a new incarnation from the state stored by the local voter.
     pub fn new(options: ConsensusOptions, now: u64, voter: VoterSnapshot) -> Self {
         let mut random = StdRng::seed_from_u64(options.seed);
         let incarnation = new_incarnation(&mut random);
--- a/crates/consensus/src/consensus/changes.rs
+++ b/crates/consensus/src/consensus/changes.rs
@@ -142,7 +142,8 @@
         }
     }
 
-    /// Passes a request to the own voter. Prepare requests for the scaler role are rejected while the role is leased.
+    /// Passes a request to the local voter. Prepare requests for the scaler role are rejected while the role is
+    /// leased.
     pub(super) fn on_voter_request(
         &mut self,
         now: u64,
@@ -188,7 +189,7 @@
         self.send(to, message);
     }
 
-    /// Routes the own voter's response to this controller or to the controller that sent the request.
+    /// Routes the local voter's response to this controller or to the controller that sent the request.
     pub(super) fn on_own_voter_response(
         &mut self,
         now: u64,
--- a/crates/consensus/src/consensus/heartbeats.rs
+++ b/crates/consensus/src/consensus/heartbeats.rs
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Handles the scaler role claim in a heartbeat. Sends an acknowledgement if the own voter backs the claimed
+    /// Handles the scaler role claim in a heartbeat. Sends an acknowledgement if the local voter backs the claimed
     /// lease.
     fn on_role_claim(&mut self, now: u64, from: &str, heartbeat: &Heartbeat) {
         let (incarnation, number, term) =
--- a/crates/consensus/src/consensus/installation.rs
+++ b/crates/consensus/src/consensus/installation.rs
@@ -27,7 +27,7 @@
         sources
     }
 
-    /// Requests replica pages from other members while the own voter is empty.
+    /// Requests replica pages from other members while the local voter is empty.
     pub(super) fn poll_installation(&mut self, now: u64) {
         if !self.copies.poll(now) {
             return;
@@ -65,7 +65,7 @@
         });
     }
 
-    /// Handles a replica page if the own voter is empty and in the newest set.
+    /// Handles a replica page if the local voter is empty and in the newest set.
     pub(super) fn on_replica_page(&mut self, now: u64, page: ReplicaPage) {
         let mut sources = self.replica_sources().into_iter();
         let source = sources.find(|source| source.disk == page.disk);
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Installs the copied state once enough copies are complete. The own voter has never voted on this disk before.
+    /// Installs the copied state once enough copies are complete. The local voter has never voted on this disk
+    /// before.
     fn install(&mut self, now: u64) {
         let set = self.sets.newest().clone();
         if !self.copies.are_sufficient(&set, self.sets.previous()) {
@@ -90,7 +91,7 @@
         }
         let (claim_floors, registers) = self.copies.take_merged();
         // A lease backed by a majority of an older set can no longer be renewed, since a member of that majority has
-        // given its copy under the newest set. It must still expire before the own voter promises the role to
+        // given its copy under the newest set. It must still expire before the local voter promises the role to
         // another controller.
         let mut states = registers.iter();
         if states.any(|(key, state)| key == SCALER_ROLE_KEY && state.value.version > 0) {
--- a/crates/consensus/src/consensus/membership.rs
+++ b/crates/consensus/src/consensus/membership.rs
@@ -39,7 +39,7 @@
         self.move_changes_to_newest_set(now);
     }
 
-    /// Moves the own voter to the newest set if it is in an older one of the same epoch.
+    /// Moves the local voter to the newest set if it is in an older one of the same epoch.
     fn adopt_newest_set(&mut self) {
         if self.sets.needs_adoption() {
             let set = self.sets.newest().clone();
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Submits disk work that changes the set of the own voter.
+    /// Submits disk work that changes the set of the local voter.
     pub(super) fn change_own_set(&mut self, work: DiskWork) {
         self.sets.start_disk_work();
         self.submit_disk_work(work);
@@ -64,7 +64,7 @@
         self.sets.learn_previous(update);
     }
 
-    /// Handles the first set. It is taken only if it contains this disk and the own voter is empty.
+    /// Handles the first set. It is taken only if it contains this disk and the local voter is empty.
     pub(super) fn on_form_voter_set(&mut self, set: &VoterSet) {
         let own_disk = self.sets.own_disk();
         let is_named = set.voters.iter().any(|voter| voter.disk == own_disk);
--- a/crates/consensus/src/consensus/replication.rs
+++ b/crates/consensus/src/consensus/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: fetching missed committed values, and repairing the own voter.
+//! Replication: fetching missed committed values, and repairing the local voter.
 
 use super::Consensus;
 use crate::action::ConsensusAction;
@@ -11,7 +11,7 @@
 use register::{Ballot, RegisterState, VersionedValue, VoterSet, VOTERS_KEY};
 use speedy::Readable;
 
-/// Interval between comparisons of the own voter with the committed values, in milliseconds.
+/// Interval between comparisons of the local voter with the committed values, in milliseconds.
 const REPAIR_INTERVAL_MS: u64 = 6_000;
 /// Maximum random addition to this interval, in milliseconds.
 const REPAIR_JITTER_MS: u64 = 1_000;
@@ -35,7 +35,7 @@
         heard.count() >= set.majority()
     }
 
-    /// Takes missing committed values that the own voter has received, and requests the others from peers.
+    /// Takes missing committed values that the local voter has received, and requests the others from peers.
     pub(super) fn poll_missing_values(&mut self, now: u64) {
         for key in self.values.missing_keys() {
             match self.values.poll_missing(now, &key) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Sends a committed value, with the ballot under which the own voter accepted it.
+    /// Sends a committed value, with the ballot under which the local voter accepted it.
     pub(super) fn on_value_request(&mut self, from: &str, key: String, version: u64) {
         let Some((ballot, value)) = self.values.committed_with_ballot(&key, version) else {
             return;
@@ -57,7 +57,7 @@
         self.send(from, message);
     }
 
-    /// Handles a committed value, and repairs the own voter with it if the voter is behind.
+    /// Handles a committed value, and repairs the local voter with it if the voter is behind.
     pub(super) fn on_value(&mut self, now: u64, key: &str, ballot: Ballot, stored: VersionedValue) {
         self.learn_committed(now, key, &stored);
         let is_behind = self.values.is_own_behind(key, ValueId::of(&stored));
@@ -72,7 +72,7 @@
         self.submit_disk_work(DiskWork::Repair(key.to_string(), state));
     }
 
-    /// Periodically requests committed values that the own voter lacks from other members.
+    /// Periodically requests committed values that the local voter lacks from other members.
     pub(super) fn repair_own_voter(&mut self, now: u64) {
         if now < self.next_repair_at || !self.sets.is_voting() {
             return;
--- a/crates/consensus/src/consensus/scaler_role.rs
+++ b/crates/consensus/src/consensus/scaler_role.rs
@@ -1,4 +1,4 @@
-//! The scaler role: campaigns, the role lease, and what the own voter grants and backs.
+//! The scaler role: campaigns, the role lease, and what the local voter grants and backs.
 
 use super::Consensus;
 use crate::action::ConsensusAction;
@@ -46,14 +46,14 @@
         self.send_due_heartbeats(now);
     }
 
-    /// Whether the own voter would promise the role to the given controller.
+    /// Whether the local voter would promise the role to the given controller.
     pub(super) fn grants_role(&self, now: u64, to: &str) -> bool {
         let is_idle = !self.role.has_pending_rounds() && !self.sets.has_disk_work();
         let is_current = self.sets.is_voting() && self.sets.is_own_newest();
         is_idle && is_current && self.role.may_promise(now, to)
     }
 
-    /// Whether the own voter has accepted this holder's value and has made no newer promise since.
+    /// Whether the local voter has accepted this holder's value and has made no newer promise since.
     pub(super) fn backs(&self, holder: &str, incarnation: u64, term: u64) -> bool {
         let is_idle = !self.role.has_pending_rounds() && !self.sets.has_disk_work();
         if !is_idle || !self.sets.is_voting() {
@@ -68,7 +68,7 @@
         is_undisputed && is_holder && term_of(self.sets.own().epoch, accepted.version) == term
     }
 
-    /// Records a heartbeat that claims the role, and the own voter's acknowledgement if it backs the claim. Called
+    /// Records a heartbeat that claims the role, and the local voter's acknowledgement if it backs the claim. Called
     /// just before the heartbeat is sent.
     pub(super) fn back_own_lease(&mut self, now: u64, number: u64) {
         let Some(term) = self.role.claimed_term() else {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Whether the own voter records this controller as the last holder of the role, in this or an earlier
+    /// Whether the local voter records this controller as the last holder of the role, in this or an earlier
     /// incarnation.
     fn is_last_holder(&self) -> bool {
         let accepted = self.values.own(SCALER_ROLE_KEY);
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! Controllers agree on a few registers (the operator's configuration, evacuated zones, jobs), on the set of voters, and
 //! on which controller holds the scaler role. Each register is changed by its own Paxos proposal at a majority of voters
-//! (crate `register`). Each controller has a voter on its own disk (crate `voter`).
+//! (crate `register`). Each controller has a voter on its own disk, the local voter (crate `voter`).
 //!
 //! # Safety requirements
 //!
@@ -33,14 +33,14 @@
 //!
 //! | component | owns |
 //! |---|---|
-//! | `voter_sets::VoterSets` | the newest committed set, its predecessor, and the own voter's set |
-//! | `replicated_values::ReplicatedValues` | committed values, the own voter's values, and missing values |
+//! | `voter_sets::VoterSets` | the newest committed set, its predecessor, and the local voter's set |
+//! | `replicated_values::ReplicatedValues` | committed values, the local voter's values, and missing values |
 //! | `required_reads::RequiredReads` | which registers must be read from a majority before this controller is current |
 //! | `pending_changes::PendingChanges` | pending changes (`pending_change.rs`), their ballots and request numbers |
 //! | `peers::PeerTable` | other controllers and their newest heartbeats |
 //! | `heartbeat_schedule::HeartbeatSchedule` | when the next heartbeat is due |
 //! | `contact_lease::ContactLease` | how long a majority counts as in contact |
-//! | `scaler_role::ScalerRole` | the own lease on the scaler role, and what the own voter may promise about it |
+//! | `scaler_role::ScalerRole` | this controller's lease on the scaler role, and what the local voter may promise about it |
 //! | `replica_copies::ReplicaCopies` | copies of other members' replicas, for an empty voter |
 //! | `departure::Departure` | the progress of a replaced member that is leaving |
 //!
@@ -49,12 +49,12 @@
 //! | message | handled in | changes |
 //! |---|---|---|
 //! | `Heartbeat` | `consensus/heartbeats.rs` | peers, contact, observed role lease, missing values |
-//! | `RoleLeaseAck` | `consensus/scaler_role.rs` | the own role lease |
-//! | `VoterRequest`, `VoterResponse` | `consensus/changes.rs` | the own voter's disk; pending changes |
+//! | `RoleLeaseAck` | `consensus/scaler_role.rs` | this controller's role lease |
+//! | `VoterRequest`, `VoterResponse` | `consensus/changes.rs` | the local voter's disk; pending changes |
 //! | `RequestVoterSet`, `VoterSet`, `FormVoterSet` | `consensus/membership.rs` | voter sets |
 //! | `ConfirmInstalled`, `Installed` | `consensus/leaving.rs` | the departure |
-//! | `RequestReplica`, `Replica` | `consensus/installation.rs` | replica copies, then the own voter's disk |
-//! | `RequestValue`, `Value` | `consensus/replication.rs` | committed values, repair of the own voter |
+//! | `RequestReplica`, `Replica` | `consensus/installation.rs` | replica copies, then the local voter's disk |
+//! | `RequestValue`, `Value` | `consensus/replication.rs` | committed values, repair of the local voter |
 //!
 //! # Where to start reading
 //!
--- a/crates/consensus/src/peers.rs
+++ b/crates/consensus/src/peers.rs
@@ -4,7 +4,7 @@
 use register::VoterRef;
 use std::collections::BTreeMap;
 
-/// Maximum number of known peers, not counting members of the voter set and seeds.
+/// Maximum number of known peers. Members of the voter set and seeds are added even beyond it.
 const MAX_PEERS: usize = 64;
 /// Silence after which a peer that is neither member nor seed is removed, in milliseconds.
 const FORGET_AFTER_MS: u64 = 30_000;
@@ -211,7 +211,7 @@
         has_set: bool,
         is_member: bool,
     ) -> impl Iterator<Item = &'a String> {
-        let notified = self.peers.iter().filter(move |(address, peer)| {
+        let receivers = self.peers.iter().filter(move |(address, peer)| {
             let is_heard = peer.is_heard_within(now, FORGET_AFTER_MS);
             let is_due = peer
                 .heartbeat_sent_at
@@ -219,6 +219,6 @@
             let is_probed = seeds.contains(address) && (is_heard || is_due || !has_set);
             is_probed || (is_heard && is_member)
         });
-        notified.map(|(address, _)| address)
+        receivers.map(|(address, _)| address)
     }
 }
--- a/crates/consensus/src/replicated_values.rs
+++ b/crates/consensus/src/replicated_values.rs
@@ -1,4 +1,4 @@
-//! Values of the replicated registers: committed values, the own voter's values, and missing values.
+//! Values of the replicated registers: committed values, the local voter's values, and missing values.
 
 use crate::keys::REPLICATED_KEYS;
 use crate::snapshot::RegisterSnapshot;
@@ -7,7 +7,7 @@
 use register::{Ballot, VersionedValue};
 use std::collections::BTreeMap;
 
-/// Time to wait for a committed value to reach the own voter before it is requested, in milliseconds.
+/// Time to wait for a committed value to reach the local voter before it is requested, in milliseconds.
 const OWN_VOTER_WAIT_MS: u64 = 100;
 /// Delay before the first repeated request for a value, in milliseconds. It doubles with each request.
 const FIRST_RETRY_MS: u64 = 300;
@@ -30,7 +30,7 @@
 pub(crate) enum MissingValueStep {
     /// Wait for the value.
     Wait,
-    /// The own voter has the value.
+    /// The local voter has the value.
     Found(Value),
     /// Request the value from a controller that has it.
     Request {
@@ -43,18 +43,18 @@
 
 /// Values of the replicated registers.
 ///
-/// A committed value is only replaced by one with a higher version. The own voter's values are those last reported by
-/// its disk and may be uncommitted.
+/// A committed value is only replaced by one with a higher version. The local voter's values are those last reported
+/// by its disk and may be uncommitted.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplicatedValues {
     committed: BTreeMap<String, Value>,
-    /// The own voter's registers by key.
+    /// The local voter's registers by key.
     own: BTreeMap<String, RegisterSnapshot>,
     missing: BTreeMap<String, MissingValue>,
 }
 
 impl ReplicatedValues {
-    /// Starts from the own voter's registers. No value is known to be committed.
+    /// Starts from the local voter's registers. No value is known to be committed.
     pub fn new(own: Vec<RegisterSnapshot>) -> Self {
         let own = own.into_iter();
         Self {
@@ -80,12 +80,12 @@
         self.committed_id(key).version
     }
 
-    /// The own voter's register for a key.
+    /// The local voter's register for a key.
     pub fn own(&self, key: &str) -> Option<&RegisterSnapshot> {
         self.own.get(key)
     }
 
-    /// Highest ballot counter that the own voter has promised for any key.
+    /// Highest ballot counter that the local voter has promised for any key.
     pub fn highest_promised_counter(&self) -> Option<u64> {
         let own = self.own.values();
         own.map(|value| value.promised.counter).max()
@@ -99,7 +99,7 @@
         own.or_else(|| committed.cloned())
     }
 
-    /// Records the own voter's registers as reported by the disk. Omitted value bytes are unchanged.
+    /// Records the local voter's registers as reported by the disk. Omitted value bytes are unchanged.
     pub fn record_own(&mut self, values: Vec<RegisterSnapshot>) {
         for mut value in values {
             if value.bytes.is_none() {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Drops the own voter's registers after the disk was reset.
+    /// Drops the local voter's registers after the disk was reset.
     pub fn clear_own(&mut self) {
         self.own.clear();
     }
@@ -191,8 +191,8 @@
         }
     }
 
-    /// The committed value of a key if it is not older than the version, with the ballot under which the own voter
-    /// accepted it; the default ballot if the own voter did not accept it.
+    /// The committed value of a key if it is not older than the version, with the ballot under which this
+    /// controller's voter accepted it; the default ballot if the local voter did not accept it.
     pub fn committed_with_ballot(
         &self,
         key: &str,
@@ -207,7 +207,7 @@
         Some((ballot, value.to_versioned()))
     }
 
-    /// Whether the own voter's value is older than a committed one, or differs from it at the same version.
+    /// Whether the local voter's value is older than a committed one, or differs from it at the same version.
     pub fn is_own_behind(&self, key: &str, committed: ValueId) -> bool {
         let own = self.own.get(key);
         let own = own.map_or_else(ValueId::default, RegisterSnapshot::id);
@@ -215,7 +215,7 @@
             || (own.version == committed.version && own.tag != committed.tag)
     }
 
-    /// Replicated registers whose committed value the own voter lacks, with that value's version.
+    /// Replicated registers whose committed value the local voter lacks, with that value's version.
     pub fn outdated_own_values(&self) -> Vec<(String, u64)> {
         let replicated = self
             .committed
--- a/crates/consensus/src/scaler_role.rs
+++ b/crates/consensus/src/scaler_role.rs
@@ -106,7 +106,7 @@
     lease_ms: u64,
     observed: Option<ObservedLease>,
     own: Option<RoleLease>,
-    /// The own voter makes no promise about the role before this time.
+    /// The local voter makes no promise about the role before this time.
     promises_from: u64,
     /// This controller does not campaign before this time.
     next_campaign_allowed_at: u64,
@@ -118,7 +118,7 @@
 }
 
 impl ScalerRole {
-    /// Restores the state after a start from the own voter's role register.
+    /// Restores the state after a start from the local voter's role register.
     pub fn restored(
         now: u64,
         lease_ms: u64,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Whether the own voter may promise the role to a controller now. A lease holder that campaigns again has
+    /// Whether the local voter may promise the role to a controller now. A lease holder that campaigns again has
     /// dropped its lease or was restarted, so its own lease does not exclude it.
     pub fn may_promise(&self, now: u64, to: &str) -> bool {
         let is_leased = self
@@ -153,7 +153,7 @@
         self.own.is_none() && now >= self.promises_from && !is_leased
     }
 
-    /// Withholds promises about the role for one lease duration, because the own voter may have backed a lease that
+    /// Withholds promises about the role for one lease duration, because the local voter may have backed a lease that
     /// it no longer knows of.
     pub fn withhold_promises(&mut self, now: u64) {
         self.promises_from = self.promises_from.max(now + self.lease_ms);
@@ -261,7 +261,7 @@
         is_new.then_some(lease.term)
     }
 
-    /// Records whether the own voter would grant the role to this controller. Returns whether this has just become
+    /// Records whether the local voter would grant the role to this controller. Returns whether this has just become
     /// true.
     pub fn record_grantable(&mut self, is_grantable: bool) -> bool {
         let has_become_grantable = is_grantable && !self.was_grantable;
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! State of a controller's own voter, as reported by the disk thread.
+//! State of the local voter, as reported by the disk thread.
 
 use crate::keys::REPLICATED_KEYS;
 use crate::role_register::RoleHolder;
--- a/crates/consensus/src/voter_sets.rs
+++ b/crates/consensus/src/voter_sets.rs
@@ -1,4 +1,4 @@
-//! The voter sets known to a controller, and the set of its own voter.
+//! The voter sets known to a controller, and the set of the local voter.
 
 use crate::message::VoterSetUpdate;
 use register::{SetVersion, VoterSet};
@@ -20,9 +20,9 @@
     Resetting,
 }
 
-/// The newest committed voter set, the previous one, and the set of this controller's own voter.
+/// The newest committed voter set, the previous one, and the set of the local voter.
 ///
-/// The newest set is only replaced by newer ones. The own voter's set changes only when the disk reports it.
+/// The newest set is only replaced by newer ones. The local voter's set changes only when the disk reports it.
 #[derive(Clone, Debug)]
 pub(crate) struct VoterSets {
     own_disk: u64,
@@ -30,11 +30,11 @@
     newest: VoterSet,
     /// The immediate predecessor of the newest set, if known.
     previous: Option<VoterSet>,
-    /// The set that the own voter is durably in; epoch 0 if the voter is empty.
+    /// The set that the local voter is durably in; epoch 0 if the voter is empty.
     own: VoterSet,
-    /// Whether the own disk is usable. False after a disk failure.
+    /// Whether this controller's disk is usable. False after a disk failure.
     is_disk_trusted: bool,
-    /// Number of own set changes that the disk has not completed.
+    /// Number of set changes of the local voter that the disk has not completed.
     pending_disk_work: usize,
     /// Since when a live member has not installed the newest set.
     uninstalled_since: Option<u64>,
@@ -64,7 +64,7 @@
         self.previous.as_ref()
     }
 
-    /// The set that the own voter is durably in.
+    /// The set that the local voter is durably in.
     pub fn own(&self) -> &VoterSet {
         &self.own
     }
@@ -84,12 +84,12 @@
         self.newest.epoch > 0
     }
 
-    /// Whether the own disk is usable. False after a disk failure.
+    /// Whether this controller's disk is usable. False after a disk failure.
     pub fn is_disk_trusted(&self) -> bool {
         self.is_disk_trusted
     }
 
-    /// Whether the newest set contains the own disk.
+    /// Whether the newest set contains this controller's disk.
     pub fn is_member(&self) -> bool {
         self.is_member_disk(self.own_disk)
     }
@@ -105,22 +105,22 @@
         voters.any(|voter| voter.address == address)
     }
 
-    /// Whether the own voter is empty.
+    /// Whether the local voter is empty.
     pub fn is_voter_empty(&self) -> bool {
         self.own.epoch == 0
     }
 
-    /// Whether the own voter may vote.
+    /// Whether the local voter may vote.
     pub fn is_voting(&self) -> bool {
         self.is_disk_trusted && !self.is_voter_empty() && self.is_member()
     }
 
-    /// Whether the own voter is in the newest set.
+    /// Whether the local voter is in the newest set.
     pub fn is_own_newest(&self) -> bool {
         self.own.version() == self.newest.version()
     }
 
-    /// Whether the own voter has yet to move to the newest set.
+    /// Whether the local voter has yet to move to the newest set.
     pub fn needs_adoption(&self) -> bool {
         let has_same_epoch = !self.is_voter_empty() && self.own.epoch == self.newest.epoch;
         self.is_disk_trusted && has_same_epoch && self.own.number < self.newest.number
@@ -173,8 +173,8 @@
         self.is_disk_trusted = is_disk_trusted;
     }
 
-    /// Records the own voter's set as reported by the disk. Returns whether it has changed. A set that a failed disk
-    /// has taken only in memory is ignored.
+    /// Records the local voter's set as reported by the disk. Returns whether it has changed. A set that a failed
+    /// disk has taken only in memory is ignored.
     pub fn record_own(&mut self, set: VoterSet) -> bool {
         if !self.is_disk_trusted || set.version() == self.own.version() {
             return false;
@@ -190,17 +190,17 @@
         self.is_disk_trusted = true;
     }
 
-    /// Records that a change of the own voter's set was submitted to the disk.
+    /// Records that a change of the local voter's set was submitted to the disk.
     pub fn start_disk_work(&mut self) {
         self.pending_disk_work += 1;
     }
 
-    /// Records that the disk has completed a change of the own voter's set.
+    /// Records that the disk has completed a change of the local voter's set.
     pub fn end_disk_work(&mut self) {
         self.pending_disk_work = self.pending_disk_work.saturating_sub(1);
     }
 
-    /// Whether the disk has not completed all changes of the own voter's set.
+    /// Whether the disk has not completed all changes of the local voter's set.
     pub fn has_disk_work(&self) -> bool {
         self.pending_disk_work > 0
     }
--- a/crates/consensus/tests/replicas.rs
+++ b/crates/consensus/tests/replicas.rs
@@ -137,8 +137,8 @@
     assert_eq!(held.value.version, 1);
 }
 
-/// The controller learned the value before it received heartbeats that list it, so the value does not count as missing.
-/// Only the comparison of the own voter with the committed values repairs the voter.
+/// The controller learned the value before it received heartbeats that list it, so the value does not count as
+/// missing. Only the comparison of the local voter with the committed values repairs the voter.
 #[test]
 fn a_voter_that_lacks_a_value_known_to_its_controller_is_repaired() {
     for seed in 0..20 {
