--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -72,7 +72,7 @@
         let first_number = random.random::<u64>() >> 16;
         let epoch = voter.set.epoch;
         let values = ReplicatedValues::new(voter.values);
-        let role_register = values.own(SCALER_ROLE_KEY);
+        let role_register = values.local(SCALER_ROLE_KEY);
         let ballot_counter = values.highest_promised_counter().unwrap_or(0);
         let mut consensus = Self {
             incarnation,
@@ -171,7 +171,7 @@
                 if is_role_round {
                     self.role.end_round();
                 }
-                self.on_own_voter_response(now, &to, number, is_value_omitted, response);
+                self.on_local_voter_response(now, &to, number, is_value_omitted, response);
             }
         }
         self.advance(now);
@@ -183,9 +183,9 @@
             self.role.withhold_promises(now);
         }
         self.sets.set_disk_trusted(snapshot.is_open);
-        self.values.record_own(snapshot.values);
-        if self.sets.record_own(snapshot.set) {
-            let set = self.sets.own().clone();
+        self.values.record_local(snapshot.values);
+        if self.sets.record_local(snapshot.set) {
+            let set = self.sets.local().clone();
             log::info!("consensus: voting set={}", set.version());
             self.heartbeats.request();
             self.learn_set(now, &set);
@@ -199,7 +199,7 @@
         self.start_required_reads(now);
         self.poll_membership(now);
         self.poll_missing_values(now);
-        self.repair_own_voter(now);
+        self.repair_local_voter(now);
         self.forget_silent_peers(now);
         self.advance(now);
     }
--- a/crates/consensus/src/consensus/changes.rs
+++ b/crates/consensus/src/consensus/changes.rs
@@ -190,7 +190,7 @@
     }
 
     /// Routes the local voter's response to this controller or to the controller that sent the request.
-    pub(super) fn on_own_voter_response(
+    pub(super) fn on_local_voter_response(
         &mut self,
         now: u64,
         to: &str,
--- a/crates/consensus/src/consensus/heartbeats.rs
+++ b/crates/consensus/src/consensus/heartbeats.rs
@@ -110,7 +110,7 @@
             disk: self.sets.own_disk(),
             incarnation: self.incarnation,
             number,
-            own_set: self.sets.own().version(),
+            own_set: self.sets.local().version(),
             known_set: self.sets.version(),
             committed: committed.map(|key| self.values.committed_id(key)).collect(),
             role_term: self.role.claimed_term().unwrap_or(0),
@@ -156,7 +156,7 @@
         }
         // A member that is listed by its disk but still empty has missed the formation of the first set.
         let is_member = self.sets.is_member_disk(heartbeat.disk);
-        let is_first_set = version.number == 1 && self.sets.own() == self.sets.newest();
+        let is_first_set = version.number == 1 && self.sets.local() == self.sets.newest();
         if is_member && is_first_set {
             let set = self.sets.newest().clone();
             self.send(from, ConsensusMessage::FormVoterSet(set));
@@ -191,7 +191,7 @@
         }
         let ack = RoleLeaseAck {
             disk: self.sets.own_disk(),
-            set_version: self.sets.own().version(),
+            set_version: self.sets.local().version(),
             term,
             number,
         };
--- a/crates/consensus/src/consensus/installation.rs
+++ b/crates/consensus/src/consensus/installation.rs
@@ -97,7 +97,7 @@
         if states.any(|(key, state)| key == SCALER_ROLE_KEY && state.value.version > 0) {
             self.role.withhold_promises(now);
         }
-        self.change_own_set(DiskWork::Install(Installation {
+        self.change_local_set(DiskWork::Install(Installation {
             set,
             claim_floors,
             registers,
--- a/crates/consensus/src/consensus/leaving.rs
+++ b/crates/consensus/src/consensus/leaving.rs
@@ -67,7 +67,7 @@
             departure.start_reset();
         }
         let identity = self.random.random();
-        self.change_own_set(DiskWork::Reset(identity));
+        self.change_local_set(DiskWork::Reset(identity));
     }
 
     /// Handles the end of a disk reset. The controller continues under a new identity that has never voted. Its
@@ -81,8 +81,8 @@
         self.end_role_lease(now);
         self.options.is_first_start = false;
         self.incarnation = new_incarnation(&mut self.random);
-        self.sets.reset_own(identity);
-        self.values.clear_own();
+        self.sets.reset_local(identity);
+        self.values.clear_local();
         self.reads.reset(now);
         self.membership_change = MembershipChange::default();
         self.next_set_proposal_at = now;
--- a/crates/consensus/src/consensus/membership.rs
+++ b/crates/consensus/src/consensus/membership.rs
@@ -43,12 +43,12 @@
     fn adopt_newest_set(&mut self) {
         if self.sets.needs_adoption() {
             let set = self.sets.newest().clone();
-            self.change_own_set(DiskWork::AdoptSet(set));
+            self.change_local_set(DiskWork::AdoptSet(set));
         }
     }
 
     /// Submits disk work that changes the set of the local voter.
-    pub(super) fn change_own_set(&mut self, work: DiskWork) {
+    pub(super) fn change_local_set(&mut self, work: DiskWork) {
         self.sets.start_disk_work();
         self.submit_disk_work(work);
     }
@@ -71,7 +71,7 @@
         let is_empty = self.sets.is_voter_empty() && !self.sets.has_disk_work();
         let is_current = set.version() >= self.sets.version();
         if is_named && is_empty && is_current && set.number == 1 {
-            self.change_own_set(DiskWork::FormSet(set.clone()));
+            self.change_local_set(DiskWork::FormSet(set.clone()));
         }
     }
 
@@ -127,7 +127,7 @@
             "consensus: forming the first voter set voters={}",
             voters.len()
         );
-        self.change_own_set(DiskWork::FormSet(VoterSet {
+        self.change_local_set(DiskWork::FormSet(VoterSet {
             epoch: 1,
             number: 1,
             voters,
--- a/crates/consensus/src/consensus/replication.rs
+++ b/crates/consensus/src/consensus/replication.rs
@@ -60,7 +60,7 @@
     /// Handles a committed value, and repairs the local voter with it if the voter is behind.
     pub(super) fn on_value(&mut self, now: u64, key: &str, ballot: Ballot, stored: VersionedValue) {
         self.learn_committed(now, key, &stored);
-        let is_behind = self.values.is_own_behind(key, ValueId::of(&stored));
+        let is_behind = self.values.is_local_behind(key, ValueId::of(&stored));
         if ballot == Ballot::default() || !self.sets.is_voting() || !is_behind {
             return;
         }
@@ -73,7 +73,7 @@
     }
 
     /// Periodically requests committed values that the local voter lacks from other members.
-    pub(super) fn repair_own_voter(&mut self, now: u64) {
+    pub(super) fn repair_local_voter(&mut self, now: u64) {
         if now < self.next_repair_at || !self.sets.is_voting() {
             return;
         }
@@ -83,7 +83,7 @@
         if sources.is_empty() {
             return;
         }
-        for (key, version) in self.values.outdated_own_values() {
+        for (key, version) in self.values.outdated_local_values() {
             let index = self.random.random_range(0..sources.len());
             self.send(
                 &sources[index],
--- a/crates/consensus/src/consensus/scaler_role.rs
+++ b/crates/consensus/src/consensus/scaler_role.rs
@@ -49,7 +49,7 @@
     /// Whether the local voter would promise the role to the given controller.
     pub(super) fn grants_role(&self, now: u64, to: &str) -> bool {
         let is_idle = !self.role.has_pending_rounds() && !self.sets.has_disk_work();
-        let is_current = self.sets.is_voting() && self.sets.is_own_newest();
+        let is_current = self.sets.is_voting() && self.sets.is_local_set_newest();
         is_idle && is_current && self.role.may_promise(now, to)
     }
 
@@ -59,13 +59,13 @@
         if !is_idle || !self.sets.is_voting() {
             return false;
         }
-        let Some(accepted) = self.values.own(SCALER_ROLE_KEY) else {
+        let Some(accepted) = self.values.local(SCALER_ROLE_KEY) else {
             return false;
         };
         let named = accepted.role_holder();
         let is_undisputed = accepted.promised == accepted.accepted;
         let is_holder = named.address == holder && named.incarnation == incarnation;
-        is_undisputed && is_holder && term_of(self.sets.own().epoch, accepted.version) == term
+        is_undisputed && is_holder && term_of(self.sets.local().epoch, accepted.version) == term
     }
 
     /// Records a heartbeat that claims the role, and the local voter's acknowledgement if it backs the claim. Called
@@ -74,8 +74,8 @@
         let Some(term) = self.role.claimed_term() else {
             return;
         };
-        let is_backed =
-            self.sets.is_own_newest() && self.backs(&self.options.address, self.incarnation, term);
+        let is_backed = self.sets.is_local_set_newest()
+            && self.backs(&self.options.address, self.incarnation, term);
         self.role.record_sent(now, number);
         if is_backed {
             self.record_role_ack(now, self.sets.own_disk(), number);
@@ -128,7 +128,7 @@
     /// Whether the local voter records this controller as the last holder of the role, in this or an earlier
     /// incarnation.
     fn is_last_holder(&self) -> bool {
-        let accepted = self.values.own(SCALER_ROLE_KEY);
+        let accepted = self.values.local(SCALER_ROLE_KEY);
         accepted.is_some_and(|accepted| accepted.role_holder().address == self.options.address)
     }
 
--- a/crates/consensus/src/replicated_values.rs
+++ b/crates/consensus/src/replicated_values.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// Time to wait for a committed value to reach the local voter before it is requested, in milliseconds.
-const OWN_VOTER_WAIT_MS: u64 = 100;
+const LOCAL_VOTER_WAIT_MS: u64 = 100;
 /// Delay before the first repeated request for a value, in milliseconds. It doubles with each request.
 const FIRST_RETRY_MS: u64 = 300;
 /// Maximum delay before a value is requested again, in milliseconds.
@@ -49,17 +49,17 @@
 pub(crate) struct ReplicatedValues {
     committed: BTreeMap<String, Value>,
     /// The local voter's registers by key.
-    own: BTreeMap<String, RegisterSnapshot>,
+    local: BTreeMap<String, RegisterSnapshot>,
     missing: BTreeMap<String, MissingValue>,
 }
 
 impl ReplicatedValues {
     /// Starts from the local voter's registers. No value is known to be committed.
-    pub fn new(own: Vec<RegisterSnapshot>) -> Self {
-        let own = own.into_iter();
+    pub fn new(local: Vec<RegisterSnapshot>) -> Self {
+        let local = local.into_iter();
         Self {
             committed: BTreeMap::new(),
-            own: own.map(|value| (value.key.clone(), value)).collect(),
+            local: local.map(|value| (value.key.clone(), value)).collect(),
             missing: BTreeMap::new(),
         }
     }
@@ -81,38 +81,39 @@
     }
 
     /// The local voter's register for a key.
-    pub fn own(&self, key: &str) -> Option<&RegisterSnapshot> {
-        self.own.get(key)
+    pub fn local(&self, key: &str) -> Option<&RegisterSnapshot> {
+        self.local.get(key)
     }
 
     /// Highest ballot counter that the local voter has promised for any key.
     pub fn highest_promised_counter(&self) -> Option<u64> {
-        let own = self.own.values();
-        own.map(|value| value.promised.counter).max()
+        let local = self.local.values();
+        local.map(|value| value.promised.counter).max()
     }
 
     /// The newest value known to this controller, committed or not, which others need not send.
     pub fn newest(&self, key: &str) -> Option<Value> {
         let committed = self.committed.get(key);
-        let own = self.own.get(key).and_then(RegisterSnapshot::value);
-        let own = own.filter(|own| committed.is_none_or(|known| own.version > known.version));
-        own.or_else(|| committed.cloned())
+        let local = self.local.get(key).and_then(RegisterSnapshot::value);
+        let local =
+            local.filter(|local| committed.is_none_or(|known| local.version > known.version));
+        local.or_else(|| committed.cloned())
     }
 
     /// Records the local voter's registers as reported by the disk. Omitted value bytes are unchanged.
-    pub fn record_own(&mut self, values: Vec<RegisterSnapshot>) {
+    pub fn record_local(&mut self, values: Vec<RegisterSnapshot>) {
         for mut value in values {
             if value.bytes.is_none() {
-                let old = self.own.get(&value.key);
+                let old = self.local.get(&value.key);
                 value.bytes = old.and_then(|old| old.bytes.clone());
             }
-            self.own.insert(value.key.clone(), value);
+            self.local.insert(value.key.clone(), value);
         }
     }
 
     /// Drops the local voter's registers after the disk was reset.
-    pub fn clear_own(&mut self) {
-        self.own.clear();
+    pub fn clear_local(&mut self) {
+        self.local.clear();
     }
 
     /// Records a committed value. Returns whether it is newer than the known one.
@@ -123,7 +124,7 @@
                 self.missing.remove(key);
             } else {
                 // The request for an even newer value starts over, as if none had been sent.
-                missing.request_at = now + OWN_VOTER_WAIT_MS;
+                missing.request_at = now + LOCAL_VOTER_WAIT_MS;
                 missing.retry_after_ms = FIRST_RETRY_MS;
             }
         }
@@ -150,7 +151,7 @@
             }
             // An even newer value keeps the request time of the one before: changes may arrive faster than the wait
             // ends.
-            let wait_ms = if is_voting { OWN_VOTER_WAIT_MS } else { 0 };
+            let wait_ms = if is_voting { LOCAL_VOTER_WAIT_MS } else { 0 };
             let missing = MissingValue {
                 id: *id,
                 source: source.to_string(),
@@ -176,9 +177,9 @@
         let Some(missing) = self.missing.get_mut(key) else {
             return MissingValueStep::Wait;
         };
-        let own = self.own.get(key).and_then(RegisterSnapshot::value);
-        if let Some(own) = own.filter(|own| own.id() == missing.id) {
-            return MissingValueStep::Found(own);
+        let local = self.local.get(key).and_then(RegisterSnapshot::value);
+        if let Some(local) = local.filter(|local| local.id() == missing.id) {
+            return MissingValueStep::Found(local);
         }
         if now < missing.request_at {
             return MissingValueStep::Wait;
@@ -202,26 +203,26 @@
         if value.version < version {
             return None;
         }
-        let own = self.own.get(key).filter(|own| own.id() == value.id());
-        let ballot = own.map(|own| own.accepted).unwrap_or_default();
+        let local = self.local.get(key).filter(|local| local.id() == value.id());
+        let ballot = local.map(|local| local.accepted).unwrap_or_default();
         Some((ballot, value.to_versioned()))
     }
 
     /// Whether the local voter's value is older than a committed one, or differs from it at the same version.
-    pub fn is_own_behind(&self, key: &str, committed: ValueId) -> bool {
-        let own = self.own.get(key);
-        let own = own.map_or_else(ValueId::default, RegisterSnapshot::id);
-        own.version < committed.version
-            || (own.version == committed.version && own.tag != committed.tag)
+    pub fn is_local_behind(&self, key: &str, committed: ValueId) -> bool {
+        let local = self.local.get(key);
+        let local = local.map_or_else(ValueId::default, RegisterSnapshot::id);
+        local.version < committed.version
+            || (local.version == committed.version && local.tag != committed.tag)
     }
 
     /// Replicated registers whose committed value the local voter lacks, with that value's version.
-    pub fn outdated_own_values(&self) -> Vec<(String, u64)> {
+    pub fn outdated_local_values(&self) -> Vec<(String, u64)> {
         let replicated = self
             .committed
             .iter()
             .filter(|(key, _)| REPLICATED_KEYS.contains(&key.as_str()));
-        let outdated = replicated.filter(|(key, value)| self.is_own_behind(key, value.id()));
+        let outdated = replicated.filter(|(key, value)| self.is_local_behind(key, value.id()));
         outdated
             .map(|(key, value)| (key.clone(), value.version))
             .collect()
--- a/crates/consensus/src/voter_sets.rs
+++ b/crates/consensus/src/voter_sets.rs
@@ -31,7 +31,7 @@
     /// The immediate predecessor of the newest set, if known.
     previous: Option<VoterSet>,
     /// The set that the local voter is durably in; epoch 0 if the voter is empty.
-    own: VoterSet,
+    local: VoterSet,
     /// Whether this controller's disk is usable. False after a disk failure.
     is_disk_trusted: bool,
     /// Number of set changes of the local voter that the disk has not completed.
@@ -42,12 +42,12 @@
 
 impl VoterSets {
     /// Starts with the set stored on the disk.
-    pub fn new(own_disk: u64, own: VoterSet, is_disk_trusted: bool) -> Self {
+    pub fn new(own_disk: u64, local: VoterSet, is_disk_trusted: bool) -> Self {
         Self {
             own_disk,
-            newest: own.clone(),
+            newest: local.clone(),
             previous: None,
-            own,
+            local,
             is_disk_trusted,
             pending_disk_work: 0,
             uninstalled_since: None,
@@ -65,8 +65,8 @@
     }
 
     /// The set that the local voter is durably in.
-    pub fn own(&self) -> &VoterSet {
-        &self.own
+    pub fn local(&self) -> &VoterSet {
+        &self.local
     }
 
     /// Identity of this controller's disk.
@@ -107,7 +107,7 @@
 
     /// Whether the local voter is empty.
     pub fn is_voter_empty(&self) -> bool {
-        self.own.epoch == 0
+        self.local.epoch == 0
     }
 
     /// Whether the local voter may vote.
@@ -116,14 +116,14 @@
     }
 
     /// Whether the local voter is in the newest set.
-    pub fn is_own_newest(&self) -> bool {
-        self.own.version() == self.newest.version()
+    pub fn is_local_set_newest(&self) -> bool {
+        self.local.version() == self.newest.version()
     }
 
     /// Whether the local voter has yet to move to the newest set.
     pub fn needs_adoption(&self) -> bool {
-        let has_same_epoch = !self.is_voter_empty() && self.own.epoch == self.newest.epoch;
-        self.is_disk_trusted && has_same_epoch && self.own.number < self.newest.number
+        let has_same_epoch = !self.is_voter_empty() && self.local.epoch == self.newest.epoch;
+        self.is_disk_trusted && has_same_epoch && self.local.number < self.newest.number
     }
 
     /// Relation of this controller to the voter set, not considering a pending reset.
@@ -175,18 +175,18 @@
 
     /// Records the local voter's set as reported by the disk. Returns whether it has changed. A set that a failed
     /// disk has taken only in memory is ignored.
-    pub fn record_own(&mut self, set: VoterSet) -> bool {
-        if !self.is_disk_trusted || set.version() == self.own.version() {
+    pub fn record_local(&mut self, set: VoterSet) -> bool {
+        if !self.is_disk_trusted || set.version() == self.local.version() {
             return false;
         }
-        self.own = set;
+        self.local = set;
         true
     }
 
     /// Records that the disk was reset and has a new identity.
-    pub fn reset_own(&mut self, identity: u64) {
+    pub fn reset_local(&mut self, identity: u64) {
         self.own_disk = identity;
-        self.own = VoterSet::default();
+        self.local = VoterSet::default();
         self.is_disk_trusted = true;
     }
 
