--- a/crates/process_pause/src/lib.rs
+++ b/crates/process_pause/src/lib.rs
@@ -1,47 +1,47 @@
-//! Notices that this process stood still.
+//! Detects pauses of this process.
 //!
-//! A process may be stopped by a signal, by a machine that swaps or is overcommitted, by a blocked system call or by a turn of its own that
-//! takes long. As it goes on, all that it believes about others is as old as the pause: peers seem silent to it that were answering all the
-//! time, and others may have taken its place. A daemon reads its clock at least once in each turn of its loop, whose waits are bounded, so a
-//! long step between two readings is a pause. Each state machine that judges others by their silence, or acts by what it was told, is given
-//! the [`ProcessPause`] before anything else happens.
+//! A process may be paused by a signal, a machine that swaps or is overcommitted, a blocking system call, or a long iteration of
+//! its own event loop. When it resumes, its view of the cluster is as old as the pause: peers seem silent although they
+//! responded all the time, and others may have taken over its role. A daemon reads its clock at least once per iteration of the
+//! event loop, whose waits are bounded, so a long step between two readings indicates a pause. Every state machine that detects
+//! failures by timeouts, or acts on information from others, is given the [`ProcessPause`] before it handles anything else.
 
-/// Milliseconds between two readings of the clock from which on they count as a pause. Others take a silent gateway's place after 450 ms at
-/// the earliest; a wait of the loop lasts 200 ms at the most.
+/// Minimum step in milliseconds between two readings of the clock that counts as a pause. Other gateways take over from a
+/// silent one after 450 ms at the earliest, and a wait of the event loop lasts at most 200 ms.
 pub const PAUSE_MIN_MS: u64 = 400;
 
-/// A span in which this process did nothing, in milliseconds of its clock.
+/// A period in which this process did not run, in milliseconds of its clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessPause {
-    /// The last reading of the clock before it.
+    /// Last reading of the clock before the pause.
     pub began_at: u64,
-    /// The first reading after it.
+    /// First reading of the clock after the pause.
     pub ended_at: u64,
 }
 
 impl ProcessPause {
-    /// How long it lasted, in milliseconds.
+    /// Duration of the pause in milliseconds.
     #[must_use]
     pub fn duration_ms(&self) -> u64 {
         self.ended_at - self.began_at
     }
 
-    /// A time of the clock from which something is waited for, as if it were waited for since the end of the pause: what came meanwhile was
-    /// not read yet.
+    /// Returns the new start of a wait that began at `since`: the end of the pause, unless the wait began later. Messages that
+    /// arrived during the pause have not been read yet, so the time until then must not count towards a timeout.
     #[must_use]
     pub fn restart_wait(&self, since: u64) -> u64 {
         since.max(self.ended_at)
     }
 }
 
-/// Compares successive readings of the clock.
+/// Detects pauses by comparing successive readings of the clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PauseDetector {
     observed_at: Option<u64>,
 }
 
 impl PauseDetector {
-    /// The clock shows `now`. Returns the pause that ends with this reading, if there was one.
+    /// Records a reading of the clock. Returns the pause that ends with it, if there was one.
     pub fn observe(&mut self, now: u64) -> Option<ProcessPause> {
         let began_at = self.observed_at.replace(now)?;
         (now >= began_at + PAUSE_MIN_MS).then_some(ProcessPause {
--- a/crates/process_pause/tests/detector.rs
+++ b/crates/process_pause/tests/detector.rs
@@ -1,11 +1,15 @@
-//! What counts as a pause of the process.
+//! Which clock steps count as a pause, and how a pause restarts waits.
 
 use process_pause::{PauseDetector, ProcessPause, PAUSE_MIN_MS};
 
 #[test]
-fn a_long_step_of_the_clock_is_a_pause_once() {
+fn a_long_clock_step_is_reported_as_a_pause_once() {
     let mut detector = PauseDetector::default();
-    assert_eq!(detector.observe(1_000), None, "nothing is known before it");
+    assert_eq!(
+        detector.observe(1_000),
+        None,
+        "the first reading cannot end a pause"
+    );
     assert_eq!(detector.observe(1_000 + PAUSE_MIN_MS - 1), None);
     let pause = ProcessPause {
         began_at: 1_399,
@@ -17,7 +21,7 @@
 }
 
 #[test]
-fn waiting_begins_anew_with_the_end_of_a_pause() {
+fn waits_restart_at_the_end_of_a_pause() {
     let pause = ProcessPause {
         began_at: 100,
         ended_at: 900,
