--- a/crates/invariants/src/invariant.rs
+++ b/crates/invariants/src/invariant.rs
@@ -2,7 +2,7 @@
 
 macro_rules! invariants {
     ($($(#[doc = $doc:literal])+ $variant:ident => $name:literal,)+) => {
-        /// A promise that holds at any moment of a running daemon.
+        /// A property that holds at all times in a running daemon.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         #[repr(usize)]
         pub enum Invariant {
@@ -13,7 +13,7 @@
             /// All invariants.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)+];
 
-            /// The name by which logs, status and metrics know it.
+            /// Name of the invariant in logs, status and metrics.
             #[must_use]
             pub const fn name(self) -> &'static str {
                 match self {
@@ -25,36 +25,36 @@
 }
 
 invariants! {
-    /// Every admitted request is answered, rejected, left by its client or still in flight.
+    /// Every admitted request has been answered, rejected or abandoned by its client, or is still in flight.
     RequestsAreConserved => "requests_are_conserved",
-    /// A response leaves on the connection on which its request is the one that waits.
+    /// A response is sent on the connection on which its request is the one being served.
     ResponseReachesItsRequest => "response_reaches_its_request",
-    /// A request that must run at most once is not sent after it may have run.
+    /// An at-most-once request is not sent again once it may have run.
     AtMostOnceIsSentOnce => "at_most_once_is_sent_once",
     /// No request is sent to more runners than its route allows.
     AttemptsAreBounded => "attempts_are_bounded",
-    /// What a client is told has not run was not sent to a runner that may have run it.
+    /// A request that is reported to the client as not run was not sent to a runner that may have run it.
     RejectedHasNotRun => "rejected_has_not_run",
-    /// A request is sent to no runner outside the regions that its route allows.
+    /// A request is only sent to runners in the regions that its route allows.
     RequestStaysInItsRegions => "request_stays_in_its_regions",
-    /// A request with an idempotency key is sent only once its job is claimed for it.
+    /// A request with an idempotency key is only sent after it has claimed its job.
     JobIsClaimedBeforeItIsSent => "job_is_claimed_before_it_is_sent",
-    /// No seat is leased beyond the quota of its runner.
+    /// The number of leased seats of a runner never exceeds its quota.
     SeatsWithinQuota => "seats_within_quota",
     /// Each leased seat and each waiting request has one holder, and no holder more than one.
     SeatsAreAccounted => "seats_are_accounted",
-    /// The table of functions' owners that a gateway applies is newer than the one before.
+    /// An ownership table that a gateway applies is newer than the previous one.
     OwnershipMovesForward => "ownership_moves_forward",
-    /// Queues, pools and buffers stay within their stated bounds.
+    /// Queues, pools and buffers stay within their defined bounds.
     QueueIsBounded => "queue_is_bounded",
-    /// The configuration that a gateway applies is newer than the one before.
+    /// A configuration that a gateway applies is newer than the previous one.
     ConfigurationMovesForward => "configuration_moves_forward",
-    /// The evacuated zones that a gateway applies are newer than those before.
+    /// A list of evacuated zones that a gateway applies is newer than the previous one.
     EvacuationsMoveForward => "evacuations_move_forward",
-    /// The committed version of a register that a controller knows never falls within an epoch.
+    /// The committed version of a register, as known to a controller, never decreases within an epoch.
     CommittedVersionsMoveForward => "committed_versions_move_forward",
-    /// A controller scales under ascending terms.
+    /// The terms under which a controller acts as the scaler never decrease.
     TermsRise => "terms_rise",
-    /// A voter's promise for a register never falls, and what it accepted was promised.
+    /// The promised ballot of a voter for a register never decreases, and a voter accepts only what it has promised.
     PromisesAreKept => "promises_are_kept",
 }
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,11 +1,12 @@
-//! Named invariants that are checked while the daemons run.
+//! Named invariants that are checked at run time by the daemons.
 //!
-//! A promise that the tests show in chosen cases can still break in a case that nobody chose. Each invariant states one promise over the
-//! state of a running process. A violation is counted, and logged once for each invariant with the context that explains it; the counts
-//! stand in the daemons' status and metrics. A violation also ends the process (or the test) where builds have debug assertions, which is
-//! so in all tests, and where [`make_fatal`] was called. A release build goes on: serving with a wrong count is better than not serving.
+//! Tests verify a property only in the cases they cover. An invariant states a property of the state of a running process and
+//! checks it in every case that occurs. Violations are counted, and the first one of each invariant is logged with a context that
+//! explains it. The counts are part of the daemons' status and metrics. In builds with debug assertions, which includes all
+//! tests, and after [`make_fatal`] was called, a violation panics, which ends the process or the test. Otherwise a release build
+//! continues: it is better to serve with a wrong count than not to serve.
 //!
-//! Checks are cheap comparisons of state that is at hand. They never change what the caller does.
+//! Checks are cheap comparisons of available state. They never change what the caller does.
 #![warn(missing_docs)]
 
 mod invariant;
--- a/crates/invariants/src/monitor.rs
+++ b/crates/invariants/src/monitor.rs
@@ -1,4 +1,4 @@
-//! Counts violations, logs the first of each invariant, and ends the process where violations are fatal.
+//! Counts violations, logs the first one of each invariant, and panics if violations are fatal.
 
 use crate::invariant::Invariant;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -7,23 +7,22 @@
     [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 static IS_FATAL: AtomicBool = AtomicBool::new(cfg!(debug_assertions));
 
-/// From here on a violation ends the process.
+/// Makes violations fatal: from now on each one panics.
 pub fn make_fatal() {
     IS_FATAL.store(true, Ordering::Relaxed);
 }
 
-/// Whether a violation ends the process.
+/// Whether a violation panics.
 #[must_use]
 pub fn is_fatal() -> bool {
     IS_FATAL.load(Ordering::Relaxed)
 }
 
-/// Checks an invariant; `context` is made only where it is violated and says what explains the violation.
-///
-/// Returns whether it holds.
+/// Checks an invariant and returns whether it holds. `context` describes the state that explains a violation; it is only called
+/// if there is one.
 ///
 /// # Panics
-/// Where it does not hold and violations are fatal.
+/// If the invariant does not hold and violations are fatal.
 pub fn check(invariant: Invariant, holds: bool, context: impl FnOnce() -> String) -> bool {
     if !holds {
         record_violation(invariant, &context());
@@ -41,13 +40,13 @@
     assert!(!is_fatal(), "invariant violated: {name}: {context}");
 }
 
-/// Violations of an invariant since the start of the process.
+/// Number of violations of an invariant since the start of the process.
 #[must_use]
 pub fn violations(invariant: Invariant) -> u64 {
     VIOLATIONS[invariant as usize].load(Ordering::Relaxed)
 }
 
-/// Violations of all invariants since the start of the process.
+/// Number of violations of all invariants since the start of the process.
 #[must_use]
 pub fn total_violations() -> u64 {
     Invariant::ALL.iter().copied().map(violations).sum()
