--- a/crates/signals/src/lib.rs
+++ b/crates/signals/src/lib.rs
@@ -1,15 +1,16 @@
-//! Signals by which an operator stops a daemon or has its settings read anew.
+//! Handlers of the signals by which an operator stops a daemon or makes it reload its settings.
 //!
-//! A signal without a handler ends its process. A SIGHUP says that the settings have changed, which may be while they are read for the
-//! first time, so its handler is registered before: [`ReloadSignal::register`] is the first thing that a daemon does. A SIGTERM
-//! before there is anything to end in order may end the process at once, so its handler comes with [`Signals::register`].
+//! A signal without a handler terminates the process. SIGHUP means that the settings have changed. It may arrive while they are
+//! being read for the first time, so its handler must be registered before: a daemon calls [`ReloadSignal::register`] first of
+//! all. A SIGTERM may terminate the process at once as long as there is nothing to shut down cleanly, so its handler is
+//! registered later, by [`Signals::register`].
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// The handler of SIGHUP.
+/// Handler of SIGHUP, which requests a reload of the settings.
 pub struct ReloadSignal {
     requested: Arc<AtomicBool>,
 }
@@ -18,7 +19,7 @@
     /// Registers the handler.
     ///
     /// # Errors
-    /// Where the system refuses it.
+    /// If the operating system rejects the registration.
     pub fn register() -> io::Result<Self> {
         Ok(Self {
             requested: register_flag(SIGHUP)?,
@@ -26,7 +27,7 @@
     }
 }
 
-/// The handlers of all signals that a daemon heeds.
+/// Handlers of all signals that a daemon handles.
 pub struct Signals {
     stop: Arc<AtomicBool>,
     interrupt: Arc<AtomicBool>,
@@ -34,10 +35,10 @@
 }
 
 impl Signals {
-    /// Registers the handlers of SIGTERM and SIGINT beside that of SIGHUP.
+    /// Registers the handlers of SIGTERM and SIGINT, in addition to that of SIGHUP.
     ///
     /// # Errors
-    /// Where the system refuses one.
+    /// If the operating system rejects a registration.
     pub fn register(reload: ReloadSignal) -> io::Result<Self> {
         Ok(Self {
             stop: register_flag(SIGTERM)?,
@@ -46,26 +47,26 @@
         })
     }
 
-    /// Whether the process was asked to stop.
+    /// Whether SIGTERM or SIGINT was received.
     #[must_use]
     pub fn stop_requested(&self) -> bool {
         self.stop.load(Ordering::Relaxed) || self.interrupt.load(Ordering::Relaxed)
     }
 
-    /// Tells the same to another thread.
+    /// Returns a function for another thread that returns the same as [`Signals::stop_requested`].
     pub fn stop_requested_fn(&self) -> impl Fn() -> bool + Send + 'static {
         let (stop, interrupt) = (Arc::clone(&self.stop), Arc::clone(&self.interrupt));
         move || stop.load(Ordering::Relaxed) || interrupt.load(Ordering::Relaxed)
     }
 
-    /// Whether the settings are to be read anew; true once for each request.
+    /// Whether a reload of the settings was requested. Clears the request, so that it is reported once.
     #[must_use]
     pub fn take_reload_request(&self) -> bool {
         self.reload.requested.swap(false, Ordering::Relaxed)
     }
 }
 
-/// A flag that the handler of a signal sets.
+/// Registers a handler for a signal, and returns the flag that it sets.
 fn register_flag(signal: i32) -> io::Result<Arc<AtomicBool>> {
     let flag = Arc::default();
     signal_hook::flag::register(signal, Arc::clone(&flag))?;
