--- a/crates/consensus/src/consensus/changes.rs
+++ b/crates/consensus/src/consensus/changes.rs
@@ -272,7 +272,7 @@
             return;
         };
         if let ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) = &outcome {
-            // Job registers number in the thousands and are not replicated by every controller.
+            // Job registers are short-lived and number in the thousands. They are not replicated here.
             if !register::is_job_key(change.key()) {
                 self.learn_committed(now, change.key(), stored);
             }
--- a/crates/consensus/src/consensus/heartbeats.rs
+++ b/crates/consensus/src/consensus/heartbeats.rs
@@ -36,7 +36,7 @@
         self.peers.admit(address, is_permanent)
     }
 
-    /// Removes non-member peers that have been silent for a long time.
+    /// Removes peers that are neither members nor seeds and have been silent for a long time.
     pub(super) fn forget_silent_peers(&mut self, now: u64) {
         let (sets, seeds) = (&self.sets, &self.options.seeds);
         let is_permanent = |address: &str| {
--- a/crates/consensus/src/disk_work.rs
+++ b/crates/consensus/src/disk_work.rs
@@ -32,7 +32,7 @@
     Install(Installation),
     /// Repair a register with a newer committed value from another replica.
     Repair(String, RegisterState),
-    /// Rotate the time window for which finished jobs are remembered.
+    /// Rotate the time window for which jobs are remembered.
     RotateJobWindow,
     /// Confirm if the voter is durably in this set, or in a later one of its epoch.
     ConfirmInstalled {
--- a/crates/consensus/src/voter_sets.rs
+++ b/crates/consensus/src/voter_sets.rs
@@ -12,9 +12,10 @@
     Joining,
     /// The newest set contains the voter's disk, but the voter is still empty.
     Installing,
-    /// The voter is installed and in the newest set.
+    /// The voter is installed and a member of the newest set.
     Voting,
-    /// The newest set no longer contains the voter's disk. The replica is kept until the set is installed.
+    /// The newest set no longer contains the voter's disk. The replica is kept until enough members
+    /// of that set have installed it.
     Leaving,
     /// The disk is being reset.
     Resetting,
