--- a/crates/controller/src/committed_configuration.rs
+++ b/crates/controller/src/committed_configuration.rs
@@ -124,11 +124,11 @@
         let changes = self.recent_changes.since(known_version);
         let changes = changes.filter(|changes| {
             let size: usize = changes.iter().map(Vec::len).sum();
-            size < self.record.packed.len()
+            size < self.record.deflated_document.len()
         });
         let complete = || Message::Configuration {
             version: self.version,
-            document: self.record.packed.clone(),
+            document: self.record.deflated_document.clone(),
         };
         changes.map_or_else(complete, |changes| Message::ConfigurationChanges {
             base_version: known_version,
--- a/crates/operator_commands/src/configuration.rs
+++ b/crates/operator_commands/src/configuration.rs
@@ -16,7 +16,7 @@
     /// The operator's version; 0 where there is none yet.
     pub version: u64,
     /// The complete document, deflated.
-    pub packed: Vec<u8>,
+    pub deflated_document: Vec<u8>,
     /// The change that led here from the value before, deflated; empty where a complete document did.
     pub change: Vec<u8>,
     /// The newest commands that were accepted.
@@ -37,7 +37,7 @@
         if self.version == 0 {
             return Some(Vec::new());
         }
-        inflate(&self.packed, DOCUMENT_MAX)
+        inflate(&self.deflated_document, DOCUMENT_MAX)
     }
 
     /// The value after a command was accepted that puts a document in place.
@@ -54,7 +54,7 @@
         let is_update = *kind == CommandKind::Update;
         Self {
             version,
-            packed: deflate(document),
+            deflated_document: deflate(document),
             change: if is_update { deflate(body) } else { Vec::new() },
             accepted,
         }
