--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -1,39 +1,39 @@
-//! Framing: each message is preceded by its length.
+//! Framing: each message is prefixed with its length.
 
 use speedy::{LittleEndian, Readable, Writable};
 use std::fmt;
 
-/// Most bytes of a message. It bounds the memory that a damaged or hostile length can take.
+/// Maximum size of a message in bytes. It bounds the memory that a corrupt or malicious length can use.
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
-/// Bytes of the length that precedes each message.
+/// Size of the length prefix in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Why received bytes are no frames.
+/// Why received bytes are not valid frames.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The length is above [`MAX_FRAME_BYTES`].
+    /// The length prefix exceeds [`MAX_FRAME_BYTES`].
     TooLong,
-    /// The bytes of the frame decode to no message.
+    /// The frame's body cannot be decoded as a message.
     Unreadable,
 }
 
 impl fmt::Display for FrameError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::TooLong => "the frame is longer than any may be",
-            Self::Unreadable => "the frame holds no message",
+            Self::TooLong => "the frame exceeds the maximum size",
+            Self::Unreadable => "the frame cannot be decoded",
         })
     }
 }
 
 impl std::error::Error for FrameError {}
 
-/// A message as one frame: its length in four bytes, little-endian, then the message.
+/// Encodes a message as one frame: a four-byte little-endian length, then the message.
 pub fn frame<M>(message: &M) -> Vec<u8>
 where
     M: Writable<LittleEndian>,
 {
-    // Writing to memory does not fail.
+    // Writing to a `Vec` does not fail.
     let body = message.write_to_vec().unwrap_or_default();
     let mut bytes = Vec::with_capacity(LENGTH_BYTES + body.len());
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
@@ -41,24 +41,24 @@
     bytes
 }
 
-/// Reads the complete frames at the beginning of received bytes.
+/// Decodes the complete frames at the start of a buffer of received bytes.
 pub struct FrameReader<'a> {
     bytes: &'a [u8],
     consumed: usize,
 }
 
 impl<'a> FrameReader<'a> {
-    /// Frames in these bytes.
+    /// Starts reading at the beginning of the buffer.
     pub fn new(bytes: &'a [u8]) -> Self {
         Self { bytes, consumed: 0 }
     }
 
-    /// Bytes of the frames that were read.
+    /// Number of bytes in the frames read so far.
     pub fn consumed(&self) -> usize {
         self.consumed
     }
 
-    /// The next message; none where no complete frame is left.
+    /// Reads the next message. Returns `Ok(None)` if the rest of the buffer does not hold a complete frame.
     pub fn read<M>(&mut self) -> Result<Option<M>, FrameError>
     where
         M: Readable<'a, LittleEndian>,
@@ -80,13 +80,13 @@
     }
 }
 
-/// Takes the complete messages out of a connection's inbox. An error tells why the rest can hold no more; messages
-/// before it are valid.
-pub fn take_frames<M>(inbox: &mut Vec<u8>) -> (Vec<M>, Option<FrameError>)
+/// Removes all complete messages from a connection's receive buffer. On an error, the returned messages are valid, but the
+/// rest of the buffer cannot be decoded.
+pub fn take_frames<M>(buffer: &mut Vec<u8>) -> (Vec<M>, Option<FrameError>)
 where
     M: for<'a> Readable<'a, LittleEndian>,
 {
-    let mut frames = FrameReader::new(inbox);
+    let mut frames = FrameReader::new(buffer);
     let mut messages = Vec::new();
     let error = loop {
         match frames.read::<M>() {
@@ -96,6 +96,6 @@
         }
     };
     let consumed = frames.consumed();
-    inbox.drain(..consumed);
+    buffer.drain(..consumed);
     (messages, error)
 }
--- a/crates/protocol/src/functions.rs
+++ b/crates/protocol/src/functions.rs
@@ -1,103 +1,103 @@
-//! State of functions and their runners, between the controller that scales and the functions' owners.
+//! State of functions and their runners, exchanged between the scaler and the functions' owners.
 
 use crate::identifiers::UpdateVersion;
 use speedy::{Readable, Writable};
 
-/// What a function's owner reports to the controller that scales. Counters only grow within the owner's incarnation.
+/// A function owner's report to the scaler. Counters are cumulative within the owner's incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct FunctionReport {
-    /// The function.
+    /// Name of the function.
     pub function: String,
-    /// Number of the update that the owner has for it; 0 where it has none.
+    /// Number of the newest update that the owner has received for it; 0 if it has received none.
     pub update_number: u64,
-    /// Requests that came in, by the zone of the gateway that received them.
+    /// Requests received, by zone of the receiving gateway.
     pub arrivals: Vec<ZoneArrivals>,
-    /// Requests that wait for a seat now.
+    /// Requests currently waiting for a seat.
     pub waiting: u32,
-    /// Requests that were abandoned for want of a seat.
+    /// Requests abandoned because no seat was free.
     pub abandoned: u64,
-    /// What is known of each runner.
+    /// State of each known runner.
     pub runners: Vec<RunnerReport>,
 }
 
-/// Requests that the gateways of one zone received for a function.
+/// Number of requests for a function that the gateways of one zone received.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ZoneArrivals {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Requests since the owner's start.
+    /// Requests since the owner started.
     pub count: u64,
 }
 
-/// What a function's owner knows of one runner.
+/// A function owner's view of one runner.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct RunnerReport {
-    /// Id that the platform gave it.
+    /// Id assigned by the platform.
     pub id: String,
-    /// Requests that are in flight there now.
+    /// Requests currently in flight at the runner.
     pub in_use: u32,
     /// Successful responses.
     pub succeeded: u64,
-    /// Milliseconds that these responses took, summed.
+    /// Total duration of these responses in milliseconds.
     pub total_duration_ms: u64,
-    /// Requests that it rejected as over its concurrency.
+    /// Requests that the runner rejected because it was at its concurrency limit.
     pub rejected: u64,
-    /// It was reached at least once.
+    /// Whether the runner has been reached at least once.
     pub is_up: bool,
-    /// It cannot be reached any more, or another runner has its address.
+    /// Whether the runner can no longer be reached, or another runner now uses its address.
     pub is_unreachable: bool,
 }
 
-/// All runners of one function, as the controller that scales wants them.
+/// The desired runners of one function, as published by the scaler.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct FunctionUpdate {
-    /// The function.
+    /// Name of the function.
     pub function: String,
-    /// Version of the update; the highest one wins.
+    /// Version of the update; the highest version wins.
     pub version: UpdateVersion,
-    /// Its runners.
+    /// All runners of the function.
     pub runners: Vec<RunnerUpdate>,
-    /// Set while no worker has capacity for a runner of it and it has none.
+    /// Set while the function has no runner and no worker has capacity for one.
     pub start_block: Option<StartBlock>,
 }
 
-/// The statement that a function has no runner and that no worker has capacity for one now. It is valid for a bounded
-/// time and is repeated, so that it expires where the controller that made it is gone.
+/// States that a function has no runner and that no worker currently has capacity for one. It is valid for a limited time
+/// and is sent repeatedly, so that it expires if the scaler that sent it fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct StartBlock {
-    /// Milliseconds within which no new runner can be up; none where nothing is known that would free capacity.
+    /// Minimum time in milliseconds until a new runner can be up; `None` if nothing is known that would free capacity.
     pub earliest_ready_ms: Option<u32>,
-    /// Milliseconds after which a rejected request may find a runner.
+    /// Time in milliseconds after which a rejected request may be retried.
     pub retry_after_ms: u32,
-    /// Milliseconds for which the statement may be acted on.
+    /// Validity period in milliseconds.
     pub valid_ms: u32,
 }
 
-/// One runner as the controller that scales wants it.
+/// The desired state of one runner, as published by the scaler.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct RunnerUpdate {
-    /// Id that the platform gave it.
+    /// Id assigned by the platform.
     pub id: String,
-    /// Address (ip and port).
+    /// Address (IP and port).
     pub address: String,
-    /// Zone of its worker.
+    /// Zone of the runner's worker.
     pub zone: String,
-    /// Requests that may be in flight there at once, never above its function's concurrency.
+    /// Maximum number of concurrent requests; never above the function's concurrency.
     pub quota: u32,
-    /// Where it is in its lifecycle.
+    /// Stage of its lifecycle.
     pub stage: RunnerStage,
-    /// Milliseconds until it is expected to be up; 0 once it is.
+    /// Expected time in milliseconds until the runner is up; 0 once it is up.
     pub starts_in_ms: u32,
 }
 
-/// Where a runner is in its lifecycle.
+/// Stage of a runner's lifecycle.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub enum RunnerStage {
-    /// It was started and is not known to be up.
+    /// The runner was started and is not yet known to be up.
     #[default]
     Starting,
-    /// It serves requests.
+    /// The runner serves requests.
     Serving,
-    /// It gets no new requests; those in flight are completed.
+    /// The runner gets no new requests; requests in flight are completed.
     Draining,
 }
--- a/crates/protocol/src/identifiers.rs
+++ b/crates/protocol/src/identifiers.rs
@@ -1,9 +1,9 @@
-//! Identifiers and versions that messages carry.
+//! Identifiers and versions used in messages.
 
 use speedy::{Readable, Writable};
 use std::fmt;
 
-/// Number that a gateway gives to one of its requests. It is unique within the gateway's incarnation.
+/// Number that a gateway assigns to one of its requests, unique within the gateway's incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct RequestId(pub u64);
 
@@ -13,14 +13,14 @@
     }
 }
 
-/// Version of what the controller that scales publishes: updates of functions and the membership of gateways.
+/// Version of what the scaler publishes: function updates, the gateway membership and the ownership table.
 ///
-/// Versions are ordered by term first, so that an update of a later scaler replaces every one of its predecessor.
+/// Versions are ordered by term first, so that every update of a newer scaler supersedes all updates of its predecessors.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct UpdateVersion {
-    /// Term of the controller that scales; 0 where nothing was received yet.
+    /// Term of the scaler; 0 if no update has been received yet.
     pub term: u64,
-    /// Number of the update within the term.
+    /// Sequence number of the update within the term.
     pub number: u64,
 }
 
--- a/crates/protocol/src/jobs.rs
+++ b/crates/protocol/src/jobs.rs
@@ -1,76 +1,75 @@
-//! Jobs: requests that clients marked with one idempotency key, of which one is run.
+//! Jobs: requests with the same idempotency key, of which only one is run.
 
 use crate::identifiers::RequestId;
 use speedy::{Readable, Writable};
 
-/// One attempt of a request to run its job, or to get the result of a request that ran it.
+/// One attempt of a request to run its job, or to get the result from the request that ran it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct JobAttempt {
-    /// The client's idempotency key, within the client's tenant.
+    /// The client's idempotency key, unique within the client's tenant.
     pub key: String,
     /// Digest of the request's method, target and body.
     pub digest: [u8; 16],
-    /// Whether the job may run once at most.
+    /// Whether the job may run at most once.
     pub at_most_once: bool,
-    /// Incarnation of the request's gateway.
+    /// Incarnation of the gateway that received the request.
     pub incarnation: u64,
-    /// Number of the attempt among those of its request. A later attempt invalidates everything that was said about
-    /// an earlier one.
+    /// Number of the attempt within its request. A newer attempt makes all messages about earlier attempts invalid.
     pub number: u32,
 }
 
-/// How a request of a job ended at its gateway.
+/// How an attempt of a job ended at its gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum JobResult {
-    /// It ran, and this is the response, deflated.
+    /// The job ran; holds the compressed response.
     Answer(Vec<u8>),
-    /// It ran, and its response is too large for others to receive.
+    /// The job ran, but its response is too large to be shared with other requests.
     TooLarge,
-    /// It may have run, and no response will come.
+    /// The job may have run, but no response will arrive.
     Lost,
-    /// It did not run in this attempt, and never will.
+    /// The job did not run in this attempt, and this attempt will never run it.
     NotRun,
 }
 
-/// The end of an attempt of a job.
+/// Reports the end of an attempt of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct JobCompletion {
-    /// The request.
+    /// The request that made the attempt.
     pub request_id: RequestId,
-    /// The function.
+    /// Name of the function.
     pub function: String,
     /// The attempt that ended.
     pub attempt: JobAttempt,
-    /// Version of the register that held its claim; 0 where it had none.
+    /// Version of the register that held the attempt's claim; 0 if it had no claim.
     pub register_version: u64,
-    /// How it ended.
+    /// How the attempt ended.
     pub result: JobResult,
 }
 
-/// What a job's owner tells the requests for it.
+/// The outcome of a job, as its owner reports it to the requests for the job.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum JobVerdict {
-    /// The job ran, and this is its response, deflated.
+    /// The job ran; holds the compressed response.
     Answer(Vec<u8>),
-    /// The job ran, and its response was too large to be stored.
+    /// The job ran, but its response was too large to be stored.
     TooLarge,
-    /// The job may have run, and its response is lost. It is never run again.
+    /// The job may have run, but its response is lost. The job is never run again.
     MayHaveRun,
-    /// The key was used with another request.
+    /// The idempotency key was already used for a different request.
     OtherRequest,
-    /// This request was not run; a retry is worthwhile after so many milliseconds.
+    /// This request was not run; it may be retried after this number of milliseconds.
     NotRun(u32),
 }
 
-/// A controller's response about a register.
+/// A controller's response to a register request.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum RegisterResponse {
-    /// The value was written and is committed, at this version.
+    /// The value was committed at this version.
     Written(u64),
-    /// This version and value were found.
+    /// The register's current version and value.
     Found(u64, Vec<u8>),
-    /// No majority of voters was reached: nothing was written and nothing is known.
+    /// No quorum was reached: nothing was written, and the register's value is unknown.
     Unavailable,
-    /// It is not known whether the value was written.
+    /// The value may or may not have been written.
     Indeterminate,
 }
--- a/crates/protocol/src/leases.rs
+++ b/crates/protocol/src/leases.rs
@@ -1,93 +1,93 @@
-//! Leases of seats at runners: a gateway requests one from the function's owner, uses it for one request and
-//! releases it.
+//! Seat leases: a gateway requests a lease from the function's owner, uses it for one request and releases it.
 
 use crate::identifiers::RequestId;
 use crate::jobs::JobAttempt;
 use speedy::{Readable, Writable};
 
-/// A request that needs a seat at one of its function's runners.
+/// Requests a seat at one of a function's runners, for one client request.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct LeaseRequest {
-    /// The request, as its gateway numbers it.
+    /// Id of the request at its gateway.
     pub request_id: RequestId,
-    /// The function.
+    /// Name of the function.
     pub function: String,
-    /// Priority; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Milliseconds within which a lease is still of use.
+    /// Time in milliseconds after which a lease is no longer useful.
     pub timeout_ms: u32,
-    /// Ids of runners that this request was sent to before.
+    /// Ids of runners to which this request has already been sent.
     pub excluded_runners: Vec<String>,
-    /// The job that the request asks for, where its client named one.
+    /// The job attempt, if the client sent an idempotency key.
     pub job: Option<JobAttempt>,
-    /// Regions that the request must not leave; empty where all are allowed. It travels in
-    /// [`Message::RestrictedLeaseRequest`](crate::Message::RestrictedLeaseRequest), which a daemon that does not know it cannot read,
-    /// so that no owner overlooks it.
+    /// Regions to which the request is restricted; empty if all regions are allowed. The list is sent separately, in
+    /// [`Message::RestrictedLeaseRequest`](crate::Message::RestrictedLeaseRequest). Daemons without support for restrictions
+    /// cannot decode that message, so no owner ignores the restriction.
     #[speedy(skip)]
     pub allowed_regions: Vec<String>,
-    /// The tenant that sends the request, if any. It travels in [`Message::TenantLeaseRequest`](crate::Message::TenantLeaseRequest), to
-    /// daemons that understand it.
+    /// The tenant that sent the request, if any. It is sent separately, in
+    /// [`Message::TenantLeaseRequest`](crate::Message::TenantLeaseRequest), and only to daemons that support this message.
     #[speedy(skip)]
     pub tenant: Option<RequestTenant>,
 }
 
-/// The tenant that sends a request, as far as owners of seats need it.
+/// The properties of a request's tenant that seat owners need.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct RequestTenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its priority, which goes before that of the request; 0 goes first.
+    /// Priority of the tenant, compared before the priority of the request; 0 is the highest.
     pub priority: u8,
 }
 
 /// A seat at a runner, leased for one request.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct SeatLease {
-    /// The request that it is for.
+    /// The request that holds the lease.
     pub request_id: RequestId,
     /// Id of the runner.
     pub runner: String,
-    /// Address of the runner (ip and port).
+    /// Address of the runner (IP and port).
     pub address: String,
     /// Zone of the runner's worker.
     pub zone: String,
 }
 
-/// How the use of a seat ended.
+/// How the use of a leased seat ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub enum LeaseOutcome {
-    /// The runner responded with success.
+    /// The runner responded successfully.
     #[default]
     Succeeded,
     /// The seat was not used.
     Unused,
     /// The runner was at its concurrency limit and did not run the request.
     Rejected,
-    /// Nothing listens at the runner's address, or another runner does.
+    /// The runner no longer exists: nothing, or another runner, listens at its address.
     Gone,
-    /// The runner could not be reached in time.
+    /// The runner could not be reached within the timeout.
     Unreachable,
-    /// The runner may have run the request, and no usable response came.
+    /// The runner may have run the request, but no usable response was received.
     Lost,
 }
 
-/// Stands for the duration of a request that its gateway broke off at a runner. Owners of before do not look at the duration where there is
-/// no response.
+/// Reported in place of a duration if the gateway aborted the request while the runner was processing it. Older owners ignore
+/// the duration of a request without a response.
 pub const ABORTED_DURATION_MS: u32 = u32::MAX;
 
-/// A lease that its gateway gives back.
+/// Releases a lease.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct LeaseRelease {
-    /// The request that the lease was for.
+    /// The request that held the lease.
     pub request_id: RequestId,
-    /// How its use ended.
+    /// How the use of the seat ended.
     pub outcome: LeaseOutcome,
-    /// Milliseconds from the request's departure to the runner's response, or [`ABORTED_DURATION_MS`].
+    /// Time in milliseconds from sending the request to the runner's response, or [`ABORTED_DURATION_MS`].
     pub duration_ms: u32,
 }
 
 impl LeaseRelease {
-    /// Whether the gateway broke the request off while its runner was at work: the runner holds the seat until it notices.
+    /// Whether the gateway aborted the request while the runner was processing it. The seat stays occupied until the runner
+    /// notices the abort.
     #[must_use]
     pub fn is_aborted(&self) -> bool {
         let has_no_response = matches!(self.outcome, LeaseOutcome::Unused | LeaseOutcome::Lost);
@@ -95,15 +95,15 @@
     }
 }
 
-/// The requests of one gateway that are in flight at one runner.
+/// The requests that one gateway has in flight at one runner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct RunnerLeases {
     /// Id of the runner.
     pub runner: String,
-    /// Address of the runner (ip and port).
+    /// Address of the runner (IP and port).
     pub address: String,
     /// Zone of the runner's worker.
     pub zone: String,
-    /// The requests.
+    /// Ids of the requests.
     pub requests: Vec<RequestId>,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,10 @@
-//! The protocol between gateways, controllers and operators' tools: typed messages, each sent as one frame.
+//! The protocol between gateways, controllers and operator tools: typed messages, each sent as one frame.
 //!
-//! Values are encoded by position without field names, so the order of fields and variants is part of the protocol.
-//! `tests/compatibility` holds captured bytes of every message.
+//! Values are encoded by position, without field names, so the order of fields and variants is part of the protocol.
+//! `tests/compatibility` holds captured encodings of every message.
+//!
+//! Terms used here: the *scaler* is the controller that currently holds the scaler role. The *owner* of a function is the
+//! gateway that leases the seats of its runners. A *seat* is the right to run one request at a runner.
 
 mod compression;
 mod frame;
--- a/crates/protocol/src/member.rs
+++ b/crates/protocol/src/member.rs
@@ -1,16 +1,16 @@
-//! How a gateway names itself.
+//! Identity of a gateway.
 
 use speedy::{Readable, Writable};
 
-/// A gateway in the membership that the controller that scales publishes.
+/// A gateway, as listed in the gateway membership that the scaler publishes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Member {
-    /// Name from its settings.
+    /// Name of the gateway, from its settings.
     pub name: String,
-    /// Random number that it drew at its start, which tells its incarnations apart.
+    /// Random number generated when the gateway starts; distinguishes its incarnations.
     pub incarnation: u64,
-    /// Address at which other daemons reach it (ip and port).
+    /// Address for connections from other daemons (IP and port).
     pub address: String,
-    /// Zone that it runs in.
+    /// Zone of the gateway.
     pub zone: String,
 }
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -1,4 +1,4 @@
-//! Everything that gateways, controllers and operators' tools say to one another.
+//! The messages between gateways, controllers and operator tools.
 
 use crate::functions::{FunctionReport, FunctionUpdate};
 use crate::identifiers::{RequestId, UpdateVersion};
@@ -9,144 +9,144 @@
 use crate::tenants::TenantUsage;
 use speedy::{Readable, Writable};
 
-/// A message between daemons, outside the consensus of controllers.
+/// A message between daemons, except for the consensus messages among controllers.
 ///
-/// Variants and fields are encoded by position: new ones go to the end, and none is moved or removed.
+/// Variants and fields are encoded by position: append new ones at the end, and never move or remove any.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum Message {
-    /// A gateway identifies itself; the first message on each of its connections.
+    /// A gateway identifies itself. This is the first message on each connection that a gateway opens.
     GatewayHello(Member),
-    /// A gateway's heartbeat to a controller, with the versions that it has.
+    /// A gateway's heartbeat to a controller, with the versions that the gateway has applied.
     GatewayHeartbeat {
-        /// Version of the routing configuration in force.
+        /// Version of the active routing configuration.
         configuration_version: u64,
-        /// Version of the evacuated zones in force.
+        /// Version of the active set of evacuated zones.
         evacuations_version: u64,
-        /// Version of the gateway membership in force.
+        /// Version of the active gateway membership.
         membership_version: UpdateVersion,
     },
     /// A controller's heartbeat to a gateway.
     ControllerHeartbeat {
-        /// Newest committed version of the routing configuration.
+        /// Latest committed version of the routing configuration.
         configuration_version: u64,
-        /// Newest committed version of the evacuated zones.
+        /// Latest committed version of the set of evacuated zones.
         evacuations_version: u64,
-        /// Term under which it scales; 0 where it does not.
+        /// Term in which this controller is the scaler; 0 if it is not the scaler.
         term: u64,
-        /// Addresses of all controllers that it knows.
+        /// Addresses of all known controllers.
         controllers: Vec<String>,
-        /// Zone that it runs in.
+        /// Zone of the controller.
         zone: String,
-        /// Whether it is in contact with a majority of voters, so that its versions may be taken for the newest.
+        /// Whether the controller is in contact with a majority of voters, so that its versions can be considered current.
         is_current: bool,
     },
-    /// A daemon that is no gateway requests a controller's heartbeat.
+    /// A daemon other than a gateway requests a controller's heartbeat.
     RequestHeartbeat,
-    /// A gateway requests configuration that is newer than its own.
+    /// A gateway requests configuration newer than its own.
     RequestConfiguration {
-        /// Version of the routing configuration in force.
+        /// Version of the active routing configuration.
         configuration_version: u64,
-        /// Version of the evacuated zones in force.
+        /// Version of the active set of evacuated zones.
         evacuations_version: u64,
     },
     /// A committed routing configuration.
     Configuration {
-        /// Its version; the highest one wins.
+        /// Version of the configuration; the highest version wins.
         version: u64,
-        /// The operator's document, deflated.
+        /// The operator's document, compressed.
         document: Vec<u8>,
     },
-    /// Committed changes of the routing configuration, for a gateway that has the version on which the first builds.
+    /// Committed changes of the routing configuration, for a gateway that has the first change's base version.
     ConfigurationChanges {
-        /// Version on which the first change builds; each change raises it by one.
+        /// Base version of the first change; each change increments the version by one.
         base_version: u64,
-        /// The operator's changes, each deflated, the oldest first.
+        /// The operator's changes, each compressed, oldest first.
         changes: Vec<Vec<u8>>,
     },
-    /// Committed set of evacuated zones.
+    /// The committed set of evacuated zones.
     EvacuatedZones {
-        /// Its version; the highest one wins.
+        /// Version of the set; the highest version wins.
         version: u64,
-        /// Names of the zones that take no requests.
+        /// Names of the zones whose runners get no requests.
         zones: Vec<String>,
     },
-    /// The gateways that may own functions, from the controller that scales.
+    /// The gateways that may own functions, published by the scaler.
     GatewayMembership {
-        /// Its version; the highest one wins.
+        /// Version of the membership; the highest version wins.
         version: UpdateVersion,
         /// The gateways.
         members: Vec<Member>,
     },
-    /// A gateway reports the functions that it owns to the controller that scales.
+    /// A gateway reports the state of the functions that it owns to the scaler.
     FunctionReports(Vec<FunctionReport>),
-    /// The controller that scales publishes the runners of functions to their owner.
+    /// The scaler publishes the desired runners of functions to their owner.
     FunctionUpdates(Vec<FunctionUpdate>),
-    /// A gateway requests a lease from the function's owner.
+    /// A gateway requests a seat lease from the function's owner.
     LeaseRequest(LeaseRequest),
-    /// A gateway cancels a lease request; a seat that was leased for it is free.
+    /// A gateway cancels a lease request. A seat already leased for it becomes free.
     CancelRequest(RequestId),
-    /// The owner leases a seat.
+    /// The owner leases a seat to a gateway.
     SeatLease(SeatLease),
-    /// The owner has no seat for a request and will have none in time.
+    /// The owner has no seat for a request and will not have one before the request times out.
     Reject {
-        /// The rejected request.
+        /// Id of the rejected request.
         request_id: RequestId,
-        /// Milliseconds after which a retry is worthwhile.
+        /// Time in milliseconds after which the request may be retried.
         retry_after_ms: u32,
     },
-    /// A gateway gives a lease back.
+    /// A gateway releases a lease.
     LeaseRelease(LeaseRelease),
-    /// A gateway tells a function's new owner at which runners it has requests in flight.
+    /// A gateway tells a function's new owner which requests it has in flight at which runners.
     LeasesInUse {
-        /// The function.
+        /// Name of the function.
         function: String,
         /// The requests in flight, by runner.
         runners: Vec<RunnerLeases>,
     },
-    /// A probe of the peer; it answers with a pong of the same number.
+    /// Probes the peer, which answers with a pong of the same number.
     Ping(u64),
     /// The answer to a ping.
     Pong(u64),
-    /// An operator's tool requests a daemon's state.
+    /// An operator tool requests a daemon's state.
     RequestStatus,
     /// A daemon's state as JSON text.
     Status(String),
-    /// The owner tells a gateway that its request holds the claim on its job, so that it may be sent to a runner.
+    /// The owner tells a gateway that its request holds the claim on its job and may be sent to a runner.
     JobClaimed {
-        /// The request.
+        /// Id of the request.
         request_id: RequestId,
         /// Number of the attempt.
         attempt: u32,
         /// Version of the register that holds the claim.
         register_version: u64,
     },
-    /// The owner tells a gateway that another request may be running the job, and that this one waits for its result.
+    /// The owner tells a gateway that another request may be running the job, and that this request waits for the result.
     JobJoined {
-        /// The request.
+        /// Id of the request.
         request_id: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// The owner tells a gateway how the job of its request ended.
+    /// The owner tells a gateway the outcome of its request's job.
     JobVerdict {
-        /// The request.
+        /// Id of the request.
         request_id: RequestId,
         /// Number of the attempt.
         attempt: u32,
-        /// How the job ended for this request.
+        /// Outcome of the job for this request.
         verdict: JobVerdict,
     },
     /// A gateway tells the owner how an attempt of a job ended.
     JobCompletion(JobCompletion),
-    /// The owner tells a gateway that the result of its request's job is on the disks of a majority of controllers.
+    /// The owner tells a gateway that the result of its request's job is stored on the disks of a majority of controllers.
     JobPersisted(RequestId),
     /// An owner asks a controller to read or write a job's register.
     JobRegisterRequest {
-        /// Number that the response repeats.
+        /// Number of the request, repeated in the response.
         number: u64,
         /// Key of the register.
         key: String,
-        /// Version that the register must have for the write; none for a read.
+        /// Version that the register must have for the write to succeed; `None` for a read.
         expected_version: Option<u64>,
         /// The new value; empty for a read.
         value: Vec<u8>,
@@ -155,87 +155,87 @@
     JobRegisterResponse {
         /// Number of the request.
         number: u64,
-        /// What became of it.
+        /// The result.
         response: RegisterResponse,
     },
-    /// A gateway requests a lease for a request that must not leave some regions.
+    /// A gateway requests a lease for a request that is restricted to some regions.
     RestrictedLeaseRequest {
-        /// The request; its own list of regions does not travel.
+        /// The request; its `allowed_regions` field is not encoded.
         request: LeaseRequest,
-        /// The regions.
+        /// Regions to which the request is restricted.
         allowed_regions: Vec<String>,
     },
-    /// How the membership differs from the version before, for a gateway that has that version.
+    /// The difference between two versions of the gateway membership, for a gateway that has the base version.
     GatewayMembershipChange {
-        /// Version on which the change builds.
+        /// Version to which the change applies.
         base: UpdateVersion,
-        /// Its own version.
+        /// Version after the change.
         version: UpdateVersion,
-        /// Gateways that came, or began another incarnation.
+        /// Gateways that joined or restarted with a new incarnation.
         joined: Vec<Member>,
-        /// Names of the gateways that went.
+        /// Names of the gateways that left.
         left: Vec<String>,
     },
-    /// A gateway tells a controller that it understands [`GatewayMembershipChange`](Self::GatewayMembershipChange). Daemons before it
-    /// cannot read either message: a gateway sends this one only to a controller whose heartbeats leave known controllers out, which
-    /// those never do, and gets whole memberships until it has.
+    /// A gateway tells a controller that it supports [`GatewayMembershipChange`](Self::GatewayMembershipChange). Older daemons
+    /// cannot decode either message, so a gateway sends this one only to a controller whose heartbeats omit already known
+    /// controllers, which older controllers never do. Until then, the gateway receives complete memberships.
     AcceptsMembershipChanges,
-    /// A gateway tells a controller that it understands this message and all that follow. It is sent only to a controller that has
-    /// answered a ping, which those before it never do.
+    /// A gateway tells a controller that it supports this message and all variants declared after it. It is sent only to a
+    /// controller that has answered a ping, which older controllers never do.
     AcceptsOwnershipTables,
-    /// The agreed owners, from the controller that scales; in force only while all members understand it.
+    /// The ownership table published by the scaler. It is active only while all members support it.
     OwnershipTable(OwnershipTable),
-    /// How the agreed owners differ from the version before.
+    /// The difference between two consecutive versions of the ownership table.
     OwnershipChange(OwnershipChange),
-    /// A function's owner under a table of this version asks a former owner for its seats.
+    /// A gateway that owns functions under the table of this version requests the seats from a former owner.
     RequestHandover(UpdateVersion),
-    /// The former owner's answer, in parts.
+    /// The former owner's response, which may be split into several parts.
     SeatHandover(SeatHandover),
-    /// An owner that was handed leases asks the gateway that holds them whether it does. From then on the gateway gives these leases
-    /// back to this owner too.
+    /// An owner that received leases in a handover asks the gateway that holds them whether they are still in use. From then on,
+    /// the gateway releases these leases to this owner as well.
     ConfirmLeases(Vec<RequestId>),
-    /// A gateway's answer: which of these requests hold no lease any more.
+    /// A gateway's response: the requests that no longer hold a lease.
     LeasesEnded(Vec<RequestId>),
-    /// An owner has cancelled a lease request; whatever it said of the request before is void.
+    /// An owner acknowledges the cancellation of a lease request. Its earlier messages about the request are invalid.
     LeaseRequestCancelled(RequestId),
-    /// A gateway passes a lease request on to the function's owner.
+    /// A gateway relays a lease request of another gateway to the function's owner.
     RelayedLeaseRequest(RelayedLeaseRequest),
-    /// A gateway tells the controller that scales that another one is silent.
+    /// A gateway reports to the scaler that another gateway does not respond.
     SuspectedGateway {
-        /// Name of the silent gateway.
+        /// Name of the suspected gateway.
         name: String,
-        /// Its incarnation, as the sender knows it.
+        /// Incarnation of the suspected gateway, as known to the sender.
         incarnation: u64,
     },
-    /// A gateway tells a controller that it is about to stop.
+    /// A gateway tells a controller that it is shutting down.
     GatewayLeaving,
-    /// A gateway requests a lease for a request of a tenant.
+    /// A gateway requests a lease for a tenant's request.
     TenantLeaseRequest {
-        /// The request; its own list of regions and its own tenant do not travel.
+        /// The request; its `allowed_regions` and `tenant` fields are not encoded.
         request: LeaseRequest,
-        /// Regions that the request must not leave; empty where all are allowed.
+        /// Regions to which the request is restricted; empty if all regions are allowed.
         allowed_regions: Vec<String>,
-        /// The tenant.
+        /// The tenant that sent the request.
         tenant: RequestTenant,
     },
-    /// A gateway passes a lease request of a tenant on to the function's owner.
+    /// A gateway relays a tenant's lease request to the function's owner.
     RelayedTenantLeaseRequest {
-        /// The request.
+        /// The relayed request.
         relayed: RelayedLeaseRequest,
-        /// The tenant.
+        /// The tenant that sent the request.
         tenant: RequestTenant,
     },
-    /// An operator's tool asks a gateway how much each tenant has sent.
+    /// An operator tool requests a gateway's usage counters for each tenant.
     RequestTenantUsage,
-    /// What each tenant has sent to a gateway.
+    /// A gateway's usage counters for each tenant.
     TenantUsage(Vec<TenantUsage>),
 }
 
 impl Message {
-    /// The message that requests a lease of a gateway, which may understand tenants or not.
+    /// Creates the message for a lease request. The tenant is omitted if the receiving gateway does not support tenants.
     #[must_use]
-    pub fn lease_request(mut request: LeaseRequest, understands_tenants: bool) -> Self {
-        let tenant = request.tenant.take().filter(|_| understands_tenants);
+    pub fn lease_request(mut request: LeaseRequest, supports_tenants: bool) -> Self {
+        let tenant = request.tenant.take().filter(|_| supports_tenants);
         let allowed_regions = std::mem::take(&mut request.allowed_regions);
         match tenant {
             Some(tenant) => Self::TenantLeaseRequest {
@@ -251,8 +251,8 @@
         }
     }
 
-    /// The lease request that a message brings, with the regions and the tenant that travelled beside it; none where it is another
-    /// message.
+    /// Extracts the lease request from a message, including the separately encoded regions and tenant. Returns `None` for any
+    /// other message.
     #[must_use]
     pub fn into_lease_request(self) -> Option<LeaseRequest> {
         match self {
@@ -277,14 +277,11 @@
         }
     }
 
-    /// The message that passes a lease request on to a gateway, which may understand tenants or not.
+    /// Creates the message that relays a lease request. The tenant is omitted if the receiving gateway does not support tenants.
     #[must_use]
-    pub fn relayed_lease_request(
-        mut relayed: RelayedLeaseRequest,
-        understands_tenants: bool,
-    ) -> Self {
+    pub fn relayed_lease_request(mut relayed: RelayedLeaseRequest, supports_tenants: bool) -> Self {
         let tenant = relayed.request.tenant.take();
-        match tenant.filter(|_| understands_tenants) {
+        match tenant.filter(|_| supports_tenants) {
             Some(tenant) => Self::RelayedTenantLeaseRequest { relayed, tenant },
             None => Self::RelayedLeaseRequest(relayed),
         }
--- a/crates/protocol/src/ownership.rs
+++ b/crates/protocol/src/ownership.rs
@@ -1,5 +1,5 @@
-//! The agreed ownership of functions' seats: the table that the controller that scales publishes, and the hand-over of seats between
-//! a function's former owner and its next.
+//! Ownership of functions' seats: the table that the scaler publishes, and the handover of seats from a function's former
+//! owner to its new owner.
 
 use crate::functions::RunnerUpdate;
 use crate::identifiers::{RequestId, UpdateVersion};
@@ -7,69 +7,70 @@
 use crate::member::Member;
 use speedy::{Readable, Writable};
 
-/// Which gateways own functions, whole.
+/// The complete list of gateways that own functions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct OwnershipTable {
-    /// Its version; the highest one wins.
+    /// Version of the table; the highest version wins.
     pub version: UpdateVersion,
-    /// The gateways.
+    /// The member gateways.
     pub members: Vec<Member>,
-    /// Names of those that owned nothing under the version before.
+    /// Names of the members that owned nothing under the previous version.
     pub joined: Vec<String>,
-    /// Names of those that own nothing any more, since they are about to stop. They still hand over what they owned.
+    /// Names of the members that are shutting down. They own nothing any more, but still hand over what they owned.
     pub leaving: Vec<String>,
-    /// Whether it goes to all members, as the first of a term or the first that all understand. Else it goes to a gateway that came
-    /// anew and has owned nothing since.
+    /// Whether the table is sent to all members: the first table of a term, or the first one that all members support.
+    /// Otherwise it is sent to a gateway that has just joined and has not owned anything since.
     pub is_first: bool,
 }
 
-/// How a table differs from the version before, for a gateway that has that version.
+/// The difference between two versions of the table, for a gateway that has the base version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct OwnershipChange {
-    /// Version on which the change builds.
+    /// Version to which the change applies.
     pub base: UpdateVersion,
-    /// Its own version.
+    /// Version after the change.
     pub version: UpdateVersion,
-    /// Gateways that came, or began another incarnation.
+    /// Gateways that joined or restarted with a new incarnation.
     pub joined: Vec<Member>,
-    /// Names of the members that are about to stop and were not before.
+    /// Names of the members that have started to shut down since the base version.
     pub leaving: Vec<String>,
-    /// Names of the gateways that went.
+    /// Names of the gateways that left.
     pub left: Vec<String>,
 }
 
-/// A former owner hands over what it knows of functions that fell to the receiver.
+/// A former owner hands over its state of functions that the receiver now owns.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct SeatHandover {
-    /// Version of the table that the sender has applied: it leases no seat of a function that this table gives to another.
+    /// Version of the table that the sender has applied. The sender no longer leases seats of functions that this table
+    /// assigns to other owners.
     pub version: UpdateVersion,
-    /// Some of the functions; those that no part names have neither runners nor leases here.
+    /// The functions in this part. Functions not listed in any part have neither runners nor leases at the sender.
     pub functions: Vec<FunctionHandover>,
     /// Whether this is the last part.
     pub is_last: bool,
 }
 
-/// One function in a hand-over.
+/// The state of one function in a handover.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct FunctionHandover {
-    /// The function.
+    /// Name of the function.
     pub function: String,
-    /// Version of the scaler's last update of it; zero where the giver's list of runners may be old.
+    /// Version of the scaler's latest update of the function; zero if the sender's runner list may be outdated.
     pub version: UpdateVersion,
-    /// Its runners as the former owner knows them.
+    /// Runners of the function, as known to the former owner.
     pub runners: Vec<RunnerHandover>,
-    /// Its seats that are leased.
+    /// Leases of the function's seats.
     pub leases: Vec<GatewayLeases>,
 }
 
 impl FunctionHandover {
-    /// Whether the list of runners is one that the scaler has told the former owner.
+    /// Whether the scaler has confirmed the runner list to the former owner.
     #[must_use]
     pub fn is_confirmed(&self) -> bool {
         self.version != UpdateVersion::default()
     }
 
-    /// Whether a seat of this runner is leased.
+    /// Whether any seat of this runner is leased.
     #[must_use]
     pub fn has_leases_at(&self, runner: &str) -> bool {
         let mut leases = self.leases.iter().flat_map(|leases| &leases.runners);
@@ -77,41 +78,41 @@
     }
 }
 
-/// One runner in a hand-over.
+/// The state of one runner in a handover.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct RunnerHandover {
-    /// What the scaler wants of it.
+    /// Desired state of the runner, from the scaler.
     pub update: RunnerUpdate,
-    /// It was reached at least once.
+    /// Whether the runner has been reached at least once.
     pub is_up: bool,
-    /// It cannot be reached any more.
+    /// Whether the runner can no longer be reached.
     pub is_unreachable: bool,
-    /// Mean milliseconds of a response; 0 before the first.
+    /// Mean response time in milliseconds; 0 before the first response.
     pub mean_response_ms: u32,
 }
 
-/// The leases of one gateway.
+/// The leases held by one gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct GatewayLeases {
     /// Name of the gateway.
     pub gateway: String,
-    /// Its leases, by runner.
+    /// Leases of the gateway, grouped by runner.
     pub runners: Vec<RunnerLeases>,
 }
 
-/// A lease request that a gateway passes on for another one, which cannot reach the function's owner.
+/// A lease request that a gateway relays for another gateway that cannot reach the function's owner.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct RelayedLeaseRequest {
-    /// The request, under a number of the gateway that passes it on; its own list of regions does not travel.
+    /// The request, with an id assigned by the relaying gateway; its `allowed_regions` field is not encoded.
     pub request: LeaseRequest,
-    /// Zone of the gateway that has the client.
+    /// Zone of the gateway that received the client's request.
     pub zone: String,
-    /// Regions that the request must not leave; empty where all are allowed.
+    /// Regions to which the request is restricted; empty if all regions are allowed.
     pub allowed_regions: Vec<String>,
 }
 
 impl RelayedLeaseRequest {
-    /// Passes a request on under another number.
+    /// Creates a relayed request with a new id.
     #[must_use]
     pub fn new(request_id: RequestId, zone: &str, mut request: LeaseRequest) -> Self {
         let allowed_regions = std::mem::take(&mut request.allowed_regions);
@@ -126,7 +127,7 @@
         }
     }
 
-    /// The request as the function's owner takes it.
+    /// The lease request for the function's owner, including the allowed regions.
     #[must_use]
     pub fn into_request(self) -> LeaseRequest {
         LeaseRequest {
--- a/crates/protocol/src/sent_messages.rs
+++ b/crates/protocol/src/sent_messages.rs
@@ -1,10 +1,10 @@
-//! How many bytes a daemon has sent to others, by kind of message.
+//! Counts the bytes that a daemon has sent to other daemons, by message kind.
 
-/// Bytes of a frame before its message.
-const FRAME_HEAD: usize = 4;
-/// Bytes of a message that tell its kind.
+/// Size of the length prefix that precedes the message in a frame.
+const LENGTH_PREFIX_BYTES: usize = 4;
+/// Size of the variant index at the start of an encoded message.
 const KIND_BYTES: usize = 4;
-/// Names of the kinds of [`Message`](crate::Message), by their place in it.
+/// Names of the message kinds, in the order of the variants of [`Message`](crate::Message); the last name is for unknown kinds.
 const KIND_NAMES: [&str; 47] = [
     "gateway_hello",
     "gateway_heartbeat",
@@ -55,7 +55,7 @@
     "unknown",
 ];
 
-/// Bytes sent, by kind of message.
+/// Number of bytes sent, by message kind.
 #[derive(Clone, Debug)]
 pub struct SentMessages {
     bytes: [u64; KIND_NAMES.len()],
@@ -70,16 +70,16 @@
 }
 
 impl SentMessages {
-    /// Counts a frame of one message.
+    /// Counts one sent frame.
     pub fn record(&mut self, frame: &[u8]) {
-        let kind = frame.get(FRAME_HEAD..FRAME_HEAD + KIND_BYTES);
+        let kind = frame.get(LENGTH_PREFIX_BYTES..LENGTH_PREFIX_BYTES + KIND_BYTES);
         let kind = kind.and_then(|bytes| bytes.try_into().ok());
-        let place = kind.map_or(usize::MAX, |bytes| u32::from_le_bytes(bytes) as usize);
+        let index = kind.map_or(usize::MAX, |bytes| u32::from_le_bytes(bytes) as usize);
         let last = KIND_NAMES.len() - 1;
-        self.bytes[place.min(last)] += frame.len() as u64;
+        self.bytes[index.min(last)] += frame.len() as u64;
     }
 
-    /// Bytes of each kind that was sent, with its name.
+    /// Name and byte count of each message kind that has been sent.
     pub fn by_kind(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         let counts = self.bytes.iter().copied();
         let named = KIND_NAMES.into_iter().zip(counts);
--- a/crates/protocol/src/tenants.rs
+++ b/crates/protocol/src/tenants.rs
@@ -1,20 +1,21 @@
-//! Tenants, as gateways tell of them to owners of seats and to operators' tools.
+//! Tenant data in the messages from gateways to seat owners and operator tools.
 
 use speedy::{Readable, Writable};
 
-/// Bit of a [`Message::Pong`](crate::Message::Pong)'s number by which a gateway says that it understands [`Message::TenantLeaseRequest`](crate::Message::TenantLeaseRequest) and all messages after
-/// it. Gateways before it answer with the number of the ping, which bears no such bit.
+/// Bit in the number of a [`Message::Pong`](crate::Message::Pong). A gateway sets it to announce that it supports
+/// [`Message::TenantLeaseRequest`](crate::Message::TenantLeaseRequest) and all variants declared after it. Older gateways
+/// return the ping's number unchanged, in which the bit is never set.
 pub const TENANT_SUPPORT_FLAG: u64 = 1 << 63;
 
-/// What one tenant has sent to one gateway since that began.
+/// Usage counters of one tenant at one gateway, since the gateway started.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct TenantUsage {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Number of its keys.
+    /// Number of the tenant's API keys.
     pub keys: u32,
-    /// Requests with one of its keys.
+    /// Number of requests that used one of the tenant's keys.
     pub requests: u64,
-    /// Those of them that were rejected, or failed.
+    /// Number of these requests that were rejected or failed.
     pub rejected: u64,
 }
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,40 +1,40 @@
-//! Messages go through frames unchanged, however the bytes are cut, and bytes that are no frames are refused.
+//! Framing round trips, regardless of how the byte stream is split into chunks, and the rejection of invalid frames.
 
-mod drawn;
+mod random_messages;
 
-use drawn::{kind_of, message, Drawn, KINDS};
 use fuzzing::{seeded, TestResult};
 use protocol::{frame, FrameError, FrameReader, Message, RequestId, MAX_FRAME_BYTES};
 use quickcheck::Gen;
+use random_messages::{kind_index, message, RandomMessage, KIND_COUNT};
 
-/// Reads frames as a daemon does: what is no whole frame yet stays until more arrives.
-fn read_in_pieces(bytes: &[u8], cuts: &[u8]) -> Result<Vec<Message>, FrameError> {
+/// Reads frames like a daemon: an incomplete frame stays in the buffer until more bytes arrive.
+fn read_in_chunks(bytes: &[u8], lengths: &[u8]) -> Result<Vec<Message>, FrameError> {
     let mut messages = Vec::new();
-    let mut inbox: Vec<u8> = Vec::new();
+    let mut buffer: Vec<u8> = Vec::new();
     let mut rest = bytes;
-    let mut cuts = cuts.iter().cycle();
+    let mut lengths = lengths.iter().cycle();
     while !rest.is_empty() {
-        let length = cuts.next().map_or(1, |cut| usize::from(*cut) + 1);
-        let (piece, after) = rest.split_at(length.min(rest.len()));
-        inbox.extend_from_slice(piece);
+        let length = lengths.next().map_or(1, |length| usize::from(*length) + 1);
+        let (chunk, after) = rest.split_at(length.min(rest.len()));
+        buffer.extend_from_slice(chunk);
         rest = after;
-        let mut frames = FrameReader::new(&inbox);
+        let mut frames = FrameReader::new(&buffer);
         while let Some(message) = frames.read::<Message>()? {
             messages.push(message);
         }
         let consumed = frames.consumed();
-        inbox.drain(..consumed);
+        buffer.drain(..consumed);
     }
     Ok(messages)
 }
 
 #[test]
-fn every_kind_of_message_comes_back_as_it_was() {
+fn every_kind_of_message_survives_a_round_trip() {
     let mut gen = Gen::from_size_and_seed(20, 20_261_202);
-    for kind in 0..KINDS {
+    for kind in 0..KIND_COUNT {
         for _ in 0..50 {
             let sent = message(kind, &mut gen);
-            assert_eq!(kind_of(&sent), kind);
+            assert_eq!(kind_index(&sent), kind);
             let bytes = frame(&sent);
             let mut frames = FrameReader::new(&bytes);
             assert_eq!(frames.read(), Ok(Some(sent)));
@@ -47,20 +47,20 @@
 }
 
 #[test]
-fn a_lease_request_without_a_job_says_so_in_one_byte() {
+fn a_missing_job_takes_one_byte_of_a_lease_request() {
     let request = protocol::LeaseRequest {
         request_id: RequestId(7),
         function: "sign".into(),
         ..protocol::LeaseRequest::default()
     };
     let bytes = frame(&Message::LeaseRequest(request));
-    // Length, kind, request id, function, priority, time-out, no excluded runners, no job.
+    // Frame length, message kind, request id, function, priority, timeout, empty list of excluded runners, no job.
     assert_eq!(bytes.len(), 4 + 4 + 8 + (4 + 4) + 1 + 4 + 4 + 1);
     assert_eq!(bytes.last(), Some(&0));
 }
 
 #[test]
-fn regions_travel_in_a_message_that_no_older_daemon_can_read() {
+fn allowed_regions_are_sent_in_a_message_that_older_daemons_cannot_decode() {
     let request = protocol::LeaseRequest {
         allowed_regions: vec!["north".into()],
         ..protocol::LeaseRequest::default()
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_tenant_travels_to_daemons_that_understand_it_and_to_no_other() {
+fn a_tenant_is_sent_only_to_daemons_that_support_it() {
     let tenant = protocol::RequestTenant {
         name: "north".into(),
         priority: 3,
@@ -88,20 +88,23 @@
         tenant: Some(tenant.clone()),
         ..protocol::LeaseRequest::default()
     };
-    let understood = Message::lease_request(request.clone(), true);
+    let with_tenant = Message::lease_request(request.clone(), true);
     let expected = Message::TenantLeaseRequest {
         request: protocol::LeaseRequest::default(),
         allowed_regions: vec!["east".into()],
         tenant: tenant.clone(),
     };
-    assert_eq!(understood, expected);
-    assert_eq!(understood.into_lease_request(), Some(request.clone()));
-    let plain = Message::lease_request(request.clone(), false);
-    assert!(matches!(plain, Message::RestrictedLeaseRequest { .. }));
+    assert_eq!(with_tenant, expected);
+    assert_eq!(with_tenant.into_lease_request(), Some(request.clone()));
+    let without_tenant = Message::lease_request(request.clone(), false);
+    assert!(matches!(
+        without_tenant,
+        Message::RestrictedLeaseRequest { .. }
+    ));
     let relayed = protocol::RelayedLeaseRequest::new(RequestId(9), "north-a", request);
     let message = Message::relayed_lease_request(relayed.clone(), true);
     assert!(
-        matches!(message, Message::RelayedTenantLeaseRequest { tenant: told, .. } if told == tenant)
+        matches!(message, Message::RelayedTenantLeaseRequest { tenant: sent, .. } if sent == tenant)
     );
     let message = Message::relayed_lease_request(relayed, false);
     assert!(
@@ -110,15 +113,15 @@
 }
 
 #[test]
-fn too_long_a_frame_is_refused_from_its_head_on() {
-    let head = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes();
+fn an_oversized_frame_is_rejected_by_its_length_prefix() {
+    let prefix = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes();
     assert_eq!(
-        FrameReader::new(&head).read::<Message>(),
+        FrameReader::new(&prefix).read::<Message>(),
         Err(FrameError::TooLong)
     );
-    let head = u32::MAX.to_le_bytes();
+    let prefix = u32::MAX.to_le_bytes();
     assert_eq!(
-        FrameReader::new(&head).read::<Message>(),
+        FrameReader::new(&prefix).read::<Message>(),
         Err(FrameError::TooLong)
     );
     let longest = (MAX_FRAME_BYTES as u32).to_le_bytes();
@@ -126,7 +129,7 @@
 }
 
 #[test]
-fn a_frame_without_a_message_is_refused() {
+fn a_frame_without_a_valid_message_is_rejected() {
     let empty = 0u32.to_le_bytes();
     assert_eq!(
         FrameReader::new(&empty).read::<Message>(),
@@ -141,8 +144,8 @@
 }
 
 #[test]
-fn a_count_beyond_the_frame_takes_no_memory() {
-    // A list that says it holds four thousand million items, in a frame of a few bytes.
+fn an_element_count_beyond_the_frame_allocates_no_memory() {
+    // The list's element count is u32::MAX, while the frame has only a few bytes.
     let mut bytes = frame(&Message::FunctionReports(Vec::new()));
     let count = bytes.len() - 4;
     bytes[count..].copy_from_slice(&u32::MAX.to_le_bytes());
@@ -153,29 +156,29 @@
 }
 
 seeded! {
-    fn messages_survive_any_cuts(sent: Vec<Drawn>, cuts: Vec<u8>) -> TestResult {
-        let sent: Vec<Message> = sent.into_iter().map(|drawn| drawn.0).collect();
+    fn messages_survive_any_split_into_chunks(sent: Vec<RandomMessage>, lengths: Vec<u8>) -> TestResult {
+        let sent: Vec<Message> = sent.into_iter().map(|random_message| random_message.0).collect();
         let bytes: Vec<u8> = sent.iter().flat_map(frame).collect();
-        TestResult::from_bool(read_in_pieces(&bytes, &cuts) == Ok(sent))
+        TestResult::from_bool(read_in_chunks(&bytes, &lengths) == Ok(sent))
     }
 
-    fn garbage_never_panics(bytes: Vec<u8>, cuts: Vec<u8>) -> bool {
-        let _ = read_in_pieces(&bytes, &cuts);
+    fn arbitrary_bytes_never_panic(bytes: Vec<u8>, lengths: Vec<u8>) -> bool {
+        let _ = read_in_chunks(&bytes, &lengths);
         true
     }
 
-    fn damaged_frames_never_panic(sent: Drawn, place: usize, byte: u8) -> bool {
+    fn corrupt_frames_never_panic(sent: RandomMessage, position: usize, byte: u8) -> bool {
         let mut bytes = frame(&sent.0);
-        let place = place % bytes.len();
-        bytes[place] ^= byte;
+        let position = position % bytes.len();
+        bytes[position] ^= byte;
         let mut frames = FrameReader::new(&bytes);
         while let Ok(Some(message)) = frames.read::<Message>() {
-            let _ = kind_of(&message);
+            let _ = kind_index(&message);
         }
         frames.consumed() <= bytes.len()
     }
 
-    fn frames_are_read_completely_or_not_at_all(sent: Drawn, length: usize) -> bool {
+    fn incomplete_frames_are_not_read(sent: RandomMessage, length: usize) -> bool {
         let bytes = frame(&sent.0);
         let length = length % bytes.len();
         let mut frames = FrameReader::new(&bytes[..length]);
--- a/crates/protocol/tests/drawn/mod.rs
+++ b/crates/protocol/tests/random_messages/mod.rs
@@ -1,4 +1,4 @@
-//! Messages of every kind, drawn at random.
+//! Random messages of every kind.
 
 use protocol::{
     FunctionReport, FunctionUpdate, JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseOutcome,
@@ -9,37 +9,38 @@
 
 mod ownership;
 
-pub const KINDS: u8 = 45;
+/// Number of message kinds. `Ping` and `Pong` share one kind.
+pub const KIND_COUNT: u8 = 45;
 
 #[derive(Clone, Debug)]
-pub struct Drawn(pub Message);
+pub struct RandomMessage(pub Message);
 
-impl Arbitrary for Drawn {
+impl Arbitrary for RandomMessage {
     fn arbitrary(gen: &mut Gen) -> Self {
-        let kind = u8::arbitrary(gen) % KINDS;
+        let kind = u8::arbitrary(gen) % KIND_COUNT;
         Self(message(kind, gen))
     }
 }
 
-fn any<T: Arbitrary>(gen: &mut Gen) -> T {
+fn random<T: Arbitrary>(gen: &mut Gen) -> T {
     T::arbitrary(gen)
 }
 
-fn some<T>(gen: &mut Gen, draw: impl Fn(&mut Gen) -> T) -> Vec<T> {
+fn random_list<T>(gen: &mut Gen, generate: impl Fn(&mut Gen) -> T) -> Vec<T> {
     let count = u8::arbitrary(gen) % 4;
-    (0..count).map(|_| draw(gen)).collect()
+    (0..count).map(|_| generate(gen)).collect()
 }
 
 fn version(gen: &mut Gen) -> UpdateVersion {
-    let (term, number) = any(gen);
+    let (term, number) = random(gen);
     UpdateVersion { term, number }
 }
 
 fn runner_leases(gen: &mut Gen) -> RunnerLeases {
     RunnerLeases {
-        runner: any(gen),
-        address: any(gen),
-        zone: any(gen),
+        runner: random(gen),
+        address: random(gen),
+        zone: random(gen),
         requests: Vec::<u64>::arbitrary(gen)
             .into_iter()
             .map(RequestId)
@@ -49,31 +50,31 @@
 
 fn member(gen: &mut Gen) -> Member {
     Member {
-        name: any(gen),
-        incarnation: any(gen),
-        address: any(gen),
-        zone: any(gen),
+        name: random(gen),
+        incarnation: random(gen),
+        address: random(gen),
+        zone: random(gen),
     }
 }
 
 fn report(gen: &mut Gen) -> FunctionReport {
     FunctionReport {
-        function: any(gen),
-        update_number: any(gen),
+        function: random(gen),
+        update_number: random(gen),
         arrivals: Vec::<(String, u64)>::arbitrary(gen)
             .into_iter()
             .map(|(zone, count)| ZoneArrivals { zone, count })
             .collect(),
-        waiting: any(gen),
-        abandoned: any(gen),
-        runners: some(gen, |gen| RunnerReport {
-            id: any(gen),
-            in_use: any(gen),
-            succeeded: any(gen),
-            total_duration_ms: any(gen),
-            rejected: any(gen),
-            is_up: any(gen),
-            is_unreachable: any(gen),
+        waiting: random(gen),
+        abandoned: random(gen),
+        runners: random_list(gen, |gen| RunnerReport {
+            id: random(gen),
+            in_use: random(gen),
+            succeeded: random(gen),
+            total_duration_ms: random(gen),
+            rejected: random(gen),
+            is_up: random(gen),
+            is_unreachable: random(gen),
         }),
     }
 }
@@ -85,24 +86,24 @@
         RunnerStage::Draining,
     ];
     RunnerUpdate {
-        id: any(gen),
-        address: any(gen),
-        zone: any(gen),
-        quota: any(gen),
+        id: random(gen),
+        address: random(gen),
+        zone: random(gen),
+        quota: random(gen),
         stage: *gen.choose(&stages).unwrap(),
-        starts_in_ms: any(gen),
+        starts_in_ms: random(gen),
     }
 }
 
 fn function_update(gen: &mut Gen) -> FunctionUpdate {
     FunctionUpdate {
-        function: any(gen),
+        function: random(gen),
         version: version(gen),
-        runners: some(gen, runner_update),
+        runners: random_list(gen, runner_update),
         start_block: bool::arbitrary(gen).then(|| StartBlock {
-            earliest_ready_ms: any(gen),
-            retry_after_ms: any(gen),
-            valid_ms: any(gen),
+            earliest_ready_ms: random(gen),
+            retry_after_ms: random(gen),
+            valid_ms: random(gen),
         }),
     }
 }
@@ -121,30 +122,30 @@
 
 fn attempt(gen: &mut Gen) -> JobAttempt {
     let mut digest = [0; 16];
-    digest.fill_with(|| any(gen));
+    digest.fill_with(|| random(gen));
     JobAttempt {
-        key: any(gen),
+        key: random(gen),
         digest,
-        at_most_once: any(gen),
-        incarnation: any(gen),
-        number: any(gen),
+        at_most_once: random(gen),
+        incarnation: random(gen),
+        number: random(gen),
     }
 }
 
 fn verdict(gen: &mut Gen) -> JobVerdict {
     let verdicts = [
-        JobVerdict::Answer(any(gen)),
+        JobVerdict::Answer(random(gen)),
         JobVerdict::TooLarge,
         JobVerdict::MayHaveRun,
         JobVerdict::OtherRequest,
-        JobVerdict::NotRun(any(gen)),
+        JobVerdict::NotRun(random(gen)),
     ];
     gen.choose(&verdicts).unwrap().clone()
 }
 
 fn result(gen: &mut Gen) -> JobResult {
     let results = [
-        JobResult::Answer(any(gen)),
+        JobResult::Answer(random(gen)),
         JobResult::TooLarge,
         JobResult::Lost,
         JobResult::NotRun,
@@ -154,15 +155,15 @@
 
 fn response(gen: &mut Gen) -> RegisterResponse {
     let responses = [
-        RegisterResponse::Written(any(gen)),
-        RegisterResponse::Found(any(gen), any(gen)),
+        RegisterResponse::Written(random(gen)),
+        RegisterResponse::Found(random(gen), random(gen)),
         RegisterResponse::Unavailable,
         RegisterResponse::Indeterminate,
     ];
     gen.choose(&responses).unwrap().clone()
 }
 
-/// A message of the kind at this place below [`KINDS`].
+/// Generates a message of the kind with this index (below [`KIND_COUNT`]).
 pub fn message(kind: u8, gen: &mut Gen) -> Message {
     match kind {
         6 | 28 | 29 => membership_message(kind, gen),
@@ -178,14 +179,14 @@
     match kind {
         6 => Message::GatewayMembership {
             version: version(gen),
-            members: some(gen, member),
+            members: random_list(gen, member),
         },
         29 => Message::AcceptsMembershipChanges,
         _ => Message::GatewayMembershipChange {
             base: version(gen),
             version: version(gen),
-            joined: some(gen, member),
-            left: any(gen),
+            joined: random_list(gen, member),
+            left: random(gen),
         },
     }
 }
@@ -194,56 +195,56 @@
     match kind {
         0 => Message::GatewayHello(member(gen)),
         1 => Message::GatewayHeartbeat {
-            configuration_version: any(gen),
-            evacuations_version: any(gen),
+            configuration_version: random(gen),
+            evacuations_version: random(gen),
             membership_version: version(gen),
         },
         2 => Message::ControllerHeartbeat {
-            configuration_version: any(gen),
-            evacuations_version: any(gen),
-            term: any(gen),
-            controllers: any(gen),
-            zone: any(gen),
-            is_current: any(gen),
+            configuration_version: random(gen),
+            evacuations_version: random(gen),
+            term: random(gen),
+            controllers: random(gen),
+            zone: random(gen),
+            is_current: random(gen),
         },
         3 => Message::RequestConfiguration {
-            configuration_version: any(gen),
-            evacuations_version: any(gen),
+            configuration_version: random(gen),
+            evacuations_version: random(gen),
         },
         4 => Message::Configuration {
-            version: any(gen),
-            document: any(gen),
+            version: random(gen),
+            document: random(gen),
         },
         5 => Message::EvacuatedZones {
-            version: any(gen),
-            zones: any(gen),
+            version: random(gen),
+            zones: random(gen),
         },
         17 => Message::ConfigurationChanges {
-            base_version: any(gen),
-            changes: any(gen),
+            base_version: random(gen),
+            changes: random(gen),
         },
         26 => Message::RequestHeartbeat,
-        _ => unreachable!("no kind of this group"),
+        _ => unreachable!("not a kind of this group"),
     }
 }
 
 fn status_message(kind: u8, gen: &mut Gen) -> Message {
     match kind {
-        7 => Message::FunctionReports(some(gen, report)),
-        8 => Message::FunctionUpdates(some(gen, function_update)),
-        15 => Message::Ping(any(gen)),
+        7 => Message::FunctionReports(random_list(gen, report)),
+        8 => Message::FunctionUpdates(random_list(gen, function_update)),
+        15 => Message::Ping(random(gen)),
         16 => Message::RequestStatus,
-        _ => Message::Status(any(gen)),
+        _ => Message::Status(random(gen)),
     }
 }
 
 fn lease_request(gen: &mut Gen) -> LeaseRequest {
     LeaseRequest {
-        request_id: RequestId(any(gen)),
-        function: any(gen),
-        priority: any(gen),
-        timeout_ms: any(gen),
-        excluded_runners: any(gen),
+        request_id: RequestId(random(gen)),
+        function: random(gen),
+        priority: random(gen),
+        timeout_ms: random(gen),
+        excluded_runners: random(gen),
         job: bool::arbitrary(gen).then(|| attempt(gen)),
         allowed_regions: Vec::new(),
         tenant: None,
@@ -255,72 +256,72 @@
         9 => Message::LeaseRequest(lease_request(gen)),
         27 => Message::RestrictedLeaseRequest {
             request: lease_request(gen),
-            allowed_regions: any(gen),
+            allowed_regions: random(gen),
         },
-        10 => Message::CancelRequest(RequestId(any(gen))),
+        10 => Message::CancelRequest(RequestId(random(gen))),
         11 => Message::SeatLease(SeatLease {
-            request_id: RequestId(any(gen)),
-            runner: any(gen),
-            address: any(gen),
-            zone: any(gen),
+            request_id: RequestId(random(gen)),
+            runner: random(gen),
+            address: random(gen),
+            zone: random(gen),
         }),
         12 => Message::Reject {
-            request_id: RequestId(any(gen)),
-            retry_after_ms: any(gen),
+            request_id: RequestId(random(gen)),
+            retry_after_ms: random(gen),
         },
         13 => Message::LeaseRelease(LeaseRelease {
-            request_id: RequestId(any(gen)),
+            request_id: RequestId(random(gen)),
             outcome: outcome(gen),
-            duration_ms: any(gen),
+            duration_ms: random(gen),
         }),
         14 => Message::LeasesInUse {
-            function: any(gen),
-            runners: some(gen, runner_leases),
+            function: random(gen),
+            runners: random_list(gen, runner_leases),
         },
-        _ => unreachable!("no kind of this group"),
+        _ => unreachable!("not a kind of this group"),
     }
 }
 
 fn job_message(kind: u8, gen: &mut Gen) -> Message {
     match kind {
         19 => Message::JobClaimed {
-            request_id: RequestId(any(gen)),
-            attempt: any(gen),
-            register_version: any(gen),
+            request_id: RequestId(random(gen)),
+            attempt: random(gen),
+            register_version: random(gen),
         },
         20 => Message::JobJoined {
-            request_id: RequestId(any(gen)),
-            attempt: any(gen),
+            request_id: RequestId(random(gen)),
+            attempt: random(gen),
         },
         21 => Message::JobVerdict {
-            request_id: RequestId(any(gen)),
-            attempt: any(gen),
+            request_id: RequestId(random(gen)),
+            attempt: random(gen),
             verdict: verdict(gen),
         },
         22 => Message::JobCompletion(JobCompletion {
-            request_id: RequestId(any(gen)),
-            function: any(gen),
+            request_id: RequestId(random(gen)),
+            function: random(gen),
             attempt: attempt(gen),
-            register_version: any(gen),
+            register_version: random(gen),
             result: result(gen),
         }),
-        23 => Message::JobPersisted(RequestId(any(gen))),
+        23 => Message::JobPersisted(RequestId(random(gen))),
         24 => Message::JobRegisterRequest {
-            number: any(gen),
-            key: any(gen),
-            expected_version: any(gen),
-            value: any(gen),
+            number: random(gen),
+            key: random(gen),
+            expected_version: random(gen),
+            value: random(gen),
         },
         25 => Message::JobRegisterResponse {
-            number: any(gen),
+            number: random(gen),
             response: response(gen),
         },
-        _ => unreachable!("no kind of this group"),
+        _ => unreachable!("not a kind of this group"),
     }
 }
 
-/// The place of a message's kind below [`KINDS`]; a new kind of message breaks the build of the tests here.
-pub fn kind_of(message: &Message) -> u8 {
+/// Returns the index of a message's kind. Kinds about ownership and tenants are in [`ownership::kind_index`].
+pub fn kind_index(message: &Message) -> u8 {
     match message {
         Message::GatewayHello(_) => 0,
         Message::GatewayHeartbeat { .. } => 1,
@@ -352,6 +353,6 @@
         Message::RestrictedLeaseRequest { .. } => 27,
         Message::GatewayMembershipChange { .. } => 28,
         Message::AcceptsMembershipChanges => 29,
-        other => ownership::kind_of(other),
+        other => ownership::kind_index(other),
     }
 }
--- a/crates/protocol/tests/drawn/ownership.rs
+++ b/crates/protocol/tests/random_messages/ownership.rs
@@ -1,6 +1,6 @@
-//! Messages about the owners of functions' seats, drawn at random.
+//! Random messages about seat ownership and tenants.
 
-use super::{any, lease_request, member, runner_leases, runner_update, some, version};
+use super::{lease_request, member, random, random_list, runner_leases, runner_update, version};
 use protocol::{
     FunctionHandover, GatewayLeases, Message, OwnershipChange, OwnershipTable, RelayedLeaseRequest,
     RequestId, RequestTenant, RunnerHandover, SeatHandover, TenantUsage,
@@ -12,35 +12,35 @@
         30 => Message::AcceptsOwnershipTables,
         31 => Message::OwnershipTable(OwnershipTable {
             version: version(gen),
-            members: some(gen, member),
-            joined: any(gen),
-            leaving: any(gen),
-            is_first: any(gen),
+            members: random_list(gen, member),
+            joined: random(gen),
+            leaving: random(gen),
+            is_first: random(gen),
         }),
         32 => Message::OwnershipChange(OwnershipChange {
             base: version(gen),
             version: version(gen),
-            joined: some(gen, member),
-            leaving: any(gen),
-            left: any(gen),
+            joined: random_list(gen, member),
+            leaving: random(gen),
+            left: random(gen),
         }),
         33 => Message::RequestHandover(version(gen)),
         34 => Message::SeatHandover(SeatHandover {
             version: version(gen),
-            functions: some(gen, function_handover),
-            is_last: any(gen),
+            functions: random_list(gen, function_handover),
+            is_last: random(gen),
         }),
         35 => Message::ConfirmLeases(request_ids(gen)),
         36 => Message::LeasesEnded(request_ids(gen)),
         37 => Message::RelayedLeaseRequest(relayed_request(gen)),
         38 => Message::SuspectedGateway {
-            name: any(gen),
-            incarnation: any(gen),
+            name: random(gen),
+            incarnation: random(gen),
         },
         39 => Message::GatewayLeaving,
-        40 => Message::LeaseRequestCancelled(RequestId(any(gen))),
+        40 => Message::LeaseRequestCancelled(RequestId(random(gen))),
         41..=44 => tenant_message(kind, gen),
-        _ => unreachable!("no kind of this group"),
+        _ => unreachable!("not a kind of this group"),
     }
 }
 
@@ -48,7 +48,7 @@
     match kind {
         41 => Message::TenantLeaseRequest {
             request: lease_request(gen),
-            allowed_regions: any(gen),
+            allowed_regions: random(gen),
             tenant: tenant(gen),
         },
         42 => Message::RelayedTenantLeaseRequest {
@@ -56,31 +56,31 @@
             tenant: tenant(gen),
         },
         43 => Message::RequestTenantUsage,
-        _ => Message::TenantUsage(some(gen, tenant_usage)),
+        _ => Message::TenantUsage(random_list(gen, tenant_usage)),
     }
 }
 
 fn relayed_request(gen: &mut Gen) -> RelayedLeaseRequest {
     RelayedLeaseRequest {
         request: lease_request(gen),
-        zone: any(gen),
-        allowed_regions: any(gen),
+        zone: random(gen),
+        allowed_regions: random(gen),
     }
 }
 
 fn tenant(gen: &mut Gen) -> RequestTenant {
     RequestTenant {
-        name: any(gen),
-        priority: any(gen),
+        name: random(gen),
+        priority: random(gen),
     }
 }
 
 fn tenant_usage(gen: &mut Gen) -> TenantUsage {
     TenantUsage {
-        tenant: any(gen),
-        keys: any(gen),
-        requests: any(gen),
-        rejected: any(gen),
+        tenant: random(gen),
+        keys: random(gen),
+        requests: random(gen),
+        rejected: random(gen),
     }
 }
 
@@ -91,23 +91,23 @@
 
 fn function_handover(gen: &mut Gen) -> FunctionHandover {
     FunctionHandover {
-        function: any(gen),
+        function: random(gen),
         version: version(gen),
-        runners: some(gen, |gen| RunnerHandover {
+        runners: random_list(gen, |gen| RunnerHandover {
             update: runner_update(gen),
-            is_up: any(gen),
-            is_unreachable: any(gen),
-            mean_response_ms: any(gen),
+            is_up: random(gen),
+            is_unreachable: random(gen),
+            mean_response_ms: random(gen),
         }),
-        leases: some(gen, |gen| GatewayLeases {
-            gateway: any(gen),
-            runners: some(gen, runner_leases),
+        leases: random_list(gen, |gen| GatewayLeases {
+            gateway: random(gen),
+            runners: random_list(gen, runner_leases),
         }),
     }
 }
 
-/// The place of the kind of a message about owners; a new kind of message fails the tests here.
-pub fn kind_of(message: &Message) -> u8 {
+/// Returns the index of the kind of a message about ownership or tenants. Panics for a new kind that is missing here.
+pub fn kind_index(message: &Message) -> u8 {
     match message {
         Message::AcceptsOwnershipTables => 30,
         Message::OwnershipTable(_) => 31,
@@ -124,6 +124,6 @@
         Message::RelayedTenantLeaseRequest { .. } => 42,
         Message::RequestTenantUsage => 43,
         Message::TenantUsage(_) => 44,
-        other => unreachable!("no kind was given to {other:?}"),
+        other => unreachable!("no kind index for {other:?}"),
     }
 }
--- a/crates/protocol/tests/sent_messages.rs
+++ b/crates/protocol/tests/sent_messages.rs
@@ -1,13 +1,13 @@
-//! Bytes sent are counted under the name of their message.
+//! Sent bytes are counted under the name of the message kind.
 
-mod drawn;
+mod random_messages;
 
-use drawn::{kind_of, message, Drawn, KINDS};
 use fuzzing::seeded;
 use protocol::{frame, LeaseRequest, Message, RequestId, SentMessages};
 use quickcheck::Gen;
+use random_messages::{kind_index, message, RandomMessage, KIND_COUNT};
 
-fn kinds(messages: &[Message]) -> Vec<(&'static str, u64)> {
+fn bytes_by_kind(messages: &[Message]) -> Vec<(&'static str, u64)> {
     let mut sent = SentMessages::default();
     for message in messages {
         sent.record(&frame(message));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn each_kind_is_counted_under_its_name() {
+fn each_message_kind_is_counted_under_its_name() {
     let request = LeaseRequest::default();
     let size = |message: &Message| frame(message).len() as u64;
     let messages = [
@@ -35,20 +35,20 @@
         ("ping", 2 * size(&messages[0])),
         ("restricted_lease_request", size(&messages[4])),
     ];
-    assert_eq!(kinds(&messages), expected);
+    assert_eq!(bytes_by_kind(&messages), expected);
 }
 
 seeded! {
-    fn no_kind_of_message_is_unknown(drawn: Drawn) -> bool {
-        let kind = kind_of(&drawn.0);
-        let again = message(kind, &mut Gen::new(4));
-        let counted = kinds(&[drawn.0, again]);
-        kind < KINDS && counted.iter().all(|(name, _)| *name != "unknown")
+    fn every_message_kind_has_a_name(random_message: RandomMessage) -> bool {
+        let kind = kind_index(&random_message.0);
+        let other = message(kind, &mut Gen::new(4));
+        let counted = bytes_by_kind(&[random_message.0, other]);
+        kind < KIND_COUNT && counted.iter().all(|(name, _)| *name != "unknown")
     }
 }
 
 #[test]
-fn bytes_that_are_no_message_are_counted_as_unknown() {
+fn bytes_without_a_valid_message_are_counted_as_unknown() {
     let mut sent = SentMessages::default();
     sent.record(&[1, 0]);
     sent.record(&[4, 0, 0, 0, 255, 255, 255, 255]);
