--- a/crates/operator_commands/src/accepted_commands.rs
+++ b/crates/operator_commands/src/accepted_commands.rs
@@ -1,23 +1,23 @@
-//! Memory of the configuration commands that were accepted, by which one that is sent again is recognised.
+//! History of accepted configuration commands, used to recognise commands that are sent again.
 
 use crate::command::CommandKind;
 use sha2::{Digest, Sha256};
 use speedy::{Readable, Writable};
 
-/// Accepted commands that are remembered. At 24 bytes each they add 12 KiB at most to the register's value. At one change
-/// every 80 ms this spans 41 s, ten times the 4 s within which a command must be acknowledged. An older command that is
-/// sent again is left undecided, so no promise depends on this number.
+/// Maximum number of accepted commands in the history. At 24 bytes each, they add at most 12 KiB to the register's value. At
+/// one change every 80 ms, the history covers 41 s, ten times the 4 s within which a command must be acknowledged. An older
+/// command that is sent again is left undecided, so correctness does not depend on this number.
 pub const ACCEPTED_COMMANDS_MAX: usize = 512;
-/// Bytes of SHA-256 that are kept. Only commands with the same base and version are ever compared by digest; 128 bits
-/// leave a second preimage out of reach and a chance collision at 2^-128 for each pair.
+/// Length of the truncated SHA-256 digest. Digests are compared only between commands with the same version. 128 bits
+/// make a second preimage infeasible, and the probability of an accidental collision is 2^-128 for each pair.
 const DIGEST_BYTES: usize = 16;
 
-/// Identity of a configuration command: SHA-256, truncated to 128 bits, over kind, base, version and body.
+/// Identifies a configuration command: the SHA-256 of its kind, base, version and body, truncated to 128 bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct CommandDigest([u8; DIGEST_BYTES]);
 
 impl CommandDigest {
-    /// The digest of a command. White space around the body, which means nothing in JSON, does not count.
+    /// Computes the digest of a command. Leading and trailing white space of the body is ignored, as in JSON.
     pub fn of(kind: &CommandKind, base: u64, version: u64, body: &[u8]) -> Self {
         let kind: u8 = match kind {
             CommandKind::Read => 0,
@@ -37,68 +37,69 @@
     }
 }
 
-/// A command that was accepted.
+/// An accepted command.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct AcceptedCommand {
-    /// The version that it put in place.
+    /// The configuration version that the command created.
     pub version: u64,
-    /// Its identity.
+    /// Digest of the command.
     pub digest: CommandDigest,
 }
 
-/// What the memory says about a command.
+/// The result of looking up a command in the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptanceLookup {
-    /// It was accepted.
+    /// The command was accepted.
     Accepted,
-    /// It was never accepted.
+    /// The command was never accepted.
     NeverAccepted,
-    /// It may have been accepted so long ago that it was forgotten.
+    /// The command may have been accepted, but the history no longer reaches back that far.
     Forgotten,
 }
 
-/// The newest accepted commands. Each was accepted on top of the version of the one before it.
+/// The most recently accepted commands. The base of each command is the version of the previous one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct AcceptedCommands {
-    /// The version on which the oldest remembered command was accepted; 0 while nothing is forgotten.
-    floor: u64,
-    /// Remembered commands with strictly rising versions, the newest last.
+    /// Base version of the oldest command in the history; 0 if no command has been dropped.
+    oldest_base: u64,
+    /// Commands in strictly increasing order of their versions.
     commands: Vec<AcceptedCommand>,
 }
 
 impl AcceptedCommands {
-    /// Adds the newest command, and forgets the oldest ones beyond the bound.
-    pub fn remember(&mut self, command: AcceptedCommand) {
+    /// Adds a newly accepted command and drops the oldest commands beyond [`ACCEPTED_COMMANDS_MAX`].
+    pub fn record(&mut self, command: AcceptedCommand) {
         self.commands.push(command);
-        let surplus = self.commands.len().saturating_sub(ACCEPTED_COMMANDS_MAX);
-        if let Some(forgotten) = self.commands.drain(..surplus).next_back() {
-            self.floor = forgotten.version;
+        let excess = self.commands.len().saturating_sub(ACCEPTED_COMMANDS_MAX);
+        if let Some(dropped) = self.commands.drain(..excess).next_back() {
+            self.oldest_base = dropped.version;
         }
     }
 
-    /// Whether a command with this base, version and identity was accepted.
+    /// Looks up whether a command with this base, version and digest was accepted.
     ///
-    /// Accepted commands form a chain in which each builds on the version of the one before. A command that was forgotten
-    /// therefore has a base below the floor and a version not above it; every other one is known exactly.
+    /// Accepted commands form a chain: the base of each command is the version of the previous one. A dropped command
+    /// therefore has a base below `oldest_base` and a version of at most `oldest_base`. For all other commands, the answer is
+    /// exact.
     pub fn look_up(&self, base: u64, version: u64, digest: CommandDigest) -> AcceptanceLookup {
-        let place = self
+        let index = self
             .commands
             .binary_search_by_key(&version, |command| command.version);
-        if place.is_ok_and(|place| self.commands[place].digest == digest) {
+        if index.is_ok_and(|index| self.commands[index].digest == digest) {
             return AcceptanceLookup::Accepted;
         }
-        if base < version && version <= self.floor {
+        if base < version && version <= self.oldest_base {
             return AcceptanceLookup::Forgotten;
         }
         AcceptanceLookup::NeverAccepted
     }
 
-    /// Commands that are remembered.
+    /// Number of commands in the history.
     pub fn len(&self) -> usize {
         self.commands.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether the history is empty.
     pub fn is_empty(&self) -> bool {
         self.commands.is_empty()
     }
--- a/crates/operator_commands/src/command.rs
+++ b/crates/operator_commands/src/command.rs
@@ -1,35 +1,35 @@
-//! An operator's command, as far as decisions need it.
+//! An operator's command, with the properties that the decision depends on.
 
-/// What a command asks for.
+/// The operation that a command requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandKind {
-    /// Read the newest configuration.
+    /// Read the current configuration.
     Read,
-    /// Put a whole configuration in place.
+    /// Replace the whole configuration.
     Replace,
-    /// Change named items of the configuration.
+    /// Change individual items of the configuration.
     Update,
-    /// Send nothing more to the runners of a zone.
+    /// Begin the evacuation of a zone: send no more requests to its runners.
     BeginEvacuation(String),
-    /// Take the evacuation of a zone back.
+    /// Finish the evacuation of a zone: send requests to its runners again.
     FinishEvacuation(String),
 }
 
-/// The version that a configuration command builds on, as the operator states it.
+/// The base version of a configuration command, as stated by the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaseVersion {
-    /// Exactly one readable number.
+    /// A single valid number.
     Given(u64),
-    /// None is stated.
+    /// No base version is given.
     Missing,
-    /// It is stated more than once.
+    /// The base version is given more than once.
     Repeated,
-    /// It is not a whole number in decimal digits, or too large.
+    /// The value is not a decimal integer, or does not fit in 64 bits.
     Malformed,
 }
 
 impl BaseVersion {
-    /// Reads the values of the header field that carries it.
+    /// Parses the values of the header field that holds the base version.
     pub fn read<'a>(values: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut values = values.into_iter();
         let Some(value) = values.next() else {
@@ -46,21 +46,21 @@
     }
 }
 
-/// One command of an operator.
+/// A command sent by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// What it asks for.
+    /// The requested operation.
     pub kind: CommandKind,
-    /// The version that it builds on; of no meaning for reads and evacuations.
+    /// The version that the command is based on; ignored for reads and evacuations.
     pub base: BaseVersion,
-    /// The version that its body bears, where that can be read.
+    /// The version in the body; `None` if it cannot be parsed.
     pub version: Option<u64>,
-    /// Its body.
+    /// The body of the command.
     pub body: Vec<u8>,
 }
 
 impl Command {
-    /// Whether the command is about the evacuations' register and not about the configuration's.
+    /// Whether the command uses the evacuations register instead of the configuration register.
     pub fn is_evacuation(&self) -> bool {
         matches!(
             self.kind,
--- a/crates/operator_commands/src/configuration.rs
+++ b/crates/operator_commands/src/configuration.rs
@@ -1,30 +1,31 @@
-//! The value of the configuration's register.
+//! The value of the configuration register.
 //!
-//! Its encoding is stored on disks and sent between controllers: the order of the fields must stay.
+//! The encoding is stored on disk and sent between controllers, so the order of the fields must not change.
 
 use crate::accepted_commands::{AcceptedCommand, AcceptedCommands, CommandDigest};
 use crate::command::CommandKind;
 use protocol::{deflate, inflate};
 use speedy::{Readable, Writable};
 
-/// Largest document, in bytes.
+/// Maximum size of a document in bytes.
 const DOCUMENT_MAX: u64 = 64 << 20;
 
-/// The configuration in force, with what is needed to judge the next command.
+/// The active configuration, with the data needed to decide on the next command.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct ConfigurationRecord {
-    /// The operator's version; 0 where there is none yet.
+    /// Version assigned by the operator; 0 if there is no configuration yet.
     pub version: u64,
-    /// The complete document, deflated.
+    /// The complete document, compressed.
     pub deflated_document: Vec<u8>,
-    /// The change that led here from the value before, deflated; empty where a complete document did.
+    /// The update that created this value from the previous one, compressed; empty if the whole document was replaced.
     pub change: Vec<u8>,
-    /// The newest commands that were accepted.
+    /// The most recently accepted commands.
     pub accepted: AcceptedCommands,
 }
 
 impl ConfigurationRecord {
-    /// Reads a register's bytes; none where they cannot be read. A register never written holds no configuration.
+    /// Decodes a register value; `None` if it cannot be decoded. Empty bytes (a register that was never written) decode to a
+    /// record without a configuration.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         if bytes.is_empty() {
             return Some(Self::default());
@@ -32,7 +33,7 @@
         Self::read_from_buffer(bytes).ok()
     }
 
-    /// The complete document, empty where there is no configuration yet; none where it cannot be unpacked.
+    /// The decompressed document, empty if there is no configuration yet; `None` if it cannot be decompressed.
     pub fn document(&self) -> Option<Vec<u8>> {
         if self.version == 0 {
             return Some(Vec::new());
@@ -40,7 +41,7 @@
         inflate(&self.deflated_document, DOCUMENT_MAX)
     }
 
-    /// The value after a command was accepted that puts a document in place.
+    /// The value after accepting a command that results in this document.
     pub fn next(
         &self,
         kind: &CommandKind,
@@ -50,7 +51,7 @@
     ) -> ConfigurationRecord {
         let digest = CommandDigest::of(kind, self.version, version, body);
         let mut accepted = self.accepted.clone();
-        accepted.remember(AcceptedCommand { version, digest });
+        accepted.record(AcceptedCommand { version, digest });
         let is_update = *kind == CommandKind::Update;
         Self {
             version,
--- a/crates/operator_commands/src/evacuations.rs
+++ b/crates/operator_commands/src/evacuations.rs
@@ -1,29 +1,29 @@
-//! The value of the evacuations' register.
+//! The value of the evacuations register.
 //!
-//! Its encoding is stored on disks and sent between controllers: the order of the fields must stay.
+//! The encoding is stored on disk and sent between controllers, so the order of the fields must not change.
 
 use speedy::{Readable, Writable};
 
-/// When a zone's evacuation was last begun or finished.
+/// Counts how often a zone's evacuation was begun or finished.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ZoneChange {
     /// Name of the zone.
     pub zone: String,
-    /// Counted up with each change of this zone's state.
+    /// Incremented with each change of the zone's state.
     pub count: u64,
 }
 
-/// Zones that are evacuated.
+/// The evacuated zones.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct Evacuations {
-    /// Evacuated zones.
+    /// Names of the evacuated zones.
     pub zones: Vec<String>,
-    /// Changes so far of each zone that ever was evacuated; bounded by the zones that the system has.
+    /// Change counter of each zone that was ever evacuated; bounded by the number of zones in the system.
     pub changes: Vec<ZoneChange>,
 }
 
 impl Evacuations {
-    /// Reads a register's bytes; none where they cannot be read.
+    /// Decodes a register value; `None` if it cannot be decoded. Empty bytes decode to no evacuations.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         if bytes.is_empty() {
             return Some(Self::default());
@@ -36,14 +36,14 @@
         self.zones.iter().any(|known| known == zone)
     }
 
-    /// How often a zone's state has changed.
+    /// Number of changes of a zone's state.
     pub fn change_count(&self, zone: &str) -> u64 {
         let mut changes = self.changes.iter();
         let change = changes.find(|change| change.zone == zone);
         change.map_or(0, |change| change.count)
     }
 
-    /// The value after a zone's evacuation was begun or finished.
+    /// The value after beginning (`is_evacuated`) or finishing the evacuation of a zone.
     pub fn next(&self, zone: &str, is_evacuated: bool) -> Self {
         let mut next = self.clone();
         next.zones.retain(|known| known != zone);
--- a/crates/operator_commands/src/execution.rs
+++ b/crates/operator_commands/src/execution.rs
@@ -1,4 +1,4 @@
-//! The execution of one command: read at a majority, decide, write with the expected version.
+//! The execution of one command: read from a majority of voters, decide, and write conditionally on the version that was read.
 
 use crate::command::{Command, CommandKind};
 use crate::decision::{decide, CommandReply, Decision};
@@ -6,56 +6,56 @@
 use register::{ChangeOutcome, VersionedValue};
 use routing::ConfigurationFormat;
 
-/// Times that a command is decided on, the first one included. It is decided anew where another command was committed
-/// between its read and its write, and left undecided once that has happened too often.
+/// Maximum number of decisions on one command. If another command is committed between the read and the write, the command is
+/// decided on again. After this many decisions, it is left undecided.
 pub const DECISION_ATTEMPTS_MAX: u32 = 8;
 
-/// What the driver does next.
+/// The next step for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExecutionStep {
-    /// Write this value where the register still has the expected version.
+    /// Write this value if the register still has the expected version.
     Write {
         /// Expected version of the register.
         expected: u64,
         /// The new value.
         bytes: Vec<u8>,
     },
-    /// The command has ended with this answer.
+    /// Send this reply; the execution has ended.
     Reply(CommandReply),
 }
 
-/// A command that is worked on. The driver first reads the command's register at a majority, then feeds each outcome and
-/// does the step that comes back, until that is a reply.
+/// A command in execution. The driver first reads the command's register from a majority of voters. It then passes each
+/// outcome to [`Self::on_outcome`] and performs the returned step, until that step is a reply.
 #[derive(Clone, Debug)]
 pub struct CommandExecution {
     command: Command,
     attempts: u32,
     has_written: bool,
-    /// Changes of the command's zone when the command was first decided on.
-    zone_changes: Option<u64>,
+    /// Change counter of the command's zone at the first decision.
+    first_change_count: Option<u64>,
 }
 
 impl CommandExecution {
-    /// Begins a command.
+    /// Starts the execution of a command.
     pub fn new(command: Command) -> Self {
         Self {
             command,
             attempts: 0,
             has_written: false,
-            zone_changes: None,
+            first_change_count: None,
         }
     }
 
-    /// The command.
+    /// The command being executed.
     pub fn command(&self) -> &Command {
         &self.command
     }
 
-    /// Takes how the read or the write ended.
+    /// Handles the outcome of a read or write, and returns the next step.
     pub fn on_outcome(
         &mut self,
         outcome: ChangeOutcome,
-        documents: &dyn ConfigurationFormat,
+        format: &dyn ConfigurationFormat,
     ) -> ExecutionStep {
         let has_written = std::mem::take(&mut self.has_written);
         let stored = match outcome {
@@ -63,25 +63,21 @@
                 return ExecutionStep::Reply(CommandReply::Acknowledged)
             }
             ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) => stored,
-            // A value that was proposed may or may not be chosen later: neither an acknowledgement nor a rejection.
-            _ => return undecided("it is not known whether it was taken; send it again"),
+            // A proposed value may still be committed later, so the command can be neither acknowledged nor rejected.
+            _ => return undecided("it is unknown whether the command was accepted; send it again"),
         };
         self.attempts += 1;
         if self.attempts > DECISION_ATTEMPTS_MAX {
-            return undecided("other changes kept winning; send it again");
+            return undecided("too many concurrent changes; send it again");
         }
-        self.step(stored, documents)
+        self.step(stored, format)
     }
 
-    fn step(
-        &mut self,
-        stored: VersionedValue,
-        documents: &dyn ConfigurationFormat,
-    ) -> ExecutionStep {
-        match decide(&self.command, &stored.bytes, documents) {
+    fn step(&mut self, stored: VersionedValue, format: &dyn ConfigurationFormat) -> ExecutionStep {
+        match decide(&self.command, &stored.bytes, format) {
             Decision::Reply(reply) => ExecutionStep::Reply(reply),
             Decision::Write(_) if !self.may_write(&stored) => {
-                undecided("the zone was changed meanwhile; send it again")
+                undecided("the zone's state was changed concurrently; send it again")
             }
             Decision::Write(bytes) => {
                 self.has_written = true;
@@ -91,9 +87,9 @@
         }
     }
 
-    /// An evacuation command is applied only to the zone's state that it first met. Otherwise one whose caller was
-    /// answered by another member long ago could undo a newer, acknowledged command of the same zone. A configuration
-    /// command needs no such check: its base pins the one state that it applies to.
+    /// Whether the command may be written. An evacuation command applies only to the zone state that it found first. Otherwise a
+    /// delayed copy of a command that another controller has already answered could undo a newer, acknowledged command for the
+    /// same zone. Configuration commands need no such check, because their base version determines the state they apply to.
     fn may_write(&mut self, stored: &VersionedValue) -> bool {
         let (CommandKind::BeginEvacuation(zone) | CommandKind::FinishEvacuation(zone)) =
             &self.command.kind
@@ -104,7 +100,7 @@
             return false;
         };
         let changes = evacuations.change_count(zone);
-        *self.zone_changes.get_or_insert(changes) == changes
+        *self.first_change_count.get_or_insert(changes) == changes
     }
 }
 
--- a/crates/operator_commands/src/lib.rs
+++ b/crates/operator_commands/src/lib.rs
@@ -1,20 +1,21 @@
-//! Decisions on operators' commands, without I/O and without a clock, so that the daemon and the tests run the same code.
+//! Decisions on operators' commands, without I/O and without a clock, so that daemons and tests run the same code.
 //!
 //! A command is accepted, acknowledged again, rejected, or left undecided:
 //!
-//! - *accepted*: the new value was committed on top of the one that the decision was made on; acknowledged.
-//! - *acknowledged again*: a copy of an accepted command arrived. Operators send a command again until it is answered, to
-//!   any controller, so copies are common.
-//! - *rejected*: it is not in force and no copy of it ever will be.
-//! - *left undecided*: neither can be promised now; the operator sends it again.
+//! - *accepted*: the new value was committed as the direct successor of the value that the decision was based on. The command
+//!   is acknowledged.
+//! - *acknowledged again*: a copy of an accepted command arrived. Operators send a command to any controller, and repeat it
+//!   until they get an answer, so copies are common.
+//! - *rejected*: neither the command nor any copy of it was or will be applied.
+//! - *left undecided*: the command can currently be neither acknowledged nor rejected. The operator sends it again.
 //!
-//! | module | owns |
+//! | module | content |
 //! |---|---|
-//! | `command` | what an operator asks for |
-//! | `configuration`, `evacuations` | the values of the two replicated registers, and the value that follows on each |
-//! | `accepted_commands` | memory of accepted commands, by which copies are recognised |
-//! | `decision` | the decision on one command by one value of its register |
-//! | `execution` | one command over reads and writes of its register, until it has an answer |
+//! | `command` | operators' commands |
+//! | `configuration`, `evacuations` | the values of the two replicated registers, and how commands change them |
+//! | `accepted_commands` | history of accepted commands, used to recognise copies |
+//! | `decision` | the decision on one command, given the value of its register |
+//! | `execution` | the reads and writes of one command's register, until it is answered |
 
 mod accepted_commands;
 mod command;
