--- a/crates/operator_commands/tests/cluster/documents.rs
+++ b/crates/operator_commands/tests/cluster/documents.rs
@@ -1,16 +1,16 @@
-//! A small document format: named numbers, of which none may be zero.
+//! A minimal configuration format for tests: named numbers, none of which may be zero.
 
 use routing::{ConfigurationError, ConfigurationFormat, RoutingConfiguration};
 use serde_json::{json, Map, Value};
 
-/// Item that holds the number of the command that a document came from.
+/// Item with the number of the command that created the document.
 pub const COMMAND: &str = "command";
 const VERSION: &str = "version";
 const ITEMS: &str = "items";
-const DROPPED: &str = "dropped";
+const REMOVED: &str = "removed";
 
-/// Reader of the format.
-pub struct TestDocuments;
+/// Implements the test format.
+pub struct TestFormat;
 
 fn parse(bytes: &[u8]) -> Result<Map<String, Value>, ConfigurationError> {
     serde_json::from_slice(bytes).map_err(|error| ConfigurationError::Unreadable(error.to_string()))
@@ -23,7 +23,7 @@
     items.ok_or_else(|| ConfigurationError::Invalid("there are no items".into()))
 }
 
-impl ConfigurationFormat for TestDocuments {
+impl ConfigurationFormat for TestFormat {
     fn parse(&self, document: &[u8]) -> Result<RoutingConfiguration, ConfigurationError> {
         let mut document = parse(document)?;
         if items_of(&mut document)?.values().any(|value| *value == 0) {
@@ -45,8 +45,8 @@
         let mut change = parse(change)?;
         let items = items_of(&mut document)?;
         items.append(items_of(&mut change)?);
-        if let Some(dropped) = change.get(DROPPED).and_then(Value::as_str) {
-            if items.remove(dropped).is_none() {
+        if let Some(removed) = change.get(REMOVED).and_then(Value::as_str) {
+            if items.remove(removed).is_none() {
                 return Err(ConfigurationError::Invalid("there is no such item".into()));
             }
         }
@@ -55,26 +55,26 @@
     }
 }
 
-/// A body that sets the command's number and one more item.
+/// A body that sets the command number and one other item.
 pub fn body(version: u64, command: u64, item: &str, value: u64) -> Vec<u8> {
     json!({ VERSION: version, ITEMS: { COMMAND: command, item: value } })
         .to_string()
         .into_bytes()
 }
 
-/// A change that drops an item which may not be there.
-pub fn dropping_body(version: u64, command: u64, item: &str) -> Vec<u8> {
-    json!({ VERSION: version, ITEMS: { COMMAND: command }, DROPPED: item })
+/// A change that removes an item, which may not exist.
+pub fn body_removing(version: u64, command: u64, item: &str) -> Vec<u8> {
+    json!({ VERSION: version, ITEMS: { COMMAND: command }, REMOVED: item })
         .to_string()
         .into_bytes()
 }
 
-/// The version that a body or document bears.
+/// The version in a body or document.
 pub fn version_of(document: &[u8]) -> Option<u64> {
     parse(document).ok()?.get(VERSION)?.as_u64()
 }
 
-/// The number of the command that a document came from.
+/// The number of the command that created a document.
 pub fn command_of(document: &[u8]) -> Option<u64> {
     let mut document = parse(document).ok()?;
     items_of(&mut document).ok()?.get(COMMAND)?.as_u64()
--- a/crates/operator_commands/tests/cluster/faults.rs
+++ b/crates/operator_commands/tests/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of members and voters.
+//! Injected faults: restarts of members, lost voter disks and message loss.
 
 use super::members::Member;
 use super::{Cluster, CONFIGURATION, EVACUATIONS};
@@ -15,14 +15,15 @@
         }
     }
 
-    /// A member forgets all that it works on; its callers hear nothing more.
+    /// Restarts a member. It loses its running commands, whose operators get no reply.
     fn restart_member(&mut self) {
         let place = self.random.random_range(0..self.members.len());
         self.last_incarnation += 1;
         self.members[place] = Member::new(self.last_incarnation);
     }
 
-    /// A voter loses its disk. The next set is installed with all that the other two hold.
+    /// Replaces a voter that lost its disk. The replacement gets the newest register states of the other two voters under a new
+    /// voter set.
     fn replace_voter(&mut self) {
         let place = self.random.random_range(0..self.voters.len());
         let mut set = self.set.clone();
--- a/crates/operator_commands/tests/cluster/members.rs
+++ b/crates/operator_commands/tests/cluster/members.rs
@@ -1,6 +1,6 @@
-//! Members: each executes commands over rounds of the register.
+//! Members of the simulated cluster. Each executes operators' commands with proposals to the voters.
 
-use super::documents::{version_of, TestDocuments};
+use super::documents::{version_of, TestFormat};
 use super::{Cluster, CommandAttempt, Envelope, CONFIGURATION, EVACUATIONS};
 use operator_commands::{CommandExecution, CommandReply, ExecutionStep};
 use rand::Rng;
@@ -10,16 +10,16 @@
 };
 use std::collections::BTreeMap;
 
-/// Steps after which a round that has not ended is given up.
-const ROUND_STEPS: u64 = 40;
+/// Steps after which an unfinished proposal is abandoned.
+const PROPOSAL_TIMEOUT_STEPS: u64 = 40;
 
 pub struct RunningCommand {
     attempt: CommandAttempt,
     execution: CommandExecution,
     proposal: Proposal,
     request: u64,
-    began_at: u64,
-    /// Set of voters that the round was begun under; it ends with it.
+    started_at: u64,
+    /// Version of the voter set in which the proposal started; voters with another set version reject its requests.
     set_version: SetVersion,
 }
 
@@ -81,13 +81,13 @@
         let ballot = self.members[member].next_ballot(Ballot::default());
         let key = key_of(&execution);
         let (proposal, operation) = Proposal::start(key, change, tag, ballot, voters);
-        let began_at = self.now;
+        let started_at = self.now;
         let running = RunningCommand {
             attempt,
             execution,
             proposal,
             request: 0,
-            began_at,
+            started_at,
             set_version: self.set.version(),
         };
         self.members[member].running.insert(attempt.number, running);
@@ -154,23 +154,24 @@
             return;
         };
         let attempt = running.attempt;
-        match running.execution.on_outcome(outcome, &TestDocuments) {
+        match running.execution.on_outcome(outcome, &TestFormat) {
             ExecutionStep::Write { expected, bytes } => {
                 let change = Change::Write { expected, bytes };
                 self.propose(member, attempt, running.execution, change);
             }
             ExecutionStep::Reply(reply) => {
-                self.oracle.replied(attempt.command, &reply);
+                self.oracle.check_reply(attempt.command, &reply);
                 self.send(Envelope::Reply { attempt, reply });
             }
         }
     }
 
-    /// Gives up rounds that have not ended in time.
-    pub fn expire_rounds(&mut self) {
+    /// Abandons proposals that have timed out.
+    pub fn expire_proposals(&mut self) {
         for member in 0..self.members.len() {
             let running = self.members[member].running.iter();
-            let late = running.filter(|(_, running)| running.began_at + ROUND_STEPS < self.now);
+            let late = running
+                .filter(|(_, running)| running.started_at + PROPOSAL_TIMEOUT_STEPS < self.now);
             let late: Vec<u64> = late.map(|(attempt, _)| *attempt).collect();
             for attempt in late {
                 let outcome = self.members[member].running[&attempt].proposal.abandon();
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Reads the configuration at a member, with every message delivered.
+    /// Reads the configuration through a member, without message loss.
     pub fn read_now(&mut self, member: usize) -> CommandReply {
         let ballot = self.members[member].next_ballot(Ballot {
             counter: 1 << 40,
@@ -208,15 +209,15 @@
                     }
                     ProposalStep::Done(outcome) => {
                         let mut execution = CommandExecution::new(super::operators::read_command());
-                        let step = execution.on_outcome(outcome, &TestDocuments);
+                        let step = execution.on_outcome(outcome, &TestFormat);
                         let ExecutionStep::Reply(reply) = step else {
-                            panic!("a read wants to write");
+                            panic!("a read command requests a write");
                         };
                         return reply;
                     }
                 }
             }
-            panic!("a read does not end");
+            panic!("a read does not complete");
         }
     }
 }
--- a/crates/operator_commands/tests/cluster/mod.rs
+++ b/crates/operator_commands/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Operators, members and voters in a seeded world whose messages are lost, late and out of order. Voters and rounds are
-//! the product's own; members run the product's own executions of commands.
+//! A seeded simulation of operators, members and voters, in which messages are lost, delayed and reordered. Voters, proposals
+//! and command executions are production code.
 
 #![allow(dead_code)]
 
@@ -22,7 +22,7 @@
 const VOTERS: u64 = 3;
 const MEMBERS: usize = 4;
 
-/// One sending of a command to one member.
+/// One transmission of a command to one member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CommandAttempt {
     pub command: u64,
@@ -57,10 +57,10 @@
 pub struct Settings {
     pub operators: usize,
     pub steps: usize,
-    /// Share of messages that are lost.
+    /// Fraction of messages that are lost.
     pub loss: f64,
-    /// Commands after which a paused operator goes on, at most.
-    pub longest_pause: u64,
+    /// Maximum number of acknowledged commands for which an operator pauses.
+    pub max_pause: u64,
     pub has_faults: bool,
 }
 
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Runs the part with faults, then lets everything come to an end and reads back.
+    /// Runs the simulation with faults, then without faults until all commands have ended, and checks the final state.
     pub fn run(&mut self) {
         for _ in 0..self.settings.steps {
             self.step();
@@ -127,8 +127,8 @@
                 break;
             }
         }
-        self.read_back();
-        self.oracle.end();
+        self.check_reads();
+        self.oracle.check_end();
     }
 
     fn step(&mut self) {
@@ -139,12 +139,12 @@
         let place = self.random.random_range(0..self.operators.len());
         self.advance_operator(place);
         for _ in 0..self.random.random_range(1..=24) {
-            self.deliver_any();
+            self.deliver_random_message();
         }
-        self.expire_rounds();
+        self.expire_proposals();
     }
 
-    fn deliver_any(&mut self) {
+    fn deliver_random_message(&mut self) {
         if self.in_transit.is_empty() {
             return;
         }
@@ -192,10 +192,10 @@
         }
     }
 
-    fn read_back(&mut self) {
+    fn check_reads(&mut self) {
         for member in 0..self.members.len() {
             let reply = self.read_now(member);
-            self.oracle.read_back(&reply);
+            self.oracle.check_read(&reply);
         }
     }
 }
--- a/crates/operator_commands/tests/cluster/operators.rs
+++ b/crates/operator_commands/tests/cluster/operators.rs
@@ -1,23 +1,23 @@
-//! Operators: each has up to eight commands under way and sends each again, unchanged, to any member, until it is
-//! acknowledged or rejected.
+//! Simulated operators. Each has up to eight commands in flight, and sends each command again, unchanged, to a random member
+//! until it is acknowledged or rejected.
 
-use super::documents::{body, dropping_body, version_of};
+use super::documents::{body, body_removing, version_of};
 use super::{Cluster, CommandAttempt, Envelope, ZONES};
 use operator_commands::{BaseVersion, Command, CommandKind, CommandReply};
 use rand::Rng;
 
 const IN_FLIGHT_MAX: usize = 8;
-/// Steps of silence after which a command is sent again.
+/// Steps without a reply after which a command is sent again.
 const RETRY_STEPS: u64 = 60;
-/// Times that an evacuation is sent at most.
-const EVACUATION_TRIES: u32 = 6;
+/// Maximum number of times that an evacuation command is sent.
+const EVACUATION_TRIES_MAX: u32 = 6;
 
 pub struct Pending {
     command: u64,
     attempt: u64,
     sent_at: u64,
     tries: u32,
-    /// Acknowledged commands after which the operator goes on with this one.
+    /// Number of acknowledged commands at which the operator resumes this command.
     resumes_at: u64,
 }
 
@@ -65,10 +65,10 @@
         self.last_command += 1;
         let number = self.last_command;
         let command = self.random_command(number);
-        self.oracle.begin(number, command);
-        let pauses = self.settings.longest_pause > 0 && self.random.random_bool(0.1);
+        self.oracle.record_command(number, command);
+        let pauses = self.settings.max_pause > 0 && self.random.random_bool(0.1);
         let pause = if pauses {
-            self.random.random_range(0..=self.settings.longest_pause)
+            self.random.random_range(0..=self.settings.max_pause)
         } else {
             0
         };
@@ -94,13 +94,13 @@
             1 => known + self.random.random_range(0..3),
             _ => known,
         };
-        // Few numbers to choose from, so that operators pick the same one.
+        // The range is small, so that different operators pick the same version.
         let version =
             base + self.random.random_range(0..3) + u64::from(self.random.random_bool(0.9));
         let item = ["one", "two", "three"][self.random.random_range(0..3)];
         let value = u64::from(!self.random.random_bool(0.05));
         let (kind, body) = match self.random.random_range(0..5) {
-            0 => (CommandKind::Update, dropping_body(version, number, item)),
+            0 => (CommandKind::Update, body_removing(version, number, item)),
             1 | 2 if known > 0 => (CommandKind::Update, body(version, number, item, value)),
             _ => (CommandKind::Replace, body(version, number, item, value)),
         };
@@ -140,7 +140,7 @@
         else {
             return;
         };
-        if is_evacuation && pending[at].tries >= EVACUATION_TRIES {
+        if is_evacuation && pending[at].tries >= EVACUATION_TRIES_MAX {
             pending.swap_remove(at);
             return;
         }
@@ -156,13 +156,13 @@
         self.send(Envelope::Command { member, attempt });
     }
 
-    /// The operator hears the answer to the attempt that it waits for; others are lost on closed connections.
+    /// Delivers the reply to an operator's latest attempt. Replies to earlier attempts are lost, as on closed connections.
     pub fn handle_reply(&mut self, attempt: CommandAttempt, reply: &CommandReply) {
         let now = self.now;
         for operator in &mut self.operators {
             let mut pending = operator.pending.iter();
-            let waits = pending.position(|pending| pending.attempt == attempt.number);
-            let Some(at) = waits else {
+            let awaited = pending.position(|pending| pending.attempt == attempt.number);
+            let Some(at) = awaited else {
                 continue;
             };
             if let CommandReply::Undecided(_) = reply {
@@ -170,7 +170,7 @@
                 continue;
             }
             operator.pending.swap_remove(at);
-            self.oracle.answered(attempt.command, reply);
+            self.oracle.check_delivered_reply(attempt.command, reply);
         }
     }
 }
--- a/crates/operator_commands/tests/cluster/oracle.rs
+++ b/crates/operator_commands/tests/cluster/oracle.rs
@@ -1,6 +1,6 @@
-//! Knows which values were chosen, by looking at all voters, and what was answered; panics where a promise is broken.
+//! Tracks which values were committed, by observing all voters, and which replies were sent. Panics if a guarantee is violated.
 
-use super::documents::{command_of, TestDocuments};
+use super::documents::{command_of, TestFormat};
 use super::{CONFIGURATION, EVACUATIONS};
 use operator_commands::{
     BaseVersion, Command, CommandKind, CommandReply, ConfigurationRecord, Evacuations,
@@ -9,43 +9,43 @@
 use routing::ConfigurationFormat;
 use std::collections::{BTreeMap, BTreeSet};
 
-struct Begun {
+struct SentCommand {
     command: Command,
-    /// Version of the evacuations' register when the command was first sent.
-    evacuations_at: u64,
+    /// Version of the evacuations register when the command was first sent.
+    evacuations_version: u64,
 }
 
 #[derive(Default)]
 pub struct Oracle {
-    /// Voters that accepted a value, by key and ballot.
+    /// Voters that have accepted a value, by key and ballot.
     accepted: BTreeMap<(&'static str, Ballot), BTreeSet<usize>>,
-    begun: BTreeMap<u64, Begun>,
-    /// Command that made each version of the configuration's register.
-    chain: BTreeMap<u64, u64>,
+    sent: BTreeMap<u64, SentCommand>,
+    /// Number of the command that created each version of the configuration register.
+    command_by_version: BTreeMap<u64, u64>,
     configurations: BTreeMap<u64, ConfigurationRecord>,
     evacuations: BTreeMap<u64, Evacuations>,
     acknowledged: BTreeSet<u64>,
     rejected: BTreeSet<u64>,
-    seen: BTreeMap<(String, u64), (u64, Vec<u8>)>,
+    committed: BTreeMap<(String, u64), (u64, Vec<u8>)>,
     pub undecided: usize,
     pub acknowledged_again: usize,
     pub stale: usize,
 }
 
 impl Oracle {
-    pub fn begin(&mut self, number: u64, command: Command) {
-        let evacuations_at = self.evacuations.keys().next_back().copied().unwrap_or(0);
-        self.begun.insert(
+    pub fn record_command(&mut self, number: u64, command: Command) {
+        let evacuations_version = self.evacuations.keys().next_back().copied().unwrap_or(0);
+        self.sent.insert(
             number,
-            Begun {
+            SentCommand {
                 command,
-                evacuations_at,
+                evacuations_version,
             },
         );
     }
 
     pub fn command(&self, number: u64) -> &Command {
-        &self.begun[&number].command
+        &self.sent[&number].command
     }
 
     pub fn newest_version(&self) -> u64 {
@@ -57,11 +57,11 @@
         self.acknowledged.len() as u64
     }
 
-    pub fn chosen_count(&self) -> usize {
-        self.chain.len()
+    pub fn committed_count(&self) -> usize {
+        self.command_by_version.len()
     }
 
-    /// Looks for values that a majority of voters has accepted under one ballot, at once or one after the other.
+    /// Detects values that a majority of voters has accepted under one ballot, not necessarily at the same time.
     pub fn observe(&mut self, voters: &[Acceptor]) {
         for key in [CONFIGURATION, EVACUATIONS] {
             for (place, voter) in voters.iter().enumerate() {
@@ -72,36 +72,37 @@
                 let accepted = self.accepted.entry((key, held.accepted)).or_default();
                 let is_new = accepted.insert(place);
                 if is_new && accepted.len() > voters.len() / 2 {
-                    self.note_chosen(key, &held.value);
+                    self.record_committed(key, &held.value);
                 }
             }
         }
     }
 
-    fn note_chosen(&mut self, key: &str, stored: &VersionedValue) {
+    fn record_committed(&mut self, key: &str, stored: &VersionedValue) {
         let place = (key.to_string(), stored.version);
-        if let Some((tag, bytes)) = self.seen.get(&place) {
+        if let Some((tag, bytes)) = self.committed.get(&place) {
             assert!(
                 *tag == stored.tag && *bytes == stored.bytes,
                 "two values at {place:?}"
             );
             return;
         }
-        self.seen.insert(place, (stored.tag, stored.bytes.clone()));
+        self.committed
+            .insert(place, (stored.tag, stored.bytes.clone()));
         if key == EVACUATIONS {
             let evacuations = Evacuations::read(&stored.bytes).unwrap();
             self.evacuations.insert(stored.version, evacuations);
             return;
         }
         let configuration = ConfigurationRecord::read(&stored.bytes).unwrap();
-        self.note_configuration(stored.version, configuration);
+        self.record_configuration(stored.version, configuration);
     }
 
-    fn note_configuration(&mut self, at: u64, configuration: ConfigurationRecord) {
+    fn record_configuration(&mut self, at: u64, configuration: ConfigurationRecord) {
         let document = configuration.document().unwrap();
         assert!(
-            TestDocuments.parse(&document).is_ok(),
-            "an invalid one is in force"
+            TestFormat.parse(&document).is_ok(),
+            "an invalid configuration was committed"
         );
         let number = command_of(&document).unwrap();
         let command = self.command(number);
@@ -110,30 +111,35 @@
         let former_version = former.map_or(0, |former| former.version);
         assert!(
             at == 1 || former.is_some(),
-            "a version of the register was skipped"
+            "a register version was skipped"
         );
         assert_eq!(
             command.base,
             BaseVersion::Given(former_version),
-            "accepted on another base"
+            "the command was accepted with another base"
         );
         assert!(configuration.version > former_version);
-        let is_again = self.chain.values().any(|accepted| *accepted == number);
-        assert!(!is_again, "command {number} was accepted twice");
+        let is_repeated = self
+            .command_by_version
+            .values()
+            .any(|accepted| *accepted == number);
+        assert!(!is_repeated, "command {number} was accepted twice");
         assert!(
             !self.rejected.contains(&number),
-            "command {number} was rejected and is in force"
+            "command {number} was rejected, but is committed"
         );
-        self.chain.insert(at, number);
+        self.command_by_version.insert(at, number);
         self.configurations.insert(at, configuration);
     }
 
-    fn is_chosen(&self, number: u64) -> bool {
-        self.chain.values().any(|accepted| *accepted == number)
+    fn is_committed(&self, number: u64) -> bool {
+        self.command_by_version
+            .values()
+            .any(|accepted| *accepted == number)
     }
 
-    /// A member answers, whether the operator hears it or not.
-    pub fn replied(&mut self, number: u64, reply: &CommandReply) {
+    /// Checks a member's reply, whether it reaches the operator or not.
+    pub fn check_reply(&mut self, number: u64, reply: &CommandReply) {
         let command = self.command(number).clone();
         match reply {
             CommandReply::Acknowledged if command.is_evacuation() => {
@@ -141,8 +147,8 @@
             }
             CommandReply::Acknowledged => {
                 assert!(
-                    self.is_chosen(number),
-                    "command {number} was acknowledged and is not in force"
+                    self.is_committed(number),
+                    "command {number} was acknowledged, but is not committed"
                 );
                 self.acknowledged_again += usize::from(!self.acknowledged.insert(number));
                 let same_base = self
@@ -152,14 +158,14 @@
                 assert_eq!(
                     same_base.count(),
                     1,
-                    "two were acknowledged on {:?}",
+                    "two commands with the base {:?} were acknowledged",
                     command.base
                 );
             }
             CommandReply::Rejected(kind, reason) => {
                 assert!(
-                    !self.is_chosen(number),
-                    "command {number} is in force and is rejected: {reason}"
+                    !self.is_committed(number),
+                    "command {number} is committed, but was rejected: {reason}"
                 );
                 self.stale += usize::from(*kind == operator_commands::RejectionKind::Stale);
                 self.rejected.insert(number);
@@ -169,37 +175,39 @@
         }
     }
 
-    /// What was acknowledged held at some moment since the command was first sent.
+    /// Checks that the acknowledged state existed at some time since the command was first sent.
     fn check_evacuation(&self, number: u64, command: &Command) {
         let (zone, is_begin) = match &command.kind {
             CommandKind::BeginEvacuation(zone) => (zone, true),
             CommandKind::FinishEvacuation(zone) => (zone, false),
             _ => return,
         };
-        let since = self.begun[&number].evacuations_at;
+        let since = self.sent[&number].evacuations_version;
         let mut states = self.evacuations.range(since..);
-        let held = states.any(|(_, state)| state.is_evacuated(zone) == is_begin);
+        let has_existed = states.any(|(_, state)| state.is_evacuated(zone) == is_begin);
         assert!(
-            held || (since == 0 && !is_begin),
-            "an evacuation never held"
+            has_existed || (since == 0 && !is_begin),
+            "the acknowledged evacuation state never existed"
         );
     }
 
-    pub fn answered(&mut self, number: u64, reply: &CommandReply) {
+    /// Checks a reply that reached the operator.
+    pub fn check_delivered_reply(&mut self, number: u64, reply: &CommandReply) {
         if matches!(reply, CommandReply::Acknowledged) {
             assert!(
                 !self.rejected.contains(&number),
-                "command {number} has two answers"
+                "command {number} was both rejected and acknowledged"
             );
         }
     }
 
-    pub fn read_back(&self, reply: &CommandReply) {
+    /// Checks the result of a final read.
+    pub fn check_read(&self, reply: &CommandReply) {
         let Some(newest) = self.configurations.values().next_back() else {
             return;
         };
         let CommandReply::Document(document) = reply else {
-            panic!("nothing is read back: {reply:?}");
+            panic!("the final read returned no document: {reply:?}");
         };
         assert_eq!(*document, newest.document().unwrap());
         let newest_acknowledged = self
@@ -209,12 +217,12 @@
         assert!(newest.version >= newest_acknowledged.max().unwrap_or(0));
     }
 
-    pub fn end(&self) {
+    pub fn check_end(&self) {
         assert!(self.rejected.is_disjoint(&self.acknowledged));
-        for number in self.chain.values() {
+        for number in self.command_by_version.values() {
             assert!(
                 !self.rejected.contains(number),
-                "command {number} was rejected and is in force"
+                "command {number} was rejected, but is committed"
             );
         }
     }
--- a/crates/operator_commands/tests/executions.rs
+++ b/crates/operator_commands/tests/executions.rs
@@ -1,10 +1,10 @@
-//! A command's way over reads and writes, whatever their outcomes.
+//! The execution of commands for all outcomes of their reads and writes.
 
 #[path = "cluster/documents.rs"]
 #[allow(dead_code)]
 mod documents;
 
-use documents::{body, TestDocuments};
+use documents::{body, TestFormat};
 use operator_commands::{
     BaseVersion, Command, CommandExecution, CommandKind, CommandReply, Evacuations, ExecutionStep,
     DECISION_ATTEMPTS_MAX,
@@ -46,7 +46,7 @@
 }
 
 fn feed(execution: &mut CommandExecution, outcome: ChangeOutcome) -> ExecutionStep {
-    execution.on_outcome(outcome, &TestDocuments)
+    execution.on_outcome(outcome, &TestFormat)
 }
 
 fn is_undecided(step: &ExecutionStep) -> bool {
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_read_or_write_without_a_clear_end_is_neither_acknowledged_nor_rejected() {
+fn a_command_is_undecided_after_a_read_or_write_with_an_unknown_outcome() {
     for outcome in undecided_outcomes() {
         let mut reading = replace(0, 1, 1);
         assert!(is_undecided(&feed(&mut reading, outcome.clone())));
@@ -78,13 +78,13 @@
 }
 
 #[test]
-fn a_write_that_another_copy_of_the_command_made_is_acknowledged() {
+fn a_command_that_another_copy_has_already_written_is_acknowledged() {
     let (mut one, mut other) = (replace(0, 1, 1), replace(0, 1, 1));
     let ExecutionStep::Write { bytes, .. } = feed(
         &mut one,
         ChangeOutcome::Committed(VersionedValue::default()),
     ) else {
-        panic!("it is not written");
+        panic!("the command is not written");
     };
     feed(
         &mut other,
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_late_copy_of_an_evacuation_command_does_not_undo_a_newer_one() {
+fn a_delayed_copy_of_an_evacuation_command_does_not_undo_a_newer_one() {
     let begun = Evacuations::default().next(ZONE, true);
     let mut finish = evacuation(CommandKind::FinishEvacuation(ZONE.into()));
     let step = feed(
@@ -103,17 +103,17 @@
         ChangeOutcome::Committed(evacuations(&begun, 1)),
     );
     assert!(matches!(step, ExecutionStep::Write { expected: 1, .. }));
-    // Meanwhile another copy finished it, was acknowledged, and the evacuation was begun anew.
-    let begun_anew = begun.next(ZONE, false).next(ZONE, true);
+    // Meanwhile, another copy finished the evacuation and was acknowledged, and a new evacuation began.
+    let begun_again = begun.next(ZONE, false).next(ZONE, true);
     let step = feed(
         &mut finish,
-        ChangeOutcome::Conflict(evacuations(&begun_anew, 3)),
+        ChangeOutcome::Conflict(evacuations(&begun_again, 3)),
     );
     assert!(is_undecided(&step), "{step:?}");
 }
 
 #[test]
-fn a_change_of_another_zone_does_not_keep_an_evacuation_from_being_accepted() {
+fn an_evacuation_is_accepted_despite_a_concurrent_change_of_another_zone() {
     let mut begin = evacuation(CommandKind::BeginEvacuation(ZONE.into()));
     let before = Evacuations::default();
     feed(
@@ -126,14 +126,14 @@
         ChangeOutcome::Conflict(evacuations(&other_zone, 2)),
     );
     let ExecutionStep::Write { expected: 2, bytes } = step else {
-        panic!("it is not written again: {step:?}");
+        panic!("the command is not written again: {step:?}");
     };
     let both = Evacuations::read(&bytes).unwrap();
     assert!(both.is_evacuated(ZONE) && both.is_evacuated("zone-b"));
 }
 
 #[test]
-fn a_command_that_always_comes_too_late_ends_without_a_clear_answer() {
+fn a_command_with_too_many_conflicts_is_left_undecided() {
     let mut begin = evacuation(CommandKind::BeginEvacuation(ZONE.into()));
     let mut value = Evacuations::default();
     for round in 0..DECISION_ATTEMPTS_MAX {
