--- a/crates/consensus/src/consensus/membership.rs
+++ b/crates/consensus/src/consensus/membership.rs
@@ -192,7 +192,7 @@
         let view = MembershipView {
             now,
             replacement_timeout_ms: self.options.replacement_timeout_ms,
-            me: &me,
+            local_voter: &me,
             set,
             answering: &reachable,
             committed_version: set.number - 1,
--- a/crates/core/src/joining.rs
+++ b/crates/core/src/joining.rs
@@ -24,7 +24,7 @@
     let view = MembershipView {
         now: now_ms(),
         replacement_timeout_ms: timeout,
-        me: &me,
+        local_voter: &me,
         set,
         answering: &answering,
         committed_version: version,
--- a/crates/simulator/src/core_joining.rs
+++ b/crates/simulator/src/core_joining.rs
@@ -140,7 +140,7 @@
         let view = MembershipView {
             now: net.now,
             replacement_timeout_ms: TIMEOUT,
-            me: &me,
+            local_voter: &me,
             set: &set,
             answering,
             committed_version: stored.version,
--- a/crates/voter/src/membership_change.rs
+++ b/crates/voter/src/membership_change.rs
@@ -28,7 +28,7 @@
     /// How long a member must have been silent before it is replaced, in milliseconds.
     pub replacement_timeout_ms: u64,
     /// This empty voter.
-    pub me: &'a VoterRef,
+    pub local_voter: &'a VoterRef,
     /// The set that the others are in.
     pub set: &'a VoterSet,
     /// Disks that answer now.
@@ -58,11 +58,11 @@
         if view.committed_set.version() > view.set.version() {
             return MembershipStep::Adopt(view.committed_set.clone());
         }
-        if view.set.contains_disk(view.me.disk) {
+        if view.set.contains_disk(view.local_voter.disk) {
             return MembershipStep::Install;
         }
         let vacant = self.vacant_disk(view);
-        let next = vacant.and_then(|disk| view.set.with_replacement(disk, view.me.clone()));
+        let next = vacant.and_then(|disk| view.set.with_replacement(disk, view.local_voter.clone()));
         next.map_or(MembershipStep::Wait, |next| MembershipStep::Propose {
             expected: view.committed_version,
             next,
@@ -78,7 +78,7 @@
         self.follow_silence(view.now, &missing);
         let emptied = missing
             .iter()
-            .find(|voter| voter.address == view.me.address);
+            .find(|voter| voter.address == view.local_voter.address);
         let mut silent = self.silent.iter();
         let silent = silent.find(|member| member.since + view.replacement_timeout_ms <= view.now);
         emptied
