--- a/crates/anti_entropy/src/digests.rs
+++ b/crates/anti_entropy/src/digests.rs
@@ -71,7 +71,7 @@
     }
 
     /// Ranges in which another replica differs.
-    pub fn differing(&self, other: &[u64]) -> Vec<u16> {
+    pub fn differing_ranges(&self, other: &[u64]) -> Vec<u16> {
         let pairs = self.ranges.iter().zip(other).enumerate();
         pairs
             .filter(|(_, (mine, theirs))| mine != theirs)
--- a/crates/anti_entropy/tests/digests.rs
+++ b/crates/anti_entropy/tests/digests.rs
@@ -35,6 +35,6 @@
         let mut other = one.clone();
         let name = format!("other-{changed}");
         other.update(&name, None, Some(version(2)));
-        one.differing(other.as_slice()) == vec![range_of(&name)]
+        one.differing_ranges(other.as_slice()) == vec![range_of(&name)]
     }
 }
--- a/crates/core/src/repair.rs
+++ b/crates/core/src/repair.rs
@@ -62,7 +62,7 @@
 ) -> Option<(ReplicaDigest, Vec<(String, RegisterState)>)> {
     let copy = copy_of(shared, address)?;
     let own = known.map_or_else(RangeDigests::default, RangeDigests::from_ranges);
-    let differing = own.differing(&copy.ranges);
+    let differing = own.differing_ranges(&copy.ranges);
     let mut keys = Vec::new();
     for range in differing {
         let answer = shared
--- a/crates/simulator/src/core_joining.rs
+++ b/crates/simulator/src/core_joining.rs
@@ -113,7 +113,7 @@
         if held.set().epoch == 0 || copy.set.version() != held.set().version() {
             return;
         }
-        for range in held.digests().differing(&copy.ranges) {
+        for range in held.digests().differing_ranges(&copy.ranges) {
             let number = REPAIR_BASE + u64::from(range);
             self.say(net, from, number, PeerMessage::Range(range));
         }
--- a/crates/voter/src/membership_change.rs
+++ b/crates/voter/src/membership_change.rs
@@ -62,7 +62,8 @@
             return MembershipStep::Install;
         }
         let vacant = self.vacant_disk(view);
-        let next = vacant.and_then(|disk| view.set.with_replacement(disk, view.local_voter.clone()));
+        let next =
+            vacant.and_then(|disk| view.set.with_replacement(disk, view.local_voter.clone()));
         next.map_or(MembershipStep::Wait, |next| MembershipStep::Propose {
             expected: view.committed_version,
             next,
--- a/crates/voter/tests/membership_change.rs
+++ b/crates/voter/tests/membership_change.rs
@@ -19,7 +19,11 @@
 }
 
 /// A view at time 0 with a time-out of 0, in which the committed set is the one that the others are in.
-fn view<'a>(local_voter: &'a VoterRef, set: &'a VoterSet, answering: &'a [u64]) -> MembershipView<'a> {
+fn view<'a>(
+    local_voter: &'a VoterRef,
+    set: &'a VoterSet,
+    answering: &'a [u64],
+) -> MembershipView<'a> {
     MembershipView {
         now: 0,
         replacement_timeout_ms: 0,
