--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -1,22 +1,22 @@
-//! Replicated registers: one compare-and-swap register for each key, kept by a small set of voters.
+//! Replicated registers: one compare-and-swap register per key, replicated across a small set of voters.
 //!
 //! Each change of a register runs single-decree Paxos (prepare and accept) at a majority of the voters, with the version that
-//! the proposer expects; a read asks a majority what it accepted last, and commits that value first where the majority does
-//! not agree. There is no replicated log and no leader, so that registers are independent of one another.
+//! the proposer expects. A read asks a majority for the value accepted last and, if the answers differ, commits the newest
+//! value before returning it. There is no replicated log and no leader, so registers are independent of one another.
 //!
-//! The crate does no input or output of its own, except for [`RegisterClient`]:
+//! The crate performs no I/O, except for [`RegisterClient`]:
 //!
-//! * [`Proposal`] is a proposer's side of one change, over as many ballots ([`Round`]) as it takes;
-//! * [`Acceptor`] is a voter's side. It gives a [`Record`] with each answer that promises or accepts something;
-//! * [`VoterSet`] is the membership, and [`merge_replicas`] what a voter that joins it must start from.
+//! * [`Proposal`] is the proposer's side of one change, which may take several ballots (one [`Round`] each);
+//! * [`Acceptor`] is the voter's side. It returns a [`Record`] with each response that promises or accepts something;
+//! * [`VoterSet`] is the membership. [`merge_replicas`] computes the state that a joining voter starts from.
 //!
-//! What must never happen:
+//! Invariants:
 //!
-//! * An answer that goes with a [`Record`] leaves before the record is durable.
-//! * A voter accepts below a ballot that it promised, or answers a request for another [`SetVersion`] than its own.
-//! * Two values are committed at one version of a register within an epoch.
+//! * A response that comes with a [`Record`] is sent only after the record is durable.
+//! * A voter never accepts a ballot below one that it promised, nor serves a request for a [`SetVersion`] other than its own.
+//! * At most one value is committed for each version of a register within an epoch.
 //!
-//! Begin to read at [`Round`], then [`Acceptor::handle`].
+//! Start reading at [`Round`], then [`Acceptor::handle`].
 #![warn(missing_docs)]
 
 mod acceptor;
--- a/crates/register/src/message.rs
+++ b/crates/register/src/message.rs
@@ -1,28 +1,27 @@
-//! What a proposer asks of a voter, and what the voter answers. Both travel on the wire: the order of fields and variants is
-//! their form.
+//! Requests from proposers to voters, and the responses. The order of fields and variants is the wire format.
 
 use crate::value::{Ballot, VersionedValue};
 use crate::voter_set::{SetVersion, VoterSet};
 use speedy::{Readable, Writable};
 
-/// A request to a voter, with the version of the set that the proposer uses.
+/// A request to a voter, which serves it only if both use the same voter set.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct VoterRequest {
     /// Version of the voter set that the proposer uses.
     pub set_version: SetVersion,
-    /// What the voter is to do.
+    /// The requested operation.
     pub operation: VoterOperation,
 }
 
-/// What a proposer asks of a voter.
+/// An operation that a proposer requests from a voter.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum VoterOperation {
-    /// What has been accepted? Promises nothing.
+    /// Return the value accepted last, without a promise.
     Query {
         /// Key of the register.
         key: String,
     },
-    /// First phase: promise to accept nothing below the ballot.
+    /// First phase: promise to accept no ballot below this one.
     Prepare {
         /// Key of the register.
         key: String,
@@ -35,38 +34,38 @@
         key: String,
         /// The proposer's ballot.
         ballot: Ballot,
-        /// The value.
+        /// The proposed value.
         value: VersionedValue,
     },
 }
 
-/// What a voter answers.
+/// A voter's response.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum VoterResponse {
-    /// To a query or a prepare: what was accepted last, and under which ballot.
+    /// Response to a query or a prepare: the value accepted last, and its ballot.
     LastAccepted {
         /// Ballot under which the value was accepted.
         ballot: Ballot,
-        /// The value; version 0 where there is none.
+        /// The value; version 0 if there is none.
         value: VersionedValue,
     },
-    /// The value was accepted and synced.
+    /// The value was accepted and is durable.
     Accepted,
     /// A higher ballot was promised.
     Rejected {
-        /// That ballot.
+        /// The promised ballot.
         promised: Ballot,
     },
-    /// The proposer uses another set than the voter.
+    /// The proposer uses a different voter set than the voter.
     SetMismatch {
-        /// The voter's own set, epoch 0 where it has none.
+        /// The voter's own set; epoch 0 if it belongs to none.
         set: VoterSet,
     },
-    /// The key was issued before a time whose claims the voter no longer knows.
+    /// The key is a claim that is too old: the voter may have deleted its value already.
     Expired,
-    /// The voter cannot answer: its disk failed or its table is full.
+    /// The voter cannot serve the request, for example because its disk failed or its table is full.
     Unavailable {
-        /// Why, in a short sentence.
+        /// The reason, as a short sentence.
         reason: String,
     },
 }
@@ -79,7 +78,7 @@
         }
     }
 
-    /// The proposer's ballot; none for a query, which promises nothing.
+    /// The proposer's ballot; `None` for a query, which makes no promise.
     pub fn ballot(&self) -> Option<Ballot> {
         match self {
             Self::Query { .. } => None,
--- a/crates/register/src/promise_check.rs
+++ b/crates/register/src/promise_check.rs
@@ -1,9 +1,9 @@
-//! Checks that a voter's answer keeps what the voter promised before.
+//! Checks that a voter keeps its earlier promises.
 
 use crate::value::RegisterState;
 use invariants::{check, Invariant};
 
-/// Checks a register's next state against the one before: no ballot falls, and what is accepted was promised.
+/// Checks a register's next state against the former one: ballots never decrease, and none is accepted above the promise.
 pub(crate) fn check_promise(key: &str, former: Option<&RegisterState>, next: &RegisterState) {
     let (promised, accepted) = former.map_or_else(Default::default, |former| {
         (former.promised, former.accepted)
--- a/crates/register/src/record.rs
+++ b/crates/register/src/record.rs
@@ -1,15 +1,15 @@
-//! Changes of a voter's state, as they are written to its journal. The order of variants and fields is the form on the disk.
+//! Changes of a voter's state as written to its journal. The order of variants and fields is the on-disk format.
 
 use crate::value::RegisterState;
 use crate::voter_set::VoterSet;
 use speedy::{Readable, Writable};
 
-/// A change of an [`Acceptor`](crate::Acceptor) that must be durable before the answer that goes with it is given.
+/// A change of an [`Acceptor`](crate::Acceptor) that must be durable before the response that goes with it is sent.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum Record {
-    /// A key's new state.
+    /// The new state of a key.
     Register(String, RegisterState),
-    /// The voter's set.
+    /// The voter set that the voter now belongs to.
     VoterSet(VoterSet),
     /// See [`ClaimFloors::forgotten_before`](crate::ClaimFloors::forgotten_before).
     ForgottenBefore(u64),
--- a/crates/register/src/value.rs
+++ b/crates/register/src/value.rs
@@ -1,42 +1,42 @@
-//! What a register holds, and how replicas of it are merged.
+//! The state of a register, and merging of its replicas.
 
 use anti_entropy::EntryVersion;
 use speedy::{Readable, Writable};
 use std::collections::BTreeMap;
 
-/// A ballot: the higher one wins, and no two proposers share one.
+/// A ballot number. The higher ballot takes precedence, and no two proposers share one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub struct Ballot {
-    /// Counted up by each proposer past all it has seen.
+    /// A proposer always picks a counter above all that it has seen.
     pub counter: u64,
     /// Random id of the proposer's incarnation.
     pub proposer: u64,
 }
 
-/// A value in a register.
+/// A register's value and its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct VersionedValue {
-    /// Counted up by one with each change; 0 is a register that was never written.
+    /// Incremented by one with each change; 0 means that the register was never written.
     pub version: u64,
-    /// Random tag of the write, by which a writer knows its own value again.
+    /// Random tag of the write, by which a writer recognizes its own value.
     pub tag: u64,
-    /// The value.
+    /// The serialized value, opaque to this crate.
     pub bytes: Vec<u8>,
 }
 
-/// What a voter holds for one key.
+/// A voter's state for one key.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct RegisterState {
     /// Highest ballot promised.
     pub promised: Ballot,
-    /// Ballot under which the value was accepted; blank where none was.
+    /// Ballot under which the value was accepted; the default ballot if none was.
     pub accepted: Ballot,
-    /// The accepted value.
+    /// Value that was accepted last; version 0 if none was.
     pub value: VersionedValue,
 }
 
 impl RegisterState {
-    /// What tells two accepted values of a key apart.
+    /// Identifies the accepted value when replicas of a key are compared.
     pub(crate) fn entry_version(&self) -> EntryVersion {
         EntryVersion {
             counter: self.accepted.counter,
@@ -45,8 +45,8 @@
     }
 }
 
-/// Merges the replicas of a majority into what a joining voter must hold: for each key the newest accepted value and the
-/// highest promise. With anything less it could break a promise that its predecessor gave.
+/// Merges the replicas of a majority into the state that a joining voter must start from: for each key, the newest accepted
+/// value and the highest promise. With anything less, the new voter could break a promise that its predecessor made.
 pub fn merge_replicas(replicas: Vec<Vec<(String, RegisterState)>>) -> Vec<(String, RegisterState)> {
     let mut merged: BTreeMap<String, RegisterState> = BTreeMap::new();
     for (key, state) in replicas.into_iter().flatten() {
--- a/crates/register/src/voter_set.rs
+++ b/crates/register/src/voter_set.rs
@@ -1,32 +1,32 @@
-//! The membership of the voters and its changes, which are themselves committed in a register.
+//! The set of voters. Its changes are themselves committed in a register.
 
 use speedy::{Readable, Writable};
 use std::fmt;
 
-/// Key of the register that commits which set follows.
+/// Key of the register in which each next voter set is committed.
 pub const VOTERS_KEY: &str = "voters";
 
-/// A voter: the id made with its disk, and where it is reached.
+/// A voter, identified by its disk, and its address.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct VoterRef {
-    /// Random id made with the disk.
+    /// Random id, generated when the disk was initialized.
     pub disk: u64,
-    /// Wire address.
+    /// Address for the wire protocol.
     pub address: String,
 }
 
-/// The members whose majority commits a change. Each set differs from the one before it in a single member.
+/// The voters, a majority of which commits a change. Each set differs from its predecessor in a single member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct VoterSet {
-    /// Grows only when all state was lost and was gathered anew.
+    /// Increases only when all state was lost and has been rebuilt.
     pub epoch: u64,
-    /// Grows with each change of the set within an epoch.
+    /// Increases with each change of the set within an epoch.
     pub number: u64,
-    /// The voters themselves.
+    /// Members of the set.
     pub voters: Vec<VoterRef>,
 }
 
-/// Version of a voter set: a later epoch wins, then a higher number.
+/// Version of a voter set, ordered by epoch, then by number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct SetVersion {
     /// See [`VoterSet::epoch`].
@@ -36,7 +36,7 @@
 }
 
 impl SetVersion {
-    /// Version of the set with this number in an epoch.
+    /// Version of the set with this epoch and number.
     pub const fn new(epoch: u64, number: u64) -> Self {
         Self { epoch, number }
     }
@@ -49,12 +49,12 @@
 }
 
 impl VoterSet {
-    /// How many voters make a majority.
+    /// Number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Version of this set, with which a proposer and a voter check that they mean the same set.
+    /// Version of this set, by which a proposer and a voter check that they use the same set.
     pub fn version(&self) -> SetVersion {
         SetVersion {
             epoch: self.epoch,
@@ -67,8 +67,8 @@
         self.voters.iter().any(|voter| voter.disk == disk)
     }
 
-    /// The next set, in which a new voter takes the place of one member. None where the new voter is a member already or
-    /// the old one is not.
+    /// The next set, in which a new voter replaces a member. `None` if the new voter is already a member or the old one is
+    /// not.
     #[must_use]
     pub fn with_replacement(&self, old_disk: u64, new_voter: VoterRef) -> Option<Self> {
         if self.contains_disk(new_voter.disk) {
@@ -80,7 +80,7 @@
         Some(next)
     }
 
-    /// The next set, in which a member is reached at another address. None where nothing would change.
+    /// The next set, in which a member has a new address. `None` if nothing would change.
     #[must_use]
     pub fn with_address(&self, disk: u64, address: &str) -> Option<Self> {
         let mut next = self.successor();
@@ -93,7 +93,7 @@
         Some(next)
     }
 
-    /// The next set, with one more member. None where its disk or its address is a member's already.
+    /// The next set, with one more member. `None` if a member already has its disk or its address.
     #[must_use]
     pub fn with_member(&self, new_voter: VoterRef) -> Option<Self> {
         let is_known =
