--- a/crates/register/src/client.rs
+++ b/crates/register/src/client.rs
@@ -1,4 +1,4 @@
-//! A blocking client of the registers, for daemons that have threads.
+//! A blocking client of the registers, for daemons that can dedicate threads to it.
 
 use crate::message::{VoterOperation, VoterRequest, VoterResponse};
 use crate::proposal::{Proposal, ProposalStep};
@@ -10,24 +10,24 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Longest random pause, in milliseconds, before a proposer that was preempted tries again. It lets one of two proposers that
-/// preempt each other finish.
+/// Maximum random backoff, in milliseconds, before a preempted proposer retries. It lets one of two proposers that keep
+/// preempting each other finish.
 const MAX_BACKOFF_MS: u64 = 8;
 
-/// A voter's response with what it belongs to.
+/// A voter's response, with the request and the voter that it belongs to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NumberedResponse {
     /// Number of the request.
     pub number: u64,
     /// Index of the voter in its set.
     pub voter: usize,
-    /// What the voter answered.
+    /// The voter's response.
     pub response: VoterResponse,
 }
 
-/// Port to the voters. A response may come late, twice or never.
+/// Sends requests to voters. A response may arrive late, twice or never.
 pub trait VoterPort: Send + Sync {
-    /// Sends a request to a voter; its response goes to `responses` with the given number and index.
+    /// Sends a request to a voter. Its response is delivered to `responses` with the given number and index.
     fn send(
         &self,
         voter: &VoterRef,
@@ -38,7 +38,7 @@
     );
 }
 
-/// Drives [`Proposal`]s against the voters until they end or the time-out is over.
+/// Drives [`Proposal`]s until they end or time out.
 pub struct RegisterClient<P: VoterPort> {
     port: P,
     proposer: u64,
@@ -46,7 +46,7 @@
 }
 
 impl<P: VoterPort> RegisterClient<P> {
-    /// A client with a random proposer id of its own.
+    /// Creates a client with a random proposer id.
     pub fn new(port: P) -> Self {
         Self {
             port,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reads or writes a key within the time-out. Blocks the thread.
+    /// Reads or writes a key within the timeout. Blocks the calling thread.
     pub fn change(
         &self,
         set: &VoterSet,
@@ -71,18 +71,18 @@
         change: Change,
         timeout: Duration,
     ) -> ChangeOutcome {
-        let end = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let ballot = self.next_ballot(Ballot::default());
         let tag = rand::rng().random();
         let (mut proposal, mut operation) =
             Proposal::start(key, change, tag, ballot, set.voters.len());
         loop {
-            match self.run_operation(set, operation, &mut proposal, end) {
+            match self.run_operation(set, operation, &mut proposal, deadline) {
                 ProposalStep::Send(next) => operation = next,
                 ProposalStep::Done(outcome) => return outcome,
-                ProposalStep::Retry(above) if Instant::now() < end => {
-                    let pause = rand::rng().random_range(1..=MAX_BACKOFF_MS);
-                    std::thread::sleep(Duration::from_millis(pause));
+                ProposalStep::Retry(above) if Instant::now() < deadline => {
+                    let backoff_ms = rand::rng().random_range(1..=MAX_BACKOFF_MS);
+                    std::thread::sleep(Duration::from_millis(backoff_ms));
                     operation = proposal.retry(self.next_ballot(above));
                 }
                 ProposalStep::Retry(_) | ProposalStep::Wait => return proposal.abandon(),
@@ -90,18 +90,18 @@
         }
     }
 
-    /// Sends one operation to all voters, and feeds their responses to the proposal until it goes on.
-    /// [`ProposalStep::Wait`] tells that the time was over first.
+    /// Sends one operation to all voters, and passes their responses to the proposal until it has a next step. Returns
+    /// [`ProposalStep::Wait`] if the deadline passes first.
     fn run_operation(
         &self,
         set: &VoterSet,
         operation: VoterOperation,
         proposal: &mut Proposal,
-        end: Instant,
+        deadline: Instant,
     ) -> ProposalStep {
         let number = self.counter.fetch_add(1, Ordering::SeqCst);
         let responses = self.broadcast(set, operation, number);
-        while let Ok(answer) = responses.recv_deadline(end) {
+        while let Ok(answer) = responses.recv_deadline(deadline) {
             if answer.number != number {
                 continue;
             }
--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -1,23 +1,23 @@
-//! A change of a register over as many ballots as it takes, and what its end says of it.
+//! A change of a register, retried with new ballots until it ends, and its outcome.
 
 use crate::message::{VoterOperation, VoterResponse};
 use crate::round::{Change, ChangeOutcome, Round, RoundStep};
 use crate::value::{Ballot, VersionedValue};
 
-/// What the driver of a proposal does next.
+/// What the driver of a proposal must do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProposalStep {
-    /// Send this to every voter. Responses to earlier operations must not be fed any more.
+    /// Send this operation to every voter. Responses to earlier operations must not be passed in any more.
     Send(VoterOperation),
     /// Wait for more responses.
     Wait,
-    /// Another proposer has this higher ballot: pause a little, then call [`Proposal::retry`] with a ballot above it.
+    /// Preempted by this higher ballot: back off briefly, then call [`Proposal::retry`] with a ballot above it.
     Retry(Ballot),
     /// The change has ended.
     Done(ChangeOutcome),
 }
 
-/// One change of one register, over as many rounds as it takes. A pure machine.
+/// One change of one register, over one or more rounds. A state machine without I/O or a clock.
 #[derive(Clone, Debug)]
 pub struct Proposal {
     key: String,
@@ -30,7 +30,7 @@
 }
 
 impl Proposal {
-    /// Starts a change; the tag must be the change's own.
+    /// Starts a change. The tag must be unique to this change.
     pub fn start(
         key: &str,
         change: Change,
@@ -50,7 +50,7 @@
         (proposal, operation)
     }
 
-    /// Goes on with a ballot that this proposer never used before.
+    /// Starts another round, with a ballot that this proposer has never used before.
     pub fn retry(&mut self, ballot: Ballot) -> VoterOperation {
         let change = self.change.clone();
         let (round, operation) = Round::start(&self.key, change, ballot, self.tag, self.voters);
@@ -58,7 +58,7 @@
         operation
     }
 
-    /// Takes one voter's response to the operation that was sent last; `voter` is its index in the set.
+    /// Processes a voter's response to the operation that was sent last; `voter` is the voter's index in the set.
     pub fn on_response(&mut self, voter: usize, response: VoterResponse) -> ProposalStep {
         let step = self.round.on_response(voter, response);
         self.has_proposed |= self.round.has_proposed();
@@ -66,20 +66,20 @@
             RoundStep::Send(operation) => ProposalStep::Send(operation),
             RoundStep::Wait => ProposalStep::Wait,
             RoundStep::Done(ChangeOutcome::Preempted(above)) => ProposalStep::Retry(above),
-            RoundStep::Done(outcome) => ProposalStep::Done(self.judge(outcome)),
+            RoundStep::Done(outcome) => ProposalStep::Done(self.resolve_outcome(outcome)),
         }
     }
 
-    /// How the change ends where its driver gives up now.
+    /// Outcome of the change if its driver gives up now.
     pub fn abandon(&self) -> ChangeOutcome {
-        self.judge(self.round.abandon())
+        self.resolve_outcome(self.round.abandon())
     }
 
-    /// A committed value answers a write only where it is the writer's own; and once a value was proposed, nothing short of a
-    /// later version in the register says that it was not committed.
-    fn judge(&self, outcome: ChangeOutcome) -> ChangeOutcome {
+    /// Derives the outcome of the change from that of its last round. Once the change's value was proposed it may still be
+    /// committed, so a round that fails after that leaves the outcome indeterminate.
+    fn resolve_outcome(&self, outcome: ChangeOutcome) -> ChangeOutcome {
         match outcome {
-            ChangeOutcome::Committed(value) => self.judge_committed(value),
+            ChangeOutcome::Committed(value) => self.resolve_committed(value),
             ChangeOutcome::Preempted(_)
             | ChangeOutcome::NoQuorum(_)
             | ChangeOutcome::SetMismatch(_)
@@ -89,13 +89,15 @@
                 ChangeOutcome::Indeterminate
             }
             ChangeOutcome::Preempted(_) => {
-                ChangeOutcome::NoQuorum("other writers kept winning".into())
+                ChangeOutcome::NoQuorum("preempted by other writers".into())
             }
             outcome => outcome,
         }
     }
 
-    fn judge_committed(&self, value: VersionedValue) -> ChangeOutcome {
+    /// A committed value completes a write only if it is the write's own. If its value was proposed and the register is more
+    /// than one version ahead, the write may have been committed in between.
+    fn resolve_committed(&self, value: VersionedValue) -> ChangeOutcome {
         let Change::Write { expected, .. } = &self.change else {
             return ChangeOutcome::Committed(value);
         };
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -1,15 +1,15 @@
-//! One ballot of a proposer: a query, or a prepare and an accept, at a majority of the voters.
+//! One ballot of a proposer: a query, or a prepare followed by an accept, at a majority of the voters.
 
 use crate::message::{VoterOperation, VoterResponse};
 use crate::value::{Ballot, VersionedValue};
 use crate::voter_set::VoterSet;
 
-/// What a proposer wants of a register.
+/// The operation that a proposer performs on a register.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Learn the value; one that was accepted but not committed is committed first.
+    /// Read the value. A value that was accepted but not committed is committed first.
     Read,
-    /// Write where the version is the expected one.
+    /// Write a new value if the register has the expected version.
     Write {
         /// Version that the register must have.
         expected: u64,
@@ -18,29 +18,29 @@
     },
 }
 
-/// How a change ended.
+/// Outcome of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeOutcome {
-    /// The value that was read, or that was written and is committed.
+    /// The committed value, which was read or written.
     Committed(VersionedValue),
-    /// The version was not the expected one; this is the value in place.
+    /// The register did not have the expected version; this is its current value.
     Conflict(VersionedValue),
-    /// A voter promised this higher ballot; try again above it.
+    /// A voter promised this higher ballot; retry with a ballot above it.
     Preempted(Ballot),
-    /// A voter is in this set, and not in the one that the proposer uses.
+    /// A voter belongs to this set, not to the one that the proposer uses.
     SetMismatch(VoterSet),
-    /// The key is a claim that is too old: what was under it may have been forgotten, so that nothing may be put there.
+    /// The key is a claim that is too old: its value may have been deleted already, so nothing may be written under it.
     Expired,
-    /// No majority answered, for this reason, and nothing was proposed.
+    /// No majority responded, for this reason, and nothing was proposed.
     NoQuorum(String),
-    /// A value was proposed, and it is not known whether it was or will be committed.
+    /// A value was proposed, and it is unknown whether it was or will be committed.
     Indeterminate,
 }
 
-/// What the driver of a round does next.
+/// What the driver of a round must do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RoundStep {
-    /// Send this to every voter. Responses to earlier operations must not be fed any more.
+    /// Send this operation to every voter. Responses to earlier operations must not be passed in any more.
     Send(VoterOperation),
     /// Wait for more responses.
     Wait,
@@ -55,7 +55,7 @@
     Accept,
 }
 
-/// One ballot of a proposer: a pure machine, fed with the voters' responses.
+/// One ballot of a proposer: a state machine without I/O or a clock, driven by the voters' responses.
 #[derive(Clone, Debug)]
 pub struct Round {
     key: String,
@@ -64,19 +64,19 @@
     tag: u64,
     voters: usize,
     phase: Phase,
-    /// What each voter accepted last, or this ballot where it accepted it now.
+    /// What each voter accepted last; in the accept phase, this ballot once the voter has accepted it.
     answers: Vec<Option<(Ballot, VersionedValue)>>,
-    /// Voters that will not answer this phase.
+    /// Voters that rejected this phase's operation or cannot serve it.
     rejections: Vec<bool>,
     proposed: VersionedValue,
-    /// Highest ballot that a voter promised to another proposer.
+    /// Highest ballot that a voter reported when it rejected this one.
     highest_rejection: Ballot,
-    /// Why voters did not answer, for the error that no majority did.
+    /// Reason of the last unavailable voter, reported if there is no majority.
     reason: String,
 }
 
 impl Round {
-    /// Starts a round; the ballot must be one that this proposer never used for the key before.
+    /// Starts a round. This proposer must never have used the ballot for this key before.
     pub fn start(
         key: &str,
         change: Change,
@@ -126,7 +126,7 @@
         self.voters / 2 + 1
     }
 
-    /// Takes one voter's response to the operation that was sent last. Responses to earlier ones must not be fed.
+    /// Processes a voter's response to the operation that was sent last. Responses to earlier ones must not be passed in.
     pub fn on_response(&mut self, voter: usize, response: VoterResponse) -> RoundStep {
         if voter >= self.voters || self.answers[voter].is_some() || self.rejections[voter] {
             return RoundStep::Wait;
@@ -167,7 +167,7 @@
         RoundStep::Wait
     }
 
-    /// Ends the round without further responses.
+    /// Outcome of the round if no further response comes.
     pub fn abandon(&self) -> ChangeOutcome {
         if self.highest_rejection > Ballot::default() {
             return ChangeOutcome::Preempted(self.highest_rejection);
@@ -178,8 +178,8 @@
         ChangeOutcome::NoQuorum(self.reason.clone())
     }
 
-    /// Whether this round's own value has been proposed, so that it may yet be committed. To commit a value that was found is
-    /// not to propose one.
+    /// Whether this round's own value was proposed, and so may still be committed. Completing a value that was found at the
+    /// voters does not count.
     pub fn has_proposed(&self) -> bool {
         self.phase == Phase::Accept && self.proposed.tag == self.tag
     }
@@ -190,13 +190,19 @@
     }
 
     fn advance(&mut self) -> RoundStep {
-        let newest = self.answers.iter().flatten().max_by_key(|(held, _)| *held);
+        let newest = self
+            .answers
+            .iter()
+            .flatten()
+            .max_by_key(|(ballot, _)| *ballot);
         let (newest_ballot, newest) = newest.cloned().unwrap_or_default();
         match self.phase {
             Phase::Accept => RoundStep::Done(ChangeOutcome::Committed(self.proposed.clone())),
             Phase::Query => {
-                let same = self.answers.iter().flatten();
-                let agreeing = same.filter(|(held, _)| *held == newest_ballot).count();
+                let accepted = self.answers.iter().flatten();
+                let agreeing = accepted
+                    .filter(|(ballot, _)| *ballot == newest_ballot)
+                    .count();
                 if agreeing >= self.majority() {
                     return RoundStep::Done(ChangeOutcome::Committed(newest));
                 }
