--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! A voter's side of the protocol: what it holds, and how it answers.
+//! The voter's side of the protocol: its state, and how it responds to requests.
 
 use crate::claims::{claim_time, ClaimFloors};
 use crate::job_window::FORGOTTEN_KEY;
@@ -16,8 +16,8 @@
 /// Largest value, in bytes.
 const MAX_VALUE_BYTES: usize = 4 << 20;
 
-/// A voter's state: a pure machine without a disk or a clock of its own. The caller makes each [`Record`] durable before it
-/// gives the answer that goes with it. The order of fields is the form of a snapshot on the disk.
+/// A voter's state machine, without I/O or a clock. The caller makes each [`Record`] durable before it sends the response that
+/// goes with it. The order of fields is the on-disk format of a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct Acceptor {
     set: VoterSet,
@@ -26,47 +26,47 @@
 }
 
 impl Acceptor {
-    /// The set that this voter is in; epoch 0 where it has none.
+    /// The voter set that this voter belongs to; epoch 0 if it belongs to none.
     pub fn set(&self) -> &VoterSet {
         &self.set
     }
 
-    /// How many registers are held.
+    /// Number of registers.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether no register is held.
+    /// Whether there are no registers.
     pub fn is_empty(&self) -> bool {
         self.table.len() == 0
     }
 
-    /// What is held for a key.
+    /// State of a key's register.
     pub fn register(&self, key: &str) -> Option<&RegisterState> {
         self.table.get(key)
     }
 
-    /// All registers of one range of the digests.
+    /// All registers in one range of the digests.
     pub fn registers_in_range(&self, range: u16) -> Vec<(String, RegisterState)> {
         self.table.in_range(range)
     }
 
-    /// All registers whose keys sort after one, in the order of their keys.
+    /// All registers whose keys sort after `key`, ordered by key.
     pub fn registers_after(&self, key: &str) -> impl Iterator<Item = (&String, &RegisterState)> {
         self.table.after(key)
     }
 
-    /// Digests over ranges of what was accepted.
+    /// Digests of the accepted values, one per range of keys.
     pub fn digests(&self) -> &RangeDigests {
         self.table.digests()
     }
 
-    /// Times that decide on claims which are not held.
+    /// Times of issue below which claims are rejected.
     pub fn claim_floors(&self) -> ClaimFloors {
         self.claim_floors
     }
 
-    /// Puts a record that was read back from the disk in place.
+    /// Applies a record that was read back from the disk.
     pub fn replay(&mut self, record: Record) {
         match record {
             Record::Register(key, state) => self.table.insert(key, state),
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Derives anew what is not kept on the disk, after a snapshot was read back.
+    /// Rebuilds the derived state that is not stored on the disk. Call it after a snapshot was read back.
     pub fn rebuild_indexes(&mut self) {
         self.table.rebuild_indexes();
     }
 
-    /// Takes the first set of an epoch. A voter that has a set already keeps it.
+    /// Adopts the first voter set of an epoch. A voter that already belongs to a set keeps that one.
     pub fn bootstrap(&mut self, set: VoterSet) -> Option<Record> {
         if self.set.epoch != 0 || set.epoch == 0 {
             return None;
@@ -95,9 +95,9 @@
         Some(Record::VoterSet(set))
     }
 
-    /// Takes a later set of its epoch, which must be committed. The voter keeps all that it holds, and answers under the new
-    /// set alone from now on. It may have missed sets between: that is no other than having missed what was accepted under
-    /// them.
+    /// Adopts a later voter set of the same epoch, which must be committed. The voter keeps its registers, and from now on
+    /// serves requests under the new set only. Sets in between may be skipped: that is equivalent to having missed what was
+    /// accepted under them.
     pub fn adopt_set(&mut self, set: VoterSet) -> Option<Record> {
         let follows = set.epoch == self.set.epoch && set.number > self.set.number && set.epoch != 0;
         if !follows {
@@ -107,8 +107,8 @@
         Some(Record::VoterSet(set))
     }
 
-    /// Makes an empty voter a member of a set, with all that a majority of its other members holds. A voter that has a set
-    /// already changes nothing.
+    /// Makes an empty voter a member of a set, with the merged state of a majority of the other members. Does nothing if the
+    /// voter already belongs to a set.
     pub fn install(
         &mut self,
         set: VoterSet,
@@ -132,7 +132,7 @@
         records
     }
 
-    /// Takes newer values from another replica, as if their accepting had come late.
+    /// Takes over newer values from another replica, as if their accept requests had arrived late.
     pub fn repair(&mut self, registers: Vec<(String, RegisterState)>) -> Vec<Record> {
         let mut records = Vec::new();
         for (key, theirs) in registers {
@@ -160,7 +160,7 @@
         is_allowed && !is_forgotten && self.table.has_room_for(key) && is_newer
     }
 
-    /// Refuses claims that are not held and were issued before a time, in milliseconds of the wall clock.
+    /// From now on rejects unknown claims that were issued before `time`, in milliseconds of the wall clock.
     pub fn refuse_claims_before(&mut self, time: u64) -> Option<Record> {
         if time <= self.claim_floors.refused_before {
             return None;
@@ -169,12 +169,12 @@
         Some(Record::RefusedBefore(time))
     }
 
-    /// Forgets claims that were issued more than `remembered` milliseconds ago, and refuses them ever after. The present is
-    /// this voter's own wall clock or the time of the newest claim, whichever is earlier, so that a clock which jumps ahead
-    /// makes it forget nothing early.
-    pub fn expire_claims(&mut self, wall: u64, remembered: u64) -> Option<Record> {
+    /// Deletes claims that were issued more than `retention_ms` milliseconds ago, and rejects them from then on. Their age is
+    /// measured against this voter's wall clock or the time of the newest claim, whichever is earlier, so that a clock that
+    /// jumps ahead deletes nothing early.
+    pub fn expire_claims(&mut self, wall_clock: u64, retention_ms: u64) -> Option<Record> {
         let (oldest, newest) = self.table.claim_times()?;
-        let before = wall.min(newest).saturating_sub(remembered);
+        let before = wall_clock.min(newest).saturating_sub(retention_ms);
         if before <= self.claim_floors.forgotten_before || oldest >= before {
             return None;
         }
@@ -183,8 +183,8 @@
         Some(record)
     }
 
-    /// Ends one span for which jobs are remembered: jobs that were promised last before the former call are forgotten, all
-    /// others last for one span more at least.
+    /// Ends a retention period of jobs: deletes the jobs whose last promise came before the previous call. All others are kept
+    /// for at least one more period.
     pub fn advance_job_window(&mut self) -> Option<Record> {
         let forgotten = self.table.advance_job_window()?;
         let record = Record::Register(FORGOTTEN_KEY.to_string(), forgotten);
@@ -192,7 +192,7 @@
         Some(record)
     }
 
-    /// Answers a request. Where there is a record, it must be durable before the answer leaves.
+    /// Responds to a request. If there is a record, it must be durable before the response is sent.
     pub fn handle(&mut self, request: VoterRequest) -> (Option<Record>, VoterResponse) {
         if request.set_version != self.set.version() || self.set.epoch == 0 {
             let set = self.set.clone();
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Why an operation on its key is refused whatever is promised for it, if it is.
+    /// The response if an operation is rejected because of its key, regardless of ballots.
     fn rejection(&self, operation: &VoterOperation) -> Option<VoterResponse> {
         let key = operation.key();
         if key.len() > MAX_KEY_BYTES {
@@ -223,7 +223,7 @@
         self.table.get(operation.key()).cloned().unwrap_or_default()
     }
 
-    /// Promises or accepts, unless a higher ballot was promised.
+    /// Promises or accepts, unless a higher ballot was promised before.
     fn vote(
         &mut self,
         operation: VoterOperation,
--- a/crates/register/src/claims.rs
+++ b/crates/register/src/claims.rs
@@ -1,24 +1,24 @@
-//! Claims: registers whose key bears the time at which it was issued, so that a voter may forget old ones for good.
+//! Claims: registers whose key contains its time of issue, so that a voter can delete old ones permanently.
 
 use speedy::{Readable, Writable};
 use std::ops::Range;
 
-/// What the keys of claims begin with; the time of issue and another `/` follow.
+/// Prefix of the keys of claims, followed by the time of issue and another `/`.
 const CLAIM_KEY_PREFIX: &str = "once/";
-/// The first key after all keys of claims: the prefix with the character that follows `/`.
+/// Upper bound of the keys of claims: the prefix, with `/` replaced by the next character.
 const CLAIM_KEY_END: &str = "once0";
 
-/// Times, in milliseconds of the wall clock, that decide on claims which a voter does not hold. They only grow.
+/// Times of issue, in milliseconds of the wall clock, below which a voter rejects claims. They never decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ClaimFloors {
-    /// Claims issued before this time have been forgotten; all of them are refused.
+    /// Claims issued before this time have been deleted; all of them are rejected.
     pub forgotten_before: u64,
-    /// Claims issued before this time are refused unless they are held.
+    /// Claims issued before this time are rejected unless the voter has them.
     pub refused_before: u64,
 }
 
 impl ClaimFloors {
-    /// The later of both voters' floors, each by itself.
+    /// The later of each of the two voters' floors.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Whether the key is of a claim that must be refused, since what was under it may have been forgotten.
+    /// Whether the key belongs to a claim that must be rejected because its value may have been deleted.
     pub(crate) fn refuses(&self, key: &str, is_held: bool) -> bool {
         claim_time(key).is_some_and(|time| {
             time < self.forgotten_before || (time < self.refused_before && !is_held)
@@ -35,7 +35,7 @@
     }
 }
 
-/// The time in milliseconds at which a claim's key was issued; none for other keys.
+/// Time of issue of a claim's key, in milliseconds; `None` for other keys.
 pub(crate) fn claim_time(key: &str) -> Option<u64> {
     key.strip_prefix(CLAIM_KEY_PREFIX)?
         .split('/')
@@ -44,7 +44,7 @@
         .ok()
 }
 
-/// The keys of all claims. They sort by their time, as long as its number of digits stays.
+/// Range of the keys of all claims. They sort by time of issue as long as all times have the same number of digits.
 pub(crate) fn claim_keys() -> Range<String> {
     CLAIM_KEY_PREFIX.to_string()..CLAIM_KEY_END.to_string()
 }
--- a/crates/register/src/job_window.rs
+++ b/crates/register/src/job_window.rs
@@ -1,51 +1,52 @@
-//! How long a voter remembers jobs.
+//! How long a voter retains jobs.
 //!
-//! Jobs carry no time, so ballots count it: a span that ends forgets what was promised before the span before it. From then on
-//! all that is not held counts as promised up to there, so that nothing old is ever taken for new.
+//! Keys of jobs contain no time, so ballots serve as the clock: the end of a retention period deletes the jobs that were
+//! promised nothing above the highest ballot known when the period began. From then on, all unknown jobs count as promised up
+//! to that ballot, so that a late request for a deleted job is never mistaken for a new job.
 
 use crate::message::{VoterOperation, VoterResponse};
 use crate::value::{Ballot, RegisterState};
 use std::collections::BTreeMap;
 
-/// What the keys of jobs begin with.
+/// Prefix of the keys of jobs.
 pub const JOB_KEY_PREFIX: &str = "job/";
-/// Key under which the promise stands that a voter gave for all jobs which it does not hold.
+/// Key of the register whose promise covers all jobs that the voter does not have.
 pub(crate) const FORGOTTEN_KEY: &str = "job";
-/// Bytes of jobs up to which answers are taken.
+/// Total size of jobs, in bytes, above which results are rejected.
 const MAX_BYTES_FOR_RESULTS: usize = 12 << 20;
-/// Bytes of jobs up to which claims are taken. Two snapshots and a full log must fit on a disk of 64 MB.
+/// Total size of jobs, in bytes, above which claims are rejected too. Two snapshots and a full log must fit on a 64 MB disk.
 const MAX_BYTES_FOR_CLAIMS: usize = 16 << 20;
-/// Bytes that a job takes on the disk beside its key and its value.
+/// Bytes that a job takes on the disk in addition to its key and value.
 const RECORD_OVERHEAD_BYTES: usize = 80;
-/// Most bytes of one job's value.
+/// Maximum size of a job's value, in bytes.
 const MAX_VALUE_BYTES: usize = 40 << 10;
-/// Bytes up to which a value counts as a claim, which is taken also where there is no room for answers any more.
+/// Size, in bytes, up to which a value counts as a claim, which is accepted even when there is no room left for results.
 const MAX_CLAIM_BYTES: usize = 1 << 10;
 
-/// Whether a key is a job's.
+/// Whether the key belongs to a job.
 pub fn is_job_key(key: &str) -> bool {
     key.starts_with(JOB_KEY_PREFIX)
 }
 
-/// What a voter knows of the jobs it remembers, derived from its registers.
+/// Retention state of a voter's jobs, derived from its registers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct JobWindow {
-    /// Highest counter of any ballot for a job.
+    /// Highest counter of any ballot promised for a job.
     highest: u64,
-    /// What `highest` was when the present span began. New jobs need ballots above it, so that the end of the span spares them.
+    /// Value of `highest` at the start of the current period. New jobs need ballots above it, so that they outlive the period.
     floor: u64,
     /// Bytes that all jobs take on the disk.
     bytes: usize,
 }
 
 impl JobWindow {
-    /// What a voter knows that was just opened: all that it holds is as if it were new.
-    pub fn of(keys: &BTreeMap<String, RegisterState>) -> Self {
+    /// Starts a retention period in which all existing jobs count as new.
+    pub fn from_registers(keys: &BTreeMap<String, RegisterState>) -> Self {
         let jobs = keys.iter().filter(|(key, _)| is_job_key(key));
         let (mut highest, mut bytes) = (forgotten_counter(keys), 0);
         for (key, state) in jobs {
             highest = highest.max(state.promised.counter);
-            bytes += size_of(key, state);
+            bytes += stored_size(key, state);
         }
         Self {
             highest,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Follows the change of one register; the old or the new state may be missing.
+    /// Accounts for the change of one register. Without an old state it is created, without a new one deleted.
     pub fn on_change(
         &mut self,
         key: &str,
@@ -64,25 +65,25 @@
         if !is_job_key(key) {
             return;
         }
-        let size = |state: Option<&RegisterState>| state.map_or(0, |state| size_of(key, state));
+        let size = |state: Option<&RegisterState>| state.map_or(0, |state| stored_size(key, state));
         self.bytes = (self.bytes + size(new)).saturating_sub(size(old));
         let promised = new.map_or(0, |state| state.promised.counter);
         self.highest = self.highest.max(promised);
     }
 
-    /// The promise that stands for all jobs below it, now that a span has ended; none where nothing falls under it.
+    /// Ends the retention period. Returns the promise that replaces all jobs up to it, or `None` if there are no such jobs.
     pub fn advance(&mut self, keys: &BTreeMap<String, RegisterState>) -> Option<RegisterState> {
         let floor = self.floor;
         self.floor = self.highest;
         let mut jobs = keys.iter().filter(|(key, _)| is_job_key(key));
-        let has_old = jobs.any(|(_, state)| state.promised.counter <= floor);
-        has_old.then(|| RegisterState {
-            promised: highest_ballot_of(floor),
+        let has_expired = jobs.any(|(_, state)| state.promised.counter <= floor);
+        has_expired.then(|| RegisterState {
+            promised: highest_ballot(floor),
             ..RegisterState::default()
         })
     }
 
-    /// Whether another replica's value for a job that is not held is one that was forgotten here.
+    /// Whether another replica's value, accepted under ballot `theirs`, belongs to a job that was deleted here.
     pub fn has_forgotten(
         &self,
         keys: &BTreeMap<String, RegisterState>,
@@ -94,13 +95,13 @@
             && theirs.counter <= self.floor.max(forgotten_counter(keys))
     }
 
-    /// Why an operation on a job is refused, if it is.
+    /// The response if an operation on a job is rejected.
     pub fn rejection(
         &self,
         keys: &BTreeMap<String, RegisterState>,
         operation: &VoterOperation,
     ) -> Option<VoterResponse> {
-        let (key, asked) = match operation {
+        let (key, ballot) = match operation {
             VoterOperation::Query { .. } => return None,
             VoterOperation::Prepare { key, ballot }
             | VoterOperation::Accept { key, ballot, .. } => (key, ballot),
@@ -109,37 +110,37 @@
             return None;
         }
         let floor = self.floor.max(forgotten_counter(keys));
-        if !keys.contains_key(key) && asked.counter <= floor {
-            let promised = highest_ballot_of(floor);
+        if !keys.contains_key(key) && ballot.counter <= floor {
+            let promised = highest_ballot(floor);
             return Some(VoterResponse::Rejected { promised });
         }
         let size = match operation {
             VoterOperation::Accept { value, .. } => value.bytes.len(),
             _ => 0,
         };
-        let bytes_max = match size {
+        let max_bytes = match size {
             0..=MAX_CLAIM_BYTES => MAX_BYTES_FOR_CLAIMS,
             _ => MAX_BYTES_FOR_RESULTS,
         };
-        let is_full = self.bytes + key.len() + RECORD_OVERHEAD_BYTES + size > bytes_max;
+        let is_full = self.bytes + key.len() + RECORD_OVERHEAD_BYTES + size > max_bytes;
         (size > MAX_VALUE_BYTES || is_full)
             .then(|| VoterResponse::unavailable("there is no room for the value"))
     }
 }
 
-fn size_of(key: &str, state: &RegisterState) -> usize {
+fn stored_size(key: &str, state: &RegisterState) -> usize {
     key.len() + RECORD_OVERHEAD_BYTES + state.value.bytes.len()
 }
 
-/// The highest ballot that has this counter.
-fn highest_ballot_of(counter: u64) -> Ballot {
+/// The highest possible ballot with this counter.
+fn highest_ballot(counter: u64) -> Ballot {
     Ballot {
         counter,
         proposer: u64::MAX,
     }
 }
 
-/// Highest counter whose jobs were forgotten.
+/// Counter up to which jobs were deleted.
 fn forgotten_counter(keys: &BTreeMap<String, RegisterState>) -> u64 {
     let state = keys.get(FORGOTTEN_KEY);
     state.map_or(0, |state| state.promised.counter)
--- a/crates/register/src/table.rs
+++ b/crates/register/src/table.rs
@@ -1,4 +1,4 @@
-//! The registers of one voter, together with what is derived from them and never stored.
+//! The registers of one voter, and state derived from them that is not stored.
 
 use crate::claims::{claim_keys, claim_time};
 use crate::job_window::{is_job_key, JobWindow, FORGOTTEN_KEY};
@@ -9,10 +9,10 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// Most keys that a voter holds.
+/// Maximum number of keys of a voter.
 pub const MAX_KEYS: usize = 200_000;
 
-/// All registers by key. Each change goes through this type, so that the digests and the job window follow it.
+/// All registers by key. Every change goes through this type, which keeps the digests and the job window up to date.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub(crate) struct RegisterTable {
     registers: BTreeMap<String, RegisterState>,
@@ -35,7 +35,7 @@
         self.registers.contains_key(key)
     }
 
-    /// Whether a state may be put under the key.
+    /// Whether the key exists or can be added.
     pub fn has_room_for(&self, key: &str) -> bool {
         self.contains(key) || self.registers.len() < MAX_KEYS
     }
@@ -44,7 +44,7 @@
         &self.digests
     }
 
-    /// All registers of one range of the digests.
+    /// All registers in one range of the digests.
     pub fn in_range(&self, range: u16) -> Vec<(String, RegisterState)> {
         let registers = self.registers.iter();
         registers
@@ -53,13 +53,13 @@
             .collect()
     }
 
-    /// All registers whose keys sort after one.
+    /// All registers whose keys sort after `key`.
     pub fn after(&self, key: &str) -> impl Iterator<Item = (&String, &RegisterState)> {
         let after = (Bound::Excluded(key), Bound::Unbounded);
         self.registers.range::<str, _>(after)
     }
 
-    /// Puts a state in place of the one that is held. The state that stands for forgotten jobs removes these first.
+    /// Sets the state of a key. For the key that covers deleted jobs, first removes the jobs up to its promise.
     pub fn insert(&mut self, key: String, state: RegisterState) {
         if key == FORGOTTEN_KEY {
             self.remove_jobs_up_to(state.promised.counter);
@@ -76,7 +76,7 @@
         self.retain(|key, state| !is_job_key(key) || state.promised.counter > counter);
     }
 
-    /// Removes the claims that were issued before a time.
+    /// Removes the claims that were issued before `time`.
     pub fn remove_claims_before(&mut self, time: u64) {
         self.retain(|key, _| claim_time(key).is_none_or(|issued| issued >= time));
     }
@@ -93,7 +93,7 @@
         });
     }
 
-    /// Times at which the first and the last claim in the order of keys were issued.
+    /// Times of issue of the first and the last claim in key order.
     pub fn claim_times(&self) -> Option<(u64, u64)> {
         let mut claims = self.registers.range(claim_keys());
         let oldest = claims.next().and_then(|(key, _)| claim_time(key))?;
@@ -116,12 +116,12 @@
         self.job_window.rejection(&self.registers, operation)
     }
 
-    /// Takes all jobs as if they had just been promised.
+    /// Starts a retention period in which all existing jobs count as new.
     pub fn restart_job_window(&mut self) {
-        self.job_window = JobWindow::of(&self.registers);
+        self.job_window = JobWindow::from_registers(&self.registers);
     }
 
-    /// Derives anew what is not stored, after the registers were read back.
+    /// Rebuilds the derived state after the registers were read back.
     pub fn rebuild_indexes(&mut self) {
         self.restart_job_window();
         self.digests = RangeDigests::default();
