--- a/crates/anti_entropy/src/digests.rs
+++ b/crates/anti_entropy/src/digests.rs
@@ -1,17 +1,17 @@
-/// Number of ranges that the keys are split into, by their hash.
+/// Number of ranges into which keys are split by their hash.
 pub const RANGE_COUNT: usize = 256;
 
-/// Version of what is held under a key. Two replicas that hold the same version of a key hold the same value.
+/// Version of a key's value. Replicas with the same version of a key have the same value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EntryVersion {
-    /// Grows with each write of the key.
+    /// Increases with each write of the key.
     pub counter: u64,
-    /// Id of the writer, which tells writes of the same counter apart.
+    /// Id of the writer, which distinguishes writes with the same counter.
     pub writer: u64,
 }
 
-/// A digest for each range of keys: the exclusive or of the hashes of its (key, version) pairs, so that their order is no
-/// matter and a change of one key takes constant time.
+/// One digest per range of keys: the XOR of the hashes of its (key, version) pairs, so that their order does not matter and
+/// updating one key takes constant time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RangeDigests {
     ranges: Vec<u64>,
@@ -25,8 +25,8 @@
     }
 }
 
-/// FNV-1a followed by part of the finalizer of MurmurHash3, so that close keys do not share ranges. Replicas compare its values over the
-/// wire, so that it must stay as it is.
+/// FNV-1a followed by part of the finalizer of MurmurHash3, so that similar keys fall into different ranges. Replicas compare
+/// its values over the wire, so it must not change.
 fn hash(parts: &[&[u8]]) -> u64 {
     let mut state = 0xcbf2_9ce4_8422_2325_u64;
     for byte in parts.iter().flat_map(|part| part.iter()) {
@@ -38,7 +38,7 @@
     state ^ (state >> 33)
 }
 
-/// The range that a key falls into.
+/// The range of a key.
 pub fn range_of(key: &str) -> u16 {
     (hash(&[key.as_bytes()]) % RANGE_COUNT as u64) as u16
 }
@@ -50,14 +50,14 @@
 }
 
 impl RangeDigests {
-    /// RangeDigests as another replica sent them.
+    /// Digests as received from another replica.
     pub fn from_ranges(ranges: &[u64]) -> Self {
-        let mut own = ranges.to_vec();
-        own.resize(RANGE_COUNT, 0);
-        Self { ranges: own }
+        let mut digests = ranges.to_vec();
+        digests.resize(RANGE_COUNT, 0);
+        Self { ranges: digests }
     }
 
-    /// Follows the change of one key; the old or the new version may be missing.
+    /// Updates the digests for a change of one key. Without an old version it is created, without a new one removed.
     pub fn update(&mut self, key: &str, old: Option<EntryVersion>, new: Option<EntryVersion>) {
         let range = &mut self.ranges[usize::from(range_of(key))];
         for version in [old, new].into_iter().flatten() {
@@ -65,12 +65,12 @@
         }
     }
 
-    /// The digests, range by range.
+    /// The digests, indexed by range.
     pub fn as_slice(&self) -> &[u64] {
         &self.ranges
     }
 
-    /// Ranges in which another replica differs.
+    /// Ranges in which another replica's digests differ.
     pub fn differing_ranges(&self, other: &[u64]) -> Vec<u16> {
         let pairs = self.ranges.iter().zip(other).enumerate();
         pairs
--- a/crates/anti_entropy/src/lib.rs
+++ b/crates/anti_entropy/src/lib.rs
@@ -1,11 +1,11 @@
-//! Anti-entropy: how two replicas of a table of keys find where they differ, without sending each other everything.
+//! Anti-entropy: finds where two replicas of a key-value table differ, without exchanging the whole table.
 //!
-//! Keys are split into ranges by their hash, and [`RangeDigests`] holds one digest for each range, which follows each change of
-//! a key. Replicas exchange the digests and then the entries of the ranges that differ. Which of two entries is right is decided
-//! by the caller.
+//! Keys are split into ranges by their hash, and [`RangeDigests`] holds one digest per range, which is updated with each change
+//! of a key. Replicas exchange the digests, then the entries of the ranges that differ. The caller decides which of two entries
+//! is right.
 //!
-//! What must never happen: the ranges, the hash or the digest of an entry change while replicas of two versions run side by
-//! side, since they would find every range different and repair without end.
+//! The ranges, the hash and the digest of an entry must never change while replicas of two software versions run side by side:
+//! they would find every range different and repair it endlessly.
 #![warn(missing_docs)]
 
 mod digests;
--- a/crates/anti_entropy/tests/digests.rs
+++ b/crates/anti_entropy/tests/digests.rs
@@ -1,4 +1,4 @@
-//! Digests follow the changes of keys and show where two replicas differ.
+//! Digests follow changes of keys and reveal where two replicas differ.
 
 use anti_entropy::{range_of, EntryVersion, RangeDigests};
 use fuzzing::seeded;
@@ -9,7 +9,7 @@
 }
 
 seeded! {
-    fn digests_follow_any_course_of_changes(changes: Vec<(u8, Option<u64>)>) -> bool {
+    fn incremental_digests_equal_rebuilt_ones(changes: Vec<(u8, Option<u64>)>) -> bool {
         let mut digests = RangeDigests::default();
         let mut counters: BTreeMap<String, u64> = BTreeMap::new();
         for (key, counter) in changes {
@@ -20,21 +20,21 @@
             };
             digests.update(&key, old.map(version), counter.map(version));
         }
-        let mut fresh = RangeDigests::default();
+        let mut rebuilt = RangeDigests::default();
         for (key, counter) in &counters {
-            fresh.update(key, None, Some(version(*counter)));
+            rebuilt.update(key, None, Some(version(*counter)));
         }
-        fresh == digests
+        rebuilt == digests
     }
 
-    fn a_newer_key_shows_in_its_range_alone(keys: Vec<u16>, changed: u16) -> bool {
+    fn a_changed_key_differs_in_its_range_only(keys: Vec<u16>, changed: u16) -> bool {
         let mut one = RangeDigests::default();
         for key in &keys {
             one.update(&key.to_string(), None, Some(version(1)));
         }
         let mut other = one.clone();
-        let name = format!("other-{changed}");
-        other.update(&name, None, Some(version(2)));
-        one.differing_ranges(other.as_slice()) == vec![range_of(&name)]
+        let key = format!("other-{changed}");
+        other.update(&key, None, Some(version(2)));
+        one.differing_ranges(other.as_slice()) == vec![range_of(&key)]
     }
 }
