--- a/crates/register/tests/jobs.rs
+++ b/crates/register/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Voters forget jobs after a time, and take nothing old for new afterwards.
+//! Voters delete jobs after the retention period, and never mistake a request for a deleted job for a new one.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -35,7 +35,7 @@
         response
     }
 
-    fn end_span(&mut self) {
+    fn end_retention_period(&mut self) {
         let record = self.acceptor.advance_job_window();
         self.records.extend(record);
     }
@@ -49,14 +49,14 @@
     }
 }
 
-/// Changes a register at those voters that answer.
+/// Changes a register with a proposal, against the voters that respond.
 fn change(
     voters: &mut [Voter],
     counter: &mut u64,
     proposer: u64,
     key: &str,
     change: Change,
-    answers: impl Fn(usize) -> bool,
+    responds: impl Fn(usize) -> bool,
 ) -> ChangeOutcome {
     let ballot = |counter: &mut u64, above: u64| {
         *counter = (*counter).max(above) + 1;
@@ -70,9 +70,9 @@
     let (mut proposal, mut operation) = Proposal::start(key, change, tag, first, VOTERS);
     for _ in 0..20 {
         let mut next = None;
-        for place in (0..VOTERS).filter(|place| answers(*place)) {
-            let response = voters[place].handle(operation.clone());
-            match proposal.on_response(place, response) {
+        for index in (0..VOTERS).filter(|index| responds(*index)) {
+            let response = voters[index].handle(operation.clone());
+            match proposal.on_response(index, response) {
                 ProposalStep::Wait => continue,
                 ProposalStep::Done(outcome) => return outcome,
                 ProposalStep::Send(operation) => next = Some(operation),
@@ -82,15 +82,15 @@
             }
             break;
         }
-        let Some(again) = next else {
+        let Some(next_operation) = next else {
             return proposal.abandon();
         };
-        operation = again;
+        operation = next_operation;
     }
     proposal.abandon()
 }
 
-fn three() -> Vec<Voter> {
+fn three_voters() -> Vec<Voter> {
     let voter = |_| {
         let (acceptor, records) = bootstrapped();
         Voter { acceptor, records }
@@ -106,21 +106,21 @@
 }
 
 #[test]
-fn a_job_lasts_for_one_span_at_least_and_two_at_most() {
-    let mut voters = three();
+fn a_job_is_retained_for_one_to_two_periods() {
+    let mut voters = three_voters();
     let (mut counter, all) = (0, |_| true);
     for job in 0..50 {
         let key = format!("job/{job}");
         let outcome = change(&mut voters, &mut counter, 1, &key, write(b"one"), all);
         assert!(matches!(outcome, ChangeOutcome::Committed(_)));
-        voters.iter_mut().for_each(Voter::end_span);
+        voters.iter_mut().for_each(Voter::end_retention_period);
         let outcome = change(&mut voters, &mut counter, 1, &key, write(b"two"), all);
         assert!(
             matches!(outcome, ChangeOutcome::Conflict(_)),
-            "{job} is forgotten early"
+            "{job} was deleted early"
         );
-        voters.iter_mut().for_each(Voter::end_span);
-        voters.iter_mut().for_each(Voter::end_span);
+        voters.iter_mut().for_each(Voter::end_retention_period);
+        voters.iter_mut().for_each(Voter::end_retention_period);
         assert!(voters
             .iter()
             .all(|voter| voter.acceptor.register(&key).is_none()));
@@ -133,27 +133,27 @@
 }
 
 #[test]
-fn a_job_lasts_though_whoever_claims_it_counts_low() {
-    let mut voters = three();
+fn a_job_claimed_with_a_low_ballot_counter_is_retained() {
+    let mut voters = three_voters();
     let (mut high, mut low, all) = (1_000, 0, |_| true);
     change(&mut voters, &mut high, 1, "job/high", write(b"one"), all);
-    voters.iter_mut().for_each(Voter::end_span);
+    voters.iter_mut().for_each(Voter::end_retention_period);
     let outcome = change(&mut voters, &mut low, 2, "job/low", write(b"one"), all);
     assert!(matches!(outcome, ChangeOutcome::Committed(_)));
-    // The round ends at a majority, so the third voter may not have been asked.
-    let holds = |voter: &Voter| voter.acceptor.register("job/low").is_some();
-    let holders: Vec<bool> = voters.iter().map(holds).collect();
+    // The round ends at a majority, so the operation may not have reached the third voter.
+    let has_job = |voter: &Voter| voter.acceptor.register("job/low").is_some();
+    let holders: Vec<bool> = voters.iter().map(has_job).collect();
     assert!(holders.iter().filter(|holds| **holds).count() >= 2);
-    voters.iter_mut().for_each(Voter::end_span);
-    let after: Vec<bool> = voters.iter().map(holds).collect();
-    assert_eq!(after, holders, "a voter forgot it early");
-    voters.iter_mut().for_each(Voter::end_span);
-    assert!(!voters.iter().any(holds));
+    voters.iter_mut().for_each(Voter::end_retention_period);
+    let after: Vec<bool> = voters.iter().map(has_job).collect();
+    assert_eq!(after, holders, "a voter deleted it early");
+    voters.iter_mut().for_each(Voter::end_retention_period);
+    assert!(!voters.iter().any(has_job));
 }
 
 #[test]
-fn an_accept_that_comes_after_its_job_was_forgotten_is_refused() {
-    let mut voters = three();
+fn an_accept_that_arrives_after_its_job_was_deleted_is_rejected() {
+    let mut voters = three_voters();
     let ballot = Ballot {
         counter: 7,
         proposer: 3,
@@ -164,8 +164,8 @@
         ballot,
     };
     voters[0].handle(prepare);
-    voters[0].end_span();
-    voters[0].end_span();
+    voters[0].end_retention_period();
+    voters[0].end_retention_period();
     assert!(voters[0].acceptor.register(&key).is_none());
     for restarts in [false, true] {
         if restarts {
@@ -190,14 +190,14 @@
 }
 
 #[test]
-fn other_keys_are_never_forgotten() {
-    let mut voters = three();
+fn other_keys_are_never_deleted() {
+    let mut voters = three_voters();
     let mut counter = 0;
     for key in ["description", "once/00000000000001/f/x", "job"] {
         change(&mut voters, &mut counter, 1, key, write(b"kept"), |_| true);
     }
     for _ in 0..6 {
-        voters.iter_mut().for_each(Voter::end_span);
+        voters.iter_mut().for_each(Voter::end_retention_period);
     }
     assert_eq!(voters[0].acceptor.len(), 3);
 }
@@ -209,7 +209,7 @@
     }
 }
 
-/// A job whose value has so many bytes.
+/// State of a job whose value has `size` bytes.
 fn job_state(size: usize, counter: u64) -> RegisterState {
     RegisterState {
         promised: ballot(counter),
@@ -222,7 +222,7 @@
     }
 }
 
-/// Gives the voter these jobs, each with the largest value.
+/// Adds these jobs to the voter, each with a value of maximum size.
 fn fill(acceptor: &mut Acceptor, jobs: Range<usize>) {
     for job in jobs {
         let state = job_state(40 << 10, 5);
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn results_are_taken_up_to_a_bound_and_claims_beyond_it() {
+fn results_are_rejected_at_a_lower_total_size_than_claims() {
     let (mut acceptor, records) = bootstrapped();
     fill(&mut acceptor, 0..310);
     let mut voter = Voter { acceptor, records };
@@ -265,7 +265,7 @@
     ));
 }
 
-/// What is known of a job after the changes that ended so far.
+/// What the completed changes imply for a job.
 #[derive(Default)]
 struct Oracle {
     newest: u64,
@@ -283,7 +283,7 @@
         }
     }
 
-    fn committed(&mut self, seed: u64, is_write: bool, value: VersionedValue) {
+    fn on_committed(&mut self, seed: u64, is_write: bool, value: VersionedValue) {
         if let Some(known) = &self.acknowledged {
             let is_next = is_write && value.version == known.version + 1;
             assert!(
@@ -292,47 +292,47 @@
             );
         }
         self.newest = value.version;
-        // That there is nothing is not committed: a voter that forgets late may still hold something.
+        // A read that finds nothing commits nothing: a voter that deletes late may still have a value.
         self.acknowledged = (value.version > 0).then_some(value);
     }
 }
 
-/// A voter that was away comes back with jobs that the others have forgotten. What is committed after that stays.
+/// A voter that was down comes back with jobs that the others have deleted. Values that were committed since must stay.
 #[test]
-fn what_one_voter_still_holds_never_undoes_what_was_committed_since() {
+fn an_outdated_value_at_one_voter_never_undoes_a_later_commit() {
     let mut outcomes = [0; 2];
     for seed in 0..400 {
         let mut random = StdRng::seed_from_u64(seed);
-        let mut voters = three();
+        let mut voters = three_voters();
         let mut counters = [0; 3];
         let mut ids = [0, 1, 2];
         let mut oracle = Oracle::default();
         for step in 0..60 {
-            let away = random.random_range(0..VOTERS);
-            let who = random.random_range(0..3);
+            let down = random.random_range(0..VOTERS);
+            let proposer_index = random.random_range(0..3);
             match random.random_range(0..10) {
-                0 => voters[away].restart(),
-                // Another incarnation, with another id.
-                1 => (counters[who], ids[who]) = (0, ids[who] + 3),
+                0 => voters[down].restart(),
+                // The proposer restarts with another id.
+                1 => (counters[proposer_index], ids[proposer_index]) = (0, ids[proposer_index] + 3),
                 2 => {
-                    // A span ends at two voters; not at the third, as if it were down.
-                    for index in (0..VOTERS).filter(|index| *index != away) {
-                        voters[index].end_span();
+                    // The retention period ends at two voters, but not at the third, as if it were down.
+                    for index in (0..VOTERS).filter(|index| *index != down) {
+                        voters[index].end_retention_period();
                     }
                     oracle = Oracle::default();
                 }
                 pick => {
                     let is_write = pick < 7;
-                    let wanted = oracle.next_change(is_write, step);
-                    let answers = |index| index != away;
-                    let (counter, id) = (&mut counters[who], ids[who]);
-                    let outcome = change(&mut voters, counter, id, "job/x", wanted, answers);
+                    let next_change = oracle.next_change(is_write, step);
+                    let responds = |index| index != down;
+                    let (counter, id) = (&mut counters[proposer_index], ids[proposer_index]);
+                    let outcome = change(&mut voters, counter, id, "job/x", next_change, responds);
                     let (ChangeOutcome::Committed(value) | ChangeOutcome::Conflict(value)) =
                         outcome
                     else {
                         continue;
                     };
-                    oracle.committed(seed, is_write, value);
+                    oracle.on_committed(seed, is_write, value);
                     outcomes[usize::from(is_write)] += 1;
                 }
             }
--- a/crates/register/tests/rounds.rs
+++ b/crates/register/tests/rounds.rs
@@ -1,5 +1,5 @@
-//! Seeded runs of proposers against acceptors with loss, delay, reordering, doubling and voters
-//! that come back from their records. The oracle is a list of acknowledged writes.
+//! Seeded simulations of proposers and acceptors under message loss, delay, reordering and duplication, with voters that
+//! restart from their records. The oracle keeps the committed write of each version.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -20,23 +20,23 @@
     proposed: bool,
 }
 
-enum Parcel {
+enum Message {
     ToVoter(usize, usize, u64, VoterRequest),
     ToProposer(usize, usize, u64, VoterResponse),
 }
 
-struct World {
+struct Simulation {
     random: StdRng,
     set: VoterSet,
     voters: Vec<Acceptor>,
     synced: Vec<Vec<Record>>,
     proposers: Vec<Proposer>,
-    parcels: Vec<Parcel>,
+    in_flight: Vec<Message>,
     committed: BTreeMap<u64, u64>,
     writes: usize,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let voters = (0..VOTERS as u64)
             .map(|disk| VoterRef {
@@ -49,7 +49,7 @@
             number: 1,
             voters,
         };
-        let mut world = Self {
+        let mut simulation = Self {
             random: StdRng::seed_from_u64(seed),
             voters: vec![Acceptor::default(); VOTERS],
             synced: vec![Vec::new(); VOTERS],
@@ -63,98 +63,100 @@
                     proposed: false,
                 })
                 .collect(),
-            parcels: Vec::new(),
+            in_flight: Vec::new(),
             committed: BTreeMap::new(),
             writes: 0,
             set,
         };
-        for place in 0..VOTERS {
-            let record = world.voters[place].bootstrap(world.set.clone()).unwrap();
-            world.synced[place].push(record);
+        for index in 0..VOTERS {
+            let record = simulation.voters[index]
+                .bootstrap(simulation.set.clone())
+                .unwrap();
+            simulation.synced[index].push(record);
         }
-        world
+        simulation
     }
 
-    fn send_all(&mut self, proposer: usize, number: u64, ask: register::VoterOperation) {
+    fn send_all(&mut self, proposer: usize, number: u64, operation: register::VoterOperation) {
         for voter in 0..VOTERS {
-            let message = VoterRequest {
+            let request = VoterRequest {
                 set_version: self.set.version(),
-                operation: ask.clone(),
+                operation: operation.clone(),
             };
-            self.parcels
-                .push(Parcel::ToVoter(proposer, voter, number, message));
+            self.in_flight
+                .push(Message::ToVoter(proposer, voter, number, request));
         }
     }
 
-    fn begin(&mut self, place: usize, tag: Option<u64>) {
-        let fresh: u64 = self.random.random();
-        let proposer = &mut self.proposers[place];
+    fn begin(&mut self, index: usize, tag: Option<u64>) {
+        let random_tag: u64 = self.random.random();
+        let proposer = &mut self.proposers[index];
         proposer.counter += 1;
         proposer.proposed &= tag.is_some();
-        proposer.tag = tag.unwrap_or(fresh);
+        proposer.tag = tag.unwrap_or(random_tag);
         let ballot = Ballot {
             counter: proposer.counter,
             proposer: proposer.id,
         };
         let change = Change::Write {
             expected: proposer.expected,
-            bytes: vec![place as u8],
+            bytes: vec![index as u8],
         };
-        let (round, ask) = Round::start("key", change, ballot, proposer.tag, VOTERS);
+        let (round, operation) = Round::start("key", change, ballot, proposer.tag, VOTERS);
         let number = proposer.counter * 10;
         proposer.round = Some((round, number));
-        self.send_all(place, number, ask);
+        self.send_all(index, number, operation);
     }
 
-    fn commit(&mut self, version: u64, tag: u64) {
-        let known = self.committed.entry(version).or_insert(tag);
-        assert_eq!(*known, tag, "two values committed at version {version}");
+    fn record_commit(&mut self, version: u64, tag: u64) {
+        let committed = self.committed.entry(version).or_insert(tag);
+        assert_eq!(*committed, tag, "two values committed at version {version}");
     }
 
-    fn deliver(&mut self, parcel: Parcel) {
-        match parcel {
-            Parcel::ToVoter(proposer, voter, number, message) => {
-                let (record, reply) = self.voters[voter].handle(message);
+    fn deliver(&mut self, message: Message) {
+        match message {
+            Message::ToVoter(proposer, voter, number, request) => {
+                let (record, response) = self.voters[voter].handle(request);
                 self.synced[voter].extend(record);
-                self.parcels
-                    .push(Parcel::ToProposer(proposer, voter, number, reply));
+                self.in_flight
+                    .push(Message::ToProposer(proposer, voter, number, response));
             }
-            Parcel::ToProposer(place, voter, number, reply) => {
-                self.answer(place, voter, number, reply)
+            Message::ToProposer(index, voter, number, response) => {
+                self.on_response(index, voter, number, response)
             }
         }
     }
 
-    fn answer(&mut self, place: usize, voter: usize, number: u64, reply: VoterResponse) {
-        let Some((mut round, current)) = self.proposers[place].round.take() else {
+    fn on_response(&mut self, index: usize, voter: usize, number: u64, response: VoterResponse) {
+        let Some((mut round, current)) = self.proposers[index].round.take() else {
             return;
         };
         if current != number {
-            self.proposers[place].round = Some((round, current));
+            self.proposers[index].round = Some((round, current));
             return;
         }
-        match round.on_response(voter, reply) {
-            RoundStep::Wait => self.proposers[place].round = Some((round, current)),
-            RoundStep::Send(ask) => {
-                self.proposers[place].proposed |= round.has_proposed();
-                self.proposers[place].round = Some((round, current + 1));
-                self.send_all(place, current + 1, ask);
+        match round.on_response(voter, response) {
+            RoundStep::Wait => self.proposers[index].round = Some((round, current)),
+            RoundStep::Send(operation) => {
+                self.proposers[index].proposed |= round.has_proposed();
+                self.proposers[index].round = Some((round, current + 1));
+                self.send_all(index, current + 1, operation);
             }
             RoundStep::Done(ChangeOutcome::Committed(stored)) => {
-                let proposer = &mut self.proposers[place];
+                let proposer = &mut self.proposers[index];
                 if stored.version == proposer.expected + 1 && stored.tag == proposer.tag {
                     self.writes += 1;
                 }
-                self.proposers[place].expected = stored.version;
+                self.proposers[index].expected = stored.version;
                 if stored.version > 0 {
-                    self.commit(stored.version, stored.tag);
+                    self.record_commit(stored.version, stored.tag);
                 }
             }
             RoundStep::Done(ChangeOutcome::Preempted(ballot)) => {
-                let proposer = &mut self.proposers[place];
+                let proposer = &mut self.proposers[index];
                 proposer.counter = proposer.counter.max(ballot.counter);
                 let tag = proposer.tag;
-                self.begin(place, Some(tag));
+                self.begin(index, Some(tag));
             }
             RoundStep::Done(_) => {}
         }
@@ -163,38 +165,39 @@
     fn step(&mut self) {
         match self.random.random_range(0..100) {
             0..=3 => {
-                let place = self.random.random_range(0..3);
-                if self.proposers[place].round.is_none() {
-                    self.begin(place, None);
+                let index = self.random.random_range(0..3);
+                if self.proposers[index].round.is_none() {
+                    self.begin(index, None);
                 }
             }
             4 => {
-                let place = self.random.random_range(0..3);
-                self.proposers[place].round = None;
+                let index = self.random.random_range(0..3);
+                self.proposers[index].round = None;
             }
             5 => {
                 let voter = self.random.random_range(0..VOTERS);
-                let mut back = Acceptor::default();
+                let mut restored = Acceptor::default();
                 for record in self.synced[voter].clone() {
-                    back.replay(record);
+                    restored.replay(record);
                 }
-                assert_eq!(back, self.voters[voter]);
-                self.voters[voter] = back;
+                assert_eq!(restored, self.voters[voter]);
+                self.voters[voter] = restored;
             }
-            _ if self.parcels.is_empty() => {}
+            _ if self.in_flight.is_empty() => {}
             roll => {
-                let place = self.random.random_range(0..self.parcels.len());
-                let parcel = self.parcels.swap_remove(place);
+                let index = self.random.random_range(0..self.in_flight.len());
+                let message = self.in_flight.swap_remove(index);
                 if roll < 12 {
                     return;
                 }
                 if roll < 18 {
-                    if let Parcel::ToVoter(proposer, voter, number, message) = &parcel {
-                        let twin = Parcel::ToVoter(*proposer, *voter, *number, message.clone());
-                        self.parcels.push(twin);
+                    if let Message::ToVoter(proposer, voter, number, request) = &message {
+                        let duplicate =
+                            Message::ToVoter(*proposer, *voter, *number, request.clone());
+                        self.in_flight.push(duplicate);
                     }
                 }
-                self.deliver(parcel);
+                self.deliver(message);
             }
         }
     }
@@ -204,16 +207,16 @@
 fn one_value_is_committed_for_each_version() {
     let mut writes = 0;
     for seed in 0..300 {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..1_500 {
-            world.step();
+            simulation.step();
         }
-        writes += world.writes;
+        writes += simulation.writes;
     }
     assert!(writes > 1_000, "only {writes} writes were committed");
 }
 
-/// Writes through proposals against voters that answer at once.
+/// Performs a write with a proposal, against voters that respond immediately.
 fn write(voters: &mut [Acceptor], counter: u64, expected: u64) -> ChangeOutcome {
     let ballot = Ballot {
         counter,
@@ -223,30 +226,30 @@
         expected,
         bytes: vec![counter as u8],
     };
-    let (mut proposal, mut ask) = Proposal::start("key", change, counter, ballot, VOTERS);
+    let (mut proposal, mut operation) = Proposal::start("key", change, counter, ballot, VOTERS);
     loop {
         let mut next = None;
-        for (place, voter) in voters.iter_mut().enumerate() {
-            let message = VoterRequest {
+        for (index, voter) in voters.iter_mut().enumerate() {
+            let request = VoterRequest {
                 set_version: SetVersion::new(1, 1),
-                operation: ask.clone(),
+                operation: operation.clone(),
             };
-            match proposal.on_response(place, voter.handle(message).1) {
+            match proposal.on_response(index, voter.handle(request).1) {
                 ProposalStep::Wait => {}
-                ProposalStep::Send(ask) => {
-                    next = Some(ask);
+                ProposalStep::Send(operation) => {
+                    next = Some(operation);
                     break;
                 }
-                ProposalStep::Retry(_) => panic!("nobody else writes"),
+                ProposalStep::Retry(_) => panic!("there is no other writer"),
                 ProposalStep::Done(outcome) => return outcome,
             }
         }
-        ask = next.expect("all voters answered");
+        operation = next.expect("a majority of voters responded");
     }
 }
 
 #[test]
-fn a_write_that_finds_a_later_version_is_told_what_is_there() {
+fn a_write_with_a_stale_version_gets_the_current_value() {
     let mut voters = vec![Acceptor::default(); VOTERS];
     for voter in &mut voters {
         let set = VoterSet {
@@ -265,13 +268,13 @@
     }
     for expected in [0, 1, 2, 7] {
         let ChangeOutcome::Conflict(stored) = write(&mut voters, 10 + expected, expected) else {
-            panic!("a write with version {expected} was not told that it is stale");
+            panic!("a write with version {expected} was not rejected as a conflict");
         };
         assert_eq!((stored.version, stored.tag), (3, 3));
     }
 }
 
-/// A set of voters with these disks.
+/// A voter set with these disks.
 fn set_of(number: u64, disks: [u64; 3]) -> VoterSet {
     let voters = disks.map(|disk| VoterRef {
         disk,
@@ -291,19 +294,19 @@
 }
 
 #[test]
-fn a_new_member_holds_what_any_majority_had_committed() {
-    // The value is committed at the first and the third voter; the third is then replaced.
+fn a_new_member_starts_with_every_committed_value() {
+    // The value is committed at the first and the third voter, then the third is replaced.
     let mut voters = vec![Acceptor::default(); VOTERS];
     for voter in &mut voters {
         voter.bootstrap(set_of(1, [1, 2, 3])).unwrap();
     }
-    let mut missing = std::mem::take(&mut voters[1]);
+    let mut lagging = std::mem::take(&mut voters[1]);
     assert!(matches!(
         write(&mut voters, 1, 0),
         ChangeOutcome::Committed(_)
     ));
     let next = set_of(2, [1, 2, 9]);
-    let remaining = [&mut voters[0], &mut missing];
+    let remaining = [&mut voters[0], &mut lagging];
     let replicas = remaining.map(|voter| {
         voter.adopt_set(next.clone()).unwrap();
         replica_of(voter)
@@ -312,7 +315,7 @@
     let merged = register::merge_replicas(replicas.into());
     new_member.install(next, ClaimFloors::default(), merged);
     assert_eq!(new_member.register("key").unwrap().value.version, 1);
-    // Promises come with it: a ballot below the committed one is rejected.
+    // The new member also has the promises: a ballot below the committed one is rejected.
     let (_, response) = new_member.handle(VoterRequest {
         set_version: SetVersion::new(1, 2),
         operation: register::VoterOperation::Prepare {
@@ -324,16 +327,16 @@
 }
 
 #[test]
-fn a_voter_of_another_set_answers_with_its_own() {
+fn a_voter_of_another_set_responds_with_its_own() {
     let mut voter = Acceptor::default();
-    let ask = register::VoterOperation::Query { key: "key".into() };
-    let (record, reply) = voter.handle(VoterRequest {
+    let query = register::VoterOperation::Query { key: "key".into() };
+    let (record, response) = voter.handle(VoterRequest {
         set_version: SetVersion::new(1, 1),
-        operation: ask,
+        operation: query,
     });
     assert_eq!(record, None);
     assert_eq!(
-        reply,
+        response,
         VoterResponse::SetMismatch {
             set: VoterSet::default()
         }
@@ -341,7 +344,7 @@
 }
 
 #[test]
-fn an_expired_claim_is_refused_and_never_taken_anew() {
+fn an_expired_claim_is_rejected_and_never_accepted_again() {
     let set = VoterSet {
         epoch: 1,
         number: 1,
@@ -353,15 +356,15 @@
         counter: 1,
         proposer: 1,
     };
-    let ask = |time: u64| VoterRequest {
+    let prepare = |time: u64| VoterRequest {
         set_version: SetVersion::new(1, 1),
         operation: register::VoterOperation::Prepare {
             key: format!("once/{time:014}/x"),
             ballot,
         },
     };
-    assert!(voter.handle(ask(500)).0.is_some());
-    assert!(voter.handle(ask(1_000)).0.is_some());
+    assert!(voter.handle(prepare(500)).0.is_some());
+    assert!(voter.handle(prepare(1_000)).0.is_some());
     assert!(
         voter.expire_claims(5_000, 600).is_none(),
         "a clock that jumped ahead"
@@ -371,7 +374,7 @@
         "a clock that jumped back"
     );
     assert!(voter.expire_claims(5_000, 400).is_some());
-    let (record, reply) = voter.handle(ask(500));
-    assert!(record.is_none() && reply == VoterResponse::Expired);
-    assert!(voter.handle(ask(600)).0.is_some());
+    let (record, response) = voter.handle(prepare(500));
+    assert!(record.is_none() && response == VoterResponse::Expired);
+    assert!(voter.handle(prepare(600)).0.is_some());
 }
--- a/crates/register/tests/unit/broken_invariants.rs
+++ b/crates/register/tests/unit/broken_invariants.rs
@@ -1,4 +1,4 @@
-//! A promise is broken on purpose, and its check ends the test.
+//! The promise check accepts a kept promise and panics on a broken one.
 
 use crate::promise_check::check_promise;
 use crate::value::{Ballot, RegisterState};
@@ -16,18 +16,18 @@
 }
 
 #[test]
-fn a_higher_promise_is_kept() {
+fn a_higher_promise_passes() {
     check_promise("key", Some(&state(3, 2)), &state(4, 4));
 }
 
 #[test]
 #[should_panic(expected = "promises_are_kept")]
-fn a_promise_falls() {
+fn a_lowered_promise_panics() {
     check_promise("key", Some(&state(3, 2)), &state(2, 2));
 }
 
 #[test]
 #[should_panic(expected = "promises_are_kept")]
-fn a_value_is_accepted_without_a_promise() {
+fn a_value_accepted_without_a_promise_panics() {
     check_promise("key", None, &state(1, 2));
 }
