--- a/crates/jobs/tests/cluster/controllers.rs
+++ b/crates/jobs/tests/cluster/controllers.rs
@@ -7,18 +7,19 @@
 };
 use std::collections::BTreeMap;
 
-/// Milliseconds in which a proposal ends, as in the consensus.
+/// Timeout of a proposal in milliseconds, the same as in the consensus crate.
 const PROPOSAL_TIMEOUT_MS: u64 = 1_500;
 
 struct PendingProposal {
     proposal: Proposal,
-    ask_number: u64,
+    operation_number: u64,
     from: (usize, u64),
+    /// Number of the register request, shifted left by one bit; the lowest bit is set for a write.
     number: u64,
-    until: u64,
+    deadline: u64,
 }
 
-/// A controller: its voter, and proposals for gateways.
+/// A controller: its voter, and the proposals that it makes on behalf of gateways.
 pub struct Controller {
     pub is_up: bool,
     pub incarnation: u64,
@@ -26,7 +27,7 @@
     records: Vec<Record>,
     counter: u64,
     pending: BTreeMap<u64, PendingProposal>,
-    last: u64,
+    last_id: u64,
 }
 
 fn voters(count: usize) -> VoterSet {
@@ -44,15 +45,15 @@
 impl Controller {
     pub fn new(index: usize, count: usize) -> Self {
         let mut acceptor = Acceptor::default();
-        let formed = acceptor.bootstrap(voters(count));
+        let first_record = acceptor.bootstrap(voters(count));
         Self {
             is_up: true,
             incarnation: 1 + index as u64,
             acceptor,
-            records: formed.into_iter().collect(),
+            records: first_record.into_iter().collect(),
             counter: 0,
             pending: BTreeMap::new(),
-            last: 0,
+            last_id: 0,
         }
     }
 }
@@ -90,42 +91,42 @@
             counter: controller.counter,
             proposer: controller.incarnation,
         };
-        let (proposal, ask) = Proposal::start(&key, change, tag, ballot, 3);
-        controller.last += 1;
-        let id = controller.last;
+        let (proposal, operation) = Proposal::start(&key, change, tag, ballot, 3);
+        controller.last_id += 1;
+        let id = controller.last_id;
         let is_write = expected.is_some();
         let pending = PendingProposal {
             proposal,
-            ask_number: 0,
+            operation_number: 0,
             from,
             number: number << 1 | u64::from(is_write),
-            until: now + PROPOSAL_TIMEOUT_MS * MS,
+            deadline: now + PROPOSAL_TIMEOUT_MS * MS,
         };
         controller.pending.insert(id, pending);
         let incarnation = controller.incarnation;
-        self.send_to_voters(index, id, &ask);
-        self.later(
+        self.send_to_voters(index, id, &operation);
+        self.schedule(
             PROPOSAL_TIMEOUT_MS * MS,
             Event::ProposalDeadline(index, incarnation, id),
         );
     }
 
-    fn send_to_voters(&mut self, index: usize, id: u64, ask: &VoterOperation) {
+    fn send_to_voters(&mut self, index: usize, id: u64, operation: &VoterOperation) {
         let controller = &mut self.controllers[index];
-        controller.last += 1;
-        let (incarnation, ask_number) = (controller.incarnation, controller.last);
+        controller.last_id += 1;
+        let (incarnation, operation_number) = (controller.incarnation, controller.last_id);
         if let Some(pending) = controller.pending.get_mut(&id) {
-            pending.ask_number = ask_number;
+            pending.operation_number = operation_number;
         }
         for to in 0..self.controllers.len() {
             let delay = if to == index { 1 } else { self.hop() };
             let message = VoterRequest {
                 set_version: SetVersion::new(1, 1),
-                operation: ask.clone(),
+                operation: operation.clone(),
             };
-            self.later(
+            self.schedule(
                 delay,
-                Event::VoterOperation(to, index, incarnation, (id, ask_number), message),
+                Event::VoterOperation(to, index, incarnation, (id, operation_number), message),
             );
         }
     }
@@ -135,25 +136,25 @@
         index: usize,
         from: usize,
         incarnation: u64,
-        ask: (u64, u64),
+        operation_id: (u64, u64),
         message: VoterRequest,
     ) {
         let controller = &mut self.controllers[index];
         if !controller.is_up {
             return;
         }
-        let (record, reply) = controller.acceptor.handle(message);
-        let syncs = record.is_some();
+        let (record, response) = controller.acceptor.handle(message);
+        let needs_sync = record.is_some();
         controller.records.extend(record);
-        let sync = if syncs {
+        let sync_delay = if needs_sync {
             self.random.random_range(300..1_500)
         } else {
             10
         };
-        let way = if from == index { 1 } else { self.hop() };
-        self.later(
-            sync + way,
-            Event::VoterResponse(from, incarnation, ask, index, reply),
+        let delay = if from == index { 1 } else { self.hop() };
+        self.schedule(
+            sync_delay + delay,
+            Event::VoterResponse(from, incarnation, operation_id, index, response),
         );
     }
 
@@ -163,7 +164,7 @@
         incarnation: u64,
         (id, number): (u64, u64),
         voter: usize,
-        reply: VoterResponse,
+        response: VoterResponse,
     ) {
         let now = self.now;
         let controller = &mut self.controllers[index];
@@ -173,27 +174,27 @@
         let Some(pending) = controller.pending.get_mut(&id) else {
             return;
         };
-        if pending.ask_number != number {
+        if pending.operation_number != number {
             return;
         }
-        match pending.proposal.on_response(voter, reply) {
+        match pending.proposal.on_response(voter, response) {
             ProposalStep::Wait => {}
-            ProposalStep::Send(ask) => self.send_to_voters(index, id, &ask),
+            ProposalStep::Send(operation) => self.send_to_voters(index, id, &operation),
             ProposalStep::Retry(above) => {
-                pending.ask_number = 0;
-                let pause = self.random.random_range(1..=10) * MS;
-                self.later(
-                    pause,
+                pending.operation_number = 0;
+                let backoff = self.random.random_range(1..=10) * MS;
+                self.schedule(
+                    backoff,
                     Event::RetryProposal(index, incarnation, id, above.counter),
                 );
             }
             ProposalStep::Done(ChangeOutcome::NoQuorum(_) | ChangeOutcome::Indeterminate)
-                if now + 100 * MS < pending.until =>
+                if now + 100 * MS < pending.deadline =>
             {
-                pending.ask_number = 0;
-                self.later(100 * MS, Event::RetryProposal(index, incarnation, id, 0));
+                pending.operation_number = 0;
+                self.schedule(100 * MS, Event::RetryProposal(index, incarnation, id, 0));
             }
-            ProposalStep::Done(outcome) => self.controller_done(index, id, outcome),
+            ProposalStep::Done(outcome) => self.proposal_done(index, id, outcome),
         }
     }
 
@@ -208,8 +209,8 @@
             proposer: controller.incarnation,
         };
         if let Some(pending) = controller.pending.get_mut(&id) {
-            let ask = pending.proposal.retry(ballot);
-            self.send_to_voters(index, id, &ask);
+            let operation = pending.proposal.retry(ballot);
+            self.send_to_voters(index, id, &operation);
         }
     }
 
@@ -220,19 +221,19 @@
         }
         if let Some(pending) = controller.pending.get(&id) {
             let outcome = pending.proposal.abandon();
-            self.controller_done(index, id, outcome);
+            self.proposal_done(index, id, outcome);
         }
     }
 
-    fn controller_done(&mut self, index: usize, id: u64, outcome: ChangeOutcome) {
+    fn proposal_done(&mut self, index: usize, id: u64, outcome: ChangeOutcome) {
         let Some(pending) = self.controllers[index].pending.remove(&id) else {
             return;
         };
         let response = response_of(outcome, pending.number & 1 == 1);
         let (node, incarnation) = pending.from;
-        let way = self.hop();
-        self.later(
-            way,
+        let delay = self.hop();
+        self.schedule(
+            delay,
             Event::RegisterResponded(node, incarnation, pending.number >> 1, response),
         );
     }
@@ -245,7 +246,7 @@
         controller.counter = 0;
     }
 
-    /// A controller comes back with what its disk holds.
+    /// Restarts a controller with the contents of its disk.
     pub fn boot_controller(&mut self, index: usize) {
         let controller = &mut self.controllers[index];
         if controller.is_up {
@@ -258,10 +259,10 @@
         }
         controller.acceptor.rebuild_indexes();
         let (incarnation, span) = (controller.incarnation, self.fault_rates.retention_ms * MS);
-        self.later(span, Event::AdvanceJobWindow(index, incarnation));
+        self.schedule(span, Event::AdvanceJobWindow(index, incarnation));
     }
 
-    /// A retention period of jobs is over at a controller.
+    /// Handles the end of a job retention period at a controller.
     pub fn advance_job_window(&mut self, index: usize, incarnation: u64) {
         let controller = &mut self.controllers[index];
         if !controller.is_up || controller.incarnation != incarnation {
@@ -270,6 +271,6 @@
         let record = controller.acceptor.advance_job_window();
         controller.records.extend(record);
         let span = self.fault_rates.retention_ms * MS;
-        self.later(span, Event::AdvanceJobWindow(index, incarnation));
+        self.schedule(span, Event::AdvanceJobWindow(index, incarnation));
     }
 }
--- a/crates/jobs/tests/cluster/gateway.rs
+++ b/crates/jobs/tests/cluster/gateway.rs
@@ -14,7 +14,8 @@
 #[derive(Clone, PartialEq)]
 pub enum RequestPhase {
     Waiting(String),
-    /// It has a seat: owner, whether the request was sent to the runner, when the connection was open.
+    /// The request holds a seat lease. Fields: the lease's owner, whether the request was sent to the runner, and when the
+    /// connection was established.
     Sent(String, bool, u64),
     BackingOff,
 }
@@ -29,7 +30,7 @@
     pub may_have_run: bool,
 }
 
-/// A gateway: serves requests, owns functions and coordinates their jobs.
+/// A gateway, which serves requests, owns functions and coordinates their jobs.
 pub struct GatewayNode {
     pub name: String,
     pub incarnation: u64,
@@ -39,7 +40,7 @@
     pub requests: BTreeMap<u64, PendingRequest>,
     pub suspects: BTreeMap<String, u64>,
     pub unacknowledged_results: UnacknowledgedResults,
-    last: u64,
+    last_request: u64,
 }
 
 impl GatewayNode {
@@ -53,7 +54,7 @@
             requests: BTreeMap::new(),
             suspects: BTreeMap::new(),
             unacknowledged_results: UnacknowledgedResults::default(),
-            last: 0,
+            last_request: 0,
         }
     }
 }
@@ -83,14 +84,14 @@
         self.last_incarnation += 1;
         let (incarnation, retention_ms) = (self.last_incarnation, self.fault_rates.retention_ms);
         let now = self.now_ms();
-        let mut fresh = GatewayNode::new(index);
-        fresh.incarnation = incarnation;
-        fresh.is_up = true;
-        fresh.jobs = JobCoordinator::new(incarnation, retention_ms);
-        fresh.lease_owner.update_runners(now, runners());
-        self.nodes[index] = fresh;
-        self.later(300 * MS, Event::MembershipChanged);
-        self.later(50 * MS, Event::Tick(index, incarnation));
+        let mut node = GatewayNode::new(index);
+        node.incarnation = incarnation;
+        node.is_up = true;
+        node.jobs = JobCoordinator::new(incarnation, retention_ms);
+        node.lease_owner.update_runners(now, runners());
+        self.nodes[index] = node;
+        self.schedule(300 * MS, Event::MembershipChanged);
+        self.schedule(50 * MS, Event::Tick(index, incarnation));
     }
 
     pub fn tick(&mut self, index: usize, incarnation: u64) {
@@ -105,13 +106,13 @@
             let member = membership.iter().find(|member| member.name == gateway);
             member.is_none_or(|member| member.incarnation != incarnation)
         });
-        for end in node.unacknowledged_results.take_due(now) {
+        for completion in node.unacknowledged_results.take_due(now) {
             if let Some(owner) = self.owner_of(index) {
-                self.send_completion(index, &owner, end);
+                self.send_completion(index, &owner, completion);
             }
         }
         self.run_actions(index);
-        self.later(50 * MS, Event::Tick(index, incarnation));
+        self.schedule(50 * MS, Event::Tick(index, incarnation));
     }
 
     pub fn owner_of(&self, index: usize) -> Option<String> {
@@ -122,17 +123,17 @@
         owner.map(|member| member.name.clone())
     }
 
-    /// A client requests a job.
+    /// Starts a client's request for a job.
     pub fn client_request(&mut self, index: usize, job: usize) {
         if !self.nodes[index].is_up {
             return;
         }
-        let client_request = self.oracle.ask(job);
+        let client_request = self.oracle.add_request(job);
         let timeout_ms = self.random.random_range(800..4_000);
         let now = self.now_ms();
         let node = &mut self.nodes[index];
-        node.last += 1;
-        let number = node.last;
+        node.last_request += 1;
+        let number = node.last_request;
         let digest_of_request = request_digest("POST", "/sign", format!("body {job}").as_bytes());
         let admission = JobAdmission::new(
             format!("key {job}"),
@@ -151,10 +152,10 @@
         };
         node.requests.insert(number, request);
         let incarnation = node.incarnation;
-        self.later(timeout_ms * MS, Event::Deadline(index, incarnation, number));
+        self.schedule(timeout_ms * MS, Event::Deadline(index, incarnation, number));
         if self.random.random_bool(self.fault_rates.client_left) {
             let leaves_after = self.random.random_range(0..timeout_ms * MS);
-            self.later(leaves_after, Event::ClientLeft(index, incarnation, number));
+            self.schedule(leaves_after, Event::ClientLeft(index, incarnation, number));
         }
         self.request_lease(index, number);
     }
@@ -162,7 +163,7 @@
     pub fn request_lease(&mut self, index: usize, number: u64) {
         let Some(owner) = self.owner_of(index) else {
             let incarnation = self.nodes[index].incarnation;
-            return self.later(30 * MS, Event::BackoffOver(index, incarnation, number));
+            return self.schedule(30 * MS, Event::BackoffOver(index, incarnation, number));
         };
         let now = self.now_ms();
         let node = &mut self.nodes[index];
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Cancels a lease request at the owner that has it.
+    /// Cancels a request's lease request at the owner that it was sent to, and reports its attempt as not run.
     pub fn cancel_lease_request(&mut self, index: usize, number: u64) {
         let now = self.now_ms();
         let node = &mut self.nodes[index];
@@ -213,9 +214,10 @@
             _ => return,
         };
         request.phase = RequestPhase::BackingOff;
-        let end = request
-            .admission
-            .completion(RequestId(number), FUNCTION, JobResult::NotRun);
+        let completion =
+            request
+                .admission
+                .completion(RequestId(number), FUNCTION, JobResult::NotRun);
         request.admission.abandon_attempt();
         if asked_owner == node.name {
             node.lease_owner
@@ -224,7 +226,7 @@
             let peer = self.index_of(&asked_owner).unwrap();
             self.send(index, peer, Message::CancelRequest(RequestId(number)));
         }
-        self.send_completion(index, &asked_owner, end);
+        self.send_completion(index, &asked_owner, completion);
     }
 
     pub fn move_waiting(&mut self, index: usize) {
@@ -232,7 +234,7 @@
             return;
         }
         let owner = self.owner_of(index);
-        let moved = self.nodes[index].requests.iter().filter(|(_, request)| {
+        let to_move = self.nodes[index].requests.iter().filter(|(_, request)| {
             let asked_owner = match &request.phase {
                 RequestPhase::Waiting(asked_owner) | RequestPhase::Sent(asked_owner, false, _) => {
                     asked_owner
@@ -241,8 +243,8 @@
             };
             owner.as_ref() != Some(asked_owner)
         });
-        let moved: Vec<u64> = moved.map(|(number, _)| *number).collect();
-        for number in moved {
+        let to_move: Vec<u64> = to_move.map(|(number, _)| *number).collect();
+        for number in to_move {
             self.cancel_lease_request(index, number);
             self.request_lease(index, number);
         }
@@ -279,8 +281,9 @@
             self.release(index, &asked_owner, number, LeaseOutcome::Lost);
             return self.finish(index, number, ClientOutcome::MayHaveRun, JobResult::Lost);
         }
-        let is_unsure = request.may_have_run || request.admission.may_have_run_elsewhere();
-        let outcome = if is_unsure {
+        let may_have_run_before =
+            request.may_have_run || request.admission.may_have_run_elsewhere();
+        let outcome = if may_have_run_before {
             ClientOutcome::MayHaveRun
         } else {
             ClientOutcome::NotRun
@@ -296,12 +299,16 @@
         if node.incarnation != incarnation {
             return;
         }
-        let Some(request) = node.requests.get_mut(&number).filter(|one| one.has_client) else {
+        let Some(request) = node
+            .requests
+            .get_mut(&number)
+            .filter(|request| request.has_client)
+        else {
             return;
         };
         request.has_client = false;
         self.oracle
-            .tell(request.client_request, now, ClientOutcome::NoResponse);
+            .record_outcome(request.client_request, now, ClientOutcome::NoResponse);
         if matches!(
             request.phase,
             RequestPhase::Waiting(_) | RequestPhase::BackingOff
--- a/crates/jobs/tests/cluster/messages.rs
+++ b/crates/jobs/tests/cluster/messages.rs
@@ -19,7 +19,7 @@
             }
             Message::CancelRequest(request) => node.lease_owner.cancel(now, &name, request),
             Message::LeaseRelease(release) => node.lease_owner.release(now, &name, &release),
-            Message::JobCompletion(end) => node.jobs.attempt_completed(now, &name, end),
+            Message::JobCompletion(report) => node.jobs.attempt_completed(now, &name, report),
             Message::SeatLease(lease) => self.lease_granted(index, &name, lease),
             Message::JobClaimed {
                 request_id: request,
@@ -34,7 +34,7 @@
                 request_id: request,
                 attempt,
                 verdict,
-            } => self.job_decided(index, &name, request.0, attempt, verdict),
+            } => self.verdict_received(index, &name, request.0, attempt, verdict),
             Message::JobPersisted(request) => node.unacknowledged_results.acknowledge(request),
             _ => {}
         }
@@ -44,20 +44,21 @@
     pub fn run_actions(&mut self, index: usize) {
         loop {
             let node = &mut self.nodes[index];
-            let (seats, jobs) = (node.lease_owner.take_actions(), node.jobs.take_actions());
-            if seats.is_empty() && jobs.is_empty() {
+            let (lease_actions, job_actions) =
+                (node.lease_owner.take_actions(), node.jobs.take_actions());
+            if lease_actions.is_empty() && job_actions.is_empty() {
                 return;
             }
-            for action in seats {
-                self.seat_action(index, action);
+            for action in lease_actions {
+                self.lease_action(index, action);
             }
-            for action in jobs {
+            for action in job_actions {
                 self.job_action(index, action);
             }
         }
     }
 
-    pub fn seat_action(&mut self, index: usize, action: LeaseAction) {
+    pub fn lease_action(&mut self, index: usize, action: LeaseAction) {
         let now = self.now_ms();
         match action {
             LeaseAction::Lease { gateway, lease } => {
@@ -76,12 +77,14 @@
             LeaseAction::RequestHandover { .. }
             | LeaseAction::HandOver { .. }
             | LeaseAction::ConfirmLeases { .. } => {
-                unreachable!("these gateways have no agreed table")
+                unreachable!(
+                    "without an agreed ownership table there are no handovers or confirmations"
+                )
             }
         }
     }
 
-    /// Delivers a message to a gateway, which may be this one.
+    /// Delivers a message to a gateway, possibly the sender itself.
     pub fn deliver(&mut self, index: usize, gateway: &str, message: Message) {
         if gateway == self.nodes[index].name {
             self.receive(index, index, message);
@@ -130,8 +133,8 @@
     fn access_register(&mut self, index: usize, retries: usize, message: Message) {
         let from = (index, self.nodes[index].incarnation);
         let controller = (index + retries) % self.controllers.len();
-        let way = self.hop();
-        self.later(way, Event::RegisterRequest(controller, from, message));
+        let delay = self.hop();
+        self.schedule(delay, Event::RegisterRequest(controller, from, message));
     }
 
     pub fn claimed(&mut self, index: usize, from: &str, number: u64, attempt: u32, version: u64) {
@@ -158,7 +161,7 @@
         }
     }
 
-    pub fn job_decided(
+    pub fn verdict_received(
         &mut self,
         index: usize,
         from: &str,
@@ -178,7 +181,7 @@
         let outcome = match verdict {
             JobVerdict::Answer(answer) => ClientOutcome::Answer(answer),
             JobVerdict::TooLarge | JobVerdict::MayHaveRun => ClientOutcome::MayHaveRun,
-            JobVerdict::OtherRequest => ClientOutcome::Other,
+            JobVerdict::OtherRequest => ClientOutcome::KeyReused,
             JobVerdict::NotRun(_) if request.may_have_run => ClientOutcome::MayHaveRun,
             JobVerdict::NotRun(_) => ClientOutcome::NotRun,
         };
@@ -187,7 +190,7 @@
     }
 }
 
-/// The message of an action that tells a gateway something, with the gateway's name.
+/// Returns the message of a notification action, with the name of the gateway that it is for.
 fn notification(action: JobAction) -> (String, Message) {
     match action {
         JobAction::NotifyClaimed {
@@ -237,6 +240,6 @@
             gateway,
             request_id,
         } => (gateway, Message::JobPersisted(request_id)),
-        action => panic!("{action:?} is no notification"),
+        action => panic!("{action:?} is not a notification"),
     }
 }
--- a/crates/jobs/tests/cluster/mod.rs
+++ b/crates/jobs/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated cluster: gateways and controllers as state machines in virtual time, with an oracle that counts runs.
+//! A simulated cluster: gateways and controllers as state machines in virtual time, and an oracle that records all runs.
 
 mod controllers;
 mod faults;
@@ -53,18 +53,18 @@
     ConnectionLost,
 }
 
-/// How often what fails, and how long messages and retention take.
+/// Fault probabilities, and the message delay and retention time.
 #[derive(Clone, Copy)]
 pub struct FaultRates {
-    /// Share of requests that runners reject.
+    /// Probability that a runner rejects a request.
     pub rejected: f64,
-    /// Share of runs whose response is lost.
+    /// Probability that the response of a run is lost.
     pub connection_lost: f64,
-    /// Share of clients that leave before they are answered.
+    /// Probability that a client disconnects, at a random time within the timeout of its request.
     pub client_left: f64,
-    /// Most microseconds that a message takes.
+    /// Upper bound of a message's delay, in microseconds.
     pub hop_us: u64,
-    /// Milliseconds for which jobs are retained.
+    /// Retention time of jobs, in milliseconds.
     pub retention_ms: u64,
 }
 
@@ -85,12 +85,13 @@
     pub membership: Vec<Member>,
     pub oracle: Oracle,
     pub last_incarnation: u64,
-    /// How often each link was broken, and when its last message arrives.
+    /// Number of times that each link was broken.
     links: BTreeMap<(usize, usize), u64>,
+    /// Arrival time of the last message sent in each direction of a link.
     arrivals: BTreeMap<(usize, usize), u64>,
     events: BTreeMap<u64, Event>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    number: u64,
+    last_event: u64,
 }
 
 impl Cluster {
@@ -108,7 +109,7 @@
             arrivals: BTreeMap::new(),
             events: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            number: 0,
+            last_event: 0,
         };
         for index in 0..CONTROLLERS {
             cluster
@@ -128,13 +129,14 @@
         self.now / MS
     }
 
-    pub fn later(&mut self, delay: u64, event: Event) {
-        self.number += 1;
-        self.events.insert(self.number, event);
-        self.queue.push(Reverse((self.now + delay, self.number)));
+    pub fn schedule(&mut self, delay: u64, event: Event) {
+        self.last_event += 1;
+        self.events.insert(self.last_event, event);
+        self.queue
+            .push(Reverse((self.now + delay, self.last_event)));
     }
 
-    /// Advances the clock by so many milliseconds.
+    /// Advances the clock, and handles all events that are due until then.
     pub fn run(&mut self, span_ms: u64) {
         let end = self.now + span_ms * MS;
         while let Some(Reverse((at, number))) = self.queue.peek().copied() {
@@ -144,25 +146,25 @@
             self.queue.pop();
             self.now = at;
             if let Some(event) = self.events.remove(&number) {
-                self.take(event);
+                self.handle_event(event);
             }
         }
         self.now = end;
     }
 
     pub fn hop(&mut self) -> u64 {
-        let most = self.fault_rates.hop_us;
-        self.random.random_range(most / 4..most)
+        let max = self.fault_rates.hop_us;
+        self.random.random_range(max / 4..max)
     }
 
-    /// Sends a message between two nodes, in order until their link breaks.
+    /// Sends a message from one node to another. Messages of one direction arrive in order, unless their link breaks.
     pub fn send(&mut self, from: usize, to: usize, message: Message) {
         let at = self.now + self.hop();
         let last = self.arrivals.entry((from, to)).or_insert(0);
         *last = (*last + 1).max(at);
         let delay = *last - self.now;
         let link = self.link(from, to);
-        self.later(delay, Event::Receive(to, link, from, message));
+        self.schedule(delay, Event::Receive(to, link, from, message));
     }
 
     pub fn link(&self, one: usize, other: usize) -> u64 {
@@ -170,7 +172,7 @@
         self.links.get(&key).copied().unwrap_or(0)
     }
 
-    /// Breaks a link. What is on its way may still arrive, late.
+    /// Breaks a link. Messages in flight may still arrive afterwards.
     pub fn end_link(&mut self, one: usize, other: usize) {
         let key = (one.min(other), one.max(other));
         *self.links.entry(key).or_insert(0) += 1;
@@ -178,7 +180,7 @@
         self.arrivals.remove(&(other, one));
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Receive(to, link, from, message) => {
                 if link != self.link(from, to) && self.random.random_bool(0.5) {
@@ -200,20 +202,20 @@
                     self.run_actions(index);
                 }
             }
-            event => self.take_controller_event(event),
+            event => self.handle_controller_event(event),
         }
     }
 
-    fn take_controller_event(&mut self, event: Event) {
+    fn handle_controller_event(&mut self, event: Event) {
         match event {
             Event::RegisterRequest(controller, from, message) => {
                 self.register_requested(controller, from, message)
             }
-            Event::VoterOperation(to, from, incarnation, ask, message) => {
-                self.voter_requested(to, from, incarnation, ask, message);
+            Event::VoterOperation(to, from, incarnation, operation_id, message) => {
+                self.voter_requested(to, from, incarnation, operation_id, message);
             }
-            Event::VoterResponse(controller, incarnation, ask, voter, reply) => {
-                self.voter_responded(controller, incarnation, ask, voter, reply);
+            Event::VoterResponse(controller, incarnation, operation_id, voter, response) => {
+                self.voter_responded(controller, incarnation, operation_id, voter, response);
             }
             Event::RetryProposal(controller, incarnation, id, above) => {
                 self.retry_proposal(controller, incarnation, id, above)
@@ -225,18 +227,18 @@
             Event::AdvanceJobWindow(controller, incarnation) => {
                 self.advance_job_window(controller, incarnation)
             }
-            event => self.take_gateway_event(event),
+            event => self.handle_gateway_event(event),
         }
     }
 
-    fn take_gateway_event(&mut self, event: Event) {
+    fn handle_gateway_event(&mut self, event: Event) {
         match event {
             Event::Tick(index, incarnation) => self.tick(index, incarnation),
             Event::Boot(index) => self.boot(index),
             Event::MembershipChanged => self.update_membership(),
             Event::Request(index, job) => self.client_request(index, job),
             Event::Connected(index, incarnation, request, attempt) => {
-                self.connection_open(index, incarnation, request, attempt);
+                self.connection_opened(index, incarnation, request, attempt);
             }
             Event::Run(client_request, from, request, send) => {
                 self.run_at_runner(client_request, from, request, send)
@@ -253,7 +255,7 @@
             Event::ClientLeft(index, incarnation, request) => {
                 self.client_left(index, incarnation, request)
             }
-            _ => unreachable!("taken before"),
+            _ => unreachable!("handled before"),
         }
     }
 
@@ -272,13 +274,15 @@
         }
     }
 
-    pub fn send_completion(&mut self, index: usize, to: &str, end: JobCompletion) {
+    pub fn send_completion(&mut self, index: usize, to: &str, completion: JobCompletion) {
         if to == self.nodes[index].name {
             let now = self.now_ms();
-            self.nodes[index].jobs.attempt_completed(now, to, end);
+            self.nodes[index]
+                .jobs
+                .attempt_completed(now, to, completion);
             self.run_actions(index);
         } else if let Some(peer) = self.index_of(to) {
-            self.send(index, peer, Message::JobCompletion(end));
+            self.send(index, peer, Message::JobCompletion(completion));
         }
     }
 
--- a/crates/jobs/tests/cluster/runner_attempts.rs
+++ b/crates/jobs/tests/cluster/runner_attempts.rs
@@ -8,7 +8,7 @@
 impl Cluster {
     pub fn lease_granted(&mut self, index: usize, asked_owner: &str, lease: SeatLease) {
         let number = lease.request_id.0;
-        let way = self.hop();
+        let delay = self.hop();
         let node = &mut self.nodes[index];
         let request = node.requests.get_mut(&number);
         let is_waiting = request
@@ -19,7 +19,7 @@
         };
         request.phase = RequestPhase::Sent(asked_owner.into(), false, 0);
         let (incarnation, attempt) = (node.incarnation, request.admission.attempt().number);
-        self.later(way, Event::Connected(index, incarnation, number, attempt));
+        self.schedule(delay, Event::Connected(index, incarnation, number, attempt));
     }
 
     pub fn release(
@@ -44,7 +44,7 @@
         }
     }
 
-    pub fn connection_open(&mut self, index: usize, incarnation: u64, number: u64, attempt: u32) {
+    pub fn connection_opened(&mut self, index: usize, incarnation: u64, number: u64, attempt: u32) {
         let now = self.now;
         let node = &mut self.nodes[index];
         if node.incarnation != incarnation {
@@ -53,25 +53,25 @@
         let Some(request) = node.requests.get_mut(&number) else {
             return;
         };
-        let is_same = request.admission.attempt().number == attempt;
-        if let RequestPhase::Sent(_, false, opened) = &mut request.phase {
-            if is_same {
-                *opened = now;
+        let is_current = request.admission.attempt().number == attempt;
+        if let RequestPhase::Sent(_, false, connected_at) = &mut request.phase {
+            if is_current {
+                *connected_at = now;
                 request.admission.set_connected();
                 self.send_to_runner(index, number);
             }
         }
     }
 
-    /// Sends the request to the runner, once the connection is open and the claim is held.
+    /// Sends a request to its runner if the connection is established and, for an at-most-once job, the claim is held.
     pub fn send_to_runner(&mut self, index: usize, number: u64) {
         let now = self.now;
-        let way = self.hop();
+        let delay = self.hop();
         let node = &mut self.nodes[index];
         let Some(request) = node.requests.get_mut(&number) else {
             return;
         };
-        let RequestPhase::Sent(_, is_sent, opened) = &mut request.phase else {
+        let RequestPhase::Sent(_, is_sent, connected_at) = &mut request.phase else {
             return;
         };
         if *is_sent || !request.admission.is_connected() || !request.admission.may_be_sent() {
@@ -79,12 +79,16 @@
         }
         *is_sent = true;
         request.sends += 1;
-        let (from, send, waited) = ((index, node.incarnation), request.sends, now - *opened);
+        let (from, send, claim_delay) = (
+            (index, node.incarnation),
+            request.sends,
+            now - *connected_at,
+        );
         let client_request = request.client_request;
         if request.admission.attempt().at_most_once {
-            self.oracle.waits.push(waited);
+            self.oracle.claim_delays.push(claim_delay);
         }
-        self.later(way, Event::Run(client_request, from, number, send));
+        self.schedule(delay, Event::Run(client_request, from, number, send));
     }
 
     pub fn run_at_runner(
@@ -95,22 +99,22 @@
         send: u32,
     ) {
         let fault_rates = self.fault_rates;
-        let took = self.random.random_range(5..300) * MS;
+        let duration = self.random.random_range(5..300) * MS;
         let reply = if self.random.random_bool(fault_rates.rejected) {
             Reply::Rejected
         } else {
-            let answer = self.oracle.run(client_request, self.now);
+            let answer = self.oracle.record_run(client_request, self.now);
             match self.random.random_bool(fault_rates.connection_lost) {
                 true => Reply::ConnectionLost,
                 false => Reply::Answer(answer),
             }
         };
-        let took = if matches!(reply, Reply::Rejected) {
+        let duration = if matches!(reply, Reply::Rejected) {
             MS
         } else {
-            took
+            duration
         };
-        self.later(took, Event::Reply(from.0, from.1, number, send, reply));
+        self.schedule(duration, Event::Reply(from.0, from.1, number, send, reply));
     }
 
     pub fn runner_replied(
@@ -168,20 +172,21 @@
         true
     }
 
-    /// A request ends: its client gets the outcome, and the owners that may know of it the completion.
+    /// Ends a request: records the outcome for its client, and sends the completion to the owners that may know the request.
     pub fn finish(&mut self, index: usize, number: u64, outcome: ClientOutcome, result: JobResult) {
         let Some(request) = self.nodes[index].requests.remove(&number) else {
             return;
         };
         if request.has_client {
-            self.oracle.tell(request.client_request, self.now, outcome);
+            self.oracle
+                .record_outcome(request.client_request, self.now, outcome);
         }
-        let end = request
+        let completion = request
             .admission
             .completion(RequestId(number), FUNCTION, result);
         self.nodes[index]
             .unacknowledged_results
-            .record(self.now / MS, &end);
+            .record(self.now / MS, &completion);
         let asked_owner = match &request.phase {
             RequestPhase::Waiting(asked_owner) | RequestPhase::Sent(asked_owner, ..) => {
                 Some(asked_owner.clone())
@@ -192,7 +197,7 @@
             .owner_of(index)
             .filter(|owner| asked_owner.as_ref() != Some(owner));
         for name in asked_owner.into_iter().chain(owner) {
-            self.send_completion(index, &name, end.clone());
+            self.send_completion(index, &name, completion.clone());
         }
     }
 }
--- a/crates/jobs/tests/cluster_runs.rs
+++ b/crates/jobs/tests/cluster_runs.rs
@@ -1,4 +1,4 @@
-//! Many requests for one job, in a simulated cluster with and without faults.
+//! Many requests for the same jobs, in a simulated cluster with and without faults.
 
 mod cluster;
 
@@ -13,18 +13,18 @@
     ..NO_FAULTS
 };
 
-/// Lets clients request a job at any gateways.
+/// Schedules client requests for a job at random gateways within a time span.
 fn request_job(cluster: &mut Cluster, job: usize, requests: usize, span_ms: u64) {
     let count = cluster.nodes.len();
     for _ in 0..requests {
         let index = cluster.random.random_range(0..count);
         let delay = cluster.random.random_range(0..span_ms * MS);
-        cluster.later(delay, Event::Request(index, job));
+        cluster.schedule(delay, Event::Request(index, job));
     }
 }
 
 #[test]
-fn every_request_of_a_job_gets_its_one_response() {
+fn all_requests_of_a_job_get_the_response_of_its_single_run() {
     for seed in 0..40 {
         let mut cluster = Cluster::new(seed, 4, NO_FAULTS);
         for job in 0..20 {
@@ -32,44 +32,44 @@
         }
         cluster.run(8_000);
         for job in 0..20 {
-            let outcome = cluster.oracle.outcomes(job);
+            let outcomes = cluster.oracle.outcomes(job);
             assert_eq!(cluster.oracle.runs[&job].len(), 1, "seed {seed}, job {job}");
-            let is_answer = |one: &ClientOutcome| matches!(one, ClientOutcome::Answer(_));
+            let is_answer = |outcome: &ClientOutcome| matches!(outcome, ClientOutcome::Answer(_));
             assert!(
-                outcome.len() == 6 && outcome.iter().all(is_answer),
-                "seed {seed}: {outcome:?}"
+                outcomes.len() == 6 && outcomes.iter().all(is_answer),
+                "seed {seed}: {outcomes:?}"
             );
         }
     }
 }
 
 #[test]
-fn the_claim_delays_at_most_once_jobs_by_about_one_write() {
-    let mut waits = Vec::new();
+fn the_claim_delays_at_most_once_jobs_by_about_one_register_write() {
+    let mut claim_delays = Vec::new();
     for seed in 0..20 {
         let mut cluster = Cluster::new(seed, 4, NO_FAULTS);
         for job in 0..100 {
             request_job(&mut cluster, job, 1, 5_000);
         }
         cluster.run(8_000);
-        waits.append(&mut cluster.oracle.waits);
+        claim_delays.append(&mut cluster.oracle.claim_delays);
     }
-    waits.sort_unstable();
-    let at = |share: usize| waits[(waits.len() - 1) * share / 100];
+    claim_delays.sort_unstable();
+    let at = |share: usize| claim_delays[(claim_delays.len() - 1) * share / 100];
     println!(
-        "added by the claim, hops to 0.8 ms, syncs to 1.5 ms: median {} µs, 99 % {} µs, most {} µs of {}",
+        "delay added by the claim, with up to 0.8 ms per message and 1.5 ms per sync: median {} µs, 99 % {} µs, maximum {} µs of {}",
         at(50),
         at(99),
         at(100),
-        waits.len()
+        claim_delays.len()
     );
-    assert!(waits.len() == 1_000 && at(50) < 5 * MS && at(99) < 20 * MS);
+    assert!(claim_delays.len() == 1_000 && at(50) < 5 * MS && at(99) < 20 * MS);
 }
 
-/// Jobs are retained for less than a minute: what runs again does so after that time, and not before it.
+/// With a retention time of seconds, jobs do run again, but not before their retention time is over.
 #[test]
-fn jobs_run_again_only_after_their_retention_time() {
-    let mut again = 0;
+fn jobs_rerun_only_after_their_retention_time() {
+    let mut reruns = 0;
     for seed in 0..40 {
         let retention_ms = 9_000;
         let fault_rates = FaultRates {
@@ -77,12 +77,13 @@
             ..FAULTS
         };
         let mut cluster = Cluster::new(seed, 4, fault_rates);
-        // Counted from the claim, which a run follows within its request's time.
-        cluster.oracle.apart = (retention_ms - 4_000) * MS;
+        // Retention starts at the claim. The run follows within the request's timeout of at most 4 s, so two runs may be closer
+        // than the retention time by that much.
+        cluster.oracle.min_rerun_interval = (retention_ms - 4_000) * MS;
         for controller in 0..3 {
             let delay = cluster.random.random_range(0..retention_ms * MS);
             let incarnation = cluster.controllers[controller].incarnation;
-            cluster.later(delay, Event::AdvanceJobWindow(controller, incarnation));
+            cluster.schedule(delay, Event::AdvanceJobWindow(controller, incarnation));
         }
         for job in (0..20).step_by(2) {
             request_job(&mut cluster, job, 40, 120_000);
@@ -95,17 +96,17 @@
         cluster.end_faults();
         cluster.run(5_000);
         let runs = cluster.oracle.runs.values().map(|runs| runs.len() - 1);
-        again += runs.sum::<usize>();
+        reruns += runs.sum::<usize>();
         for controller in &cluster.controllers {
             assert!(
                 controller.acceptor.len() <= 12,
-                "{} are held",
+                "{} registers are held",
                 controller.acceptor.len()
             );
         }
     }
-    println!("jobs that ran again after they were forgotten: {again}");
-    assert!(again > 500, "only {again} were forgotten");
+    println!("reruns of jobs after their retention time: {reruns}");
+    assert!(reruns > 500, "only {reruns} reruns");
 }
 
 fn is_decided(outcome: &ClientOutcome) -> bool {
@@ -115,7 +116,7 @@
     )
 }
 
-/// Runs a seed under faults; gives the cluster, and what clients that ask again afterwards are told.
+/// Runs a seed under faults. Returns the cluster, and the outcomes of requests that are repeated afterwards.
 fn run_with_faults(seed: u64) -> (Cluster, BTreeMap<&'static str, usize>) {
     let mut cluster = Cluster::new(seed, 4, FAULTS);
     for job in 0..30 {
@@ -132,15 +133,15 @@
     for client_request in &cluster.oracle.client_requests {
         assert!(
             client_request.outcome.is_some(),
-            "seed {seed}: {client_request:?} was told nothing"
+            "seed {seed}: {client_request:?} got no outcome"
         );
     }
-    let counts = ask_again(seed, &mut cluster);
+    let counts = repeat_requests(seed, &mut cluster);
     (cluster, counts)
 }
 
-/// Lets clients ask for each job again; gives the number of each outcome.
-fn ask_again(seed: u64, cluster: &mut Cluster) -> BTreeMap<&'static str, usize> {
+/// Repeats requests for each job, and counts their outcomes.
+fn repeat_requests(seed: u64, cluster: &mut Cluster) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
     let before = cluster.oracle.client_requests.len();
     for job in 0..30 {
@@ -148,7 +149,7 @@
     }
     cluster.run(5_000);
     for client_request in &cluster.oracle.client_requests[before..] {
-        let (_, outcome) = client_request.outcome.as_ref().expect("told nothing");
+        let (_, outcome) = client_request.outcome.as_ref().expect("no outcome");
         assert!(is_decided(outcome), "seed {seed}: {client_request:?}");
         let at_most_once = client_request.job.is_multiple_of(2);
         let has_run = cluster.oracle.runs.contains_key(&client_request.job);
@@ -168,26 +169,29 @@
 }
 
 #[test]
-fn no_job_runs_twice_under_faults_and_responses_outlast_them() {
-    let mut all: BTreeMap<&str, usize> = BTreeMap::new();
+fn no_at_most_once_job_runs_twice_under_faults_and_its_responses_survive_them() {
+    let mut total_counts: BTreeMap<&str, usize> = BTreeMap::new();
     for seed in 0..200 {
         let (cluster, counts) = run_with_faults(seed);
         for (name, count) in counts {
-            *all.entry(name).or_insert(0) += count;
+            *total_counts.entry(name).or_insert(0) += count;
         }
         for job in (0..30).step_by(2) {
             let answers = cluster.oracle.outcomes(job);
             let mut answers: Vec<&ClientOutcome> = answers
                 .iter()
-                .filter(|one| matches!(one, ClientOutcome::Answer(_)))
+                .filter(|outcome| matches!(outcome, ClientOutcome::Answer(_)))
                 .collect();
             answers.sort();
             answers.dedup();
             assert!(answers.len() <= 1, "seed {seed}, job {job}: {answers:?}");
         }
     }
-    println!("asked again after the faults: {all:?}");
-    let of = |name: &str| all.get(name).copied().unwrap_or(0);
-    assert_eq!(of("safe not answered"), 0);
-    assert!(of("once answered") > of("once not answered"), "{all:?}");
+    println!("outcomes of repeated requests after the faults: {total_counts:?}");
+    let count_of = |name: &str| total_counts.get(name).copied().unwrap_or(0);
+    assert_eq!(count_of("safe not answered"), 0);
+    assert!(
+        count_of("once answered") > count_of("once not answered"),
+        "{total_counts:?}"
+    );
 }
--- a/crates/jobs/tests/coordinator.rs
+++ b/crates/jobs/tests/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator alone: whatever events come, in whatever order, it stays bounded and sends what it must.
+//! The job coordinator on its own: its transitions, its memory bounds, and its robustness against arbitrary events.
 
 use fuzzing::seeded;
 use jobs::{
@@ -92,17 +92,17 @@
 }
 
 #[test]
-fn jobs_that_may_run_twice_ask_no_controller() {
+fn jobs_that_may_run_more_than_once_use_no_register() {
     let mut jobs = JobCoordinator::new(1, 600_000);
     jobs.request_arrived(0, "g1", "a", lease_request(4, "k", false));
     jobs.request_arrived(1, "g2", "a", lease_request(9, "k", false));
     let actions = jobs.take_actions();
     assert!(register_request_of(&actions).is_none());
-    let seats = actions
+    let lease_requests = actions
         .iter()
-        .filter(|one| matches!(one, JobAction::RequestLease { .. }));
-    assert_eq!(seats.count(), 1);
-    // The first fails: the request that waited runs, and is not dropped.
+        .filter(|action| matches!(action, JobAction::RequestLease { .. }));
+    assert_eq!(lease_requests.count(), 1);
+    // The first request fails: the waiting one is run rather than dropped.
     jobs.attempt_completed(5, "g1", completion(4, "k", false, JobResult::Lost));
     let actions = jobs.take_actions();
     assert!(
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_rejection_before_the_claim_is_known_is_not_passed_on() {
+fn a_rejection_is_held_back_until_the_claim_is_known() {
     let mut jobs = JobCoordinator::new(1, 600_000);
     jobs.request_arrived(0, "g1", "a", lease_request(4, "k", true));
     let (number, _, _) = register_request_of(&jobs.take_actions()).unwrap();
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn without_controllers_at_most_once_jobs_are_rejected_in_half_their_time() {
+fn without_controllers_at_most_once_jobs_are_rejected_after_half_their_timeout() {
     let mut jobs = JobCoordinator::new(1, 600_000);
     jobs.request_arrived(0, "g1", "a", lease_request(4, "k", true));
     for now in (0..1_999).step_by(50) {
@@ -154,13 +154,13 @@
     let actions = jobs.take_actions();
     let verdicts = verdicts(&actions);
     assert!(matches!(verdicts[..], [(4, JobVerdict::NotRun(_))]));
-    // The claim may be written all the same: it is released.
+    // The claim may have been written nevertheless, so it is released.
     let (_, _, claim) = register_request_of(&actions).unwrap();
     assert_eq!(claim.state, ClaimState::Free);
 }
 
 #[test]
-fn keys_are_visible_ascii_and_not_long() {
+fn valid_keys_are_visible_ascii_up_to_the_maximum_length() {
     for key in ["", " ", "a b", "k\u{e9}", "a\tb", &"k".repeat(201)] {
         assert!(!is_valid_idempotency_key(key.as_bytes()), "{key:?}");
     }
@@ -199,29 +199,29 @@
         "{actions:?}"
     );
     jobs.advance_clock(2_000_000, |_, _| true);
-    assert!(jobs.len() <= 1, "{} jobs are old", jobs.len());
+    assert!(jobs.len() <= 1, "{} expired jobs are left", jobs.len());
 }
 
 seeded! {
-    fn no_sequence_of_events_makes_it_panic_or_grow(events: Vec<(u8, u8, u8)>) -> bool {
+    fn no_sequence_of_events_causes_a_panic_or_unbounded_growth(events: Vec<(u8, u8, u8)>) -> bool {
         let mut jobs = JobCoordinator::new(1, 10_000);
-        let (mut now, mut asks) = (0, Vec::new());
-        for (event, one, other) in events {
-            let (request, key) = (u64::from(one % 4), format!("k{}", other % 2));
-            let gateway = if one % 8 < 4 { "g1" } else { "g2" };
+        let (mut now, mut register_requests) = (0, Vec::new());
+        for (event, first, second) in events {
+            let (request, key) = (u64::from(first % 4), format!("k{}", second % 2));
+            let gateway = if first % 8 < 4 { "g1" } else { "g2" };
             match event % 8 {
                 0 | 1 => jobs.request_arrived(now, gateway, "a", lease_request(request, &key, true)),
                 2 => {
-                    let results = [JobResult::NotRun, JobResult::Lost, JobResult::Answer(vec![one])];
-                    let result = results[usize::from(other) % 3].clone();
+                    let results = [JobResult::NotRun, JobResult::Lost, JobResult::Answer(vec![first])];
+                    let result = results[usize::from(second) % 3].clone();
                     jobs.attempt_completed(now, gateway, completion(request, &key, true, result));
                 }
-                3 if !asks.is_empty() => {
-                    let number = asks.remove(usize::from(one) % asks.len());
-                    let response = match other % 4 {
-                        0 | 1 => RegisterResponse::Written(u64::from(one)),
+                3 if !register_requests.is_empty() => {
+                    let number = register_requests.remove(usize::from(first) % register_requests.len());
+                    let response = match second % 4 {
+                        0 | 1 => RegisterResponse::Written(u64::from(first)),
                         2 => RegisterResponse::Unavailable,
-                        _ => RegisterResponse::Found(u64::from(one), vec![other; 3]),
+                        _ => RegisterResponse::Found(u64::from(first), vec![second; 3]),
                     };
                     jobs.register_responded(now, number, response);
                 }
@@ -230,12 +230,12 @@
                 }
                 5 => jobs.gateway_lost(now, gateway),
                 _ => {
-                    now += u64::from(other);
+                    now += u64::from(second);
                     jobs.advance_clock(now, |_, incarnation| incarnation != 7);
                 }
             }
             let actions = jobs.take_actions();
-            asks.extend(actions.iter().filter_map(|action| match action {
+            register_requests.extend(actions.iter().filter_map(|action| match action {
                 JobAction::AccessRegister { number, .. } => Some(*number),
                 _ => None,
             }));
--- a/crates/jobs/tests/paused_coordinator.rs
+++ b/crates/jobs/tests/paused_coordinator.rs
@@ -1,17 +1,18 @@
-//! What a coordinator of jobs believes of other gateways once its process stood still.
+//! The job coordinator's view of other gateways after a pause of its process.
 
 mod running_job;
 
 use jobs::{JobAction, JobCoordinator};
 use process_pause::ProcessPause;
 use protocol::RegisterResponse;
-use running_job::{admission, last_register_request, lease_request, running};
+use running_job::{admission, last_register_request, lease_request, start_job};
 
-/// A copy waits for a job that another gateway runs, whose incarnation the membership that is known here does not name yet.
+/// Returns a coordinator at which a request waits for a job that another gateway runs, and whose known membership does not list
+/// that gateway's incarnation yet.
 fn waiting_for_unknown_gateway() -> JobCoordinator {
     let mut jobs = JobCoordinator::new(2, 10_000);
     let mut admission = admission();
-    let (_, claim) = running(&mut admission);
+    let (_, claim) = start_job(&mut admission);
     jobs.request_arrived(
         0,
         "g2",
@@ -24,10 +25,11 @@
     jobs
 }
 
-/// A coordinator that stood still took the gateway of a job for gone by the membership of before, and told a copy of the request that it may
-/// have run, before it had read the membership that names it. Two seconds in which nothing was read are no reason to believe that.
+/// Guards against a coordinator that, after a pause of its process, considers the gateway that runs a job gone because of the
+/// membership it knew before the pause. It then reported the job as possibly run, although the membership that lists the gateway
+/// had only not been read yet. Two seconds in which nothing was read must not count towards the timeout of a missing gateway.
 #[test]
-fn a_gateway_that_runs_a_job_is_not_taken_for_gone_by_the_membership_of_before_a_pause() {
+fn a_membership_from_before_a_pause_does_not_make_a_job_holder_count_as_gone() {
     let mut jobs = waiting_for_unknown_gateway();
     jobs.advance_clock(50, |_, _| true);
     jobs.take_actions();
@@ -39,9 +41,9 @@
     jobs.advance_clock(2_400, |_, _| true);
     let (number, _) = last_register_request(&jobs.take_actions());
     let mut admission = admission();
-    let (_, claim) = running(&mut admission);
+    let (_, claim) = start_job(&mut admission);
     jobs.register_responded(2_401, number, RegisterResponse::Found(1, claim));
-    let told = jobs.take_actions();
+    let actions = jobs.take_actions();
     let is_verdict = |action: &JobAction| matches!(action, JobAction::NotifyVerdict { .. });
-    assert!(!told.iter().any(is_verdict), "{told:?}");
+    assert!(!actions.iter().any(is_verdict), "{actions:?}");
 }
--- a/crates/jobs/tests/running_job/mod.rs
+++ b/crates/jobs/tests/running_job/mod.rs
@@ -1,4 +1,4 @@
-//! A coordinator with a job that a request runs.
+//! Helpers for tests: a coordinator with a running job.
 #![allow(dead_code)]
 
 use jobs::{request_digest, JobAction, JobAdmission, JobCoordinator};
@@ -25,9 +25,9 @@
     }
 }
 
-/// Number and value of the newest register request.
+/// Returns the number and value of the last register request among the actions.
 pub fn last_register_request(actions: &[JobAction]) -> (u64, Vec<u8>) {
-    let mut asks = actions.iter().filter_map(|action| match action {
+    let mut register_requests = actions.iter().filter_map(|action| match action {
         JobAction::AccessRegister {
             number,
             value: bytes,
@@ -35,11 +35,11 @@
         } => Some((*number, bytes.clone())),
         _ => None,
     });
-    asks.next_back().expect("nothing was asked")
+    register_requests.next_back().expect("no register request")
 }
 
-/// A coordinator with a job that runs for request 4 of gateway g1.
-pub fn running(admission: &mut JobAdmission) -> (JobCoordinator, Vec<u8>) {
+/// Returns a coordinator whose job is run by request 4 of gateway g1, and the claim that it wrote to the register.
+pub fn start_job(admission: &mut JobAdmission) -> (JobCoordinator, Vec<u8>) {
     let mut jobs = JobCoordinator::new(1, 10_000);
     jobs.request_arrived(
         0,
--- a/crates/jobs/tests/stale_messages.rs
+++ b/crates/jobs/tests/stale_messages.rs
@@ -1,4 +1,4 @@
-//! Messages that are late, or about an earlier attempt, change nothing; results are resent until they are persisted.
+//! Delayed messages and messages about earlier attempts have no effect; results are resent until they are persisted.
 
 mod running_job;
 
@@ -8,7 +8,7 @@
 use protocol::{
     JobAttempt, JobCompletion, JobResult, JobVerdict, LeaseRequest, RegisterResponse, RequestId,
 };
-use running_job::{admission, last_register_request, lease_request, running};
+use running_job::{admission, last_register_request, lease_request, start_job};
 use speedy::Readable;
 
 fn completion(admission: &JobAdmission, result: JobResult) -> JobCompletion {
@@ -18,8 +18,8 @@
 #[test]
 fn the_completion_of_an_earlier_attempt_does_not_end_the_current_one() {
     let mut admission = admission();
-    let (mut jobs, _) = running(&mut admission);
-    let old = completion(&admission, JobResult::NotRun);
+    let (mut jobs, _) = start_job(&mut admission);
+    let old_completion = completion(&admission, JobResult::NotRun);
     jobs.request_arrived(
         5,
         "g1",
@@ -35,10 +35,10 @@
         lease_request(9, self::admission().begin_attempt("k1")),
     );
     jobs.take_actions();
-    jobs.attempt_completed(8, "g1", old);
+    jobs.attempt_completed(8, "g1", old_completion);
     assert!(
         jobs.take_actions().is_empty(),
-        "the copy is let run beside the first"
+        "another request was admitted while the first one runs"
     );
     jobs.attempt_completed(9, "g1", completion(&admission, JobResult::NotRun));
     let actions = jobs.take_actions();
@@ -46,9 +46,9 @@
 }
 
 #[test]
-fn a_rejected_request_is_replaced_once_its_gateway_says_that_it_did_not_run() {
+fn a_rejected_request_is_replaced_once_its_gateway_reports_that_it_has_not_run() {
     let mut admission = admission();
-    let (mut jobs, _) = running(&mut admission);
+    let (mut jobs, _) = start_job(&mut admission);
     jobs.request_arrived(
         2,
         "g2",
@@ -75,9 +75,9 @@
 }
 
 #[test]
-fn a_forgotten_claim_of_this_coordinator_is_not_taken_for_void() {
+fn the_claim_of_an_expired_job_of_this_coordinator_is_not_replaced() {
     let mut admission = admission();
-    let (mut jobs, claim) = running(&mut admission);
+    let (mut jobs, claim) = start_job(&mut admission);
     jobs.advance_clock(30_000, |_, _| false);
     assert!(jobs.is_empty());
     jobs.request_arrived(
@@ -89,17 +89,17 @@
     let (number, _) = last_register_request(&jobs.take_actions());
     jobs.register_responded(30_002, number, RegisterResponse::Found(1, claim));
     let actions = jobs.take_actions();
-    let joins = |action: &JobAction| matches!(action, JobAction::NotifyJoined { gateway, request_id: RequestId(9), .. } if gateway == "g2");
-    assert!(actions.iter().any(joins), "{actions:?}");
+    let is_join = |action: &JobAction| matches!(action, JobAction::NotifyJoined { gateway, request_id: RequestId(9), .. } if gateway == "g2");
+    assert!(actions.iter().any(is_join), "{actions:?}");
     assert!(!actions
         .iter()
         .any(|action| matches!(action, JobAction::AccessRegister { .. })));
 }
 
 #[test]
-fn requests_for_a_job_whose_gateway_is_gone_learn_that_it_may_have_run() {
+fn requests_waiting_for_a_job_of_a_lost_gateway_are_told_that_it_may_have_run() {
     let mut admission = admission();
-    let (mut jobs, claim) = running(&mut admission);
+    let (mut jobs, claim) = start_job(&mut admission);
     jobs.gateway_lost(10, "g1");
     jobs.request_arrived(
         20,
@@ -119,7 +119,7 @@
                     expected_version: expected,
                     ..
                 } => {
-                    assert_eq!(expected, None, "it is only looked at");
+                    assert_eq!(expected, None, "the register is only read");
                     jobs.register_responded(now, number, RegisterResponse::Found(1, claim.clone()));
                 }
                 JobAction::NotifyVerdict {
@@ -153,7 +153,7 @@
     );
     assert!(
         !admission.may_be_sent(),
-        "what was said about the first attempt is void"
+        "messages about the first attempt no longer apply"
     );
     admission.set_joined();
     assert!(!admission.may_be_sent() && admission.may_have_run_elsewhere());
@@ -182,13 +182,13 @@
 #[test]
 fn a_result_that_a_new_owner_receives_first_is_stored_and_published() {
     let mut admission = admission();
-    let (_, claim) = running(&mut admission);
+    let (_, claim) = start_job(&mut admission);
     let mut other = JobCoordinator::new(2, 10_000);
     let answer = completion(&admission, JobResult::Answer(vec![5]));
     other.attempt_completed(10, "g1", answer.clone());
     let (number, bytes) = last_register_request(&other.take_actions());
-    let kept = Claim::read_from_buffer(&bytes).unwrap();
-    assert_eq!(kept.holder, Claim::read_from_buffer(&claim).unwrap().holder);
+    let done = Claim::read_from_buffer(&bytes).unwrap();
+    assert_eq!(done.holder, Claim::read_from_buffer(&claim).unwrap().holder);
     other.register_responded(11, number, RegisterResponse::Written(2));
     assert_eq!(
         other.take_actions(),
@@ -223,18 +223,18 @@
     );
 }
 
-/// A partition holds the lease request of a first attempt back, while the second one is claimed at another coordinator.
-struct HeldBackAttempt {
+/// A partition delays the lease request of a first attempt, while the second attempt claims the job at another coordinator.
+struct DelayedAttempt {
     admission: JobAdmission,
-    held_back: LeaseRequest,
-    /// What the other coordinator wrote to the register for the second attempt.
+    delayed: LeaseRequest,
+    /// The claim that the other coordinator wrote to the register for the second attempt.
     claim: Vec<u8>,
 }
 
-impl HeldBackAttempt {
+impl DelayedAttempt {
     fn new() -> Self {
         let mut admission = admission();
-        let held_back = lease_request(4, admission.begin_attempt("k1"));
+        let delayed = lease_request(4, admission.begin_attempt("k1"));
         let mut other = JobCoordinator::new(2, 10_000);
         let second = lease_request(4, admission.begin_attempt("k2"));
         other.request_arrived(0, "g1", "a", second);
@@ -242,7 +242,7 @@
         admission.set_claimed(1);
         Self {
             admission,
-            held_back,
+            delayed,
             claim,
         }
     }
@@ -255,22 +255,20 @@
 }
 
 #[test]
-fn a_late_request_of_an_earlier_attempt_takes_no_claim_over() {
-    let HeldBackAttempt {
-        held_back, claim, ..
-    } = HeldBackAttempt::new();
+fn a_delayed_request_of_an_earlier_attempt_does_not_take_over_the_claim() {
+    let DelayedAttempt { delayed, claim, .. } = DelayedAttempt::new();
     let mut jobs = JobCoordinator::new(1, 10_000);
-    let voided = held_back.job.clone().expect("a job");
-    jobs.request_arrived(10, "g1", "a", held_back);
+    let abandoned = delayed.job.clone().expect("a job");
+    jobs.request_arrived(10, "g1", "a", delayed);
     let (number, _) = last_register_request(&jobs.take_actions());
     jobs.register_responded(11, number, RegisterResponse::Found(1, claim));
     let actions = jobs.take_actions();
     assert!(
         !writes(&actions),
-        "it writes over a later attempt: {actions:?}"
+        "the claim of a later attempt is overwritten: {actions:?}"
     );
-    // Its gateway had voided the first attempt, which says nothing of the second.
-    jobs.attempt_completed(12, "g1", not_run(voided));
+    // The gateway had abandoned the first attempt, which implies nothing about the second.
+    jobs.attempt_completed(12, "g1", not_run(abandoned));
     jobs.request_arrived(
         13,
         "g2",
@@ -283,20 +281,20 @@
         .any(|action| matches!(action, JobAction::RequestLease { gateway, .. } if gateway == "g2"));
     assert!(
         !is_admitted && !writes(&actions),
-        "a copy is let run: {actions:?}"
+        "another request was admitted: {actions:?}"
     );
 }
 
 #[test]
-fn a_late_request_of_an_earlier_attempt_is_dropped_where_a_later_one_is_known() {
+fn a_delayed_request_of_an_earlier_attempt_is_dropped_if_a_later_one_is_known() {
     let mut admission = admission();
-    let held_back = lease_request(4, admission.begin_attempt("k1"));
-    let (mut jobs, _) = running(&mut admission);
-    jobs.request_arrived(5, "g1", "a", held_back.clone());
+    let delayed = lease_request(4, admission.begin_attempt("k1"));
+    let (mut jobs, _) = start_job(&mut admission);
+    jobs.request_arrived(5, "g1", "a", delayed.clone());
     let actions = jobs.take_actions();
     assert!(actions.is_empty(), "while it runs: {actions:?}");
     jobs.gateway_lost(6, "g1");
-    jobs.request_arrived(7, "g1", "a", held_back);
+    jobs.request_arrived(7, "g1", "a", delayed);
     let actions = jobs.take_actions();
     assert!(
         actions.is_empty(),
@@ -305,12 +303,12 @@
 }
 
 #[test]
-fn a_later_attempt_takes_the_claim_of_its_request_over() {
-    let HeldBackAttempt {
+fn a_later_attempt_takes_over_the_claim_of_its_request() {
+    let DelayedAttempt {
         mut admission,
         claim,
         ..
-    } = HeldBackAttempt::new();
+    } = DelayedAttempt::new();
     let mut jobs = JobCoordinator::new(1, 10_000);
     let third = lease_request(4, admission.begin_attempt("k1"));
     jobs.request_arrived(10, "g1", "a", third);
@@ -319,7 +317,7 @@
     assert!(writes(&jobs.take_actions()));
 }
 
-/// What a gateway says of an attempt that it voided before it was sent.
+/// Returns the completion that a gateway sends for an attempt that it abandoned before sending the request to a runner.
 fn not_run(attempt: JobAttempt) -> JobCompletion {
     JobCompletion {
         request_id: RequestId(4),
@@ -331,17 +329,17 @@
 }
 
 #[test]
-fn only_attempts_up_to_the_last_voided_one_are_known_not_to_have_run() {
-    let mut voided = AbandonedAttempts::default();
+fn only_attempts_up_to_the_last_abandoned_one_are_known_not_to_have_run() {
+    let mut abandoned = AbandonedAttempts::default();
     let mut admission = admission();
     admission.begin_attempt("k1");
     admission.begin_attempt("k2");
-    voided.record(&completion(&admission, JobResult::NotRun));
-    assert!(voided.find(RequestId(4), 1).is_some());
-    assert!(voided.find(RequestId(4), 2).is_some());
-    assert!(voided.find(RequestId(4), 3).is_none());
-    assert!(voided.find(RequestId(5), 1).is_none());
+    abandoned.record(&completion(&admission, JobResult::NotRun));
+    assert!(abandoned.find(RequestId(4), 1).is_some());
+    assert!(abandoned.find(RequestId(4), 2).is_some());
+    assert!(abandoned.find(RequestId(4), 3).is_none());
+    assert!(abandoned.find(RequestId(5), 1).is_none());
     admission.begin_attempt("k1");
-    voided.record(&completion(&admission, JobResult::Lost));
-    assert!(voided.find(RequestId(4), 3).is_none());
+    abandoned.record(&completion(&admission, JobResult::Lost));
+    assert!(abandoned.find(RequestId(4), 3).is_none());
 }
