--- a/crates/consensus/src/consensus.rs
+++ b/crates/consensus/src/consensus.rs
@@ -270,13 +270,13 @@
     pub fn status(&self) -> String {
         let version = self.sets.version();
         match self.reads.first_unread() {
-            _ if !self.sets.is_disk_trusted() => "the disk cannot be trusted".into(),
-            _ if !self.sets.has_set() => "no voter set is known yet".into(),
-            _ if self.sets.is_voter_empty() => format!("waiting to join voter set {version}"),
-            _ if self.is_resetting() => "resetting the disk".into(),
-            _ if !self.sets.is_member() => format!("not in voter set {version}"),
-            Some(key) => format!("{key} has not been read from a majority yet"),
-            None => format!("voting in set {version}"),
+            _ if !self.sets.is_disk_trusted() => "the disk is not to be trusted".into(),
+            _ if !self.sets.has_set() => "no voters are known yet".into(),
+            _ if self.sets.is_voter_empty() => format!("waits for a place in set {version}"),
+            _ if self.is_resetting() => "empties its disk".into(),
+            _ if !self.sets.is_member() => format!("left out of set {version}"),
+            Some(key) => format!("{key} was not read at a majority yet"),
+            None => format!("votes in set {version}"),
         }
     }
 
--- a/crates/consensus/src/consensus/changes.rs
+++ b/crates/consensus/src/consensus/changes.rs
@@ -80,7 +80,7 @@
     pub(super) fn propose(&mut self, now: u64, purpose: ChangePurpose, key: &str, change: Change) {
         let set = self.sets.newest().clone();
         if !self.sets.has_set() {
-            let outcome = ChangeOutcome::NoQuorum("no voter set is known yet".into());
+            let outcome = ChangeOutcome::NoQuorum("no voters are known yet".into());
             return self.on_outcome(now, purpose, key, outcome);
         }
         let tag = self.random.random::<u64>() | 1;
@@ -174,7 +174,7 @@
             return;
         }
         let response = VoterResponse::Unavailable {
-            reason: "the scaler role is not vacant".into(),
+            reason: "the duty is not vacant".into(),
         };
         self.respond(from, number, false, response);
     }
--- a/crates/consensus/src/disk_work.rs
+++ b/crates/consensus/src/disk_work.rs
@@ -90,7 +90,7 @@
                 is_value_omitted: false,
                 is_role_round: is_role_round(&request.operation),
                 response: VoterResponse::Unavailable {
-                    reason: "the disk queue is full".into(),
+                    reason: "too much waits for the disk".into(),
                 },
             }),
             Self::FormSet(_) | Self::AdoptSet(_) | Self::Install(_) => {
