--- a/crates/jobs/src/action.rs
+++ b/crates/jobs/src/action.rs
@@ -27,7 +27,7 @@
         gateway: String,
         /// Id of the request.
         request_id: RequestId,
-        /// Number of the request's current attempt.
+        /// Number of the request's attempt.
         attempt: u32,
         /// Version of the register that holds the claim.
         register_version: u64,
@@ -38,7 +38,7 @@
         gateway: String,
         /// Id of the request.
         request_id: RequestId,
-        /// Number of the request's current attempt.
+        /// Number of the request's attempt.
         attempt: u32,
     },
     /// Notify a gateway of the verdict on its request.
@@ -47,7 +47,7 @@
         gateway: String,
         /// Id of the request.
         request_id: RequestId,
-        /// Number of the request's current attempt.
+        /// Number of the request's attempt.
         attempt: u32,
         /// Outcome of the job for this request.
         verdict: JobVerdict,
--- a/crates/jobs/src/coordinator.rs
+++ b/crates/jobs/src/coordinator.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Requests that a controller writes the claim of the admitted request.
+    /// Asks a controller to write the claim of the admitted request.
     pub(crate) fn write_claim(&mut self, now: u64, key: &str, job: &Job) {
         let JobState::Claiming {
             request,
@@ -141,7 +141,7 @@
         self.write(now, key, purpose, job.register_version, &stored, *retries);
     }
 
-    /// Requests that a controller releases a claim under which no request runs.
+    /// Asks a controller to release a claim under which no request runs.
     pub(crate) fn release_claim(&mut self, now: u64, key: &str, job: &Job) {
         let retries = job.release.map_or(0, |retry| retry.retries());
         let claim = Claim {
@@ -154,7 +154,7 @@
         self.write(now, key, purpose, job.register_version, &stored, retries);
     }
 
-    /// Requests that a controller stores the result of a job.
+    /// Asks a controller to store the result of a job.
     pub(crate) fn store_result(&mut self, now: u64, key: &str, job: &Job) {
         let JobState::Completed {
             response,
