--- a/crates/voter/src/bootstrap.rs
+++ b/crates/voter/src/bootstrap.rs
@@ -1,59 +1,60 @@
-//! How the voters of a new system, or of one that lost all its disks, form the first set of an epoch.
+//! Formation of the first voter set of an epoch, in a new system or in one that lost all its disks.
 
 use configuration::Bounds;
 use register::{VoterRef, VoterSet};
 
-/// What a peer said of its voter.
+/// What a peer reported about its voter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerStatus {
-    /// Address at which it was asked.
+    /// Address at which the peer was polled.
     pub address: String,
-    /// Id of its disk.
+    /// Id of the voter's disk.
     pub disk: u64,
-    /// Its set; epoch 0 where it is empty.
+    /// The voter's set; epoch 0 if the voter is empty.
     pub set: VoterSet,
-    /// The newest epoch of which a gateway told it that it holds a value; 0 where none did.
+    /// Newest epoch of which a gateway reported a value to this peer; 0 if none did.
     pub gateway_epoch: u64,
 }
 
-/// What the gateways still hold of earlier epochs.
+/// What the gateways still know of earlier epochs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GatewayEvidence {
-    /// The newest epoch of which they hold a value; 0 where they hold none.
+    /// Newest epoch of which a gateway has a value; 0 if none has any.
     pub epoch: u64,
-    /// Whether enough gateways were heard; see [`GatewayEvidence::is_sufficient`].
+    /// Whether enough gateways reported; see [`GatewayEvidence::is_sufficient`].
     pub is_majority: bool,
 }
 
 impl GatewayEvidence {
-    /// Whether so many gateways of a membership tell enough. Peers that lost their disks bear no witness, so all members count
-    /// for the majority; but there is nobody else to hear where all but as many as there are seeds were heard.
-    pub fn is_sufficient(heard: usize, members: usize, seeds: usize) -> bool {
-        heard > 0 && (heard > members / 2 || heard + seeds >= members)
+    /// Whether reports from `reporting` gateways suffice in a membership of `members`. Peers that lost their disks report
+    /// nothing, so the majority is one of all members. If at most as many members are missing as there are seeds, nobody else
+    /// is left to report.
+    pub fn is_sufficient(reporting: usize, members: usize, seeds: usize) -> bool {
+        reporting > 0 && (reporting > members / 2 || reporting + seeds >= members)
     }
 }
 
-/// The median of this machine's wall clock and those of others, in milliseconds. `offsets` tells how far others are ahead. A
-/// floor by one clock alone that was set back would let in keys from before the loss.
+/// Median of this machine's wall clock and those of others, in milliseconds. `offsets` are the leads of the others over `own`.
+/// A floor taken from a single clock that was set back would admit keys from before the loss.
 pub fn median_wall_clock(own: u64, offsets: impl Iterator<Item = i64>) -> u64 {
     let mut offsets: Vec<i64> = offsets.chain([0]).collect();
     offsets.sort_unstable();
     own.saturating_add_signed(offsets[offsets.len() / 2])
 }
 
-/// What a voter does next about the first set of an epoch.
+/// The next step of a voter towards the first set of an epoch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BootstrapStep {
-    /// Nothing, or not yet.
+    /// Nothing to do for now.
     Wait,
-    /// Form this set and tell its members.
+    /// Form this set and send it to its members.
     Form {
         /// The first set of the new epoch.
         set: VoterSet,
-        /// Claims issued before this wall time, in milliseconds, are refused.
+        /// Claims issued before this time, in milliseconds of the wall clock, are rejected.
         refused_before: u64,
     },
-    /// Tell these members again that the set was formed: they are named in it and are still empty.
+    /// Send the set again to these members, which are named in it but still empty.
     Resend {
         /// The first set of the epoch.
         set: VoterSet,
@@ -62,34 +63,34 @@
     },
 }
 
-/// What a decision about an epoch is based on.
+/// Input of a decision about an epoch.
 #[derive(Clone, Copy, Debug)]
 pub struct BootstrapView<'a> {
-    /// Boot-time clock of this machine in milliseconds.
+    /// Boot-time clock of this machine, in milliseconds.
     pub now: u64,
-    /// Median wall clock in milliseconds; see [`median_wall_clock`].
+    /// Median wall clock, in milliseconds; see [`median_wall_clock`].
     pub wall: u64,
-    /// The times that the configuration bounds.
+    /// Time bounds from the configuration.
     pub bounds: &'a Bounds,
     /// Id of this voter's disk.
     pub own_disk: u64,
-    /// Whether this machine is the first of the seeds, which alone forms a set.
+    /// Whether this machine is the first seed, the only one that may form a set.
     pub is_first_seed: bool,
-    /// How many seeds there are.
+    /// Number of seeds.
     pub seeds: usize,
-    /// The seeds that answered, this one among them.
+    /// The seeds that responded, including this one.
     pub peers: &'a [PeerStatus],
-    /// What the gateways hold; none where no gateway was heard.
+    /// What the gateways know; `None` if no gateway has reported.
     pub evidence: Option<GatewayEvidence>,
 }
 
-/// How an epoch begins: where all seeds say that they are empty, the first of them forms a set. A pure machine.
+/// Begins an epoch: once all seeds report that they are empty, the first one forms a set. A state machine without I/O.
 #[derive(Debug, Default)]
 pub struct Bootstrap {
-    /// Since when all seeds were heard to be empty.
+    /// Since when all seeds have reported that they are empty.
     empty_since: Option<u64>,
     /// Since when the epoch is known to have no values.
-    blank_since: Option<u64>,
+    no_values_since: Option<u64>,
 }
 
 impl Bootstrap {
@@ -101,11 +102,11 @@
             self.empty_since = None;
             return resend(view.own_disk, newest, view.peers);
         }
-        let told_epoch = view.peers.iter().map(|peer| peer.gateway_epoch).max();
+        let reported_epoch = view.peers.iter().map(|peer| peer.gateway_epoch).max();
         let held_epoch = view.evidence.map_or(0, |evidence| evidence.epoch);
-        // An epoch must not begin from nothing where there was one before: whoever has just woken, or is cut off from the
-        // gateways, hears none of them for a while.
-        if held_epoch < told_epoch.unwrap_or(0) {
+        // An epoch must not begin empty if there was one before: a seed that has just started, or is cut off from the gateways,
+        // receives no reports from them for a while, but other peers may have.
+        if held_epoch < reported_epoch.unwrap_or(0) {
             return BootstrapStep::Wait;
         }
         if !view.is_first_seed || view.peers.len() < view.seeds {
@@ -115,12 +116,12 @@
         if !self.has_waited(view) {
             return BootstrapStep::Wait;
         }
-        // It has waited for gateways now; the values are not waited for a second time.
-        self.blank_since = Some(view.now.saturating_sub(view.bounds.return_ms / 2));
+        // This seed has waited for the gateways; waiting again for values would add nothing.
+        self.no_values_since = Some(view.now.saturating_sub(view.bounds.return_ms / 2));
         form(view, held_epoch)
     }
 
-    /// Whether the seeds have been empty for long enough: for a lease at least, and longer where too few gateways were heard.
+    /// Whether the seeds have been empty for long enough: for a lease at least, and longer if some gateways reported, but too few.
     fn has_waited(&mut self, view: &BootstrapView) -> bool {
         let waited = view.now - *self.empty_since.get_or_insert(view.now);
         let lease = view.bounds.lease_ms();
@@ -132,10 +133,10 @@
         waited >= lease && (is_sufficient || waited >= timeout)
     }
 
-    /// Whether an epoch that has no values yet may start from what the gateways hold: at once where a majority of them was
-    /// heard, else after half the return bound.
+    /// Whether an epoch that has no values yet may be restored from the gateways: at once if a majority of them reported,
+    /// otherwise after half the return bound.
     pub fn may_restore_values(&mut self, now: u64, bounds: &Bounds, is_majority: bool) -> bool {
-        let since = *self.blank_since.get_or_insert(now);
+        let since = *self.no_values_since.get_or_insert(now);
         is_majority || since + bounds.return_ms / 2 <= now
     }
 }
@@ -150,7 +151,7 @@
         number: 1,
         voters: voters.collect(),
     };
-    // Keys that callers may have issued before the loss are refused: whether their work ran cannot be known here. A caller's
+    // Keys that callers may have issued before the loss are rejected, since it is unknown whether their work ran. A caller's
     // clock may be ahead by as much as a change may take.
     let refused_before = match held_epoch {
         0 => 0,
@@ -162,12 +163,12 @@
     }
 }
 
-/// Members that are named in an epoch's first set by their disk and are still empty never took part in the epoch, so they may
-/// be told of it again, by one that has taken it and knows its floor. Otherwise a lost message would leave the set without a
-/// majority for ever.
+/// Sends an epoch's first set again to members that are still empty. Their disk is named in the set, so they have never taken
+/// part in the epoch. Only a voter that has adopted the set does so, since it knows the floor for claims. Without this, a lost
+/// message could leave the set without a majority forever.
 fn resend(own_disk: u64, set: &VoterSet, peers: &[PeerStatus]) -> BootstrapStep {
-    let mut own = peers.iter().filter(|peer| peer.disk == own_disk);
-    if !own.any(|peer| peer.set.version() == set.version()) {
+    let mut own_status = peers.iter().filter(|peer| peer.disk == own_disk);
+    if !own_status.any(|peer| peer.set.version() == set.version()) {
         return BootstrapStep::Wait;
     }
     let empty = peers
--- a/crates/voter/src/lib.rs
+++ b/crates/voter/src/lib.rs
@@ -1,19 +1,19 @@
-//! A voter with its disk, and an empty voter's way into a set. No threads and no clock: daemons and simulations run the same
-//! code.
+//! A voter with its durable state, and how an empty voter joins a voter set. The crate uses no threads and no clock, so daemons
+//! and simulations run the same code.
 //!
-//! * [`Voter`] is an [`Acceptor`](register::Acceptor) with its journal: it answers only once what it promised is durable.
-//! * [`VoterDisk`] keeps the data folder under one identity at a time, so that a voter can give up all that it held.
+//! * [`Voter`] is an [`Acceptor`](register::Acceptor) with a journal, which makes its promises durable before it responds.
+//! * [`VoterDisk`] manages the data folder under one identity at a time, so that a voter can discard all its state.
 //! * [`MembershipChange`] decides how an empty voter becomes a member of a set.
 //! * [`Bootstrap`] decides how the first set of an epoch is formed. Only the older `core` daemon uses it; controllers form their
 //!   first set in `consensus`.
 //!
-//! What must never happen:
+//! Invariants:
 //!
-//! * An answer leaves before [`Voter::sync`] succeeded for it.
-//! * A voter whose disk failed or is damaged answers from memory.
-//! * Two voters vote under one identity, or one voter under the identity of a disk that was emptied.
+//! * A response is sent only after [`Voter::sync`] succeeded for it.
+//! * A voter whose disk failed or is damaged never responds from memory.
+//! * No two voters vote under the same identity, and no voter votes under the identity of a disk that was emptied.
 //!
-//! Begin to read at [`Voter::handle`] and [`Voter::sync`].
+//! Start reading at [`Voter::handle`] and [`Voter::sync`].
 #![warn(missing_docs)]
 
 mod bootstrap;
--- a/crates/voter/src/membership_change.rs
+++ b/crates/voter/src/membership_change.rs
@@ -1,55 +1,55 @@
-//! How an empty voter becomes a member of a set that others formed.
+//! How an empty voter joins an existing voter set.
 
 use register::{VoterRef, VoterSet};
 
-/// What an empty voter does next to become a member.
+/// The next step of an empty voter towards membership.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipStep {
-    /// Nothing can be done yet.
+    /// Nothing to do for now.
     Wait,
-    /// Tell the members of the set to take the next one, which is committed.
+    /// Tell the members to adopt this next set, which is committed.
     Adopt(VoterSet),
-    /// Take over what the other members hold.
+    /// Copy the state of the other members.
     Install,
-    /// Write a next set to the register of sets.
+    /// Write a next set to the register of voter sets.
     Propose {
-        /// Version that the register must have.
+        /// Version that the register is expected to have.
         expected: u64,
-        /// The set, in which this voter takes a member's place.
+        /// The next set, in which this voter replaces a member.
         next: VoterSet,
     },
 }
 
-/// What a decision about the membership is based on.
+/// Input of a decision about the membership.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipView<'a> {
-    /// Boot-time clock of this machine in milliseconds.
+    /// Boot-time clock of this machine, in milliseconds.
     pub now: u64,
-    /// How long a member must have been silent before it is replaced, in milliseconds.
+    /// How long a member must have been unresponsive before it is replaced, in milliseconds.
     pub replacement_timeout_ms: u64,
-    /// This empty voter.
+    /// The local voter, which is empty.
     pub local_voter: &'a VoterRef,
-    /// The set that the others are in.
+    /// The set that the other voters belong to.
     pub set: &'a VoterSet,
-    /// Disks that answer now.
+    /// Disks of the voters that currently respond.
     pub answering: &'a [u64],
-    /// Version of the register of sets.
+    /// Version of the register of voter sets.
     pub committed_version: u64,
-    /// The set that this register holds.
+    /// The set committed in that register.
     pub committed_set: &'a VoterSet,
 }
 
-/// A member that does not answer.
+/// A member that does not respond.
 #[derive(Clone, Debug)]
-struct SilentMember {
+struct UnresponsiveMember {
     disk: u64,
     since: u64,
 }
 
-/// An empty voter's way into the set. A pure machine.
+/// Decides how an empty voter joins a set. A state machine without I/O or a clock.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipChange {
-    silent: Vec<SilentMember>,
+    unresponsive: Vec<UnresponsiveMember>,
 }
 
 impl MembershipChange {
@@ -61,39 +61,45 @@
         if view.set.contains_disk(view.local_voter.disk) {
             return MembershipStep::Install;
         }
-        let vacant = self.vacant_disk(view);
+        let replaceable = self.replaceable_disk(view);
         let next =
-            vacant.and_then(|disk| view.set.with_replacement(disk, view.local_voter.clone()));
+            replaceable.and_then(|disk| view.set.with_replacement(disk, view.local_voter.clone()));
         next.map_or(MembershipStep::Wait, |next| MembershipStep::Propose {
             expected: view.committed_version,
             next,
         })
     }
 
-    /// Disk of a member whose place is free: it was emptied, as this voter has its address, or it was silent for long.
-    fn vacant_disk(&mut self, view: &MembershipView) -> Option<u64> {
+    /// Disk of a member that may be replaced: either its disk was emptied, since this voter has its address, or it has timed out.
+    fn replaceable_disk(&mut self, view: &MembershipView) -> Option<u64> {
         let members = view.set.voters.iter();
         let missing: Vec<&VoterRef> = members
             .filter(|voter| !view.answering.contains(&voter.disk))
             .collect();
-        self.follow_silence(view.now, &missing);
+        self.update_unresponsive(view.now, &missing);
         let emptied = missing
             .iter()
             .find(|voter| voter.address == view.local_voter.address);
-        let mut silent = self.silent.iter();
-        let silent = silent.find(|member| member.since + view.replacement_timeout_ms <= view.now);
+        let mut unresponsive = self.unresponsive.iter();
+        let unresponsive =
+            unresponsive.find(|member| member.since + view.replacement_timeout_ms <= view.now);
         emptied
             .map(|voter| voter.disk)
-            .or_else(|| silent.map(|member| member.disk))
+            .or_else(|| unresponsive.map(|member| member.disk))
     }
 
-    fn follow_silence(&mut self, now: u64, missing: &[&VoterRef]) {
-        self.silent
+    fn update_unresponsive(&mut self, now: u64, missing: &[&VoterRef]) {
+        self.unresponsive
             .retain(|member| missing.iter().any(|voter| voter.disk == member.disk));
         for voter in missing {
-            if !self.silent.iter().any(|member| member.disk == voter.disk) {
+            if !self
+                .unresponsive
+                .iter()
+                .any(|member| member.disk == voter.disk)
+            {
                 let disk = voter.disk;
-                self.silent.push(SilentMember { disk, since: now });
+                self.unresponsive
+                    .push(UnresponsiveMember { disk, since: now });
             }
         }
     }
--- a/crates/voter/tests/bootstrap.rs
+++ b/crates/voter/tests/bootstrap.rs
@@ -1,4 +1,4 @@
-//! When an epoch begins, and who is told of it.
+//! When the first set of an epoch is formed, and which members it is sent to again.
 
 use configuration::Bounds;
 use register::VoterSet;
@@ -15,7 +15,7 @@
     }
 }
 
-/// What the first of three seeds decides, whose disk is 1.
+/// Decision of the first of three seeds, whose disk is 1.
 fn decide(
     bootstrap: &mut Bootstrap,
     now: u64,
@@ -35,53 +35,53 @@
 }
 
 #[test]
-fn an_epoch_begins_above_what_gateways_hold_once_a_majority_of_them_was_heard() {
+fn an_epoch_begins_above_that_of_the_gateways_once_a_majority_reported() {
     let peers = [empty(1), empty(2), empty(3)];
     let mut bootstrap = Bootstrap::default();
-    let some = |is_majority| {
+    let evidence = |is_majority| {
         Some(GatewayEvidence {
             epoch: 4,
             is_majority,
         })
     };
     assert_eq!(
-        decide(&mut bootstrap, 0, &peers, some(true)),
+        decide(&mut bootstrap, 0, &peers, evidence(true)),
         BootstrapStep::Wait
     );
     assert_eq!(
-        decide(&mut bootstrap, 1_500, &peers, some(false)),
+        decide(&mut bootstrap, 1_500, &peers, evidence(false)),
         BootstrapStep::Wait
     );
     let BootstrapStep::Form {
         set,
         refused_before,
-    } = decide(&mut bootstrap, 1_600, &peers, some(true))
+    } = decide(&mut bootstrap, 1_600, &peers, evidence(true))
     else {
-        panic!("no epoch");
+        panic!("no set was formed");
     };
     assert_eq!((set.epoch, set.number, set.voters.len()), (5, 1, 3));
     assert!(
         refused_before > 1_003_000,
-        "keys from before the loss are refused"
+        "keys from before the loss are rejected"
     );
     assert_eq!(
-        decide(&mut bootstrap, 1_700, &peers[..2], some(true)),
+        decide(&mut bootstrap, 1_700, &peers[..2], evidence(true)),
         BootstrapStep::Wait
     );
     assert_eq!(
-        decide(&mut bootstrap, 1_800, &peers, some(true)),
+        decide(&mut bootstrap, 1_800, &peers, evidence(true)),
         BootstrapStep::Wait
     );
 }
 
 #[test]
-fn no_epoch_begins_from_nothing_where_any_peer_heard_of_one_before() {
+fn no_epoch_begins_empty_if_any_peer_heard_of_an_earlier_one() {
     let mut bootstrap = Bootstrap::default();
-    let told = PeerStatus {
+    let informed = PeerStatus {
         gateway_epoch: 4,
         ..empty(3)
     };
-    let peers = [empty(1), empty(2), told];
+    let peers = [empty(1), empty(2), informed];
     assert_eq!(decide(&mut bootstrap, 0, &peers, None), BootstrapStep::Wait);
     assert_eq!(
         decide(&mut bootstrap, 60_000, &peers, None),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn one_clock_that_was_set_back_or_ahead_does_not_set_the_floor() {
+fn one_wrong_clock_does_not_determine_the_floor() {
     let hour = 3_600_000;
     let others = [hour, hour + 20, hour - 30];
     assert_eq!(
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_epoch_without_values_starts_from_what_was_heard_after_a_while() {
+fn an_epoch_without_values_is_restored_without_a_majority_after_a_timeout() {
     let (mut bootstrap, bounds) = (Bootstrap::default(), Bounds::default());
     assert!(!bootstrap.may_restore_values(0, &bounds, false));
     assert!(!bootstrap.may_restore_values(5_999, &bounds, false));
@@ -118,28 +118,32 @@
 }
 
 #[test]
-fn a_member_that_missed_the_bootstrap_gets_it_again() {
+fn a_member_that_missed_the_first_set_is_sent_it_again() {
     let mut bootstrap = Bootstrap::default();
     let peers = [empty(1), empty(2), empty(3)];
     let BootstrapStep::Wait = decide(&mut bootstrap, 0, &peers, None) else {
-        panic!("too early");
+        panic!("a set was formed too early");
     };
     let BootstrapStep::Form { set, .. } = decide(&mut bootstrap, 1_500, &peers, None) else {
-        panic!("no epoch");
+        panic!("no set was formed");
     };
-    let formed = PeerStatus {
+    let bootstrapped = PeerStatus {
         set: set.clone(),
         ..empty(1)
     };
-    let stranger = empty(9);
+    let non_member = empty(9);
     let other = PeerStatus {
         disk: 3,
-        ..formed.clone()
+        ..bootstrapped.clone()
     };
     let peers = [empty(1), empty(2), other];
     let step = decide(&mut bootstrap, 1_550, &peers, None);
-    assert_eq!(step, BootstrapStep::Wait, "an empty voter knows no floor");
-    let peers = [formed, empty(2), stranger];
+    assert_eq!(
+        step,
+        BootstrapStep::Wait,
+        "an empty voter does not know the floor"
+    );
+    let peers = [bootstrapped, empty(2), non_member];
     let step = decide(&mut bootstrap, 1_600, &peers, None);
     assert_eq!(
         step,
--- a/crates/voter/tests/membership_change.rs
+++ b/crates/voter/tests/membership_change.rs
@@ -1,4 +1,4 @@
-//! How an empty voter becomes a member of the set.
+//! How an empty voter joins a voter set.
 
 use register::{VoterRef, VoterSet};
 use voter::{MembershipChange, MembershipStep, MembershipView};
@@ -18,7 +18,7 @@
     }
 }
 
-/// A view at time 0 with a time-out of 0, in which the committed set is the one that the others are in.
+/// A view at time 0 with a timeout of 0, in which the committed set is the current one.
 fn view<'a>(
     local_voter: &'a VoterRef,
     set: &'a VoterSet,
@@ -36,15 +36,15 @@
 }
 
 #[test]
-fn a_silent_member_is_replaced_only_after_the_timeout() {
+fn an_unresponsive_member_is_replaced_only_after_the_timeout() {
     let mut change = MembershipChange::default();
     let set = set();
-    let me = voter(9);
+    let local_voter = voter(9);
     let mut decide = |now, answering: &[u64]| {
         change.decide(&MembershipView {
             now,
             replacement_timeout_ms: 100,
-            ..view(&me, &set, answering)
+            ..view(&local_voter, &set, answering)
         })
     };
     assert_eq!(decide(0, &[1, 2, 3]), MembershipStep::Wait);
@@ -52,7 +52,7 @@
     assert_eq!(
         decide(60, &[1, 2, 3]),
         MembershipStep::Wait,
-        "it was heard again"
+        "it responded again"
     );
     assert_eq!(decide(70, &[1, 2]), MembershipStep::Wait);
     assert_eq!(decide(169, &[1, 2]), MembershipStep::Wait);
@@ -63,9 +63,9 @@
 }
 
 #[test]
-fn an_emptied_disk_takes_its_own_place_at_once() {
+fn an_emptied_disk_replaces_its_former_identity_at_once() {
     let mut change = MembershipChange::default();
-    let me = VoterRef {
+    let local_voter = VoterRef {
         disk: 9,
         address: "at-3".into(),
     };
@@ -73,29 +73,29 @@
     let step = change.decide(&MembershipView {
         replacement_timeout_ms: 100,
         committed_version: 4,
-        ..view(&me, &set, &[1, 2, 9])
+        ..view(&local_voter, &set, &[1, 2, 9])
     });
     let MembershipStep::Propose { expected: 4, next } = step else {
         panic!("no proposal");
     };
-    assert_eq!(next.voters[2], me);
+    assert_eq!(next.voters[2], local_voter);
 }
 
 #[test]
-fn a_committed_set_is_finished_before_anything_else() {
+fn a_committed_set_is_adopted_and_installed_first() {
     let mut change = MembershipChange::default();
     let next = set().with_replacement(3, voter(7)).unwrap();
-    let (me, set) = (voter(9), set());
+    let (local_voter, set) = (voter(9), set());
     let step = change.decide(&MembershipView {
         committed_version: 1,
         committed_set: &next,
-        ..view(&me, &set, &[1, 2])
+        ..view(&local_voter, &set, &[1, 2])
     });
     assert_eq!(step, MembershipStep::Adopt(next.clone()));
-    let me = voter(7);
+    let local_voter = voter(7);
     let step = change.decide(&MembershipView {
         committed_version: 1,
-        ..view(&me, &next, &[1, 2])
+        ..view(&local_voter, &next, &[1, 2])
     });
     assert_eq!(step, MembershipStep::Install);
 }
