--- a/crates/register/src/job_window.rs
+++ b/crates/register/src/job_window.rs
@@ -40,7 +40,7 @@
 }
 
 impl JobWindow {
-    /// Starts a retention period in which all existing jobs count as new.
+    /// Starts a retention period in which all existing jobs count as just promised, so that they are retained until its end.
     pub fn from_registers(keys: &BTreeMap<String, RegisterState>) -> Self {
         let jobs = keys.iter().filter(|(key, _)| is_job_key(key));
         let (mut highest, mut bytes) = (forgotten_counter(keys), 0);
--- a/crates/register/src/table.rs
+++ b/crates/register/src/table.rs
@@ -116,7 +116,7 @@
         self.job_window.rejection(&self.registers, operation)
     }
 
-    /// Starts a retention period in which all existing jobs count as new.
+    /// See [`JobWindow::from_registers`].
     pub fn restart_job_window(&mut self) {
         self.job_window = JobWindow::from_registers(&self.registers);
     }
