--- a/crates/voter/src/voter.rs
+++ b/crates/voter/src/voter.rs
@@ -1,4 +1,4 @@
-//! A voter with its journal: what it holds is in memory, what it said is on the disk.
+//! A voter with its journal: its state is in memory, and what it promised or accepted is on the disk.
 
 use error_stack::{Report, ResultExt};
 use journal::{Folder, Journal, JournalError, Recovered};
@@ -15,11 +15,11 @@
     Folder,
     /// The identity could not be read.
     Identity,
-    /// The identity is damaged, and journals of several identities lie beside it.
+    /// The identity is damaged, and the folder has journals of several identities.
     SeveralIdentities,
     /// The journal could not be opened.
     Journal,
-    /// Its records are not a voter's.
+    /// The journal's records or snapshot could not be decoded as a voter's.
     Records,
 }
 
@@ -39,19 +39,19 @@
 
 impl std::error::Error for VoterError {}
 
-/// What an empty voter takes to become a member of a set.
+/// State that an empty voter installs to become a member of a set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Installation {
-    /// The set that it is a member of.
+    /// The set that the voter joins.
     pub set: VoterSet,
-    /// The latest floors of a majority of the other members.
+    /// The latest claim floors among a majority of the other members.
     pub claim_floors: ClaimFloors,
-    /// All that a majority of the other members holds.
+    /// Merged registers of a majority of the other members.
     pub registers: Vec<(String, RegisterState)>,
 }
 
-/// A voter with its journal. A response may leave only after [`Voter::sync`] returned true. A voter without a journal is closed:
-/// it answers nothing and takes nothing.
+/// A voter with its journal. A response may be sent only after [`Voter::sync`] returned true. A voter without a journal is
+/// closed: it reports itself unavailable and accepts no changes.
 pub struct Voter {
     acceptor: Acceptor,
     journal: Option<Journal>,
@@ -59,17 +59,17 @@
     is_damaged: bool,
 }
 
-fn closed(reason: &str) -> VoterResponse {
+fn unavailable(reason: &str) -> VoterResponse {
     VoterResponse::Unavailable {
         reason: reason.into(),
     }
 }
 
 impl Voter {
-    /// Reads back what the disk holds. Where it is damaged, or was not written by a voter of this version, the
-    /// voter stays closed, since it no longer knows what it promised; the files stay as they are.
+    /// Reads back the state from the disk. If the journal is damaged, or was not written by a voter of this version, the voter
+    /// stays closed, since it no longer knows what it promised. The files are left as they are.
     pub fn open(folder: Box<dyn Folder>) -> Result<Self, Report<VoterError>> {
-        let (journal, found) = match Journal::open(folder) {
+        let (journal, recovered) = match Journal::open(folder) {
             Ok(opened) => opened,
             Err(report) if *report.current_context() == JournalError::Damaged => {
                 log::error!("voter: closed, journal damaged error={report:#}");
@@ -77,10 +77,10 @@
             }
             Err(report) => return Err(report.change_context(VoterError::Journal)),
         };
-        if found.torn > 0 {
-            log::warn!("voter: torn record cut bytes={}", found.torn);
+        if recovered.torn > 0 {
+            log::warn!("voter: torn record cut bytes={}", recovered.torn);
         }
-        let acceptor = match recovered(&found) {
+        let acceptor = match restore(&recovered) {
             Ok(acceptor) => acceptor,
             Err(report) => {
                 log::error!("voter: closed, journal of another kind error={report:#}");
@@ -95,7 +95,7 @@
         })
     }
 
-    /// A voter whose disk cannot be read at the moment. It answers nothing until it is opened again.
+    /// A voter whose disk cannot be read at the moment. It stays closed until it is reopened.
     pub fn unreadable() -> Self {
         Self::closed(false)
     }
@@ -109,23 +109,23 @@
         }
     }
 
-    /// What the voter holds, also what is not durable yet.
+    /// The voter's state, including changes that are not durable yet.
     pub fn acceptor(&self) -> &Acceptor {
         &self.acceptor
     }
 
-    /// Whether the disk can be trusted.
+    /// Whether the voter has a working journal.
     pub fn is_open(&self) -> bool {
         self.journal.is_some()
     }
 
-    /// Whether the disk failed, and may be tried again since what it holds is not damaged.
+    /// Whether the voter is closed because its disk failed, and may be reopened since its journal is not damaged.
     pub fn can_reopen(&self) -> bool {
         self.journal.is_none() && !self.is_damaged
     }
 
-    /// Reads back what the disk holds after it had failed, and writes all of it anew: what was read may
-    /// have been in the system's memory only, since a sync that failed says nothing of what lasts.
+    /// Reads back the state after a disk failure and rewrites all of it as a snapshot: what was read may come from the page
+    /// cache only, since a failed sync leaves it unknown what is durable.
     pub fn reopen(folder: Box<dyn Folder>) -> Result<Self, Report<VoterError>> {
         let mut voter = Self::open(folder)?;
         let state = voter.acceptor.write_to_vec().unwrap_or_default();
@@ -137,22 +137,22 @@
         Ok(voter)
     }
 
-    /// Works out the response to a request. It may leave once [`Voter::sync`] returned true.
+    /// Computes the response to a request. It may be sent once [`Voter::sync`] returned true.
     pub fn handle(&mut self, request: VoterRequest) -> VoterResponse {
         if !self.is_open() {
-            return closed("the disk is not to be trusted");
+            return unavailable("the voter's disk is not usable");
         }
         let (record, response) = self.acceptor.handle(request);
         self.unsynced.extend(record);
         response
     }
 
-    /// What is answered in place of a response whose records could not be synced.
+    /// Response to send instead of one whose records could not be synced.
     pub fn disk_failed_response() -> VoterResponse {
-        closed("the disk failed")
+        unavailable("the disk failed")
     }
 
-    /// Takes the first set of an epoch. Claims issued before `refused_before`, in milliseconds of the wall clock, are refused.
+    /// Adopts the first set of an epoch. Claims issued before `refused_before`, in milliseconds of the wall clock, are rejected.
     pub fn bootstrap(&mut self, set: VoterSet, refused_before: u64) {
         if !self.is_open() {
             return;
@@ -165,14 +165,14 @@
         self.unsynced.extend(formed);
     }
 
-    /// Takes the set that follows.
+    /// Adopts a later set of the same epoch.
     pub fn adopt_set(&mut self, set: VoterSet) {
         if self.is_open() {
             self.unsynced.extend(self.acceptor.adopt_set(set));
         }
     }
 
-    /// Takes a set with all that its other members hold, where this voter is empty.
+    /// Installs a set and the state of its other members, if this voter is empty.
     pub fn install(&mut self, installation: Installation) {
         if self.is_open() {
             let records = self.acceptor.install(
@@ -184,30 +184,30 @@
         }
     }
 
-    /// Takes newer values from another replica.
-    pub fn repair(&mut self, keys: Vec<(String, RegisterState)>) {
+    /// Takes over newer values from another replica.
+    pub fn repair(&mut self, registers: Vec<(String, RegisterState)>) {
         if self.is_open() {
-            self.unsynced.extend(self.acceptor.repair(keys));
+            self.unsynced.extend(self.acceptor.repair(registers));
         }
     }
 
-    /// Forgets claims issued longer ago than they are remembered.
-    pub fn expire_claims(&mut self, wall: u64, remembered: u64) {
+    /// Deletes claims that were issued more than `retention_ms` ago.
+    pub fn expire_claims(&mut self, wall_clock: u64, retention_ms: u64) {
         if self.is_open() {
             self.unsynced
-                .extend(self.acceptor.expire_claims(wall, remembered));
+                .extend(self.acceptor.expire_claims(wall_clock, retention_ms));
         }
     }
 
-    /// Lets one span pass for which jobs are remembered.
+    /// Ends a retention period of jobs.
     pub fn advance_job_window(&mut self) {
         if self.is_open() {
             self.unsynced.extend(self.acceptor.advance_job_window());
         }
     }
 
-    /// Syncs all that was taken. After a failure the voter is closed until it is opened again: what
-    /// it holds in memory may be more than what the disk has.
+    /// Makes all pending changes durable. If that fails, the voter is closed until it is reopened, since its state in memory may
+    /// be ahead of the disk.
     pub fn sync(&mut self) -> bool {
         if self.unsynced.is_empty() {
             return true;
@@ -217,7 +217,7 @@
             return false;
         };
         let bytes = records.write_to_vec().unwrap_or_default();
-        // What is too large for the log, such as the state that a new member takes over, is made durable as a snapshot.
+        // Changes too large for the log, such as the state that a new member installs, are made durable as a snapshot.
         let written = if journal.has_room(bytes.len()) {
             journal.append(&bytes)
         } else {
@@ -232,8 +232,8 @@
         true
     }
 
-    /// Shortens the log by a snapshot where it has grown long. Call it after the answers that waited for
-    /// [`Voter::sync`] have left: it writes all that is held once.
+    /// Compacts the log into a snapshot if it has grown long. Call it after the responses that waited for [`Voter::sync`] were
+    /// sent, because it writes the whole state.
     pub fn compact(&mut self) {
         let Some(journal) = self.journal.as_mut() else {
             return;
@@ -248,13 +248,13 @@
     }
 }
 
-/// The state that a journal's snapshot and records add up to.
-fn recovered(found: &Recovered) -> Result<Acceptor, Report<VoterError>> {
-    let mut acceptor = match &found.snapshot {
+/// Restores the state from a journal's snapshot and records.
+fn restore(recovered: &Recovered) -> Result<Acceptor, Report<VoterError>> {
+    let mut acceptor = match &recovered.snapshot {
         None => Acceptor::default(),
         Some(bytes) => Acceptor::read_from_buffer(bytes).change_context(VoterError::Records)?,
     };
-    for bytes in &found.records {
+    for bytes in &recovered.records {
         let records = Vec::<Record>::read_from_buffer(bytes).change_context(VoterError::Records)?;
         for record in records {
             acceptor.replay(record);
--- a/crates/voter/src/voter_disk.rs
+++ b/crates/voter/src/voter_disk.rs
@@ -1,9 +1,8 @@
-//! A voter's data folder, under one identity at a time.
+//! A voter's data folder, used under one identity at a time.
 //!
-//! All files of an identity bear it in their names, and one small file says which identity is in force.
-//! Replacing that file, which is atomic and synced, is the one step by which a voter begins anew: before
-//! it, the folder holds the whole former voter, and after it an empty one. Files of other identities are
-//! never read. Those of the identity that was given up are removed when there is time, all others stay.
+//! All files of an identity carry it in their names, and one small file records the current identity. Resetting a voter means
+//! replacing that file, which is atomic and synced: before it, the folder contains the complete former voter, and after it an
+//! empty one. Files of other identities are never read. Those of the replaced identity are removed later, all others are kept.
 
 use crate::voter::{Voter, VoterError};
 use error_stack::{Report, ResultExt};
@@ -11,19 +10,19 @@
 use std::collections::BTreeSet;
 use std::io::{self, ErrorKind};
 
-/// Opens the data folder; each call gives a handle of its own.
+/// Opens the data folder; each call returns a separate handle.
 pub type OpenFolder = Box<dyn Fn() -> io::Result<Box<dyn Folder>> + Send>;
 
-/// File that says which identity is in force.
+/// File that records the current identity.
 const IDENTITY_FILE: &str = "identity";
-/// Bytes of that file: two identities and a check.
+/// Size of that file, in bytes: two identities and a checksum.
 const IDENTITY_BYTES: usize = 24;
-/// File that says that a voter began under an identity. Without it, or the journal, a disk counts as new.
+/// File that marks that a voter was started under an identity. A disk with neither this file nor a journal counts as new.
 const BEGUN_FILE: &str = "begun";
-/// Digits of an identity in a file's name.
+/// Hexadecimal digits of an identity in a file name.
 const IDENTITY_DIGITS: usize = 16;
 
-/// A voter with the data folder that it lives in.
+/// A voter and its data folder.
 pub struct VoterDisk {
     open_folder: OpenFolder,
     identity: u64,
@@ -31,11 +30,11 @@
 }
 
 impl VoterDisk {
-    /// Opens what the folder holds, as an empty voter under a fresh identity where there is none. A journal
-    /// that cannot be read at the moment leaves the voter closed until [`VoterDisk::reopen`].
+    /// Opens the voter in the folder, or an empty voter under the identity `fresh` if there is none. If the journal cannot be
+    /// read at the moment, the voter stays closed until [`VoterDisk::reopen`].
     pub fn open(open_folder: OpenFolder, fresh: u64) -> Result<Self, Report<VoterError>> {
         let mut folder = open_folder().change_context(VoterError::Folder)?;
-        let identity = identity_in_force(folder.as_mut(), fresh)?;
+        let identity = current_identity(folder.as_mut(), fresh)?;
         remove_replaced(folder.as_mut(), identity);
         let opened = Voter::open(Box::new(IdentityFolder::new(folder, identity.disk)));
         let voter = opened.unwrap_or_else(|report| {
@@ -49,7 +48,7 @@
         })
     }
 
-    /// Random id that the folder's present content belongs to.
+    /// The current identity: the random id of the disk.
     pub fn identity(&self) -> u64 {
         self.identity
     }
@@ -59,20 +58,20 @@
         &self.voter
     }
 
-    /// The voter, to be asked.
+    /// The voter, mutably.
     pub fn voter_mut(&mut self) -> &mut Voter {
         &mut self.voter
     }
 
-    /// Opens the voter again after its disk had failed, with all that it holds written anew.
+    /// Reopens the voter after a disk failure and rewrites its whole state.
     pub fn reopen(&mut self) -> Result<(), Report<VoterError>> {
         let folder = (self.open_folder)().change_context(VoterError::Folder)?;
         self.voter = Voter::reopen(Box::new(IdentityFolder::new(folder, self.identity)))?;
         Ok(())
     }
 
-    /// Gives up all that the voter holds and begins as an empty one under a fresh identity. After a
-    /// failure it is the former voter still, as far as can be told; the call may be repeated.
+    /// Discards the voter's state and starts an empty voter under the identity `fresh`. After an error, this is still the former
+    /// voter as far as can be determined; the call may be repeated.
     pub fn reset(&mut self, fresh: u64) -> Result<(), Report<VoterError>> {
         let mut folder = (self.open_folder)().change_context(VoterError::Folder)?;
         let identity = Identity {
@@ -89,12 +88,12 @@
     }
 }
 
-/// What the identity file says.
+/// Content of the identity file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Identity {
-    /// Random id made with the disk.
+    /// The current identity: the random id of the disk.
     disk: u64,
-    /// Id that was given up and whose files are still to be removed; 0 for none.
+    /// Replaced identity whose files remain to be removed; 0 for none.
     replaced: u64,
 }
 
@@ -103,54 +102,54 @@
         if bytes.len() != IDENTITY_BYTES {
             return None;
         }
-        let word = |place: usize| {
-            let word = <[u8; 8]>::try_from(&bytes[8 * place..8 * place + 8]);
+        let word = |index: usize| {
+            let word = <[u8; 8]>::try_from(&bytes[8 * index..8 * index + 8]);
             word.ok().map(u64::from_le_bytes)
         };
-        let (disk, replaced, check) = (word(0)?, word(1)?, word(2)?);
-        (check == !(disk ^ replaced)).then_some(Self { disk, replaced })
+        let (disk, replaced, checksum) = (word(0)?, word(1)?, word(2)?);
+        (checksum == !(disk ^ replaced)).then_some(Self { disk, replaced })
     }
 
     fn write(self, folder: &mut dyn Folder) -> io::Result<()> {
-        let check = !(self.disk ^ self.replaced);
-        let words = [self.disk, self.replaced, check];
+        let checksum = !(self.disk ^ self.replaced);
+        let words = [self.disk, self.replaced, checksum];
         let bytes = words.map(u64::to_le_bytes).concat();
         folder.replace(IDENTITY_FILE, &bytes)
     }
 
-    /// Puts the identity in force, and notes that a voter begins under it.
+    /// Makes this the current identity, and marks that a voter was started under it.
     fn begin(self, folder: &mut dyn Folder) -> io::Result<()> {
         self.write(folder)?;
-        let begun = format!("{}{BEGUN_FILE}", prefix_of(self.disk));
-        folder.append(&begun, &[])?;
-        folder.sync(&begun)?;
+        let marker = format!("{}{BEGUN_FILE}", prefix_of(self.disk));
+        folder.append(&marker, &[])?;
+        folder.sync(&marker)?;
         folder.sync_names()
     }
 }
 
-/// The identity in force. Where its file is missing or damaged, the journal beside it tells it; where there
-/// is no journal of it, the disk counts as new, since nobody knows what it promised.
-fn identity_in_force(folder: &mut dyn Folder, fresh: u64) -> Result<Identity, Report<VoterError>> {
-    let kept = match folder.read(IDENTITY_FILE) {
+/// The current identity. If its file is missing or damaged, the identity is taken from the journal's file names. If there is no
+/// journal of it, the disk counts as new, since it is unknown what the voter promised.
+fn current_identity(folder: &mut dyn Folder, fresh: u64) -> Result<Identity, Report<VoterError>> {
+    let stored = match folder.read(IDENTITY_FILE) {
         Ok(bytes) => Identity::parse(&bytes),
         Err(error) if error.kind() == ErrorKind::NotFound => None,
         Err(error) => return Err(Report::new(error).change_context(VoterError::Identity)),
     };
     let names = folder.list().change_context(VoterError::Folder)?;
-    let journals: BTreeSet<u64> = names.iter().filter_map(|name| identity_of(name)).collect();
-    let identity = match (kept, journals.len()) {
-        (Some(kept), _) if journals.contains(&kept.disk) => return Ok(kept),
-        (Some(kept), _) => Identity {
+    let identities: BTreeSet<u64> = names.iter().filter_map(|name| identity_of(name)).collect();
+    let identity = match (stored, identities.len()) {
+        (Some(stored), _) if identities.contains(&stored.disk) => return Ok(stored),
+        (Some(stored), _) => Identity {
             disk: fresh,
-            replaced: kept.replaced,
+            replaced: stored.replaced,
         },
         (None, 0 | 1) => Identity {
-            disk: journals.first().copied().unwrap_or(fresh),
+            disk: identities.first().copied().unwrap_or(fresh),
             replaced: 0,
         },
         (None, _) => return Err(Report::new(VoterError::SeveralIdentities)),
     };
-    if kept.is_none() && identity.disk != fresh {
+    if stored.is_none() && identity.disk != fresh {
         log::warn!("voter: identity restored from the journal");
     }
     identity.begin(folder).change_context(VoterError::Folder)?;
@@ -161,8 +160,8 @@
     format!("{identity:0IDENTITY_DIGITS$x}-")
 }
 
-/// Removes files of the identity that was given up. What cannot be removed now is tried again at the next
-/// start. Files of any other identity are left alone.
+/// Removes the files of the replaced identity. Files that cannot be removed now are retried at the next start. Files of any
+/// other identity are left alone.
 fn remove_replaced(folder: &mut dyn Folder, identity: Identity) {
     for name in folder.list().unwrap_or_default() {
         match identity_of(&name) {
@@ -178,7 +177,7 @@
     }
 }
 
-/// The identity whose file a name says it is.
+/// The identity in a file's name, if it is the name of a voter's file.
 fn identity_of(name: &str) -> Option<u64> {
     let (digits, rest) = name.split_once('-')?;
     let is_hex = digits.len() == IDENTITY_DIGITS && digits.chars().all(|c| c.is_ascii_hexdigit());
@@ -189,7 +188,7 @@
     u64::from_str_radix(digits, 16).ok()
 }
 
-/// The files of one identity, as a folder of their own.
+/// A view of the folder that contains only the files of one identity.
 struct IdentityFolder {
     folder: Box<dyn Folder>,
     prefix: String,
--- a/crates/voter/tests/data_folder.rs
+++ b/crates/voter/tests/data_folder.rs
@@ -1,4 +1,4 @@
-//! Data folders that are torn, foreign, of another member, or of a replaced one.
+//! Data folders with truncated or foreign files, or with files of another member or of a replaced identity.
 
 use journal::{DiskFolder, Folder};
 use rand::rngs::StdRng;
@@ -12,10 +12,10 @@
 use voter::{Voter, VoterDisk};
 
 const IDENTITY: &str = "identity";
-/// Bytes of the identity file.
+/// Size of the identity file, in bytes.
 const IDENTITY_BYTES: usize = 24;
 
-static COUNT: AtomicU32 = AtomicU32::new(0);
+static FOLDER_COUNT: AtomicU32 = AtomicU32::new(0);
 
 fn open_disk(path: &Path) -> Result<VoterDisk, String> {
     let path = path.to_path_buf();
@@ -31,7 +31,7 @@
     open_disk(path).map(|disk| disk.identity())
 }
 
-/// Files of a disk's journal.
+/// Files of a disk's journal, sorted.
 fn journal_files(path: &Path, disk: u64) -> Vec<PathBuf> {
     let prefix = format!("{disk:016x}-");
     let entries = fs::read_dir(path).unwrap().map(|entry| entry.unwrap());
@@ -41,27 +41,27 @@
     files
 }
 
-/// A data folder that is removed at the end.
-struct Data(PathBuf);
+/// A data folder that is removed when dropped.
+struct TestFolder(PathBuf);
 
-impl Data {
+impl TestFolder {
     fn new() -> Self {
-        let count = COUNT.fetch_add(1, Ordering::Relaxed);
+        let count = FOLDER_COUNT.fetch_add(1, Ordering::Relaxed);
         let name = format!("hallkeel-disk-{}-{count}", std::process::id());
         let path = std::env::temp_dir().join(name);
         let _ = fs::remove_dir_all(&path);
         Self(path)
     }
 
-    /// A member's folder, with its id and what its voter promised.
-    fn promised() -> (Self, u64) {
+    /// The folder of a member that has promised ballot 7, and the id of its disk.
+    fn with_promise() -> (Self, u64) {
         let data = Self::new();
         let disk = identity(&data.0).unwrap();
         let mut opened = open_disk(&data.0).unwrap();
         let voter = opened.voter_mut();
         voter.bootstrap(set(disk), 0);
         assert!(matches!(
-            voter.handle(promise(7)),
+            voter.handle(prepare(7)),
             VoterResponse::LastAccepted { .. }
         ));
         assert!(voter.sync());
@@ -69,7 +69,7 @@
     }
 }
 
-impl Drop for Data {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -84,7 +84,7 @@
     }
 }
 
-fn promise(counter: u64) -> VoterRequest {
+fn prepare(counter: u64) -> VoterRequest {
     let proposer = 1;
     let ballot = Ballot { counter, proposer };
     let key = "k".into();
@@ -94,43 +94,43 @@
     }
 }
 
-fn promised(voter: &Voter) -> u64 {
-    let held = voter.acceptor().register("k");
-    held.map_or(0, |held| held.promised.counter)
+fn promised_counter(voter: &Voter) -> u64 {
+    let state = voter.acceptor().register("k");
+    state.map_or(0, |state| state.promised.counter)
 }
 
-fn file_of(path: &Path, disk: u64, name: &str) -> PathBuf {
+fn voter_file(path: &Path, disk: u64, name: &str) -> PathBuf {
     path.join(format!("{disk:016x}-{name}"))
 }
 
 #[test]
-fn a_torn_identity_is_told_by_the_journal_beside_it_and_no_promise_is_lost() {
+fn a_truncated_identity_is_restored_from_the_journal_and_no_promise_is_lost() {
     for length in 0..24 {
-        let (data, disk) = Data::promised();
+        let (data, disk) = TestFolder::with_promise();
         let file = data.0.join(IDENTITY);
-        let whole = fs::read(&file).unwrap();
-        fs::write(&file, &whole[..length]).unwrap();
-        assert_eq!(identity(&data.0), Ok(disk), "cut to {length} bytes");
-        assert_eq!(promised(open_disk(&data.0).unwrap().voter()), 7);
+        let original = fs::read(&file).unwrap();
+        fs::write(&file, &original[..length]).unwrap();
+        assert_eq!(identity(&data.0), Ok(disk), "truncated to {length} bytes");
+        assert_eq!(promised_counter(open_disk(&data.0).unwrap().voter()), 7);
         fs::remove_file(&file).unwrap();
         assert_eq!(identity(&data.0), Ok(disk), "removed");
-        assert_eq!(fs::read(&file).unwrap(), whole, "it was written anew");
+        assert_eq!(fs::read(&file).unwrap(), original, "it was rewritten");
     }
 }
 
 #[test]
-fn an_identity_that_cannot_be_read_or_told_is_refused_in_one_sentence() {
-    let (data, disk) = Data::promised();
+fn an_identity_that_cannot_be_read_or_restored_is_reported_in_one_sentence() {
+    let (data, disk) = TestFolder::with_promise();
     let file = data.0.join(IDENTITY);
     fs::remove_file(&file).unwrap();
     fs::create_dir(&file).unwrap();
-    let refusal = identity(&data.0).unwrap_err();
-    assert_eq!(refusal, "the identity cannot be read");
+    let error = identity(&data.0).unwrap_err();
+    assert_eq!(error, "the identity cannot be read");
     fs::remove_dir(&file).unwrap();
-    fs::write(file_of(&data.0, 99, "segment-000000000000"), b"other").unwrap();
-    let refusal = identity(&data.0).unwrap_err();
+    fs::write(voter_file(&data.0, 99, "segment-000000000000"), b"other").unwrap();
+    let error = identity(&data.0).unwrap_err();
     assert_eq!(
-        refusal,
+        error,
         "the identity is damaged, and several journals lie beside it"
     );
     assert_eq!(journal_files(&data.0, 99).len(), 1, "nothing was removed");
@@ -138,51 +138,51 @@
 }
 
 #[test]
-fn a_disk_whose_journal_is_gone_is_a_new_one() {
-    let (data, disk) = Data::promised();
+fn a_disk_without_its_journal_counts_as_new() {
+    let (data, disk) = TestFolder::with_promise();
     for file in journal_files(&data.0, disk) {
         fs::remove_file(file).unwrap();
     }
     let next = identity(&data.0).unwrap();
     assert_ne!(next, disk, "it would vote twice under its old id");
-    assert_eq!(promised(open_disk(&data.0).unwrap().voter()), 0);
-    assert_eq!(identity(&data.0), Ok(next), "it stays as it is");
+    assert_eq!(promised_counter(open_disk(&data.0).unwrap().voter()), 0);
+    assert_eq!(identity(&data.0), Ok(next), "the new identity is kept");
 }
 
 #[test]
 fn another_members_journal_is_neither_read_nor_removed() {
-    let (data, disk) = Data::promised();
-    let (other, other_disk) = Data::promised();
+    let (data, disk) = TestFolder::with_promise();
+    let (other, other_disk) = TestFolder::with_promise();
     let files = journal_files(&other.0, other_disk);
     for file in &files {
         fs::rename(file, data.0.join(file.file_name().unwrap())).unwrap();
     }
     assert_eq!(identity(&data.0), Ok(disk));
-    assert_eq!(promised(open_disk(&data.0).unwrap().voter()), 7);
+    assert_eq!(promised_counter(open_disk(&data.0).unwrap().voter()), 7);
     assert_eq!(journal_files(&data.0, other_disk).len(), files.len());
 }
 
 #[test]
-fn a_replaced_disk_has_its_new_id_before_anything_is_removed() {
-    let (data, disk) = Data::promised();
+fn a_reset_disk_has_its_new_identity_before_anything_is_removed() {
+    let (data, disk) = TestFolder::with_promise();
     let former = journal_files(&data.0, disk);
     let kept: Vec<Vec<u8>> = former.iter().map(|file| fs::read(file).unwrap()).collect();
     let next = disk ^ 1;
     open_disk(&data.0).unwrap().reset(next).unwrap();
     assert_eq!(identity(&data.0), Ok(next));
     assert!(journal_files(&data.0, disk).is_empty());
-    // A loss of power brings the removed journal back, whole or in part.
+    // A power loss may bring the removed journal back, completely or in part.
     for (file, bytes) in former.iter().zip(&kept) {
         fs::write(file, bytes).unwrap();
     }
     assert_eq!(identity(&data.0), Ok(next));
-    assert_eq!(promised(open_disk(&data.0).unwrap().voter()), 0);
+    assert_eq!(promised_counter(open_disk(&data.0).unwrap().voter()), 0);
     assert!(journal_files(&data.0, disk).is_empty());
 }
 
 #[test]
-fn foreign_files_and_versions_close_the_voter_and_stay() {
-    let head = b"hkJ2\x05\0\0\0\x01\x02\x03\x04later".to_vec();
+fn foreign_files_and_versions_are_kept_and_may_close_the_voter() {
+    let header = b"hkJ2\x05\0\0\0\x01\x02\x03\x04later".to_vec();
     let cases: [(&str, Vec<u8>, bool); 7] = [
         ("notes.txt", b"hello".to_vec(), true),
         ("segment-7", b"hello".to_vec(), true),
@@ -192,30 +192,30 @@
             b"a text of somebody".to_vec(),
             false,
         ),
-        ("segment-000000000000", head.clone(), false),
-        ("snapshot-000000000009", head, false),
+        ("segment-000000000000", header.clone(), false),
+        ("snapshot-000000000009", header, false),
         ("segment-000000000005", Vec::new(), false),
     ];
     for (name, bytes, is_open) in cases {
-        let (data, disk) = Data::promised();
-        let file = file_of(&data.0, disk, name);
+        let (data, disk) = TestFolder::with_promise();
+        let file = voter_file(&data.0, disk, name);
         fs::write(&file, &bytes).unwrap();
         let opened = open_disk(&data.0).unwrap();
         let voter = opened.voter();
         assert_eq!(voter.is_open(), is_open, "{name}");
-        assert!(!voter.can_reopen(), "{name}: the disk does not fail");
-        assert_eq!(promised(voter), if is_open { 7 } else { 0 });
+        assert!(!voter.can_reopen(), "{name}: the disk did not fail");
+        assert_eq!(promised_counter(voter), if is_open { 7 } else { 0 });
         assert_eq!(fs::read(&file).unwrap(), bytes, "{name} was changed");
     }
 }
 
 #[test]
-fn no_bytes_in_the_data_folder_make_it_panic_or_forge_a_promise() {
+fn arbitrary_bytes_in_the_data_folder_cause_no_panic_and_forge_no_promise() {
     let mut random = StdRng::seed_from_u64(4);
     for _ in 0..300 {
-        let (data, disk) = Data::promised();
+        let (data, disk) = TestFolder::with_promise();
         let name = ["segment-000000000000", "snapshot-000000000000"][random.random_range(0..2)];
-        let file = file_of(&data.0, disk, name);
+        let file = voter_file(&data.0, disk, name);
         let mut bytes = fs::read(&file).unwrap_or_default();
         match random.random_range(0..4) {
             0 => bytes.truncate(random.random_range(0..=bytes.len())),
@@ -237,13 +237,17 @@
             }
         }
         fs::write(&file, &bytes).unwrap();
-        let found = promised(open_disk(&data.0).unwrap().voter());
+        let found = promised_counter(open_disk(&data.0).unwrap().voter());
         assert!(found == 0 || found == 7, "{found} was never promised");
         let identity_file = data.0.join(IDENTITY);
-        // Any count of bytes, that of a whole file too: the check tells them apart.
+        // Any length, including that of a valid file: the checksum rejects random content.
         let count = random.random_range(0..2 * IDENTITY_BYTES);
         let bytes: Vec<u8> = (0..count).map(|_| random.random()).collect();
         fs::write(&identity_file, &bytes).unwrap();
-        assert_eq!(identity(&data.0), Ok(disk), "the journal tells the id");
+        assert_eq!(
+            identity(&data.0),
+            Ok(disk),
+            "the identity is restored from the journal"
+        );
     }
 }
--- a/crates/voter/tests/growth.rs
+++ b/crates/voter/tests/log_size.rs
@@ -1,4 +1,4 @@
-//! The log under a storm of changes: bounded on the disk, also while no snapshot can be made.
+//! The size of the log on the disk is bounded under rapid changes, even while no snapshot can be written.
 
 use journal::{Folder, MemoryFolder, SEGMENTS_MAX};
 use parking_lot::Mutex;
@@ -11,29 +11,29 @@
 use std::sync::Arc;
 use voter::Voter;
 
-const DISK: usize = 64_000_000;
-/// A configuration of 300 KB, deflated.
-const VALUE: usize = 64 << 10;
-/// A change every 80 ms for five minutes.
+const DISK_BYTES: usize = 64_000_000;
+/// Size of a configuration of 300 KB after compression.
+const VALUE_BYTES: usize = 64 << 10;
+/// One change every 80 ms for five minutes.
 const CHANGES: u64 = 5 * 60 * 1_000 / 80;
 
-/// What a disk went through.
+/// Statistics of a disk, and whether its renames fail.
 #[derive(Default)]
-struct Watch {
-    /// Most bytes that all files took.
+struct DiskStats {
+    /// Largest total size of all files, in bytes.
     peak: usize,
     written: usize,
-    /// Whether snapshots fail: nothing can be renamed.
-    is_refusing: bool,
+    /// Whether renames fail, and with them snapshots.
+    is_failing_renames: bool,
 }
 
 #[derive(Clone, Default)]
-struct WatchedFolder {
+struct InstrumentedFolder {
     inner: MemoryFolder,
-    watch: Arc<Mutex<Watch>>,
+    stats: Arc<Mutex<DiskStats>>,
 }
 
-impl Folder for WatchedFolder {
+impl Folder for InstrumentedFolder {
     fn list(&self) -> io::Result<Vec<String>> {
         self.inner.list()
     }
@@ -44,9 +44,9 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.inner.append(name, bytes)?;
-        let mut watch = self.watch.lock();
-        watch.peak = watch.peak.max(self.inner.size());
-        watch.written += bytes.len();
+        let mut stats = self.stats.lock();
+        stats.peak = stats.peak.max(self.inner.size());
+        stats.written += bytes.len();
         Ok(())
     }
 
@@ -55,8 +55,8 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        if self.watch.lock().is_refusing {
-            return Err(io::Error::other("refused"));
+        if self.stats.lock().is_failing_renames {
+            return Err(io::Error::other("rename failed"));
         }
         self.inner.rename(from, to)
     }
@@ -106,7 +106,7 @@
     bytes
 }
 
-fn bootstrapped(folder: &WatchedFolder) -> Voter {
+fn bootstrapped(folder: &InstrumentedFolder) -> Voter {
     let mut voter = Voter::open(Box::new(folder.clone())).unwrap();
     voter.bootstrap(set(), 0);
     assert!(voter.sync());
@@ -114,76 +114,76 @@
 }
 
 fn version(voter: &Voter) -> u64 {
-    let held = voter.acceptor().register("description");
-    held.map_or(0, |held| held.value.version)
+    let state = voter.acceptor().register("description");
+    state.map_or(0, |state| state.value.version)
 }
 
-/// Makes a change, as the thread of the disk does; a voter that was closed is opened again first.
-fn change(voter: &mut Voter, folder: &WatchedFolder, counter: u64, bytes: Vec<u8>) -> bool {
+/// Makes a change as the disk thread does. A closed voter is reopened first.
+fn change(voter: &mut Voter, folder: &InstrumentedFolder, counter: u64, bytes: Vec<u8>) -> bool {
     if voter.can_reopen() {
         if let Ok(opened) = Voter::reopen(Box::new(folder.clone())) {
             *voter = opened;
         }
     }
-    let reply = voter.handle(accept("description", counter, bytes));
-    let is_synced = voter.sync() && reply == VoterResponse::Accepted;
-    let before = folder.watch.lock().written;
+    let response = voter.handle(accept("description", counter, bytes));
+    let is_synced = voter.sync() && response == VoterResponse::Accepted;
+    let before = folder.stats.lock().written;
     voter.compact();
-    let compacted = folder.watch.lock().written - before;
+    let compacted = folder.stats.lock().written - before;
     assert!(
-        compacted <= VALUE + 1_000,
-        "{compacted} bytes hold answers up"
+        compacted <= VALUE_BYTES + 1_000,
+        "compaction wrote {compacted} bytes, which delays responses"
     );
     is_synced
 }
 
 #[test]
-fn a_storm_of_changes_leaves_the_disk_room() {
+fn rapid_changes_keep_the_log_small() {
     let mut random = StdRng::seed_from_u64(1);
-    let folder = WatchedFolder::default();
+    let folder = InstrumentedFolder::default();
     let mut voter = bootstrapped(&folder);
     for counter in 1..=CHANGES {
-        let bytes = value(&mut random, VALUE);
+        let bytes = value(&mut random, VALUE_BYTES);
         assert!(change(&mut voter, &folder, counter, bytes));
     }
-    let watch = folder.watch.lock();
-    println!("peak {} bytes, written {}", watch.peak, watch.written);
-    assert!(watch.peak < 10 << 20);
-    assert!(watch.written < 11 * (CHANGES as usize * VALUE) / 10);
+    let stats = folder.stats.lock();
+    println!("peak {} bytes, written {}", stats.peak, stats.written);
+    assert!(stats.peak < 10 << 20);
+    assert!(stats.written < 11 * (CHANGES as usize * VALUE_BYTES) / 10);
 }
 
 #[test]
-fn a_log_that_cannot_be_shortened_stops_in_time_and_loses_nothing() {
+fn a_log_that_cannot_be_compacted_stops_growing_and_loses_nothing() {
     let mut random = StdRng::seed_from_u64(2);
-    let folder = WatchedFolder::default();
+    let folder = InstrumentedFolder::default();
     let mut voter = bootstrapped(&folder);
     let mut acknowledged = 0;
-    let mut refused = 0;
+    let mut rejected = 0;
     for counter in 1..=1_000 {
-        folder.watch.lock().is_refusing = (200..700).contains(&counter);
-        let bytes = value(&mut random, VALUE);
+        folder.stats.lock().is_failing_renames = (200..700).contains(&counter);
+        let bytes = value(&mut random, VALUE_BYTES);
         if change(&mut voter, &folder, counter, bytes) {
             acknowledged = counter;
         } else {
-            refused += 1;
+            rejected += 1;
         }
         assert!(version(&voter) >= acknowledged || !voter.is_open());
     }
-    let peak = folder.watch.lock().peak;
-    println!("peak {peak} bytes, {refused} changes refused");
-    // At each opening the last segment, of 1 MB and a record, is written anew before the old one goes.
-    assert!(peak < SEGMENTS_MAX as usize + (1 << 20) + 12 * VALUE);
-    assert!(refused > 100 && acknowledged == 1_000);
+    let peak = folder.stats.lock().peak;
+    println!("peak {peak} bytes, {rejected} changes rejected");
+    // Each time the voter is opened, the last segment, of 1 MB and a record, is rewritten before the old one is removed.
+    assert!(peak < SEGMENTS_MAX as usize + (1 << 20) + 12 * VALUE_BYTES);
+    assert!(rejected > 100 && acknowledged == 1_000);
     folder.inner.lose_power(&[]);
     let voter = Voter::open(Box::new(folder)).unwrap();
     assert_eq!(version(&voter), acknowledged);
 }
 
-/// The largest state: values of 4 MB, and as many jobs as are taken. Two snapshots of it and a full log fit.
+/// The largest state: values of 4 MB and as many jobs as are accepted. Two snapshots of it and a full log fit on the disk.
 #[test]
-fn the_largest_state_leaves_the_disk_room() {
+fn the_largest_state_fits_on_the_disk() {
     let mut random = StdRng::seed_from_u64(3);
-    let folder = WatchedFolder::default();
+    let folder = InstrumentedFolder::default();
     let mut voter = bootstrapped(&folder);
     let mut counter = 0;
     for key in ["description", "closures"] {
@@ -196,8 +196,8 @@
             counter += 1;
             let bytes = value(&mut random, size);
             let key = format!("job/{counter:08}/{}", "k".repeat(60));
-            let reply = voter.handle(accept(&key, counter, bytes));
-            if reply != VoterResponse::Accepted {
+            let response = voter.handle(accept(&key, counter, bytes));
+            if response != VoterResponse::Accepted {
                 break;
             }
             if counter % 64 == 0 {
@@ -213,7 +213,7 @@
         assert!(voter.sync());
         voter.compact();
     }
-    let peak = folder.watch.lock().peak;
+    let peak = folder.stats.lock().peak;
     println!("peak {peak} bytes with {} keys", voter.acceptor().len());
-    assert!(peak < DISK, "{peak} bytes");
+    assert!(peak < DISK_BYTES, "{peak} bytes");
 }
--- a/crates/voter/tests/power_loss.rs
+++ b/crates/voter/tests/power_loss.rs
@@ -1,4 +1,4 @@
-//! A voter whose power goes after every operation of its disk: what it answered holds, and nothing else does.
+//! Power loss after each disk operation of a voter: what it acknowledged survives, and no state that it never had appears.
 
 use journal::{CrashOutcome, DiskFault, MemoryFolder};
 use rand::rngs::StdRng;
@@ -11,22 +11,22 @@
 use voter::{Installation, Voter};
 
 const KEYS: [&str; 3] = ["description", "job/one", "job/two"];
-/// Turns after which a job that nobody touched is forgotten.
-const FORGET_TURNS: usize = 2;
+/// Retention periods after which an unchanged job is deleted.
+const RETENTION_PERIODS: usize = 2;
 const STEPS: usize = 14;
 const SEEDS: u64 = 24;
 
-fn set(no: u64) -> VoterSet {
+fn set(set_number: u64) -> VoterSet {
     let disk = 1;
     let address = "one".into();
     VoterSet {
         epoch: 1,
-        number: no,
+        number: set_number,
         voters: vec![VoterRef { disk, address }],
     }
 }
 
-fn held(counter: u64) -> RegisterState {
+fn accepted_state(counter: u64) -> RegisterState {
     let ballot = Ballot {
         counter,
         proposer: 9,
@@ -42,9 +42,9 @@
     }
 }
 
-/// The strongest that was answered for a key, or read back and so open to be answered.
+/// Strongest state of a key that the voter acknowledged, or read back and may therefore report.
 #[derive(Clone, Default)]
-struct Answered {
+struct Acknowledged {
     promised: Ballot,
     accepted: Ballot,
     set_version: SetVersion,
@@ -52,63 +52,69 @@
 
 #[derive(Clone)]
 struct Oracle {
-    answered: [Answered; KEYS.len()],
-    /// States that the disk may hold: the last one that lasts, and those tried since.
+    acknowledged: [Acknowledged; KEYS.len()],
+    /// Serialized states that may be found on the disk: the last durable one, and those attempted since.
     states: Vec<Vec<u8>>,
 }
 
-fn state(voter: &Voter) -> Vec<u8> {
+fn serialized_state(voter: &Voter) -> Vec<u8> {
     voter.acceptor().write_to_vec().unwrap()
 }
 
 impl Oracle {
     fn new() -> Self {
         Self {
-            answered: Default::default(),
+            acknowledged: Default::default(),
             states: vec![register::Acceptor::default().write_to_vec().unwrap()],
         }
     }
 
     fn check(&mut self, voter: &Voter) {
-        assert!(voter.is_open(), "a loss of power damages nothing");
-        let found = state(voter);
+        assert!(voter.is_open(), "a power loss damages nothing");
+        let recovered = serialized_state(voter);
         assert!(
-            self.states.contains(&found),
-            "a state that the voter never had"
+            self.states.contains(&recovered),
+            "recovered a state that the voter never had"
         );
-        for (key, answered) in KEYS.iter().zip(&self.answered) {
-            let floor = voter.acceptor().register("job").map(|held| held.promised);
+        for (key, acknowledged) in KEYS.iter().zip(&self.acknowledged) {
+            let floor = voter.acceptor().register("job").map(|state| state.promised);
             let floor = floor
                 .filter(|_| register::is_job_key(key))
                 .unwrap_or_default();
-            let held = voter.acceptor().register(key).cloned().unwrap_or_default();
-            let promised = held.promised.max(floor);
-            assert!(promised >= answered.promised, "{key}: a weaker promise");
-            let accepted = held.accepted.max(floor);
-            assert!(accepted >= answered.accepted, "{key}: a value is lost");
-            assert!(voter.acceptor().set().version() >= answered.set_version);
+            let state = voter.acceptor().register(key).cloned().unwrap_or_default();
+            let promised = state.promised.max(floor);
+            assert!(promised >= acknowledged.promised, "{key}: a weaker promise");
+            let accepted = state.accepted.max(floor);
+            assert!(accepted >= acknowledged.accepted, "{key}: a value is lost");
+            assert!(voter.acceptor().set().version() >= acknowledged.set_version);
         }
-        self.states = vec![found];
+        self.states = vec![recovered];
     }
 
-    fn synced(&mut self, voter: &Voter, key: usize, ask: &VoterOperation, reply: &VoterResponse) {
-        self.states = vec![state(voter)];
-        let answered = &mut self.answered[key];
-        answered.set_version = voter.acceptor().set().version();
-        match (ask, reply) {
+    fn on_synced(
+        &mut self,
+        voter: &Voter,
+        key: usize,
+        operation: &VoterOperation,
+        response: &VoterResponse,
+    ) {
+        self.states = vec![serialized_state(voter)];
+        let acknowledged = &mut self.acknowledged[key];
+        acknowledged.set_version = voter.acceptor().set().version();
+        match (operation, response) {
             (VoterOperation::Prepare { ballot, .. }, VoterResponse::LastAccepted { .. }) => {
-                answered.promised = answered.promised.max(*ballot);
+                acknowledged.promised = acknowledged.promised.max(*ballot);
             }
             (VoterOperation::Accept { ballot, .. }, VoterResponse::Accepted) => {
-                answered.promised = answered.promised.max(*ballot);
-                answered.accepted = answered.accepted.max(*ballot);
+                acknowledged.promised = acknowledged.promised.max(*ballot);
+                acknowledged.accepted = acknowledged.accepted.max(*ballot);
             }
             _ => {}
         }
     }
 }
 
-/// One random script over a disk, which fails from an operation on.
+/// A random sequence of steps on a disk that fails after a given number of operations.
 struct Run {
     disk: MemoryFolder,
     voter: Option<Voter>,
@@ -156,23 +162,23 @@
         let Some(voter) = self.voter.as_mut() else {
             return;
         };
-        let message = message(voter, choice, key, counter);
-        let ask = message.operation.clone();
+        let request = build_request(voter, choice, key, counter);
+        let operation = request.operation.clone();
         match choice {
-            2 => voter.repair(vec![(KEYS[key].into(), held(counter))]),
-            3 => (0..FORGET_TURNS).for_each(|_| voter.advance_job_window()),
+            2 => voter.repair(vec![(KEYS[key].into(), accepted_state(counter))]),
+            3 => (0..RETENTION_PERIODS).for_each(|_| voter.advance_job_window()),
             4 => voter.adopt_set(set(counter)),
             5 => voter.install(Installation {
                 set: set(1),
                 claim_floors: ClaimFloors::default(),
-                registers: vec![(KEYS[key].into(), held(counter))],
+                registers: vec![(KEYS[key].into(), accepted_state(counter))],
             }),
             _ => voter.bootstrap(set(1), 0),
         }
-        let reply = voter.handle(message);
-        self.oracle.states.push(state(voter));
+        let response = voter.handle(request);
+        self.oracle.states.push(serialized_state(voter));
         if voter.sync() {
-            self.oracle.synced(voter, key, &ask, &reply);
+            self.oracle.on_synced(voter, key, &operation, &response);
         } else {
             self.voter = None;
         }
@@ -188,7 +194,7 @@
             random: self.random.clone(),
         };
         assert!(after.open(false));
-        // What was read back may have been answered; it must last from now on.
+        // The voter may report what it read back, so that must be durable from now on.
         after.voter = None;
         after.disk.lose_power(&[]);
         assert!(after.open(true));
@@ -199,13 +205,13 @@
     }
 }
 
-fn message(voter: &Voter, choice: usize, key: usize, counter: u64) -> VoterRequest {
+fn build_request(voter: &Voter, choice: usize, key: usize, counter: u64) -> VoterRequest {
     let key = KEYS[key].to_string();
     let ballot = Ballot {
         counter,
         proposer: 1,
     };
-    let ask = match choice {
+    let voter_operation = match choice {
         6 | 7 => VoterOperation::Prepare { key, ballot },
         8 => VoterOperation::Query { key },
         _ => VoterOperation::Accept {
@@ -224,12 +230,12 @@
     };
     VoterRequest {
         set_version,
-        operation: ask,
+        operation: voter_operation,
     }
 }
 
 #[test]
-fn no_promise_is_weaker_and_no_value_is_lost_when_the_power_goes_after_any_operation() {
+fn no_promise_or_value_is_lost_when_power_fails_after_any_operation() {
     let mut tried = 0;
     for seed in 0..SEEDS {
         for operations in 0.. {
@@ -256,12 +262,12 @@
             }
         }
     }
-    println!("{tried} losses of power");
+    println!("{tried} power losses");
     assert!(tried > 10_000);
 }
 
 #[test]
-fn a_disk_that_fails_for_a_while_weakens_no_promise() {
+fn a_temporary_disk_failure_weakens_no_promise() {
     for fault in [DiskFault::Full, DiskFault::ShortWrite, DiskFault::SyncFails] {
         for seed in 0..SEEDS {
             for operations in 0..30 {
--- a/crates/voter/tests/reopening.rs
+++ b/crates/voter/tests/reopening.rs
@@ -1,5 +1,5 @@
-//! A voter whose disk fails: nothing that was not synced is answered, and it opens again by itself only
-//! when all that it holds was written anew.
+//! A voter whose disk fails: it acknowledges nothing that was not synced, and can be reopened only once its whole state has been
+//! rewritten.
 
 use journal::{FaultKind, MemoryFolder};
 use register::{
@@ -36,15 +36,15 @@
     }
 }
 
-fn held(voter: &Voter) -> u64 {
+fn stored_version(voter: &Voter) -> u64 {
     voter
         .acceptor()
         .register("k")
-        .map_or(0, |held| held.value.version)
+        .map_or(0, |state| state.value.version)
 }
 
 #[test]
-fn a_sync_that_failed_is_never_taken_for_done_and_the_voter_opens_again() {
+fn a_failed_sync_is_never_reported_as_success_and_the_voter_can_be_reopened() {
     let folder = MemoryFolder::default();
     let mut voter = Voter::open(Box::new(folder.clone())).unwrap();
     voter.bootstrap(set(), 0);
@@ -60,14 +60,14 @@
     assert!(voter.can_reopen());
     assert!(
         Voter::reopen(Box::new(folder.clone())).is_err(),
-        "nothing can be written anew on a full disk"
+        "the state cannot be rewritten on a full disk"
     );
     folder.inject(FaultKind::Room);
     let mut voter = Voter::reopen(Box::new(folder.clone())).unwrap();
-    assert!(voter.is_open() && held(&voter) == 1);
+    assert!(voter.is_open() && stored_version(&voter) == 1);
     voter.handle(accept(4, b"fourth"));
     assert!(voter.sync());
     folder.inject(FaultKind::PowerLoss(0));
-    let again = Voter::open(Box::new(folder)).unwrap();
-    assert_eq!(held(&again), 4);
+    let reopened = Voter::open(Box::new(folder)).unwrap();
+    assert_eq!(stored_version(&reopened), 4);
 }
--- a/crates/voter/tests/rewriting.rs
+++ b/crates/voter/tests/rewrite_after_failure.rs
@@ -1,4 +1,5 @@
-//! What a voter does with a disk that failed, beside what the journal does by itself.
+//! A voter that is reopened after a disk failure replaces every file written before it. This is in addition to what the
+//! journal itself does after a failure.
 
 use journal::{FaultKind, Folder, MemoryFolder};
 use register::{Ballot, VersionedValue, VoterOperation, VoterRef, VoterRequest, VoterSet};
@@ -35,9 +36,9 @@
 }
 
 #[test]
-fn a_voter_that_opens_again_leaves_no_file_that_was_written_before_the_failure() {
+fn a_reopened_voter_keeps_no_file_written_before_the_failure() {
     let folder = MemoryFolder::default();
-    let mut voter = Voter::open(Box::new(folder.clone())).expect("the folder is empty");
+    let mut voter = Voter::open(Box::new(folder.clone())).expect("an empty folder can be opened");
     voter.bootstrap(set(), 0);
     voter.handle(accept(1));
     assert!(voter.sync());
@@ -45,15 +46,15 @@
     voter.handle(accept(2));
     assert!(!voter.sync());
     folder.inject(FaultKind::Room);
-    let before = folder.list().expect("memory can be listed");
-    let voter = Voter::reopen(Box::new(folder.clone())).expect("there is room again");
+    let before = folder.list().expect("a folder in memory can be listed");
+    let voter = Voter::reopen(Box::new(folder.clone())).expect("the disk has room again");
     assert!(voter.is_open());
-    let after = folder.list().expect("memory can be listed");
+    let after = folder.list().expect("a folder in memory can be listed");
     assert!(!before.is_empty() && !after.is_empty());
     assert!(after.iter().all(|name| !before.contains(name)), "{after:?}");
-    let held = voter
+    let version = voter
         .acceptor()
         .register("key")
-        .map(|held| held.value.version);
-    assert_eq!(held, Some(1));
+        .map(|state| state.value.version);
+    assert_eq!(version, Some(1));
 }
