--- a/crates/routing/src/configuration.rs
+++ b/crates/routing/src/configuration.rs
@@ -1,84 +1,84 @@
-//! The operator's configuration of what is served, as the daemons use it.
+//! The operator's routing configuration, in the form that the daemons use.
 
 use crate::tenants::TenantDirectory;
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// A configuration of what is served. It is applied as a whole or rejected as a whole.
+/// A routing configuration. It is applied or rejected as a whole.
 ///
-/// This is the parsed form; `operator_commands::Configuration` is the stored document with its version.
+/// This is the parsed form; `operator_commands::ConfigurationRecord` is the stored document with its version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoutingConfiguration {
-    /// The operator's version, which only rises.
+    /// Version assigned by the operator; it only increases.
     pub version: u64,
-    /// Bindings (routes).
+    /// Bindings (routes) of hosts and path prefixes to functions.
     pub bindings: Vec<Binding>,
     /// Functions.
     pub functions: Vec<Function>,
-    /// What clients may send.
+    /// Limits on clients' requests and connections.
     pub limits: Limits,
-    /// Who may send requests; none where the operators name no tenants, so that everybody may.
+    /// Tenants that may send requests. `None` if the operators define no tenants; then everybody may send requests.
     pub tenants: Option<TenantDirectory>,
 }
 
-/// A binding (route): requests for a host whose path begins with a prefix go to a function.
+/// A binding (route): requests for a host whose path starts with a prefix are sent to a function.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Binding {
     /// Name, unique in the configuration.
     pub name: String,
-    /// Host in lower case, without a port.
+    /// Host name in lower case, without a port.
     pub host: String,
-    /// Prefix, with a slash at both ends.
+    /// Path prefix, starting and ending with a slash.
     pub prefix: String,
     /// Index into [`RoutingConfiguration::functions`].
     pub function_index: usize,
-    /// Whether a request may run once at most.
+    /// Whether a request may run at most once.
     pub at_most_once: bool,
-    /// Milliseconds after which a request times out.
+    /// Request timeout in milliseconds.
     pub timeout_ms: u32,
-    /// Latency target in milliseconds: a response within it is worth most.
+    /// Latency target in milliseconds: responses within it have the highest value.
     pub latency_target_ms: u32,
-    /// Priority; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Most attempts of one request, each at another runner.
+    /// Maximum number of attempts for one request, each at a different runner.
     pub max_attempts: u32,
-    /// Regions that its requests must not leave; empty where all are allowed.
+    /// Regions to which its requests are restricted; empty if all regions are allowed.
     pub allowed_regions: Vec<String>,
-    /// Whether it takes requests without a key where there are tenants.
+    /// Whether it accepts requests without an API key even if tenants are defined.
     pub is_public: bool,
 }
 
-/// A function: what a runner of it needs, and what it can take.
+/// A function, with the resource needs and limits of its runners.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Function {
-    /// Name.
+    /// Name of the function.
     pub name: String,
-    /// Memory that one runner takes on its worker, in megabytes.
+    /// Memory that one runner uses on its worker, in megabytes.
     pub memory_mb: u64,
-    /// Average milliseconds from a runner's start until it is up.
+    /// Average time in milliseconds from a runner's start until it is up.
     pub start_ms: u64,
-    /// Most requests in flight at one runner.
+    /// Maximum number of concurrent requests at one runner.
     pub concurrency: u32,
-    /// Most connections that one runner takes from all callers together.
+    /// Maximum number of connections that one runner accepts from all gateways together.
     pub connections: u32,
-    /// Path of the health check, where there is one.
+    /// Path of the health check, if there is one.
     pub health_path: Option<String>,
-    /// Milliseconds after its start in which a runner warms up (slow start).
+    /// Duration of a runner's warm-up (slow start) in milliseconds.
     pub warm_up_ms: u64,
-    /// Requests a second that a runner takes while it warms up; 0 where the operator gives none.
+    /// Requests per second that a runner can process during its warm-up; 0 if the operator does not specify a rate.
     pub warm_up_requests_per_s: f64,
 }
 
-/// What a client may send, and how long it may take.
+/// Size and time limits for clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Most bytes of a request's header section.
+    /// Maximum size of a request's header section in bytes.
     pub header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Milliseconds within which a request must have arrived completely.
+    /// Time in milliseconds within which a request must be received completely.
     pub header_timeout_ms: u64,
-    /// Milliseconds after which an idle connection is closed.
+    /// Time in milliseconds after which an idle connection is closed.
     pub idle_timeout_ms: u64,
 }
 
@@ -93,46 +93,48 @@
     }
 }
 
-/// Why a document is rejected.
+/// Why a configuration document is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigurationError {
-    /// It cannot be parsed.
+    /// The document cannot be parsed.
     Unreadable(String),
-    /// It can be parsed, and violates a rule.
+    /// The document can be parsed but violates a rule.
     Invalid(String),
 }
 
 impl fmt::Display for ConfigurationError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreadable(reason) => write!(formatter, "it cannot be read: {reason}"),
-            Self::Invalid(reason) => write!(formatter, "it may not be: {reason}"),
+            Self::Unreadable(reason) => {
+                write!(formatter, "cannot parse the configuration: {reason}")
+            }
+            Self::Invalid(reason) => write!(formatter, "invalid configuration: {reason}"),
         }
     }
 }
 
 impl std::error::Error for ConfigurationError {}
 
-/// The format in which operators write configurations; implemented by the platform's crate.
+/// The document format of operators' configurations, implemented by the `platform` crate.
 pub trait ConfigurationFormat {
-    /// Parses and checks a document.
+    /// Parses and validates a document.
     fn parse(&self, document: &[u8]) -> Result<RoutingConfiguration, ConfigurationError>;
-    /// Applies a change of named items to a parsed configuration. The result is the same as parsing the document with
-    /// the change merged in, and cheaper.
+    /// Applies a change of individual items to a parsed configuration. The result equals that of parsing the document with the
+    /// change merged in, at a lower cost.
     fn apply_change(
         &self,
         base: &RoutingConfiguration,
         change: &[u8],
     ) -> Result<RoutingConfiguration, ConfigurationError>;
-    /// Names of the parts of a document that nothing here understands, such as `routes.colour`. They are without effect. A format
-    /// that takes all parts has none.
+    /// Names of the unknown parts of a document, such as `routes.colour`, which are ignored. Empty by default, for formats
+    /// without unknown parts.
     fn unknown_parts(&self, _document: &[u8]) -> BTreeSet<String> {
         BTreeSet::new()
     }
-    /// The same for a change of named items, with the names that its parts have in the whole document.
+    /// Names of the unknown parts of a change, as they are named in the whole document.
     fn unknown_parts_of_change(&self, _change: &[u8]) -> BTreeSet<String> {
         BTreeSet::new()
     }
-    /// Merges a change of named items into a document; gives the complete new document.
+    /// Merges a change of individual items into a document and returns the complete new document.
     fn merge_change(&self, document: &[u8], change: &[u8]) -> Result<Vec<u8>, ConfigurationError>;
 }
--- a/crates/routing/src/key_digest.rs
+++ b/crates/routing/src/key_digest.rs
@@ -1,16 +1,17 @@
-//! Digests of clients' keys. A daemon keeps no key, so that none can get into its logs, its state or a dump of its memory.
+//! Digests of clients' API keys. Daemons do not store the keys themselves, so that no key can appear in logs, in stored state
+//! or in memory dumps.
 
 use sha2::{Digest, Sha256};
 use std::fmt;
 use std::hash::{Hash, Hasher};
 use subtle::ConstantTimeEq;
 
-/// The SHA-256 of a key. Digests are compared in constant time.
+/// The SHA-256 digest of an API key. Digests are compared in constant time.
 #[derive(Clone, Copy)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     #[must_use]
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
@@ -31,7 +32,7 @@
     }
 }
 
-// Not even a digest is printed: keys that are short could be guessed from it.
+// The digest is not printed either, because short keys could be found from it by brute force.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("KeyDigest")
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Which function answers a request, and who may send it: bindings of hosts and path prefixes to functions, with the functions,
-//! the limits and the tenants that belong to them. One configuration is in force at a time.
+//! Routing of requests to functions, and authorisation of clients. A configuration holds bindings of hosts and path prefixes to
+//! functions, along with the functions, limits and tenants. One configuration is active at a time.
 
 mod configuration;
 mod key_digest;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! Lookup of the function that answers a request.
+//! Lookup of the function that serves a request.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -6,7 +6,7 @@
 
 use crate::configuration::{Binding, Function, RoutingConfiguration};
 
-/// Lookup of bindings by host and path in one configuration.
+/// Finds the bindings of one configuration by host and path.
 #[derive(Clone, Debug)]
 pub struct RoutingTable {
     configuration: Arc<RoutingConfiguration>,
@@ -17,11 +17,11 @@
 #[derive(Clone, Debug, Default)]
 struct Prefixes {
     bindings: HashMap<Box<str>, usize>,
-    longest: usize,
+    max_length: usize,
 }
 
 impl RoutingTable {
-    /// Builds the lookup. Of two bindings with the same host and prefix, the first one wins.
+    /// Builds the table. Of several bindings with the same host and prefix, the first one wins.
     pub fn new(configuration: Arc<RoutingConfiguration>) -> Self {
         let mut hosts: HashMap<Box<str>, Prefixes> = HashMap::new();
         for (index, binding) in configuration.bindings.iter().enumerate() {
@@ -32,9 +32,9 @@
             let Some(prefixes) = hosts.get_mut(host.as_ref()) else {
                 continue;
             };
-            prefixes.longest = prefixes.longest.max(binding.prefix.len());
-            let place = prefixes.bindings.entry(binding.prefix.as_str().into());
-            place.or_insert(index);
+            prefixes.max_length = prefixes.max_length.max(binding.prefix.len());
+            let entry = prefixes.bindings.entry(binding.prefix.as_str().into());
+            entry.or_insert(index);
         }
         let mut functions = HashMap::with_capacity(configuration.functions.len());
         for (index, function) in configuration.functions.iter().enumerate() {
@@ -49,41 +49,41 @@
         }
     }
 
-    /// Finds the binding of a request, with its index and its function. The host may carry a port, the path a
-    /// query.
+    /// Finds the binding of a request, with its index and its function. The host may include a port, and the path a query.
     pub fn find(&self, host: &str, path: &str) -> Option<(usize, &Binding, &Function)> {
         let prefixes = self.hosts.get(normalize_host(host).as_ref())?;
-        let index = prefixes.longest_of(path)?;
+        let index = prefixes.find_longest(path)?;
         let binding = self.configuration.bindings.get(index)?;
         let function = self.configuration.functions.get(binding.function_index)?;
         Some((index, binding, function))
     }
 
-    /// Index of a function in the configuration.
+    /// Index of a function in [`RoutingConfiguration::functions`].
     pub fn function_index(&self, name: &str) -> Option<usize> {
         self.functions.get(name).copied()
     }
 
-    /// The configuration that the lookup was built from.
+    /// The configuration that the table was built from.
     pub fn configuration(&self) -> &Arc<RoutingConfiguration> {
         &self.configuration
     }
 }
 
 impl Prefixes {
-    fn longest_of(&self, path: &str) -> Option<usize> {
+    /// Index of the binding with the longest prefix that matches the path.
+    fn find_longest(&self, path: &str) -> Option<usize> {
         let path = path.as_bytes();
         let end = path.iter().position(|byte| *byte == b'?');
-        let path = &path[..end.unwrap_or(path.len()).min(self.longest)];
+        let path = &path[..end.unwrap_or(path.len()).min(self.max_length)];
         let ends = (0..path.len()).rev().filter(|at| path[*at] == b'/');
-        // A slash is a character of its own in UTF-8, so a cut behind it is a text again.
-        let cuts = ends.filter_map(|at| std::str::from_utf8(&path[..=at]).ok());
-        let mut found = cuts.filter_map(|cut| self.bindings.get(cut).copied());
+        // A slash is always a complete character in UTF-8, so the path up to and including a slash is valid UTF-8.
+        let candidates = ends.filter_map(|at| std::str::from_utf8(&path[..=at]).ok());
+        let mut found = candidates.filter_map(|prefix| self.bindings.get(prefix).copied());
         found.next()
     }
 }
 
-/// A host in lower case, without a port.
+/// Normalises a host: converts it to lower case and removes the port.
 pub fn normalize_host(host: &str) -> Cow<'_, str> {
     let host = match host.rsplit_once(':') {
         Some((host, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => host,
--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -1,7 +1,7 @@
-//! Tenants and their keys: who may send requests.
+//! Tenants and their API keys, which authorise requests.
 //!
-//! A directory shares all that it did not change with the one before, so that a change of one tenant costs that tenant alone, however
-//! many there are.
+//! A changed directory shares all unchanged entries with the previous one, so the cost of a change depends on the changed
+//! tenants and not on the total number of tenants.
 
 use crate::key_digest::KeyDigest;
 use rpds::HashTrieMapSync;
@@ -9,31 +9,31 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// One who may send requests.
+/// A tenant, which may send requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tenant {
-    /// Name, unique in the configuration.
+    /// Name of the tenant, unique in the configuration.
     pub name: Arc<str>,
-    /// Digests of its keys. Without any it may send nothing.
+    /// Digests of its API keys. A tenant without keys cannot send requests.
     pub keys: Vec<KeyDigest>,
-    /// Priority, which goes before that of a request's binding; 0 goes first.
+    /// Priority, compared before that of the request's binding; 0 is the highest.
     pub priority: u8,
-    /// Regions that its requests must not leave; empty where all are allowed.
+    /// Regions to which its requests are restricted; empty if all regions are allowed.
     pub allowed_regions: Vec<String>,
 }
 
-/// Why tenants cannot be in force together. No key is named.
+/// Why a set of tenants is invalid. Errors never contain keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TenantError {
-    /// Two tenants have this name.
+    /// Two tenants have the same name.
     RepeatedName(Arc<str>),
-    /// A tenant has a key twice.
+    /// A tenant lists the same key twice.
     RepeatedKey(Arc<str>),
     /// Two tenants have a key in common.
     SharedKey {
-        /// Name of the one.
+        /// Name of one tenant.
         tenant: Arc<str>,
-        /// Name of the other.
+        /// Name of the other tenant.
         other: Arc<str>,
     },
 }
@@ -42,13 +42,13 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::RepeatedName(name) => {
-                write!(formatter, "tenant '{name}': its name is there twice")
+                write!(formatter, "tenant '{name}': the name is not unique")
             }
-            Self::RepeatedKey(name) => write!(formatter, "tenant '{name}': it has a key twice"),
+            Self::RepeatedKey(name) => write!(formatter, "tenant '{name}': a key is listed twice"),
             Self::SharedKey { tenant, other } => {
                 write!(
                     formatter,
-                    "tenant '{tenant}': it has a key of tenant '{other}'"
+                    "tenant '{tenant}': a key also belongs to tenant '{other}'"
                 )
             }
         }
@@ -57,14 +57,14 @@
 
 impl std::error::Error for TenantError {}
 
-/// All tenants, by name and by key.
+/// All tenants, indexed by name and by key.
 #[derive(Clone, Default, PartialEq)]
 pub struct TenantDirectory {
     by_name: HashTrieMapSync<Arc<str>, Arc<Tenant>>,
     by_key: HashTrieMapSync<KeyDigest, Arc<Tenant>>,
 }
 
-// Maps would print hashes of keys.
+// A derived implementation would print the maps, including hashes of the keys.
 impl fmt::Debug for TenantDirectory {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.debug_set().entries(self.iter()).finish()
@@ -72,10 +72,10 @@
 }
 
 impl TenantDirectory {
-    /// A directory of these tenants.
+    /// Creates a directory of these tenants.
     ///
     /// # Errors
-    /// Where a name or a key is there twice.
+    /// Fails if a name or a key is not unique.
     pub fn new(tenants: Vec<Tenant>) -> Result<Self, TenantError> {
         let mut directory = Self::default();
         for tenant in tenants {
@@ -84,18 +84,18 @@
         Ok(directory)
     }
 
-    /// The directory with some tenants added or replaced by name, and after that some removed. A key may move from one of them to
-    /// another in the same change.
+    /// Returns a copy of the directory in which tenants are first added or replaced by name, and then removed. A key may move from
+    /// one of these tenants to another in the same change.
     ///
     /// # Errors
-    /// Where a key would be there twice.
+    /// Fails if a key would not be unique.
     pub fn with_changes(
         &self,
         upserted: Vec<Tenant>,
         removed: &HashSet<String>,
     ) -> Result<Self, TenantError> {
         let mut directory = self.clone();
-        // Of tenants that are named twice the last one stays.
+        // If a name occurs more than once, the last tenant wins.
         let mut last: HashMap<Arc<str>, Tenant> = HashMap::with_capacity(upserted.len());
         for tenant in upserted {
             last.insert(Arc::clone(&tenant.name), tenant);
@@ -113,19 +113,19 @@
         Ok(directory)
     }
 
-    /// The tenant that has a key.
+    /// Finds the tenant that a key belongs to.
     #[must_use]
     pub fn find(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
         self.by_key.get(key)
     }
 
-    /// The tenant of this name.
+    /// Finds a tenant by name.
     #[must_use]
     pub fn tenant(&self, name: &str) -> Option<&Arc<Tenant>> {
         self.by_name.get(name)
     }
 
-    /// All tenants, in no order.
+    /// All tenants, in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Tenant>> {
         self.by_name.values()
     }
@@ -136,13 +136,13 @@
         self.by_name.size()
     }
 
-    /// Whether there is none, so that nobody may send requests but to public bindings.
+    /// Whether there are no tenants. If so, only requests to public bindings are accepted.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// Number of keys of all tenants.
+    /// Total number of keys of all tenants.
     #[must_use]
     pub fn key_count(&self) -> usize {
         self.by_key.size()
@@ -186,7 +186,8 @@
     }
 }
 
-/// The regions that two lists have in common, of which an empty one allows all. Empty where they have none in common, or both allow all.
+/// Intersects two lists of allowed regions, in which an empty list allows all regions. The result is also empty if the lists
+/// have no region in common.
 #[must_use]
 pub fn intersect_regions(one: &[String], other: &[String]) -> Vec<String> {
     match (one, other) {
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! The lookup against plain lists, and its corners one by one.
+//! The routing table: edge cases, and comparisons with a linear search.
 
 use std::sync::Arc;
 
@@ -21,11 +21,11 @@
     }))
 }
 
-fn place(table: &RoutingTable, host: &str, path: &str) -> Option<usize> {
+fn find_index(table: &RoutingTable, host: &str, path: &str) -> Option<usize> {
     table.find(host, path).map(|(index, _, _)| index)
 }
 
-fn naive(table: &RoutingTable, host: &str, target: &str) -> Option<usize> {
+fn find_by_linear_search(table: &RoutingTable, host: &str, target: &str) -> Option<usize> {
     let path = target.split('?').next()?;
     let host = host.split(':').next()?.to_lowercase();
     let mut best: Option<(usize, usize)> = None;
@@ -38,37 +38,40 @@
     best.map(|(_, index)| index)
 }
 
-fn path_of(steps: &[u8]) -> String {
+fn path_from(steps: &[u8]) -> String {
     let parts = ["/", "a", "b", "é", "ab", "/", "a/", "?"];
     let parts = steps.iter().map(|step| parts[usize::from(*step) % 8]);
     format!("/{}", parts.collect::<String>())
 }
 
 #[test]
-fn the_longest_prefix_that_begins_the_path_wins() {
+fn the_longest_matching_prefix_wins() {
     let table = table_of(&[
         ("one.example", "/"),
         ("one.example", "/ink/"),
         ("one.example", "/ink/red/"),
         ("two.example", "/ink/"),
     ]);
-    assert_eq!(place(&table, "one.example", "/ink/red/7"), Some(2));
-    assert_eq!(place(&table, "one.example", "/ink/red"), Some(1));
-    assert_eq!(place(&table, "one.example", "/ink"), Some(0));
-    assert_eq!(place(&table, "two.example", "/ink"), None);
-    assert_eq!(place(&table, "two.example", "/ink/"), Some(3));
-    assert_eq!(place(&table, "three.example", "/ink/"), None);
+    assert_eq!(find_index(&table, "one.example", "/ink/red/7"), Some(2));
+    assert_eq!(find_index(&table, "one.example", "/ink/red"), Some(1));
+    assert_eq!(find_index(&table, "one.example", "/ink"), Some(0));
+    assert_eq!(find_index(&table, "two.example", "/ink"), None);
+    assert_eq!(find_index(&table, "two.example", "/ink/"), Some(3));
+    assert_eq!(find_index(&table, "three.example", "/ink/"), None);
 }
 
 #[test]
-fn case_and_port_of_the_host_and_the_query_do_not_count() {
+fn host_case_host_port_and_query_are_ignored() {
     let table = table_of(&[("one.example", "/ink/"), ("one.example", "/ink/red/")]);
-    assert_eq!(place(&table, "ONE.Example:8020", "/ink/?x=/red/"), Some(0));
-    assert_eq!(place(&table, "one.example:", "/ink/red/?"), Some(1));
-    assert_eq!(place(&table, "one.example", "/ink?/ink/"), None);
-    assert_eq!(place(&table, "one.example", "/INK/"), None);
-    assert_eq!(place(&table, "one.example", ""), None);
-    assert_eq!(place(&table, "", "/ink/"), None);
+    assert_eq!(
+        find_index(&table, "ONE.Example:8020", "/ink/?x=/red/"),
+        Some(0)
+    );
+    assert_eq!(find_index(&table, "one.example:", "/ink/red/?"), Some(1));
+    assert_eq!(find_index(&table, "one.example", "/ink?/ink/"), None);
+    assert_eq!(find_index(&table, "one.example", "/INK/"), None);
+    assert_eq!(find_index(&table, "one.example", ""), None);
+    assert_eq!(find_index(&table, "", "/ink/"), None);
 }
 
 #[test]
@@ -81,7 +84,7 @@
 }
 
 #[test]
-fn a_binding_without_its_function_is_not_found() {
+fn a_binding_with_an_invalid_function_index_is_not_found() {
     let binding = Binding {
         host: "one.example".into(),
         prefix: "/".into(),
@@ -92,11 +95,11 @@
         bindings: vec![binding],
         ..RoutingConfiguration::default()
     }));
-    assert_eq!(place(&table, "one.example", "/"), None);
+    assert_eq!(find_index(&table, "one.example", "/"), None);
 }
 
 #[test]
-fn many_bindings_under_one_host_are_each_found() {
+fn every_binding_of_a_host_with_many_bindings_is_found() {
     let prefixes: Vec<String> = (0..21_000).map(|at| format!("/p{at}/")).collect();
     let bindings: Vec<(&str, &str)> = prefixes
         .iter()
@@ -105,39 +108,39 @@
     let table = table_of(&bindings);
     for (index, prefix) in prefixes.iter().enumerate() {
         let path = format!("{prefix}x/y");
-        assert_eq!(place(&table, "one.example", &path), Some(index));
+        assert_eq!(find_index(&table, "one.example", &path), Some(index));
     }
 }
 
 seeded! {
-    fn the_lookup_agrees_with_a_plain_list(
+    fn lookups_agree_with_a_linear_search(
         bindings: Vec<(u8, Vec<u8>)>,
-        asked: Vec<(u8, Vec<u8>)>,
+        requests: Vec<(u8, Vec<u8>)>,
     ) -> bool {
         let hosts = ["one.example", "two.example", "10.1.2.3"];
         let prefixes: Vec<(&str, String)> = bindings
             .iter()
             .map(|(host, steps)| {
                 let short = &steps[..steps.len().min(5)];
-                let prefix = path_of(short).replace('?', "");
+                let prefix = path_from(short).replace('?', "");
                 (hosts[usize::from(*host) % 3], format!("{}/", prefix.trim_end_matches('/')))
             })
             .collect();
         let pairs: Vec<(&str, &str)> =
             prefixes.iter().map(|(host, prefix)| (*host, prefix.as_str())).collect();
         let table = table_of(&pairs);
-        let asked_hosts = ["One.example", "two.EXAMPLE:80", "10.1.2.3:8020", "one.example", "no.example"];
-        asked.iter().all(|(host, steps)| {
-            let host = asked_hosts[usize::from(*host) % 5];
-            let path = path_of(&steps[..steps.len().min(8)]);
-            place(&table, host, &path) == naive(&table, host, &path)
+        let request_hosts = ["One.example", "two.EXAMPLE:80", "10.1.2.3:8020", "one.example", "no.example"];
+        requests.iter().all(|(host, steps)| {
+            let host = request_hosts[usize::from(*host) % 5];
+            let path = path_from(&steps[..steps.len().min(8)]);
+            find_index(&table, host, &path) == find_by_linear_search(&table, host, &path)
         })
     }
 
     fn each_binding_is_found_by_its_own_prefix(steps: Vec<Vec<u8>>, rest: String) -> bool {
         let prefixes: Vec<String> = steps
             .iter()
-            .map(|steps| format!("{}/", path_of(steps).replace('?', "")))
+            .map(|steps| format!("{}/", path_from(steps).replace('?', "")))
             .collect();
         let pairs: Vec<(&str, &str)> =
             prefixes.iter().map(|prefix| ("one.example", prefix.as_str())).collect();
@@ -148,11 +151,11 @@
         })
     }
 
-    fn texts_of_any_kind_are_taken(host: String, path: String) -> bool {
+    fn lookups_accept_arbitrary_text(host: String, path: String) -> bool {
         let table = table_of(&[("one.example", "/"), ("one.example", "/ink/")]);
         table.find(&host, &path).is_none() && {
-            let found = place(&table, "one.example", &path);
-            found == naive(&table, "one.example", &path)
+            let found = find_index(&table, "one.example", &path);
+            found == find_by_linear_search(&table, "one.example", &path)
         }
     }
 }
