--- a/crates/locality/src/lib.rs
+++ b/crates/locality/src/lib.rs
@@ -1,4 +1,4 @@
-//! Where daemons, workers and runners stand: zones, and the regions that hold them.
+//! Locality of daemons, workers and runners: zones and the regions that contain them.
 
 mod topology;
 
--- a/crates/locality/src/topology.rs
+++ b/crates/locality/src/topology.rs
@@ -1,15 +1,15 @@
-//! The zones of a deployment with their regions, as the settings tell them.
+//! The zones of a deployment and their regions, as configured in the settings.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far two zones lie apart. What is nearer is less.
+/// The distance between two zones. Smaller values are nearer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Distance {
-    /// They are one zone.
+    /// Both are the same zone.
     SameZone,
-    /// They are two zones of one region.
+    /// Two zones in the same region.
     SameRegion,
-    /// They lie in two regions.
+    /// Two zones in different regions.
     OtherRegion,
 }
 
@@ -20,19 +20,19 @@
 }
 
 impl Topology {
-    /// A topology of zones with their regions.
+    /// Creates a topology from the region of each zone.
     #[must_use]
     pub fn new(region_by_zone: BTreeMap<String, String>) -> Self {
         Self { region_by_zone }
     }
 
-    /// The region of a zone; none where no settings tell it.
+    /// The region of a zone; `None` if it is not configured.
     #[must_use]
     pub fn region_of(&self, zone: &str) -> Option<&str> {
         self.region_by_zone.get(zone).map(String::as_str)
     }
 
-    /// How far two zones lie apart. Zones of which no region is known count as one region.
+    /// The distance between two zones. All zones without a known region count as one region.
     #[must_use]
     pub fn distance(&self, one: &str, other: &str) -> Distance {
         if one == other {
@@ -44,8 +44,8 @@
         Distance::OtherRegion
     }
 
-    /// Whether what must not leave some regions may be in a zone. An empty list allows every zone; any other list allows no
-    /// zone of which the region is not known.
+    /// Whether a list of allowed regions permits a zone. An empty list permits every zone. Any other list permits no zone whose
+    /// region is unknown.
     #[must_use]
     pub fn allows(&self, allowed_regions: &[String], zone: &str) -> bool {
         if allowed_regions.is_empty() {
--- a/crates/policy/src/error.rs
+++ b/crates/policy/src/error.rs
@@ -1,30 +1,30 @@
-//! Why a setting of a policy is refused.
+//! Errors for invalid policy settings.
 
 use std::fmt;
 
-/// Why a setting of a policy is refused.
+/// Why a policy setting is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PolicyError {
-    /// The text is not `NAME=VALUE`.
+    /// The text does not have the form `NAME=VALUE`.
     NotASetting(String),
-    /// There is no option of that name.
+    /// There is no option with this name.
     UnknownOption(String),
-    /// The value has another type than the option.
+    /// The value cannot be parsed as the option's type.
     WrongType {
         /// Name of the option.
         option: &'static str,
-        /// The value.
+        /// The rejected value.
         value: String,
-        /// The type of the option.
+        /// Description of the option's type.
         expected: &'static str,
     },
-    /// The value is below the least or above the greatest that is allowed.
+    /// The value is outside the option's bounds.
     OutOfBounds {
         /// Name of the option.
         option: &'static str,
-        /// The value.
+        /// The rejected value.
         value: String,
-        /// The least and the greatest value.
+        /// The minimum and maximum, as text.
         bounds: String,
     },
 }
@@ -32,15 +32,17 @@
 impl fmt::Display for PolicyError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotASetting(text) => write!(formatter, "'{text}' is not NAME=VALUE"),
-            Self::UnknownOption(name) => write!(formatter, "no policy has an option '{name}'"),
+            Self::NotASetting(text) => {
+                write!(formatter, "'{text}' does not have the form NAME=VALUE")
+            }
+            Self::UnknownOption(name) => write!(formatter, "unknown policy option '{name}'"),
             Self::WrongType {
                 option,
                 value,
                 expected,
             } => write!(
                 formatter,
-                "policy option {option}: '{value}' is no {expected}"
+                "policy option {option}: invalid value '{value}', expected {expected}"
             ),
             Self::OutOfBounds {
                 option,
@@ -48,7 +50,7 @@
                 bounds,
             } => write!(
                 formatter,
-                "policy option {option}: {value} is not within {bounds}"
+                "policy option {option}: {value} is not in the range {bounds}"
             ),
         }
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,8 @@
-//! The options of the policies by which the daemons decide: each has a name, a type, bounds and the default that measured best.
+//! Options of the daemons' scaling, leasing and connection policies. Each has a name, a type, bounds and a default, which is the
+//! value that performed best in measurements.
 //!
-//! Operators need none of them. They exist so that a policy can be compared with another value, or switched off, without
-//! another build: `--policy NAME=VALUE` at either daemon.
+//! Operators do not need to set them. They exist so that other values can be tried, or a policy disabled, without a new build:
+//! both daemons accept `--policy NAME=VALUE`.
 
 mod error;
 mod leasing;
@@ -17,23 +18,23 @@
 pub use setting::PolicySetting;
 pub use upstream::UpstreamPolicy;
 
-/// All policies.
+/// The options of all policies.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
-    /// How many runners functions have, and where.
+    /// The number of runners of each function and their placement.
     pub scaling: ScalingPolicy,
-    /// Which request gets which seat.
+    /// Leasing of seats to requests.
     pub leasing: LeasingPolicy,
     /// Connections to runners.
     pub upstream: UpstreamPolicy,
 }
 
 impl Policy {
-    /// The defaults with some settings changed.
+    /// Creates a policy from the defaults and some settings. If an option is set more than once, the last setting applies.
     ///
     /// # Errors
     ///
-    /// An option that does not exist, or a value that is of another type or out of bounds.
+    /// Fails if an option does not exist, or if a value has the wrong type or is out of bounds.
     pub fn with_settings(settings: &[PolicySetting]) -> Result<Self, PolicyError> {
         let mut policy = Self::default();
         for setting in settings {
@@ -52,7 +53,7 @@
         Err(PolicyError::UnknownOption(setting.name.clone()))
     }
 
-    /// All options with their bounds, defaults and meaning.
+    /// All options with their bounds and defaults.
     #[must_use]
     pub fn descriptions() -> Vec<OptionDescription> {
         let scaling = ScalingPolicy::descriptions();
--- a/crates/policy/src/options.rs
+++ b/crates/policy/src/options.rs
@@ -1,73 +1,73 @@
-//! How a group of options is declared: one line gives an option's name, type, default and bounds.
+//! Declaration of option groups: one line declares the name, type, default and bounds of an option.
 
 use crate::error::PolicyError;
 use std::fmt::Display;
 use std::str::FromStr;
 
-/// What an option is.
+/// Description of an option.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OptionDescription {
-    /// Its name, with the group before the point.
+    /// Full name: the group's prefix, a dot and the field name.
     pub name: &'static str,
-    /// Its default.
+    /// Default value, as text.
     pub default: String,
-    /// The least and the greatest value.
+    /// Minimum and maximum, as text.
     pub bounds: String,
 }
 
-/// A type that an option can have.
+/// A type that options can have.
 pub(crate) trait OptionValue: Copy + PartialOrd + Display + FromStr {
-    /// The type's name in messages.
-    const KIND: &'static str;
+    /// Description of the type for error messages.
+    const DESCRIPTION: &'static str;
 }
 
 impl OptionValue for f64 {
-    const KIND: &'static str = "number";
+    const DESCRIPTION: &'static str = "a number";
 }
 
 impl OptionValue for u64 {
-    const KIND: &'static str = "whole number";
+    const DESCRIPTION: &'static str = "a non-negative integer";
 }
 
 impl OptionValue for bool {
-    const KIND: &'static str = "true or false";
+    const DESCRIPTION: &'static str = "true or false";
 }
 
-/// Reads a value and checks its bounds.
+/// Parses a value and checks its bounds.
 pub(crate) fn parse<T: OptionValue>(
     option: &'static str,
     text: &str,
-    least: T,
-    greatest: T,
+    minimum: T,
+    maximum: T,
 ) -> Result<T, PolicyError> {
     let parsed = text.parse::<T>();
     let value = parsed.map_err(|_| PolicyError::WrongType {
         option,
         value: text.to_owned(),
-        expected: T::KIND,
+        expected: T::DESCRIPTION,
     })?;
-    // A comparison with a value that is not a number is false, so such a value is out of bounds.
-    if value >= least && value <= greatest {
+    // Comparisons with NaN are false, so NaN is rejected as out of bounds.
+    if value >= minimum && value <= maximum {
         return Ok(value);
     }
     Err(PolicyError::OutOfBounds {
         option,
         value: text.to_owned(),
-        bounds: bounds(least, greatest),
+        bounds: bounds(minimum, maximum),
     })
 }
 
-/// Bounds as text.
-pub(crate) fn bounds<T: OptionValue>(least: T, greatest: T) -> String {
-    format!("{least} to {greatest}")
+/// Formats the bounds of an option.
+pub(crate) fn bounds<T: OptionValue>(minimum: T, maximum: T) -> String {
+    format!("{minimum} to {maximum}")
 }
 
-/// Declares a group of options as a struct with public fields.
+/// Declares a group of options as a struct with public fields. Field names are part of the option names that users set.
 macro_rules! policy_options {
     (
         $(#[$group_doc:meta])*
         $group:ident, $prefix:literal;
-        $($(#[$doc:meta])* $field:ident: $kind:ty = $default:expr, $least:expr => $greatest:expr;)*
+        $($(#[$doc:meta])* $field:ident: $kind:ty = $default:expr, $minimum:expr => $maximum:expr;)*
     ) => {
         $(#[$group_doc])*
         #[derive(Clone, Debug, PartialEq)]
@@ -82,7 +82,7 @@
         }
 
         impl $group {
-            /// Sets an option if it belongs to this group; whether it does.
+            /// Sets an option if it belongs to this group. Returns whether it does.
             pub(crate) fn set(
                 &mut self,
                 setting: &crate::setting::PolicySetting,
@@ -90,25 +90,25 @@
                 match setting.name.as_str() {
                     $(concat!($prefix, ".", stringify!($field)) => {
                         let name = concat!($prefix, ".", stringify!($field));
-                        let least: $kind = $least;
-                        let greatest: $kind = $greatest;
-                        self.$field = crate::options::parse(name, &setting.value, least, greatest)?;
+                        let minimum: $kind = $minimum;
+                        let maximum: $kind = $maximum;
+                        self.$field = crate::options::parse(name, &setting.value, minimum, maximum)?;
                         Ok(true)
                     })*
                     _ => Ok(false),
                 }
             }
 
-            /// The options of this group.
+            /// Descriptions of the options in this group.
             pub(crate) fn descriptions() -> Vec<crate::options::OptionDescription> {
                 let defaults = Self::default();
                 vec![$(crate::options::OptionDescription {
                     name: concat!($prefix, ".", stringify!($field)),
                     default: defaults.$field.to_string(),
                     bounds: {
-                        let least: $kind = $least;
-                        let greatest: $kind = $greatest;
-                        crate::options::bounds(least, greatest)
+                        let minimum: $kind = $minimum;
+                        let maximum: $kind = $maximum;
+                        crate::options::bounds(minimum, maximum)
                     },
                 },)*]
             }
--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -1,40 +1,42 @@
-//! How many runners functions have, and where each starts.
+//! Options for the number of runners and their placement.
 
 use crate::options::policy_options;
 
 policy_options! {
-    /// How many runners functions have, and where each starts. Ratios that docs/source.md marks as ours are not in the
-    /// design's paper.
+    /// Options for the number of runners and their placement. Options marked "not in the paper" are additions to the paper that
+    /// the design follows; see docs/source.md.
     ScalingPolicy, "scaling";
-    /// Share of the capacity above which a demand asks for more (the design's alpha).
+    /// Utilisation above which the demand requires more capacity (alpha in the paper).
     alpha: f64 = 0.8, 0.1 => 1.0;
-    /// Share of the capacity below which quotas fall after the cooldown (the design's beta).
+    /// Utilisation below which quotas are lowered after the cooldown (beta in the paper).
     beta: f64 = 0.5, 0.0 => 1.0;
-    /// Multiples of a function's start time below beta after which quotas fall (ours).
+    /// Cooldown: time below beta after which quotas are lowered, as a multiple of the function's start time (not in the paper).
     cooldown_starts: f64 = 4.0, 0.0 => 1_000.0;
-    /// Multiples of a function's start time without requests after which its last runner ends, where retention does not adapt.
+    /// Time without requests after which a function's last runner is stopped, as a multiple of the function's start time. Used if
+    /// adaptive retention is disabled, or while the call rate is unknown.
     retention_starts: f64 = 3.0, 0.0 => 1_000.0;
-    /// Whether the last runner of a function is retained by how often the function is called (ours).
+    /// Whether the retention of a function's last runner depends on its call rate (not in the paper).
     adapts_retention: bool = true, false => true;
-    /// Multiples of a function's start time for which an idle runner costs as much as another start.
+    /// Break-even time: idle time for which a runner costs as much as a new start, as a multiple of the function's start time.
     break_even_starts: f64 = 3.5, 0.0 => 1_000.0;
-    /// The same multiples for which a function is retained that is called less than once in the break-even time.
+    /// Retention of functions that are called less than once per break-even time, as a multiple of the start time.
     rare_retention_starts: f64 = 0.2, 0.0 => 1_000.0;
-    /// The same multiples for which a function is retained that is called more often.
+    /// Retention of functions that are called more often, as a multiple of the start time.
     frequent_retention_starts: f64 = 7.0, 0.0 => 1_000.0;
-    /// Share of a runner's seats that the calls of one region must fill so that the region gets a runner of its own; 0 for never.
+    /// Share of a runner's seats that the calls of a region must fill for the region to get its own runner; 0 disables regional
+    /// runners.
     region_share: f64 = 0.15, 0.0 => 100.0;
-    /// Part of that share below which the region loses it again.
+    /// Fraction of `region_share` below which a region loses its own runner again (hysteresis).
     region_kept_part: f64 = 0.6, 0.0 => 1.0;
-    /// Whether the Kalman filter's forecast is part of the demand.
+    /// Whether the demand includes the Kalman filter's forecast.
     forecasts: bool = true, false => true;
-    /// Whether a burst that the filter has not followed yet is part of the demand.
+    /// Whether the demand includes bursts that the filter has not caught up with yet.
     follows_bursts: bool = true, false => true;
-    /// Whether quotas are raised before runners are started.
+    /// Whether quotas of existing runners are raised before new runners are started.
     raises_quotas_first: bool = true, false => true;
-    /// Whether idle runners of other functions end where a start finds no room.
+    /// Whether idle runners of other functions are evicted if no worker has capacity for a new runner.
     evicts: bool = true, false => true;
-    /// Whether a runner is placed in the callers' zone where the function has none there (ours). It goes before the design's
-    /// least-occupied worker and keeps calls inside a zone.
+    /// Whether a new runner is preferably placed in a zone with callers but no runner of the function, to keep calls within the
+    /// zone (not in the paper). This takes precedence over the paper's choice of the least occupied worker.
     prefers_callers_zone: bool = true, false => true;
 }
--- a/crates/policy/src/setting.rs
+++ b/crates/policy/src/setting.rs
@@ -1,14 +1,14 @@
-//! One option with the text of its value, as the command line gives it.
+//! Parsing of a policy setting from the command line.
 
 use crate::error::PolicyError;
 use std::str::FromStr;
 
-/// An option's name and the text of its value.
+/// The name of an option and its unparsed value, from `NAME=VALUE`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PolicySetting {
-    /// Name of the option.
+    /// Full name of the option, such as `scaling.alpha`.
     pub name: String,
-    /// Text of the value.
+    /// Unparsed value.
     pub value: String,
 }
 
--- a/crates/policy/src/upstream.rs
+++ b/crates/policy/src/upstream.rs
@@ -1,10 +1,10 @@
-//! Connections to runners.
+//! Options for connections to runners.
 
 use crate::options::policy_options;
 
 policy_options! {
-    /// Connections to runners.
+    /// Options for connections to runners.
     UpstreamPolicy, "upstream";
-    /// Most idle connections that a gateway keeps to one runner.
+    /// Maximum number of idle connections that a gateway keeps open to one runner.
     idle_per_runner: u64 = 8, 0 => 64;
 }
