--- a/crates/voter/src/bootstrap.rs
+++ b/crates/voter/src/bootstrap.rs
@@ -121,7 +121,7 @@
         form(view, held_epoch)
     }
 
-    /// Whether the seeds have been empty for long enough: for a lease at least, and longer if some gateways reported, but too few.
+    /// Whether the seeds have been empty for long enough: at least a lease, and longer if some gateways reported, but too few.
     fn has_waited(&mut self, view: &BootstrapView) -> bool {
         let waited = view.now - *self.empty_since.get_or_insert(view.now);
         let lease = view.bounds.lease_ms();
