--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -74,8 +74,8 @@
             Record::RefusedBefore(time) => {
                 self.claim_floors.refused_before = self.claim_floors.refused_before.max(time);
             }
-            Record::ForgottenBefore(time) => {
-                self.claim_floors.forgotten_before = time;
+            Record::ExpiredBefore(time) => {
+                self.claim_floors.expired_before = time;
                 self.table.remove_claims_before(time);
             }
         }
@@ -119,7 +119,7 @@
             return Vec::new();
         }
         let mut records = vec![
-            Record::ForgottenBefore(floors.forgotten_before),
+            Record::ExpiredBefore(floors.expired_before),
             Record::RefusedBefore(floors.refused_before),
         ];
         let registers = registers.into_iter();
@@ -153,8 +153,8 @@
     fn needs_repair(&self, key: &str, theirs: &RegisterState) -> bool {
         let mine = self.table.get(key).cloned().unwrap_or_default();
         let is_allowed = self.set.epoch != 0 && key.len() <= MAX_KEY_BYTES;
-        let forgotten_before = self.claim_floors.forgotten_before;
-        let is_forgotten = claim_time(key).is_some_and(|time| time < forgotten_before)
+        let expired_before = self.claim_floors.expired_before;
+        let is_forgotten = claim_time(key).is_some_and(|time| time < expired_before)
             || self.table.has_forgotten_job(key, theirs.accepted);
         let is_newer = theirs.accepted > mine.accepted && theirs.accepted >= mine.promised;
         is_allowed && !is_forgotten && self.table.has_room_for(key) && is_newer
@@ -175,10 +175,10 @@
     pub fn expire_claims(&mut self, wall_clock: u64, retention_ms: u64) -> Option<Record> {
         let (oldest, newest) = self.table.claim_times()?;
         let before = wall_clock.min(newest).saturating_sub(retention_ms);
-        if before <= self.claim_floors.forgotten_before || oldest >= before {
+        if before <= self.claim_floors.expired_before || oldest >= before {
             return None;
         }
-        let record = Record::ForgottenBefore(before);
+        let record = Record::ExpiredBefore(before);
         self.replay(record.clone());
         Some(record)
     }
--- a/crates/register/src/claims.rs
+++ b/crates/register/src/claims.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ClaimFloors {
     /// Claims issued before this time have been deleted; all of them are rejected.
-    pub forgotten_before: u64,
+    pub expired_before: u64,
     /// Claims issued before this time are rejected unless the voter has them.
     pub refused_before: u64,
 }
@@ -22,7 +22,7 @@
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         Self {
-            forgotten_before: self.forgotten_before.max(other.forgotten_before),
+            expired_before: self.expired_before.max(other.expired_before),
             refused_before: self.refused_before.max(other.refused_before),
         }
     }
@@ -30,7 +30,7 @@
     /// Whether the key belongs to a claim that must be rejected because its value may have been deleted.
     pub(crate) fn refuses(&self, key: &str, is_held: bool) -> bool {
         claim_time(key).is_some_and(|time| {
-            time < self.forgotten_before || (time < self.refused_before && !is_held)
+            time < self.expired_before || (time < self.refused_before && !is_held)
         })
     }
 }
--- a/crates/register/src/record.rs
+++ b/crates/register/src/record.rs
@@ -11,8 +11,8 @@
     Register(String, RegisterState),
     /// The voter set that the voter now belongs to.
     VoterSet(VoterSet),
-    /// See [`ClaimFloors::forgotten_before`](crate::ClaimFloors::forgotten_before).
-    ForgottenBefore(u64),
+    /// See [`ClaimFloors::expired_before`](crate::ClaimFloors::expired_before).
+    ExpiredBefore(u64),
     /// See [`ClaimFloors::refused_before`](crate::ClaimFloors::refused_before).
     RefusedBefore(u64),
 }
--- a/crates/simulator/src/core_roles.rs
+++ b/crates/simulator/src/core_roles.rs
@@ -58,11 +58,11 @@
             return;
         }
         self.aged_at = net.now;
-        let water = self.voter.acceptor().claim_floors().forgotten_before;
+        let water = self.voter.acceptor().claim_floors().expired_before;
         let remembered = self.in_force.configuration.bounds.claim_ms;
         self.voter.expire_claims(net.wall, remembered);
         self.voter.sync();
-        if self.voter.acceptor().claim_floors().forgotten_before > water {
+        if self.voter.acceptor().claim_floors().expired_before > water {
             oracle.look("ageing");
         }
     }
--- a/tests/compatibility/src/samples/consensus.rs
+++ b/tests/compatibility/src/samples/consensus.rs
@@ -154,7 +154,7 @@
         disk: 0x1112_1314_1516_1718,
         set_version: SetVersion::new(2, 5),
         claim_floors: ClaimFloors {
-            forgotten_before: 1_700_000_000_000,
+            expired_before: 1_700_000_000_000,
             refused_before: 1_700_000_000_001,
         },
         after: "closures".into(),
--- a/tests/compatibility/src/samples/daemons.rs
+++ b/tests/compatibility/src/samples/daemons.rs
@@ -225,7 +225,7 @@
         is_open: true,
         set: voter_set(),
         claim_floors: ClaimFloors {
-            forgotten_before: 1_700_000_000_000,
+            expired_before: 1_700_000_000_000,
             refused_before: 1_700_000_000_001,
         },
         ranges: vec![0, 7, u64::MAX],
--- a/tests/compatibility/src/samples/register.rs
+++ b/tests/compatibility/src/samples/register.rs
@@ -106,7 +106,7 @@
     vec![
         sample("key", Record::Register("duty".into(), register_state())),
         sample("set", Record::VoterSet(voter_set())),
-        sample("water", Record::ForgottenBefore(1_700_000_000_000)),
+        sample("water", Record::ExpiredBefore(1_700_000_000_000)),
         sample("shut", Record::RefusedBefore(1_700_000_000_001)),
     ]
 }
