--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -1,7 +1,7 @@
 //! The voter's side of the protocol: its state, and how it responds to requests.
 
 use crate::claims::{claim_time, ClaimFloors};
-use crate::job_window::FORGOTTEN_KEY;
+use crate::job_window::EXPIRED_JOBS_KEY;
 use crate::message::{VoterOperation, VoterRequest, VoterResponse};
 use crate::promise_check::check_promise;
 use crate::record::Record;
@@ -154,10 +154,10 @@
         let mine = self.table.get(key).cloned().unwrap_or_default();
         let is_allowed = self.set.epoch != 0 && key.len() <= MAX_KEY_BYTES;
         let expired_before = self.claim_floors.expired_before;
-        let is_forgotten = claim_time(key).is_some_and(|time| time < expired_before)
-            || self.table.has_forgotten_job(key, theirs.accepted);
+        let is_expired = claim_time(key).is_some_and(|time| time < expired_before)
+            || self.table.is_expired_job(key, theirs.accepted);
         let is_newer = theirs.accepted > mine.accepted && theirs.accepted >= mine.promised;
-        is_allowed && !is_forgotten && self.table.has_room_for(key) && is_newer
+        is_allowed && !is_expired && self.table.has_room_for(key) && is_newer
     }
 
     /// From now on rejects unknown claims that were issued before `time`, in milliseconds of the wall clock.
@@ -186,8 +186,8 @@
     /// Ends a retention period of jobs: deletes the jobs whose last promise came before the previous call. All others are kept
     /// for at least one more period.
     pub fn advance_job_window(&mut self) -> Option<Record> {
-        let forgotten = self.table.advance_job_window()?;
-        let record = Record::Register(FORGOTTEN_KEY.to_string(), forgotten);
+        let expired = self.table.advance_job_window()?;
+        let record = Record::Register(EXPIRED_JOBS_KEY.to_string(), expired);
         self.replay(record.clone());
         Some(record)
     }
--- a/crates/register/src/claims.rs
+++ b/crates/register/src/claims.rs
@@ -11,7 +11,7 @@
 /// Times of issue, in milliseconds of the wall clock, below which a voter rejects claims. They never decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ClaimFloors {
-    /// Claims issued before this time have been deleted; all of them are rejected.
+    /// Claims issued before this time have expired and were deleted; all of them are rejected.
     pub expired_before: u64,
     /// Claims issued before this time are rejected unless the voter has them.
     pub refused_before: u64,
--- a/crates/register/src/job_window.rs
+++ b/crates/register/src/job_window.rs
@@ -10,8 +10,8 @@
 
 /// Prefix of the keys of jobs.
 pub const JOB_KEY_PREFIX: &str = "job/";
-/// Key of the register whose promise covers all jobs that the voter does not have.
-pub(crate) const FORGOTTEN_KEY: &str = "job";
+/// Key of the register whose promise stands for all jobs that the voter does not have.
+pub(crate) const EXPIRED_JOBS_KEY: &str = "job";
 /// Total size of jobs, in bytes, above which results are rejected.
 const MAX_BYTES_FOR_RESULTS: usize = 12 << 20;
 /// Total size of jobs, in bytes, above which claims are rejected too. Two snapshots and a full log must fit on a 64 MB disk.
@@ -43,7 +43,7 @@
     /// Starts a retention period in which all existing jobs count as just promised, so that they are retained until its end.
     pub fn from_registers(keys: &BTreeMap<String, RegisterState>) -> Self {
         let jobs = keys.iter().filter(|(key, _)| is_job_key(key));
-        let (mut highest, mut bytes) = (forgotten_counter(keys), 0);
+        let (mut highest, mut bytes) = (expired_counter(keys), 0);
         for (key, state) in jobs {
             highest = highest.max(state.promised.counter);
             bytes += stored_size(key, state);
@@ -76,15 +76,15 @@
         let floor = self.floor;
         self.floor = self.highest;
         let mut jobs = keys.iter().filter(|(key, _)| is_job_key(key));
-        let has_expired = jobs.any(|(_, state)| state.promised.counter <= floor);
-        has_expired.then(|| RegisterState {
+        let has_expired_jobs = jobs.any(|(_, state)| state.promised.counter <= floor);
+        has_expired_jobs.then(|| RegisterState {
             promised: highest_ballot(floor),
             ..RegisterState::default()
         })
     }
 
-    /// Whether another replica's value, accepted under ballot `theirs`, belongs to a job that was deleted here.
-    pub fn has_forgotten(
+    /// Whether another replica's value, accepted under ballot `theirs`, belongs to a job that has expired here.
+    pub fn is_expired(
         &self,
         keys: &BTreeMap<String, RegisterState>,
         key: &str,
@@ -92,7 +92,7 @@
     ) -> bool {
         is_job_key(key)
             && !keys.contains_key(key)
-            && theirs.counter <= self.floor.max(forgotten_counter(keys))
+            && theirs.counter <= self.floor.max(expired_counter(keys))
     }
 
     /// The response if an operation on a job is rejected.
@@ -109,7 +109,7 @@
         if !is_job_key(key) {
             return None;
         }
-        let floor = self.floor.max(forgotten_counter(keys));
+        let floor = self.floor.max(expired_counter(keys));
         if !keys.contains_key(key) && ballot.counter <= floor {
             let promised = highest_ballot(floor);
             return Some(VoterResponse::Rejected { promised });
@@ -140,8 +140,8 @@
     }
 }
 
-/// Counter up to which jobs were deleted.
-fn forgotten_counter(keys: &BTreeMap<String, RegisterState>) -> u64 {
-    let state = keys.get(FORGOTTEN_KEY);
+/// Ballot counter up to which jobs have expired.
+fn expired_counter(keys: &BTreeMap<String, RegisterState>) -> u64 {
+    let state = keys.get(EXPIRED_JOBS_KEY);
     state.map_or(0, |state| state.promised.counter)
 }
--- a/crates/register/src/table.rs
+++ b/crates/register/src/table.rs
@@ -1,7 +1,7 @@
 //! The registers of one voter, and state derived from them that is not stored.
 
 use crate::claims::{claim_keys, claim_time};
-use crate::job_window::{is_job_key, JobWindow, FORGOTTEN_KEY};
+use crate::job_window::{is_job_key, JobWindow, EXPIRED_JOBS_KEY};
 use crate::message::{VoterOperation, VoterResponse};
 use crate::value::{Ballot, RegisterState};
 use anti_entropy::{range_of, RangeDigests};
@@ -59,9 +59,9 @@
         self.registers.range::<str, _>(after)
     }
 
-    /// Sets the state of a key. For the key that covers deleted jobs, first removes the jobs up to its promise.
+    /// Sets the state of a key. For the key that covers expired jobs, first removes the jobs up to its promise.
     pub fn insert(&mut self, key: String, state: RegisterState) {
-        if key == FORGOTTEN_KEY {
+        if key == EXPIRED_JOBS_KEY {
             self.remove_jobs_up_to(state.promised.counter);
         }
         let old = self.registers.get(&key);
@@ -106,9 +106,9 @@
         self.job_window.advance(&self.registers)
     }
 
-    /// See [`JobWindow::has_forgotten`].
-    pub fn has_forgotten_job(&self, key: &str, ballot: Ballot) -> bool {
-        self.job_window.has_forgotten(&self.registers, key, ballot)
+    /// See [`JobWindow::is_expired`].
+    pub fn is_expired_job(&self, key: &str, ballot: Ballot) -> bool {
+        self.job_window.is_expired(&self.registers, key, ballot)
     }
 
     /// See [`JobWindow::rejection`].
--- a/crates/voter/src/bootstrap.rs
+++ b/crates/voter/src/bootstrap.rs
@@ -103,10 +103,10 @@
             return resend(view.own_disk, newest, view.peers);
         }
         let reported_epoch = view.peers.iter().map(|peer| peer.gateway_epoch).max();
-        let held_epoch = view.evidence.map_or(0, |evidence| evidence.epoch);
+        let last_epoch = view.evidence.map_or(0, |evidence| evidence.epoch);
         // An epoch must not begin empty if there was one before: a seed that has just started, or is cut off from the gateways,
         // receives no reports from them for a while, but other peers may have.
-        if held_epoch < reported_epoch.unwrap_or(0) {
+        if last_epoch < reported_epoch.unwrap_or(0) {
             return BootstrapStep::Wait;
         }
         if !view.is_first_seed || view.peers.len() < view.seeds {
@@ -118,7 +118,7 @@
         }
         // This seed has waited for the gateways; waiting again for values would add nothing.
         self.no_values_since = Some(view.now.saturating_sub(view.bounds.return_ms / 2));
-        form(view, held_epoch)
+        form(view, last_epoch)
     }
 
     /// Whether the seeds have been empty for long enough: at least a lease, and longer if some gateways reported, but too few.
@@ -141,19 +141,19 @@
     }
 }
 
-fn form(view: &BootstrapView, held_epoch: u64) -> BootstrapStep {
+fn form(view: &BootstrapView, last_epoch: u64) -> BootstrapStep {
     let voters = view.peers.iter().map(|peer| VoterRef {
         disk: peer.disk,
         address: peer.address.clone(),
     });
     let set = VoterSet {
-        epoch: held_epoch + 1,
+        epoch: last_epoch + 1,
         number: 1,
         voters: voters.collect(),
     };
     // Keys that callers may have issued before the loss are rejected, since it is unknown whether their work ran. A caller's
     // clock may be ahead by as much as a change may take.
-    let refused_before = match held_epoch {
+    let refused_before = match last_epoch {
         0 => 0,
         _ => view.wall + view.bounds.change_ms + view.bounds.slack_ms(),
     };
