--- a/crates/controller/src/peer_links.rs
+++ b/crates/controller/src/peer_links.rs
@@ -3,7 +3,7 @@
 use crate::controller_connections::{ControllerConnection, ControllerConnections};
 use crate::outbox::Outbox;
 use consensus::{Consensus, ConsensusMessage};
-use event_loop::{ConnectionId, HungAttempts};
+use event_loop::{ConnectBackoff, ConnectionId};
 use protocol::take_frames;
 use speedy::{Readable, Writable};
 use std::collections::{HashMap, HashSet};
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct ConnectAttempts {
     last_at: u64,
-    hung: HungAttempts,
+    hung: ConnectBackoff,
 }
 
 impl ConnectAttempts {
@@ -90,7 +90,7 @@
         if attempts.is_some_and(|attempts| now < attempts.last_at + CONNECT_RETRY_MS) {
             return;
         }
-        let hung = attempts.map_or_else(HungAttempts::default, |attempts| attempts.hung);
+        let hung = attempts.map_or_else(ConnectBackoff::default, |attempts| attempts.hung);
         let attempts = ConnectAttempts { last_at: now, hung };
         self.attempts.insert(to.into(), attempts);
         let Ok(address) = to.parse() else {
@@ -125,7 +125,7 @@
         for connection in hung.copied().collect::<Vec<_>>() {
             let address = self.addresses.get(&connection);
             if let Some(attempts) = address.and_then(|address| self.attempts.get_mut(address)) {
-                attempts.hung.record();
+                attempts.hung.record_timeout();
             }
             self.remove(connection);
             connections.close(connection);
--- a/crates/event_loop/src/hung_attempts.rs
+++ b/crates/event_loop/src/connect_backoff.rs
@@ -9,13 +9,13 @@
 
 /// Attempts in a row to connect to one address of which no connection came.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct HungAttempts {
+pub struct ConnectBackoff {
     count: u32,
 }
 
-impl HungAttempts {
+impl ConnectBackoff {
     /// An attempt was given up.
-    pub fn record(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.count = self.count.saturating_add(1);
     }
 
--- a/crates/event_loop/src/lib.rs
+++ b/crates/event_loop/src/lib.rs
@@ -7,16 +7,16 @@
 //! made by state machines that are driven from one loop.
 #![warn(missing_docs)]
 
+mod connect_backoff;
 mod connection;
 mod event;
 mod event_loop;
-mod hung_attempts;
 mod listeners;
 mod timers;
 
+pub use connect_backoff::ConnectBackoff;
 pub use connection::{CloseReason, ConnectionId};
 pub use event::Event;
 pub use event_loop::EventLoop;
-pub use hung_attempts::HungAttempts;
 pub use listeners::ListenerId;
 pub use timers::Timers;
--- a/crates/event_loop/tests/hung_attempts.rs
+++ b/crates/event_loop/tests/connect_backoff.rs
@@ -1,13 +1,13 @@
 //! Each second attempt in a row that hung doubles the time of the next, up to a bound.
 
-use event_loop::HungAttempts;
+use event_loop::ConnectBackoff;
 
 #[test]
 fn the_time_doubles_with_each_second_attempt_up_to_a_bound() {
-    let mut attempts = HungAttempts::default();
+    let mut attempts = ConnectBackoff::default();
     let times = (0..12).map(|_| {
         let time = attempts.timeout_ms(150);
-        attempts.record();
+        attempts.record_timeout();
         time
     });
     let expected = [
--- a/crates/gateway/src/controller_links.rs
+++ b/crates/gateway/src/controller_links.rs
@@ -2,7 +2,7 @@
 //! request to.
 
 use crate::applied_configuration::ConfigurationVersions;
-use event_loop::{ConnectionId, HungAttempts};
+use event_loop::{ConnectBackoff, ConnectionId};
 use process_pause::ProcessPause;
 use protocol::SentMessages;
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
     understands_ownership: bool,
     /// Whether the controller was notified that this gateway is about to stop.
     leaving_announced: bool,
-    hung_attempts: HungAttempts,
+    connect_backoff: ConnectBackoff,
     heartbeat_sent_at: u64,
     versions: ConfigurationVersions,
     /// Term in which it is the scaler; 0 if it is not.
@@ -66,7 +66,7 @@
     /// Whether a connection attempt has exceeded its timeout.
     fn has_connect_timed_out(&self, now: u64, interval_ms: u64) -> bool {
         let timeout_ms = self
-            .hung_attempts
+            .connect_backoff
             .timeout_ms(interval_ms / CONNECT_TIMEOUT_DIVISOR);
         !self.is_established && now >= self.connect_attempted_at + timeout_ms
     }
@@ -274,7 +274,7 @@
         };
         if let Some(connection) = link.connection {
             if link.has_connect_timed_out(now, timing.interval_ms) {
-                link.hung_attempts.record();
+                link.connect_backoff.record_timeout();
                 link.reset();
                 return LinkTask::Close(connection);
             }
@@ -319,7 +319,7 @@
     pub fn established(&mut self, address: &str) {
         if let Some(link) = self.links.get_mut(address) {
             link.is_established = true;
-            link.hung_attempts.reset();
+            link.connect_backoff.reset();
         }
     }
 
