--- a/crates/event_loop/src/connection.rs
+++ b/crates/event_loop/src/connection.rs
@@ -219,7 +219,7 @@
     }
 
     /// Whether the system holds no bytes and no end for an open connection at this moment.
-    pub fn has_nothing_to_read(&self) -> bool {
+    pub fn has_no_pending_input(&self) -> bool {
         let mut byte = [0; 1];
         let peeked = self.stream.peek(&mut byte);
         peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
--- a/crates/event_loop/src/event_loop.rs
+++ b/crates/event_loop/src/event_loop.rs
@@ -150,9 +150,9 @@
 
     /// Whether the system holds neither bytes nor an end for an open connection at this moment. Events report the same,
     /// but only at the next poll: too late for a request that must not be sent on a connection that its peer has closed.
-    pub fn has_nothing_to_read(&self, id: ConnectionId) -> bool {
+    pub fn has_no_pending_input(&self, id: ConnectionId) -> bool {
         self.connection(id)
-            .is_some_and(|connection| !connection.is_closed() && connection.has_nothing_to_read())
+            .is_some_and(|connection| !connection.is_closed() && connection.has_no_pending_input())
     }
 
     /// Queues bytes and writes what the socket takes now. A connection that would hold too many queued bytes breaks. The
--- a/crates/event_loop/tests/common/mod.rs
+++ b/crates/event_loop/tests/common/mod.rs
@@ -81,7 +81,7 @@
     pub fn wait_for_system(&mut self, connection: ConnectionId) {
         let has_something = (0..MAX_POLLS * MAX_POLLS).any(|_| {
             std::thread::yield_now();
-            !self.event_loop.has_nothing_to_read(connection)
+            !self.event_loop.has_no_pending_input(connection)
         });
         assert!(has_something, "nothing came");
     }
--- a/crates/event_loop/tests/sending.rs
+++ b/crates/event_loop/tests/sending.rs
@@ -10,7 +10,7 @@
 fn unread_bytes_and_an_end_are_seen_before_any_event() {
     let mut test = TestLoop::new();
     let (mut peer, connection) = test.connect_to_peer(READ_LIMIT);
-    assert!(test.event_loop.has_nothing_to_read(connection));
+    assert!(test.event_loop.has_no_pending_input(connection));
     peer.write_all(b"surplus").unwrap();
     test.wait_for_system(connection);
     assert!(test.event_loop.read_buffer(connection).unwrap().is_empty());
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -167,8 +167,8 @@
 
     /// Queries the socket whether an open connection has nothing to read and was not closed by its peer up to this
     /// moment.
-    pub fn has_nothing_to_read(&mut self, id: ConnectionId) -> bool {
-        self.event_loop.has_nothing_to_read(id)
+    pub fn has_no_pending_input(&mut self, id: ConnectionId) -> bool {
+        self.event_loop.has_no_pending_input(id)
     }
 
     /// Whether the connection was open as of the last poll.
--- a/crates/gateway/src/upstream_requests.rs
+++ b/crates/gateway/src/upstream_requests.rs
@@ -112,7 +112,7 @@
     fn is_reusable(&mut self, connection: ConnectionId, at_most_once: bool) -> bool {
         self.connections.is_open(connection)
             && self.connections.has_no_unread_bytes(connection)
-            && (!at_most_once || self.connections.has_nothing_to_read(connection))
+            && (!at_most_once || self.connections.has_no_pending_input(connection))
     }
 
     fn open_upstream(&mut self, lease: &SeatLease) -> Option<ConnectionId> {
--- a/crates/gateway/tests/unit/connection_reuse.rs
+++ b/crates/gateway/tests/unit/connection_reuse.rs
@@ -121,7 +121,7 @@
     /// Waits, without polling, until the kernel holds bytes or an end of the connection that the event loop has not
     /// read.
     fn wait_for_kernel(&mut self) {
-        while self.gateway.connections.has_nothing_to_read(self.pooled) {
+        while self.gateway.connections.has_no_pending_input(self.pooled) {
             std::thread::yield_now();
         }
     }
