--- a/crates/controller/src/connections.rs
+++ b/crates/controller/src/connections.rs
@@ -134,7 +134,7 @@
         let listeners = self.listeners.iter();
         let of_kind = listeners.filter(|(_, listener_kind)| **listener_kind == kind);
         let mut held: Vec<(usize, ConnectionId)> = of_kind
-            .flat_map(|(listener, _)| self.event_loop.held_bytes(*listener))
+            .flat_map(|(listener, _)| self.event_loop.buffer_capacity(*listener))
             .map(|(connection, bytes)| (bytes, connection))
             .collect();
         let mut total: u64 = held.iter().map(|(bytes, _)| *bytes as u64).sum();
--- a/crates/event_loop/src/connection.rs
+++ b/crates/event_loop/src/connection.rs
@@ -164,7 +164,7 @@
     }
 
     /// Memory that its buffers take, in bytes.
-    pub fn held_bytes(&self) -> usize {
+    pub fn buffer_capacity(&self) -> usize {
         self.read_buffer.capacity() + self.write_buffer.capacity()
     }
 
--- a/crates/event_loop/src/event_loop/buffers.rs
+++ b/crates/event_loop/src/event_loop/buffers.rs
@@ -23,7 +23,7 @@
 
     /// Memory, in bytes, that the buffers of each connection take that a listener has accepted; also of those that are only
     /// flushed before they are closed.
-    pub fn held_bytes(
+    pub fn buffer_capacity(
         &self,
         listener: ListenerId,
     ) -> impl Iterator<Item = (ConnectionId, usize)> + '_ {
@@ -31,8 +31,12 @@
             .connections
             .iter()
             .filter(move |(_, connection)| connection.listener == Some(listener));
-        accepted
-            .map(|(slot, connection)| (id_of(slot, connection.generation), connection.held_bytes()))
+        accepted.map(|(slot, connection)| {
+            (
+                id_of(slot, connection.generation),
+                connection.buffer_capacity(),
+            )
+        })
     }
 
     /// Bytes that arrived and were not taken yet; `None` where the connection is gone. The owner drains what it takes.
--- a/crates/event_loop/tests/buffers.rs
+++ b/crates/event_loop/tests/buffers.rs
@@ -10,7 +10,7 @@
 const PIECE_BYTES: usize = 256 << 10;
 
 fn held(test: &common::TestLoop, listener: ListenerId, connection: ConnectionId) -> usize {
-    let mut held = test.event_loop.held_bytes(listener);
+    let mut held = test.event_loop.buffer_capacity(listener);
     let found = held.find(|(id, _)| *id == connection);
     found.expect("an accepted connection").1
 }
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -177,11 +177,11 @@
     }
 
     /// Memory taken by the buffers of each connection that a listener has accepted, in bytes.
-    pub fn held_bytes(
+    pub fn buffer_capacity(
         &self,
         listener: ListenerId,
     ) -> impl Iterator<Item = (ConnectionId, usize)> + '_ {
-        self.event_loop.held_bytes(listener)
+        self.event_loop.buffer_capacity(listener)
     }
 
     /// Sets the number of unread bytes at which reading from a connection stops.
--- a/crates/gateway/src/memory_bounds.rs
+++ b/crates/gateway/src/memory_bounds.rs
@@ -48,7 +48,7 @@
     }
 
     fn client_usage(&mut self) -> Vec<ClientUsage> {
-        let buffers = self.connections.held_bytes(self.listeners.downstream);
+        let buffers = self.connections.buffer_capacity(self.listeners.downstream);
         let usage = buffers.map(|(connection, buffered)| {
             let role = self.connections.role(connection);
             let request = match role {
