--- a/crates/gateway/src/memory_bounds.rs
+++ b/crates/gateway/src/memory_bounds.rs
@@ -78,7 +78,7 @@
     pub fn throttle_large_response(&mut self, id: ConnectionId) {
         let buffered = self.connections.unread_bytes(id);
         let taken = self.connections.upstream(id);
-        let taken = taken.map_or(0, |upstream| upstream.session.taken_bytes());
+        let taken = taken.map_or(0, |upstream| upstream.session.consumed_bytes());
         if buffered + taken >= SMALL_RESPONSE_BYTES && self.large_responses.request(id) {
             self.connections.set_read_limit(id, 0);
             self.resume_large_responses();
--- a/crates/gateway/src/upstream_session.rs
+++ b/crates/gateway/src/upstream_session.rs
@@ -92,8 +92,8 @@
 
     /// Number of bytes of the incomplete response that were removed from the connection's buffer.
     #[must_use]
-    pub fn taken_bytes(&self) -> usize {
-        self.reader.taken_bytes()
+    pub fn consumed_bytes(&self) -> usize {
+        self.reader.consumed_bytes()
     }
 
     /// Records that a request is sent on the connection.
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -33,7 +33,7 @@
     }
 
     /// Bytes of the body that were taken off the caller's buffer.
-    pub(crate) fn taken_bytes(&self) -> usize {
+    pub(crate) fn consumed_bytes(&self) -> usize {
         match self {
             BodyReader::Length(_) => 0,
             BodyReader::Chunked(chunks) => chunks.body.len(),
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -112,9 +112,9 @@
     }
 
     /// Bytes of an incomplete response's body that were taken off the buffer.
-    pub fn taken_bytes(&self) -> usize {
+    pub fn consumed_bytes(&self) -> usize {
         match &self.pending {
-            Some((_, Delimiter::Framing(reader))) => reader.taken_bytes(),
+            Some((_, Delimiter::Framing(reader))) => reader.consumed_bytes(),
             Some((_, Delimiter::Close { .. })) | None => 0,
         }
     }
