--- a/crates/consensus/tests/durable.rs
+++ b/crates/consensus/tests/durable.rs
@@ -60,7 +60,7 @@
     folder.inject(FaultKind::Full);
     let adopt = DiskWork::AdoptSet(set(2));
     assert!(!is_confirmed(&mut disk, vec![adopt, confirm(SECOND)]));
-    folder.inject(FaultKind::Room);
+    folder.inject(FaultKind::SpaceFreed);
     disk.reopen().unwrap();
     assert!(!is_confirmed(&mut disk, vec![confirm(SECOND)]));
     let adopt = DiskWork::AdoptSet(set(2));
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -338,7 +338,9 @@
             "seed {seed}"
         );
         cluster.remove_machine(0);
-        cluster.nodes[new_member].folder.inject(FaultKind::Room);
+        cluster.nodes[new_member]
+            .folder
+            .inject(FaultKind::SpaceFreed);
         cluster.reopen(new_member);
         let elapsed = cluster.run_until(3_000, |cluster| {
             cluster.nodes[new_member].set_version() >= SetVersion::new(1, 2)
--- a/crates/consensus/tests/replicas.rs
+++ b/crates/consensus/tests/replicas.rs
@@ -237,7 +237,7 @@
     cluster.nodes[2].folder.inject(FaultKind::Full);
     write(&mut cluster, 0);
     assert!(!cluster.nodes[2].voter.as_ref().unwrap().voter().is_open());
-    cluster.nodes[2].folder.inject(FaultKind::Room);
+    cluster.nodes[2].folder.inject(FaultKind::SpaceFreed);
     cluster.reopen(2);
     cluster.kill(1);
     write(&mut cluster, 0);
--- a/crates/journal/src/simulated_disk.rs
+++ b/crates/journal/src/simulated_disk.rs
@@ -10,7 +10,7 @@
     /// Every write fails, as on a full disk.
     Full,
     /// There is room again.
-    Room,
+    SpaceFreed,
     /// The newest file ends in so many bytes of a record that was never whole.
     Torn(usize),
     /// Names that were not synced are lost, and so are unsynced bytes but for so many.
@@ -95,7 +95,7 @@
     pub fn inject(&mut self, fault: FaultKind) {
         match fault {
             FaultKind::Full => self.fail_after(0, DiskFault::Full),
-            FaultKind::Room => self.fault = None,
+            FaultKind::SpaceFreed => self.fault = None,
             FaultKind::Torn(length) => self.tear_newest_file(length),
             FaultKind::PowerLoss(kept) => self.lose_power(|_| CrashOutcome::Torn(kept)),
         }
--- a/crates/journal/tests/recovery.rs
+++ b/crates/journal/tests/recovery.rs
@@ -80,7 +80,7 @@
     let (mut journal, _) = Journal::open(Box::new(disk.clone())).unwrap();
     disk.inject(FaultKind::Full);
     assert!(journal.snapshot(b"state").is_err());
-    disk.inject(FaultKind::Room);
+    disk.inject(FaultKind::SpaceFreed);
     disk.inject(FaultKind::PowerLoss(0));
     let (_, found) = Journal::open(Box::new(disk)).unwrap();
     assert_eq!(found.snapshot, None);
--- a/crates/simulator/src/failing.rs
+++ b/crates/simulator/src/failing.rs
@@ -49,7 +49,7 @@
                 self.fault(Fault::Kill(name, lasts));
             }
             Fault::FullDisk(name, 0) => {
-                self.cores[&name].folder.inject(FaultKind::Room);
+                self.cores[&name].folder.inject(FaultKind::SpaceFreed);
                 self.fault(Fault::Kill(name, 1));
             }
             Fault::FullDisk(name, lasts) => {
--- a/crates/voter/tests/reopening.rs
+++ b/crates/voter/tests/reopening.rs
@@ -62,7 +62,7 @@
         Voter::reopen(Box::new(folder.clone())).is_err(),
         "the state cannot be rewritten on a full disk"
     );
-    folder.inject(FaultKind::Room);
+    folder.inject(FaultKind::SpaceFreed);
     let mut voter = Voter::reopen(Box::new(folder.clone())).unwrap();
     assert!(voter.is_open() && stored_version(&voter) == 1);
     voter.handle(accept(4, b"fourth"));
--- a/crates/voter/tests/reset.rs
+++ b/crates/voter/tests/reset.rs
@@ -176,7 +176,7 @@
     folder.inject(FaultKind::Full);
     assert!(disk.reset(NEW).is_err());
     assert!(is_former_voter(&disk) && disk.identity() == OLD);
-    folder.inject(FaultKind::Room);
+    folder.inject(FaultKind::SpaceFreed);
     disk.reset(NEW).unwrap();
     assert!(is_empty_voter(&disk) && disk.identity() == NEW);
 }
--- a/crates/voter/tests/rewrite_after_failure.rs
+++ b/crates/voter/tests/rewrite_after_failure.rs
@@ -45,7 +45,7 @@
     folder.inject(FaultKind::Full);
     voter.handle(accept(2));
     assert!(!voter.sync());
-    folder.inject(FaultKind::Room);
+    folder.inject(FaultKind::SpaceFreed);
     let before = folder.list().expect("a folder in memory can be listed");
     let voter = Voter::reopen(Box::new(folder.clone())).expect("the disk has room again");
     assert!(voter.is_open());
