--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -14,7 +14,7 @@
 /// Bytes of segments after a snapshot that failed, before it is tried again.
 const SNAPSHOT_AGAIN_AFTER: u64 = 1 << 20;
 /// Most bytes of segments; above them nothing is taken until a snapshot succeeds.
-pub const SEGMENTS_MAX: u64 = 16 << 20;
+pub const MAX_SEGMENT_BYTES: u64 = 16 << 20;
 const SEGMENT_PREFIX: &str = "segment-";
 const SNAPSHOT_PREFIX: &str = "snapshot-";
 const DIGITS: usize = 12;
@@ -47,7 +47,7 @@
     /// Records after it, the oldest first.
     pub records: Vec<Vec<u8>>,
     /// Bytes of a torn last record that were cut off.
-    pub torn: u64,
+    pub torn_bytes: u64,
 }
 
 /// A log in segments with snapshots beside it.
@@ -163,7 +163,7 @@
             let written = self.folder.replace(&name, &bytes[..end]);
             written.change_context(JournalError::Disk)?;
         }
-        recovered.torn = (bytes.len() - end) as u64;
+        recovered.torn_bytes = (bytes.len() - end) as u64;
         self.segment = segment;
         self.length = end as u64;
         self.segments_length += end as u64;
@@ -173,7 +173,7 @@
     /// Whether a record of so many bytes may be appended. Where it may not, a snapshot must come first, which
     /// may as well hold what the record says.
     pub fn has_room(&self, length: usize) -> bool {
-        self.segments_length + framed_length(length) <= SEGMENTS_MAX
+        self.segments_length + framed_length(length) <= MAX_SEGMENT_BYTES
     }
 
     /// Writes one record and syncs it. After a failure nothing more is taken: what lies on the
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -19,6 +19,6 @@
 mod simulated_disk;
 
 pub use folder::{DiskFolder, Folder};
-pub use journal::{Journal, JournalError, Recovered, SEGMENTS_MAX};
+pub use journal::{Journal, JournalError, Recovered, MAX_SEGMENT_BYTES};
 pub use memory::MemoryFolder;
 pub use simulated_disk::{CrashOutcome, DiskFault, FaultKind};
--- a/crates/journal/tests/recovery.rs
+++ b/crates/journal/tests/recovery.rs
@@ -29,7 +29,7 @@
         journal.append(&record(200)).unwrap();
         let (_, again) = Journal::open(Box::new(disk)).unwrap();
         assert_eq!(again.records.len(), expected.len() + 1);
-        assert_eq!(again.torn, 0);
+        assert_eq!(again.torn_bytes, 0);
     }
 }
 
--- a/crates/voter/src/voter.rs
+++ b/crates/voter/src/voter.rs
@@ -77,8 +77,8 @@
             }
             Err(report) => return Err(report.change_context(VoterError::Journal)),
         };
-        if recovered.torn > 0 {
-            log::warn!("voter: torn record cut bytes={}", recovered.torn);
+        if recovered.torn_bytes > 0 {
+            log::warn!("voter: torn record cut bytes={}", recovered.torn_bytes);
         }
         let acceptor = match restore(&recovered) {
             Ok(acceptor) => acceptor,
--- a/crates/voter/tests/log_size.rs
+++ b/crates/voter/tests/log_size.rs
@@ -1,6 +1,6 @@
 //! The size of the log on the disk is bounded under rapid changes, even while no snapshot can be written.
 
-use journal::{Folder, MemoryFolder, SEGMENTS_MAX};
+use journal::{Folder, MemoryFolder, MAX_SEGMENT_BYTES};
 use parking_lot::Mutex;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -172,7 +172,7 @@
     let peak = folder.stats.lock().peak;
     println!("peak {peak} bytes, {rejected} changes rejected");
     // Each time the voter is opened, the last segment, of 1 MB and a record, is rewritten before the old one is removed.
-    assert!(peak < SEGMENTS_MAX as usize + (1 << 20) + 12 * VALUE_BYTES);
+    assert!(peak < MAX_SEGMENT_BYTES as usize + (1 << 20) + 12 * VALUE_BYTES);
     assert!(rejected > 100 && acknowledged == 1_000);
     folder.inner.lose_power(&[]);
     let voter = Voter::open(Box::new(folder)).unwrap();
