--- a/crates/loop_watchdog/src/lib.rs
+++ b/crates/loop_watchdog/src/lib.rs
@@ -7,16 +7,16 @@
 //!
 //! - `turn_record`: what the loop notes of its turns.
 //! - `turn_watch`: which turns are to be told of, by successive looks at the record.
-//! - `forced_end`: when the process is to end by force.
+//! - `forced_exit`: when the process is to end by force.
 //! - `line_writer`: writes log lines without holding up the watchdog.
 #![warn(missing_docs)]
 
-mod forced_end;
+mod forced_exit;
 mod line_writer;
 mod turn_record;
 mod turn_watch;
 
-pub use forced_end::{EndState, ForcedEnd};
+pub use forced_exit::{ForcedExit, ForcedExitState};
 pub use turn_record::{TurnRecord, TurnSnapshot};
 pub use turn_watch::{LongTurn, TurnWatch};
 
@@ -27,7 +27,7 @@
 use std::time::{Duration, Instant};
 
 /// Time between two looks at whether the process is to end.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Exit code of a process that was ended by force.
 const FORCED_EXIT_CODE: i32 = 70;
 /// Memory of the thread's stack.
@@ -58,20 +58,20 @@
 
 fn watch(options: &WatchdogOptions, record: &TurnRecord, lines: &LineWriter) {
     let mut turns = TurnWatch::default();
-    let mut forced_end = ForcedEnd::new(options.grace_period);
+    let mut forced_exit = ForcedExit::new(options.grace_period);
     let started = Instant::now();
     loop {
-        thread::sleep(forced_end.next_look(started.elapsed(), LOOK_INTERVAL));
+        thread::sleep(forced_exit.next_check_in(started.elapsed(), CHECK_INTERVAL));
         let now = started.elapsed();
         let snapshot = record.snapshot();
-        if let Some(turn) = turns.look(now, &snapshot) {
+        if let Some(turn) = turns.observe(now, &snapshot) {
             lines.write(Line::LongTurn(turn));
         }
-        match forced_end.look(now, (options.stop_requested)(), &snapshot) {
-            EndState::GoesOn => {}
+        match forced_exit.check(now, (options.stop_requested)(), &snapshot) {
+            ForcedExitState::NotDue => {}
             // The line has the time until the next look to be written.
-            EndState::Suspected => lines.write(Line::AboutToEnd(snapshot)),
-            EndState::Due => signal_hook::low_level::exit(FORCED_EXIT_CODE),
+            ForcedExitState::Suspected => lines.write(Line::AboutToEnd(snapshot)),
+            ForcedExitState::Due => signal_hook::low_level::exit(FORCED_EXIT_CODE),
         }
     }
 }
--- a/crates/loop_watchdog/src/turn_watch.rs
+++ b/crates/loop_watchdog/src/turn_watch.rs
@@ -47,7 +47,7 @@
 
 impl TurnWatch {
     /// Looks at the loop. Returns the turn in progress once that has lasted for long, and again at growing intervals.
-    pub fn look(&mut self, now: Duration, snapshot: &TurnSnapshot) -> Option<LongTurn> {
+    pub fn observe(&mut self, now: Duration, snapshot: &TurnSnapshot) -> Option<LongTurn> {
         if snapshot.is_waiting() {
             self.seen = None;
             return None;
--- a/crates/loop_watchdog/tests/watch.rs
+++ b/crates/loop_watchdog/tests/watch.rs
@@ -1,6 +1,6 @@
 //! What is told of a loop that does not go on, and when its process ends.
 
-use loop_watchdog::{EndState, ForcedEnd, TurnRecord, TurnWatch};
+use loop_watchdog::{ForcedExit, ForcedExitState, TurnRecord, TurnWatch};
 use std::time::Duration;
 
 fn at(milliseconds: u64) -> Duration {
@@ -13,8 +13,8 @@
     let mut watch = TurnWatch::default();
     record.begin_turn(4);
     record.begin_step("timers");
-    assert_eq!(watch.look(at(0), &record.snapshot()), None);
-    let turn = watch.look(at(250), &record.snapshot()).expect("a turn");
+    assert_eq!(watch.observe(at(0), &record.snapshot()), None);
+    let turn = watch.observe(at(250), &record.snapshot()).expect("a turn");
     assert_eq!(
         turn.to_string(),
         "lasted_ms=250 steps_since=0 step=timers steps=1 in_flight=4"
@@ -26,15 +26,17 @@
     let record = TurnRecord::default();
     let mut watch = TurnWatch::default();
     record.begin_turn(0);
-    watch.look(at(0), &record.snapshot());
+    watch.observe(at(0), &record.snapshot());
     for _ in 0..1_000 {
         record.begin_step("actions");
     }
-    let turn = watch.look(at(250), &record.snapshot()).expect("a turn");
+    let turn = watch.observe(at(250), &record.snapshot()).expect("a turn");
     assert_eq!(turn.steps_since, 1_000);
     // It is told of again at growing intervals.
-    assert_eq!(watch.look(at(500), &record.snapshot()), None);
-    let turn = watch.look(at(1_000), &record.snapshot()).expect("a turn");
+    assert_eq!(watch.observe(at(500), &record.snapshot()), None);
+    let turn = watch
+        .observe(at(1_000), &record.snapshot())
+        .expect("a turn");
     assert_eq!(turn.steps_since, 0, "it is blocked by now");
 }
 
@@ -45,11 +47,11 @@
     for look in 0..10 {
         record.begin_turn(1);
         record.begin_step("events");
-        assert_eq!(watch.look(at(look * 250), &record.snapshot()), None);
+        assert_eq!(watch.observe(at(look * 250), &record.snapshot()), None);
     }
     record.wait();
-    assert_eq!(watch.look(at(2_500), &record.snapshot()), None);
-    assert_eq!(watch.look(at(9_000), &record.snapshot()), None);
+    assert_eq!(watch.observe(at(2_500), &record.snapshot()), None);
+    assert_eq!(watch.observe(at(9_000), &record.snapshot()), None);
 }
 
 /// A loop in a turn that does not end.
@@ -62,12 +64,12 @@
 
 /// Looks at a process that was asked to stop at `asked_at` and whose grace period is 2,400 ms, until it ends. Returns when that is.
 fn forced_end_of(record: &TurnRecord, asked_at: u64) -> Duration {
-    let mut end = ForcedEnd::new(at(2_400));
+    let mut end = ForcedExit::new(at(2_400));
     let mut now = at(0);
     loop {
-        match end.look(now, now >= at(asked_at), &record.snapshot()) {
-            EndState::Due => return now,
-            _ => now += end.next_look(now, at(50)),
+        match end.check(now, now >= at(asked_at), &record.snapshot()) {
+            ForcedExitState::Due => return now,
+            _ => now += end.next_check_in(now, at(50)),
         }
         assert!(now < at(20_000), "it never ends");
     }
@@ -95,18 +97,18 @@
 #[test]
 fn a_loop_that_goes_on_ends_by_itself_also_after_a_pause_of_the_process() {
     let record = stuck();
-    let mut end = ForcedEnd::new(at(2_400));
-    let look = |end: &mut ForcedEnd, now: u64| end.look(at(now), true, &record.snapshot());
-    assert_eq!(look(&mut end, 0), EndState::GoesOn);
+    let mut end = ForcedExit::new(at(2_400));
+    let look = |end: &mut ForcedExit, now: u64| end.check(at(now), true, &record.snapshot());
+    assert_eq!(look(&mut end, 0), ForcedExitState::NotDue);
     // The process stood still until long after its grace period. Its loop has time for a turn.
     for now in (9_000..9_250).step_by(25) {
-        assert_eq!(look(&mut end, now), EndState::GoesOn, "at {now}");
+        assert_eq!(look(&mut end, now), ForcedExitState::NotDue, "at {now}");
     }
-    assert_eq!(look(&mut end, 9_250), EndState::Suspected);
+    assert_eq!(look(&mut end, 9_250), ForcedExitState::Suspected);
     record.begin_turn(1);
-    assert_eq!(look(&mut end, 9_275), EndState::Suspected);
+    assert_eq!(look(&mut end, 9_275), ForcedExitState::Suspected);
     record.wait();
-    assert_eq!(look(&mut end, 9_300), EndState::GoesOn);
+    assert_eq!(look(&mut end, 9_300), ForcedExitState::NotDue);
 }
 
 /// The same series ended gateways by force that had left their loop and were closing their connections ("step=begin steps=0 in_flight=0").
