--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -89,7 +89,7 @@
                 ChangeOutcome::Indeterminate
             }
             ChangeOutcome::Preempted(_) => {
-                ChangeOutcome::NoQuorum("preempted by other writers".into())
+                ChangeOutcome::NoQuorum("other writers kept winning".into())
             }
             outcome => outcome,
         }
--- a/crates/voter/src/voter.rs
+++ b/crates/voter/src/voter.rs
@@ -140,7 +140,7 @@
     /// Computes the response to a request. It may be sent once [`Voter::sync`] returned true.
     pub fn handle(&mut self, request: VoterRequest) -> VoterResponse {
         if !self.is_open() {
-            return unavailable("the voter's disk is not usable");
+            return unavailable("the disk is not to be trusted");
         }
         let (record, response) = self.acceptor.handle(request);
         self.unsynced.extend(record);
