--- a/tests/model/src/consensus/fault.rs
+++ b/tests/model/src/consensus/fault.rs
@@ -1,85 +1,85 @@
-/// A fault that occurs at the beginning of a round.
+/// A fault that is injected at the beginning of a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A controller ends within the round, after it has handled so many messages, and loses what was not synced.
+    /// A controller crashes within the round, after it has handled a given number of messages, and loses unsynced data.
     Crash {
-        /// The machine.
-        place: usize,
-        /// Messages that it handles before.
+        /// Index of the machine.
+        index: usize,
+        /// Number of messages that it handles in the round before it crashes.
         after: usize,
-        /// Rounds until it starts again.
+        /// Rounds until it restarts.
         rounds: u64,
     },
-    /// A machine loses its disk and starts again with an empty one.
+    /// A machine loses its disk and restarts with an empty one.
     Wipe {
-        /// The machine.
-        place: usize,
+        /// Index of the machine.
+        index: usize,
     },
-    /// A machine is gone for good.
+    /// A machine is lost permanently.
     Lose {
-        /// The machine.
-        place: usize,
+        /// Index of the machine.
+        index: usize,
     },
-    /// Nothing reaches a machine or leaves it.
+    /// A machine is partitioned from all others.
     Isolate {
-        /// The machine.
-        place: usize,
-        /// Rounds until it is reached again.
+        /// Index of the machine.
+        index: usize,
+        /// Rounds until the partition heals.
         rounds: u64,
     },
-    /// Messages one way between two machines are lost.
+    /// Messages from one machine to another are lost; the opposite direction is unaffected.
     CutLink {
-        /// Sender.
+        /// Index of the sender.
         from: usize,
-        /// Receiver.
+        /// Index of the receiver.
         to: usize,
-        /// Rounds until they arrive again.
+        /// Rounds until the link works again.
         rounds: u64,
     },
-    /// Messages one way between two machines arrive late, all at once, after newer ones of other links.
+    /// Messages from one machine to another are held back and delivered together, after newer messages of other links.
     Delay {
-        /// Sender.
+        /// Index of the sender.
         from: usize,
-        /// Receiver.
+        /// Index of the receiver.
         to: usize,
-        /// Rounds until they arrive.
+        /// Rounds until they are delivered.
         rounds: u64,
     },
-    /// A controller stands still, and handles what came meanwhile when it goes on.
+    /// A controller is paused; messages that arrive meanwhile are handled when it resumes.
     Freeze {
-        /// The machine.
-        place: usize,
-        /// Rounds until it goes on.
+        /// Index of the machine.
+        index: usize,
+        /// Rounds until it resumes.
         rounds: u64,
     },
 }
 
-/// Which faults an exploration draws on.
+/// The faults that an exploration injects.
 #[derive(Clone, Debug)]
 pub struct FaultScope {
-    /// Rounds for which an interruption lasts, short and long.
+    /// Durations of an interruption, in rounds.
     pub spans: Vec<u64>,
-    /// Messages handled before a crash within a round.
+    /// Numbers of messages that a controller handles in a round before it crashes.
     pub crash_points: Vec<usize>,
-    /// Whether single links are cut and delayed too.
+    /// Whether faults of single links (cut, delayed) are included.
     pub has_links: bool,
 }
 
 impl FaultScope {
-    /// All faults of the scope on so many machines.
+    /// Returns all faults of the scope for a number of machines.
     pub fn faults(&self, machines: usize) -> Vec<Fault> {
         let mut faults = Vec::new();
-        for place in 0..machines {
-            faults.extend([Fault::Wipe { place }, Fault::Lose { place }]);
+        for index in 0..machines {
+            faults.extend([Fault::Wipe { index }, Fault::Lose { index }]);
             let points = self.crash_points.iter();
             faults.extend(points.map(|after| Fault::Crash {
-                place,
+                index,
                 after: *after,
                 rounds: 1,
             }));
             for rounds in self.spans.iter().copied() {
-                faults.push(Fault::Isolate { place, rounds });
-                faults.push(Fault::Freeze { place, rounds });
+                faults.push(Fault::Isolate { index, rounds });
+                faults.push(Fault::Freeze { index, rounds });
             }
         }
         if self.has_links {
--- a/tests/model/src/consensus/history.rs
+++ b/tests/model/src/consensus/history.rs
@@ -1,20 +1,20 @@
 use register::{ChangeOutcome, VersionedValue};
 use std::collections::BTreeMap;
 
-/// A read or write under way, by its token.
+/// A read or write in progress.
 #[derive(Clone, Debug)]
-struct CallerRequest {
+struct ClientRequest {
     key: String,
-    /// Bytes and expected version of a write.
+    /// Expected version and new bytes of a write; `None` for a read.
     write: Option<(u64, Vec<u8>)>,
-    /// Newest acknowledged version when it began.
-    floor: u64,
+    /// Newest version acknowledged to any client when the request began; a read must not return an older one.
+    min_version: u64,
 }
 
-/// The responses that callers got, and what follows from it for all later answers.
+/// Responses that clients received, and the guarantees for later responses that follow from them.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    requests: BTreeMap<u64, CallerRequest>,
+    requests: BTreeMap<u64, ClientRequest>,
     committed: BTreeMap<(String, u64), Vec<u8>>,
     acknowledged: BTreeMap<String, u64>,
     terms: BTreeMap<u64, (usize, u64)>,
@@ -22,29 +22,29 @@
 }
 
 impl History {
-    /// A request begins; the token that it is asked with.
+    /// Records the start of a request and returns its token.
     pub fn begin(&mut self, key: &str, write: Option<(u64, Vec<u8>)>) -> u64 {
         self.last_token += 1;
-        let request = CallerRequest {
+        let request = ClientRequest {
             key: key.to_string(),
             write,
-            floor: self.acknowledged(key),
+            min_version: self.acknowledged(key),
         };
         self.requests.insert(self.last_token, request);
         self.last_token
     }
 
-    /// Newest version of a key that a caller knows to be committed.
+    /// Returns the newest version of a key that was acknowledged to a client, 0 if there is none.
     pub fn acknowledged(&self, key: &str) -> u64 {
         self.acknowledged.get(key).copied().unwrap_or(0)
     }
 
-    /// The value that is committed at a version, where it is known.
+    /// Returns the value that is known to be committed at a version.
     pub fn committed(&self, key: &str, version: u64) -> Option<&Vec<u8>> {
         self.committed.get(&(key.to_string(), version))
     }
 
-    /// A value is said to be committed: no other may ever be at its version.
+    /// Records a committed value; fails if another value is committed at the same version.
     pub fn record_committed(
         &mut self,
         key: &str,
@@ -64,7 +64,7 @@
         ))
     }
 
-    /// A request has ended.
+    /// Records the outcome of a request and checks it against earlier responses.
     pub fn end(&mut self, token: u64, outcome: &ChangeOutcome) -> Result<(), String> {
         let Some(request) = self.requests.remove(&token) else {
             return Err(format!("request {token} ended twice"));
@@ -81,20 +81,20 @@
 
     fn acknowledge(
         &mut self,
-        request: &CallerRequest,
+        request: &ClientRequest,
         stored: &VersionedValue,
     ) -> Result<(), String> {
         match &request.write {
             Some((expected, bytes)) if stored.version != expected + 1 || stored.bytes != *bytes => {
                 return Err(format!(
-                    "another's write of {} was acknowledged",
+                    "the write of {} was acknowledged with a value of another write",
                     request.key
                 ));
             }
-            None if stored.version < request.floor => {
+            None if stored.version < request.min_version => {
                 return Err(format!(
-                    "{} was acknowledged at version {} and read at {} later",
-                    request.key, request.floor, stored.version
+                    "{} was acknowledged at version {}, and a later read returned version {}",
+                    request.key, request.min_version, stored.version
                 ));
             }
             _ => {}
@@ -104,15 +104,15 @@
         Ok(())
     }
 
-    /// Terms that were won.
+    /// Returns the number of terms that were won.
     pub fn terms_won(&self) -> usize {
         self.terms.len()
     }
 
-    /// A controller won a term: no two win the same, and terms only rise.
-    pub fn record_term(&mut self, term: u64, place: usize, incarnation: u64) -> Result<(), String> {
-        let winner = *self.terms.entry(term).or_insert((place, incarnation));
-        if winner != (place, incarnation) {
+    /// Records that a controller won a term; fails if another one won the same term or a higher one was won before.
+    pub fn record_term(&mut self, term: u64, index: usize, incarnation: u64) -> Result<(), String> {
+        let winner = *self.terms.entry(term).or_insert((index, incarnation));
+        if winner != (index, incarnation) {
             return Err(format!("two controllers won term {term}"));
         }
         if self.terms.keys().next_back() != Some(&term) {
--- a/tests/model/src/consensus/invariants.rs
+++ b/tests/model/src/consensus/invariants.rs
@@ -1,11 +1,11 @@
-//! What must hold in every state, and what must be reached at all for that to mean something.
+//! Invariants of every state, and milestones that an exploration must reach for the invariants to be meaningful.
 
 use super::system::System;
 use consensus::CONFIGURATION_KEY;
 use register::{SetVersion, VoterSet};
 use std::collections::BTreeMap;
 
-/// Situations that an exploration of sufficient depth brings about.
+/// Situations that an exploration of sufficient depth reaches.
 pub const MILESTONES: [&str; 4] = [
     "a member was replaced",
     "two members were replaced",
@@ -13,7 +13,7 @@
     "a newcomer votes",
 ];
 
-/// What a voter's disk holds, as far as invariants look at it.
+/// The parts of a voter's disk that the invariants refer to.
 struct Replica {
     set_version: SetVersion,
     version: u64,
@@ -23,10 +23,12 @@
 fn replicas(system: &System) -> BTreeMap<u64, Replica> {
     let mut replicas = BTreeMap::new();
     for node in &system.nodes {
-        let held = node.held().register(CONFIGURATION_KEY);
-        let stored = held.map(|held| held.value.clone()).unwrap_or_default();
+        let register = node.acceptor().register(CONFIGURATION_KEY);
+        let stored = register
+            .map(|register| register.value.clone())
+            .unwrap_or_default();
         let replica = Replica {
-            set_version: node.held().set().version(),
+            set_version: node.acceptor().set().version(),
             version: stored.version,
             bytes: stored.bytes,
         };
@@ -35,14 +37,15 @@
     replicas
 }
 
-/// The newest set that any voter is in.
+/// Returns the newest voter set that any voter has adopted.
 fn newest_set(system: &System) -> VoterSet {
     let sets = system.nodes.iter();
-    let sets = sets.map(|node| node.held().set().clone());
+    let sets = sets.map(|node| node.acceptor().set().clone());
     sets.max_by_key(VoterSet::version).unwrap_or_default()
 }
 
-/// Every majority of the newest set whose members all vote in it holds what was acknowledged.
+/// Checks that every majority of the newest voter set, taken from its members that have adopted it, includes a voter that
+/// stores the newest acknowledged version.
 pub fn check(system: &System) -> Result<(), String> {
     let version = system.history.acknowledged(CONFIGURATION_KEY);
     if version == 0 {
@@ -55,18 +58,18 @@
         (replica.set_version == set.version()).then_some(replica)
     });
     let voting: Vec<&Replica> = voting.collect();
-    let holding = voting.iter().filter(|replica| replica.version >= version);
-    let lacking = voting.len() - holding.count();
-    if lacking >= set.majority() {
+    let current = voting.iter().filter(|replica| replica.version >= version);
+    let stale = voting.len() - current.count();
+    if stale >= set.majority() {
         return Err(format!(
-            "version {version} was acknowledged, and {lacking} of the set {:?} that vote do not hold it",
+            "version {version} was acknowledged, and {stale} voting members of set {:?} do not store it",
             set.version()
         ));
     }
     check_committed_replicas(system, &set, &voting)
 }
 
-/// A value that a majority holds is the one that was said to be committed.
+/// Checks that a value stored by a majority equals the value known to be committed at its version.
 fn check_committed_replicas(
     system: &System,
     set: &VoterSet,
@@ -80,7 +83,7 @@
         let differs = known.is_some_and(|bytes| *bytes != replica.bytes);
         if same.count() >= set.majority() && differs {
             return Err(format!(
-                "a majority holds another version {}",
+                "a majority stores a value at version {} that differs from the committed one",
                 replica.version
             ));
         }
@@ -88,11 +91,11 @@
     Ok(())
 }
 
-/// Which of the milestones a state shows.
+/// For each of [`MILESTONES`], whether the state satisfies it.
 pub fn reached(system: &System) -> Vec<bool> {
     let replaced = newest_set(system).number.saturating_sub(1);
     let newcomer = system.nodes.last();
-    let votes = newcomer.is_some_and(|node| node.held().set().epoch > 0);
+    let votes = newcomer.is_some_and(|node| node.acceptor().set().epoch > 0);
     vec![
         replaced >= 1,
         replaced >= 2,
--- a/tests/model/src/consensus/mod.rs
+++ b/tests/model/src/consensus/mod.rs
@@ -1,20 +1,19 @@
-//! Model of the consensus controller: whole controllers' consensus with their voters and disks, under every schedule of a few
-//! faults.
+//! Model of the controllers' consensus, including voters and disks, under every schedule of a bounded number of faults.
 //!
-//! What runs is the product's own code: `consensus::Consensus` (registers, membership, installing, catching up, the lease on the
-//! scaling duty), `consensus::execute_batch` over `voter::Voter` and `journal`. The model adds the network, the clock, crashes
-//! that lose what was not synced, and callers.
+//! The code under test is the production code: `consensus::Consensus` (registers, membership, installation, repair, the lease on
+//! the scaler role) and `consensus::execute_batch` over `voter::Voter` and `journal`. The model adds the network, the clock,
+//! crashes that lose unsynced data, and clients.
 //!
-//! A step of the exploration is one round of [`STEP_MS`], at whose beginning a fault may come. Reductions:
+//! A step of the exploration is one round of [`STEP_MS`]; a fault may be injected at its beginning. Reductions:
 //!
-//! * Within a round messages are handled in the order in which they were sent, and the disk's work at once. Other
-//!   orders are brought about by faults alone: delayed links, frozen machines, crashes after any of some number of
-//!   messages. Orders that need more than the scope's faults are not visited.
-//! * All random numbers come from generators with fixed seeds, and their position is no part of a state: they decide
-//!   identities, which are compared for equality only, and pauses below two rounds. Schedules under other pauses are not
+//! * Within a round, messages are handled in the order in which they were sent, and disk work completes immediately. Other
+//!   orders arise only from faults: delayed links, frozen machines, and crashes after the numbers of messages in the scope.
+//!   Orders that need more faults than the scope allows are not visited.
+//! * Random number generators have fixed seeds, and their positions are not part of a state. Random numbers determine
+//!   identities, which are only compared for equality, and delays below two rounds. Schedules with other delays are not
 //!   visited.
-//! * A message that is lost and one that is never handled within the depth are the same to every invariant, which are
-//!   all about what has happened.
+//! * The invariants refer only to past events, so they do not distinguish a lost message from one that is not handled within
+//!   the depth.
 
 mod fault;
 mod history;
@@ -27,33 +26,33 @@
 
 use crate::explorer::Model;
 
-/// Model time of one round.
+/// Duration of one round in model time, in milliseconds.
 pub const STEP_MS: u64 = 100;
-/// Time after the last heartbeat of a holder at which its role is vacant.
+/// Duration of the lease on the scaler role after the holder's last heartbeat, in milliseconds.
 pub const LEASE_MS: u64 = 500;
-/// Time between heartbeats.
+/// Interval between heartbeats, in milliseconds.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 100;
-/// Silence after which a newcomer may take a member's place.
+/// Time without a heartbeat after which a new member may replace a member, in milliseconds.
 pub const REPLACEMENT_TIMEOUT_MS: u64 = 200;
-/// Rounds without faults within which the controllers must have formed a set and a holder.
+/// Number of fault-free rounds in which the controllers must form a voter set and elect a holder of the scaler role.
 const BOOTSTRAP_ROUNDS: usize = 40;
 
-/// Controllers of which some are members and others wait for a place.
+/// Scope of the consensus model: initial members and spare controllers.
 pub struct Consensus {
-    /// Members of the first set.
+    /// Number of members of the first voter set.
     pub members: usize,
-    /// Controllers outside it.
+    /// Number of controllers outside the first voter set.
     pub newcomers: usize,
-    /// Most faults of one schedule.
+    /// Maximum number of faults in one schedule.
     pub faults: usize,
-    /// Faults that are drawn on.
+    /// The faults to inject.
     pub scope: FaultScope,
 }
 
-/// One round.
+/// A step of the model: one round.
 #[derive(Clone, Debug)]
 pub struct Round {
-    /// The fault that begins with it.
+    /// The fault injected at its beginning.
     pub fault: Option<Fault>,
 }
 
@@ -64,8 +63,8 @@
     fn initial_states(&self) -> Vec<System> {
         let mut system = System::new(self.members, self.newcomers, self.faults);
         for _ in 0..BOOTSTRAP_ROUNDS {
-            let passed = system.pass_round(None, self.members);
-            passed.expect("a round without faults broke an invariant");
+            let result = system.run_round(None, self.members);
+            result.expect("a fault-free round violated an invariant");
         }
         system.compact();
         vec![system]
@@ -83,7 +82,7 @@
 
     fn apply(&self, state: &System, round: &Round) -> Result<System, String> {
         let mut next = state.clone();
-        next.pass_round(round.fault, self.members)?;
+        next.run_round(round.fault, self.members)?;
         Ok(next)
     }
 
--- a/tests/model/src/consensus/system.rs
+++ b/tests/model/src/consensus/system.rs
@@ -1,18 +1,18 @@
 use super::fault::Fault;
 use super::history::History;
-use super::node::{address, place_of, Node};
+use super::node::{address, index_of, Node};
 use super::STEP_MS;
 use crate::fingerprint::Fingerprinter;
 use consensus::{ConsensusAction, ConsensusMessage, CONFIGURATION_KEY};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Most messages of one round; with more the controllers would send messages without an end.
-const MAX_MESSAGES: usize = 5_000;
-/// Rounds between two requests of one caller.
-const REQUEST_ROUNDS: u64 = 2;
+/// Maximum number of messages in one round; more are taken for an endless exchange of messages.
+const MAX_MESSAGES_PER_ROUND: usize = 5_000;
+/// Clients send requests in every round whose number is a multiple of this.
+const REQUEST_INTERVAL_ROUNDS: u64 = 2;
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 struct Envelope {
     from: usize,
@@ -20,23 +20,23 @@
     message: ConsensusMessage,
 }
 
-/// A fault that lasts until a round begins.
+/// A fault in effect until the beginning of a round.
 #[derive(Clone, Debug)]
 struct ActiveFault {
     fault: Fault,
     until: u64,
 }
 
-/// The controllers with their disks, the network between them and the responses that callers got.
+/// The controllers with their disks, the network between them and the history of client requests.
 #[derive(Clone)]
 pub struct System {
-    /// Machines; clones share those that have not changed.
+    /// The machines; clones of a state share those that have not changed.
     pub nodes: Vec<Arc<Node>>,
-    /// Responses that callers got.
+    /// Client requests and their responses.
     pub history: History,
-    /// Faults that may still come.
+    /// Number of faults that may still be injected.
     pub faults_left: usize,
-    /// Rounds since the beginning.
+    /// Number of rounds since the start.
     pub round: u64,
     active_faults: Vec<ActiveFault>,
     delayed: Vec<Envelope>,
@@ -46,13 +46,13 @@
 }
 
 impl System {
-    /// Members that start for the first time, and newcomers that no seed names.
+    /// Creates members that start for the first time, and newcomers that are not among the seed addresses.
     pub fn new(members: usize, newcomers: usize, faults_left: usize) -> Self {
         let count = members + newcomers;
         let seeds: Vec<String> = (0..members).map(address).collect();
         let mut system = Self {
             nodes: (0..count)
-                .map(|place| Arc::new(Node::new(place, place < members)))
+                .map(|index| Arc::new(Node::new(index, index < members)))
                 .collect(),
             history: History::default(),
             faults_left,
@@ -63,83 +63,83 @@
             handled: vec![0; count],
             changed: vec![true; count],
         };
-        for place in 0..count {
+        for index in 0..count {
             let now = system.now();
-            system.node(place).boot(now, &seeds, members);
+            system.node(index).boot(now, &seeds, members);
         }
         system.update_digests();
         system
     }
 
-    /// Model time in milliseconds. All machines' clocks run at one rate.
+    /// Returns the model time in milliseconds. The clocks of all machines run at the same rate.
     pub fn now(&self) -> u64 {
         (self.round + 1) * STEP_MS
     }
 
-    /// Whether a fault may begin now: its machines are there, and nothing of its kind lasts at them.
+    /// Whether a fault may be injected now: its machines are running and not already affected by a fault of the same kind.
     pub fn can_occur(&self, fault: Fault) -> bool {
-        let runs = |place: usize| self.nodes[place].consensus.is_some();
-        let mut lasting = self.active_faults.iter();
+        let runs = |index: usize| self.nodes[index].consensus.is_some();
+        let mut active_faults = self.active_faults.iter();
         match fault {
-            Fault::Crash { place, .. } | Fault::Wipe { place } | Fault::Lose { place } => {
-                runs(place)
+            Fault::Crash { index, .. } | Fault::Wipe { index } | Fault::Lose { index } => {
+                runs(index)
             }
-            Fault::Isolate { place, .. } => {
-                let is_lasting = lasting.any(
-                    |one| matches!(one.fault, Fault::Isolate { place: cut, .. } if cut == place),
+            Fault::Isolate { index, .. } => {
+                let is_lasting = active_faults.any(
+                    |one| matches!(one.fault, Fault::Isolate { index: cut, .. } if cut == index),
                 );
-                runs(place) && !is_lasting
+                runs(index) && !is_lasting
             }
-            Fault::Freeze { place, .. } => runs(place) && !self.is_frozen(place),
+            Fault::Freeze { index, .. } => runs(index) && !self.is_frozen(index),
             Fault::CutLink { from, to, .. } | Fault::Delay { from, to, .. } => {
                 runs(from) && runs(to) && !self.is_cut(from, to) && !self.is_delayed(from, to)
             }
         }
     }
 
-    /// Lets one round pass: a fault begins or none, every controller's clock moves on, callers ask, and all messages are
-    /// handled that are not cut off or delayed.
-    pub fn pass_round(&mut self, fault: Option<Fault>, members: usize) -> Result<(), String> {
+    /// Runs one round: injects the fault if there is one, ends expired faults, sends client requests, advances the clock of
+    /// every controller, and delivers all messages that are neither lost nor delayed.
+    pub fn run_round(&mut self, fault: Option<Fault>, members: usize) -> Result<(), String> {
         self.round += 1;
         self.handled = vec![0; self.nodes.len()];
         self.changed = vec![false; self.nodes.len()];
         if let Some(fault) = fault {
             self.faults_left -= 1;
-            self.begin_fault(fault)?;
+            self.inject_fault(fault)?;
         }
         self.end_active_faults(members)?;
-        self.ask()?;
-        for place in 0..self.nodes.len() {
-            self.tick(place)?;
+        self.send_requests()?;
+        for index in 0..self.nodes.len() {
+            self.tick(index)?;
         }
         self.deliver_all()?;
         self.update_digests();
         Ok(())
     }
 
-    fn node(&mut self, place: usize) -> &mut Node {
-        self.changed[place] = true;
-        Arc::make_mut(&mut self.nodes[place])
+    fn node(&mut self, index: usize) -> &mut Node {
+        self.changed[index] = true;
+        Arc::make_mut(&mut self.nodes[index])
     }
 
-    fn begin_fault(&mut self, fault: Fault) -> Result<(), String> {
+    fn inject_fault(&mut self, fault: Fault) -> Result<(), String> {
         let until = match fault {
             Fault::Crash {
-                place,
+                index,
                 after,
                 rounds,
             } => {
                 if after == 0 {
-                    self.node(place).crash();
+                    self.node(index).crash();
                 }
                 self.round + rounds
             }
-            Fault::Wipe { place } => {
-                self.node(place).wipe();
+            Fault::Wipe { index } => {
+                self.node(index).wipe();
                 self.round + 1
             }
-            Fault::Lose { place } => {
-                self.node(place).wipe();
+            Fault::Lose { index } => {
+                self.node(index).wipe();
                 u64::MAX
             }
             Fault::Isolate { rounds, .. }
@@ -154,16 +154,16 @@
     fn end_active_faults(&mut self, members: usize) -> Result<(), String> {
         let round = self.round;
         let all = std::mem::take(&mut self.active_faults);
-        let (ended, lasting): (Vec<ActiveFault>, _) =
+        let (ended, remaining): (Vec<ActiveFault>, _) =
             all.into_iter().partition(|one| one.until <= round);
-        self.active_faults = lasting;
+        self.active_faults = remaining;
         let seeds: Vec<String> = (0..members).map(address).collect();
         for active in ended {
             match active.fault {
-                Fault::Crash { place, .. } | Fault::Wipe { place } => {
+                Fault::Crash { index, .. } | Fault::Wipe { index } => {
                     let now = self.now();
-                    if self.nodes[place].consensus.is_none() && !self.is_lost(place) {
-                        self.node(place).boot(now, &seeds, members);
+                    if self.nodes[index].consensus.is_none() && !self.is_lost(index) {
+                        self.node(index).boot(now, &seeds, members);
                     }
                 }
                 Fault::Delay { .. } | Fault::Freeze { .. } => {
@@ -176,70 +176,70 @@
         Ok(())
     }
 
-    fn is_lost(&self, place: usize) -> bool {
-        let mut lasting = self.active_faults.iter();
-        lasting.any(|one| one.fault == Fault::Lose { place })
+    fn is_lost(&self, index: usize) -> bool {
+        let mut active_faults = self.active_faults.iter();
+        active_faults.any(|one| one.fault == Fault::Lose { index })
     }
 
-    /// Whether a machine stands still.
-    pub fn is_frozen(&self, place: usize) -> bool {
-        let mut lasting = self.active_faults.iter();
-        lasting
-            .any(|one| matches!(one.fault, Fault::Freeze { place: frozen, .. } if frozen == place))
+    /// Whether a machine is paused.
+    pub fn is_frozen(&self, index: usize) -> bool {
+        let mut active_faults = self.active_faults.iter();
+        active_faults
+            .any(|one| matches!(one.fault, Fault::Freeze { index: frozen, .. } if frozen == index))
     }
 
-    /// Two members write at once, the other machines read.
-    fn ask(&mut self) -> Result<(), String> {
-        if !self.round.is_multiple_of(REQUEST_ROUNDS) {
+    /// Sends client requests: machines 0 and 1 write concurrently, the others read.
+    fn send_requests(&mut self) -> Result<(), String> {
+        if !self.round.is_multiple_of(REQUEST_INTERVAL_ROUNDS) {
             return Ok(());
         }
         let (now, round) = (self.now(), self.round);
-        for place in 0..self.nodes.len() {
-            let Some(consensus) = self.nodes[place].consensus.as_ref() else {
+        for index in 0..self.nodes.len() {
+            let Some(consensus) = self.nodes[index].consensus.as_ref() else {
                 continue;
             };
-            if self.is_frozen(place) || consensus.voter_set().epoch == 0 {
+            if self.is_frozen(index) || consensus.voter_set().epoch == 0 {
                 continue;
             }
-            if place >= 2 {
+            if index >= 2 {
                 let token = self.history.begin(CONFIGURATION_KEY, None);
-                if let Some(consensus) = self.node(place).consensus.as_mut() {
+                if let Some(consensus) = self.node(index).consensus.as_mut() {
                     consensus.read(now, token, CONFIGURATION_KEY);
                 }
                 continue;
             }
             let committed = consensus.committed(CONFIGURATION_KEY);
             let expected = committed.map_or(0, |(version, _)| version);
-            let bytes = vec![round as u8, place as u8];
+            let bytes = vec![round as u8, index as u8];
             let write = Some((expected, bytes.clone()));
             let token = self.history.begin(CONFIGURATION_KEY, write);
-            if let Some(consensus) = self.node(place).consensus.as_mut() {
+            if let Some(consensus) = self.node(index).consensus.as_mut() {
                 consensus.write(now, token, CONFIGURATION_KEY, expected, bytes);
             }
         }
-        for place in 0..self.nodes.len() {
-            self.drain(place)?;
+        for index in 0..self.nodes.len() {
+            self.drain(index)?;
         }
         Ok(())
     }
 
-    fn tick(&mut self, place: usize) -> Result<(), String> {
+    fn tick(&mut self, index: usize) -> Result<(), String> {
         let now = self.now();
-        if self.is_frozen(place) || self.nodes[place].consensus.is_none() {
+        if self.is_frozen(index) || self.nodes[index].consensus.is_none() {
             return Ok(());
         }
-        if let Some(consensus) = self.node(place).consensus.as_mut() {
+        if let Some(consensus) = self.node(index).consensus.as_mut() {
             consensus.tick(now);
         }
-        self.drain(place)
+        self.drain(index)
     }
 
     fn deliver_all(&mut self) -> Result<(), String> {
         let mut count = 0;
         while let Some(envelope) = self.queue.pop_front() {
             count += 1;
-            if count > MAX_MESSAGES {
-                return Err("controllers send messages without an end".into());
+            if count > MAX_MESSAGES_PER_ROUND {
+                return Err("the controllers exchange messages endlessly".into());
             }
             self.deliver(envelope)?;
         }
@@ -267,71 +267,71 @@
         Ok(())
     }
 
-    fn is_crash_due(&self, place: usize) -> bool {
-        let handled = self.handled[place];
-        let mut lasting = self.active_faults.iter();
-        lasting.any(|one| {
-            matches!(one.fault, Fault::Crash { place: crashed, after, .. }
-                if crashed == place && after == handled)
+    fn is_crash_due(&self, index: usize) -> bool {
+        let handled = self.handled[index];
+        let mut active_faults = self.active_faults.iter();
+        active_faults.any(|one| {
+            matches!(one.fault, Fault::Crash { index: crashed, after, .. }
+                if crashed == index && after == handled)
         })
     }
 
     fn is_cut(&self, one: usize, other: usize) -> bool {
-        let mut lasting = self.active_faults.iter();
-        lasting.any(|active| match active.fault {
-            Fault::Isolate { place, .. } => place == one || place == other,
+        let mut active_faults = self.active_faults.iter();
+        active_faults.any(|active| match active.fault {
+            Fault::Isolate { index, .. } => index == one || index == other,
             Fault::CutLink { from, to, .. } => (from, to) == (one, other),
             _ => false,
         })
     }
 
     fn is_delayed(&self, one: usize, other: usize) -> bool {
-        let mut lasting = self.active_faults.iter();
-        lasting.any(|active| {
+        let mut active_faults = self.active_faults.iter();
+        active_faults.any(|active| {
             matches!(active.fault, Fault::Delay { from, to, .. } if (from, to) == (one, other))
         })
     }
 
-    /// Does what a controller wants done, until it wants nothing more.
-    fn drain(&mut self, place: usize) -> Result<(), String> {
+    /// Executes the actions of a controller until none are left.
+    fn drain(&mut self, index: usize) -> Result<(), String> {
         loop {
-            if self.nodes[place].consensus.is_none() {
+            if self.nodes[index].consensus.is_none() {
                 return Ok(());
             }
-            let actions = self.node(place).take_actions();
+            let actions = self.node(index).take_actions();
             if actions.is_empty() {
-                return self.check_holders();
+                return self.check_role_holders();
             }
             let mut work = Vec::new();
             for action in actions {
                 match action {
-                    ConsensusAction::Send { to, message } => self.send(place, &to, message),
+                    ConsensusAction::Send { to, message } => self.send(index, &to, message),
                     ConsensusAction::Disk(one) => work.push(one),
                     ConsensusAction::RequestCompleted { token, outcome } => {
                         self.history.end(token, &outcome)?
                     }
                     ConsensusAction::ValueCommitted { key, version } => {
-                        self.learn(place, &key, version)?
+                        self.learn(index, &key, version)?
                     }
-                    ConsensusAction::RoleAcquired { term } => self.record_term(place, term)?,
+                    ConsensusAction::RoleAcquired { term } => self.record_term(index, term)?,
                     ConsensusAction::RoleLost => {}
                 }
             }
             if !work.is_empty() {
                 let now = self.now();
-                self.node(place).perform(now, work);
+                self.node(index).execute(now, work);
             }
         }
     }
 
     fn send(&mut self, from: usize, to: &str, message: ConsensusMessage) {
-        if let Some(to) = place_of(to).filter(|to| *to < self.nodes.len()) {
+        if let Some(to) = index_of(to).filter(|to| *to < self.nodes.len()) {
             self.queue.push_back(Envelope { from, to, message });
         }
     }
 
-    fn learn(&mut self, place: usize, key: &str, version: u64) -> Result<(), String> {
-        let consensus = self.nodes[place].consensus.as_ref();
+    fn learn(&mut self, index: usize, key: &str, version: u64) -> Result<(), String> {
+        let consensus = self.nodes[index].consensus.as_ref();
         let committed = consensus.and_then(|consensus| consensus.committed(key));
         let Some((newest, bytes)) = committed else {
             return Ok(());
@@ -345,16 +345,16 @@
         self.history.record_committed(key, newest, &bytes)
     }
 
-    fn record_term(&mut self, place: usize, term: u64) -> Result<(), String> {
+    fn record_term(&mut self, index: usize, term: u64) -> Result<(), String> {
         self.history
-            .record_term(term, place, self.nodes[place].incarnation())
+            .record_term(term, index, self.nodes[index].incarnation())
     }
 
-    /// No two controllers hold the scaler role at one time.
-    fn check_holders(&self) -> Result<(), String> {
+    /// Checks that at most one controller holds the scaler role.
+    fn check_role_holders(&self) -> Result<(), String> {
         let now = self.now();
         let holders = self.nodes.iter().filter(|node| node.term(now).is_some());
-        let holders: Vec<usize> = holders.map(|node| node.place).collect();
+        let holders: Vec<usize> = holders.map(|node| node.index).collect();
         if holders.len() <= 1 {
             return Ok(());
         }
@@ -364,21 +364,21 @@
     }
 
     fn update_digests(&mut self) {
-        for place in 0..self.nodes.len() {
-            if self.changed[place] {
-                Arc::make_mut(&mut self.nodes[place]).update_digest();
+        for index in 0..self.nodes.len() {
+            if self.changed[index] {
+                Arc::make_mut(&mut self.nodes[index]).update_digest();
             }
         }
     }
 
-    /// Replaces the journals by snapshots.
+    /// Replaces the journals of all machines by snapshots.
     pub fn compact(&mut self) {
         for node in &mut self.nodes {
             Arc::make_mut(node).compact();
         }
     }
 
-    /// Hash of all that decides the future.
+    /// Returns a hash of everything that determines the system's future.
     pub fn fingerprint(&self) -> u128 {
         let mut fingerprinter = Fingerprinter::default();
         for node in &self.nodes {
--- a/tests/model/src/explorer.rs
+++ b/tests/model/src/explorer.rs
@@ -2,74 +2,75 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// States that are expanded before the results are merged; it bounds the memory of one batch.
-const BATCH: usize = 1024;
+/// Number of states expanded before their successors are merged; bounds the memory used for unmerged successors.
+const BATCH_SIZE: usize = 1024;
 
-/// A system whose reachable states are explored.
+/// A system whose reachable states can be explored.
 pub trait Model: Sync {
-    /// One state of the whole system.
+    /// A state of the whole system.
     type State: Send + Sync;
-    /// One step that the system or its surroundings may take.
+    /// A step of the system or of its environment.
     type Action: Clone + fmt::Debug + Send + Sync;
 
-    /// States in which an exploration begins.
+    /// States from which the exploration starts.
     fn initial_states(&self) -> Vec<Self::State>;
-    /// Steps that are possible in a state.
+    /// Steps that are enabled in a state.
     fn actions(&self, state: &Self::State) -> Vec<Self::Action>;
-    /// The state after a step; an error tells which invariant the step broke.
+    /// Returns the state after a step, or which invariant the step violated.
     fn apply(&self, state: &Self::State, action: &Self::Action) -> Result<Self::State, String>;
-    /// Checks the invariants of a state.
+    /// Checks the invariants that every state must satisfy.
     fn check(&self, state: &Self::State) -> Result<(), String>;
-    /// Hash by which states are told apart.
+    /// Hash that identifies a state.
     fn fingerprint(&self, state: &Self::State) -> u128;
-    /// Situations that must be reached at all, since invariants that hold where nothing happens mean little.
+    /// Situations that an exploration is expected to reach. They guard against a model in which the invariants hold only
+    /// because nothing happens.
     fn milestones(&self) -> &'static [&'static str] {
         &[]
     }
-    /// Which of the milestones a state shows, in their order.
+    /// For each milestone, in order, whether the state satisfies it.
     fn reached(&self, _state: &Self::State) -> Vec<bool> {
         Vec::new()
     }
 }
 
-/// How far an exploration goes.
+/// Bounds of an exploration.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most steps from an initial state.
+    /// Maximum number of steps from an initial state.
     pub depth: usize,
-    /// Most distinct states.
+    /// Maximum number of distinct states.
     pub states: usize,
-    /// Threads that expand states; the result does not depend on their number.
+    /// Number of threads that expand states; the result does not depend on it.
     pub threads: usize,
 }
 
-/// A broken invariant and the steps that lead to it.
+/// A violated invariant and the steps that lead to the violation.
 #[derive(Clone, Debug)]
 pub struct Counterexample {
-    /// What is broken.
+    /// The violated invariant.
     pub reason: String,
-    /// The steps, in their order.
+    /// Debug output of the steps, in order.
     pub actions: Vec<String>,
 }
 
-/// What came of an exploration.
+/// Result of an exploration.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Distinct states that were visited.
+    /// Number of distinct states visited.
     pub states: usize,
-    /// Steps that were taken.
+    /// Number of steps taken.
     pub transitions: usize,
-    /// Steps of the longest of the shortest paths to any state.
+    /// Greatest distance of a visited state from an initial state, in steps.
     pub depth: usize,
-    /// Whether every state within the depth was visited.
+    /// Whether every state within the depth limit was visited.
     pub is_exhausted: bool,
-    /// Whether no state had a step left, so that a greater depth would find nothing new.
+    /// Whether no unexpanded state is left, so that a greater depth would find no further states.
     pub is_closed: bool,
-    /// Time that it took.
+    /// Wall-clock time of the exploration.
     pub elapsed: Duration,
-    /// Milestones, and how many distinct states show each.
+    /// Milestones with the number of distinct states that satisfy each.
     pub milestones: Vec<(&'static str, usize)>,
-    /// The first broken invariant.
+    /// The first violation found.
     pub counterexample: Option<Counterexample>,
 }
 
@@ -102,7 +103,7 @@
     }
 }
 
-/// The step that first led to a state.
+/// The step by which a state was first reached.
 struct Origin<A> {
     parent: usize,
     action: Option<A>,
@@ -120,7 +121,7 @@
     milestones: Vec<bool>,
 }
 
-/// Visits every state within the limits, breadth first.
+/// Visits every state within the limits, breadth first, and stops at the first violated invariant.
 pub fn explore<M: Model>(model: &M, limits: Limits) -> Report {
     Exploration::new(model, limits).run()
 }
@@ -149,12 +150,12 @@
     }
 
     fn run(mut self) -> Report {
-        let begun = Instant::now();
-        let mut frontier = self.begin();
+        let started = Instant::now();
+        let mut frontier = self.insert_initial_states();
         let (mut depth, mut is_full) = (0, false);
         while depth < self.limits.depth && !frontier.is_empty() {
             let mut next = Vec::new();
-            for batch in frontier.chunks(BATCH) {
+            for batch in frontier.chunks(BATCH_SIZE) {
                 let successors = self.expand(batch);
                 self.merge(successors, &mut next);
                 is_full |= self.visited.len() >= self.limits.states;
@@ -168,20 +169,20 @@
                 break;
             }
         }
-        let is_whole = !is_full && self.counterexample.is_none();
+        let is_complete = !is_full && self.counterexample.is_none();
         Report {
             states: self.visited.len(),
             transitions: self.transitions,
             depth,
-            is_exhausted: is_whole,
-            is_closed: is_whole && frontier.is_empty(),
-            elapsed: begun.elapsed(),
+            is_exhausted: is_complete,
+            is_closed: is_complete && frontier.is_empty(),
+            elapsed: started.elapsed(),
             milestones: self.milestones,
             counterexample: self.counterexample,
         }
     }
 
-    fn begin(&mut self) -> Vec<(usize, M::State)> {
+    fn insert_initial_states(&mut self) -> Vec<(usize, M::State)> {
         let mut frontier = Vec::new();
         for state in self.model.initial_states() {
             if let Err(reason) = self.model.check(&state) {
@@ -202,19 +203,19 @@
         frontier
     }
 
-    /// All successors of some states, in an order that does not depend on the threads.
+    /// Returns the successors of a batch of states, in an order that does not depend on the number of threads.
     fn expand(&self, batch: &[(usize, M::State)]) -> Vec<Successor<M>> {
         let threads = self.limits.threads.max(1);
-        let share = batch.len().div_ceil(threads).max(1);
+        let chunk_size = batch.len().div_ceil(threads).max(1);
         let model = self.model;
         std::thread::scope(|scope| {
             let workers: Vec<_> = batch
-                .chunks(share)
-                .map(|part| scope.spawn(move || successors_of(model, part)))
+                .chunks(chunk_size)
+                .map(|chunk| scope.spawn(move || successors_of(model, chunk)))
                 .collect();
-            let parts = workers.into_iter().map(|worker| worker.join());
-            parts
-                .flat_map(|part| part.expect("a product's state machine panicked"))
+            let results = workers.into_iter().map(|worker| worker.join());
+            results
+                .flat_map(|result| result.expect("a state machine under test panicked"))
                 .collect()
         })
     }
@@ -235,8 +236,9 @@
                 }
             };
             if self.visited.insert(reached.fingerprint) {
-                let shown = self.milestones.iter_mut().zip(reached.milestones);
-                shown.for_each(|((_, states), is_shown)| *states += usize::from(is_shown));
+                let by_milestone = self.milestones.iter_mut().zip(reached.milestones);
+                by_milestone
+                    .for_each(|((_, states), is_satisfied)| *states += usize::from(is_satisfied));
                 let number = self.origins.len();
                 self.origins.push(Origin {
                     parent: successor.parent,
--- a/tests/model/src/fingerprint.rs
+++ b/tests/model/src/fingerprint.rs
@@ -2,10 +2,10 @@
 use std::fmt;
 use std::hash::Hasher;
 
-/// Hashes what is written to it to 128 bits, the same in each run.
+/// Computes a 128-bit hash that is the same in every run.
 ///
-/// The explorer takes two states with one fingerprint for the same. With n states the chance that any two differ and share
-/// one is below n² / 2^129, which is 1 in 10^24 for ten million.
+/// The explorer treats states with equal fingerprints as equal. With n states the probability of any collision is below
+/// n² / 2^129, which is 1 in 10^24 for ten million states.
 #[derive(Clone)]
 pub struct Fingerprinter {
     low: DefaultHasher,
@@ -24,24 +24,24 @@
 }
 
 impl Fingerprinter {
-    /// Adds bytes.
+    /// Adds raw bytes to the hash.
     pub fn bytes(&mut self, bytes: &[u8]) {
         self.low.write(bytes);
         self.high.write(bytes);
     }
 
-    /// Adds a number.
+    /// Adds a number, as little-endian bytes.
     pub fn number(&mut self, number: u128) {
         self.bytes(&number.to_le_bytes());
     }
 
-    /// Adds what a value's debug output tells of it.
+    /// Adds the debug output of a value, followed by a separator.
     pub fn debug(&mut self, value: &impl fmt::Debug) {
         // Writing to a hasher cannot fail.
         let _ = fmt::Write::write_fmt(self, format_args!("{value:?};"));
     }
 
-    /// The fingerprint of all that was added.
+    /// Returns the fingerprint of everything added so far.
     pub fn finish(&self) -> u128 {
         u128::from(self.high.finish()) << 64 | u128::from(self.low.finish())
     }
--- a/tests/model/src/lib.rs
+++ b/tests/model/src/lib.rs
@@ -1,4 +1,4 @@
-//! Explicit-state model checks of the product's own state machines: a breadth-first explorer and the models it runs.
+//! Explicit-state model checking of the production state machines: a breadth-first explorer and the models it explores.
 
 pub mod consensus;
 mod explorer;
--- a/tests/model/src/main.rs
+++ b/tests/model/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of the model checks, for scopes that are too large for each run of the tests.
+//! Command line of the model checker, for scopes that are too large for the test suite.
 
 use clap::{Parser, ValueEnum};
 use model::consensus::{Consensus, FaultScope};
@@ -7,54 +7,54 @@
 use model::{explore, Limits};
 use std::process::ExitCode;
 
-/// Which model is explored.
+/// The model to explore.
 #[derive(Clone, Copy, Debug, ValueEnum)]
-enum Which {
-    /// Whole consensus under every schedule of a few faults.
+enum ModelChoice {
+    /// Complete consensus instances under every schedule of a bounded number of faults.
     Consensus,
-    /// Single messages between proposers, voters and a newcomer.
+    /// Every interleaving of messages between proposers, voters and a new member.
     Registers,
-    /// Single messages between three owners of seats, of which one joins and one leaves.
+    /// Every interleaving of messages between three seat owners, of which one joins and one leaves.
     Ownership,
 }
 
-/// Explores a model's reachable states, breadth first.
+/// Explores the reachable states of a model breadth first.
 #[derive(Parser)]
 struct Options {
-    /// The model.
+    /// Model to explore.
     #[arg(value_enum)]
-    model: Which,
-    /// Most steps from the initial state.
+    model: ModelChoice,
+    /// Maximum number of steps from the initial state.
     #[arg(long, default_value_t = 12)]
     depth: usize,
-    /// Most distinct states.
+    /// Maximum number of distinct states.
     #[arg(long, default_value_t = 20_000_000)]
     states: usize,
-    /// Threads.
+    /// Number of threads that expand states.
     #[arg(long, default_value_t = 1)]
     threads: usize,
-    /// Most faults of one schedule; of ownership lost links.
+    /// Maximum number of faults in one schedule; for ownership, of lost links.
     #[arg(long, default_value_t = 2)]
     faults: usize,
-    /// Leaves out faults of single links.
+    /// Excludes faults of single links.
     #[arg(long)]
     no_links: bool,
-    /// Callers that write one register (registers only).
+    /// Proposers that write the register (registers only).
     #[arg(long, default_value_t = 2)]
     writers: u64,
-    /// Callers that read it (registers), or requests of clients (ownership).
+    /// Proposers that read the register (registers), or client requests (ownership).
     #[arg(long, default_value_t = 1)]
     readers: u64,
-    /// Times that a beaten caller goes on (registers only).
+    /// Retries of a preempted proposer (registers only).
     #[arg(long, default_value_t = 1)]
     tries: u64,
-    /// Controllers outside the first set.
+    /// Controllers outside the initial voter set.
     #[arg(long, default_value_t = 1)]
     newcomers: usize,
-    /// Rounds for which an interruption lasts.
+    /// Durations of an interruption, in rounds.
     #[arg(long, value_delimiter = ',', default_value = "3,9")]
     spans: Vec<u64>,
-    /// Messages that a controller handles in a round before it crashes.
+    /// Number of messages that a controller handles in a round before it crashes.
     #[arg(long, value_delimiter = ',', default_value = "0,3,6")]
     crash_points: Vec<usize>,
 }
@@ -67,7 +67,7 @@
         threads: options.threads,
     };
     let report = match options.model {
-        Which::Consensus => explore(
+        ModelChoice::Consensus => explore(
             &Consensus {
                 members: 3,
                 newcomers: options.newcomers,
@@ -80,7 +80,7 @@
             },
             limits,
         ),
-        Which::Ownership => explore(
+        ModelChoice::Ownership => explore(
             &Ownership {
                 gateways: 3,
                 script: Script::beginning_with(&[0, 1]).then_joins(2).then_leaves(0),
@@ -89,7 +89,7 @@
             },
             limits,
         ),
-        Which::Registers => explore(
+        ModelChoice::Registers => explore(
             &Registers {
                 writers: options.writers,
                 readers: options.readers,
--- a/tests/model/src/ownership/gateway.rs
+++ b/tests/model/src/ownership/gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway of the model: the product's owner of seats, and one request of a client at a time.
+//! A gateway of the model: the production `LeaseOwner`, and at most one client request at a time.
 
 use super::scripts::Script;
 use locality::Topology;
@@ -10,13 +10,13 @@
 use seat_leases::{CancelledRequests, LeaseOwner, OwnershipTable};
 use std::sync::Arc;
 
-/// Seats of the only runner.
+/// Number of seats of the only runner.
 pub(super) const QUOTA: u32 = 1;
 const FUNCTION: &str = "f";
 const RUNNER: &str = "r";
 const TIMEOUT_MS: u32 = 1_000_000;
 
-/// Where the client's request is.
+/// State of the gateway's client request.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Phase {
     Idle,
@@ -24,8 +24,8 @@
     AtRunner { owners: Vec<usize> },
 }
 
-/// A message and the gateway that it is for.
-type Sent = Vec<(usize, Message)>;
+/// Messages to send, each with the index of its receiver.
+type OutgoingMessages = Vec<(usize, Message)>;
 
 #[derive(Clone)]
 pub(super) struct Gateway {
@@ -33,8 +33,9 @@
     pub owner: LeaseOwner,
     table: Option<Arc<OwnershipTable>>,
     pub phase: Phase,
-    /// Number of the last request.
-    count: u64,
+    /// Number of client requests so far; also the id of the latest one.
+    request_count: u64,
+    /// The owner that was last asked for a lease or told of the lease in use; `None` after the link with it was lost.
     known_owner: Option<usize>,
     cancelled: CancelledRequests,
 }
@@ -55,11 +56,11 @@
             owner,
             table: None,
             phase: Phase::Idle,
-            count: 0,
+            request_count: 0,
             known_owner: None,
             cancelled: CancelledRequests::default(),
         };
-        // The first table is in force from the beginning, where it names the gateway.
+        // A gateway that the first table names starts with that table.
         if let Some(table) = script.next_table(index, None) {
             if table.version().number == 1 {
                 gateway.apply_table(table);
@@ -76,13 +77,13 @@
         self.table.is_some()
     }
 
-    pub fn waits(&self) -> bool {
+    pub fn is_waiting(&self) -> bool {
         matches!(self.phase, Phase::Waiting { .. })
     }
 
-    /// All that the next steps depend on.
+    /// Everything that the gateway's next steps depend on.
     pub fn summary(&self) -> impl std::fmt::Debug {
-        let state = (self.version(), self.phase.clone(), self.count);
+        let state = (self.version(), self.phase.clone(), self.request_count);
         let known = (self.known_owner, self.cancelled.clone());
         (state, known, self.owner.snapshot())
     }
@@ -93,16 +94,16 @@
     }
 
     fn id(&self) -> RequestId {
-        RequestId(self.count)
+        RequestId(self.request_count)
     }
 
-    /// A client's request.
-    pub fn request(&mut self) -> Sent {
-        self.count += 1;
+    /// Starts a client request.
+    pub fn request(&mut self) -> OutgoingMessages {
+        self.request_count += 1;
         self.request_lease()
     }
 
-    fn request_lease(&mut self) -> Sent {
+    fn request_lease(&mut self) -> OutgoingMessages {
         let Some(owner) = self.owner_index() else {
             return Vec::new();
         };
@@ -118,15 +119,15 @@
         self.send(owner, message)
     }
 
-    /// A message to another gateway, or what comes of it here.
-    fn send(&mut self, to: usize, message: Message) -> Sent {
+    /// Returns a message for another gateway; handles a message to this gateway and returns the resulting messages.
+    fn send(&mut self, to: usize, message: Message) -> OutgoingMessages {
         if to == self.index {
             return self.receive(to, message);
         }
         vec![(to, message)]
     }
 
-    pub fn receive(&mut self, from: usize, message: Message) -> Sent {
+    pub fn receive(&mut self, from: usize, message: Message) -> OutgoingMessages {
         let peer = name(from);
         match message {
             Message::LeaseRequest(request) => self.owner.request_lease(0, &peer, "", request),
@@ -146,21 +147,21 @@
             }
             Message::RequestHandover(version) => self.owner.handover_requested(&peer, version),
             Message::SeatHandover(handover) => {
-                // Refused where it was given under another table: the gateway asks again under each.
+                // A hand-over made under another table is rejected; this gateway requests one under each table.
                 let _ = self.owner.receive_handover(0, &peer, handover);
             }
             Message::ConfirmLeases(requests) => {
-                let ended = self.confirm(from, &requests);
-                return self.send(from, Message::LeasesEnded(ended));
+                let ended_requests = self.confirm_leases(from, &requests);
+                return self.send(from, Message::LeasesEnded(ended_requests));
             }
             Message::LeasesEnded(requests) => self.owner.leases_ended(0, &peer, &requests),
-            Message::SeatLease(lease) => return self.granted(from, &lease),
+            Message::SeatLease(lease) => return self.receive_lease(from, &lease),
             _ => {}
         }
         self.run_actions()
     }
 
-    fn granted(&mut self, from: usize, lease: &SeatLease) -> Sent {
+    fn receive_lease(&mut self, from: usize, lease: &SeatLease) -> OutgoingMessages {
         if self.phase == (Phase::Waiting { owner: from }) && lease.request_id == self.id() {
             self.phase = Phase::AtRunner { owners: vec![from] };
             return Vec::new();
@@ -169,8 +170,8 @@
         self.send(from, release)
     }
 
-    fn confirm(&mut self, from: usize, requests: &[RequestId]) -> Vec<RequestId> {
-        let (id, mut ended) = (self.id(), Vec::new());
+    fn confirm_leases(&mut self, from: usize, requests: &[RequestId]) -> Vec<RequestId> {
+        let (id, mut ended_requests) = (self.id(), Vec::new());
         for request in requests {
             match &mut self.phase {
                 Phase::AtRunner { owners } if *request == id => {
@@ -178,15 +179,15 @@
                         owners.push(from);
                     }
                 }
-                // The lease of another owner may be on its way.
+                // Not reported as ended: a lease of the owner that was asked may still be in transit.
                 Phase::Waiting { owner } if *request == id && *owner != from => {}
-                _ => ended.push(*request),
+                _ => ended_requests.push(*request),
             }
         }
-        ended
+        ended_requests
     }
 
-    fn run_actions(&mut self) -> Sent {
+    fn run_actions(&mut self) -> OutgoingMessages {
         let mut sent = Vec::new();
         for action in self.owner.take_actions() {
             let Some((to, message)) = action.into_message() else {
@@ -197,22 +198,24 @@
         sent
     }
 
-    pub fn apply_table(&mut self, table: Arc<OwnershipTable>) -> Sent {
+    pub fn apply_table(&mut self, table: Arc<OwnershipTable>) -> OutgoingMessages {
         self.table = Some(Arc::clone(&table));
         self.owner.apply_table(0, table);
-        // The scaler tells the function's runners, which never change here.
+        // The runner list comes from the scaler; it never changes in this model.
         self.owner.update_runners(0, runners());
         let mut sent = self.run_actions();
         let Some(owner) = self.owner_index() else {
             return sent;
         };
         match self.phase.clone() {
-            Phase::Waiting { owner: asked } if asked != owner => {
+            Phase::Waiting {
+                owner: former_owner,
+            } if former_owner != owner => {
                 let id = self.id();
-                if asked != self.index {
-                    self.cancelled.record_cancellation(&name(asked), id);
+                if former_owner != self.index {
+                    self.cancelled.record_cancellation(&name(former_owner), id);
                 }
-                sent.extend(self.send(asked, Message::CancelRequest(id)));
+                sent.extend(self.send(former_owner, Message::CancelRequest(id)));
                 sent.extend(self.request_lease());
             }
             Phase::AtRunner { .. } if self.known_owner != Some(owner) => {
@@ -223,7 +226,7 @@
         sent
     }
 
-    fn report_leases(&mut self, owner: usize) -> Sent {
+    fn report_leases(&mut self, owner: usize) -> OutgoingMessages {
         self.known_owner = Some(owner);
         let id = self.id();
         let Phase::AtRunner { owners } = &mut self.phase else {
@@ -244,8 +247,8 @@
         self.send(owner, message)
     }
 
-    /// The link with a peer is lost.
-    pub fn link_lost(&mut self, peer: usize) -> Sent {
+    /// Handles the loss of the link with a peer.
+    pub fn link_lost(&mut self, peer: usize) -> OutgoingMessages {
         self.owner.gateway_disconnected(0, &name(peer));
         self.cancelled.remove_owner(&name(peer));
         let mut sent = self.run_actions();
@@ -262,7 +265,7 @@
         sent
     }
 
-    /// Leases that may have ended unheard, with the gateways that hold them.
+    /// Returns the leases whose end may have been missed, with the gateways that hold them.
     pub fn unconfirmed(&self) -> Vec<(usize, RequestId)> {
         let leases = self.owner.snapshot().leases.into_iter();
         let unconfirmed = leases.filter(|lease| lease.is_unconfirmed);
@@ -271,19 +274,19 @@
             .collect()
     }
 
-    /// Asks about them again.
-    pub fn ask_again(&mut self) -> Sent {
+    /// Asks the holders of unconfirmed leases again whether they still use them.
+    pub fn request_confirmations(&mut self) -> OutgoingMessages {
         let unconfirmed = self.unconfirmed().into_iter();
-        let questions = unconfirmed.map(|(to, id)| (to, Message::ConfirmLeases(vec![id])));
+        let messages = unconfirmed.map(|(to, id)| (to, Message::ConfirmLeases(vec![id])));
         let mut sent = Vec::new();
-        for (to, question) in questions.collect::<Vec<_>>() {
-            sent.extend(self.send(to, question));
+        for (to, message) in messages.collect::<Vec<_>>() {
+            sent.extend(self.send(to, message));
         }
         sent
     }
 
-    /// The runner has answered.
-    pub fn finish(&mut self) -> Sent {
+    /// Handles the runner's response: releases the lease at every owner that knows of it.
+    pub fn finish(&mut self) -> OutgoingMessages {
         let Phase::AtRunner { mut owners } = std::mem::replace(&mut self.phase, Phase::Idle) else {
             return Vec::new();
         };
--- a/tests/model/src/ownership/mod.rs
+++ b/tests/model/src/ownership/mod.rs
@@ -1,10 +1,10 @@
-//! Ownership of seats: a few gateways, each with the product's `LeaseOwner`, one function with one seat at one runner, and tables of
-//! owners that the scaler publishes one after the other. Every order of single messages, tables and ends of work is explored, with links
-//! that are lost.
+//! Model of seat ownership: a few gateways, each with the production `LeaseOwner`, one function with one seat at one runner, and
+//! ownership tables that the scaler publishes one after another. Every order of single messages, table updates and request
+//! completions is explored, including lost links.
 //!
-//! The gateways around the owners are the model's: they request seats, move to new owners and tell what they use, as `crates/gateway` does.
-//! Requests that are relayed, owners that die and gateways that lose sight of the scaler are not part of it: the simulated fleet of
-//! `crates/seat_leases/tests` plays them.
+//! The gateways around the owners belong to the model: like `crates/gateway`, they request seats, switch to new owners and report
+//! the leases they use. Relayed requests, crashed owners and gateways that cannot reach the scaler are not modelled; the simulated
+//! fleet in `crates/seat_leases/tests` covers them.
 
 mod gateway;
 mod scripts;
@@ -15,53 +15,53 @@
 pub use scripts::Script;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A scope of the exploration.
+/// Scope of the ownership model.
 pub struct Ownership {
-    /// Gateways that there ever are.
+    /// Number of gateways, including those that join later.
     pub gateways: usize,
-    /// The tables that are published, one after the other.
+    /// The ownership tables that are published, in order.
     pub script: Script,
-    /// Requests of clients in all.
+    /// Total number of client requests.
     pub requests: usize,
-    /// Links that are lost in all.
+    /// Total number of links that are lost.
     pub lost_links: usize,
 }
 
-/// The fleet at one moment.
+/// A state of the fleet.
 #[derive(Clone)]
 pub struct State {
     gateways: Vec<Gateway>,
-    /// Messages on their way, by sender and receiver, in order.
+    /// Messages in transit, by sender and receiver, in sending order.
     links: BTreeMap<(usize, usize), VecDeque<Message>>,
-    /// Ends of links that a gateway has not noticed yet: who, and with whom.
-    unnoticed: Vec<(usize, usize)>,
+    /// Lost links whose loss a gateway has not detected yet: the gateway and its peer.
+    undetected_losses: Vec<(usize, usize)>,
     requests_left: usize,
     losses_left: usize,
 }
 
-/// One step of the fleet.
+/// A step of the fleet.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// The next message on a link arrives.
+    /// The next message on a link is delivered.
     Deliver { from: usize, to: usize },
     /// A gateway applies its next table.
     ApplyTable(usize),
-    /// A client of a gateway requests the function.
+    /// A client of a gateway calls the function.
     Request(usize),
-    /// A runner has answered a gateway's request.
+    /// The runner has responded to a gateway's request.
     Finish(usize),
-    /// A link is lost with all that is on it.
+    /// A link is lost with all messages in transit on it.
     LoseLink(usize, usize),
-    /// An owner asks again about leases that may have ended unheard; it has time for that once no message is on its way.
-    AskAgain(usize),
-    /// A gateway notices that its link with a peer is lost.
-    Notice { at: usize, peer: usize },
+    /// An owner asks again about leases whose end it may have missed; enabled only while no message is in transit.
+    RequestConfirmations(usize),
+    /// A gateway detects that its link with a peer is lost.
+    DetectLoss { at: usize, peer: usize },
 }
 
 impl State {
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        // Who has not noticed that a link is lost writes to nobody.
-        if !self.unnoticed.contains(&(from, to)) {
+        // Messages on a lost link go nowhere until the sender detects the loss.
+        if !self.undetected_losses.contains(&(from, to)) {
             self.links.entry((from, to)).or_default().push_back(message);
         }
     }
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Whether nothing is on its way.
-    fn is_quiet(&self) -> bool {
-        self.links.values().all(VecDeque::is_empty) && self.unnoticed.is_empty()
+    /// Whether no message is in transit and no lost link is undetected.
+    fn is_quiescent(&self) -> bool {
+        self.links.values().all(VecDeque::is_empty) && self.undetected_losses.is_empty()
     }
 
-    fn busy(&self) -> usize {
+    fn running_requests(&self) -> usize {
         let phases = self.gateways.iter().map(|gateway| &gateway.phase);
         phases
             .filter(|phase| matches!(phase, Phase::AtRunner { .. }))
@@ -87,11 +87,11 @@
     fn lose_link(&mut self, one: usize, other: usize) {
         for (from, to) in [(one, other), (other, one)] {
             self.links.remove(&(from, to));
-            if !self.unnoticed.contains(&(from, to)) {
-                self.unnoticed.push((from, to));
+            if !self.undetected_losses.contains(&(from, to)) {
+                self.undetected_losses.push((from, to));
             }
         }
-        self.unnoticed.sort_unstable();
+        self.undetected_losses.sort_unstable();
     }
 }
 
@@ -104,7 +104,7 @@
         vec![State {
             gateways: gateways.collect(),
             links: BTreeMap::new(),
-            unnoticed: Vec::new(),
+            undetected_losses: Vec::new(),
             requests_left: self.requests,
             losses_left: self.lost_links,
         }]
@@ -113,15 +113,16 @@
     fn actions(&self, state: &State) -> Vec<Action> {
         let mut actions = Vec::new();
         for ((from, to), link) in &state.links {
-            // Messages of a peer whose link is lost arrive once that is noticed and there is another one.
-            if !link.is_empty() && !state.unnoticed.contains(&(*to, *from)) {
+            // After the loss of a link, messages from the peer arrive only once the receiver has detected the loss and a new
+            // link is open.
+            if !link.is_empty() && !state.undetected_losses.contains(&(*to, *from)) {
                 let (from, to) = (*from, *to);
                 actions.push(Action::Deliver { from, to });
             }
         }
-        for (at, peer) in &state.unnoticed {
+        for (at, peer) in &state.undetected_losses {
             let (at, peer) = (*at, *peer);
-            actions.push(Action::Notice { at, peer });
+            actions.push(Action::DetectLoss { at, peer });
         }
         for (index, gateway) in state.gateways.iter().enumerate() {
             if self.script.next_table(index, gateway.version()).is_some() {
@@ -134,8 +135,8 @@
                 Phase::AtRunner { .. } => actions.push(Action::Finish(index)),
                 _ => {}
             }
-            if state.is_quiet() && !gateway.unconfirmed().is_empty() {
-                actions.push(Action::AskAgain(index));
+            if state.is_quiescent() && !gateway.unconfirmed().is_empty() {
+                actions.push(Action::RequestConfirmations(index));
             }
             if state.losses_left > 0 {
                 let others = index + 1..self.gateways;
@@ -174,16 +175,16 @@
                 let sent = next.gateways[index].finish();
                 next.send_all(index, sent);
             }
-            Action::AskAgain(index) => {
-                let sent = next.gateways[index].ask_again();
+            Action::RequestConfirmations(index) => {
+                let sent = next.gateways[index].request_confirmations();
                 next.send_all(index, sent);
             }
             Action::LoseLink(one, other) => {
                 next.losses_left -= 1;
                 next.lose_link(one, other);
             }
-            Action::Notice { at, peer } => {
-                next.unnoticed.retain(|lost| *lost != (at, peer));
+            Action::DetectLoss { at, peer } => {
+                next.undetected_losses.retain(|lost| *lost != (at, peer));
                 let sent = next.gateways[at].link_lost(peer);
                 next.send_all(at, sent);
             }
@@ -192,21 +193,21 @@
     }
 
     fn check(&self, state: &State) -> Result<(), String> {
-        let busy = state.busy();
-        if busy > gateway::QUOTA as usize {
-            return Err(format!("{busy} requests at a runner with one seat"));
+        let running = state.running_requests();
+        if running > gateway::QUOTA as usize {
+            return Err(format!("{running} requests at a runner with one seat"));
         }
-        let has_all = (0..self.gateways).all(|index| {
+        let all_tables_applied = (0..self.gateways).all(|index| {
             let version = state.gateways[index].version();
             self.script.next_table(index, version).is_none()
         });
-        let asks = |gateway: &Gateway| !gateway.unconfirmed().is_empty();
-        let asks_again = state.gateways.iter().any(asks);
-        if state.is_quiet() && !asks_again && has_all && busy == 0 {
-            let waiting = state.gateways.iter().filter(|gateway| gateway.waits());
+        let has_unconfirmed = |gateway: &Gateway| !gateway.unconfirmed().is_empty();
+        let any_unconfirmed = state.gateways.iter().any(has_unconfirmed);
+        if state.is_quiescent() && !any_unconfirmed && all_tables_applied && running == 0 {
+            let waiting = state.gateways.iter().filter(|gateway| gateway.is_waiting());
             let count = waiting.count();
             if count > 0 {
-                return Err(format!("{count} requests are forgotten"));
+                return Err(format!("{count} requests wait forever"));
             }
         }
         Ok(())
@@ -221,7 +222,7 @@
         for link in links {
             fingerprinter.debug(&link);
         }
-        fingerprinter.debug(&state.unnoticed);
+        fingerprinter.debug(&state.undetected_losses);
         fingerprinter.debug(&(state.requests_left, state.losses_left));
         fingerprinter.finish()
     }
@@ -249,6 +250,10 @@
                 let has_table = self.script.next_table(index, gateway.version()).is_none();
                 has_table && matches!(gateway.phase, Phase::Idle)
             });
-        vec![awaits && state.busy() > 0, is_unconfirmed, is_served]
+        vec![
+            awaits && state.running_requests() > 0,
+            is_unconfirmed,
+            is_served,
+        ]
     }
 }
--- a/tests/model/src/ownership/scripts.rs
+++ b/tests/model/src/ownership/scripts.rs
@@ -1,10 +1,10 @@
-//! The tables that the scaler publishes, and how each gateway is told them.
+//! The sequence of ownership tables that the scaler publishes, and the form in which each gateway receives them.
 
 use protocol::{Member, UpdateVersion};
 use seat_leases::OwnershipTable;
 use std::sync::Arc;
 
-/// Which gateways own functions under one table after the other.
+/// A sequence of ownership tables.
 #[derive(Clone, Debug)]
 pub struct Script {
     steps: Vec<Step>,
@@ -21,7 +21,7 @@
 }
 
 impl Script {
-    /// The first table names these gateways.
+    /// Starts with a table that names these gateways.
     #[must_use]
     pub fn beginning_with(members: &[usize]) -> Self {
         let steps = vec![Step {
@@ -31,7 +31,7 @@
         Self { steps }
     }
 
-    /// Next a gateway joins.
+    /// Appends a table with one more gateway.
     #[must_use]
     pub fn then_joins(mut self, gateway: usize) -> Self {
         let mut step = self.steps[self.steps.len() - 1].clone();
@@ -41,7 +41,7 @@
         self
     }
 
-    /// Next a gateway is about to stop. It stays a member.
+    /// Appends a table in which a gateway is leaving. It remains a member.
     #[must_use]
     pub fn then_leaves(mut self, gateway: usize) -> Self {
         let mut step = self.steps[self.steps.len() - 1].clone();
@@ -50,27 +50,27 @@
         self
     }
 
-    /// The table that follows a version, as a gateway is told it; none where it is told no further one.
+    /// Returns the next table after a version that names the gateway, in the form sent to that gateway; `None` if there is none.
     #[must_use]
     pub fn next_table(
         &self,
         gateway: usize,
         version: Option<UpdateVersion>,
     ) -> Option<Arc<OwnershipTable>> {
-        let place = version.map_or(0, |version| version.number as usize);
-        let mut steps =
-            (place..self.steps.len()).filter(|place| self.steps[*place].members.contains(&gateway));
-        let place = steps.next()?;
-        let step = &self.steps[place];
-        let former = place.checked_sub(1).map(|former| &self.steps[former]);
+        let step_index = version.map_or(0, |version| version.number as usize);
+        let mut steps = (step_index..self.steps.len())
+            .filter(|step_index| self.steps[*step_index].members.contains(&gateway));
+        let step_index = steps.next()?;
+        let step = &self.steps[step_index];
+        let former = step_index.checked_sub(1).map(|former| &self.steps[former]);
         let has_joined =
             |member: &usize| former.is_none_or(|former| !former.members.contains(member));
-        let is_newcomer = place > 0 && has_joined(&gateway);
+        let is_newcomer = step_index > 0 && has_joined(&gateway);
         let joined = step.members.iter().filter(|member| has_joined(member));
         Some(Arc::new(OwnershipTable::agreed(protocol::OwnershipTable {
             version: UpdateVersion {
                 term: 1,
-                number: place as u64 + 1,
+                number: step_index as u64 + 1,
             },
             members: step.members.iter().map(|index| member(*index)).collect(),
             joined: joined.map(|index| name(*index)).collect(),
--- a/tests/model/src/registers/disk.rs
+++ b/tests/model/src/registers/disk.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use voter::Voter;
 
-/// A voter's disk, on which the product's voter is opened for each piece of work.
+/// A voter's disk. The production voter is opened on it anew for each piece of work.
 #[derive(Clone)]
 pub struct ModelDisk {
     folder: MemoryFolder,
@@ -15,80 +15,81 @@
 }
 
 impl ModelDisk {
-    /// An empty disk.
+    /// Creates an empty disk.
     pub fn empty() -> Self {
         let mut disk = Self {
             folder: MemoryFolder::default(),
             acceptor: Arc::default(),
             digest: 0,
         };
-        disk.note(&open(&disk.folder));
+        disk.update_state(&open(&disk.folder));
         disk
     }
 
-    /// What the voter holds.
+    /// Returns the voter's state.
     pub fn acceptor(&self) -> &Acceptor {
         &self.acceptor
     }
 
-    /// Hash of what the voter holds. Two journals that are read back alike decide the same future.
+    /// Returns a hash of the voter's state. Journals that recover to the same state are treated as equal, since only the
+    /// recovered state affects later steps.
     pub fn digest(&self) -> u128 {
         self.digest
     }
 
-    /// Does work and gives what came of it.
-    pub fn work(&mut self, work: DiskWork) -> Vec<DiskCompletion> {
+    /// Executes work and returns its completions.
+    pub fn execute(&mut self, work: DiskWork) -> Vec<DiskCompletion> {
         self.folder = self.folder.copy();
         let mut voter = open(&self.folder);
-        let dones = execute_batch(&mut voter, vec![work]);
-        self.note(&voter);
-        dones
+        let completions = execute_batch(&mut voter, vec![work]);
+        self.update_state(&voter);
+        completions
     }
 
-    /// The voter's response to a request.
-    pub fn ask(&mut self, request: VoterRequest) -> Option<VoterResponse> {
+    /// Handles a request and returns the voter's response.
+    pub fn handle_request(&mut self, request: VoterRequest) -> Option<VoterResponse> {
         let work = DiskWork::VoterRequest {
             to: String::new(),
             number: 0,
             known: ValueId::default(),
             request,
         };
-        let mut dones = self.work(work).into_iter();
-        dones.find_map(|done| match done {
+        let mut completions = self.execute(work).into_iter();
+        completions.find_map(|completion| match completion {
             DiskCompletion::VoterResponse { response, .. } => Some(response),
             _ => None,
         })
     }
 
-    /// A copy of what is held under a set.
-    pub fn copy(&mut self, set_version: SetVersion) -> Option<ReplicaPage> {
+    /// Returns a copy of the registers, if the voter has adopted the given set.
+    pub fn read_replica(&mut self, set_version: SetVersion) -> Option<ReplicaPage> {
         let work = DiskWork::ReadReplica {
             to: String::new(),
             set_version,
             after: String::new(),
         };
-        let mut dones = self.work(work).into_iter();
-        dones.find_map(|done| match done {
+        let mut completions = self.execute(work).into_iter();
+        completions.find_map(|completion| match completion {
             DiskCompletion::ReplicaPage { page, .. } => Some(page),
             _ => None,
         })
     }
 
-    /// Loses what was not synced.
+    /// Discards unsynced data and restarts.
     pub fn crash(&mut self) {
         self.folder = self.folder.copy();
         self.folder.inject(FaultKind::PowerLoss(0));
-        self.note(&open(&self.folder));
+        self.update_state(&open(&self.folder));
     }
 
-    fn note(&mut self, voter: &Voter) {
+    fn update_state(&mut self, voter: &Voter) {
         self.acceptor = Arc::new(voter.acceptor().clone());
         let mut fingerprinter = Fingerprinter::default();
-        let held = self
+        let encoded = self
             .acceptor
             .write_to_vec()
-            .expect("a voter can be written");
-        fingerprinter.bytes(&held);
+            .expect("a voter can be serialized");
+        fingerprinter.bytes(&encoded);
         self.digest = fingerprinter.finish();
     }
 }
--- a/tests/model/src/registers/exploration.rs
+++ b/tests/model/src/registers/exploration.rs
@@ -10,36 +10,36 @@
 use speedy::Writable;
 use std::collections::BTreeMap;
 
-/// Voters, proposers and a new member.
+/// Scope of the register model: voters, proposers and a new member.
 pub struct Registers {
-    /// Callers that write different values, all upon the empty register.
+    /// Number of proposers that write different values, each expecting the empty register.
     pub writers: u64,
-    /// Callers that read.
+    /// Number of proposers that read.
     pub readers: u64,
-    /// Whether a new member takes a member's place.
+    /// Whether a new member replaces a member.
     pub has_new_member: bool,
-    /// Times that each proposer goes on after it was preempted.
+    /// Number of times that each proposer retries after it was preempted.
     pub max_retries: u64,
 }
 
-/// One step of one part.
+/// A step of a proposer, a voter or the new member.
 #[derive(Clone, Debug)]
 pub enum RegistersAction {
-    /// A proposer begins.
+    /// A proposer starts.
     Begin(usize),
-    /// A preempted proposer goes on.
+    /// A preempted proposer retries with a higher ballot.
     Retry(usize),
-    /// A voter handles a request: its place in the order of sending, and the voter's disk.
+    /// A voter handles a request: the index of the request in sending order, and the voter's disk.
     Handle(usize, u64),
-    /// A proposer takes an answer.
-    Answer(usize),
-    /// A voter follows into the newest set.
+    /// A proposer receives the response with this index.
+    DeliverResponse(usize),
+    /// A voter adopts the newest set.
     Adopt(u64),
-    /// The new member gets a voter's copy.
+    /// The new member receives a copy of a voter's registers.
     Copy(u64),
-    /// The new member installs the copies and votes.
+    /// The new member installs the copies and starts to vote.
     Install,
-    /// A voter's machine crashes and starts again.
+    /// A voter's machine crashes and restarts.
     Crash(u64),
 }
 
@@ -66,8 +66,10 @@
         }
         if self.has_new_member {
             let next = first_set().with_replacement(REPLACED, voter(NEW_MEMBER));
-            let bytes = next.expect("the newcomer is new").write_to_vec();
-            let bytes = bytes.expect("a set can be written");
+            let bytes = next
+                .expect("the new member is not in the first set")
+                .write_to_vec();
+            let bytes = bytes.expect("a set can be serialized");
             add(VOTERS_KEY, Change::Write { expected: 0, bytes });
         }
         proposers
@@ -82,7 +84,7 @@
         let mut disks = BTreeMap::new();
         for disk in 1..=MEMBERS {
             let mut voter = ModelDisk::empty();
-            voter.work(DiskWork::FormSet(first_set()));
+            voter.execute(DiskWork::FormSet(first_set()));
             disks.insert(disk, voter);
         }
         if self.has_new_member {
@@ -92,9 +94,9 @@
             disks,
             proposers: self.proposers(),
             sent: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             set: first_set(),
-            copies: BTreeMap::new(),
+            replica_pages: BTreeMap::new(),
             committed: BTreeMap::new(),
             acknowledged: 0,
         };
@@ -111,20 +113,20 @@
 
     fn actions(&self, state: &System) -> Vec<RegistersAction> {
         let mut steps = Vec::new();
-        for (place, proposer) in state.proposers.iter().enumerate() {
-            if proposer.may_begin() {
-                steps.push(RegistersAction::Begin(place));
+        for (index, proposer) in state.proposers.iter().enumerate() {
+            if proposer.may_start() {
+                steps.push(RegistersAction::Begin(index));
             }
             if proposer.may_retry() {
-                steps.push(RegistersAction::Retry(place));
+                steps.push(RegistersAction::Retry(index));
             }
         }
-        for (place, sent) in state.sent.iter().enumerate() {
+        for (index, sent) in state.sent.iter().enumerate() {
             let disks = state.disks.keys();
-            let disks = disks.filter(|disk| state.is_for(sent, **disk));
-            steps.extend(disks.map(|disk| RegistersAction::Handle(place, *disk)));
+            let disks = disks.filter(|disk| state.is_addressed_to(sent, **disk));
+            steps.extend(disks.map(|disk| RegistersAction::Handle(index, *disk)));
         }
-        steps.extend((0..state.answers.len()).map(RegistersAction::Answer));
+        steps.extend((0..state.responses.len()).map(RegistersAction::DeliverResponse));
         steps.extend(state.membership_steps());
         steps.extend(state.disks.keys().map(|disk| RegistersAction::Crash(*disk)));
         steps
@@ -133,28 +135,28 @@
     fn apply(&self, state: &System, step: &RegistersAction) -> Result<System, String> {
         let mut next = state.clone();
         match step {
-            RegistersAction::Begin(place) => {
-                next.proposers[*place].acknowledged_before = next.acknowledged;
-                let request = next.proposers[*place].begin(first_set());
-                next.send(*place, Some(request));
+            RegistersAction::Begin(index) => {
+                next.proposers[*index].acknowledged_before = next.acknowledged;
+                let request = next.proposers[*index].begin(first_set());
+                next.send(*index, Some(request));
             }
-            RegistersAction::Retry(place) => {
-                let request = next.proposers[*place].retry();
-                next.send(*place, request);
+            RegistersAction::Retry(index) => {
+                let request = next.proposers[*index].retry();
+                next.send(*index, request);
             }
-            RegistersAction::Handle(place, disk) => next.handle(*place, *disk),
-            RegistersAction::Answer(place) => next.answer(*place)?,
+            RegistersAction::Handle(index, disk) => next.handle(*index, *disk),
+            RegistersAction::DeliverResponse(index) => next.deliver_response(*index)?,
             RegistersAction::Adopt(disk) => {
                 let work = DiskWork::AdoptSet(next.set.clone());
-                next.disks.get_mut(disk).map(|voter| voter.work(work));
+                next.disks.get_mut(disk).map(|voter| voter.execute(work));
             }
             RegistersAction::Copy(disk) => {
                 let set_version = next.set.version();
                 let page = next
                     .disks
                     .get_mut(disk)
-                    .and_then(|voter| voter.copy(set_version));
-                next.copies.extend(page.map(|page| (*disk, page)));
+                    .and_then(|voter| voter.read_replica(set_version));
+                next.replica_pages.extend(page.map(|page| (*disk, page)));
             }
             RegistersAction::Install => next.install(),
             RegistersAction::Crash(disk) => {
@@ -164,7 +166,8 @@
         Ok(next)
     }
 
-    /// Every majority of the newest set whose members all vote in it holds what was acknowledged.
+    /// Checks that every majority of the newest set, taken from its members that have adopted it, includes a voter that
+    /// stores the acknowledged version.
     fn check(&self, state: &System) -> Result<(), String> {
         let newest = state.disks.values().map(|disk| disk.acceptor().set());
         let Some(set) = newest.max_by_key(|set| set.version()) else {
@@ -173,13 +176,13 @@
         let members = set.voters.iter();
         let members = members.filter_map(|voter| state.disks.get(&voter.disk));
         let voting = members.filter(|disk| disk.acceptor().set().version() == set.version());
-        let lacking = voting.filter(|disk| {
-            let held = disk.acceptor().register(VALUE_KEY);
-            held.map_or(0, |held| held.value.version) < state.acknowledged
+        let stale = voting.filter(|disk| {
+            let register = disk.acceptor().register(VALUE_KEY);
+            register.map_or(0, |register| register.value.version) < state.acknowledged
         });
-        if lacking.count() >= set.majority() {
+        if stale.count() >= set.majority() {
             return Err(format!(
-                "version {} was acknowledged, and a majority of set {:?} votes without it",
+                "version {} was acknowledged, and a majority of set {:?} does not store it",
                 state.acknowledged,
                 set.version()
             ));
@@ -193,12 +196,12 @@
             fingerprinter.number(disk.digest());
         }
         fingerprinter.debug(&state.proposers);
-        // The order in which requests were sent decides nothing.
+        // The order in which requests were sent has no effect on later steps.
         let mut sent: Vec<String> = state.sent.iter().map(|sent| format!("{sent:?}")).collect();
         sent.sort();
         fingerprinter.debug(&sent);
-        fingerprinter.debug(&state.answers);
-        fingerprinter.debug(&state.copies);
+        fingerprinter.debug(&state.responses);
+        fingerprinter.debug(&state.replica_pages);
         fingerprinter.debug(&(&state.committed, state.acknowledged, &state.set));
         fingerprinter.finish()
     }
--- a/tests/model/src/registers/proposer.rs
+++ b/tests/model/src/registers/proposer.rs
@@ -2,32 +2,32 @@
     Ballot, Change, ChangeOutcome, Proposal, ProposalStep, VoterOperation, VoterResponse, VoterSet,
 };
 
-/// What a proposer sends to the voters next.
+/// A request from a proposer to the voters.
 pub struct NumberedOperation {
-    /// Number that the answers bear.
+    /// Request number; responses carry the same number.
     pub number: u64,
-    /// The request.
+    /// The requested operation.
     pub operation: VoterOperation,
 }
 
-/// A caller's read or write with the product's proposal, which drives it.
+/// A client's read or write, driven by the production `Proposal`.
 #[derive(Clone, Debug)]
 pub struct Proposer {
-    /// Number of the proposer; part of its ballots and its tag.
+    /// Id of the proposer; part of its ballots, and the tag of its writes.
     pub id: u64,
     /// Key of the register.
     pub key: &'static str,
-    /// What it wants.
+    /// The requested read or write.
     pub change: Change,
-    /// The set under which it asks.
+    /// The voter set under which it sends requests.
     pub set: VoterSet,
-    /// Number of the request that is out.
+    /// Number of the outstanding request.
     pub number: u64,
-    /// How it ended.
+    /// Outcome; `None` until the proposal has ended.
     pub outcome: Option<ChangeOutcome>,
-    /// Newest acknowledged version when it began.
+    /// Newest version acknowledged to any client when the proposer started.
     pub acknowledged_before: u64,
-    /// A ballot above which it goes on.
+    /// The ballot that preempted it; a retry uses a higher one.
     pub preempted_by: Option<Ballot>,
     proposal: Option<Proposal>,
     counter: u64,
@@ -36,7 +36,7 @@
 }
 
 impl Proposer {
-    /// A proposer that has not begun.
+    /// Creates a proposer that has not started.
     pub fn new(
         id: u64,
         key: &'static str,
@@ -60,17 +60,17 @@
         }
     }
 
-    /// Whether its change is under way.
+    /// Whether its proposal is in progress.
     pub fn is_running(&self) -> bool {
         self.proposal.is_some() && self.outcome.is_none()
     }
 
-    /// Whether it may begin now.
-    pub fn may_begin(&self) -> bool {
+    /// Whether it may start now.
+    pub fn may_start(&self) -> bool {
         self.proposal.is_none() && self.outcome.is_none()
     }
 
-    /// Whether it may go on with a higher ballot.
+    /// Whether it may retry with a higher ballot.
     pub fn may_retry(&self) -> bool {
         self.is_running() && self.preempted_by.is_some() && self.retries_left > 0
     }
@@ -89,7 +89,7 @@
         NumberedOperation { number, operation }
     }
 
-    /// Begins, or begins anew under another set as the same write.
+    /// Starts the proposal, or restarts it under another set with the same tag.
     pub fn begin(&mut self, set: VoterSet) -> NumberedOperation {
         if let Some(proposal) = &self.proposal {
             self.has_proposed |= proposal.abandon() == ChangeOutcome::Indeterminate;
@@ -103,7 +103,7 @@
         self.request(operation)
     }
 
-    /// Goes on with a higher ballot.
+    /// Retries with a higher ballot.
     pub fn retry(&mut self) -> Option<NumberedOperation> {
         let above = self.preempted_by.take()?;
         self.retries_left -= 1;
@@ -112,9 +112,13 @@
         Some(self.request(operation))
     }
 
-    /// Takes a voter's answer to the request that is out.
-    pub fn answer(&mut self, place: usize, response: VoterResponse) -> Option<NumberedOperation> {
-        match self.proposal.as_mut()?.on_response(place, response) {
+    /// Handles a voter's response to the outstanding request and returns the next request, if any.
+    pub fn on_response(
+        &mut self,
+        voter_index: usize,
+        response: VoterResponse,
+    ) -> Option<NumberedOperation> {
+        match self.proposal.as_mut()?.on_response(voter_index, response) {
             ProposalStep::Wait => None,
             ProposalStep::Send(operation) => Some(self.request(operation)),
             ProposalStep::Retry(above) => {
--- a/tests/model/src/registers/state.rs
+++ b/tests/model/src/registers/state.rs
@@ -13,9 +13,9 @@
 pub(super) const VALUE_KEY: &str = "value";
 pub(super) const MEMBERS: u64 = 3;
 pub(super) const NEW_MEMBER: u64 = 4;
-/// The member whose place the new member takes.
+/// The member that the new member replaces.
 pub(super) const REPLACED: u64 = 3;
-/// Majorities of the first set.
+/// Smallest majorities of the first set.
 pub(super) const MAJORITIES: [[u64; 2]; 3] = [[1, 2], [1, 3], [2, 3]];
 
 /// A request that was sent to all voters of a set.
@@ -26,17 +26,17 @@
     pub(super) message: VoterRequest,
 }
 
-/// The whole system.
+/// A state of the whole system.
 #[derive(Clone)]
 pub struct System {
     pub(super) disks: BTreeMap<u64, ModelDisk>,
     pub(super) proposers: Vec<Proposer>,
     pub(super) sent: Vec<Sent>,
-    /// Answers to requests that are out, by proposer and voter.
-    pub(super) answers: Vec<(usize, u64, VoterResponse)>,
-    /// The newest set that is committed.
+    /// Responses to outstanding requests, with proposer and voter.
+    pub(super) responses: Vec<(usize, u64, VoterResponse)>,
+    /// The newest committed set.
     pub(super) set: VoterSet,
-    pub(super) copies: BTreeMap<u64, ReplicaPage>,
+    pub(super) replica_pages: BTreeMap<u64, ReplicaPage>,
     pub(super) committed: BTreeMap<u64, Vec<u8>>,
     pub(super) acknowledged: u64,
 }
@@ -73,67 +73,68 @@
         });
     }
 
-    /// Lets the last proposer settle the next set at a majority that answers at once.
+    /// Lets the last proposer commit the next set at a majority that responds immediately.
     pub(super) fn commit_next_set(&mut self, majority: &[u64]) {
-        let changer = self.proposers.len() - 1;
-        let mut request = Some(self.proposers[changer].begin(first_set()));
+        let set_proposer = self.proposers.len() - 1;
+        let mut request = Some(self.proposers[set_proposer].begin(first_set()));
         while let Some(NumberedOperation { operation, .. }) = request.take() {
             for disk in majority {
                 let set_version = first_set().version();
                 let operation = operation.clone();
                 let voter = self.disks.get_mut(disk).expect("the member has a disk");
-                let response = voter.ask(VoterRequest {
+                let response = voter.handle_request(VoterRequest {
                     set_version,
                     operation,
                 });
-                let response = response.expect("the voter answers");
-                let place = *disk as usize - 1;
-                request = request.or(self.proposers[changer].answer(place, response));
+                let response = response.expect("the voter responds");
+                let voter_index = *disk as usize - 1;
+                request =
+                    request.or(self.proposers[set_proposer].on_response(voter_index, response));
             }
         }
-        let noted = self.note_outcome(changer);
-        noted.expect("the next set can be read");
+        let recorded = self.record_outcome(set_proposer);
+        recorded.expect("the next set can be deserialized");
     }
 
-    fn forget_old_answers(&mut self) {
+    fn drop_stale_responses(&mut self) {
         let proposers = &self.proposers;
-        let mut kept: BTreeSet<String> = BTreeSet::new();
-        self.answers.retain(|(proposer, disk, response)| {
+        let mut seen: BTreeSet<String> = BTreeSet::new();
+        self.responses.retain(|(proposer, disk, response)| {
             proposers[*proposer].is_running()
-                && kept.insert(format!("{proposer} {disk} {response:?}"))
+                && seen.insert(format!("{proposer} {disk} {response:?}"))
         });
-        self.answers
+        self.responses
             .sort_by_cached_key(|(proposer, disk, response)| {
                 (*proposer, *disk, format!("{response:?}"))
             });
     }
 
-    fn drop_answers_of(&mut self, proposer: usize) {
-        self.answers.retain(|(one, _, _)| *one != proposer);
+    fn drop_responses_to(&mut self, proposer: usize) {
+        self.responses.retain(|(one, _, _)| *one != proposer);
     }
 
-    pub(super) fn handle(&mut self, place: usize, disk: u64) {
-        let sent = self.sent[place].clone();
+    pub(super) fn handle(&mut self, index: usize, disk: u64) {
+        let sent = self.sent[index].clone();
         let Some(voter) = self.disks.get_mut(&disk) else {
             return;
         };
-        let Some(response) = voter.ask(sent.message) else {
+        let Some(response) = voter.handle_request(sent.message) else {
             return;
         };
         let proposer = &self.proposers[sent.proposer];
         if proposer.is_running() && proposer.number == sent.number {
-            self.answers.push((sent.proposer, disk, response));
+            self.responses.push((sent.proposer, disk, response));
         }
-        self.forget_old_answers();
+        self.drop_stale_responses();
     }
 
-    pub(super) fn answer(&mut self, place: usize) -> Result<(), String> {
-        let (proposer, disk, response) = self.answers.remove(place);
+    pub(super) fn deliver_response(&mut self, index: usize) -> Result<(), String> {
+        let (proposer, disk, response) = self.responses.remove(index);
         if let VoterResponse::SetMismatch { set } = response {
-            // As the product does: the proposer begins anew under a newer set, and asks on under its own else.
+            // As in production, the proposer restarts under a newer set; otherwise it continues under its own.
             if set.version() > self.proposers[proposer].set.version() {
                 let request = self.proposers[proposer].begin(set);
-                self.drop_answers_of(proposer);
+                self.drop_responses_to(proposer);
                 self.send(proposer, Some(request));
             }
             return Ok(());
@@ -143,16 +144,16 @@
             return Ok(());
         };
         let number = self.proposers[proposer].number;
-        let request = self.proposers[proposer].answer(voter, response);
+        let request = self.proposers[proposer].on_response(voter, response);
         if self.proposers[proposer].number != number {
-            self.drop_answers_of(proposer);
+            self.drop_responses_to(proposer);
         }
         self.send(proposer, request);
-        self.note_outcome(proposer)
+        self.record_outcome(proposer)
     }
 
-    fn note_outcome(&mut self, place: usize) -> Result<(), String> {
-        let proposer = self.proposers[place].clone();
+    fn record_outcome(&mut self, index: usize) -> Result<(), String> {
+        let proposer = self.proposers[index].clone();
         let Some(ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored)) =
             &proposer.outcome
         else {
@@ -171,18 +172,18 @@
         let known = known.or_insert_with(|| stored.bytes.clone());
         if *known != stored.bytes {
             return Err(format!(
-                "two values are settled at version {}",
+                "two values are committed at version {}",
                 stored.version
             ));
         }
-        let is_foreign =
+        let is_other_write =
             matches!(&proposer.change, Change::Write { bytes, .. } if *bytes != stored.bytes);
-        if is_committed && is_foreign {
-            return Err("another's write was acknowledged".into());
+        if is_committed && is_other_write {
+            return Err("a write was acknowledged with the value of another write".into());
         }
         if is_committed && stored.version < proposer.acknowledged_before {
             return Err(format!(
-                "version {} was acknowledged and {} read later",
+                "version {} was acknowledged, and a later read returned version {}",
                 proposer.acknowledged_before, stored.version
             ));
         }
@@ -192,16 +193,16 @@
         Ok(())
     }
 
-    fn has_enough_copies(&self) -> bool {
+    fn has_enough_replica_pages(&self) -> bool {
         let others = self.set.voters.iter().filter(|one| one.disk != NEW_MEMBER);
-        let given = others
+        let received = others
             .clone()
-            .filter(|one| self.copies.contains_key(&one.disk));
-        given.count() > others.count() / 2
+            .filter(|one| self.replica_pages.contains_key(&one.disk));
+        received.count() > others.count() / 2
     }
 
     pub(super) fn install(&mut self) {
-        let pages = std::mem::take(&mut self.copies);
+        let pages = std::mem::take(&mut self.replica_pages);
         let claim_floors = pages.values().fold(ClaimFloors::default(), |floors, page| {
             floors.max(page.claim_floors)
         });
@@ -211,11 +212,11 @@
             registers: merge_replicas(pages.into_values().map(|page| page.registers).collect()),
         };
         if let Some(disk) = self.disks.get_mut(&NEW_MEMBER) {
-            disk.work(DiskWork::Install(installation));
+            disk.execute(DiskWork::Install(installation));
         }
     }
 
-    /// Steps of the change of sets.
+    /// Returns the steps of the set change that are enabled.
     pub(super) fn membership_steps(&self) -> Vec<RegistersAction> {
         let mut steps = Vec::new();
         if self.set.number < 2 {
@@ -228,18 +229,18 @@
                 steps.push(RegistersAction::Adopt(*disk));
             }
             let is_source = *disk != NEW_MEMBER && set.version() == self.set.version();
-            if is_source && !new_member_votes && !self.copies.contains_key(disk) {
+            if is_source && !new_member_votes && !self.replica_pages.contains_key(disk) {
                 steps.push(RegistersAction::Copy(*disk));
             }
         }
-        if !new_member_votes && self.has_enough_copies() {
+        if !new_member_votes && self.has_enough_replica_pages() {
             steps.push(RegistersAction::Install);
         }
         steps
     }
 
-    pub(super) fn is_for(&self, sent: &Sent, disk: u64) -> bool {
-        // A request is sent to the voters of its set.
+    pub(super) fn is_addressed_to(&self, sent: &Sent, disk: u64) -> bool {
+        // A request is addressed to the voters of its set.
         let voters = match sent.message.set_version {
             set_version if set_version == self.set.version() => self.set.voters.clone(),
             _ => first_set().voters,
--- a/tests/model/tests/common/mod.rs
+++ b/tests/model/tests/common/mod.rs
@@ -1,8 +1,9 @@
-//! Exploring a model within the scope of a test.
+//! Explores a model in a test.
 
 use model::{explore, Limits, Model, Report};
 
-/// Explores a model to a depth. Every state within it must be visited, and no invariant broken.
+/// Explores a model to a depth. Fails if an invariant is violated or if the state limit is reached before every state within the
+/// depth was visited.
 pub fn explored(model: &impl Model, depth: usize, states: usize) -> Report {
     let limits = Limits {
         depth,
--- a/tests/model/tests/consensus.rs
+++ b/tests/model/tests/consensus.rs
@@ -1,12 +1,12 @@
-//! The consensus controller under every schedule of a few faults, at a scope for each run of the tests; `docs/model-check.md`
-//! tells of larger ones.
+//! Consensus under every schedule of a bounded number of faults, at a scope small enough for the test suite.
+//! `docs/model-check.md` describes runs at larger scopes.
 
 mod common;
 
 use model::consensus::{Consensus, FaultScope};
 use model::Report;
 
-const STATES_MAX: usize = 1_000_000;
+const MAX_STATES: usize = 1_000_000;
 
 fn explored(faults: usize, depth: usize, scope: FaultScope) -> Report {
     let model = Consensus {
@@ -15,7 +15,7 @@
         faults,
         scope,
     };
-    common::explored(&model, depth, STATES_MAX)
+    common::explored(&model, depth, MAX_STATES)
 }
 
 #[test]
@@ -26,9 +26,9 @@
         has_links: true,
     };
     let report = explored(1, 14, scope);
-    let replaced = report.milestones.iter();
-    let mut replaced = replaced.filter(|(milestone, _)| *milestone == "a member was replaced");
-    assert!(replaced.any(|(_, states)| *states > 0), "{report}");
+    let milestones = report.milestones.iter();
+    let mut milestones = milestones.filter(|(milestone, _)| *milestone == "a member was replaced");
+    assert!(milestones.any(|(_, states)| *states > 0), "{report}");
 }
 
 #[test]
--- a/tests/model/tests/explorer.rs
+++ b/tests/model/tests/explorer.rs
@@ -1,10 +1,10 @@
-//! The explorer visits each state once, finds shortest counterexamples, and does not depend on its threads.
+//! The explorer visits each state once, finds shortest counterexamples, and gives the same result for any number of threads.
 
 use model::{explore, Limits, Model};
 
-/// Two counters that are counted up one at a time.
+/// Two counters; each step increments one of them.
 struct Counters {
-    most: u8,
+    max: u8,
     forbidden: Option<(u8, u8)>,
 }
 
@@ -24,10 +24,10 @@
 
     fn actions(&self, state: &(u8, u8)) -> Vec<Count> {
         let mut actions = Vec::new();
-        if state.0 < self.most {
+        if state.0 < self.max {
             actions.push(Count::Left);
         }
-        if state.1 < self.most {
+        if state.1 < self.max {
             actions.push(Count::Right);
         }
         actions
@@ -61,9 +61,9 @@
 }
 
 #[test]
-fn every_state_is_visited_once_whatever_the_threads() {
+fn every_state_is_visited_once_for_any_number_of_threads() {
     let model = Counters {
-        most: 9,
+        max: 9,
         forbidden: None,
     };
     for threads in [1, 3] {
@@ -77,9 +77,9 @@
 }
 
 #[test]
-fn a_depth_that_is_too_small_is_told() {
+fn a_depth_limit_that_leaves_states_unvisited_is_reported() {
     let model = Counters {
-        most: 9,
+        max: 9,
         forbidden: None,
     };
     let report = explore(&model, limits(3, 1));
@@ -88,9 +88,9 @@
 }
 
 #[test]
-fn a_broken_invariant_is_told_with_a_shortest_list_of_actions() {
+fn a_violated_invariant_is_reported_with_a_shortest_list_of_actions() {
     let model = Counters {
-        most: 9,
+        max: 9,
         forbidden: Some((2, 1)),
     };
     let report = explore(&model, limits(100, 2));
--- a/tests/model/tests/ownership.rs
+++ b/tests/model/tests/ownership.rs
@@ -1,11 +1,11 @@
-//! Ownership of seats under every order of single messages, at a scope for each run of the tests.
+//! Seat ownership under every order of single messages, at a scope small enough for the test suite.
 
 mod common;
 
 use model::ownership::{Ownership, Script};
 use model::Report;
 
-const STATES_MAX: usize = 3_000_000;
+const MAX_STATES: usize = 3_000_000;
 
 fn explored(script: Script, requests: usize, lost_links: usize, depth: usize) -> Report {
     let model = Ownership {
@@ -14,7 +14,7 @@
         requests,
         lost_links,
     };
-    common::explored(&model, depth, STATES_MAX)
+    common::explored(&model, depth, MAX_STATES)
 }
 
 #[test]
--- a/tests/model/tests/registers.rs
+++ b/tests/model/tests/registers.rs
@@ -1,11 +1,11 @@
-//! Registers and a change of the voters' set under every order of single messages, at a scope for each run of the tests.
+//! Registers and a change of the voter set under every order of single messages, at a scope small enough for the test suite.
 
 mod common;
 
 use common::explored;
 use model::registers::Registers;
 
-const STATES_MAX: usize = 1_000_000;
+const MAX_STATES: usize = 1_000_000;
 
 #[test]
 fn a_writer_and_a_reader_agree_under_every_order_of_messages() {
@@ -15,7 +15,7 @@
         has_new_member: false,
         max_retries: 0,
     };
-    explored(&model, 12, STATES_MAX);
+    explored(&model, 12, MAX_STATES);
 }
 
 #[test]
@@ -26,7 +26,7 @@
         has_new_member: false,
         max_retries: 1,
     };
-    explored(&model, 10, STATES_MAX);
+    explored(&model, 10, MAX_STATES);
 }
 
 #[test]
@@ -37,5 +37,5 @@
         has_new_member: true,
         max_retries: 0,
     };
-    explored(&model, 10, STATES_MAX);
+    explored(&model, 10, MAX_STATES);
 }
