--- a/tests/mutations/src/campaign.rs
+++ b/tests/mutations/src/campaign.rs
@@ -1,4 +1,4 @@
-//! Tries many entries with a few workers, each on a scratch tree and a build folder of its own.
+//! Tries entries in parallel. Each worker has its own scratch tree and build folder.
 
 use crate::entry::Entry;
 use crate::error::MutationError;
@@ -11,34 +11,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What came of one entry.
+/// The result of trying one entry.
 #[derive(Clone, Debug)]
 pub struct TrialResult {
-    /// The entry.
+    /// The entry that was tried.
     pub entry: Entry,
-    /// What became of it.
+    /// Whether the tests detected the mutation.
     pub verdict: Verdict,
-    /// Time that it took.
-    pub took: Duration,
+    /// Time spent on the entry, including builds.
+    pub elapsed: Duration,
 }
 
 /// A run over many entries.
 pub struct Campaign {
     /// Root of the workspace.
     pub root: PathBuf,
-    /// Folder of the scratch copies and their builds. Later runs find them warm.
+    /// Folder of the scratch copies and their builds; it is kept, so that later runs build incrementally.
     pub scratch: PathBuf,
-    /// Entries that are tried at once.
+    /// Number of entries that are tried in parallel.
     pub workers: usize,
-    /// What is done with each entry.
+    /// Whether entries are only compiled or also tested.
     pub trial: Trial,
-    /// How cargo is run.
+    /// Options of the cargo runs.
     pub cargo: CargoOptions,
 }
 
 impl Campaign {
-    /// Tries all entries; gives what came of them in the order of their numbers. Each result is also told as soon as it
-    /// is known.
+    /// Tries all entries and returns the results in the order of their numbers. `on_result` is called with each result as
+    /// soon as it is available.
     pub fn run(
         &self,
         entries: Vec<Entry>,
@@ -46,12 +46,12 @@
     ) -> Result<Vec<TrialResult>, MutationError> {
         let queue = Mutex::new(VecDeque::from(entries));
         let workspace = Workspace::read(&self.root)?;
-        let work = |number| self.work(number, &queue, &workspace, &on_result);
+        let work = |number| self.run_worker(number, &queue, &workspace, &on_result);
         let finished: Vec<Result<Vec<TrialResult>, MutationError>> = thread::scope(|scope| {
             let workers = (0..self.workers).map(|number| scope.spawn(move || work(number)));
             let workers: Vec<_> = workers.collect();
             let results = workers.into_iter().map(|worker| worker.join());
-            // A panic of a worker is a fault of this program.
+            // A panic in a worker is a bug in this program.
             results
                 .map(|result| result.expect("no worker panics"))
                 .collect()
@@ -64,8 +64,8 @@
         Ok(results)
     }
 
-    /// Tries entries until none is left.
-    fn work(
+    /// Tries entries from the queue until it is empty.
+    fn run_worker(
         &self,
         number: usize,
         queue: &Mutex<VecDeque<Entry>>,
@@ -79,14 +79,14 @@
             options: self.cargo.clone(),
         };
         let mut results = Vec::new();
-        while let Some(entry) = next(queue) {
-            let begun = Instant::now();
+        while let Some(entry) = next_entry(queue) {
+            let started = Instant::now();
             tree.apply(&entry)?;
             let verdict = self.try_entry(&runner, tree.path(), &entry, workspace)?;
             let result = TrialResult {
                 entry,
                 verdict,
-                took: begun.elapsed(),
+                elapsed: started.elapsed(),
             };
             on_result(&result);
             results.push(result);
@@ -108,7 +108,7 @@
     }
 }
 
-fn next(queue: &Mutex<VecDeque<Entry>>) -> Option<Entry> {
+fn next_entry(queue: &Mutex<VecDeque<Entry>>) -> Option<Entry> {
     let mut queue = queue.lock().unwrap_or_else(PoisonError::into_inner);
     queue.pop_front()
 }
--- a/tests/mutations/src/entry.rs
+++ b/tests/mutations/src/entry.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::{fs, io};
 
-/// Folder of the entries, from the root of the workspace.
+/// Folder of the entries, relative to the workspace root.
 const ENTRIES_FOLDER: &str = "tests/mutations/entries";
 
 #[derive(Deserialize)]
@@ -20,30 +20,30 @@
     tests: Vec<String>,
 }
 
-/// One text of a source file and what it becomes.
+/// A replacement of one piece of text in a source file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replacement {
-    /// Text that stands exactly once in the file.
+    /// Text to replace; it must occur exactly once in the file.
     pub from: String,
-    /// Text that replaces it.
+    /// Replacement text.
     pub to: String,
 }
 
-/// One safety mechanism and how to remove it.
+/// A mutation that removes one safety mechanism.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// File name without its ending, such as `01-ballot-not-compared`.
+    /// File name without its extension, such as `01-ballot-not-compared`.
     pub name: String,
-    /// Number at the beginning of the name.
+    /// Number at the start of the name.
     pub number: u32,
-    /// The mechanism that is removed.
+    /// Description of the mechanism that is removed.
     pub removes: String,
-    /// Source file, from the root of the workspace.
+    /// Source file, relative to the workspace root.
     pub file: PathBuf,
-    /// What changes in the file: one place, or several where the mechanism is guarded twice.
+    /// Changes to the file: one, or several if the mechanism is implemented in more than one place.
     pub replacements: Vec<Replacement>,
-    /// Arguments of `cargo test`, one run each; at least one of them must fail.
+    /// Arguments of `cargo test`, one string per run; at least one run must fail.
     pub tests: Vec<String>,
 }
 
@@ -62,9 +62,10 @@
             .split('-')
             .next()
             .and_then(|digits| digits.parse().ok());
-        let number = number.ok_or_else(|| invalid("its name begins with no number".into()))?;
+        let number =
+            number.ok_or_else(|| invalid("its file name does not start with a number".into()))?;
         if description.tests.is_empty() {
-            return Err(invalid("it names no test".into()));
+            return Err(invalid("`tests` is empty".into()));
         }
         let first = Replacement {
             from: description.from,
@@ -82,7 +83,7 @@
         })
     }
 
-    /// The mutated content of the entry's file, given its present content.
+    /// Returns the mutated content of the entry's file, given its original content.
     pub fn mutated(&self, source: &str) -> Result<String, MutationError> {
         let mut mutated = source.to_string();
         for Replacement { from, to } in &self.replacements {
@@ -98,7 +99,7 @@
         Ok(mutated)
     }
 
-    /// Whether the entry still applies to the sources under a root.
+    /// Checks that the entry still applies to the sources under a workspace root.
     pub fn check(&self, root: &Path) -> Result<(), MutationError> {
         let source = fs::read_to_string(root.join(&self.file)).map_err(|error| {
             let path = self.file.display();
@@ -108,7 +109,7 @@
     }
 }
 
-/// All entries under a workspace's root, in the order of their numbers.
+/// Loads all entries under a workspace root, in the order of their numbers.
 pub fn load_entries(root: &Path) -> Result<Vec<Entry>, MutationError> {
     let mut entries = Vec::new();
     for file in fs::read_dir(root.join(ENTRIES_FOLDER))? {
@@ -119,7 +120,7 @@
         if pair[0].number == pair[1].number {
             return Err(MutationError::Description {
                 entry: pair[1].name.clone(),
-                reason: "its number is taken".into(),
+                reason: "another entry has the same number".into(),
             });
         }
     }
--- a/tests/mutations/src/error.rs
+++ b/tests/mutations/src/error.rs
@@ -5,18 +5,18 @@
 pub enum MutationError {
     /// A file or folder could not be read or written.
     Io(std::io::Error),
-    /// An entry's file is not a valid description.
+    /// An entry's file is not a valid entry.
     Description {
-        /// File name of the entry.
+        /// Name of the entry.
         entry: String,
         /// What is wrong with it.
         reason: String,
     },
-    /// The text that an entry replaces is not found exactly once.
+    /// The text that an entry replaces does not occur exactly once, or its replacement is identical.
     TextNotUnique {
         /// Name of the entry.
         entry: String,
-        /// How often the text is found.
+        /// Number of occurrences of the text.
         found: usize,
     },
     /// An entry names a package or a test target that is not in the workspace.
@@ -28,7 +28,7 @@
     },
     /// A source file belongs to no package of the workspace.
     NoPackage(std::path::PathBuf),
-    /// A range of entries on the command line cannot be read.
+    /// A range of entries on the command line cannot be parsed.
     Range(String),
 }
 
@@ -39,16 +39,16 @@
             Self::Description { entry, reason } => write!(formatter, "{entry}: {reason}"),
             Self::TextNotUnique { entry, found } => write!(
                 formatter,
-                "{entry}: its text is found {found} times in the sources, not once"
+                "{entry}: the text to replace is found {found} times in the sources, expected once"
             ),
             Self::NoSuchTests { entry, tests } => write!(
                 formatter,
-                "{entry}: `{tests}` names no tests of the workspace"
+                "{entry}: `{tests}` matches no package and test targets of the workspace"
             ),
             Self::NoPackage(file) => {
-                write!(formatter, "{} belongs to no package", file.display())
+                write!(formatter, "{} does not belong to a package", file.display())
             }
-            Self::Range(text) => write!(formatter, "`{text}` is no number and no range"),
+            Self::Range(text) => write!(formatter, "`{text}` is neither a number nor a range"),
         }
     }
 }
--- a/tests/mutations/src/lib.rs
+++ b/tests/mutations/src/lib.rs
@@ -1,5 +1,5 @@
-//! Mutation testing of the safety mechanisms: each entry removes one mechanism from a scratch copy of the sources and
-//! names the tests that must fail without it.
+//! Mutation testing of the safety mechanisms. Each entry removes one mechanism from a scratch copy of the sources and names
+//! the tests that must fail without it.
 
 mod campaign;
 mod entry;
@@ -12,7 +12,7 @@
 pub use campaign::{Campaign, TrialResult};
 pub use entry::{load_entries, Entry, Replacement};
 pub use error::MutationError;
-pub use report::{is_good, table, verdict_text};
+pub use report::{is_expected, table, verdict_text};
 pub use runner::{CargoOptions, CargoRunner, Trial, Verdict};
 pub use tree::ScratchTree;
 pub use workspace::Workspace;
--- a/tests/mutations/src/main.rs
+++ b/tests/mutations/src/main.rs
@@ -1,8 +1,8 @@
-//! Command line of the mutation tests; `.ci/mutations` calls it.
+//! Command line of the mutation tests; run by `.ci/mutations`.
 
 use clap::Parser;
 use mutations::{
-    is_good, load_entries, table, verdict_text, Campaign, CargoOptions, Entry, MutationError,
+    is_expected, load_entries, table, verdict_text, Campaign, CargoOptions, Entry, MutationError,
     Trial, TrialResult, Workspace,
 };
 use std::ops::RangeInclusive;
@@ -10,33 +10,33 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Removes one safety mechanism after the other from a scratch copy and shows which tests notice.
+/// Removes safety mechanisms one at a time from a scratch copy of the sources and reports which tests fail.
 #[derive(Parser)]
 struct MutationArguments {
-    /// Numbers of the entries to run, such as `3` or `10-19`; all of them by default.
+    /// Numbers of the entries to run, such as `3` or `10-19`; all entries by default.
     entries: Vec<String>,
-    /// Only check that each entry still applies to the sources, and that the tests that it names are there.
+    /// Only check that each entry still applies to the sources and that the tests it names exist.
     #[arg(long, conflicts_with = "compile")]
     check: bool,
     /// Only compile the package of each mutated file.
     #[arg(long)]
     compile: bool,
-    /// Root of the workspace.
+    /// Workspace root.
     #[arg(long, default_value = ".")]
     root: PathBuf,
     /// Folder of the scratch copies and their builds.
     #[arg(long, default_value = "target/mutations")]
     scratch: PathBuf,
-    /// Command put before cargo.
+    /// Command and arguments to prefix to cargo, such as one that queues builds; none by default.
     #[arg(long, default_value = "")]
     prefix: String,
-    /// Seconds in which the tests of one run must end.
+    /// Timeout of one test run, in seconds.
     #[arg(long, default_value_t = 240)]
     timeout: u64,
-    /// Entries that are tried at once.
+    /// Number of entries that are tried in parallel.
     #[arg(long, default_value_t = 3)]
     workers: usize,
-    /// Compilers that one build may run at once.
+    /// Maximum number of parallel compiler processes per build.
     #[arg(long, default_value_t = 4)]
     build_jobs: usize,
 }
@@ -49,7 +49,7 @@
     Ok(first..=last)
 }
 
-fn chosen(arguments: &MutationArguments) -> Result<Vec<Entry>, MutationError> {
+fn select_entries(arguments: &MutationArguments) -> Result<Vec<Entry>, MutationError> {
     let ranges = arguments.entries.iter().map(|text| parse_range(text));
     let ranges: Vec<RangeInclusive<u32>> = ranges.collect::<Result<_, _>>()?;
     let mut entries = load_entries(&arguments.root)?;
@@ -59,7 +59,7 @@
     Ok(entries)
 }
 
-/// Checks that entries apply and that their tests are there; nothing is built.
+/// Checks that entries apply and that their tests exist; nothing is built.
 fn check(arguments: &MutationArguments, entries: &[Entry]) -> Result<bool, MutationError> {
     let workspace = Workspace::read(&arguments.root)?;
     let mut is_valid = true;
@@ -75,11 +75,11 @@
 }
 
 fn print_result(result: &TrialResult) {
-    let (name, seconds) = (&result.entry.name, result.took.as_secs());
+    let (name, seconds) = (&result.entry.name, result.elapsed.as_secs());
     println!("{name}: {} [{seconds} s]", verdict_text(&result.verdict));
 }
 
-/// Tries entries and prints a table.
+/// Tries entries and prints a table of the results.
 fn run(arguments: &MutationArguments, entries: Vec<Entry>) -> Result<bool, MutationError> {
     let root = arguments.root.canonicalize()?;
     let prefix = arguments.prefix.split_whitespace();
@@ -100,12 +100,12 @@
     };
     let results = campaign.run(entries, print_result)?;
     println!("\n{}", table(&results));
-    Ok(results.iter().all(|result| is_good(&result.verdict)))
+    Ok(results.iter().all(|result| is_expected(&result.verdict)))
 }
 
 fn main() -> ExitCode {
     let arguments = MutationArguments::parse();
-    let outcome = chosen(&arguments).and_then(|entries| {
+    let outcome = select_entries(&arguments).and_then(|entries| {
         if arguments.check {
             check(&arguments, &entries)
         } else {
--- a/tests/mutations/src/report.rs
+++ b/tests/mutations/src/report.rs
@@ -1,10 +1,10 @@
-//! Results as lines and as a table.
+//! Formats results as lines and as a table.
 
 use crate::campaign::TrialResult;
 use crate::runner::Verdict;
 use std::fmt::Write;
 
-/// A verdict in a few words.
+/// Returns a short description of a verdict.
 pub fn verdict_text(verdict: &Verdict) -> String {
     match verdict {
         Verdict::Compiles => "compiles".into(),
@@ -16,19 +16,19 @@
     }
 }
 
-/// Whether an entry shows what it should.
-pub fn is_good(verdict: &Verdict) -> bool {
+/// Whether a verdict is the expected one: the entry compiles, or a test detected it.
+pub fn is_expected(verdict: &Verdict) -> bool {
     matches!(verdict, Verdict::Compiles | Verdict::Caught(_))
 }
 
-/// All results as a table in Markdown, and how many there are of each kind.
+/// Formats all results as a Markdown table, followed by the number of results of each kind.
 pub fn table(results: &[TrialResult]) -> String {
     let mut text = String::from("| entry | removes | result | s |\n|---|---|---|---|\n");
     for result in results {
         let (name, removes) = (&result.entry.name, &result.entry.removes);
         let verdict = verdict_text(&result.verdict);
-        let seconds = result.took.as_secs();
-        // Writing to memory does not fail.
+        let seconds = result.elapsed.as_secs();
+        // Writing to a string cannot fail.
         let _ = writeln!(text, "| {name} | {removes} | {verdict} | {seconds} |");
     }
     text + &summary(results)
--- a/tests/mutations/src/runner.rs
+++ b/tests/mutations/src/runner.rs
@@ -8,49 +8,49 @@
 use std::process::{Child, Command, ExitStatus};
 use std::time::{Duration, Instant};
 
-/// Pause between looks at a process that runs.
+/// Interval at which a running process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What became of a mutation.
+/// The outcome of trying a mutation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// The mutated sources compile; no test was run.
     Compiles,
-    /// These tests failed, as they must.
+    /// These tests failed, as expected.
     Caught(Vec<String>),
-    /// The tests did not end in time: they may hang without the mechanism, or have waited for the machine.
+    /// The tests timed out: they may hang without the mechanism, or the machine may be overloaded.
     TimedOut,
-    /// All tests passed: a test is missing, or another mechanism holds too.
+    /// All tests passed: a test is missing, or another mechanism gives the same protection.
     Missed,
-    /// The mutated sources do not build, so that nothing was tried.
+    /// The mutated sources do not build, so no test was run.
     DoesNotBuild,
 }
 
-/// What is done with a mutated tree.
+/// What is done with a mutated source tree.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Trial {
     /// Compile the package of the mutated file.
     Compile,
-    /// Run the tests that the entry names.
+    /// Build and run the tests that the entry names.
     Test,
 }
 
-/// How cargo is run.
+/// Options of cargo runs.
 #[derive(Clone, Debug)]
 pub struct CargoOptions {
-    /// Command put before cargo, such as one that waits for its turn on a shared machine.
+    /// Command and arguments to prefix to cargo, such as one that queues builds on a shared machine.
     pub prefix: Vec<String>,
-    /// Time in which the tests of one run must end.
+    /// Timeout of one test run.
     pub timeout: Duration,
-    /// Compilers that one build may run at once.
+    /// Maximum number of parallel compiler processes per build.
     pub build_jobs: usize,
 }
 
 /// Runs cargo in a scratch tree.
 pub struct CargoRunner {
-    /// Folder for the builds of all mutations of this runner.
+    /// Build folder shared by all mutations of this runner.
     pub target: PathBuf,
-    /// How cargo is run.
+    /// Options of the cargo runs.
     pub options: CargoOptions,
 }
 
@@ -72,13 +72,13 @@
         })
     }
 
-    /// Builds and runs an entry's tests in a tree to which it was applied, up to the first that fail.
+    /// Builds and runs an entry's tests in a tree to which it was applied. Stops after the first run that fails.
     pub fn test(&self, tree: &Path, entry: &Entry) -> Result<Verdict, MutationError> {
         let log = self.log(entry)?;
         for tests in &entry.tests {
             let tests: Vec<&str> = tests.split_whitespace().collect();
             let build = [&["test", "--locked", "--no-run"], tests.as_slice()].concat();
-            // A build may wait for others for as long as it takes.
+            // No timeout: a build may wait for other builds on a shared machine.
             let build = wait(self.cargo(tree, &log, &build)?, None)?;
             if !build.is_some_and(|status| status.success()) {
                 return Ok(Verdict::DoesNotBuild);
@@ -95,7 +95,7 @@
         Ok(Verdict::Missed)
     }
 
-    /// File that holds what cargo printed last for an entry.
+    /// Returns the file for the output of the latest cargo run for an entry.
     fn log(&self, entry: &Entry) -> Result<PathBuf, MutationError> {
         fs::create_dir_all(&self.target)?;
         Ok(self.target.join(format!("{}.log", entry.name)))
@@ -112,7 +112,7 @@
             .current_dir(tree)
             .env("CARGO_TARGET_DIR", &self.target)
             .env("CARGO_BUILD_JOBS", self.options.build_jobs.to_string())
-            // Nobody debugs a mutated binary, and linking is faster without.
+            // Mutated binaries are not debugged, and linking is faster without debug information.
             .env("CARGO_PROFILE_DEV_DEBUG", "0")
             .env("CARGO_TERM_COLOR", "never")
             .env_remove("CARGO")
@@ -124,15 +124,15 @@
     }
 }
 
-/// Waits for a process, and ends it with its children where it takes longer than the timeout; none then.
+/// Waits for a process to exit. If it exceeds the timeout, kills it with its children and returns `None`.
 fn wait(mut child: Child, timeout: Option<Duration>) -> Result<Option<ExitStatus>, MutationError> {
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         if let Some(status) = child.try_wait()? {
             return Ok(Some(status));
         }
-        if timeout.is_some_and(|timeout| begun.elapsed() > timeout) {
-            // SAFETY: the process leads a group of its own, which holds only what it started.
+        if timeout.is_some_and(|timeout| started.elapsed() > timeout) {
+            // SAFETY: the child is the leader of its own process group, which contains only processes that it started.
             unsafe { libc::kill(-(child.id() as i32), libc::SIGKILL) };
             child.wait()?;
             return Ok(None);
--- a/tests/mutations/src/tree.rs
+++ b/tests/mutations/src/tree.rs
@@ -4,20 +4,20 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Folders at the root that no build needs.
+/// Folders at the workspace root that no build needs.
 const SKIPPED: [&str; 3] = ["target", ".git", "journal"];
 
-/// A copy of the sources in which one entry at a time is applied.
+/// A copy of the sources to which one entry at a time is applied.
 ///
-/// A file is written only where its content differs, so that cargo builds anew what changed and nothing else; a file that
-/// is put back gets a new time stamp, since cargo compares these.
+/// Only files whose content differs are written, so that cargo rebuilds only what changed. A restored file gets a new
+/// modification time, which makes cargo rebuild it.
 pub struct ScratchTree {
     root: PathBuf,
     copy: PathBuf,
 }
 
 impl ScratchTree {
-    /// A copy of the sources under `root` at `copy`; it is made by [`ScratchTree::apply`].
+    /// Describes a copy of the sources under `root` at `copy`; [`ScratchTree::apply`] creates the files.
     pub fn new(root: &Path, copy: &Path) -> Self {
         Self {
             root: root.to_path_buf(),
@@ -25,12 +25,12 @@
         }
     }
 
-    /// Where the copy is.
+    /// Root of the copy.
     pub fn path(&self) -> &Path {
         &self.copy
     }
 
-    /// Makes the copy equal to the sources, but for the entry's change.
+    /// Makes the copy equal to the sources with the entry applied.
     pub fn apply(&self, entry: &Entry) -> Result<(), MutationError> {
         let files = files_under(&self.root)?;
         for file in &files {
@@ -64,7 +64,7 @@
     Ok(())
 }
 
-/// All files under a folder, by their path from there, without those that no build needs.
+/// Returns the paths of all files under a workspace root, relative to it and sorted, except those that no build needs.
 pub(crate) fn files_under(root: &Path) -> Result<Vec<PathBuf>, MutationError> {
     let mut files = Vec::new();
     let mut folders = vec![PathBuf::new()];
--- a/tests/mutations/src/workspace.rs
+++ b/tests/mutations/src/workspace.rs
@@ -1,4 +1,4 @@
-//! Packages and test targets of a workspace, as far as entries name them.
+//! Looks up packages and test targets of a workspace.
 
 use crate::entry::Entry;
 use crate::error::MutationError;
@@ -7,18 +7,18 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Name of a package's manifest.
+/// File name of a package manifest.
 const MANIFEST: &str = "Cargo.toml";
 
 /// The packages of a workspace.
 pub struct Workspace {
     root: PathBuf,
-    /// Folder of each package from the root, by the package's name.
+    /// Folder of each package, relative to the root, by package name.
     packages: BTreeMap<String, PathBuf>,
 }
 
 impl Workspace {
-    /// Finds all packages under a root.
+    /// Finds all packages under a workspace root.
     pub fn read(root: &Path) -> Result<Self, MutationError> {
         let mut packages = BTreeMap::new();
         for file in files_under(root)? {
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Name of the package that a source file belongs to.
+    /// Returns the name of the package that contains a source file.
     pub fn package_of(&self, file: &Path) -> Result<&str, MutationError> {
         let packages = self.packages.iter();
         let owners = packages.filter(|(_, folder)| file.starts_with(folder));
@@ -46,7 +46,7 @@
         name.ok_or_else(|| MutationError::NoPackage(file.to_path_buf()))
     }
 
-    /// Whether all tests that an entry names are there.
+    /// Checks that all tests that an entry names exist.
     pub fn check_tests(&self, entry: &Entry) -> Result<(), MutationError> {
         for tests in &entry.tests {
             if !self.has_tests(tests) {
@@ -59,7 +59,7 @@
         Ok(())
     }
 
-    /// Whether arguments of `cargo test` name one package, and test targets that it has.
+    /// Whether arguments of `cargo test` name a package of the workspace, and only test targets that it has.
     fn has_tests(&self, arguments: &str) -> bool {
         let words: Vec<&str> = arguments.split_whitespace().collect();
         let mut folder = None;
@@ -75,15 +75,15 @@
             return false;
         };
         let tests = self.root.join(folder).join("tests");
-        let is_there = |target: &&str| {
+        let target_exists = |target: &&str| {
             tests.join(format!("{target}.rs")).is_file()
                 || tests.join(target).join("main.rs").is_file()
         };
-        targets.iter().all(is_there)
+        targets.iter().all(target_exists)
     }
 }
 
-/// The name in a package's manifest; none in a workspace's.
+/// Returns the package name in a manifest; `None` if the manifest has no package.
 fn package_name(manifest: &str) -> Option<&str> {
     let (_, package) = manifest.split_once("[package]\n")?;
     let name = package
--- a/tests/mutations/tests/campaign.rs
+++ b/tests/mutations/tests/campaign.rs
@@ -1,4 +1,4 @@
-//! Verdicts on a small workspace of its own, which cargo builds and tests as it does the real one.
+//! Verdicts of a campaign on a small workspace that the tests create.
 
 use mutations::{load_entries, Campaign, CargoOptions, Trial, Verdict};
 use std::fs;
@@ -11,7 +11,7 @@
 const SOURCE: &str = "pub fn is_within(count: u32) -> bool {\n    count < 3 && count != 9\n}\n";
 const TEST: &str = "#[test]\nfn three_is_too_many() {\n    assert!(!small::is_within(3));\n}\n";
 
-/// Entries by name, with the text that each replaces and what takes its place.
+/// Name of each entry, the text that it replaces, and the replacement.
 const ENTRIES: [(&str, &str, &str); 3] = [
     ("1-no-limit", "count < 3", "true"),
     ("2-redundant", "count != 9", "true"),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_run_tells_caught_missed_and_unbuildable_entries_apart() {
+fn a_run_distinguishes_caught_missed_and_unbuildable_entries() {
     let caught = Verdict::Caught(vec!["three_is_too_many".into()]);
     let expected = [caught, Verdict::Missed, Verdict::DoesNotBuild];
     assert_eq!(verdicts("small-tested", Trial::Test), expected);
--- a/tests/mutations/tests/entries.rs
+++ b/tests/mutations/tests/entries.rs
@@ -1,15 +1,15 @@
-//! Every mutation still applies to the sources and names tests that are there, and there are enough of them.
+//! Every mutation applies to the sources and names existing tests, and there is a minimum number of mutations.
 
 use mutations::{load_entries, Workspace};
 use std::path::Path;
 
-const ENTRIES_MIN: usize = 25;
+const MIN_ENTRIES: usize = 25;
 
 #[test]
 fn every_mutation_applies_exactly_once() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let entries = load_entries(&root).expect("the entries can be read");
-    assert!(entries.len() >= ENTRIES_MIN);
+    assert!(entries.len() >= MIN_ENTRIES);
     let failures: Vec<String> = entries
         .iter()
         .filter_map(|entry| entry.check(&root).err())
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_mutation_names_tests_of_the_workspace() {
+fn every_mutation_names_existing_tests() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let entries = load_entries(&root).expect("the entries can be read");
     let workspace = Workspace::read(&root).expect("the manifests can be read");
