--- a/tests/conventions/src/lib.rs
+++ b/tests/conventions/src/lib.rs
@@ -1,6 +1,6 @@
-//! Reads the workspace's sources and documents, so that tests can hold them to the conventions of `CONTRIBUTING.md`.
+//! Reads the workspace's sources and documents, so that tests can check them against the conventions of `CONTRIBUTING.md`.
 //!
-//! Begin with [`Workspace`]; [`imports`] and [`names`] each answer one question about a crate's files.
+//! [`Workspace`] is the entry point; [`imports`] and [`names`] analyse the source files of a crate.
 
 pub mod imports;
 pub mod names;
--- a/tests/conventions/src/names.rs
+++ b/tests/conventions/src/names.rs
@@ -1,12 +1,12 @@
-//! The names that a crate shows to its readers: files, items, fields, variants, and the words of log lines.
+//! Collects the names in a crate's sources: files, items, fields, variants, and the words of log lines.
 
 use crate::SourceFile;
 use std::collections::BTreeMap;
 use syn::visit::{self, Visit};
 
-/// Macros whose first literal is a log line.
+/// Macros whose first argument is a log line.
 const LOG_MACROS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
-/// Macros whose lines operators see without asking for more.
+/// Macros whose lines operators see at the default log level.
 const OPERATOR_MACROS: [&str; 3] = ["error", "warn", "info"];
 
 #[derive(Default)]
@@ -88,14 +88,14 @@
     }
 }
 
-/// The string that a macro's arguments begin with.
+/// Returns the first argument of a macro if it is a string literal.
 fn first_literal(tokens: proc_macro2::TokenStream) -> Option<String> {
     let first = tokens.into_iter().next()?;
     let literal: syn::LitStr = syn::parse2(first.into()).ok()?;
     Some(literal.value())
 }
 
-/// Log lines of a file at info and above, with their placeholders.
+/// Returns the log lines of a file at level info and above, with their placeholders.
 #[must_use]
 pub fn log_lines(file: &SourceFile) -> Vec<String> {
     let mut names = Names::default();
@@ -103,7 +103,7 @@
     names.log_lines
 }
 
-/// Names and log lines of a file, its own name included.
+/// Returns the names and log lines of a file, including its module name.
 #[must_use]
 pub fn of_file(file: &SourceFile) -> Vec<String> {
     let mut names = Names::default();
@@ -112,32 +112,32 @@
     names.found
 }
 
-/// Lower-case words of a name or a line, where `CamelCase`, `snake_case` and punctuation separate them.
+/// Splits a name or a log line into lower-case words, at `CamelCase` and `snake_case` boundaries and at punctuation.
 #[must_use]
 pub fn words(name: &str) -> Vec<String> {
     let mut words = vec![String::new()];
     let mut was_lower = false;
-    for letter in name.chars() {
-        let begins = !letter.is_alphanumeric() || (letter.is_uppercase() && was_lower);
-        if begins {
+    for character in name.chars() {
+        let starts_word = !character.is_alphanumeric() || (character.is_uppercase() && was_lower);
+        if starts_word {
             words.push(String::new());
         }
-        if letter.is_alphanumeric() {
+        if character.is_alphanumeric() {
             let word = words.last_mut();
             word.into_iter()
-                .for_each(|word| word.extend(letter.to_lowercase()));
+                .for_each(|word| word.extend(character.to_lowercase()));
         }
-        was_lower = letter.is_lowercase() || letter.is_numeric();
+        was_lower = character.is_lowercase() || character.is_numeric();
     }
     words.retain(|word| !word.is_empty());
     words
 }
 
-/// Withdrawn words, each with what to write in its place, from lines such as `beat = heartbeat`.
+/// Parses lines such as `beat = heartbeat` into withdrawn words, each with its replacement.
 #[must_use]
 pub fn withdrawn(lines: &[String]) -> BTreeMap<String, String> {
     let pairs = lines.iter().filter_map(|line| line.split_once(" = "));
     pairs
-        .map(|(word, instead)| (word.to_string(), instead.to_string()))
+        .map(|(word, replacement)| (word.to_string(), replacement.to_string()))
         .collect()
 }
--- a/tests/conventions/src/workspace.rs
+++ b/tests/conventions/src/workspace.rs
@@ -3,41 +3,41 @@
 
 /// A parsed source file of a crate.
 pub struct SourceFile {
-    /// Path from the root of the workspace.
+    /// Path relative to the workspace root.
     pub path: PathBuf,
     /// Module path within the crate, such as `["tracker", "progress"]`; empty for `lib.rs` and `main.rs`.
     pub module: Vec<String>,
-    /// Its syntax tree.
+    /// Syntax tree of the file.
     pub syntax: syn::File,
 }
 
-/// The workspace that this crate belongs to.
+/// The workspace that contains this crate.
 pub struct Workspace {
     root: PathBuf,
 }
 
 impl Workspace {
-    /// Finds the workspace two folders above this crate.
+    /// Locates the workspace root, two folders above this crate.
     pub fn find() -> Self {
         let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
         Self { root }
     }
 
-    /// A path in the workspace, given from its root.
+    /// Resolves a path that is relative to the workspace root.
     pub fn path(&self, relative: impl AsRef<Path>) -> PathBuf {
         self.root.join(relative)
     }
 
-    /// Content of a text file.
+    /// Returns the content of a text file.
     ///
     /// # Panics
-    /// Where the file cannot be read: a test that checks it has nothing to check.
+    /// If the file cannot be read, since a test would then have nothing to check.
     pub fn read(&self, relative: impl AsRef<Path>) -> String {
         let path = self.path(relative);
         fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
     }
 
-    /// Lines of a list, without comments and blank lines.
+    /// Returns the lines of a list file, without comments and blank lines.
     pub fn list(&self, relative: impl AsRef<Path>) -> Vec<String> {
         let text = self.read(relative);
         let lines = text.lines().map(str::trim);
@@ -45,13 +45,13 @@
         entries.map(str::to_string).collect()
     }
 
-    /// Folders of the crates that are held to the conventions.
+    /// Returns the folders of the crates that are checked against the conventions.
     pub fn done_crates(&self) -> Vec<String> {
         self.list("tests/conventions/done-crates.txt")
     }
 
-    /// All files with an ending below a folder, in the order of their paths, given from the root.
-    pub fn files(&self, folder: &str, ending: &str) -> Vec<PathBuf> {
+    /// Returns all files with an extension below a folder, as sorted paths relative to the workspace root.
+    pub fn files(&self, folder: &str, wanted_extension: &str) -> Vec<PathBuf> {
         let mut found = Vec::new();
         let mut folders = vec![PathBuf::from(folder)];
         while let Some(folder) = folders.pop() {
@@ -64,7 +64,7 @@
                     folders.push(path);
                 } else if path
                     .extension()
-                    .is_some_and(|extension| extension == ending)
+                    .is_some_and(|extension| extension == wanted_extension)
                 {
                     found.push(path);
                 }
@@ -74,10 +74,10 @@
         found
     }
 
-    /// The source files of a crate, without its tests.
+    /// Parses the source files of a crate, without its `tests` folder.
     ///
     /// # Panics
-    /// Where a file is no valid Rust.
+    /// If a file cannot be read or is not valid Rust.
     pub fn sources(&self, crate_folder: &str) -> Vec<SourceFile> {
         let source_folder = format!("{crate_folder}/src");
         let parse = |path: PathBuf| {
--- a/tests/conventions/tests/conformance.rs
+++ b/tests/conventions/tests/conformance.rs
@@ -1,14 +1,14 @@
-//! Every test and file that the conformance table names is there.
+//! Every test and file that the table of `docs/conformance.md` names exists.
 
 use conventions::Workspace;
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-/// Columns of a row: the sentence, where it is done, its test, its state.
+/// Columns of a row: the requirement, where it is implemented, its test, its status.
 const COLUMNS: usize = 4;
 
-/// Names between backticks, without what follows two colons.
+/// Returns the names between backticks, each cut at the first `::`.
 fn names(cell: &str) -> impl Iterator<Item = &str> {
     let quoted = cell.split('`').skip(1).step_by(2);
     quoted.map(|name| name.split("::").next().unwrap_or(name))
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_the_table_names_is_there() {
+fn files_and_tests_that_the_table_names_exist() {
     let root = Workspace::find().path("");
     let (mut text, mut files) = (String::new(), BTreeSet::new());
     add_sources(&root, &mut text, &mut files);
--- a/tests/conventions/tests/documents.rs
+++ b/tests/conventions/tests/documents.rs
@@ -1,13 +1,13 @@
-//! Documents name files and tests that exist.
+//! Files, tests and identifiers that documents name exist.
 
 use conventions::Workspace;
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-/// Folders whose files documents name by their whole path.
+/// Folders whose files are named by their full path in documents.
 const FOLDERS: [&str; 6] = ["crates/", "platform/", "tests/", "docs/", "deploy/", ".ci/"];
 
-/// Pages whose names of code must exist.
+/// Pages whose quoted identifiers must exist in the sources.
 const DESIGN_PAGES: [&str; 6] = [
     "docs/architecture.md",
     "docs/CAPACITY.md",
@@ -17,7 +17,7 @@
     "docs/platform-design.md",
 ];
 
-/// Texts between single backticks outside fenced blocks, with line breaks taken out.
+/// Returns the texts between single backticks outside fenced code blocks, with line breaks removed.
 fn quoted(text: &str) -> Vec<String> {
     let outside_fences: String = text.split("```").step_by(2).collect();
     let quotes = outside_fences.split('`').skip(1).step_by(2);
@@ -31,23 +31,23 @@
     documents
 }
 
-/// The paths that a quoted text names, from the workspace's root; none where it is a pattern, a command or something else.
-/// `consensus/src/{contact,serving}.rs` stands for two files of the crate.
+/// Returns the paths that a quoted text names, relative to the workspace root; none if it is a pattern, a command or another kind
+/// of text. `consensus/src/{contact,serving}.rs` names two files of the crate.
 fn paths(quote: &str) -> Vec<String> {
     if quote.contains([' ', '*', '<', ':', '…']) {
         return Vec::new();
     }
-    let is_whole = FOLDERS.iter().any(|folder| quote.starts_with(folder));
-    let is_of_a_crate = quote.contains("/src/") || quote.contains("/tests/");
-    let whole = match (is_whole, is_of_a_crate) {
+    let is_full_path = FOLDERS.iter().any(|folder| quote.starts_with(folder));
+    let is_crate_path = quote.contains("/src/") || quote.contains("/tests/");
+    let path = match (is_full_path, is_crate_path) {
         (true, _) => quote.to_string(),
         (false, true) => format!("crates/{quote}"),
         (false, false) => return Vec::new(),
     };
-    let parts = whole.split_once('{');
+    let parts = path.split_once('{');
     let parts = parts.and_then(|(before, rest)| Some((before, rest.split_once('}')?)));
     let Some((before, (names, after))) = parts else {
-        return vec![whole];
+        return vec![path];
     };
     let names = names.split(',');
     names.map(|name| format!("{before}{name}{after}")).collect()
@@ -116,7 +116,7 @@
         let is_test_name = |name: &String| {
             let is_snake = name
                 .chars()
-                .all(|letter| letter == '_' || letter.is_ascii_lowercase());
+                .all(|character| character == '_' || character.is_ascii_lowercase());
             is_snake && name.matches('_').count() >= 4
         };
         for name in quoted(&text).into_iter().filter(is_test_name) {
@@ -128,18 +128,22 @@
     assert!(missing.is_empty(), "{}", missing.join("\n"));
 }
 
-/// Texts between characters that no identifier has.
+/// Splits a text at characters that cannot occur in an identifier.
 fn identifiers(text: &str) -> impl Iterator<Item = &str> {
-    text.split(|letter: char| !letter.is_ascii_alphanumeric() && letter != '_')
+    text.split(|character: char| !character.is_ascii_alphanumeric() && character != '_')
 }
 
-/// Identifiers that a quoted text such as `protocol::{Release, SeatLease}` or `RoleLease` names; none where it is no path of code.
+/// Returns the identifiers in a quoted text such as `protocol::{Release, SeatLease}` or `RoleLease`; none if it is not a code
+/// path or type name.
 fn code_names(quote: &str) -> Vec<&str> {
-    let is_code = |letter: char| letter.is_ascii_alphanumeric() || "_:{}, ".contains(letter);
+    let is_code =
+        |character: char| character.is_ascii_alphanumeric() || "_:{}, ".contains(character);
     let is_path = quote.contains("::") && quote.chars().all(is_code);
-    let is_type = quote.starts_with(|letter: char| letter.is_ascii_uppercase())
-        && quote.contains(|letter: char| letter.is_ascii_lowercase())
-        && quote.chars().all(|letter| letter.is_ascii_alphanumeric());
+    let is_type = quote.starts_with(|character: char| character.is_ascii_uppercase())
+        && quote.contains(|character: char| character.is_ascii_lowercase())
+        && quote
+            .chars()
+            .all(|character| character.is_ascii_alphanumeric());
     if !is_path && !is_type {
         return Vec::new();
     }
--- a/tests/conventions/tests/log_lines.rs
+++ b/tests/conventions/tests/log_lines.rs
@@ -1,24 +1,24 @@
-//! Operators find each log line in the table of `docs/operators.md`.
+//! Each log line at level info and above is listed in the table of `docs/operators.md`.
 
 use conventions::{names, Workspace};
 
-/// A log line as the table shows it: `zones={zones:?}` stands as `zones=…`.
-fn shown(line: &str) -> String {
-    let mut shown = String::new();
+/// Returns a log line in the form used in the table: `zones={zones:?}` becomes `zones=…`.
+fn table_form(line: &str) -> String {
+    let mut text = String::new();
     let mut rest = line;
     while let Some((before, after)) = rest.split_once('{') {
         let Some((_, remaining)) = after.split_once('}') else {
             break;
         };
-        shown.push_str(before);
-        shown.push('…');
+        text.push_str(before);
+        text.push('…');
         rest = remaining;
     }
-    shown + rest
+    text + rest
 }
 
 #[test]
-fn log_lines_of_done_crates_stand_in_the_operators_table() {
+fn log_lines_of_done_crates_are_listed_in_the_operators_table() {
     let workspace = Workspace::find();
     let page = workspace.read("docs/operators.md");
     let mut missing = Vec::new();
@@ -27,7 +27,7 @@
         for file in workspace.sources(&folder) {
             for line in names::log_lines(&file) {
                 checked += 1;
-                let row = format!("| `{}` |", shown(&line));
+                let row = format!("| `{}` |", table_form(&line));
                 if !page.contains(&row) {
                     missing.push(format!("{}: {line}", file.path.display()));
                 }
@@ -39,11 +39,11 @@
 }
 
 #[test]
-fn placeholders_are_shown_as_dots() {
+fn placeholders_are_replaced_by_ellipses() {
     assert_eq!(
-        shown("gateway: drained in_flight={}"),
+        table_form("gateway: drained in_flight={}"),
         "gateway: drained in_flight=…"
     );
-    assert_eq!(shown("a={a:?} b={b}"), "a=… b=…");
-    assert_eq!(shown("nothing"), "nothing");
+    assert_eq!(table_form("a={a:?} b={b}"), "a=… b=…");
+    assert_eq!(table_form("nothing"), "nothing");
 }
--- a/tests/conventions/tests/names.rs
+++ b/tests/conventions/tests/names.rs
@@ -1,4 +1,4 @@
-//! Withdrawn words do not come back into names and log lines.
+//! Names and log lines do not use withdrawn words.
 
 use conventions::{names, Workspace};
 
@@ -19,8 +19,8 @@
                     .iter()
                     .filter_map(|word| withdrawn.get_key_value(word));
                 let path = file.path.display();
-                found.extend(words.map(|(word, instead)| {
-                    format!("{path}: `{name}` uses `{word}`; write {instead}")
+                found.extend(words.map(|(word, replacement)| {
+                    format!("{path}: `{name}` uses `{word}`; write {replacement}")
                 }));
             }
         }
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn names_of_this_crate_are_seen() {
+fn names_of_this_crate_are_collected() {
     let workspace = Workspace::find();
     let files = workspace.sources("tests/conventions");
     let all: Vec<String> = files.iter().flat_map(names::of_file).collect();
