--- a/crates/operator_commands/tests/cluster/faults.rs
+++ b/crates/operator_commands/tests/cluster/faults.rs
@@ -17,25 +17,25 @@
 
     /// Restarts a member. It loses its running commands, whose operators get no reply.
     fn restart_member(&mut self) {
-        let place = self.random.random_range(0..self.members.len());
+        let index = self.random.random_range(0..self.members.len());
         self.last_incarnation += 1;
-        self.members[place] = Member::new(self.last_incarnation);
+        self.members[index] = Member::new(self.last_incarnation);
     }
 
     /// Replaces a voter that lost its disk. The replacement gets the newest register states of the other two voters under a new
     /// voter set.
     fn replace_voter(&mut self) {
-        let place = self.random.random_range(0..self.voters.len());
+        let index = self.random.random_range(0..self.voters.len());
         let mut set = self.set.clone();
         set.number += 1;
-        set.voters[place].disk = 1_000 + set.number;
-        let others = (0..self.voters.len()).filter(|other| *other != place);
+        set.voters[index].disk = 1_000 + set.number;
+        let others = (0..self.voters.len()).filter(|other| *other != index);
         let others: Vec<usize> = others.collect();
         let keys = [CONFIGURATION, EVACUATIONS].into_iter().filter_map(|key| {
-            let held = others
+            let states = others
                 .iter()
                 .filter_map(|other| self.voters[*other].register(key));
-            let newest = held.max_by_key(|held| held.accepted)?;
+            let newest = states.max_by_key(|state| state.accepted)?;
             let newest = RegisterState {
                 promised: newest.accepted,
                 ..newest.clone()
@@ -47,7 +47,7 @@
         for other in others {
             self.voters[other].adopt_set(set.clone());
         }
-        self.voters[place] = replacement;
+        self.voters[index] = replacement;
         self.set = set;
         self.oracle.observe(&self.voters);
     }
--- a/crates/operator_commands/tests/cluster/mod.rs
+++ b/crates/operator_commands/tests/cluster/mod.rs
@@ -101,7 +101,7 @@
             set,
             voters: vec![voter; VOTERS as usize],
             members: (0..MEMBERS)
-                .map(|place| Member::new(place as u64 + 1))
+                .map(|index| Member::new(index as u64 + 1))
                 .collect(),
             in_transit: Vec::new(),
             oracle: Oracle::default(),
@@ -136,8 +136,8 @@
         if self.settings.has_faults {
             self.inject_fault();
         }
-        let place = self.random.random_range(0..self.operators.len());
-        self.advance_operator(place);
+        let index = self.random.random_range(0..self.operators.len());
+        self.advance_operator(index);
         for _ in 0..self.random.random_range(1..=24) {
             self.deliver_random_message();
         }
@@ -148,8 +148,8 @@
         if self.in_transit.is_empty() {
             return;
         }
-        let place = self.random.random_range(0..self.in_transit.len());
-        let envelope = self.in_transit.swap_remove(place);
+        let index = self.random.random_range(0..self.in_transit.len());
+        let envelope = self.in_transit.swap_remove(index);
         self.deliver(envelope);
     }
 
--- a/crates/operator_commands/tests/cluster/operators.rs
+++ b/crates/operator_commands/tests/cluster/operators.rs
@@ -42,26 +42,26 @@
 }
 
 impl Cluster {
-    pub fn advance_operator(&mut self, place: usize) {
-        let is_free = self.operators[place].pending.len() < IN_FLIGHT_MAX;
+    pub fn advance_operator(&mut self, index: usize) {
+        let is_free = self.operators[index].pending.len() < IN_FLIGHT_MAX;
         if is_free && !self.is_ending && self.random.random_bool(0.6) {
-            self.begin_command(place);
+            self.begin_command(index);
         }
         let (now, acknowledged) = (self.now, self.oracle.acknowledged_count());
         let is_ending = self.is_ending;
         let mut due = Vec::new();
-        for pending in &mut self.operators[place].pending {
+        for pending in &mut self.operators[index].pending {
             let has_resumed = is_ending || acknowledged >= pending.resumes_at;
             if has_resumed && now >= pending.sent_at + RETRY_STEPS {
                 due.push(pending.command);
             }
         }
         for command in due {
-            self.send_command(place, command);
+            self.send_command(index, command);
         }
     }
 
-    fn begin_command(&mut self, place: usize) {
+    fn begin_command(&mut self, index: usize) {
         self.last_command += 1;
         let number = self.last_command;
         let command = self.random_command(number);
@@ -80,8 +80,8 @@
             tries: 0,
             resumes_at,
         };
-        self.operators[place].pending.push(pending);
-        self.send_command(place, number);
+        self.operators[index].pending.push(pending);
+        self.send_command(index, number);
     }
 
     fn random_command(&mut self, number: u64) -> Command {
@@ -126,14 +126,14 @@
         }
     }
 
-    fn send_command(&mut self, place: usize, command: u64) {
+    fn send_command(&mut self, index: usize, command: u64) {
         self.last_attempt += 1;
         let attempt = CommandAttempt {
             command,
             number: self.last_attempt,
         };
         let is_evacuation = self.oracle.command(command).is_evacuation();
-        let pending = &mut self.operators[place].pending;
+        let pending = &mut self.operators[index].pending;
         let Some(at) = pending
             .iter()
             .position(|pending| pending.command == command)
--- a/crates/operator_commands/tests/cluster/oracle.rs
+++ b/crates/operator_commands/tests/cluster/oracle.rs
@@ -64,31 +64,31 @@
     /// Detects values that a majority of voters has accepted under one ballot, not necessarily at the same time.
     pub fn observe(&mut self, voters: &[Acceptor]) {
         for key in [CONFIGURATION, EVACUATIONS] {
-            for (place, voter) in voters.iter().enumerate() {
-                let held = voter.register(key).filter(|held| held.value.version > 0);
-                let Some(held) = held else {
+            for (index, voter) in voters.iter().enumerate() {
+                let state = voter.register(key).filter(|state| state.value.version > 0);
+                let Some(state) = state else {
                     continue;
                 };
-                let accepted = self.accepted.entry((key, held.accepted)).or_default();
-                let is_new = accepted.insert(place);
+                let accepted = self.accepted.entry((key, state.accepted)).or_default();
+                let is_new = accepted.insert(index);
                 if is_new && accepted.len() > voters.len() / 2 {
-                    self.record_committed(key, &held.value);
+                    self.record_committed(key, &state.value);
                 }
             }
         }
     }
 
     fn record_committed(&mut self, key: &str, stored: &VersionedValue) {
-        let place = (key.to_string(), stored.version);
-        if let Some((tag, bytes)) = self.committed.get(&place) {
+        let slot = (key.to_string(), stored.version);
+        if let Some((tag, bytes)) = self.committed.get(&slot) {
             assert!(
                 *tag == stored.tag && *bytes == stored.bytes,
-                "two values at {place:?}"
+                "two values at {slot:?}"
             );
             return;
         }
         self.committed
-            .insert(place, (stored.tag, stored.bytes.clone()));
+            .insert(slot, (stored.tag, stored.bytes.clone()));
         if key == EVACUATIONS {
             let evacuations = Evacuations::read(&stored.bytes).unwrap();
             self.evacuations.insert(stored.version, evacuations);
