--- a/tests/model/src/consensus/system.rs
+++ b/tests/model/src/consensus/system.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Maximum number of messages in one round; more are taken for an endless exchange of messages.
+/// Maximum number of messages in one round; more are treated as an endless exchange of messages.
 const MAX_MESSAGES_PER_ROUND: usize = 5_000;
 /// Clients send requests in every round whose number is a multiple of this.
 const REQUEST_INTERVAL_ROUNDS: u64 = 2;
@@ -86,7 +86,7 @@
             }
             Fault::Isolate { index, .. } => {
                 let is_lasting = active_faults.any(
-                    |one| matches!(one.fault, Fault::Isolate { index: cut, .. } if cut == index),
+                    |active| matches!(active.fault, Fault::Isolate { index: cut, .. } if cut == index),
                 );
                 runs(index) && !is_lasting
             }
@@ -155,7 +155,7 @@
         let round = self.round;
         let all = std::mem::take(&mut self.active_faults);
         let (ended, remaining): (Vec<ActiveFault>, _) =
-            all.into_iter().partition(|one| one.until <= round);
+            all.into_iter().partition(|active| active.until <= round);
         self.active_faults = remaining;
         let seeds: Vec<String> = (0..members).map(address).collect();
         for active in ended {
@@ -178,14 +178,15 @@
 
     fn is_lost(&self, index: usize) -> bool {
         let mut active_faults = self.active_faults.iter();
-        active_faults.any(|one| one.fault == Fault::Lose { index })
+        active_faults.any(|active| active.fault == Fault::Lose { index })
     }
 
     /// Whether a machine is paused.
     pub fn is_frozen(&self, index: usize) -> bool {
         let mut active_faults = self.active_faults.iter();
-        active_faults
-            .any(|one| matches!(one.fault, Fault::Freeze { index: frozen, .. } if frozen == index))
+        active_faults.any(
+            |active| matches!(active.fault, Fault::Freeze { index: frozen, .. } if frozen == index),
+        )
     }
 
     /// Sends client requests: machines 0 and 1 write concurrently, the others read.
@@ -270,8 +271,8 @@
     fn is_crash_due(&self, index: usize) -> bool {
         let handled = self.handled[index];
         let mut active_faults = self.active_faults.iter();
-        active_faults.any(|one| {
-            matches!(one.fault, Fault::Crash { index: crashed, after, .. }
+        active_faults.any(|active| {
+            matches!(active.fault, Fault::Crash { index: crashed, after, .. }
                 if crashed == index && after == handled)
         })
     }
@@ -306,7 +307,7 @@
             for action in actions {
                 match action {
                     ConsensusAction::Send { to, message } => self.send(index, &to, message),
-                    ConsensusAction::Disk(one) => work.push(one),
+                    ConsensusAction::Disk(task) => work.push(task),
                     ConsensusAction::RequestCompleted { token, outcome } => {
                         self.history.end(token, &outcome)?
                     }
--- a/tests/model/src/registers/exploration.rs
+++ b/tests/model/src/registers/exploration.rs
@@ -218,10 +218,11 @@
     fn reached(&self, state: &System) -> Vec<bool> {
         let new_member = state.disks.get(&NEW_MEMBER);
         let votes = new_member.is_some_and(|disk| disk.acceptor().set().epoch > 0);
-        let committed = state.proposers.iter().filter(|one| {
-            one.key == VALUE_KEY && matches!(one.outcome, Some(ChangeOutcome::Committed(_)))
+        let committed = state.proposers.iter().filter(|proposer| {
+            proposer.key == VALUE_KEY
+                && matches!(proposer.outcome, Some(ChangeOutcome::Committed(_)))
         });
-        let is_second = committed.clone().any(|one| one.set.number == 2);
+        let is_second = committed.clone().any(|proposer| proposer.set.number == 2);
         vec![
             state.acknowledged > 0,
             votes,
--- a/tests/model/src/registers/state.rs
+++ b/tests/model/src/registers/state.rs
@@ -110,7 +110,8 @@
     }
 
     fn drop_responses_to(&mut self, proposer: usize) {
-        self.responses.retain(|(one, _, _)| *one != proposer);
+        self.responses
+            .retain(|(recipient, _, _)| *recipient != proposer);
     }
 
     pub(super) fn handle(&mut self, index: usize, disk: u64) {
@@ -194,10 +195,14 @@
     }
 
     fn has_enough_replica_pages(&self) -> bool {
-        let others = self.set.voters.iter().filter(|one| one.disk != NEW_MEMBER);
+        let others = self
+            .set
+            .voters
+            .iter()
+            .filter(|member| member.disk != NEW_MEMBER);
         let received = others
             .clone()
-            .filter(|one| self.replica_pages.contains_key(&one.disk));
+            .filter(|member| self.replica_pages.contains_key(&member.disk));
         received.count() > others.count() / 2
     }
 
