--- a/crates/operator_commands/src/decision.rs
+++ b/crates/operator_commands/src/decision.rs
@@ -67,14 +67,14 @@
 
 fn read_configuration(bytes: &[u8]) -> Decision {
     let Some(configuration) = ConfigurationRecord::read(bytes) else {
-        return leave_undecided("the current configuration cannot be decoded");
+        return leave_undecided("the configuration in place cannot be read");
     };
     if configuration.version == 0 {
         return reject(RejectionKind::NotFound, "there is no configuration yet");
     }
     match configuration.document() {
         Some(document) => Decision::Reply(CommandReply::Document(document)),
-        None => leave_undecided("the current configuration cannot be decompressed"),
+        None => leave_undecided("the configuration in place cannot be unpacked"),
     }
 }
 
@@ -82,7 +82,7 @@
 /// idempotent instead: if the zone is already in the requested state, the command is acknowledged without a write.
 fn decide_evacuation(bytes: &[u8], zone: &str, is_begin: bool) -> Decision {
     let Some(evacuations) = Evacuations::read(bytes) else {
-        return leave_undecided("the current evacuations cannot be decoded");
+        return leave_undecided("the evacuations in place cannot be read");
     };
     if evacuations.is_evacuated(zone) == is_begin {
         return Decision::Reply(CommandReply::Acknowledged);
@@ -96,7 +96,7 @@
     format: &dyn ConfigurationFormat,
 ) -> Decision {
     let Some(version) = command.version else {
-        return reject(RejectionKind::Invalid, "the version cannot be parsed");
+        return reject(RejectionKind::Invalid, "the version cannot be read");
     };
     let base = match base_version(command) {
         Ok(base) => base,
@@ -104,11 +104,11 @@
     };
     // Such a command can never be accepted, whatever the current version is.
     if version <= base {
-        let reason = format!("version {version} is not greater than the base version {base}");
+        let reason = format!("version {version} is not above its base {base}");
         return reject(RejectionKind::Invalid, reason);
     }
     let Some(current) = ConfigurationRecord::read(bytes) else {
-        return leave_undecided("the current configuration cannot be decoded");
+        return leave_undecided("the configuration in place cannot be read");
     };
     let digest = CommandDigest::of(&command.kind, base, version, &command.body);
     match current.accepted.look_up(base, version, digest) {
@@ -145,7 +145,7 @@
     format: &dyn ConfigurationFormat,
 ) -> Decision {
     let Some(old) = current.document() else {
-        return leave_undecided("the current configuration cannot be decompressed");
+        return leave_undecided("the configuration in place cannot be unpacked");
     };
     match checked_document(command, &old, format) {
         Err(error) => reject(RejectionKind::Invalid, error),
