--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,22 +1,23 @@
-//! The body of a message: of a known length, or in chunks.
+//! Reading message bodies, either with a known length or chunked.
 
 use crate::head::{is_name, is_value, LineScan};
 use crate::{HttpError, MessageLimits};
 
 const LINE_END: &[u8] = b"\r\n";
 
-/// Most bytes of a chunk's first line, its extension included, so that a peer can't have the line buffered for ever.
+/// Maximum size in bytes of a chunk's size line, including its extension, so that a peer can't make it grow without limit.
 const MAX_SIZE_LINE_BYTES: usize = 256;
 
-/// Most hexadecimal digits of a chunk size: those of 64 bits. Leading zeros count, since some readers cut long numbers.
+/// Maximum number of hexadecimal digits of a chunk size, as for 64 bits. Leading zeros count, since some readers truncate long
+/// numbers.
 const MAX_SIZE_DIGITS: usize = 16;
 
-/// Reads one body off the bytes behind a head.
+/// Reads one body from the bytes after a head.
 #[derive(Debug)]
 pub(crate) enum BodyReader {
-    /// A body of so many bytes, which are left in the caller's buffer until all have arrived.
+    /// A body of this many bytes, which stay in the caller's buffer until all have arrived.
     Length(usize),
-    /// A body in chunks, which are taken off the caller's buffer as they arrive.
+    /// A chunked body, whose chunks are removed from the caller's buffer as they arrive.
     Chunked(ChunkReader),
 }
 
@@ -32,7 +33,7 @@
         BodyReader::Chunked(ChunkReader::default())
     }
 
-    /// Bytes of the body that were taken off the caller's buffer.
+    /// Number of body bytes that were already removed from the caller's buffer.
     pub(crate) fn consumed_bytes(&self) -> usize {
         match self {
             BodyReader::Length(_) => 0,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Reads on from `position` and moves it behind what is done with; the whole body once its end was found.
+    /// Continues reading at `position` and advances it past the consumed bytes. Returns the whole body once its end was found.
     pub(crate) fn read(
         &mut self,
         bytes: &[u8],
@@ -59,26 +60,26 @@
     }
 }
 
-/// A body in chunks (RFC 9112, 7.1) and where its reading stands.
+/// Incremental reader of a chunked body (RFC 9112, 7.1).
 #[derive(Debug, Default)]
 pub(crate) struct ChunkReader {
     body: Vec<u8>,
     phase: Phase,
     line: LineScan,
-    /// Bytes of all chunk extensions so far.
+    /// Total size of the chunk extensions so far, in bytes.
     extension_bytes: usize,
-    /// Bytes of all trailer lines so far.
+    /// Total size of the trailer lines so far, in bytes.
     trailer_bytes: usize,
 }
 
-/// What the next bytes of a chunked body are.
+/// What the next bytes of a chunked body belong to.
 #[derive(Clone, Copy, Debug, Default)]
 enum Phase {
     #[default]
     Size,
-    /// So many more bytes of a chunk.
+    /// A chunk of which this many bytes are missing.
     Data(usize),
-    /// The line end behind a chunk.
+    /// The line end after a chunk.
     DataEnd,
     Trailers,
 }
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The length of a size line with its end, if it has arrived whole.
+    /// Length of the size line including its CRLF, if it has arrived completely.
     fn read_size(
         &mut self,
         rest: &[u8],
@@ -125,7 +126,7 @@
         Ok(Some(end + LINE_END.len()))
     }
 
-    /// Takes the bytes of the chunk that have arrived, and gives their number.
+    /// Appends the received bytes of the chunk to the body and returns their number.
     fn read_data(&mut self, rest: &[u8], missing: usize) -> usize {
         let length = missing.min(rest.len());
         self.body.extend_from_slice(&rest[..length]);
@@ -148,7 +149,7 @@
         Err(HttpError::Malformed("chunk does not end in CRLF"))
     }
 
-    /// The length of a size line without its end, if it has arrived whole.
+    /// Length of the size line without its CRLF, if it has arrived completely.
     fn size_line(&mut self, rest: &[u8]) -> Result<Option<usize>, HttpError> {
         let within = &rest[..rest.len().min(MAX_SIZE_LINE_BYTES)];
         let end = self.line.end(within)?;
@@ -158,7 +159,7 @@
         Ok(end)
     }
 
-    /// What follows a size line.
+    /// Parses a size line and returns the phase that follows it.
     fn after_size(&mut self, line: &[u8], limits: &MessageLimits) -> Result<Phase, HttpError> {
         let digits = line
             .iter()
@@ -188,7 +189,7 @@
         Ok(Phase::Data(size))
     }
 
-    /// The length of a trailer line without its end, if it has arrived whole; 0 is the line that ends the body.
+    /// Length of a trailer line without its CRLF, if it has arrived completely; 0 for the empty line that ends the body.
     fn trailer_line(
         &mut self,
         rest: &[u8],
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -1,25 +1,25 @@
-//! Why bytes are not a message.
+//! Errors of reading messages.
 
 use std::error::Error;
 use std::fmt;
 
-/// Why bytes are not a message. For a request, `status` is what the client gets.
+/// Why a message was rejected. For a request, [`status`](Self::status) is the status code of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpError {
-    /// The bytes break the protocol (400).
+    /// The bytes violate the protocol, for the given reason (400).
     Malformed(&'static str),
-    /// The head, its trailers or its chunk extensions are over the bound (431).
+    /// The head, the trailers or the chunk extensions exceed the limit (431).
     HeadTooLarge,
-    /// The body is over the bound (413).
+    /// The body exceeds the limit (413).
     BodyTooLarge,
-    /// A transfer coding besides `chunked` is asked for (501).
+    /// The message uses a registered transfer coding in addition to `chunked` (501).
     UnsupportedTransferCoding,
     /// The version is neither HTTP/1.0 nor HTTP/1.1 (505).
     UnsupportedVersion,
 }
 
 impl HttpError {
-    /// The status code (400 to 505) that answers a request with this error.
+    /// Status code (400 to 505) of the response to a request with this error.
     pub fn status(&self) -> u16 {
         match self {
             HttpError::Malformed(_) => 400,
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,22 +1,22 @@
-//! The head of a message: where it ends, how it says that its body is framed, and what its parts may hold.
+//! The head of a message: finding its end, reading the body's framing, and validating names and values.
 
 use crate::hop_by_hop::list_elements;
 use crate::{Headers, HttpError, MessageLimits};
 
-/// Most header fields of one message; the parser's table stands on the stack.
+/// Maximum number of header fields of one message; the parser's table is on the stack.
 pub(crate) const MAX_FIELDS: usize = 100;
-/// Registered transfer codings besides `chunked`. A message that names one is understood and refused as not implemented;
-/// any other word is an error of the sender.
+/// Registered transfer codings besides `chunked`. Such a coding before `chunked` is rejected as not implemented; any other
+/// value is a protocol error.
 const KNOWN_CODINGS: [&str; 5] = ["gzip", "x-gzip", "deflate", "compress", "x-compress"];
 
-/// Looks for the end of one line in bytes that arrive in pieces, without looking at a byte twice.
+/// Finds the end of a line in bytes that arrive in pieces, without scanning a byte twice.
 #[derive(Debug, Default)]
 pub(crate) struct LineScan {
     scanned: usize,
 }
 
 impl LineScan {
-    /// The length of the line without its CRLF, if it has arrived whole. `bytes` begins at the line's start each time.
+    /// Length of the line without its CRLF, if it has arrived completely. `bytes` must begin at the line's start on every call.
     pub(crate) fn end(&mut self, bytes: &[u8]) -> Result<Option<usize>, HttpError> {
         let is_break = |byte: &u8| matches!(byte, b'\r' | b'\n');
         let Some(found) = bytes[self.scanned..].iter().position(is_break) else {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Looks for the empty line that ends a head.
+/// Finds the empty line that ends a head.
 #[derive(Debug, Default)]
 pub(crate) struct HeadScan {
     line: LineScan,
@@ -63,7 +63,7 @@
     }
 }
 
-/// How a head says that its body is framed.
+/// Body framing that a head declares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
     Absent,
@@ -71,7 +71,7 @@
     Chunked,
 }
 
-/// Reads the framing. Whatever two readers could understand in different ways is an error (request smuggling).
+/// Determines the framing. Anything that two readers could interpret differently is an error, to prevent request smuggling.
 pub(crate) fn framing(headers: &Headers, is_http_1_0: bool) -> Result<Framing, HttpError> {
     let mut lengths = headers.get_all("Content-Length");
     let mut codings = headers.get_all("Transfer-Encoding");
@@ -130,7 +130,7 @@
     Err(HttpError::Malformed("transfer coding is not chunked alone"))
 }
 
-/// Says why the parser refused a head.
+/// Maps a parser error to the reason for rejecting the head.
 pub(crate) fn error_from_httparse(error: httparse::Error, head: &[u8]) -> HttpError {
     match error {
         httparse::Error::TooManyHeaders => HttpError::HeadTooLarge,
@@ -157,17 +157,17 @@
     major.is_ascii_digit() && minor.is_ascii_digit()
 }
 
-/// Whether a byte may stand in a token (RFC 9110, 5.6.2).
+/// Whether a byte is allowed in a token (RFC 9110, 5.6.2).
 pub(crate) fn is_token_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
 
-/// Whether a header field may have this name.
+/// Whether this is a valid name of a header field.
 pub(crate) fn is_name(name: &[u8]) -> bool {
     !name.is_empty() && name.iter().all(|&byte| is_token_byte(byte))
 }
 
-/// Whether a header field may have this value: no control byte but the tab.
+/// Whether this is a valid value of a header field: no control characters except tab.
 pub(crate) fn is_value(value: &[u8]) -> bool {
     value
         .iter()
--- a/crates/http1/src/headers.rs
+++ b/crates/http1/src/headers.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-/// Header fields in the order of their arrival. All names share one allocation, as do all values.
+/// Header fields in the order in which they were received or added. All names share one allocation, as do all values.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
     names: String,
@@ -17,12 +17,12 @@
 }
 
 impl Headers {
-    /// No fields.
+    /// Creates an empty list of fields.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Copies the parser's fields.
+    /// Copies the fields that the parser found.
     pub(crate) fn from_parsed(parsed: &[httparse::Header<'_>]) -> Self {
         let mut headers = Self {
             names: String::with_capacity(parsed.iter().map(|field| field.name.len()).sum()),
@@ -35,7 +35,7 @@
         headers
     }
 
-    /// Adds a field behind the others.
+    /// Appends a field.
     pub fn push(&mut self, name: &str, value: impl AsRef<[u8]>) {
         let (name_start, value_start) = (self.names.len(), self.values.len());
         self.names.push_str(name);
@@ -46,14 +46,14 @@
         });
     }
 
-    /// The first value under a name in any case.
+    /// The first value of the field with this name, compared case-insensitively.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         let mut fields = self.iter();
         let found = fields.find(|(other, _)| other.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value)
     }
 
-    /// All values under a name in any case.
+    /// All values of fields with this name, compared case-insensitively.
     pub fn get_all<'a, 'n>(
         &'a self,
         name: &'n str,
@@ -63,12 +63,12 @@
             .map(|(_, value)| value)
     }
 
-    /// The first value under a name, if it is UTF-8.
+    /// The first value of the field with this name, if it is valid UTF-8.
     pub fn get_text(&self, name: &str) -> Option<&str> {
         std::str::from_utf8(self.get(name)?).ok()
     }
 
-    /// Names and values in order.
+    /// Names and values of all fields, in order.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> + Clone {
         self.fields.iter().map(|field| {
             let name = &self.names[field.name.clone()];
@@ -76,12 +76,12 @@
         })
     }
 
-    /// How many fields there are.
+    /// Number of fields.
     pub fn len(&self) -> usize {
         self.fields.len()
     }
 
-    /// Whether there is no field.
+    /// Whether there are no fields.
     pub fn is_empty(&self) -> bool {
         self.fields.is_empty()
     }
--- a/crates/http1/src/hop_by_hop.rs
+++ b/crates/http1/src/hop_by_hop.rs
@@ -1,8 +1,8 @@
-//! Which header fields concern one connection alone, and what they say about it (RFC 9110, 7.6.1).
+//! Hop-by-hop header fields, which apply to one connection only (RFC 9110, 7.6.1).
 
 use crate::Headers;
 
-/// Fields that are never passed along, in the spelling of their specification.
+/// Fields that are never forwarded, spelled as in their specifications.
 const HOP_BY_HOP: [&str; 11] = [
     "Connection",
     "Content-Length",
@@ -17,17 +17,17 @@
     "Upgrade",
 ];
 
-/// Whether a field is never passed along, whatever `Connection` names.
+/// Whether a field is never forwarded, regardless of what `Connection` lists.
 pub(crate) fn is_hop_by_hop(name: &str) -> bool {
     HOP_BY_HOP.iter().any(|hop| hop.eq_ignore_ascii_case(name))
 }
 
-/// Whether the `Connection` fields name this option, in any case.
+/// Whether a `Connection` field lists this option, compared case-insensitively.
 pub(crate) fn has_option(headers: &Headers, wanted: &str) -> bool {
     options(headers).any(|option| option.eq_ignore_ascii_case(wanted.as_bytes()))
 }
 
-/// What the `Connection` fields name: `close`, `keep-alive`, and fields of this connection.
+/// The options listed in the `Connection` fields: `close`, `keep-alive` and the names of hop-by-hop fields.
 fn options(headers: &Headers) -> impl Iterator<Item = &[u8]> {
     headers.get_all("Connection").flat_map(list_elements)
 }
@@ -40,7 +40,7 @@
         .filter(|item| !item.is_empty())
 }
 
-/// Whether the connection takes another message behind this one.
+/// Whether the connection can be used for another message after this one.
 pub(crate) fn keeps_alive(headers: &Headers, is_http_1_0: bool) -> bool {
     if has_option(headers, "close") {
         return false;
@@ -48,9 +48,8 @@
     !is_http_1_0 || has_option(headers, "keep-alive")
 }
 
-/// The fields that are passed along: all but those that concern one connection, which are the
-/// hop-by-hop fields, the framing, and whatever `Connection` names (`Host` excepted, without which
-/// there is no request).
+/// The fields to forward: all except the hop-by-hop fields, the framing, and the fields that
+/// `Connection` lists. `Host` is always forwarded, because a request without it is invalid.
 pub fn end_to_end(headers: &Headers) -> impl Iterator<Item = (&str, &[u8])> {
     let names_fields = options(headers).any(|option| {
         !option.eq_ignore_ascii_case(b"close") && !option.eq_ignore_ascii_case(b"keep-alive")
@@ -63,7 +62,7 @@
     })
 }
 
-/// The seconds after which the peer closes an idle connection, where its `Keep-Alive` field gives them.
+/// Idle timeout of the peer in seconds, if its `Keep-Alive` field states one.
 pub fn idle_seconds(headers: &Headers) -> Option<u64> {
     headers
         .get_all("Keep-Alive")
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 messages over bytes that arrive piece by piece. Nothing here does I/O: readers take
-//! whole messages off the start of a buffer, and writers append to one.
+//! Incremental parsing and serialization of HTTP/1.1 messages, without I/O: readers take whole
+//! messages from the start of a buffer, and writers append to one.
 //!
 //! Readers are strict, so that no two parties can disagree about where a message ends.
 #![warn(missing_docs)]
@@ -21,12 +21,12 @@
 pub use response::{Response, ResponseReader};
 pub use write::{write_request, write_response, CONTINUE};
 
-/// How large a message may be.
+/// Size limits of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageLimits {
-    /// Bytes of a head up to and with its empty line; also those of trailers and, in sum, those of
-    /// chunk extensions.
+    /// Maximum size of a head in bytes, including its final empty line. Also applies to all trailers
+    /// together and to all chunk extensions together.
     pub header_bytes: usize,
-    /// Bytes of a body without its framing.
+    /// Maximum size of a body in bytes, without its framing.
     pub body_bytes: usize,
 }
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -10,7 +10,7 @@
 /// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The method in the case in which it was sent.
+    /// The method exactly as sent; its case is preserved.
     pub method: String,
     /// Path and query exactly as sent: it begins with a slash, or is `*` for OPTIONS.
     pub target: String,
@@ -18,19 +18,19 @@
     pub headers: Headers,
     /// The body without its framing; trailers are dropped.
     pub body: Vec<u8>,
-    /// Whether the client takes further responses on the connection.
+    /// Whether the connection can be used for further requests.
     pub keeps_alive: bool,
-    /// Whether the client speaks HTTP/1.0.
+    /// Whether the request uses HTTP/1.0.
     pub is_http_1_0: bool,
 }
 
-/// Reads requests off the start of a buffer, one after the other. It keeps what it has read of a
-/// partial request, so each connection has one reader and one buffer. After an error it gives the
-/// same error for ever, since nobody can tell where the next request begins.
+/// Reads requests from the start of a buffer, one after another. It keeps the state of a partial
+/// request, so each connection needs its own reader and buffer. After an error it returns the same
+/// error permanently, since the start of the next request can't be determined.
 #[derive(Debug, Default)]
 pub struct RequestReader {
     scan: HeadScan,
-    /// One empty line before a request is tolerated (RFC 9112, 2.2).
+    /// Whether an empty line before the request was skipped; only one is tolerated (RFC 9112, 2.2).
     has_skipped_line: bool,
     pending: Option<(Request, BodyReader)>,
     expects_continue: bool,
@@ -38,13 +38,13 @@
 }
 
 impl RequestReader {
-    /// A reader for a new connection.
+    /// Creates a reader for a new connection.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the next whole request off the buffer and leaves the bytes behind it. `None` asks for
-    /// more bytes; what the reader is done with has then left the buffer already.
+    /// Removes the next whole request from the buffer and leaves the bytes after it. Returns `None`
+    /// if more bytes are needed; the bytes consumed so far are then already removed from the buffer.
     pub fn read(
         &mut self,
         buffer: &mut Vec<u8>,
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Whether a request has begun to arrive of which the rest is missing.
+    /// Whether part of a request has arrived but not all of it.
     pub fn has_begun(&self, buffer: &[u8]) -> bool {
         self.pending.is_some() || !(buffer.is_empty() || buffer == b"\r" || buffer == b"\r\n")
     }
 
     /// Whether the client waits for [`CONTINUE`](crate::CONTINUE) before it sends the body. Stays
-    /// true until bytes of the body have been read, so the caller remembers what it has sent.
+    /// true until body bytes have arrived, so the caller must remember whether it has sent it.
     pub fn expects_continue(&self) -> bool {
         self.expects_continue
     }
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -7,45 +7,45 @@
 use crate::hop_by_hop::keeps_alive;
 use crate::{Headers, HttpError, MessageLimits};
 
-/// What every response begins with, whatever the minor version.
+/// Prefix of every response, regardless of the minor version.
 const VERSION_PREFIX: &[u8] = b"HTTP/1.";
 
 /// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// From 200 to 599.
+    /// Status code, from 200 to 599.
     pub status: u16,
     /// All fields, hop-by-hop ones included.
     pub headers: Headers,
     /// The body without its framing; trailers are dropped.
     pub body: Vec<u8>,
-    /// Whether the connection takes further requests.
+    /// Whether the connection can be used for further requests.
     pub keeps_alive: bool,
 }
 
-/// Reads responses off the start of a buffer. Like the reader of requests it keeps what it has read
-/// of a partial response, and gives the same error forever after one.
+/// Reads responses from the start of a buffer. Like [`RequestReader`](crate::RequestReader) it keeps
+/// the state of a partial response and returns the same error permanently after the first one.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
     is_head_request: bool,
     scan: HeadScan,
-    /// Bytes of the interim responses (1xx) before the one that is read.
+    /// Total size in bytes of the interim responses (1xx) before the current response.
     interim_bytes: usize,
     pending: Option<(Response, Delimiter)>,
     error: Option<HttpError>,
 }
 
-/// What ends the body of a response.
+/// How the end of a response body is determined.
 #[derive(Debug)]
 enum Delimiter {
-    /// Its framing.
+    /// By its framing.
     Framing(BodyReader),
-    /// The close of the connection; at most so many bytes may come before it.
+    /// By the close of the connection, after at most `body_bytes` bytes.
     Close { body_bytes: usize },
 }
 
 impl ResponseReader {
-    /// A reader for the response to one request; responses to HEAD have no body.
+    /// Creates a reader for the response to one request; responses to HEAD have no body.
     pub fn new(is_head_request: bool) -> Self {
         Self {
             is_head_request,
@@ -56,9 +56,9 @@
         }
     }
 
-    /// Takes the next whole response off the buffer and leaves the bytes behind it; interim responses
-    /// (1xx) are skipped. `None` asks for more bytes, or for [`end_of_stream`](Self::end_of_stream) once the
-    /// peer has closed.
+    /// Removes the next whole response from the buffer and leaves the bytes after it; interim responses
+    /// (1xx) are skipped. Returns `None` if it needs more bytes or, once the peer has closed, a call of
+    /// [`end_of_stream`](Self::end_of_stream).
     pub fn read(
         &mut self,
         buffer: &mut Vec<u8>,
@@ -80,9 +80,9 @@
         }
     }
 
-    /// The peer has closed, and all bytes before that have been given to [`read`](Self::read).
-    /// Completes a response that is delimited by the close. `None` means that nothing of a response
-    /// had come; one that is cut short is an error.
+    /// Called when the peer has closed and all bytes before that have been passed to [`read`](Self::read).
+    /// Completes a response that is delimited by the close. Returns `None` if no response had begun; a
+    /// truncated response is an error.
     pub fn end_of_stream(&mut self, buffer: &mut Vec<u8>) -> Result<Option<Response>, HttpError> {
         if let Some(error) = self.error {
             return Err(error);
@@ -101,17 +101,17 @@
         Ok(Some(response))
     }
 
-    /// Whether a response has begun to arrive of which the rest is missing.
+    /// Whether part of a response has arrived but not all of it.
     pub fn has_begun(&self, buffer: &[u8]) -> bool {
         self.pending.is_some() || self.interim_bytes > 0 || !buffer.is_empty()
     }
 
-    /// The response whose head has come and whose body is not complete.
+    /// The response whose head has arrived and whose body is incomplete.
     pub fn partial(&self) -> Option<&Response> {
         self.pending.as_ref().map(|(response, _)| response)
     }
 
-    /// Bytes of an incomplete response's body that were taken off the buffer.
+    /// Number of body bytes of an incomplete response that were already removed from the buffer.
     pub fn consumed_bytes(&self) -> usize {
         match &self.pending {
             Some((_, Delimiter::Framing(reader))) => reader.consumed_bytes(),
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Whether all further bytes belong to the body of a response that lasts until the peer closes.
+    /// Whether all further bytes belong to a response body that ends when the peer closes.
     pub fn is_close_delimited(&self) -> bool {
         matches!(self.pending, Some((_, Delimiter::Close { .. })))
     }
@@ -232,7 +232,7 @@
     if !(100..=599).contains(&code) {
         return Err(HttpError::Malformed("malformed status"));
     }
-    // A status line that was cut short has the next response behind it: its reason belongs to neither.
+    // A truncated status line runs into the next response, whose status line then appears in the reason phrase.
     let reason = parsed.reason.unwrap_or_default().as_bytes();
     if reason
         .windows(VERSION_PREFIX.len())
--- a/crates/http1/src/status.rs
+++ b/crates/http1/src/status.rs
@@ -50,7 +50,7 @@
     (505, "HTTP Version Not Supported"),
 ];
 
-/// The phrase of a status code; empty for a code that is not registered.
+/// The reason phrase of a status code; empty for an unregistered code.
 pub(crate) fn reason(status: u16) -> &'static str {
     let place = REASON_PHRASES.binary_search_by_key(&status, |(code, _)| *code);
     place.map_or("", |place| REASON_PHRASES[place].1)
--- a/crates/http1/src/write.rs
+++ b/crates/http1/src/write.rs
@@ -4,15 +4,15 @@
 use crate::hop_by_hop::is_hop_by_hop;
 use crate::status::reason;
 
-/// Bytes reserved for a head, so that most messages are written without a second allocation.
+/// Number of bytes reserved for a head, so that most messages are written without a second allocation.
 const TYPICAL_HEAD_BYTES: usize = 512;
 
-/// The interim response for a client that expects one before it sends its body.
+/// The interim response to a client that sent `Expect: 100-continue`.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Appends a request. Framing is written anew and hop-by-hop fields are left out (`Keep-Alive`
-/// excepted), as are fields that could not be read back; a missing `Host` is written empty.
-/// Method and target are the caller's to check.
+/// Appends a request. The framing fields are generated. Hop-by-hop fields other than `Keep-Alive` and
+/// fields with an invalid name or value are left out, and a missing `Host` is written empty. The
+/// caller must have validated method and target.
 pub fn write_request<'a>(
     out: &mut Vec<u8>,
     method: &str,
@@ -39,9 +39,9 @@
     out.extend_from_slice(body);
 }
 
-/// Appends a response. Fields are treated as in [`write_request`]. The length is written unless the
-/// status has no body (1xx, 204, 304); for HEAD it is that of the body given, which stays unsent,
-/// and is left out if the body is empty, because then it is not known.
+/// Appends a response. Fields are filtered as in [`write_request`]. `Content-Length` is written unless
+/// the status has no body (1xx, 204, 304). For HEAD it is the length of the given body, which is not
+/// sent; it is left out if that body is empty, because then the length is not known.
 pub fn write_response<'a>(
     out: &mut Vec<u8>,
     status: u16,
--- a/crates/http1/tests/common/mod.rs
+++ b/crates/http1/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Drawn messages, and readers with the limits that all tests share.
+//! Generators of random messages, and readers with the limits that all tests share.
 #![allow(dead_code)]
 
 use http1::{HttpError, MessageLimits, Request, RequestReader, Response, ResponseReader};
@@ -8,7 +8,7 @@
     body_bytes: 64 * 1024,
 };
 
-/// Numbers drawn from fuzzed bytes: the same bytes give the same draws.
+/// Pseudo-random numbers derived from fuzzed bytes: the same bytes give the same numbers.
 pub struct Draws<'a> {
     bytes: &'a [u8],
     at: usize,
@@ -33,8 +33,8 @@
     }
 }
 
-/// Gives bytes to a reader in drawn pieces, until all are given or something comes out. Returns
-/// what came out and all bytes that were not taken.
+/// Passes bytes to a reader in pieces of random size, until all are passed or the reader returns a
+/// message. Returns that message and all bytes that were not consumed.
 pub fn piecewise<T>(
     whole: &[u8],
     draws: &mut Draws<'_>,
--- a/crates/http1/tests/fields.rs
+++ b/crates/http1/tests/fields.rs
@@ -1,4 +1,4 @@
-//! Which fields are passed along, and what is said on one connection only.
+//! Forwarding of end-to-end fields, and handling of hop-by-hop fields.
 
 mod common;
 
--- a/crates/http1/tests/requests.rs
+++ b/crates/http1/tests/requests.rs
@@ -1,5 +1,5 @@
-//! Requests under fuzzing: whole ones read back the same however they are cut, and nothing is
-//! taken for a request that another reader would read differently.
+//! Fuzz tests of requests: a whole request is read back unchanged however it is split, and nothing
+//! is accepted as a request that another reader would interpret differently.
 
 mod common;
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// A head with drawn white space, and sometimes an empty line before it.
+/// A head with random white space, and sometimes an empty line before it.
 fn written_head(first_line: &str, fields: &[(String, Vec<u8>)], draws: &mut Draws<'_>) -> Vec<u8> {
     let mut bytes = draws.one_of(&["", "", "\r\n"]).as_bytes().to_vec();
     bytes.extend_from_slice(first_line.as_bytes());
--- a/crates/http1/tests/responses.rs
+++ b/crates/http1/tests/responses.rs
@@ -1,5 +1,5 @@
-//! Responses under fuzzing: whole ones read back the same however they are cut, and one that is cut
-//! short never looks complete.
+//! Fuzz tests of responses: a whole response is read back unchanged however it is split, and a
+//! truncated one never looks complete.
 
 mod common;
 
@@ -14,7 +14,7 @@
     bytes: Vec<u8>,
 }
 
-/// A drawn response and how a peer might write it.
+/// A random response and how a peer might serialize it.
 fn send(body: &[u8], draws: &mut Draws<'_>) -> Sent {
     let status = [200, 204, 304, 404, 500, 503, 599][draws.below(7)];
     let is_head = draws.below(4) == 0;
@@ -62,7 +62,7 @@
     }
 }
 
-/// A head behind some interim responses.
+/// A head, preceded by some interim responses.
 fn written_head(
     status: u16,
     fields: &[(String, Vec<u8>)],
--- a/crates/http1/tests/smuggling.rs
+++ b/crates/http1/tests/smuggling.rs
@@ -1,4 +1,4 @@
-//! Requests on whose end two parties could disagree are rejected, as are those over a limit.
+//! Requests whose end two parties could interpret differently are rejected, as are those over a limit.
 
 mod common;
 
@@ -7,7 +7,7 @@
 
 const CHUNKED: &str = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Heads of which two readers could see the end, the framing or the target differently.
+/// Heads whose end, framing or target two readers could interpret differently.
 const AMBIGUOUS_HEADS: [&[u8]; 52] = [
         b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 0\r\n\r\n0\r\n\r\n",
