--- a/crates/event_loop/src/connect_backoff.rs
+++ b/crates/event_loop/src/connect_backoff.rs
@@ -1,30 +1,31 @@
-//! How long an attempt to connect may take before it is given up and made anew.
+//! Timeouts for connection attempts, with exponential backoff.
 //!
-//! A machine without power answers nothing, and the system repeats its own attempt only after a second, when the machine may long be back.
+//! A machine without power doesn't respond at all, and the kernel retransmits the SYN only after a second. By then the machine may
+//! have been back for long, so an attempt is abandoned and retried earlier.
 
-/// Attempts after which the time doubles.
+/// Number of timed-out attempts after which the timeout doubles.
 const ATTEMPTS_PER_DOUBLING: u32 = 2;
-/// Most doublings.
+/// Maximum number of doublings.
 const DOUBLINGS_MAX: u32 = 4;
 
-/// Attempts in a row to connect to one address of which no connection came.
+/// Counts consecutive timed-out attempts to connect to one address, and derives the next timeout from them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectBackoff {
     count: u32,
 }
 
 impl ConnectBackoff {
-    /// An attempt was given up.
+    /// Counts an attempt that timed out.
     pub fn record_timeout(&mut self) {
         self.count = self.count.saturating_add(1);
     }
 
-    /// A connection was established.
+    /// Resets the count after a connection was established.
     pub fn reset(&mut self) {
         self.count = 0;
     }
 
-    /// Milliseconds within which the next attempt must succeed, where the first has so many.
+    /// Timeout of the next attempt in milliseconds, given that of the first.
     #[must_use]
     pub fn timeout_ms(self, first_ms: u64) -> u64 {
         first_ms << (self.count / ATTEMPTS_PER_DOUBLING).min(DOUBLINGS_MAX)
--- a/crates/event_loop/src/connection.rs
+++ b/crates/event_loop/src/connection.rs
@@ -1,4 +1,4 @@
-//! One TCP connection: its socket, the bytes read and not yet taken, and the bytes queued and not yet written.
+//! A TCP connection: its socket, a read buffer of bytes not yet taken, and a write buffer of bytes not yet sent.
 
 use crate::listeners::ListenerId;
 use mio::net::TcpStream;
@@ -6,17 +6,17 @@
 use std::io::{self, Read, Write};
 use std::time::Duration;
 
-/// Most bytes of an empty buffer that are kept allocated, so that an idle connection costs little memory.
+/// Largest allocation, in bytes, that an empty buffer keeps, so that an idle connection uses little memory.
 const MAX_IDLE_BUFFER_BYTES: usize = 4 << 10;
 
-/// Most bytes that may be queued on one connection. More than this means that the peer does not read.
+/// Maximum number of unsent bytes queued on one connection. More than this means that the peer does not read.
 const MAX_UNSENT_BYTES: usize = 24 << 20;
 
-/// Written bytes at the front of a write buffer from which on they are worth moving the rest.
+/// Minimum number of written bytes at the front of a write buffer for which moving the rest to the front pays off.
 const MIN_COMPACTED_BYTES: usize = 64 << 10;
 
-/// A connection of this daemon. A slot is used again after a close, so the id also counts the uses: an id that was kept
-/// too long names no connection rather than another one.
+/// Identifies a connection of this daemon. Slots are reused after a close, so the id also holds a generation: a stale id
+/// refers to no connection instead of to a different one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId {
     pub(crate) slot: u32,
@@ -26,62 +26,62 @@
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It was never established, so none of the queued bytes has left.
+    /// It was never established, so none of the queued bytes was sent.
     ConnectFailed,
-    /// The peer closed its side in order (FIN).
+    /// The peer closed its side in an orderly way (FIN).
     PeerClosed,
-    /// It was reset or timed out, or more was queued than it may hold.
+    /// It was reset or timed out, or its write queue exceeded the limit.
     Broken,
 }
 
-/// A socket with its buffers. The event loop owns it and is the only one to change it.
+/// A socket with its buffers, owned and modified only by the event loop.
 pub(crate) struct Connection {
     pub stream: TcpStream,
     pub generation: u32,
     state: State,
     is_writable: bool,
-    /// Reading stopped because the read buffer is full; the loop reads on once the owner has taken bytes.
+    /// Reading is paused because the read buffer is full; the loop resumes once the owner has taken bytes.
     pub is_read_paused: bool,
     closes_after_flush: bool,
     pub read_buffer: Vec<u8>,
-    /// Where reading stops.
+    /// Size of the read buffer, in bytes, at which reading pauses.
     pub read_limit: usize,
-    /// The listener that accepted it, if one did.
+    /// The listener that accepted the connection; `None` if this daemon opened it.
     pub listener: Option<ListenerId>,
     write_buffer: Vec<u8>,
-    /// Bytes at the front of the write buffer that were written already.
+    /// Number of bytes at the front of the write buffer that were already written.
     written: usize,
 }
 
-/// Where a connection is between its opening and its end.
+/// Lifecycle state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Connecting,
     Established,
-    /// Writing failed, or too much was queued: nothing more is written, and the end is about to be reported.
+    /// Writing failed, or too much was queued: nothing more is written, and the close is still to be reported.
     Failed,
-    /// The end was reported.
+    /// The close was reported.
     Closed,
 }
 
-/// What came of reading a socket until it had no more or the read buffer was full.
+/// Result of reading a socket until it had no more bytes or the read buffer was full.
 pub(crate) struct ReadOutcome {
     pub has_bytes: bool,
     pub closed: Option<CloseReason>,
 }
 
-/// What became of bytes that were to be sent.
+/// Result of sending bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteOutcome {
-    /// All were written, or will be as soon as the socket takes them.
+    /// All were written or queued until the socket is writable.
     Accepted,
     /// The connection broke before any of them was written.
     NothingWritten,
-    /// The connection broke when some of them had been written.
+    /// The connection broke after some of them had been written.
     PartlyWritten,
 }
 
-/// How far the opening of a connection has come.
+/// Progress of a non-blocking connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectProgress {
     Pending,
@@ -116,9 +116,9 @@
         }
     }
 
-    /// Sets how long sent bytes may stay unacknowledged before the system breaks the connection (`TCP_USER_TIMEOUT`).
+    /// Sets how long sent bytes may stay unacknowledged before the kernel aborts the connection (`TCP_USER_TIMEOUT`).
     pub fn set_user_timeout(&self, timeout: Duration) {
-        // A system without the option keeps its own time-out, so a failure changes nothing that is promised.
+        // A system without this option applies its own timeout, which no caller's guarantee depends on, so the error is ignored.
         let _ = SockRef::from(&self.stream).set_tcp_user_timeout(Some(timeout));
     }
 
@@ -126,12 +126,12 @@
         self.state == State::Connecting
     }
 
-    /// Whether the connection can still carry bytes, now or once it is established.
+    /// Whether the connection can still transfer bytes, now or once it is established.
     pub fn is_open(&self) -> bool {
         matches!(self.state, State::Connecting | State::Established)
     }
 
-    /// Whether its end was reported.
+    /// Whether its close was reported.
     pub fn is_closed(&self) -> bool {
         self.state == State::Closed
     }
@@ -144,13 +144,13 @@
         self.closes_after_flush = true;
     }
 
-    /// Whether it is to be closed as soon as all queued bytes have been written.
+    /// Whether it will be closed as soon as all queued bytes have been written.
     pub fn is_closing(&self) -> bool {
         self.closes_after_flush
     }
 
-    /// Whether more may be queued.
-    pub fn takes_bytes(&self) -> bool {
+    /// Whether more bytes may be queued.
+    pub fn can_queue(&self) -> bool {
         self.is_open() && !self.closes_after_flush
     }
 
@@ -158,18 +158,18 @@
         self.read_buffer.len() >= self.read_limit
     }
 
-    /// Bytes that are queued and not yet written.
+    /// Number of bytes that are queued and not yet written.
     pub fn unsent_bytes(&self) -> usize {
         self.write_buffer.len() - self.written
     }
 
-    /// Memory that its buffers take, in bytes.
+    /// Allocated memory of its buffers, in bytes.
     pub fn buffer_capacity(&self) -> usize {
         self.read_buffer.capacity() + self.write_buffer.capacity()
     }
 
-    /// Drops the written part of the write buffer, where that frees at least half of it: a peer that reads slowly may never let it
-    /// become empty.
+    /// Drops the written part of the write buffer if that frees at least half of it. Without this the buffer would grow, because
+    /// with a slow reader it may never become empty.
     fn compact(&mut self) {
         if self.written >= MIN_COMPACTED_BYTES && self.written >= self.write_buffer.len() / 2 {
             self.write_buffer.drain(..self.written);
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Looks, after an event for a connection that is being opened, what came of it.
+    /// Checks, after a readiness event for a connecting socket, whether the connect succeeded.
     pub fn check_connect(&mut self, ready: &mio::event::Event) -> ConnectProgress {
         let has_error = self.stream.take_error().ok().flatten().is_some();
         if has_error || ready.is_error() {
@@ -191,9 +191,9 @@
         ConnectProgress::Established
     }
 
-    /// Reads until the socket has no more or the read buffer is full. Unless `reads_to_end` is set, a read that does not
-    /// fill `scratch` counts as the last one: the next bytes raise another event, but an end that was reported already
-    /// would not.
+    /// Reads until the socket has no more bytes or the read buffer is full. Unless `reads_to_end` is set, a read that does
+    /// not fill `scratch` is taken as the last one, because further bytes raise another event. An end of stream that was
+    /// already reported raises none, so `reads_to_end` must be set after it.
     pub fn read(&mut self, scratch: &mut [u8], reads_to_end: bool) -> ReadOutcome {
         let mut has_bytes = false;
         let closed = loop {
@@ -218,14 +218,14 @@
         ReadOutcome { has_bytes, closed }
     }
 
-    /// Whether the system holds no bytes and no end for an open connection at this moment.
+    /// Whether the kernel currently has neither bytes nor an end of stream to read from the socket.
     pub fn has_no_pending_input(&self) -> bool {
         let mut byte = [0; 1];
         let peeked = self.stream.peek(&mut byte);
         peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Queues bytes and writes as many as the socket takes.
+    /// Queues bytes and writes as many as the socket accepts.
     pub fn write(&mut self, bytes: &[u8]) -> WriteOutcome {
         if self.unsent_bytes() + bytes.len() > MAX_UNSENT_BYTES {
             self.state = State::Failed;
@@ -244,7 +244,7 @@
         WriteOutcome::NothingWritten
     }
 
-    /// Writes on after the socket became writable; false where the connection broke.
+    /// Continues writing after the socket became writable; false if the connection broke.
     pub fn flush_writable(&mut self) -> bool {
         self.is_writable = true;
         let is_open = self.flush();
@@ -269,7 +269,7 @@
         true
     }
 
-    /// Gives back the memory of a read buffer that the owner has emptied.
+    /// Frees the memory of the read buffer if the owner has emptied it.
     pub fn release_read_memory(&mut self) {
         if self.read_buffer.is_empty() {
             release_idle_memory(&mut self.read_buffer);
--- a/crates/event_loop/src/event.rs
+++ b/crates/event_loop/src/event.rs
@@ -1,4 +1,4 @@
-//! What the event loop reports to its owner.
+//! Events that the event loop reports to its owner.
 
 use crate::connection::{CloseReason, ConnectionId};
 use crate::listeners::ListenerId;
@@ -8,12 +8,12 @@
 pub enum Event {
     /// A peer opened a connection to a listener.
     Accepted(ListenerId, ConnectionId),
-    /// A connection that this daemon opened is established.
+    /// A connection opened by this daemon is established.
     Connected(ConnectionId),
     /// Bytes were added to the connection's read buffer.
     Readable(ConnectionId),
-    /// All bytes that were queued on the connection have been written.
+    /// All bytes queued on the connection have been written to the socket.
     Drained(ConnectionId),
-    /// The connection ended. Its read buffer stays until the owner closes it.
+    /// The connection ended. Its read buffer stays available until the owner closes the connection.
     Closed(ConnectionId, CloseReason),
 }
--- a/crates/event_loop/src/event_loop.rs
+++ b/crates/event_loop/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that owns the sockets, waits for readiness and turns it into events.
+//! The event loop: owns the sockets, waits for readiness and turns it into events.
 
 mod accepting;
 mod buffers;
@@ -16,29 +16,29 @@
 use crate::event::Event;
 use crate::listeners::{ListenerId, Listeners};
 
-/// The token of the waker; it names neither a connection nor a listener.
+/// Token of the waker, which is outside the ranges of connections and listeners.
 const WAKER_TOKEN: Token = Token(usize::MAX);
 
-/// Most readiness events that one poll takes from the system; the rest comes with the next.
+/// Maximum number of readiness events that one poll takes from the system; the rest is reported by the next.
 const MAX_EVENTS_PER_POLL: usize = 256;
 
-/// Bytes that one read takes from a socket. A read buffer exceeds its limit by less than this.
+/// Maximum number of bytes read from a socket at once. A read buffer exceeds its limit by less than this.
 const READ_CHUNK_BYTES: usize = 64 << 10;
 
-/// All connections of a daemon, and the one place at which it waits.
+/// All connections of a daemon, and the only place where it blocks.
 pub struct EventLoop {
     poll: Poll,
     readiness: Events,
     connections: Slab<Connection>,
     last_generation: u32,
     listeners: Listeners,
-    /// Listeners that accept nobody for a while, and since when.
+    /// Listeners that temporarily don't accept, and since when.
     paused_listeners: Vec<(ListenerId, Instant)>,
     /// Connections that stopped reading because their read buffer was full.
     read_paused: Vec<ConnectionId>,
-    /// Connections that had bytes in the last poll, whose owner may have taken them since.
-    read_lately: Vec<ConnectionId>,
-    /// Connections that broke while bytes were sent, whose end is still to be reported.
+    /// Connections read in the last poll, whose owner may have emptied their read buffers since.
+    recently_read: Vec<ConnectionId>,
+    /// Connections that broke while sending and whose close is still to be reported.
     broken: Vec<ConnectionId>,
     scratch: Vec<u8>,
     max_connections: usize,
@@ -46,11 +46,11 @@
 }
 
 impl EventLoop {
-    /// An event loop with at most so many connections. A connection whose peer leaves sent bytes unacknowledged for
-    /// `user_timeout_ms` milliseconds breaks.
+    /// Creates an event loop with at most `max_connections` connections. A connection whose peer leaves sent bytes
+    /// unacknowledged for `user_timeout_ms` milliseconds is aborted.
     ///
     /// # Errors
-    /// The system gives no poll instance.
+    /// If the system can't create a poll instance.
     pub fn new(max_connections: usize, user_timeout_ms: u32) -> io::Result<Self> {
         Ok(Self {
             poll: Poll::new()?,
@@ -60,7 +60,7 @@
             listeners: Listeners::default(),
             paused_listeners: Vec::new(),
             read_paused: Vec::new(),
-            read_lately: Vec::new(),
+            recently_read: Vec::new(),
             broken: Vec::new(),
             scratch: vec![0; READ_CHUNK_BYTES],
             max_connections,
@@ -68,33 +68,33 @@
         })
     }
 
-    /// A handle by which another thread ends a [`poll`](Self::poll) early. At most one may exist.
+    /// Creates a handle with which another thread can end a [`poll`](Self::poll) early. At most one may exist.
     ///
     /// # Errors
-    /// The system gives no event descriptor.
+    /// If the system can't create an event descriptor.
     pub fn waker(&self) -> io::Result<Arc<Waker>> {
         Waker::new(self.poll.registry(), WAKER_TOKEN).map(Arc::new)
     }
 
-    /// Accepts connections at an address. Each stops reading at `read_limit` bytes that the owner has not taken.
+    /// Listens on an address. Reading from an accepted connection pauses at `read_limit` bytes that the owner has not taken.
     ///
     /// # Errors
-    /// The address can't be bound.
+    /// If the address can't be bound.
     pub fn listen(&mut self, address: SocketAddr, read_limit: usize) -> io::Result<ListenerId> {
         let registry = self.poll.registry();
         self.listeners.open(registry, address, read_limit)
     }
 
-    /// Closes a listener; connections that were accepted stay.
+    /// Closes a listener; accepted connections stay open.
     pub fn stop_listening(&mut self, listener: ListenerId) {
         self.listeners.close(self.poll.registry(), listener);
     }
 
-    /// Begins to open a connection. Bytes may be sent at once: they are queued until it is established.
+    /// Starts to open a connection. Bytes may be sent at once: they are queued until it is established.
     ///
     /// # Errors
-    /// There are as many connections as there may be, or the system refuses the socket. That nobody listens at the address
-    /// is an [`Event::Closed`] later.
+    /// If the maximum number of connections is reached or the system can't create the socket. A refused connection is
+    /// reported later, as [`Event::Closed`].
     pub fn connect(&mut self, address: SocketAddr, read_limit: usize) -> io::Result<ConnectionId> {
         if self.connections.len() >= self.max_connections {
             return Err(io::Error::other("too many connections"));
@@ -109,7 +109,7 @@
         listener: Option<ListenerId>,
         read_limit: usize,
     ) -> io::Result<ConnectionId> {
-        // Without the option small messages are merely delayed, so a failure is no reason to give the connection up.
+        // Without this option small messages are only delayed, so a failure is no reason to drop the connection.
         let _ = SockRef::from(&stream).set_tcp_nodelay(true);
         self.last_generation = self.last_generation.wrapping_add(1);
         let generation = self.last_generation;
@@ -126,39 +126,40 @@
         Ok(id_of(slot, generation))
     }
 
-    /// Gives one connection another user time-out (milliseconds) than the event loop's.
+    /// Overrides the event loop's user timeout for one connection, in milliseconds.
     pub fn set_user_timeout(&mut self, id: ConnectionId, timeout_ms: u64) {
         if let Some(connection) = self.connection(id) {
             connection.set_user_timeout(Duration::from_millis(timeout_ms));
         }
     }
 
-    /// Whether the connection is there, established or not, and no end of it is known.
+    /// Whether the connection exists, established or connecting, and is not known to have ended.
     pub fn is_open(&self, id: ConnectionId) -> bool {
         self.connection(id).is_some_and(Connection::is_open)
     }
 
-    /// How many connections there are, ended ones that the owner has not closed included.
+    /// Number of connections, including ended ones that the owner has not closed.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether there is no connection.
+    /// Whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Whether the system holds neither bytes nor an end for an open connection at this moment. Events report the same,
-    /// but only at the next poll: too late for a request that must not be sent on a connection that its peer has closed.
+    /// Whether the connection is open and the kernel currently has neither bytes nor an end of stream to read from it. Events
+    /// report the same, but only at the next poll: too late for a request that must not be sent on a connection that its peer
+    /// has closed.
     pub fn has_no_pending_input(&self, id: ConnectionId) -> bool {
         self.connection(id)
             .is_some_and(|connection| !connection.is_closed() && connection.has_no_pending_input())
     }
 
-    /// Queues bytes and writes what the socket takes now. A connection that would hold too many queued bytes breaks. The
-    /// result is false where none of the bytes has left or ever will.
+    /// Queues bytes and writes as many as the socket accepts now. A connection whose write queue would exceed the limit is
+    /// closed as broken. Returns false if none of the bytes was or will be sent.
     pub fn send(&mut self, id: ConnectionId, bytes: &[u8]) -> bool {
-        let Some(connection) = self.connection_mut(id).filter(|one| one.takes_bytes()) else {
+        let Some(connection) = self.connection_mut(id).filter(|one| one.can_queue()) else {
             return false;
         };
         let outcome = connection.write(bytes);
@@ -180,33 +181,33 @@
         connection.close_after_flush();
     }
 
-    /// Whether a connection that is to be closed still has bytes to write.
+    /// Whether any connection still has bytes to write before it is closed.
     pub fn is_flushing(&self) -> bool {
         let mut connections = self.connections.iter();
         connections.any(|(_, connection)| connection.is_closing() && !connection.is_closed())
     }
 
-    /// Closes a connection at once; queued bytes are lost. No further event names it.
+    /// Closes a connection at once; queued bytes are lost. No further event is reported for it.
     pub fn close(&mut self, id: ConnectionId) {
         if self.connection(id).is_none() {
             return;
         }
         let mut connection = self.connections.remove(id.slot as usize);
-        // The socket is dropped here, which takes it out of the poll in any case.
+        // Errors don't matter: dropping the socket here removes it from the poll in any case.
         let _ = self.poll.registry().deregister(&mut connection.stream);
     }
 
-    /// Closes a connection at once and resets it, so that bytes which its peer has not received reach it no more. After a plain close the
-    /// system goes on to deliver what it has taken, however long the way to the peer is cut.
+    /// Closes a connection at once with a reset, so that bytes which the peer has not received yet are never delivered. After a plain
+    /// close the kernel keeps trying to deliver the bytes it has accepted, however long the network path to the peer is interrupted.
     pub fn reset(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connection(id) {
-            // A connection that may not linger is reset by its closing.
+            // Closing a socket with a linger time of zero resets the connection.
             let _ = SockRef::from(&connection.stream).set_linger(Some(Duration::ZERO));
         }
         self.close(id);
     }
 
-    /// Waits at most `timeout` for something to happen and puts what did in `events`, in place of what they held.
+    /// Waits at most `timeout` for readiness and replaces the content of `events` with what happened.
     pub fn poll(&mut self, timeout: Duration, events: &mut Vec<Event>) {
         events.clear();
         self.release_read_memory();
@@ -218,7 +219,7 @@
         } else {
             Duration::ZERO
         };
-        // An interrupted poll is no event; the caller polls again.
+        // An interrupted poll reports no events; the caller polls again.
         if self.poll.poll(&mut self.readiness, Some(timeout)).is_err() {
             return;
         }
@@ -299,7 +300,7 @@
         }
     }
 
-    /// Writes queued bytes; false where the connection ended by it.
+    /// Writes queued bytes; false if the connection ended.
     fn flush(&mut self, id: ConnectionId, events: &mut Vec<Event>) -> bool {
         let Some(connection) = self.connection_mut(id) else {
             return false;
@@ -324,13 +325,13 @@
         let mut scratch = std::mem::take(&mut self.scratch);
         let is_read_paused = self.read_into(id, &mut scratch, reads_to_end, events);
         self.scratch = scratch;
-        self.read_lately.push(id);
+        self.recently_read.push(id);
         if is_read_paused && !self.read_paused.contains(&id) {
             self.read_paused.push(id);
         }
     }
 
-    /// Reads what the connection's buffer takes; true where reading is paused because the buffer is full.
+    /// Reads into the connection's buffer up to its limit; true if reading is paused because the buffer is full.
     fn read_into(
         &mut self,
         id: ConnectionId,
--- a/crates/event_loop/src/event_loop/accepting.rs
+++ b/crates/event_loop/src/event_loop/accepting.rs
@@ -1,19 +1,19 @@
-//! Accepts connections at listeners.
+//! Accepts connections on listeners.
 
 use super::EventLoop;
 use crate::event::Event;
 use crate::listeners::ListenerId;
 use std::time::{Duration, Instant};
 
-/// Most connections that are accepted in a row, so that a storm of them doesn't hold up the established ones.
+/// Maximum number of connections accepted in a row, so that a burst of them doesn't delay the established ones.
 const MAX_ACCEPTS_PER_EVENT: usize = 64;
 
-/// Time for which a listener accepts nobody after the system had no descriptor or memory for a connection. Those that wait for it are
-/// not gone, so asking again at once would only take processor time.
+/// Time for which a listener stops accepting after the system had no descriptor or memory for a connection. Pending connections stay
+/// in the backlog, so retrying at once would only use processor time.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 impl EventLoop {
-    /// Accepts connections that wait at a listener.
+    /// Accepts pending connections of a listener, and pauses it if the system is out of resources.
     pub(super) fn accept(&mut self, listener: ListenerId, events: &mut Vec<Event>) {
         for _ in 0..MAX_ACCEPTS_PER_EVENT {
             let Some(accepted) = self.listeners.accept(listener) else {
@@ -21,7 +21,7 @@
             };
             let (stream, read_limit) = match accepted {
                 Ok(accepted) => accepted,
-                Err(error) if is_of_one_connection(&error) => continue,
+                Err(error) if is_connection_error(&error) => continue,
                 Err(_) => return self.paused_listeners.push((listener, Instant::now())),
             };
             if self.connections.len() >= self.max_connections {
@@ -34,7 +34,7 @@
         self.listeners.rearm(self.poll.registry(), listener);
     }
 
-    /// Lets listeners accept again whose pause is over.
+    /// Resumes the listeners whose pause is over.
     pub(super) fn resume_accepting(&mut self) {
         if self.paused_listeners.is_empty() {
             return;
@@ -50,8 +50,8 @@
     }
 }
 
-/// Whether an error of accepting concerns one connection, which its peer has given up, and not the process.
-fn is_of_one_connection(error: &std::io::Error) -> bool {
+/// Whether an accept error concerns only one connection, which its peer has abandoned, rather than the process.
+fn is_connection_error(error: &std::io::Error) -> bool {
     use std::io::ErrorKind;
     matches!(
         error.kind(),
--- a/crates/event_loop/src/event_loop/buffers.rs
+++ b/crates/event_loop/src/event_loop/buffers.rs
@@ -1,28 +1,28 @@
-//! What connections hold in their buffers, and how much they may.
+//! Access to the connections' buffers, and limits on their size.
 
 use super::{id_of, EventLoop};
 use crate::connection::{Connection, ConnectionId};
 use crate::listeners::ListenerId;
 
 impl EventLoop {
-    /// Gives back the memory of the buffers whose owner has emptied them since the last poll: a connection may be idle from here on.
+    /// Frees the memory of read buffers that their owner has emptied since the last poll, since these connections may now stay idle.
     pub(super) fn release_read_memory(&mut self) {
-        for id in std::mem::take(&mut self.read_lately) {
+        for id in std::mem::take(&mut self.recently_read) {
             if let Some(connection) = self.connection_mut(id) {
                 connection.release_read_memory();
             }
         }
     }
 
-    /// Reading a connection stops at so many bytes that the owner has not taken, from now on.
+    /// Changes the number of untaken bytes in the read buffer at which reading from the connection pauses.
     pub fn set_read_limit(&mut self, id: ConnectionId, read_limit: usize) {
         if let Some(connection) = self.connection_mut(id) {
             connection.read_limit = read_limit;
         }
     }
 
-    /// Memory, in bytes, that the buffers of each connection take that a listener has accepted; also of those that are only
-    /// flushed before they are closed.
+    /// Allocated buffer memory, in bytes, of each connection that the listener accepted. Includes connections that are only
+    /// being flushed before they close.
     pub fn buffer_capacity(
         &self,
         listener: ListenerId,
@@ -39,13 +39,13 @@
         })
     }
 
-    /// Bytes that arrived and were not taken yet; `None` where the connection is gone. The owner drains what it takes.
+    /// Bytes that were received and not taken yet; `None` if the connection no longer exists. The owner drains what it takes.
     pub fn read_buffer(&mut self, id: ConnectionId) -> Option<&mut Vec<u8>> {
         self.connection_mut(id)
             .map(|connection| &mut connection.read_buffer)
     }
 
-    /// Bytes that are queued and not yet written to the socket.
+    /// Number of bytes that are queued and not yet written to the socket; 0 if the connection no longer exists.
     pub fn unsent_bytes(&self, id: ConnectionId) -> usize {
         self.connection(id).map_or(0, Connection::unsent_bytes)
     }
--- a/crates/event_loop/src/lib.rs
+++ b/crates/event_loop/src/lib.rs
@@ -1,9 +1,9 @@
 //! Non-blocking TCP on one thread. [`EventLoop`] owns every socket of a daemon: it accepts and opens connections, reads
-//! into a buffer for each connection and writes what was queued, and reports what happened as [`Event`]s. No call waits
-//! for a single peer. [`Timers`] holds the deadlines of the same thread.
+//! into a buffer per connection, writes queued bytes and reports what happened as [`Event`]s. No call blocks on a single
+//! peer. [`Timers`] holds the deadlines of the same thread.
 //!
-//! `mio` alone gives readiness; buffering, back-pressure and the end of a connection are the same for every protocol that
-//! the daemons speak, so they stand here once. An asynchronous runtime is not used because the daemons' decisions are
+//! `mio` only reports readiness. Buffering, back-pressure and closing are the same for every protocol that the daemons
+//! speak, so they are implemented once, here. An asynchronous runtime is not used because the daemons' decisions are
 //! made by state machines that are driven from one loop.
 #![warn(missing_docs)]
 
--- a/crates/event_loop/src/listeners.rs
+++ b/crates/event_loop/src/listeners.rs
@@ -5,10 +5,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Tokens from this one on name listeners; those below name connections.
+/// First token of listeners; lower tokens identify connections.
 const FIRST_TOKEN: usize = usize::MAX / 2;
 
-/// A listening socket.
+/// Identifies a listening socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ListenerId(pub(crate) usize);
 
@@ -24,7 +24,7 @@
 }
 
 impl ListenerId {
-    /// The listener that a token of a readiness event names, if it names one.
+    /// The listener that the token of a readiness event identifies, or `None` if it belongs to a connection.
     pub fn of(token: Token) -> Option<Self> {
         token.0.checked_sub(FIRST_TOKEN).map(Self)
     }
@@ -53,13 +53,13 @@
             return;
         };
         if let Some(mut listener) = place.take() {
-            // The socket is dropped here, which takes it out of the poll in any case.
+            // Errors don't matter: dropping the socket here removes it from the poll in any case.
             let _ = registry.deregister(&mut listener.socket);
         }
     }
 
-    /// The next connection that waits at a listener, with the read limit of its connections. `None` where the listener
-    /// is closed or nobody waits; an error concerns this one connection alone.
+    /// Accepts the next pending connection of a listener and returns it with the listener's read limit. `None` if the
+    /// listener is closed or no connection is pending.
     pub fn accept(&self, id: ListenerId) -> Option<io::Result<(TcpStream, usize)>> {
         let listener = self.open.get(id.0)?.as_ref()?;
         match listener.socket.accept() {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Asks for another event where more connections may wait than were accepted at one: events are edge-triggered.
+    /// Requests another readiness event, since more connections may be pending than were accepted: events are edge-triggered.
     pub fn rearm(&mut self, registry: &Registry, id: ListenerId) {
         if let Some(Some(listener)) = self.open.get_mut(id.0) {
             let _ = registry.reregister(&mut listener.socket, id.token(), Interest::READABLE);
--- a/crates/event_loop/src/timers.rs
+++ b/crates/event_loop/src/timers.rs
@@ -1,9 +1,9 @@
-//! The deadlines of one thread.
+//! A queue of deadlines for one thread.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Items that become due at some time, earliest first; of one time, the smallest item first. Times are milliseconds of a
+/// Items ordered by due time; items due at the same time are ordered by value, smallest first. Times are milliseconds of a
 /// monotonic clock that the caller reads. A timer can't be cancelled: the caller ignores one that no longer applies.
 #[derive(Debug)]
 pub struct Timers<T: Ord> {
@@ -25,12 +25,12 @@
 }
 
 impl<T: Ord> Timers<T> {
-    /// Makes an item due at a time.
+    /// Schedules an item for a due time.
     pub fn schedule(&mut self, due_at: u64, item: T) {
         self.heap.push(Reverse(Timer { due_at, item }));
     }
 
-    /// Takes the earliest item that is due.
+    /// Removes and returns the earliest item that is due.
     pub fn pop_due(&mut self, now: u64) -> Option<T> {
         let Reverse(earliest) = self.heap.peek()?;
         if earliest.due_at > now {
@@ -39,12 +39,12 @@
         self.heap.pop().map(|Reverse(timer)| timer.item)
     }
 
-    /// When the earliest item is due.
+    /// Due time of the earliest item, if any is scheduled.
     pub fn next_deadline(&self) -> Option<u64> {
         self.heap.peek().map(|Reverse(timer)| timer.due_at)
     }
 
-    /// How many items are scheduled.
+    /// Number of scheduled items.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
--- a/crates/event_loop/tests/buffers.rs
+++ b/crates/event_loop/tests/buffers.rs
@@ -1,4 +1,4 @@
-//! What connections hold in their buffers.
+//! Memory use of the connections' buffers, and read limits.
 
 mod common;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_memory_of_a_buffer_that_its_owner_emptied_is_given_back() {
+fn memory_of_an_emptied_read_buffer_is_released() {
     let (mut test, mut peer, listener, connection) = accepted_with_listener(LARGE_BYTES);
     let writer = std::thread::spawn(move || {
         peer.write_all(&vec![7; LARGE_BYTES / 2]).unwrap();
@@ -27,7 +27,7 @@
         (buffer.len() == LARGE_BYTES / 2).then_some(())
     });
     assert!(held(&test, listener, connection) >= LARGE_BYTES / 2);
-    // As a reader does, which takes a message off the start of the buffer.
+    // A protocol reader takes a message from the start of the buffer in the same way.
     test.event_loop.read_buffer(connection).unwrap().drain(..);
     test.poll(common::POLL_TIMEOUT);
     let held = held(&test, listener, connection);
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn a_peer_that_never_catches_up_makes_no_buffer_grow() {
+fn write_buffer_does_not_grow_while_a_slow_peer_reads() {
     let (mut test, mut peer, listener, connection) = accepted_with_listener(READ_LIMIT);
     let mut scratch = vec![0; PIECE_BYTES];
     test.event_loop.send(connection, &vec![1; 16 << 20]);
     for _ in 0..400 {
-        // As much is queued as was read, so that there is always a rest.
+        // Queues as many bytes as were read, so that the write buffer never becomes empty.
         let count = peer.read(&mut scratch).unwrap();
         test.poll(std::time::Duration::ZERO);
         test.event_loop.send(connection, &scratch[..count]);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn that_all_queued_bytes_have_left_is_an_event() {
+fn drained_is_reported_when_all_queued_bytes_are_written() {
     let (mut test, mut peer, _, connection) = accepted_with_listener(READ_LIMIT);
     let reader = std::thread::spawn(move || {
         let mut all = vec![0; LARGE_BYTES * 2];
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn reading_goes_on_once_the_limit_is_raised() {
+fn reading_resumes_when_the_limit_is_raised() {
     let (mut test, mut peer, _, connection) = accepted_with_listener(READ_LIMIT);
     let writer = std::thread::spawn(move || {
         peer.write_all(&vec![7; LARGE_BYTES]).unwrap();
--- a/crates/event_loop/tests/common/mod.rs
+++ b/crates/event_loop/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An event loop under test, with peers on loopback. Every wait is for a condition, with a bounded number of polls.
+//! Test fixture: an event loop with peers on loopback. Every wait is for a condition, with a bounded number of polls.
 #![allow(dead_code)]
 
 use event_loop::{CloseReason, ConnectionId, Event, EventLoop, ListenerId};
@@ -9,7 +9,7 @@
 pub const POLL_TIMEOUT: Duration = Duration::from_millis(20);
 pub const READ_LIMIT: usize = 64 << 10;
 
-/// An event loop and all events that it gave so far.
+/// An event loop and all events that it has reported so far.
 pub struct TestLoop {
     pub event_loop: EventLoop,
     pub events: Vec<Event>,
@@ -77,16 +77,16 @@
         self.events.contains(&event)
     }
 
-    /// Looks, without a poll, until the system knows that something came.
-    pub fn wait_for_system(&mut self, connection: ConnectionId) {
-        let has_something = (0..MAX_POLLS * MAX_POLLS).any(|_| {
+    /// Waits, without polling the event loop, until the kernel has bytes or an end of stream for the connection.
+    pub fn wait_for_pending_input(&mut self, connection: ConnectionId) {
+        let has_pending_input = (0..MAX_POLLS * MAX_POLLS).any(|_| {
             std::thread::yield_now();
             !self.event_loop.has_no_pending_input(connection)
         });
-        assert!(has_something, "nothing came");
+        assert!(has_pending_input, "no input arrived");
     }
 
-    /// Opens a connection to a peer of its own and waits until it is established.
+    /// Opens a connection to a new peer and waits until it is established.
     pub fn connect_to_peer(&mut self, read_limit: usize) -> (TcpStream, ConnectionId) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -97,13 +97,13 @@
     }
 }
 
-/// An event loop that listens, a peer's socket, and the connection that the peer opened.
+/// A listening event loop, a peer's socket, and the connection accepted from that peer.
 pub fn accepted(read_limit: usize) -> (TestLoop, TcpStream, ConnectionId) {
     let (test, peer, _, connection) = accepted_with_listener(read_limit);
     (test, peer, connection)
 }
 
-/// The same, with the listener.
+/// Like [`accepted`], with the listener.
 pub fn accepted_with_listener(
     read_limit: usize,
 ) -> (TestLoop, TcpStream, ListenerId, ConnectionId) {
@@ -116,7 +116,7 @@
     (test, peer, listener, connection)
 }
 
-/// An event loop, a peer's socket, and the connection that was opened to the peer.
+/// An event loop, a peer's socket, and the connection opened to that peer.
 pub fn connected(read_limit: usize) -> (TestLoop, TcpStream, ConnectionId) {
     let mut test = TestLoop::new();
     let (peer, connection) = test.connect_to_peer(read_limit);
--- a/crates/event_loop/tests/connect_backoff.rs
+++ b/crates/event_loop/tests/connect_backoff.rs
@@ -1,19 +1,19 @@
-//! Each second attempt in a row that hung doubles the time of the next, up to a bound.
+//! The connect timeout doubles after every second consecutive timed-out attempt, up to a maximum.
 
 use event_loop::ConnectBackoff;
 
 #[test]
-fn the_time_doubles_with_each_second_attempt_up_to_a_bound() {
+fn timeout_doubles_after_every_second_timed_out_attempt_up_to_a_maximum() {
     let mut attempts = ConnectBackoff::default();
-    let times = (0..12).map(|_| {
-        let time = attempts.timeout_ms(150);
+    let timeouts = (0..12).map(|_| {
+        let timeout = attempts.timeout_ms(150);
         attempts.record_timeout();
-        time
+        timeout
     });
     let expected = [
         150, 150, 300, 300, 600, 600, 1_200, 1_200, 2_400, 2_400, 2_400, 2_400,
     ];
-    assert_eq!(times.collect::<Vec<_>>(), expected);
+    assert_eq!(timeouts.collect::<Vec<_>>(), expected);
     attempts.reset();
     assert_eq!(attempts.timeout_ms(150), 150);
 }
--- a/crates/event_loop/tests/connections.rs
+++ b/crates/event_loop/tests/connections.rs
@@ -115,7 +115,7 @@
     peer.set_nonblocking(true).unwrap();
     let bytes = vec![1; 64 << 10];
     let mut sent = 0;
-    // The peer is stuck once neither side takes anything in many looks.
+    // The peer is blocked once its writes have failed in many successive polls.
     let mut idle = 0;
     while idle < 20 {
         match peer.write(&bytes) {
@@ -126,7 +126,7 @@
             Err(_) => idle += 1,
         }
         test.poll(Duration::from_millis(1));
-        assert!(sent < 64 << 20, "nothing holds the peer back");
+        assert!(sent < 64 << 20, "no back-pressure on the peer");
     }
     let held = test
         .event_loop
@@ -134,7 +134,7 @@
         .map_or(0, |buffer| buffer.len());
     assert!(
         held >= bound && held <= bound + (64 << 10),
-        "{held} bytes are held"
+        "{held} bytes are buffered"
     );
 }
 
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn more_bytes_than_the_read_limit_before_a_close_are_all_read() {
+fn bytes_beyond_the_read_limit_before_a_close_are_all_read() {
     let bound = 8 << 10;
     let (mut test, mut peer, connection) = connected(bound);
     let bytes = pattern(300 << 10);
@@ -195,7 +195,7 @@
 fn a_reset_is_reported_as_broken() {
     let (mut test, peer, connection) = accepted(READ_LIMIT);
     test.event_loop.send(connection, b"nobody reads this");
-    // A close with unread bytes resets the connection.
+    // Closing a socket with unread bytes resets the connection.
     let mut first = [0; 1];
     assert_eq!(peer.peek(&mut first).unwrap(), 1);
     drop(peer);
@@ -214,7 +214,7 @@
         test.has(Event::Connected(second)).then_some(())
     });
     let mut peer = listener.accept().unwrap().0;
-    // What is meant for the former connection touches nothing.
+    // Calls with the stale id have no effect.
     test.event_loop.send(first, b"stale");
     test.event_loop.close_after_flush(first);
     test.event_loop.close(first);
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_closed_listener_accepts_nobody() {
+fn a_closed_listener_refuses_connections() {
     let mut test = TestLoop::new();
     let address = free_address();
     let listener = test.event_loop.listen(address, READ_LIMIT).unwrap();
@@ -258,7 +258,7 @@
     test.poll(Duration::from_secs(30));
     assert!(
         began.elapsed() < Duration::from_secs(20),
-        "nobody ended the wait"
+        "the waker did not end the poll"
     );
     thread.join().unwrap();
 }
--- a/crates/event_loop/tests/sending.rs
+++ b/crates/event_loop/tests/sending.rs
@@ -1,4 +1,4 @@
-//! What is known of a connection at the moment when bytes are sent on it.
+//! Detection of a closed or unusable connection when bytes are sent on it.
 
 mod common;
 
@@ -7,17 +7,17 @@
 use std::io::{Read, Write};
 
 #[test]
-fn unread_bytes_and_an_end_are_seen_before_any_event() {
+fn pending_bytes_and_a_close_are_detected_before_any_event() {
     let mut test = TestLoop::new();
     let (mut peer, connection) = test.connect_to_peer(READ_LIMIT);
     assert!(test.event_loop.has_no_pending_input(connection));
     peer.write_all(b"surplus").unwrap();
-    test.wait_for_system(connection);
+    test.wait_for_pending_input(connection);
     assert!(test.event_loop.read_buffer(connection).unwrap().is_empty());
 
     let (peer, connection) = test.connect_to_peer(READ_LIMIT);
     drop(peer);
-    test.wait_for_system(connection);
+    test.wait_for_pending_input(connection);
     assert!(
         test.event_loop.is_open(connection),
         "no event has reported it yet"
@@ -31,10 +31,10 @@
     assert!(test.event_loop.send(connection, b"request"));
     let mut got = [0; 7];
     peer.read_exact(&mut got).unwrap();
-    // Closing with unread bytes resets the connection; so does a write to a closed one.
+    // Closing a socket with unread bytes resets the connection, as does a write to a closed one.
     assert!(test.event_loop.send(connection, b"unread"));
     drop(peer);
-    test.wait_for_system(connection);
+    test.wait_for_pending_input(connection);
     assert!(!test.event_loop.send(connection, b"never leaves"));
     assert!(!test.event_loop.send(connection, b"nor does this"));
     assert!(!test.event_loop.is_open(connection));
@@ -45,7 +45,7 @@
     let much = vec![7; 8 << 20];
     assert!(
         test.event_loop.send(connection, &much),
-        "a part of it was taken"
+        "part of it was accepted"
     );
     assert!(test.event_loop.unsent_bytes(connection) > 0);
 }
