--- a/crates/metrics/src/endpoint.rs
+++ b/crates/metrics/src/endpoint.rs
@@ -1,9 +1,9 @@
-//! The HTTP endpoint of the figures: requests are read from bytes and answered with bytes, without I/O.
+//! The HTTP endpoint of the metrics: parses requests from bytes and returns responses as bytes, without I/O.
 
 use crate::snapshot::Snapshot;
 use http1::{write_response, HttpError, MessageLimits, Request, RequestReader};
 
-/// Limits of a request for figures.
+/// Size limits of a metrics request.
 const LIMITS: MessageLimits = MessageLimits {
     header_bytes: 8 << 10,
     body_bytes: 1 << 10,
@@ -13,23 +13,23 @@
 const OK: u16 = 200;
 const NOT_FOUND: u16 = 404;
 
-/// Reads requests off one connection.
+/// Reads the requests of one connection.
 #[derive(Default)]
 pub struct MetricsReader {
     reader: RequestReader,
 }
 
 impl MetricsReader {
-    /// Takes the next request off the start of the bytes that have arrived; `None` while it is incomplete.
+    /// Removes the next request from the start of the received bytes; `None` while it is incomplete.
     ///
     /// # Errors
-    /// Where the bytes are no request; nothing more can be read from the connection.
+    /// If the bytes are not a valid request. No further requests can be read from the connection.
     pub fn read(&mut self, buffer: &mut Vec<u8>) -> Result<Option<Request>, HttpError> {
         self.reader.read(buffer, &LIMITS)
     }
 }
 
-/// The response to a request: the figures, or 404 for another target.
+/// Builds the response to a request: the metrics, or 404 for any path other than `/metrics`.
 #[must_use]
 pub fn respond(request: &Request, snapshot: impl FnOnce() -> Snapshot) -> Vec<u8> {
     let path = request.target.split('?').next().unwrap_or_default();
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,7 +1,7 @@
-//! A daemon's figures in the Prometheus text format, and the HTTP responses that bear them.
+//! A daemon's metrics in the OpenMetrics text format of Prometheus, and the HTTP endpoint that serves them.
 //!
-//! A daemon keeps its figures in its own state. On a request it fills a [`Snapshot`], which `prometheus-client` renders: nothing is
-//! registered, shared or locked while requests are served.
+//! A daemon keeps its metrics in its own state. When it is scraped it fills a [`Snapshot`], which `prometheus-client` renders. So
+//! nothing is registered, shared or locked while it serves its other requests.
 #![warn(missing_docs)]
 
 mod endpoint;
--- a/crates/metrics/src/snapshot.rs
+++ b/crates/metrics/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Figures at one moment.
+//! A snapshot of a daemon's metrics.
 
 use invariants::Invariant;
 use prometheus_client::encoding::text::encode;
@@ -7,10 +7,10 @@
 use prometheus_client::metrics::gauge::{ConstGauge, Gauge};
 use prometheus_client::registry::Registry;
 
-/// Label of a series, such as `reason="no seat in time"`.
+/// Label of a time series as name and value, such as `reason="no seat in time"`.
 type Label = [(String, String); 1];
 
-/// Figures of one daemon at one moment, by name. All names begin with `hallkeel_`.
+/// Metrics of one daemon at one point in time. All names are prefixed with `hallkeel_`.
 pub struct Snapshot {
     registry: Registry,
 }
@@ -22,7 +22,7 @@
 }
 
 impl Snapshot {
-    /// The figures that every daemon has: the violations of each invariant.
+    /// Creates a snapshot with the metrics that every daemon has: the number of violations of each invariant.
     #[must_use]
     pub fn new() -> Self {
         let mut snapshot = Self {
@@ -39,18 +39,18 @@
         snapshot
     }
 
-    /// A count that only rises within an incarnation. The suffix `_total` is added to its name.
+    /// Adds a counter, which never decreases within an incarnation. The suffix `_total` is appended to its name.
     pub fn counter(&mut self, name: &str, help: &str, value: u64) {
         self.registry.register(name, help, ConstCounter::new(value));
     }
 
-    /// A figure that rises and falls. One beyond the range of the format is shown as its largest value.
+    /// Adds a gauge, which may increase and decrease. A value above `i64::MAX` is reported as `i64::MAX`.
     pub fn gauge(&mut self, name: &str, help: &str, value: u64) {
         let value = i64::try_from(value).unwrap_or(i64::MAX);
         self.registry.register(name, help, ConstGauge::new(value));
     }
 
-    /// Counts of one name, each with another value of a label.
+    /// Adds a counter with one series per value of a label.
     pub fn labelled_counter<'a>(
         &mut self,
         name: &str,
@@ -66,7 +66,7 @@
         self.registry.register(name, help, family);
     }
 
-    /// Figures of one name, each with another value of a label.
+    /// Adds a gauge with one series per value of a label. A value above `i64::MAX` is reported as `i64::MAX`.
     pub fn labelled_gauge<'a>(
         &mut self,
         name: &str,
@@ -75,14 +75,14 @@
         values: impl Iterator<Item = (&'a str, u64)>,
     ) {
         let family = Family::<Label, Gauge>::default();
-        for (value, figure) in values {
+        for (value, level) in values {
             let series = family.get_or_create(&[(label.to_string(), value.to_string())]);
-            series.set(i64::try_from(figure).unwrap_or(i64::MAX));
+            series.set(i64::try_from(level).unwrap_or(i64::MAX));
         }
         self.registry.register(name, help, family);
     }
 
-    /// The figures as text.
+    /// Renders the metrics in the OpenMetrics text format.
     #[must_use]
     pub fn to_text(&self) -> String {
         let mut text = String::new();
--- a/crates/metrics/tests/endpoint.rs
+++ b/crates/metrics/tests/endpoint.rs
@@ -1,4 +1,4 @@
-//! Figures are shown as Prometheus text at one path.
+//! The endpoint serves metrics as text at one path and rejects other requests.
 
 use metrics::{respond, MetricsReader, Snapshot};
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn figures_are_shown_in_the_text_format() {
+fn metrics_are_served_in_the_text_format() {
     let text = response_to(b"GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n");
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
     for line in [
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_request_are_malformed() {
+fn bytes_that_are_not_a_request_are_rejected() {
     let mut buffer = b"\x00\x01 nothing\r\n\r\n".to_vec();
     let input = MetricsReader::default().read(&mut buffer);
     assert!(input.is_err());
