--- a/crates/loop_watchdog/src/forced_exit.rs
+++ b/crates/loop_watchdog/src/forced_exit.rs
@@ -1,32 +1,32 @@
-//! When a process ends by force that was asked to stop.
+//! Decides when a process that was asked to stop must be ended because its loop is stuck.
 
 use crate::turn_record::TurnSnapshot;
 use std::time::Duration;
 
-/// A daemon that works ends itself after 88 of these parts of its grace period at the latest.
+/// Number of equal parts into which the grace period is divided. A working daemon exits by itself after at most 88 of them.
 const GRACE_PERIOD_PARTS: u32 = 96;
-/// From here on its loop is looked at for whether it goes on.
+/// Number of parts after which the watchdog checks whether the loop makes progress.
 const CHECKED_AFTER_PARTS: u32 = 90;
-/// Between the two looks that must find it in the same turn.
+/// Number of parts between the two checks that must find the loop in the same turn.
 const CHECK_INTERVAL_PARTS: u32 = 1;
 
-/// Between two looks from which on the whole process stood still.
+/// Minimum time between two checks that is taken for a pause of the whole process.
 const MIN_PAUSE: Duration = Duration::from_millis(400);
-/// For so long the loop is let go on after that: it has much to read.
+/// Time that the loop gets after such a pause before it is suspected, since it has much pending input to read.
 const PAUSE_RECOVERY_TIME: Duration = Duration::from_millis(250);
 
-/// What a look at a loop has found.
+/// Result of a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForcedExitState {
-    /// The process was not asked to stop, has time left, or is about to end by itself.
+    /// The process was not asked to stop, has time left, or is about to exit by itself.
     NotDue,
-    /// The grace period is nearly over, and a turn is in progress: the next look decides.
+    /// The grace period is nearly over, and a turn is in progress: the next check decides.
     Suspected,
-    /// The same turn is still in progress: the process is to end now.
+    /// The same turn is still in progress: the process must be ended now.
     Due,
 }
 
-/// The grace period of a process, seen from beside its loop.
+/// Tracks the grace period of a process independently of its loop.
 #[derive(Clone, Debug)]
 pub struct ForcedExit {
     grace_period: Duration,
@@ -34,14 +34,14 @@
     check_interval: Duration,
     stop_requested_at: Option<Duration>,
     checked_at: Duration,
-    /// Nothing is suspected before, since the process stood still.
+    /// Time before which the loop is not suspected, because the process was paused.
     checks_resume_at: Duration,
-    /// The turn that was in progress at the first look after that time.
+    /// The turn that was in progress at the last check, if the loop was then suspected.
     suspected_turn: Option<u64>,
 }
 
 impl ForcedExit {
-    /// The process is killed after `grace_period` from outside.
+    /// Creates the tracker for a process that is killed from outside after `grace_period`.
     #[must_use]
     pub fn new(grace_period: Duration) -> Self {
         let part = grace_period / GRACE_PERIOD_PARTS;
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Whether the process is to end: its grace period is nearly over, and two looks find the loop in the same turn. The period counts from
-    /// the first look at which the process was asked to stop. After a pause of the whole process its loop gets time for a turn.
+    /// Checks whether the process must be ended: its grace period is nearly over, and two checks find the loop in the same turn. The grace
+    /// period starts at the first check that sees the stop request. After a pause of the whole process the loop gets time for a turn.
     pub fn check(
         &mut self,
         now: Duration,
@@ -71,7 +71,7 @@
         if is_stop_requested {
             self.stop_requested_at.get_or_insert(now);
         }
-        // A process that has left its loop has all of its time to close what it has open.
+        // A process that has left its loop may use the whole grace period to close its connections and files.
         let checked_after = match snapshot.is_ending() {
             true => self.grace_period,
             false => self.checked_after,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Time until the next look.
+    /// Time until the next check, at most `interval`.
     #[must_use]
     pub fn next_check_in(&self, now: Duration, interval: Duration) -> Duration {
         let Some(stop_requested_at) = self.stop_requested_at else {
--- a/crates/loop_watchdog/src/lib.rs
+++ b/crates/loop_watchdog/src/lib.rs
@@ -1,14 +1,15 @@
-//! A thread beside the loop of a daemon.
+//! A watchdog thread for the event loop of a daemon.
 //!
-//! A daemon of one thread checks its grace period once in each turn of its loop. Where a turn does not end, because it spins or is blocked
-//! in a call of the system, the daemon neither serves nor ends, which is worse for callers than its death. The watchdog knows in which step
-//! the loop is, logs turns that last long, and ends the process once the grace period is over. It depends on nothing that the loop may
-//! hold: it watches for the signal itself, and its lines are written by another thread, since a log may be what blocks.
+//! A single-threaded daemon checks its grace period once per turn, that is, per iteration of its loop. If a turn doesn't end, because it
+//! spins or is blocked in a system call, the daemon neither serves nor exits, which is worse for callers than its exit. The watchdog knows
+//! the current step of the loop, logs long turns, and exits the process when a turn is stuck near the end of the grace period. It must
+//! not depend on anything that the loop may hold: it checks for the stop signal itself, and another thread writes its log lines, since
+//! the log may be what blocks.
 //!
-//! - `turn_record`: what the loop notes of its turns.
-//! - `turn_watch`: which turns are to be told of, by successive looks at the record.
-//! - `forced_exit`: when the process is to end by force.
-//! - `line_writer`: writes log lines without holding up the watchdog.
+//! - `turn_record`: progress of the loop, recorded by the loop itself.
+//! - `turn_watch`: detects long turns by sampling the record.
+//! - `forced_exit`: decides when the process must exit.
+//! - `line_writer`: writes log lines without blocking the watchdog.
 #![warn(missing_docs)]
 
 mod forced_exit;
@@ -26,27 +27,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at whether the process is to end.
+/// Maximum time between two checks of the loop.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Exit code of a process that was ended by force.
+/// Exit code of a process that the watchdog has ended.
 const FORCED_EXIT_CODE: i32 = 70;
-/// Memory of the thread's stack.
+/// Stack size of the watchdog thread.
 const STACK_BYTES: usize = 128 << 10;
 
-/// What the watchdog of a daemon needs to know.
+/// Settings of the watchdog of a daemon.
 pub struct WatchdogOptions {
     /// Prefix of its log lines.
     pub daemon: &'static str,
-    /// Time from the signal to stop until the process is killed from outside.
+    /// Time from the stop signal until the process is killed from outside.
     pub grace_period: Duration,
-    /// Whether the process was asked to stop.
+    /// Returns whether the process was asked to stop.
     pub stop_requested: Box<dyn Fn() -> bool + Send>,
 }
 
-/// Starts the watchdog of a loop. It lasts as long as the process.
+/// Starts the watchdog of a loop and returns the record that the loop must update. The watchdog runs as long as the process.
 ///
 /// # Errors
-/// Where the system gives no thread.
+/// If the system can't create a thread.
 pub fn start(options: WatchdogOptions) -> io::Result<Arc<TurnRecord>> {
     let record = Arc::new(TurnRecord::default());
     let watched = Arc::clone(&record);
@@ -69,7 +70,7 @@
         }
         match forced_exit.check(now, (options.stop_requested)(), &snapshot) {
             ForcedExitState::NotDue => {}
-            // The line has the time until the next look to be written.
+            // The line is written in the time until the next check.
             ForcedExitState::Suspected => lines.write(Line::AboutToEnd(snapshot)),
             ForcedExitState::Due => signal_hook::low_level::exit(FORCED_EXIT_CODE),
         }
--- a/crates/loop_watchdog/src/line_writer.rs
+++ b/crates/loop_watchdog/src/line_writer.rs
@@ -1,4 +1,4 @@
-//! Log lines of the watchdog, written by a thread of their own: the log may be what holds the loop, and must not hold the watchdog.
+//! Writes the watchdog's log lines on a thread of its own: the log may be what blocks the loop, and it must not block the watchdog.
 
 use crate::turn_record::TurnSnapshot;
 use crate::turn_watch::LongTurn;
@@ -6,24 +6,24 @@
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::thread;
 
-/// Most lines that wait to be written; further ones are dropped.
+/// Maximum number of lines queued for writing; further ones are dropped.
 const WAITING_MAX: usize = 8;
-/// Memory of the thread's stack.
+/// Stack size of the writer thread.
 const STACK_BYTES: usize = 64 << 10;
 
-/// What is told of the loop of a daemon.
+/// A log line about the loop of a daemon.
 pub(crate) enum Line {
-    /// A turn lasts long.
+    /// A turn has exceeded the threshold for long turns.
     LongTurn(LongTurn),
-    /// The process ends by force unless the loop goes on at once.
+    /// The process will be ended at the next check unless the loop makes progress.
     AboutToEnd(TurnSnapshot),
 }
 
-/// Hands lines to the thread that writes them.
+/// Queues lines for the writer thread.
 pub(crate) struct LineWriter(SyncSender<Line>);
 
 impl LineWriter {
-    /// Starts the thread. Lines begin with the name of the daemon.
+    /// Starts the writer thread. Lines are prefixed with the name of the daemon.
     pub fn start(daemon: &'static str) -> io::Result<Self> {
         let (lines, waiting) = sync_channel(WAITING_MAX);
         let writer = thread::Builder::new().stack_size(STACK_BYTES);
@@ -31,9 +31,9 @@
         Ok(Self(lines))
     }
 
-    /// Writes a line some time, or drops it where too many wait.
+    /// Queues a line without blocking; drops it if the queue is full.
     pub fn write(&self, line: Line) {
-        // A line that cannot be handed over is one that the log would not take.
+        // The queue is full only if the log doesn't accept lines, so dropping this one loses nothing more.
         let _ = self.0.try_send(line);
     }
 }
--- a/crates/loop_watchdog/src/turn_record.rs
+++ b/crates/loop_watchdog/src/turn_record.rs
@@ -1,34 +1,34 @@
-//! What a loop notes of its turns.
+//! Progress of a daemon's loop, recorded by the loop for the watchdog.
 
 use parking_lot::Mutex;
 use std::fmt;
 
-/// Step of a daemon whose loop has not begun.
+/// Step of a daemon whose loop has not started.
 const STARTING: &str = "starting";
 /// Step of a loop that waits for events.
 const WAITING: &str = "waiting";
 /// Step of a daemon that has left its loop.
 const ENDING: &str = "ending";
 
-/// Written by the loop at each step, read by the watchdog. The lock is held for a few instructions.
+/// Written by the loop at each step, read by the watchdog. The lock is only held for a few instructions.
 #[derive(Debug, Default)]
 pub struct TurnRecord(Mutex<TurnSnapshot>);
 
-/// The loop at one moment.
+/// State of the loop at one point in time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TurnSnapshot {
     /// Number of the turn; 0 before the first.
     pub turn: u64,
-    /// What it does.
+    /// Current step of the turn.
     pub step: &'static str,
-    /// Steps in this turn so far: it rises while a loop spins, and stands still while it is blocked.
+    /// Number of steps in this turn so far: it increases while a loop spins, and stays the same while it is blocked.
     pub steps: u64,
-    /// Requests or other work in progress as the turn began.
+    /// Number of requests or other operations in progress when the turn began.
     pub in_flight: usize,
 }
 
 impl TurnRecord {
-    /// A turn begins with so much work in progress.
+    /// Records the start of a turn and the number of operations in progress.
     pub fn begin_turn(&self, in_flight: usize) {
         let mut record = self.0.lock();
         record.turn += 1;
@@ -37,24 +37,24 @@
         record.step = "begin";
     }
 
-    /// The loop does something else.
+    /// Records the start of a step.
     pub fn begin_step(&self, step: &'static str) {
         let mut record = self.0.lock();
         record.step = step;
         record.steps += 1;
     }
 
-    /// The loop waits for events.
+    /// Records that the loop waits for events.
     pub fn wait(&self) {
         self.0.lock().step = WAITING;
     }
 
-    /// The loop has ended as it should; the process closes what it has open.
+    /// Records that the loop has ended normally; the process then closes its connections and files.
     pub fn end_loop(&self) {
         self.0.lock().step = ENDING;
     }
 
-    /// What the loop does now.
+    /// Returns a copy of the current state.
     #[must_use]
     pub fn snapshot(&self) -> TurnSnapshot {
         self.0.lock().clone()
@@ -62,7 +62,7 @@
 }
 
 impl TurnSnapshot {
-    /// Whether the loop waits for events, which is no turn in progress.
+    /// Whether the loop waits for events, so that no turn is in progress.
     #[must_use]
     pub fn is_waiting(&self) -> bool {
         self.step == WAITING
--- a/crates/loop_watchdog/src/turn_watch.rs
+++ b/crates/loop_watchdog/src/turn_watch.rs
@@ -1,22 +1,22 @@
-//! Which turns are to be told of.
+//! Detects long turns by sampling the state of the loop.
 
 use crate::turn_record::TurnSnapshot;
 use std::fmt;
 use std::time::Duration;
 
-/// A turn is told of that looks find in progress for so long.
+/// Observed duration from which a turn is reported as long.
 const LONG_TURN: Duration = Duration::from_millis(250);
-/// The same turn is told of again once it has lasted so many times as long.
+/// Factor by which the duration must grow until the same turn is reported again.
 const NEXT_REPORT_FACTOR: u32 = 4;
 
-/// A turn that lasts long.
+/// Report of a long turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LongTurn {
-    /// For how long it has been seen in progress, at least.
+    /// Time since the turn was first observed: a lower bound of its duration.
     pub lasted: Duration,
-    /// What it does.
+    /// State of the loop at the time of the report.
     pub snapshot: TurnSnapshot,
-    /// Steps since it was first seen or told of last: none where it is blocked.
+    /// Number of steps since the turn was first observed or last reported; 0 if it is blocked.
     pub steps_since: u64,
 }
 
@@ -31,43 +31,45 @@
     }
 }
 
-/// The turn that was seen at the last look.
+/// The turn that was in progress at the last observation.
 #[derive(Clone, Debug)]
-struct Seen {
+struct ObservedTurn {
     first_at: Duration,
+    /// State at the first observation or at the last report.
     snapshot: TurnSnapshot,
+    /// Duration from which the turn is reported next.
     next_report: Duration,
 }
 
-/// Successive looks at a loop.
+/// Observes a loop at successive times and reports long turns.
 #[derive(Clone, Debug, Default)]
 pub struct TurnWatch {
-    seen: Option<Seen>,
+    observed: Option<ObservedTurn>,
 }
 
 impl TurnWatch {
-    /// Looks at the loop. Returns the turn in progress once that has lasted for long, and again at growing intervals.
+    /// Observes the loop. Returns the turn in progress once it has become long, and again at increasing intervals.
     pub fn observe(&mut self, now: Duration, snapshot: &TurnSnapshot) -> Option<LongTurn> {
         if snapshot.is_waiting() {
-            self.seen = None;
+            self.observed = None;
             return None;
         }
-        let same = self.seen.as_mut();
-        let Some(seen) = same.filter(|seen| seen.snapshot.turn == snapshot.turn) else {
-            self.seen = Some(Seen {
+        let same = self.observed.as_mut();
+        let Some(observed) = same.filter(|observed| observed.snapshot.turn == snapshot.turn) else {
+            self.observed = Some(ObservedTurn {
                 first_at: now,
                 snapshot: snapshot.clone(),
                 next_report: LONG_TURN,
             });
             return None;
         };
-        let lasted = now.saturating_sub(seen.first_at);
-        if lasted < seen.next_report {
+        let lasted = now.saturating_sub(observed.first_at);
+        if lasted < observed.next_report {
             return None;
         }
-        let steps_since = snapshot.steps.saturating_sub(seen.snapshot.steps);
-        seen.snapshot = snapshot.clone();
-        seen.next_report = lasted * NEXT_REPORT_FACTOR;
+        let steps_since = snapshot.steps.saturating_sub(observed.snapshot.steps);
+        observed.snapshot = snapshot.clone();
+        observed.next_report = lasted * NEXT_REPORT_FACTOR;
         Some(LongTurn {
             lasted,
             snapshot: snapshot.clone(),
