--- a/crates/journal/src/folder.rs
+++ b/crates/journal/src/folder.rs
@@ -1,31 +1,31 @@
-//! The port through which a journal reaches its files, and its implementation for a directory on a disk.
+//! The trait through which a journal accesses its files, and its implementation for a directory on disk.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Suffix of a file that is being written and has not been put in place yet.
+/// Suffix of a temporary file that has not been renamed to its final name yet.
 pub(crate) const TEMPORARY_SUFFIX: &str = ".new";
 
-/// Port to a directory of files. Bytes last once their file is synced, and names that were made, renamed or
-/// removed last once the directory is synced; until then each of them may be kept or lost by itself.
+/// Access to a directory of files. Bytes are durable once their file is synced; creations, renames and removals are
+/// durable once the directory is synced. Until then a power loss may keep or lose each of them independently.
 pub trait Folder: Send {
     /// Names of all files.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// Whole content of a file.
+    /// Reads the whole content of a file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Adds bytes at the end of a file, which is made where it is missing.
+    /// Appends bytes to a file, which is created if it doesn't exist.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Makes a file's bytes last, but not its name.
+    /// Makes a file's content durable, but not its name.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Renames a file, in place of another one where there is one.
+    /// Renames a file, replacing any file with the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes all names last.
+    /// Makes all names durable by syncing the directory.
     fn sync_names(&mut self) -> io::Result<()>;
 
-    /// Puts a whole file in place at once; when this returns, both its bytes and its name last.
+    /// Replaces a whole file atomically; when this returns without an error, both its content and its name are durable.
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let temporary = format!("{name}{TEMPORARY_SUFFIX}");
         if self.list()?.contains(&temporary) {
@@ -38,17 +38,17 @@
     }
 }
 
-/// A directory on a disk.
+/// A directory on disk. Keeps the file that was written last open.
 pub struct DiskFolder {
     path: PathBuf,
     open: Option<(String, File)>,
 }
 
 impl DiskFolder {
-    /// Opens a directory, and makes it where it is missing.
+    /// Opens a directory, and creates it if it doesn't exist.
     pub fn open(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
-        // Also where the directory was found: whoever made it may have been killed before this.
+        // Also needed if the directory existed: the process that created it may have been killed before it synced the parent.
         if let Some(parent) = path.parent() {
             File::open(parent)?.sync_all()?;
         }
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -1,30 +1,30 @@
-//! The journal: records in numbered segments, and snapshots that stand for all segments below their number.
+//! The journal: records in numbered segments, and snapshots that replace all segments below their number.
 //!
-//! A snapshot with number `n` holds the state after the last record of segment `n - 1`. The journal moves on to
-//! segment `n` before it writes that snapshot, and removes what is older only once the snapshot lasts. So a
-//! snapshot that fails at any point costs nothing: older files and the newer segments still hold everything.
+//! A snapshot with number `n` holds the state after the last record of segment `n - 1`. The journal switches to
+//! segment `n` before it writes that snapshot, and removes older files only once the snapshot is durable. So a
+//! snapshot that fails at any point loses nothing: the older files and the newer segments still hold everything.
 
 use crate::folder::{Folder, TEMPORARY_SUFFIX};
 use crate::frame::{framed, framed_length, scan, Scan};
 use error_stack::{Report, ResultExt};
 use std::fmt;
 
-/// Bytes of segments after which a snapshot pays.
+/// Total size of the segments, in bytes, after which a snapshot is due.
 const SNAPSHOT_AFTER: u64 = 8 << 20;
-/// Bytes of segments after a snapshot that failed, before it is tried again.
+/// Number of bytes appended after a failed snapshot before it is retried.
 const SNAPSHOT_AGAIN_AFTER: u64 = 1 << 20;
-/// Most bytes of segments; above them nothing is taken until a snapshot succeeds.
+/// Maximum total size of the segments, in bytes. A record that would exceed it is rejected until a snapshot succeeds.
 pub const MAX_SEGMENT_BYTES: u64 = 16 << 20;
 const SEGMENT_PREFIX: &str = "segment-";
 const SNAPSHOT_PREFIX: &str = "snapshot-";
 const DIGITS: usize = 12;
 
-/// What can go wrong with a journal.
+/// Errors of a journal.
 #[derive(Debug, PartialEq)]
 pub enum JournalError {
-    /// The disk refused a call.
+    /// A file operation failed, or the journal no longer accepts writes.
     Disk,
-    /// Bytes in the middle are not what was written; replicas elsewhere must repair it.
+    /// Bytes in the middle are corrupt; the data must be repaired from other replicas.
     Damaged,
 }
 
@@ -39,26 +39,26 @@
 
 impl std::error::Error for JournalError {}
 
-/// What was found when a journal was opened.
+/// State that was recovered when a journal was opened.
 #[derive(Debug, Default, PartialEq)]
 pub struct Recovered {
-    /// The newest snapshot, where there is one.
+    /// The newest snapshot, if there is one.
     pub snapshot: Option<Vec<u8>>,
-    /// Records after it, the oldest first.
+    /// Records appended after that snapshot, oldest first.
     pub records: Vec<Vec<u8>>,
-    /// Bytes of a torn last record that were cut off.
+    /// Number of bytes of a torn last record that were cut off.
     pub torn_bytes: u64,
 }
 
-/// A log in segments with snapshots beside it.
+/// A log of records in segments, with snapshots.
 pub struct Journal {
     folder: Box<dyn Folder>,
     segment: u64,
-    /// Bytes of the segment that is written.
+    /// Size of the current segment, in bytes.
     length: u64,
-    /// Bytes of all segments that the newest snapshot does not stand for.
+    /// Total size, in bytes, of the segments that the newest snapshot doesn't cover.
     segments_length: u64,
-    /// Length of all segments at which a snapshot is made.
+    /// Total size of the segments, in bytes, above which a snapshot is due.
     snapshot_at: u64,
     failed: bool,
 }
@@ -71,26 +71,27 @@
     format!("{SNAPSHOT_PREFIX}{segment:0DIGITS$}")
 }
 
-/// The number in a name that this journal may have given; names of others have none.
-fn number(name: &str, prefix: &str) -> Option<u64> {
+/// The number in a file name of this journal's format; `None` for the name of any other file.
+fn parse_number(name: &str, prefix: &str) -> Option<u64> {
     let digits = name.strip_prefix(prefix)?;
-    let is_own = digits.len() == DIGITS && digits.bytes().all(|digit| digit.is_ascii_digit());
-    digits.parse().ok().filter(|_| is_own)
+    let is_valid = digits.len() == DIGITS && digits.bytes().all(|digit| digit.is_ascii_digit());
+    digits.parse().ok().filter(|_| is_valid)
 }
 
-fn numbers(names: &[String], prefix: &str) -> Vec<u64> {
+fn sorted_numbers(names: &[String], prefix: &str) -> Vec<u64> {
     let mut found: Vec<u64> = names
         .iter()
-        .filter_map(|name| number(name, prefix))
+        .filter_map(|name| parse_number(name, prefix))
         .collect();
     found.sort_unstable();
     found
 }
 
 fn is_temporary(name: &str) -> bool {
-    let own = name.strip_suffix(TEMPORARY_SUFFIX);
-    own.is_some_and(|own| {
-        number(own, SEGMENT_PREFIX).is_some() || number(own, SNAPSHOT_PREFIX).is_some()
+    let final_name = name.strip_suffix(TEMPORARY_SUFFIX);
+    final_name.is_some_and(|final_name| {
+        parse_number(final_name, SEGMENT_PREFIX).is_some()
+            || parse_number(final_name, SNAPSHOT_PREFIX).is_some()
     })
 }
 
@@ -101,19 +102,19 @@
 fn read_snapshot(folder: &dyn Folder, segment: u64) -> Result<Vec<u8>, Report<JournalError>> {
     let name = snapshot_name(segment);
     let bytes = folder.read(&name).change_context(JournalError::Disk)?;
-    let mut parts = Vec::new();
-    let scanned = scan(&bytes, |part| parts.push(part.to_vec()));
-    let snapshot = parts.pop().filter(|_| parts.is_empty());
+    let mut payloads = Vec::new();
+    let scanned = scan(&bytes, |payload| payloads.push(payload.to_vec()));
+    let snapshot = payloads.pop().filter(|_| payloads.is_empty());
     let snapshot = snapshot.filter(|_| scanned == Scan::Whole);
     snapshot.ok_or_else(|| damaged(format!("in {name}")))
 }
 
 impl Journal {
-    /// Opens a journal and gives what it holds. A torn end of the last segment is cut off. All that is given
-    /// lasts, also where whoever wrote it was killed before it was synced, or its sync failed.
+    /// Opens a journal and recovers its content. A torn end of the last segment is cut off. Everything that is
+    /// returned is durable, even if the process that wrote it was killed before it was synced or its sync failed.
     pub fn open(folder: Box<dyn Folder>) -> Result<(Self, Recovered), Report<JournalError>> {
         let names = folder.list().change_context(JournalError::Disk)?;
-        let base = numbers(&names, SNAPSHOT_PREFIX).pop();
+        let base = sorted_numbers(&names, SNAPSHOT_PREFIX).pop();
         let first = base.unwrap_or(0);
         let mut journal = Self {
             folder,
@@ -127,7 +128,7 @@
         if let Some(base) = base {
             recovered.snapshot = Some(read_snapshot(journal.folder.as_ref(), base)?);
         }
-        let mut segments = numbers(&names, SEGMENT_PREFIX);
+        let mut segments = sorted_numbers(&names, SEGMENT_PREFIX);
         segments.retain(|segment| *segment >= first);
         for (place, segment) in segments.iter().enumerate() {
             if *segment != first + place as u64 {
@@ -150,7 +151,7 @@
     ) -> Result<(), Report<JournalError>> {
         let name = segment_name(segment);
         let bytes = self.folder.read(&name).change_context(JournalError::Disk)?;
-        let end = match scan(&bytes, |part| recovered.records.push(part.to_vec())) {
+        let end = match scan(&bytes, |payload| recovered.records.push(payload.to_vec())) {
             Scan::Whole => bytes.len(),
             Scan::Torn(end) if is_last => end,
             Scan::Torn(end) | Scan::Damaged(end) => {
@@ -158,8 +159,8 @@
             }
         };
         if is_last && !bytes.is_empty() {
-            // It is written anew: what was read may be in the system's memory alone, where a sync that failed
-            // left it, and a later sync would not write it.
+            // Rewrites the segment: after a failed sync the bytes read may exist only in the page cache, and a later
+            // sync would not write them.
             let written = self.folder.replace(&name, &bytes[..end]);
             written.change_context(JournalError::Disk)?;
         }
@@ -170,14 +171,14 @@
         Ok(())
     }
 
-    /// Whether a record of so many bytes may be appended. Where it may not, a snapshot must come first, which
-    /// may as well hold what the record says.
+    /// Whether a record of this many bytes fits. If not, a snapshot must be written first, which may already include
+    /// the change that the record describes.
     pub fn has_room(&self, length: usize) -> bool {
         self.segments_length + framed_length(length) <= MAX_SEGMENT_BYTES
     }
 
-    /// Writes one record and syncs it. After a failure nothing more is taken: what lies on the
-    /// disk is no longer known until the journal is opened again.
+    /// Writes one record and syncs it. After a failure no more records are accepted, because the content of
+    /// the disk is unknown until the journal is opened again.
     pub fn append(&mut self, payload: &[u8]) -> Result<(), Report<JournalError>> {
         if self.failed {
             return Err(Report::new(JournalError::Disk).attach("an earlier write failed"));
@@ -205,13 +206,13 @@
         Ok(())
     }
 
-    /// Whether the segments have grown enough that a snapshot pays.
+    /// Whether the segments have grown large enough for a snapshot.
     pub fn wants_snapshot(&self) -> bool {
         !self.failed && self.segments_length > self.snapshot_at
     }
 
-    /// Puts a snapshot of the whole state in place, starts a new segment and removes what is older. After a
-    /// failure the journal goes on as before.
+    /// Writes a snapshot of the whole state, starts a new segment and removes older files. After a failure the
+    /// journal remains usable and loses nothing.
     pub fn snapshot(&mut self, state: &[u8]) -> Result<(), Report<JournalError>> {
         if self.failed {
             return Err(Report::new(JournalError::Disk).attach("an earlier write failed"));
@@ -232,12 +233,13 @@
         Ok(())
     }
 
-    /// Removes what a snapshot that lasts stands for, and what was never put in place. What cannot be removed,
-    /// or comes back after a loss of power, is removed after the next snapshot.
+    /// Removes the files that a durable snapshot replaces, and leftover temporary files. A file that can't be removed,
+    /// or that reappears after a power loss, is removed after the next snapshot.
     fn remove_older(&mut self, first: u64) {
         let names = self.folder.list().unwrap_or_default();
         for name in names {
-            let segment = number(&name, SEGMENT_PREFIX).or_else(|| number(&name, SNAPSHOT_PREFIX));
+            let segment = parse_number(&name, SEGMENT_PREFIX)
+                .or_else(|| parse_number(&name, SNAPSHOT_PREFIX));
             if segment.is_some_and(|segment| segment < first) || is_temporary(&name) {
                 if let Err(error) = self.folder.remove(&name) {
                     log::warn!("journal: file not removed file={name} error={error}");
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,15 +1,15 @@
-//! A journal: records in numbered segments, with snapshots that stand for older ones.
+//! A write-ahead log of records in numbered segments, with snapshots that replace older segments.
 //!
-//! [`Journal`] writes and reads back, over the port [`Folder`]: [`DiskFolder`] is a directory, and [`MemoryFolder`] a simulated
-//! disk that fails and loses power as tests tell it to. A record counts once [`Journal::append`] returned without an error.
+//! [`Journal`] writes and recovers records through the [`Folder`] trait: [`DiskFolder`] is a directory, and [`MemoryFolder`] a simulated
+//! disk with injectable faults and power losses. A record is durable once [`Journal::append`] has returned without an error.
 //!
-//! What must never happen:
+//! Invariants:
 //!
-//! * A record that was appended is missing after a restart, or another one comes in its place.
-//! * Damage in the middle is taken for a torn end, and cut off.
-//! * A file is removed before the snapshot that stands for it is durable.
+//! * After a restart no appended record is missing or replaced by another one.
+//! * Corruption in the middle is never mistaken for a torn end and truncated.
+//! * No file is removed before the snapshot that replaces it is durable.
 //!
-//! Begin to read at [`Journal::open`]; `frame.rs` has the form of a record on the disk.
+//! Start reading at [`Journal::open`]; `frame.rs` defines the on-disk format of a record.
 #![warn(missing_docs)]
 
 mod folder;
--- a/crates/journal/src/memory.rs
+++ b/crates/journal/src/memory.rs
@@ -1,4 +1,4 @@
-//! A folder on a simulated disk, for simulations and tests.
+//! A [`Folder`] on a simulated disk, for simulations and tests.
 
 use crate::folder::Folder;
 use crate::simulated_disk::{CrashOutcome, DiskFault, FaultKind, SimulatedDisk};
@@ -6,30 +6,30 @@
 use std::io;
 use std::sync::Arc;
 
-/// A folder in memory for simulations and tests; clones share the same disk.
+/// An in-memory folder for simulations and tests; clones share the same disk.
 #[derive(Clone, Default)]
 pub struct MemoryFolder {
     disk: Arc<Mutex<SimulatedDisk>>,
 }
 
 impl MemoryFolder {
-    /// Lets a fault befall the disk.
+    /// Injects a fault into the disk.
     pub fn inject(&self, fault: FaultKind) {
         self.disk.lock().inject(fault);
     }
 
-    /// Lets the disk fail once it has done so many operations in all.
+    /// Makes the disk fail after this many operations since its creation.
     pub fn fail_after(&self, operations: u64, fault: DiskFault) {
         self.disk.lock().fail_after(operations, fault);
     }
 
-    /// How many operations that change something the disk was asked for.
+    /// Number of modifying operations requested so far, including failed ones.
     pub fn operations(&self) -> u64 {
         self.disk.lock().operations()
     }
 
-    /// Lengths of all effects that are not synced, in the order of [`MemoryFolder::lose_power`]; 0 stands for
-    /// the change of a name.
+    /// Lengths in bytes of all unsynced effects, in the order of [`MemoryFolder::lose_power`]; 0 stands for
+    /// a name change.
     pub fn unsynced(&self) -> Vec<usize> {
         let mut lengths = Vec::new();
         self.copy().disk.lock().lose_power(|length| {
@@ -39,14 +39,14 @@
         lengths
     }
 
-    /// Loses the power; each unsynced effect meets its outcome. Those without one are lost. No fault lasts.
+    /// Simulates a power loss with one outcome per unsynced effect; effects without one are lost. Clears any fault.
     pub fn lose_power(&self, outcomes: &[CrashOutcome]) {
         let mut outcomes = outcomes.iter();
         let mut disk = self.disk.lock();
         disk.lose_power(|_| outcomes.next().copied().unwrap_or(CrashOutcome::Lost));
     }
 
-    /// A disk of its own with the same content.
+    /// Copies the disk; the copy is independent of the original.
     pub fn copy(&self) -> Self {
         let disk = self.disk.lock().clone();
         Self {
@@ -54,17 +54,17 @@
         }
     }
 
-    /// Bytes that all files take.
+    /// Total size of all files, in bytes.
     pub fn size(&self) -> usize {
         self.disk.lock().size()
     }
 
-    /// Flips one bit of a file, where it has so many bytes.
+    /// Flips one bit of a file; does nothing if the file is shorter.
     pub fn flip(&self, name: &str, position: usize, bit: u8) {
         self.disk.lock().flip(name, position, bit);
     }
 
-    /// Empties the disk, and gives it room again.
+    /// Erases the disk and clears any fault.
     pub fn wipe(&self) {
         *self.disk.lock() = SimulatedDisk::default();
     }
--- a/crates/journal/src/simulated_disk.rs
+++ b/crates/journal/src/simulated_disk.rs
@@ -1,47 +1,47 @@
-//! A simulated disk: at a loss of power each effect that is not synced is kept, lost or torn by itself.
+//! A simulated disk: at a power loss each unsynced effect is independently kept, lost or torn.
 
 use crate::frame::framed;
 use std::collections::BTreeMap;
 use std::io;
 
-/// What may befall a [`MemoryFolder`](crate::MemoryFolder) at once.
+/// A fault or event that can be injected into a [`MemoryFolder`](crate::MemoryFolder).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
     /// Every write fails, as on a full disk.
     Full,
-    /// There is room again.
+    /// Writes succeed again; clears any fault.
     SpaceFreed,
-    /// The newest file ends in so many bytes of a record that was never whole.
+    /// Appends this many bytes of an incomplete record to the newest file.
     Torn(usize),
-    /// Names that were not synced are lost, and so are unsynced bytes but for so many.
+    /// Unsynced name changes are lost, and each unsynced write keeps at most this many of its first bytes.
     PowerLoss(usize),
 }
 
-/// What becomes of one unsynced effect when the power is lost.
+/// Outcome of a power loss for one unsynced effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CrashOutcome {
-    /// It is there.
+    /// The effect is kept.
     Kept,
-    /// It is missing.
+    /// The effect is lost.
     Lost,
-    /// Only so many of its first bytes are there. A change of a name is lost.
+    /// Only this many of its first bytes are kept. A name change is lost.
     Torn(usize),
 }
 
-/// How a disk fails from one operation on.
+/// How a disk fails, starting with some operation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiskFault {
-    /// Every operation that changes anything fails, as if the machine stopped.
+    /// Every modifying operation fails, as if the machine had stopped.
     Stopped,
-    /// Nothing can be written, made or renamed.
+    /// Writes, creations and renames fail.
     Full,
-    /// As [`DiskFault::Full`], but half of the bytes of each write come to the file.
+    /// Like [`DiskFault::Full`], but half of the bytes of each write reach the file.
     ShortWrite,
-    /// Syncs fail. What they should have covered is never written later, though later syncs succeed.
+    /// Syncs fail. The bytes they should have covered are never written, even if later syncs succeed.
     SyncFails,
 }
 
-/// Kind of an operation that changes something; which faults it meets depends on it.
+/// Kind of a modifying operation, which determines the faults that affect it.
 #[derive(Clone, Copy, PartialEq)]
 enum Operation {
     Write,
@@ -54,7 +54,7 @@
 enum Durability {
     Synced,
     Unsynced,
-    /// A sync of these bytes failed; a later one does not cover them.
+    /// A sync of these bytes failed; later syncs don't cover them.
     Dropped,
 }
 
@@ -64,22 +64,22 @@
     durability: Durability,
 }
 
-/// The bytes of a file, as they were written.
+/// The bytes of a file and the writes that they consist of.
 #[derive(Clone, Default)]
 struct Content {
     bytes: Vec<u8>,
     writes: Vec<Write>,
 }
 
-/// A change of a name, with the index of its content.
+/// A name change, with the index of the file's content.
 #[derive(Clone)]
 enum NameChange {
-    Made(String, usize),
+    Created(String, usize),
     Renamed(String, String, usize),
     Removed(String),
 }
 
-/// The whole state of a disk. Names and contents last independently of each other.
+/// The whole state of a disk. Names and contents become durable independently of each other.
 #[derive(Clone, Default)]
 pub(crate) struct SimulatedDisk {
     contents: Vec<Content>,
@@ -87,7 +87,7 @@
     durable_names: BTreeMap<String, usize>,
     unsynced_names: Vec<NameChange>,
     operations: u64,
-    /// A fault, and the number of operations after which it begins.
+    /// The number of operations after which a fault begins, and the fault.
     fault: Option<(u64, DiskFault)>,
 }
 
@@ -117,18 +117,18 @@
         }
     }
 
-    /// Counts an operation, and tells the fault that it meets.
+    /// Counts an operation and returns the fault that affects it, if any.
     fn begin(&mut self, operation: Operation) -> Option<DiskFault> {
         self.operations += 1;
-        let (from, fault) = self.fault?;
-        let is_met = match fault {
+        let (starts_after, fault) = self.fault?;
+        let is_affected = match fault {
             DiskFault::Stopped => true,
             DiskFault::Full | DiskFault::ShortWrite => {
                 matches!(operation, Operation::Write | Operation::Rename)
             }
             DiskFault::SyncFails => operation == Operation::Sync,
         };
-        (self.operations > from && is_met).then_some(fault)
+        (self.operations > starts_after && is_affected).then_some(fault)
     }
 
     fn index_of(&self, name: &str) -> io::Result<usize> {
@@ -143,7 +143,7 @@
         let index = self.contents.len();
         self.contents.push(Content::default());
         self.names.insert(name.to_string(), index);
-        let change = NameChange::Made(name.to_string(), index);
+        let change = NameChange::Created(name.to_string(), index);
         self.unsynced_names.push(change);
         index
     }
@@ -158,7 +158,7 @@
         });
     }
 
-    /// Asks for what becomes of each unsynced effect, given its length; 0 stands for the change of a name.
+    /// Simulates a power loss. Calls `outcome_of` with the length of each unsynced effect; 0 stands for a name change.
     pub fn lose_power(&mut self, mut outcome_of: impl FnMut(usize) -> CrashOutcome) {
         for content in &mut self.contents {
             content.lose_power(&mut outcome_of);
@@ -178,13 +178,13 @@
         self.names.keys().cloned().collect()
     }
 
-    /// Bytes that all files take.
+    /// Total size of all files, in bytes.
     pub fn size(&self) -> usize {
         let contents = self.names.values().map(|index| &self.contents[*index]);
         contents.map(|content| content.bytes.len()).sum()
     }
 
-    /// Flips one bit of a file, where it has so many bytes.
+    /// Flips one bit of a file; does nothing if the file is shorter.
     pub fn flip(&mut self, name: &str, position: usize, bit: u8) {
         let Some(index) = self.names.get(name) else {
             return;
@@ -203,9 +203,9 @@
             None => self.write(name, bytes),
             Some(DiskFault::ShortWrite) => {
                 self.write(name, &bytes[..bytes.len() / 2]);
-                return Err(refused());
+                return Err(storage_full());
             }
-            Some(_) => return Err(refused()),
+            Some(_) => return Err(storage_full()),
         }
         Ok(())
     }
@@ -216,18 +216,18 @@
         let durability = match fault {
             None => Durability::Synced,
             Some(DiskFault::SyncFails) => Durability::Dropped,
-            Some(_) => return Err(refused()),
+            Some(_) => return Err(storage_full()),
         };
         let writes = self.contents[index].writes.iter_mut();
         for write in writes.filter(|write| write.durability == Durability::Unsynced) {
             write.durability = durability;
         }
-        fault.map_or(Ok(()), |_| Err(refused()))
+        fault.map_or(Ok(()), |_| Err(storage_full()))
     }
 
     pub fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         if self.begin(Operation::Rename).is_some() {
-            return Err(refused());
+            return Err(storage_full());
         }
         let index = self.index_of(from)?;
         let change = NameChange::Renamed(from.to_string(), to.to_string(), index);
@@ -238,7 +238,7 @@
 
     pub fn remove(&mut self, name: &str) -> io::Result<()> {
         if self.begin(Operation::Remove).is_some() {
-            return Err(refused());
+            return Err(storage_full());
         }
         if self.names.remove(name).is_some() {
             let change = NameChange::Removed(name.to_string());
@@ -249,7 +249,7 @@
 
     pub fn sync_names(&mut self) -> io::Result<()> {
         if self.begin(Operation::Sync).is_some() {
-            return Err(refused());
+            return Err(storage_full());
         }
         self.unsynced_names.clear();
         self.durable_names = self.names.clone();
@@ -257,7 +257,7 @@
         Ok(())
     }
 
-    /// Forgets contents that have no name any more, so that long tests need no more memory than the disk.
+    /// Drops the contents of files without a name, so that memory use in long tests is bounded by the size of the disk.
     fn release_unnamed(&mut self) {
         let is_named = |index: usize| {
             let mut durable = self.durable_names.values();
@@ -272,7 +272,7 @@
     }
 }
 
-fn refused() -> io::Error {
+fn storage_full() -> io::Error {
     io::Error::from(io::ErrorKind::StorageFull)
 }
 
@@ -287,7 +287,7 @@
                 _ => outcome_of(write.length).kept_bytes(write.length),
             };
             if kept > 0 {
-                // Bytes that are missing before others are zeros.
+                // Lost bytes before kept ones read as zeros.
                 bytes.resize(start, 0);
                 bytes.extend_from_slice(&written[..kept]);
             }
@@ -314,7 +314,7 @@
 impl NameChange {
     fn apply(self, names: &mut BTreeMap<String, usize>) {
         match self {
-            Self::Made(name, index) => {
+            Self::Created(name, index) => {
                 names.insert(name, index);
             }
             Self::Renamed(from, to, index) => {
--- a/crates/journal/tests/power_loss.rs
+++ b/crates/journal/tests/power_loss.rs
@@ -1,19 +1,19 @@
-//! A loss of power after every single operation of a script, with every combination of unsynced effects kept,
-//! lost or torn, and a disk that fails from every operation on, against a plain list as oracle.
+//! Recovery after a power loss at every operation of a script, with every combination of unsynced effects kept, lost or
+//! torn, and with disk faults starting at every operation. A plain list serves as the oracle.
 
 use journal::{CrashOutcome, DiskFault, Journal, JournalError, MemoryFolder};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Combinations of outcomes up to which all of them are tried; above it so many are drawn.
-const COMBINATIONS_MAX: usize = 3_000;
-const DRAWN: usize = 1_000;
+/// Maximum number of combinations of outcomes that are tried exhaustively; beyond it, `RANDOM_COMBINATIONS` random ones are tried.
+const MAX_COMBINATIONS: usize = 3_000;
+const RANDOM_COMBINATIONS: usize = 1_000;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Append,
     Snapshot,
-    /// The process is killed and opens the journal again.
+    /// The process is killed and reopens the journal.
     Reopen,
 }
 
@@ -30,13 +30,13 @@
     &[Snapshot, Append, Snapshot, Append, Snapshot, Append, Reopen],
 ];
 
-/// A journal of single bytes; the state is the list of them.
+/// A journal whose records are single bytes and whose state is the list of them.
 struct Run {
     disk: MemoryFolder,
     journal: Option<Journal>,
-    /// What was acknowledged, or read back and acted upon.
+    /// Records that were acknowledged or recovered.
     durable: Vec<u8>,
-    /// What was written without an acknowledgement since; any beginning of it may be there.
+    /// Records written since then without an acknowledgement; any prefix of them may be recovered.
     uncertain: Vec<u8>,
     next: u8,
 }
@@ -52,7 +52,7 @@
         }
     }
 
-    fn on(&self, disk: MemoryFolder) -> Self {
+    fn with_disk(&self, disk: MemoryFolder) -> Self {
         Self {
             disk,
             journal: None,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Opens the journal; what it gives must be all that is durable, with nothing forged after it.
+    /// Opens the journal; it must recover all durable records, followed by nothing but a prefix of the uncertain ones.
     fn open(&mut self) -> bool {
         self.journal = None;
         let (journal, found) = match Journal::open(Box::new(self.disk.clone())) {
@@ -87,7 +87,7 @@
         true
     }
 
-    /// Does a step; a journal that failed is opened again first.
+    /// Executes a step; a journal that failed is reopened first.
     fn step(&mut self, step: Step) {
         if self.journal.is_none() && !self.open() {
             return;
@@ -106,7 +106,7 @@
                     self.journal = None;
                 }
             }
-            // A journal goes on after a snapshot that failed.
+            // A journal remains usable after a failed snapshot.
             Snapshot => drop(journal.snapshot(&self.durable)),
             Reopen => drop(self.open()),
         }
@@ -118,23 +118,23 @@
         }
     }
 
-    /// Loses the power, and looks at what is there after it; also after one more record and another loss.
+    /// Simulates a power loss and checks the recovery, then appends a record and does so once more.
     fn lose_power(&self, outcomes: &[CrashOutcome]) {
         let disk = self.disk.copy();
         disk.lose_power(outcomes);
-        let mut after = self.on(disk);
+        let mut after = self.with_disk(disk);
         assert!(after.open(), "a disk without a fault");
         after.step(Append);
         after.disk.lose_power(&[]);
         assert!(after.open());
     }
 
-    /// Loses the power once more during each operation of the opening that follows.
+    /// Simulates a second power loss at each operation of the recovery after the first.
     fn lose_power_twice(&self, outcomes: &[CrashOutcome]) {
         let disk = self.disk.copy();
         disk.lose_power(outcomes);
         for operations in disk.operations().. {
-            let mut after = self.on(disk.copy());
+            let mut after = self.with_disk(disk.copy());
             after.disk.fail_after(operations, DiskFault::Stopped);
             let is_whole = after.open();
             for outcome in [
@@ -151,7 +151,7 @@
         }
     }
 
-    fn lose_power_in_all_ways(&self, random: &mut StdRng) -> usize {
+    fn lose_power_with_all_outcomes(&self, random: &mut StdRng) -> usize {
         let ways = combinations(&self.disk.unsynced(), random);
         for outcomes in &ways {
             self.lose_power(outcomes);
@@ -163,7 +163,7 @@
     }
 }
 
-/// What may become of an effect: a write may be torn after each byte.
+/// All possible outcomes of an effect: a write may be torn after each byte.
 fn outcomes_of(length: usize) -> Vec<CrashOutcome> {
     let torn = (1..length).map(CrashOutcome::Torn);
     [CrashOutcome::Lost, CrashOutcome::Kept]
@@ -178,10 +178,10 @@
     let count = choices
         .iter()
         .fold(1usize, |count, one| count.saturating_mul(one.len()));
-    if count > COMBINATIONS_MAX {
+    if count > MAX_COMBINATIONS {
         let mut drawn = vec![vec![CrashOutcome::Lost; unsynced.len()]];
         drawn.push(vec![CrashOutcome::Kept; unsynced.len()]);
-        drawn.extend((0..DRAWN).map(|_| {
+        drawn.extend((0..RANDOM_COMBINATIONS).map(|_| {
             let draw = |one: &Vec<CrashOutcome>| one[random.random_range(0..one.len())];
             choices.iter().map(draw).collect()
         }));
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_when_the_power_goes_after_any_operation() {
+fn no_acknowledged_record_is_lost_by_a_power_loss_after_any_operation() {
     let mut random = StdRng::seed_from_u64(1);
     let mut tried = 0;
     for script in SCRIPTS {
@@ -207,18 +207,18 @@
             let mut run = Run::new(MemoryFolder::default());
             run.disk.fail_after(operations, DiskFault::Stopped);
             run.play(script);
-            tried += run.lose_power_in_all_ways(&mut random);
+            tried += run.lose_power_with_all_outcomes(&mut random);
             if run.disk.operations() <= operations {
                 break;
             }
         }
     }
-    println!("{tried} losses of power");
+    println!("{tried} power losses");
     assert!(tried > 1_000);
 }
 
 #[test]
-fn a_disk_that_fails_for_a_while_loses_nothing_that_was_acknowledged() {
+fn no_acknowledged_record_is_lost_by_a_temporary_disk_fault() {
     let mut random = StdRng::seed_from_u64(2);
     for fault in [DiskFault::Full, DiskFault::ShortWrite, DiskFault::SyncFails] {
         for script in SCRIPTS {
@@ -240,7 +240,7 @@
                         ][random.random_range(0..3)]
                     };
                     run.lose_power(&(0..unsynced).map(draw).collect::<Vec<_>>());
-                    // The process alone is killed.
+                    // Only the process is killed; the machine keeps its power.
                     assert!(run.open(), "the disk works again");
                 }
             }
--- a/crates/journal/tests/recovery.rs
+++ b/crates/journal/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery at every cut and with every kind of bit flip, against a plain list as oracle.
+//! Recovery from a truncation at every byte and from every bit flip, with a plain list as the oracle.
 
 use journal::{FaultKind, Folder, Journal, JournalError, MemoryFolder};
 
@@ -18,7 +18,7 @@
 const SEGMENT: &str = "segment-000000000000";
 
 #[test]
-fn every_cut_gives_a_prefix() {
+fn recovery_from_any_truncation_yields_a_prefix() {
     let whole = filled(12).read(SEGMENT).unwrap();
     for cut in 0..=whole.len() {
         let mut disk = MemoryFolder::default();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn every_flip_is_seen_unless_it_is_in_the_last_record() {
+fn every_bit_flip_outside_the_last_record_is_detected() {
     let whole = filled(5).read(SEGMENT).unwrap();
     let last_start = whole.len() - 12 - record(4).len();
     for place in 0..whole.len() {
@@ -44,7 +44,7 @@
             match Journal::open(Box::new(disk)) {
                 Err(report) => assert_eq!(*report.current_context(), JournalError::Damaged),
                 Ok((_, found)) => {
-                    assert!(place >= last_start, "flip at {place} went unseen");
+                    assert!(place >= last_start, "flip at {place} was not detected");
                     assert_eq!(found.records, (0..4).map(record).collect::<Vec<_>>());
                 }
             }
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_full_disk_stops_the_journal_until_it_is_opened_again() {
+fn a_full_disk_stops_the_journal_until_it_is_reopened() {
     let disk = filled(2);
     let (mut journal, _) = Journal::open(Box::new(disk.clone())).unwrap();
     disk.inject(FaultKind::Full);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_snapshot_stands_for_what_came_before_it() {
+fn a_snapshot_replaces_the_records_before_it() {
     let disk = filled(4);
     let (mut journal, _) = Journal::open(Box::new(disk.clone())).unwrap();
     journal.snapshot(b"state").unwrap();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_was_appended_outlives_a_loss_of_power() {
+fn appended_records_survive_a_power_loss() {
     let disk = filled(4);
     disk.inject(FaultKind::PowerLoss(0));
     let (_, found) = Journal::open(Box::new(disk)).unwrap();
