--- a/crates/event_loop/src/event_loop.rs
+++ b/crates/event_loop/src/event_loop.rs
@@ -236,7 +236,7 @@
         if token == WAKER_TOKEN {
             return;
         }
-        match ListenerId::of(token) {
+        match ListenerId::from_token(token) {
             Some(listener) => self.accept(listener, events),
             None => self.handle_ready_connection(token.0, ready, events),
         }
--- a/crates/event_loop/src/listeners.rs
+++ b/crates/event_loop/src/listeners.rs
@@ -15,7 +15,7 @@
 /// All listening sockets, in the order in which they were opened.
 #[derive(Default)]
 pub(crate) struct Listeners {
-    open: Vec<Option<Listener>>,
+    slots: Vec<Option<Listener>>,
 }
 
 struct Listener {
@@ -25,7 +25,7 @@
 
 impl ListenerId {
     /// The listener that the token of a readiness event identifies, or `None` if it belongs to a connection.
-    pub fn of(token: Token) -> Option<Self> {
+    pub fn from_token(token: Token) -> Option<Self> {
         token.0.checked_sub(FIRST_TOKEN).map(Self)
     }
 
@@ -42,17 +42,17 @@
         read_limit: usize,
     ) -> io::Result<ListenerId> {
         let mut socket = TcpListener::bind(address)?;
-        let id = ListenerId(self.open.len());
+        let id = ListenerId(self.slots.len());
         registry.register(&mut socket, id.token(), Interest::READABLE)?;
-        self.open.push(Some(Listener { socket, read_limit }));
+        self.slots.push(Some(Listener { socket, read_limit }));
         Ok(id)
     }
 
     pub fn close(&mut self, registry: &Registry, id: ListenerId) {
-        let Some(place) = self.open.get_mut(id.0) else {
+        let Some(slot) = self.slots.get_mut(id.0) else {
             return;
         };
-        if let Some(mut listener) = place.take() {
+        if let Some(mut listener) = slot.take() {
             // Errors don't matter: dropping the socket here removes it from the poll in any case.
             let _ = registry.deregister(&mut listener.socket);
         }
@@ -61,7 +61,7 @@
     /// Accepts the next pending connection of a listener and returns it with the listener's read limit. `None` if the
     /// listener is closed or no connection is pending.
     pub fn accept(&self, id: ListenerId) -> Option<io::Result<(TcpStream, usize)>> {
-        let listener = self.open.get(id.0)?.as_ref()?;
+        let listener = self.slots.get(id.0)?.as_ref()?;
         match listener.socket.accept() {
             Ok((stream, _)) => Some(Ok((stream, listener.read_limit))),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => None,
@@ -71,7 +71,7 @@
 
     /// Requests another readiness event, since more connections may be pending than were accepted: events are edge-triggered.
     pub fn rearm(&mut self, registry: &Registry, id: ListenerId) {
-        if let Some(Some(listener)) = self.open.get_mut(id.0) {
+        if let Some(Some(listener)) = self.slots.get_mut(id.0) {
             let _ = registry.reregister(&mut listener.socket, id.token(), Interest::READABLE);
         }
     }
--- a/crates/event_loop/tests/common/mod.rs
+++ b/crates/event_loop/tests/common/mod.rs
@@ -36,7 +36,7 @@
             }
             self.poll(POLL_TIMEOUT);
         }
-        panic!("{what} did not come: {:?}", self.events);
+        panic!("{what} did not arrive: {:?}", self.events);
     }
 
     pub fn wait_for_event(&mut self, event: Event) {
@@ -58,7 +58,7 @@
     }
 
     pub fn wait_closed(&mut self, connection: ConnectionId) -> CloseReason {
-        self.wait_for("an end", |one| {
+        self.wait_for("a close", |one| {
             one.events.iter().find_map(|event| match event {
                 Event::Closed(id, reason) if *id == connection => Some(*reason),
                 _ => None,
--- a/crates/http1/tests/fields.rs
+++ b/crates/http1/tests/fields.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn written_messages_have_their_own_framing_alone() {
+fn written_messages_have_only_generated_framing() {
     let headers = headers(&[
         ("Host", "a"),
         ("Content-Length", "9"),
--- a/crates/http1/tests/requests.rs
+++ b/crates/http1/tests/requests.rs
@@ -132,17 +132,17 @@
 }
 
 seeded! {
-    fn a_request_parses_the_same_in_any_pieces(body: Vec<u8>, draws: Vec<u8>, behind: Vec<u8>) -> bool {
+    fn a_request_parses_the_same_in_any_pieces(body: Vec<u8>, draws: Vec<u8>, trailing: Vec<u8>) -> bool {
         let mut draws = Draws::new(&draws);
         let sent = send(&body, &mut draws);
         let mut whole = sent.bytes.clone();
-        whole.extend_from_slice(&behind);
+        whole.extend_from_slice(&trailing);
         let mut reader = RequestReader::new();
         let read = piecewise(&whole, &mut draws, |buffer| reader.read(buffer, &LIMITS));
         let Ok((Some(request), rest)) = read else {
             return false;
         };
-        is_same(&sent, &request) && rest == behind
+        is_same(&sent, &request) && rest == trailing
     }
 
     fn pipelined_requests_are_read_one_by_one(first: Vec<u8>, second: Vec<u8>, draws: Vec<u8>) -> bool {
--- a/crates/http1/tests/responses.rs
+++ b/crates/http1/tests/responses.rs
@@ -94,7 +94,7 @@
 }
 
 seeded! {
-    fn a_response_parses_the_same_in_any_pieces(body: Vec<u8>, draws: Vec<u8>, behind: Vec<u8>) -> bool {
+    fn a_response_parses_the_same_in_any_pieces(body: Vec<u8>, draws: Vec<u8>, trailing: Vec<u8>) -> bool {
         let mut draws = Draws::new(&draws);
         let sent = send(&body, &mut draws);
         let mut reader = ResponseReader::new(sent.is_head);
@@ -106,12 +106,12 @@
             let ended = reader.end_of_stream(&mut buffer);
             return matches!(ended, Ok(Some(read)) if is_same(&sent.response, &read)) && buffer.is_empty();
         }
-        let whole = [&sent.bytes[..], &behind].concat();
+        let whole = [&sent.bytes[..], &trailing].concat();
         let read = piecewise(&whole, &mut draws, |buffer| reader.read(buffer, &LIMITS));
         let Ok((Some(read), rest)) = read else {
             return false;
         };
-        is_same(&sent.response, &read) && rest == behind
+        is_same(&sent.response, &read) && rest == trailing
     }
 
     fn a_truncated_response_is_an_error(body: Vec<u8>, draws: Vec<u8>) -> bool {
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -22,7 +22,7 @@
 /// Errors of a journal.
 #[derive(Debug, PartialEq)]
 pub enum JournalError {
-    /// A file operation failed, or the journal no longer accepts writes.
+    /// A disk operation failed, or the journal accepts no records until it is reopened.
     Disk,
     /// Bytes in the middle are corrupt; the data must be repaired from other replicas.
     Damaged,
@@ -31,8 +31,8 @@
 impl fmt::Display for JournalError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::Disk => "the disk refused a call",
-            Self::Damaged => "a record in the middle is damaged",
+            Self::Disk => "a disk operation failed",
+            Self::Damaged => "a record before the end is corrupt",
         })
     }
 }
