--- a/crates/operator_commands/src/decision.rs
+++ b/crates/operator_commands/src/decision.rs
@@ -113,17 +113,15 @@
     let digest = CommandDigest::of(&command.kind, base, version, &command.body);
     match current.accepted.look_up(base, version, digest) {
         AcceptanceLookup::Accepted => Decision::Reply(CommandReply::Acknowledged),
-        AcceptanceLookup::Forgotten => {
-            leave_undecided("the command is too old: it is unknown whether it was accepted")
-        }
+        AcceptanceLookup::Forgotten => leave_undecided("it is too old to be known again"),
         AcceptanceLookup::NeverAccepted if base < current.version => {
-            let reason = format!("the current version is {}", current.version);
+            let reason = format!("version {} is in place", current.version);
             reject(RejectionKind::Stale, reason)
         }
         // The base version may still be committed and a copy of this command accepted elsewhere, so a rejection would not be
         // final.
         AcceptanceLookup::NeverAccepted if base > current.version => {
-            leave_undecided("the base version is not committed yet")
+            leave_undecided("the version it builds on is not in place yet")
         }
         AcceptanceLookup::NeverAccepted => accept(command, &current, version, format),
     }
@@ -132,9 +130,9 @@
 fn base_version(command: &Command) -> Result<u64, &'static str> {
     match command.base {
         BaseVersion::Given(base) => Ok(base),
-        BaseVersion::Missing => Err("the base version is missing"),
-        BaseVersion::Repeated => Err("the base version is given more than once"),
-        BaseVersion::Malformed => Err("the base version is not a decimal integer"),
+        BaseVersion::Missing => Err("it is not told on which version this builds"),
+        BaseVersion::Repeated => Err("the version on which this builds is told more than once"),
+        BaseVersion::Malformed => Err("the version on which this builds is not a whole number"),
     }
 }
 
@@ -172,6 +170,6 @@
 fn write_value<T: Writable<speedy::LittleEndian>>(value: &T) -> Decision {
     match value.write_to_vec() {
         Ok(bytes) => Decision::Write(bytes),
-        Err(_) => leave_undecided("the new value cannot be encoded"),
+        Err(_) => leave_undecided("the new value cannot be written"),
     }
 }
--- a/crates/operator_commands/src/execution.rs
+++ b/crates/operator_commands/src/execution.rs
@@ -64,11 +64,11 @@
             }
             ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) => stored,
             // A proposed value may still be committed later, so the command can be neither acknowledged nor rejected.
-            _ => return undecided("it is unknown whether the command was accepted; send it again"),
+            _ => return undecided("it is not known whether it was taken; send it again"),
         };
         self.attempts += 1;
         if self.attempts > DECISION_ATTEMPTS_MAX {
-            return undecided("too many concurrent changes; send it again");
+            return undecided("other changes kept winning; send it again");
         }
         self.step(stored, format)
     }
@@ -77,7 +77,7 @@
         match decide(&self.command, &stored.bytes, format) {
             Decision::Reply(reply) => ExecutionStep::Reply(reply),
             Decision::Write(_) if !self.may_write(&stored) => {
-                undecided("the zone's state was changed concurrently; send it again")
+                undecided("the zone was changed meanwhile; send it again")
             }
             Decision::Write(bytes) => {
                 self.has_written = true;
--- a/crates/routing/src/configuration.rs
+++ b/crates/routing/src/configuration.rs
@@ -106,9 +106,9 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreadable(reason) => {
-                write!(formatter, "cannot parse the configuration: {reason}")
+                write!(formatter, "it cannot be read: {reason}")
             }
-            Self::Invalid(reason) => write!(formatter, "invalid configuration: {reason}"),
+            Self::Invalid(reason) => write!(formatter, "it may not be: {reason}"),
         }
     }
 }
--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -42,13 +42,13 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::RepeatedName(name) => {
-                write!(formatter, "tenant '{name}': the name is not unique")
+                write!(formatter, "tenant '{name}': its name is there twice")
             }
-            Self::RepeatedKey(name) => write!(formatter, "tenant '{name}': a key is listed twice"),
+            Self::RepeatedKey(name) => write!(formatter, "tenant '{name}': it has a key twice"),
             Self::SharedKey { tenant, other } => {
                 write!(
                     formatter,
-                    "tenant '{tenant}': a key also belongs to tenant '{other}'"
+                    "tenant '{tenant}': it has a key of tenant '{other}'"
                 )
             }
         }
