--- a/crates/simulator/src/config.rs
+++ b/crates/simulator/src/config.rs
@@ -9,23 +9,23 @@
     /// Functions.
     pub functions: usize,
     /// Wishes a second over all functions.
-    pub rate: f64,
+    pub requests_per_s: f64,
     /// Milliseconds that a run takes, within a factor of two.
     pub response_time_ms: u64,
     /// Share of runs whose answers are lost.
-    pub answer_loss: f64,
+    pub response_loss: f64,
     /// Share of answers that are cut, unsealed, or another request's.
-    pub runner_fault: f64,
+    pub runner_fault_share: f64,
     /// How many times slower than others each worker's runners are; empty where all are alike.
     pub slowness: Vec<u64>,
     /// How long once-keys are remembered, in milliseconds.
     pub claim_ms: u64,
     /// Failures in place of random ones.
-    pub only: Option<Vec<(u64, Fault)>>,
+    pub scripted_faults: Option<Vec<(u64, Fault)>>,
     /// Failures come between these times, in milliseconds.
-    pub faults: (u64, u64),
+    pub fault_window_ms: (u64, u64),
     /// The run ends at this time.
-    pub until: u64,
+    pub end_ms: u64,
 }
 
 impl Default for Config {
@@ -33,15 +33,15 @@
         Self {
             fronts: 5,
             functions: 6,
-            rate: 60.0,
+            requests_per_s: 60.0,
             response_time_ms: 60,
-            answer_loss: 0.01,
-            runner_fault: 0.01,
+            response_loss: 0.01,
+            runner_fault_share: 0.01,
             slowness: Vec::new(),
             claim_ms: 600_000,
-            only: None,
-            faults: (6_000, 16_000),
-            until: 32_000,
+            scripted_faults: None,
+            fault_window_ms: (6_000, 16_000),
+            end_ms: 32_000,
         }
     }
 }
@@ -52,7 +52,7 @@
     /// Seed of the run.
     pub seed: u64,
     /// What must never happen and did.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Runs on runners.
     pub runs: usize,
     /// Puts that were acknowledged.
@@ -62,7 +62,7 @@
     /// The failures that were brought about.
     pub faults: Vec<(u64, Fault)>,
     /// What the oracle's checks looked at.
-    pub looked: BTreeMap<&'static str, usize>,
+    pub case_counts: BTreeMap<&'static str, usize>,
     /// When answers came and how long they took, in milliseconds.
     pub took_ms: Vec<(u64, u64)>,
 }
--- a/crates/simulator/src/core_founding.rs
+++ b/crates/simulator/src/core_founding.rs
@@ -165,7 +165,7 @@
                 set,
                 refused_before: floor,
             } => {
-                oracle.look("eras founded");
+                oracle.count_case("eras founded");
                 self.voter.bootstrap(set.clone(), floor);
                 if !self.voter.sync() {
                     return;
--- a/crates/simulator/src/core_node.rs
+++ b/crates/simulator/src/core_node.rs
@@ -327,7 +327,7 @@
         }
         if let ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) = &outcome {
             let epoch = running.set.epoch;
-            oracle.committed(&key, epoch, stored.version, stored.tag, &stored.bytes);
+            oracle.on_committed(&key, epoch, stored.version, stored.tag, &stored.bytes);
             self.put_in_force(&key, epoch, stored);
         }
         match running.purpose {
--- a/crates/simulator/src/core_puts.rs
+++ b/crates/simulator/src/core_puts.rs
@@ -71,7 +71,7 @@
         let next = edited(&current, put.seed);
         put.text = serde_json::to_string(&next).unwrap_or_default();
         if !check(&next).is_empty() {
-            oracle.refused(&put.text);
+            oracle.on_put_rejected(&put.text);
             return;
         }
         let change = Change::Write {
@@ -100,7 +100,7 @@
             }
             // The same text may be in force by another operator's put, so only its own is judged.
             ChangeOutcome::Conflict(stored) if stored.bytes != put.text.as_bytes() => {
-                oracle.refused(&put.text);
+                oracle.on_put_rejected(&put.text);
             }
             _ => {}
         }
@@ -133,7 +133,7 @@
                     .filter(|zone| zone.state == ZoneState::Evacuated)
                     .map(|zone| zone.name.clone())
                     .collect();
-                oracle.acknowledged(version, &evacuated);
+                oracle.on_put_acknowledged(version, &evacuated);
             } else if now < until {
                 self.puts.push((put, version, until));
             }
--- a/crates/simulator/src/core_roles.rs
+++ b/crates/simulator/src/core_roles.rs
@@ -63,7 +63,7 @@
         self.voter.expire_claims(net.wall, remembered);
         self.voter.sync();
         if self.voter.acceptor().claim_floors().expired_before > water {
-            oracle.look("ageing");
+            oracle.count_case("ageing");
         }
     }
 }
--- a/crates/simulator/src/failing.rs
+++ b/crates/simulator/src/failing.rs
@@ -32,7 +32,7 @@
                 };
                 let holder = self.cores.values().find(holds);
                 if let Some(name) = holder.map(|core| core.peer.name.clone()) {
-                    self.oracle.look("duty killed");
+                    self.oracle.count_case("duty killed");
                     self.fault(Fault::Kill(name, lasts));
                 }
             }
@@ -84,11 +84,11 @@
             Fault::ReturnWorker(worker) => self.platform.crash(&worker, false),
             Fault::LeaveWorker(worker) => {
                 self.platform.leave(&worker, true);
-                self.oracle.leaving(&worker, Some(now + LIST_LAG_MS));
+                self.oracle.set_leaving(&worker, Some(now + LIST_LAG_MS));
             }
             Fault::StayWorker(worker) => {
                 self.platform.leave(&worker, false);
-                self.oracle.leaving(&worker, None);
+                self.oracle.set_leaving(&worker, None);
             }
             Fault::Replace(number) => self.platform.replace(now, number),
             Fault::SlowWorker(worker, times) => {
@@ -100,7 +100,7 @@
                 }
             }
             Fault::Wipe(lasts) => {
-                self.oracle.wiped();
+                self.oracle.on_wipe();
                 for name in self.cores.keys().cloned().collect::<Vec<_>>() {
                     self.fault(Fault::EmptyDisk(name, lasts));
                 }
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -50,7 +50,7 @@
     /// Failures in order of time.
     pub faults: Vec<(u64, Fault)>,
     /// When the last of them has closed.
-    pub closed_at: u64,
+    pub healed_at: u64,
 }
 
 impl FaultPlan {
@@ -140,7 +140,7 @@
         faults.sort_by_key(|(at, _)| *at);
         Self {
             faults,
-            closed_at: until,
+            healed_at: until,
         }
     }
 }
--- a/crates/simulator/src/front_claims.rs
+++ b/crates/simulator/src/front_claims.rs
@@ -115,7 +115,7 @@
             }
             ChangeOutcome::Conflict(_) => self.tell(oracle, slot, "theirs"),
             ChangeOutcome::Expired => {
-                oracle.look("claims aged out");
+                oracle.count_case("claims aged out");
                 self.tell(oracle, slot, "aged-out");
             }
             _ => self.tell(oracle, slot, "not-run"),
--- a/crates/simulator/src/front_node.rs
+++ b/crates/simulator/src/front_node.rs
@@ -108,8 +108,8 @@
             net.send(&self.peer.name, &core, packet);
         }
         if self.scheduler.has_quorum(now) {
-            oracle.serves(&self.peer.name, configuration);
-            oracle.works(&self.peer.name, configuration);
+            oracle.check_no_rollback(&self.peer.name, configuration);
+            oracle.check_staleness(&self.peer.name, configuration);
         }
         let over = self.claiming.iter();
         let over: Vec<u64> = over
@@ -166,7 +166,7 @@
     fn update(&mut self, now: u64, oracle: &mut Oracle, update: StateUpdate) {
         if let Some(newer) = update.configuration {
             if let Ok(configuration) = parse(&newer.text) {
-                oracle.holds_text(&self.peer.name, &newer.text);
+                oracle.check_not_rejected(&self.peer.name, &newer.text);
                 self.scheduler
                     .set_configuration(now, Arc::new(configuration), newer.version);
             }
@@ -259,7 +259,7 @@
         match end {
             AttemptOutcome::Answered(_) => {
                 if let Some(answer) = &answer {
-                    oracle.answer(open.caller_request.call, answer.call, answer.took_ms);
+                    oracle.check_answer(open.caller_request.call, answer.call, answer.took_ms);
                 }
                 self.tell(oracle, slot, "answered");
                 if let Some(version) = claimed {
@@ -297,14 +297,14 @@
         match action {
             Action::Send(to, message) => {
                 if let FrontMessage::SeatAssignment(assignment) = &message {
-                    oracle.leases_seats(&assignment.runner, assignment.epoch);
+                    oracle.check_lease_epoch(&assignment.runner, assignment.epoch);
                 }
                 let packet = self.packet(0, PeerMessage::Front(message));
                 net.send(&self.peer.name.clone(), &to, packet);
             }
             Action::Launch(queued_request, seat) => {
                 if seat.owner == self.peer {
-                    oracle.leases_seats(&seat.runner, seat.epoch);
+                    oracle.check_lease_epoch(&seat.runner, seat.epoch);
                 }
                 let time = net.soon(3);
                 let incarnation = self.peer.incarnation;
--- a/crates/simulator/src/front_requests.rs
+++ b/crates/simulator/src/front_requests.rs
@@ -17,7 +17,7 @@
             .may_take(now, &caller_request.function)
             .is_err()
         {
-            oracle.tell(caller_request.call, "not-run", &caller_request.function);
+            oracle.on_outcome(caller_request.call, "not-run", &caller_request.function);
             return;
         }
         let register = match caller_request
@@ -27,8 +27,8 @@
             None => None,
             Some(Some(register)) => Some(register),
             Some(None) => {
-                oracle.look("keys refused by their time");
-                oracle.tell(caller_request.call, "not-run", &caller_request.function);
+                oracle.count_case("keys refused by their time");
+                oracle.on_outcome(caller_request.call, "not-run", &caller_request.function);
                 return;
             }
         };
@@ -101,7 +101,7 @@
 
     pub fn tell(&mut self, oracle: &mut Oracle, slot: u64, outcome: &'static str) {
         if let Some(open) = self.open.remove(&slot) {
-            oracle.tell(
+            oracle.on_outcome(
                 open.caller_request.call,
                 outcome,
                 &open.caller_request.function,
--- a/crates/simulator/src/platform.rs
+++ b/crates/simulator/src/platform.rs
@@ -73,7 +73,7 @@
     pub response_time_ms: u64,
     pub loss: f64,
     /// Share of answers that are cut, unsealed, or another's.
-    pub runner_fault: f64,
+    pub runner_fault_share: f64,
     /// How many times slower than others a worker's runners are.
     pub slowness: BTreeMap<String, u64>,
     runners: BTreeMap<String, SimulatedRunner>,
@@ -97,7 +97,7 @@
             start_ms: 700,
             response_time_ms,
             loss,
-            runner_fault: 0.0,
+            runner_fault_share: 0.0,
             slowness: BTreeMap::new(),
             runners: BTreeMap::new(),
             runs: BTreeMap::new(),
@@ -120,14 +120,14 @@
     /// A request reaches an address.
     pub fn request(&mut self, net: &mut Net, oracle: &mut Oracle, request: RunnerRequest) {
         let now = net.now;
-        oracle.attempt(request.call);
+        oracle.on_attempt(request.call);
         let concurrency = self.concurrency.get(&request.seat.function).copied();
         let (wanted, address) = (request.seat.runner.clone(), request.seat.address.clone());
         let slowness = self.slowness.clone();
         let found = self.at_address(now, &address);
         if let Some(other) = found.as_ref().filter(|there| there.entry.id != wanted) {
             let (function, is_stranger) = (&other.entry.function, other.is_stranger);
-            oracle.misdirected(&request.seat.function, function, is_stranger);
+            oracle.check_misdirected(&request.seat.function, function, is_stranger);
         }
         let Some(runner) = found.filter(|runner| runner.entry.id == wanted) else {
             let back = net.soon(5);
@@ -141,10 +141,10 @@
             return;
         };
         runner.in_flight += 1;
-        oracle.in_flight(&wanted, runner.in_flight, concurrency.unwrap_or(0));
-        oracle.warming(&wanted, runner.in_flight, runner.ended);
+        oracle.check_concurrency(&wanted, runner.in_flight, concurrency.unwrap_or(0));
+        oracle.check_ramp_up(&wanted, runner.in_flight, runner.ended);
         let (zone, worker) = (runner.entry.zone.clone(), runner.entry.worker.clone());
-        oracle.run(request.call, request.idempotency_key, &zone, &worker);
+        oracle.on_run(request.call, request.idempotency_key, &zone, &worker);
         let spread = net.random.random_range(0.5..2.0);
         let times = slowness.get(&worker).copied().unwrap_or(1);
         let mut takes = (self.response_time_ms as f64 * spread) as u64 * times;
@@ -181,7 +181,7 @@
                 RunnerFault::Lost
             };
         }
-        if net.random.random_bool(self.runner_fault) {
+        if net.random.random_bool(self.runner_fault_share) {
             let kinds = [
                 RunnerFault::Cut,
                 RunnerFault::Unsealed,
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -67,7 +67,7 @@
             })
             .collect();
         let worker_names: Vec<String> = workers.iter().map(|one| one.name.clone()).collect();
-        let (from, until) = config.faults;
+        let (from, until) = config.fault_window_ms;
         let mut faults = FaultPlan::random(
             &mut random,
             from,
@@ -76,7 +76,7 @@
             &core_names,
             &worker_names,
         );
-        if let Some(only) = &config.only {
+        if let Some(only) = &config.scripted_faults {
             faults.faults = only.clone();
         }
         let configuration = first_configuration(&config);
@@ -116,7 +116,7 @@
                 workers,
                 concurrency,
                 config.response_time_ms,
-                config.answer_loss,
+                config.response_loss,
             ),
             fronts: BTreeMap::new(),
             cores: BTreeMap::new(),
@@ -127,7 +127,7 @@
             calls: 0,
             config,
         };
-        world.platform.runner_fault = world.config.runner_fault;
+        world.platform.runner_fault_share = world.config.runner_fault_share;
         let names = worker_names.into_iter();
         world.platform.slowness = names.zip(world.config.slowness.clone()).collect();
         for name in core_names.iter().chain(&front_names) {
@@ -185,7 +185,7 @@
         let mut since = 0;
         let mut events = 0;
         while let Some((number, scheduled_event)) = self.net.pop() {
-            if self.net.now > self.config.until {
+            if self.net.now > self.config.end_ms {
                 break;
             }
             if self.net.now >= since + 1_000 {
@@ -195,7 +195,7 @@
             events += 1;
             if events > MAX_EVENTS {
                 let text = format!("over {MAX_EVENTS} events in the second from {since} ms");
-                self.oracle.broken.push(text);
+                self.oracle.violations.push(text);
                 break;
             }
             self.step(number, scheduled_event);
@@ -270,7 +270,8 @@
     fn caller(&mut self) {
         let now = self.net.now;
         let random = &mut self.net.random;
-        let pause = (1_000.0 / self.config.rate * random.random_range(0.1..1.9)).max(1.0) as u64;
+        let pause =
+            (1_000.0 / self.config.requests_per_s * random.random_range(0.1..1.9)).max(1.0) as u64;
         let function = format!("f{}", random.random_range(0..self.config.functions));
         let is_once = random.random_bool(0.4);
         let front = format!("front-{}", random.random_range(0..self.config.fronts));
@@ -310,7 +311,7 @@
         let floor = f64::from(bounds.retry_floor);
         self.oracle
             .check_retries(bounds.retry_window_ms, bounds.retry_share, floor);
-        let back_by = self.faults.closed_at + bounds.return_ms;
+        let back_by = self.faults.healed_at + bounds.return_ms;
         for number in 0..self.config.functions {
             let function = format!("f{number}");
             let answered = &self.oracle.answered;
@@ -319,24 +320,24 @@
                 .any(|(at, name)| *at > back_by && *name == function);
             if !serves {
                 let text = format!("{function} does not serve 12 s after the last failure");
-                self.oracle.broken.push(text);
+                self.oracle.violations.push(text);
             }
         }
         for core in self.cores.values() {
             if core.voter.acceptor().set().version() != core.set.version() || !core.voter.is_open()
             {
                 let text = format!("{} does not vote at the end", core.peer.name);
-                self.oracle.broken.push(text);
+                self.oracle.violations.push(text);
             }
         }
         Verdict {
             seed: self.seed,
-            broken: self.oracle.broken,
+            violations: self.oracle.violations,
             runs: self.oracle.runs,
             puts: self.oracle.puts,
             outcomes: self.oracle.outcomes,
             faults: self.faults.faults,
-            looked: self.oracle.looked,
+            case_counts: self.oracle.case_counts,
             took_ms: self.oracle.took_ms,
         }
     }
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -12,13 +12,13 @@
     let mut verdicts = Vec::new();
     for seed in seeds {
         let verdict = World::new(config.clone(), seed).run();
-        assert!(verdict.broken.is_empty(), "{verdict:#?}");
+        assert!(verdict.violations.is_empty(), "{verdict:#?}");
         runs += verdict.runs as u64;
         puts += verdict.puts as u64;
         let is_emptying =
             |(_, fault): &&(u64, Fault)| matches!(fault, Fault::EmptyDisk(..) | Fault::Wipe(_));
         emptied += verdict.faults.iter().filter(is_emptying).count();
-        for (check, times) in &verdict.looked {
+        for (check, times) in &verdict.case_counts {
             *looked.entry(*check).or_insert(0) += times;
         }
         verdicts.push(verdict);
@@ -58,7 +58,7 @@
     let config = Config {
         fronts: 3,
         functions: 3,
-        rate: 90.0,
+        requests_per_s: 90.0,
         ..Config::default()
     };
     sweep(2_000..2_030, &config, &["answers", "warming"]);
@@ -67,9 +67,9 @@
 #[test]
 fn no_line_is_broken_when_seats_are_short_and_answers_are_lost() {
     let config = Config {
-        rate: 120.0,
+        requests_per_s: 120.0,
         response_time_ms: 250,
-        answer_loss: 0.2,
+        response_loss: 0.2,
         ..Config::default()
     };
     sweep(3_000..3_040, &config, &["answers", "warming", "retries"]);
@@ -78,7 +78,7 @@
 #[test]
 fn no_answer_is_taken_that_is_not_the_runners_own() {
     let config = Config {
-        runner_fault: 0.3,
+        runner_fault_share: 0.3,
         ..Config::default()
     };
     sweep(4_000..4_020, &config, &["answers", "retries"]);
@@ -108,12 +108,16 @@
             _ => faults.push((at - 100, Fault::PendingPut("core-1".into()))),
         }
         let config = Config {
-            only: Some(faults),
+            scripted_faults: Some(faults),
             ..Config::default()
         };
         let verdict = World::new(config, seed).run();
-        assert!(verdict.broken.is_empty(), "{verdict:#?}");
-        founded += verdict.looked.get("eras founded").copied().unwrap_or(0);
+        assert!(verdict.violations.is_empty(), "{verdict:#?}");
+        founded += verdict
+            .case_counts
+            .get("eras founded")
+            .copied()
+            .unwrap_or(0);
     }
     assert!(founded >= 24, "{founded} eras were founded");
 }
@@ -125,7 +129,7 @@
     let (mut killed, mut left) = (0, 0);
     for seed in 7_000..7_030 {
         let config = Config {
-            only: Some(vec![
+            scripted_faults: Some(vec![
                 (9_000, Fault::LeaveWorker("worker-0".into())),
                 (9_000, Fault::LeaveWorker("worker-1".into())),
                 (10_400 + 50 * (seed - 7_000), Fault::KillScaler(1_000)),
@@ -135,9 +139,9 @@
             ..Config::default()
         };
         let verdict = World::new(config, seed).run();
-        assert!(verdict.broken.is_empty(), "{verdict:#?}");
-        killed += verdict.looked.get("duty killed").copied().unwrap_or(0);
-        left += verdict.looked.get("leaving").copied().unwrap_or(0);
+        assert!(verdict.violations.is_empty(), "{verdict:#?}");
+        killed += verdict.case_counts.get("duty killed").copied().unwrap_or(0);
+        left += verdict.case_counts.get("leaving").copied().unwrap_or(0);
     }
     assert!(
         killed >= 25 && left > 30,
@@ -159,11 +163,11 @@
         );
         faults.push((16_000, Fault::Heal));
         let config = Config {
-            only: Some(faults),
+            scripted_faults: Some(faults),
             ..Config::default()
         };
         let verdict = World::new(config, seed).run();
-        assert!(verdict.broken.is_empty(), "{verdict:#?}");
+        assert!(verdict.violations.is_empty(), "{verdict:#?}");
         puts += verdict.puts;
         runs += verdict.runs;
     }
--- a/tests/lab/src/session.rs
+++ b/tests/lab/src/session.rs
@@ -207,7 +207,7 @@
                 }
                 let verdict = World::new(Config::default(), seed).run();
                 runs.fetch_add(verdict.runs as u64, Ordering::Relaxed);
-                if !verdict.broken.is_empty() {
+                if !verdict.violations.is_empty() {
                     println!("{verdict:#?}");
                     broken.lock().push(seed);
                 }
