--- a/crates/front/src/operators.rs
+++ b/crates/front/src/operators.rs
@@ -57,7 +57,7 @@
         "blueprint": report.configuration,
         "plan": report.plan,
         "roster": plan.membership,
-        "view": shared.view.lock().known().iter().map(|one| &one.peer.name).collect::<Vec<_>>(),
+        "view": shared.view.lock().peers().iter().map(|one| &one.peer.name).collect::<Vec<_>>(),
         "runners": runners,
         "waiting": waiting,
     })
--- a/crates/front/src/peer_view.rs
+++ b/crates/front/src/peer_view.rs
@@ -21,7 +21,7 @@
     loop {
         let bounds = shared.configuration.load().bounds.clone();
         thread::sleep(Duration::from_millis(bounds.lease_ms() / 3));
-        let begun = shared.view.lock().begin(rand::rng().random());
+        let begun = shared.view.lock().begin_shuffle(rand::rng().random());
         let Some((descriptor, part)) = begun else {
             continue;
         };
--- a/crates/peer_sampling/src/lib.rs
+++ b/crates/peer_sampling/src/lib.rs
@@ -1,5 +1,5 @@
-//! Peer sampling: each daemon keeps a small partial view of the others and exchanges a sample of it with its oldest
-//! peer (a shuffle), so that every daemon learns of every other without anyone keeping a complete membership.
+//! Peer sampling: each daemon keeps a small partial view of the other daemons and regularly exchanges a sample of it with
+//! the oldest peer in the view (a shuffle). Every daemon learns of every other, and none keeps the complete membership.
 #![warn(missing_docs)]
 
 mod view;
--- a/crates/peer_sampling/src/view.rs
+++ b/crates/peer_sampling/src/view.rs
@@ -3,89 +3,90 @@
 use configuration::PeerRef;
 use speedy::{Readable, Writable};
 
-/// Most peers in a view.
+/// Maximum number of peers in a view.
 pub const MAX_VIEW_SIZE: usize = 12;
-/// Most peers that one shuffle carries.
+/// Maximum number of peers in the sample of one shuffle.
 const MAX_SHUFFLE_SIZE: usize = 6;
-/// Shuffles after which a peer that nobody renewed is forgotten.
+/// A peer whose descriptor was not refreshed for this many shuffles is removed from the view.
 const MAX_AGE: u32 = 60;
 
-/// A daemon as another one knows it.
+/// An entry of a view: a daemon as another daemon knows it.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct PeerDescriptor {
-    /// The daemon, in one of its incarnations.
+    /// The daemon's name and incarnation.
     pub peer: PeerRef,
-    /// Its wire address.
+    /// Address at which the daemon accepts peer connections.
     pub address: String,
-    /// Shuffles since it spoke for itself.
+    /// Number of shuffles since the daemon issued this descriptor itself.
     pub age: u32,
 }
 
-/// A bounded view of other daemons. A pure machine: what is random comes in as numbers.
+/// A bounded view of other daemons. It performs no I/O and draws no random numbers; callers pass these in.
 #[derive(Debug)]
 pub struct PartialView {
-    me: PeerDescriptor,
-    known: Vec<PeerDescriptor>,
+    local: PeerDescriptor,
+    peers: Vec<PeerDescriptor>,
 }
 
 impl PartialView {
-    /// The view of a daemon that knows nobody yet.
+    /// Creates the empty view of a daemon.
     pub fn new(peer: PeerRef, address: &str) -> Self {
-        let me = PeerDescriptor {
+        let local = PeerDescriptor {
             peer,
             address: address.to_string(),
             age: 0,
         };
         Self {
-            me,
-            known: Vec::new(),
+            local,
+            peers: Vec::new(),
         }
     }
 
     /// All peers in the view.
-    pub fn known(&self) -> &[PeerDescriptor] {
-        &self.known
+    pub fn peers(&self) -> &[PeerDescriptor] {
+        &self.peers
     }
 
-    /// Begins a shuffle: the oldest peer is taken out of the view and sent a sample of it. If it
-    /// still runs it comes back with its answer.
-    pub fn begin(&mut self, random: u64) -> Option<(PeerDescriptor, Vec<PeerDescriptor>)> {
-        for descriptor in &mut self.known {
+    /// Begins a shuffle: removes the oldest peer from the view and returns it with the sample to send to it. A peer that
+    /// still runs returns to the view with its response.
+    pub fn begin_shuffle(&mut self, random: u64) -> Option<(PeerDescriptor, Vec<PeerDescriptor>)> {
+        for descriptor in &mut self.peers {
             descriptor.age += 1;
         }
-        self.known.retain(|descriptor| descriptor.age <= MAX_AGE);
-        let ages = self.known.iter().enumerate();
+        self.peers.retain(|descriptor| descriptor.age <= MAX_AGE);
+        let ages = self.peers.iter().enumerate();
         let (oldest, _) = ages.max_by_key(|(_, descriptor)| descriptor.age)?;
-        let target = self.known.remove(oldest);
+        let target = self.peers.remove(oldest);
         Some((target, self.sample(random)))
     }
 
-    /// A part of the view with this daemon itself, fresh.
+    /// A sample of the view, plus a descriptor of this daemon with age 0.
     pub fn sample(&self, random: u64) -> Vec<PeerDescriptor> {
-        let count = self.known.len();
+        let count = self.peers.len();
         let chosen = (0..count.min(MAX_SHUFFLE_SIZE - 1))
-            .map(|step| self.known[(random as usize % count + step) % count].clone());
-        chosen.chain([self.me.clone()]).collect()
+            .map(|step| self.peers[(random as usize % count + step) % count].clone());
+        chosen.chain([self.local.clone()]).collect()
     }
 
-    /// Merges the sample of another daemon. Newer incarnations and younger descriptors win; where the view is full
-    /// the oldest go.
+    /// Merges the sample of another daemon. For each daemon the descriptor with the lower age is kept (on equal age the
+    /// received one), so that a newer incarnation, which starts at age 0, replaces the old one. If the view is full, the
+    /// oldest peers are dropped.
     pub fn merge(&mut self, received: Vec<PeerDescriptor>) {
         for descriptor in received.into_iter().take(MAX_SHUFFLE_SIZE) {
-            if descriptor.peer.name == self.me.peer.name {
+            if descriptor.peer.name == self.local.peer.name {
                 continue;
             }
             let known = self
-                .known
+                .peers
                 .iter_mut()
                 .find(|known| known.peer.name == descriptor.peer.name);
             match known {
                 Some(known) if descriptor.age <= known.age => *known = descriptor,
                 Some(_) => {}
-                None => self.known.push(descriptor),
+                None => self.peers.push(descriptor),
             }
         }
-        self.known.sort_by_key(|descriptor| descriptor.age);
-        self.known.truncate(MAX_VIEW_SIZE);
+        self.peers.sort_by_key(|descriptor| descriptor.age);
+        self.peers.truncate(MAX_VIEW_SIZE);
     }
 }
