--- a/crates/leader_election/tests/election.rs
+++ b/crates/leader_election/tests/election.rs
@@ -1,4 +1,4 @@
-//! When a candidate writes, and how long a leader leads.
+//! Tests when a candidate contends and for how long a leader leads.
 
 use configuration::PeerRef;
 use leader_election::{ElectionStep, LeaderElection, Leadership};
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_leader_that_was_frozen_does_not_lead_any_more() {
+fn a_leader_suspended_past_its_lease_no_longer_leads() {
     let mut election = LeaderElection::new(peer("a"), 1_000, 0);
     election.on_elected(
         10,
