--- a/crates/event_loop/src/connect_backoff.rs
+++ b/crates/event_loop/src/connect_backoff.rs
@@ -1,7 +1,7 @@
 //! Timeouts for connection attempts, with exponential backoff.
 //!
-//! A machine without power doesn't respond at all, and the kernel retransmits the SYN only after a second. By then the machine may
-//! have been back for long, so an attempt is abandoned and retried earlier.
+//! A machine without power doesn't respond at all, and the kernel retransmits the SYN only after a second. The machine may be back
+//! long before that, so an attempt is abandoned and retried earlier.
 
 /// Number of timed-out attempts after which the timeout doubles.
 const ATTEMPTS_PER_DOUBLING: u32 = 2;
--- a/crates/event_loop/src/connection.rs
+++ b/crates/event_loop/src/connection.rs
@@ -164,7 +164,7 @@
     }
 
     /// Allocated memory of its buffers, in bytes.
-    pub fn buffer_capacity(&self) -> usize {
+    pub fn heap_bytes(&self) -> usize {
         self.read_buffer.capacity() + self.write_buffer.capacity()
     }
 
--- a/crates/event_loop/src/event_loop.rs
+++ b/crates/event_loop/src/event_loop.rs
@@ -197,8 +197,9 @@
         let _ = self.poll.registry().deregister(&mut connection.stream);
     }
 
-    /// Closes a connection at once with a reset, so that bytes which the peer has not received yet are never delivered. After a plain
-    /// close the kernel keeps trying to deliver the bytes it has accepted, however long the network path to the peer is interrupted.
+    /// Closes a connection at once with a reset, so that bytes which the peer has not received yet are never delivered. After a
+    /// plain close the kernel keeps trying to deliver the bytes it has accepted, however long the network path to the peer is
+    /// interrupted.
     pub fn reset(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connection(id) {
             // Closing a socket with a linger time of zero resets the connection.
--- a/crates/event_loop/src/event_loop/accepting.rs
+++ b/crates/event_loop/src/event_loop/accepting.rs
@@ -8,8 +8,8 @@
 /// Maximum number of connections accepted in a row, so that a burst of them doesn't delay the established ones.
 const MAX_ACCEPTS_PER_EVENT: usize = 64;
 
-/// Time for which a listener stops accepting after the system had no descriptor or memory for a connection. Pending connections stay
-/// in the backlog, so retrying at once would only use processor time.
+/// Time for which a listener stops accepting after the system had no descriptor or memory for a connection. Pending connections
+/// stay in the backlog, so retrying at once would only use processor time.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 impl EventLoop {
--- a/crates/event_loop/src/event_loop/buffers.rs
+++ b/crates/event_loop/src/event_loop/buffers.rs
@@ -5,7 +5,7 @@
 use crate::listeners::ListenerId;
 
 impl EventLoop {
-    /// Frees the memory of read buffers that their owner has emptied since the last poll, since these connections may now stay idle.
+    /// Frees the memory of read buffers that their owner has emptied since the last poll, as these connections may stay idle.
     pub(super) fn release_read_memory(&mut self) {
         for id in std::mem::take(&mut self.recently_read) {
             if let Some(connection) = self.connection_mut(id) {
@@ -31,12 +31,8 @@
             .connections
             .iter()
             .filter(move |(_, connection)| connection.listener == Some(listener));
-        accepted.map(|(slot, connection)| {
-            (
-                id_of(slot, connection.generation),
-                connection.buffer_capacity(),
-            )
-        })
+        accepted
+            .map(|(slot, connection)| (id_of(slot, connection.generation), connection.heap_bytes()))
     }
 
     /// Bytes that were received and not taken yet; `None` if the connection no longer exists. The owner drains what it takes.
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -13,7 +13,7 @@
 const SNAPSHOT_AFTER: u64 = 8 << 20;
 /// Number of bytes appended after a failed snapshot before it is retried.
 const SNAPSHOT_AGAIN_AFTER: u64 = 1 << 20;
-/// Maximum total size of the segments, in bytes. A record that would exceed it is rejected until a snapshot succeeds.
+/// Maximum total size of the segments, in bytes. A record that would exceed it requires a snapshot first.
 pub const MAX_SEGMENT_BYTES: u64 = 16 << 20;
 const SEGMENT_PREFIX: &str = "segment-";
 const SNAPSHOT_PREFIX: &str = "snapshot-";
@@ -24,7 +24,7 @@
 pub enum JournalError {
     /// A disk operation failed, or the journal accepts no records until it is reopened.
     Disk,
-    /// Bytes in the middle are corrupt; the data must be repaired from other replicas.
+    /// Data other than a torn last record is corrupt or missing; it must be repaired from other replicas.
     Damaged,
 }
 
@@ -32,7 +32,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Disk => "a disk operation failed",
-            Self::Damaged => "a record before the end is corrupt",
+            Self::Damaged => "journal data is corrupt or missing",
         })
     }
 }
@@ -178,7 +178,7 @@
     }
 
     /// Writes one record and syncs it. After a failure no more records are accepted, because the content of
-    /// the disk is unknown until the journal is opened again.
+    /// the disk is unknown until the journal is opened again. A record without [room](Self::has_room) is a failure too.
     pub fn append(&mut self, payload: &[u8]) -> Result<(), Report<JournalError>> {
         if self.failed {
             return Err(Report::new(JournalError::Disk).attach("an earlier write failed"));
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,7 +1,8 @@
 //! A write-ahead log of records in numbered segments, with snapshots that replace older segments.
 //!
-//! [`Journal`] writes and recovers records through the [`Folder`] trait: [`DiskFolder`] is a directory, and [`MemoryFolder`] a simulated
-//! disk with injectable faults and power losses. A record is durable once [`Journal::append`] has returned without an error.
+//! [`Journal`] writes and recovers records through the [`Folder`] trait: [`DiskFolder`] is a directory, and [`MemoryFolder`] a
+//! simulated disk with injectable faults and power losses. A record is durable once [`Journal::append`] has returned without an
+//! error.
 //!
 //! Invariants:
 //!
--- a/crates/loop_watchdog/src/forced_exit.rs
+++ b/crates/loop_watchdog/src/forced_exit.rs
@@ -56,8 +56,9 @@
         }
     }
 
-    /// Checks whether the process must be ended: its grace period is nearly over, and two checks find the loop in the same turn. The grace
-    /// period starts at the first check that sees the stop request. After a pause of the whole process the loop gets time for a turn.
+    /// Checks whether the process must be ended: its grace period is nearly over, and two checks find the loop in the same turn.
+    /// The grace period starts at the first check that sees the stop request. After a pause of the whole process the loop gets
+    /// time for a turn.
     pub fn check(
         &mut self,
         now: Duration,
@@ -76,10 +77,10 @@
             true => self.grace_period,
             false => self.checked_after,
         };
-        let is_grace_ending = self
+        let is_check_due = self
             .stop_requested_at
             .is_some_and(|at| now >= at + checked_after);
-        if !is_grace_ending || now < self.checks_resume_at || snapshot.is_waiting() {
+        if !is_check_due || now < self.checks_resume_at || snapshot.is_waiting() {
             self.suspected_turn = None;
             return ForcedExitState::NotDue;
         }
--- a/crates/loop_watchdog/src/lib.rs
+++ b/crates/loop_watchdog/src/lib.rs
@@ -1,10 +1,10 @@
 //! A watchdog thread for the event loop of a daemon.
 //!
-//! A single-threaded daemon checks its grace period once per turn, that is, per iteration of its loop. If a turn doesn't end, because it
-//! spins or is blocked in a system call, the daemon neither serves nor exits, which is worse for callers than its exit. The watchdog knows
-//! the current step of the loop, logs long turns, and exits the process when a turn is stuck near the end of the grace period. It must
-//! not depend on anything that the loop may hold: it checks for the stop signal itself, and another thread writes its log lines, since
-//! the log may be what blocks.
+//! A single-threaded daemon checks its grace period once per turn, that is, per iteration of its loop. If a turn doesn't end,
+//! because it spins or is blocked in a system call, the daemon neither serves nor exits, which is worse for callers than its exit.
+//! The watchdog knows the current step of the loop, logs long turns, and exits the process when a turn is stuck near the end of
+//! the grace period. It must not depend on anything that the loop may hold: it checks for the stop signal itself, and another
+//! thread writes its log lines, since the log may be what blocks.
 //!
 //! - `turn_record`: progress of the loop, recorded by the loop itself.
 //! - `turn_watch`: detects long turns by sampling the record.
--- a/crates/loop_watchdog/src/line_writer.rs
+++ b/crates/loop_watchdog/src/line_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the watchdog's log lines on a thread of its own: the log may be what blocks the loop, and it must not block the watchdog.
+//! Writes the watchdog's log lines on a separate thread: the log may be what blocks the loop, and must not block the watchdog.
 
 use crate::turn_record::TurnSnapshot;
 use crate::turn_watch::LongTurn;
