--- a/tests/cluster/src/lib.rs
+++ b/tests/cluster/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod client;
 pub mod daemon;
 pub mod disk_probe;
-pub mod figures;
+pub mod metrics;
 pub mod operator;
 pub mod paths;
 pub mod platform;
--- a/tests/cluster/src/figures.rs
+++ b/tests/cluster/src/metrics.rs
@@ -4,14 +4,14 @@
 use crate::daemon::{Daemon, METRICS};
 
 /// The figures of a daemon, as text.
-pub fn figures(daemon: &Daemon) -> Option<String> {
+pub fn scrape_metrics(daemon: &Daemon) -> Option<String> {
     let request = ClientRequest::get("/metrics", "");
     let response = send_request(daemon.at(METRICS), &request)?;
     String::from_utf8(response.body).ok()
 }
 
 /// One figure of a text; `name` may bear a label.
-pub fn figure(text: &str, name: &str) -> Option<u64> {
+pub fn metric_value(text: &str, name: &str) -> Option<u64> {
     let start = format!("hallkeel_{name} ");
     let line = text.lines().find_map(|line| line.strip_prefix(&start))?;
     line.trim().parse().ok()
--- a/tests/cluster/src/platform.rs
+++ b/tests/cluster/src/platform.rs
@@ -54,7 +54,7 @@
     /// Every call is answered 429.
     Rejects,
     /// Calls are carried out and their answers lost.
-    LosesAnswers,
+    DropsResponses,
 }
 
 /// Time for which a call hangs that is not answered.
@@ -64,7 +64,7 @@
 pub struct Platform {
     pub request_log: Arc<RequestLog>,
     pub list_lag: Duration,
-    pub loses_begin_answers: AtomicBool,
+    pub drops_begin_responses: AtomicBool,
     fault: Mutex<ApiFault>,
     runners_ip: IpAddr,
     state: Mutex<State>,
@@ -75,7 +75,7 @@
         Arc::new(Self {
             request_log: Arc::default(),
             list_lag,
-            loses_begin_answers: AtomicBool::new(false),
+            drops_begin_responses: AtomicBool::new(false),
             fault: Mutex::new(ApiFault::None),
             runners_ip,
             state: Mutex::new(State {
@@ -210,7 +210,7 @@
             .unwrap_or((&request.target, ""));
         let fault = *self.fault.lock().unwrap();
         match fault {
-            ApiFault::None | ApiFault::LosesAnswers => {}
+            ApiFault::None | ApiFault::DropsResponses => {}
             ApiFault::Down => {
                 std::thread::sleep(DOWN_HANGS);
                 return false;
@@ -222,7 +222,7 @@
             ("GET", "/instances") => self.instances(query),
             ("POST", "/v1/begin") => {
                 let reply = self.begin(request);
-                if self.loses_begin_answers.load(Ordering::SeqCst) {
+                if self.drops_begin_responses.load(Ordering::SeqCst) {
                     return false;
                 }
                 reply
@@ -230,7 +230,7 @@
             ("POST", "/v1/stop") => self.stop(request),
             _ => (404, json!({})),
         };
-        if fault == ApiFault::LosesAnswers {
+        if fault == ApiFault::DropsResponses {
             return false;
         }
         let body = reply.1.to_string();
--- a/tests/cluster/src/process_state.rs
+++ b/tests/cluster/src/process_state.rs
@@ -17,7 +17,7 @@
 
 /// Whether a process has ended for its part, and threads of it are still inside a call of the system that no signal
 /// interrupts, as a sync of a disk that stalls. Its main thread is a zombie then.
-pub fn is_held_by_system(pid: u32) -> bool {
+pub fn is_stuck_in_kernel(pid: u32) -> bool {
     let main = fs::read_to_string(format!("/proc/{pid}/stat"));
     let has_ended = main.is_ok_and(|stat| state_of(&stat) == Some(ZOMBIE));
     let Ok(tasks) = fs::read_dir(format!("/proc/{pid}/task")) else {
--- a/tests/cluster/src/relay.rs
+++ b/tests/cluster/src/relay.rs
@@ -72,7 +72,7 @@
     }
 
     /// Ends a former cut of these directions; what was held arrives late.
-    pub fn join(&self, directions: &BTreeSet<Direction>) {
+    pub fn heal(&self, directions: &BTreeSet<Direction>) {
         let mut faults = self.faults.lock().unwrap();
         for direction in directions {
             if let Some(count) = faults.cuts.get_mut(direction) {
--- a/tests/cluster/src/simulated_cluster.rs
+++ b/tests/cluster/src/simulated_cluster.rs
@@ -121,7 +121,7 @@
     folder: PathBuf,
     /// Whether the data and logs stay after the run.
     keeps_folder: bool,
-    call_within_limit: AtomicUsize,
+    next_request_number: AtomicUsize,
     _api: Server,
     _net: TcpListener,
 }
@@ -197,7 +197,7 @@
             net,
             folder,
             keeps_folder: false,
-            call_within_limit: AtomicUsize::new(0),
+            next_request_number: AtomicUsize::new(0),
             _api: api,
             _net: held,
         };
@@ -284,7 +284,7 @@
         assert_eq!(status, 200, "{target}");
     }
 
-    pub fn read_back(&self) -> Value {
+    pub fn read_configuration(&self) -> Value {
         let (status, body) = send_command(&self.control(), ("GET", "/v1/Config.Read"), None, b"");
         assert_eq!(status, 200);
         serde_json::from_slice(&body).unwrap()
@@ -304,7 +304,7 @@
     pub fn new_request_id(&self) -> String {
         format!(
             "q-{:05}",
-            self.call_within_limit.fetch_add(1, Ordering::SeqCst)
+            self.next_request_number.fetch_add(1, Ordering::SeqCst)
         )
     }
 
--- a/tests/cluster/src/soak/calm.rs
+++ b/tests/cluster/src/soak/calm.rs
@@ -6,7 +6,7 @@
 use super::oracle;
 use crate::daemon::{Daemon, CONTROL};
 use crate::disk_probe::Deadline;
-use crate::figures::{figure, figures};
+use crate::metrics::{metric_value, scrape_metrics};
 use std::time::{Duration, Instant};
 
 /// Time within which service is back.
@@ -138,14 +138,14 @@
 }
 
 fn held_figures(gateway: &Daemon) -> Vec<String> {
-    let Some(text) = figures(gateway) else {
+    let Some(text) = scrape_metrics(gateway) else {
         return vec!["no figures".into()];
     };
     let names = ["requests_in_flight", "requests_waiting", "seats_leased"];
     let held = names
         .iter()
-        .filter(|name| figure(&text, name) != Some(0))
-        .map(|name| format!("{name}={:?}", figure(&text, name)));
+        .filter(|name| metric_value(&text, name) != Some(0))
+        .map(|name| format!("{name}={:?}", metric_value(&text, name)));
     held.collect()
 }
 
@@ -169,7 +169,7 @@
 }
 
 fn violations(daemon: &Daemon) -> Vec<String> {
-    let Some(text) = figures(daemon) else {
+    let Some(text) = scrape_metrics(daemon) else {
         return vec![format!("{} tells no figures", daemon.name)];
     };
     let lines = text.lines();
@@ -189,7 +189,7 @@
         loop {
             let told: Vec<Option<u64>> = daemons
                 .iter()
-                .map(|daemon| figure(&figures(daemon)?, name))
+                .map(|daemon| metric_value(&scrape_metrics(daemon)?, name))
                 .collect();
             if told.windows(2).all(|pair| pair[0] == pair[1]) {
                 break;
--- a/tests/cluster/src/soak/injector.rs
+++ b/tests/cluster/src/soak/injector.rs
@@ -5,7 +5,7 @@
 use super::schedule::ScheduledFault;
 use crate::daemon::{Daemon, GRACE};
 use crate::platform::ApiFault;
-use crate::process_state::{is_held_by_system, sample_threads};
+use crate::process_state::{is_stuck_in_kernel, sample_threads};
 use crate::relay::Direction;
 use crate::simulated_cluster::SimulatedCluster;
 use std::collections::BTreeSet;
@@ -119,7 +119,9 @@
             Fault::DrainRunner => self.cluster.platform.drain_one(RUNNER_DRAINS_FOR),
             Fault::PlatformDown => self.cluster.platform.set_fault(ApiFault::Down),
             Fault::PlatformRejects => self.cluster.platform.set_fault(ApiFault::Rejects),
-            Fault::PlatformLosesAnswers => self.cluster.platform.set_fault(ApiFault::LosesAnswers),
+            Fault::PlatformLosesAnswers => {
+                self.cluster.platform.set_fault(ApiFault::DropsResponses)
+            }
             Fault::Delay(_) => self.delay(scheduled.fault, DELAY),
             Fault::Isolate(_) | Fault::Mute(_) | Fault::Deafen(_) | Fault::Halve => {
                 let directions = self.directions(scheduled.fault);
@@ -139,7 +141,7 @@
             Fault::Delay(_) => self.delay(scheduled.fault, Duration::ZERO),
             Fault::Isolate(_) | Fault::Mute(_) | Fault::Deafen(_) | Fault::Halve => {
                 let directions = self.directions(scheduled.fault);
-                self.cluster.network.join(&directions);
+                self.cluster.network.heal(&directions);
             }
             _ => {}
         }
@@ -306,7 +308,7 @@
         let asked_at = self.intents[machine].terminated_at;
         let is_overdue = asked_at.is_some_and(|at| now > at + GRACE + GRACE_MARGIN);
         // What has ended for its part, and is inside a sync of a disk that stalls, can be ended by nobody.
-        if !is_overdue || self.is_held_by_system(machine) {
+        if !is_overdue || self.is_stuck_in_kernel(machine) {
             return;
         }
         // A frozen process cannot end.
@@ -321,9 +323,9 @@
     }
 
     /// Whether a daemon that is still there has ended for its part; told once for each end.
-    fn is_held_by_system(&mut self, machine: usize) -> bool {
+    fn is_stuck_in_kernel(&mut self, machine: usize) -> bool {
         let pid = self.daemon(machine).pid();
-        let is_held = pid.is_some_and(is_held_by_system);
+        let is_held = pid.is_some_and(is_stuck_in_kernel);
         if is_held && !std::mem::replace(&mut self.intents[machine].is_held, true) {
             let name = &self.daemon(machine).name;
             eprintln!(
--- a/tests/cluster/tests/process_state.rs
+++ b/tests/cluster/tests/process_state.rs
@@ -1,6 +1,6 @@
 //! What tells a process that has not ended from one that the system holds.
 
-use cluster::process_state::{is_held_by_system, sample_threads, state_of};
+use cluster::process_state::{is_stuck_in_kernel, sample_threads, state_of};
 use std::process::{Command, Stdio};
 
 #[test]
@@ -13,10 +13,10 @@
 #[test]
 fn a_process_that_runs_is_not_held() {
     let mut child = Command::new("sleep").arg("60").spawn().unwrap();
-    assert!(!is_held_by_system(child.id()));
+    assert!(!is_stuck_in_kernel(child.id()));
     child.kill().unwrap();
     child.wait().unwrap();
-    assert!(!is_held_by_system(child.id()));
+    assert!(!is_stuck_in_kernel(child.id()));
 }
 
 #[test]
@@ -30,7 +30,7 @@
         .args(["-STOP", &child.id().to_string()])
         .status();
     assert!(stopped.unwrap().success());
-    assert!(!is_held_by_system(child.id()));
+    assert!(!is_stuck_in_kernel(child.id()));
     child.kill().unwrap();
     child.wait().unwrap();
 }
