--- a/crates/core/src/shared.rs
+++ b/crates/core/src/shared.rs
@@ -279,7 +279,7 @@
 fn end_in_order(shared: &Shared) -> Result<(), CoreError> {
     log::info!("core: stops");
     let bounds = shared.store.committed().configuration.bounds.clone();
-    if !transport::close_door(shared.settings.http) {
+    if !transport::reject_new_connections(shared.settings.http) {
         log::warn!("core: new connections could not be kept out");
     }
     let stop_by = now_ms() + 2 * bounds.change_ms;
--- a/crates/front/src/attempts.rs
+++ b/crates/front/src/attempts.rs
@@ -33,7 +33,7 @@
     if !may_send {
         shared.with_scheduler(|scheduler, now| {
             scheduler.attempt_done(now, seat, AttemptOutcome::Unsent);
-            scheduler.hold_again(now, queued_request);
+            scheduler.requeue_unsent(now, queued_request);
         });
         return;
     }
@@ -44,7 +44,7 @@
         return;
     };
     if !was_sent {
-        shared.with_scheduler(|scheduler, now| scheduler.count_first(now));
+        shared.with_scheduler(|scheduler, now| scheduler.count_first_attempt(now));
     }
     shared.counts.attempts.fetch_add(1, Ordering::Relaxed);
     let started = now_ms();
@@ -71,7 +71,7 @@
                 .mark_sent(queued_request.slot, was_sent);
             shared.with_scheduler(|scheduler, now| {
                 scheduler.attempt_done(now, seat, AttemptOutcome::Absent);
-                scheduler.send_again(now, queued_request);
+                scheduler.requeue_unreached(now, queued_request);
             });
         }
         AttemptResult::Failed(reason, end) => {
@@ -184,6 +184,6 @@
         };
         let timeout = Duration::from_millis(shared.configuration.load().bounds.slack_ms());
         let is_there = TcpStream::connect_timeout(&socket, timeout).is_ok();
-        shared.with_scheduler(|scheduler, now| scheduler.probed(now, &runner, is_there));
+        shared.with_scheduler(|scheduler, now| scheduler.probe_finished(now, &runner, is_there));
     }
 }
--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -133,7 +133,7 @@
     let configuration = shared.configuration.load_full();
     // A front that does not yet know the configuration cannot say what exists.
     if let Err(rejection) =
-        shared.with_scheduler(|scheduler, now| scheduler.may_take(now, function))
+        shared.with_scheduler(|scheduler, now| scheduler.check_admission(now, function))
     {
         return Err(turned_away(shared, rejection));
     }
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -78,7 +78,7 @@
                 if let Err(error) = self.attempts.try_send((queued_request, seat)) {
                     let (queued_request, seat) = error.into_inner();
                     scheduler.attempt_done(now_ms(), &seat, AttemptOutcome::Unsent);
-                    scheduler.hold_again(now_ms(), queued_request);
+                    scheduler.requeue_unsent(now_ms(), queued_request);
                 }
             }
             Action::Refuse(queued_request, rejection) => {
@@ -252,7 +252,7 @@
         // Callers on connections that they keep learn for the length of a lease that it drains.
         let is_notified = now >= since + bounds.lease_ms();
         if shut_at.is_none() && is_notified && operators::has_drained(shared) {
-            if !transport::close_door(shared.settings.http) {
+            if !transport::reject_new_connections(shared.settings.http) {
                 log::warn!("front: new connections could not be kept out");
             }
             shut_at = Some(now);
--- a/crates/request_queue/src/action.rs
+++ b/crates/request_queue/src/action.rs
@@ -84,7 +84,7 @@
     Launch(QueuedRequest, SeatGrant),
     /// Tell the caller at once that the request was not run.
     Refuse(QueuedRequest, Rejection),
-    /// See whether the runner takes connections, then call [`crate::SeatScheduler::probed`].
+    /// See whether the runner takes connections, then call [`crate::SeatScheduler::probe_finished`].
     Probe {
         /// Runner to look at.
         runner: String,
--- a/crates/request_queue/src/owned.rs
+++ b/crates/request_queue/src/owned.rs
@@ -195,7 +195,7 @@
         }
     }
 
-    pub(crate) fn probed(&mut self, is_there: bool) {
+    pub(crate) fn probe_finished(&mut self, is_there: bool) {
         if is_there && !self.is_warm {
             self.is_warm = true;
             self.absent_since = None;
--- a/crates/request_queue/src/ownership.rs
+++ b/crates/request_queue/src/ownership.rs
@@ -152,9 +152,9 @@
     }
 
     /// Whether the runner took a connection when it was looked at.
-    pub fn probed(&mut self, now: u64, runner: &str, is_there: bool) {
+    pub fn probe_finished(&mut self, now: u64, runner: &str, is_there: bool) {
         if let Some(owned) = self.owned.get_mut(runner) {
-            owned.probed(is_there);
+            owned.probe_finished(is_there);
             self.dirty.insert(owned.entry.function.clone());
         }
         self.settle(now);
--- a/crates/request_queue/src/resending.rs
+++ b/crates/request_queue/src/resending.rs
@@ -6,10 +6,10 @@
 
 impl SeatScheduler {
     /// Counts the first try of a request, which is sent now. What waits for credit may go then.
-    pub fn count_first(&mut self, now: u64) {
+    pub fn count_first_attempt(&mut self, now: u64) {
         let bounds = &self.configuration.bounds;
         let floor = f64::from(bounds.retry_floor) / self.plan.membership.len().max(1) as f64;
-        self.retry_budget.first(bounds.retry_share, floor);
+        self.retry_budget.earn(bounds.retry_share, floor);
         self.resend_deferred(now);
     }
 
@@ -35,7 +35,7 @@
 
     /// A request whose seat was no longer good before anything was sent is held again, a few times
     /// at most.
-    pub fn hold_again(&mut self, now: u64, queued_request: QueuedRequest) {
+    pub fn requeue_unsent(&mut self, now: u64, queued_request: QueuedRequest) {
         if let Some(queued_request) = self.count_unsent(queued_request) {
             self.hold(now, queued_request);
             self.settle(now);
@@ -44,7 +44,7 @@
 
     /// A request whose runner was not there is sent again, as one of the retries: at once where
     /// there is credit, and otherwise as soon as first attempts have earned it.
-    pub fn send_again(&mut self, now: u64, queued_request: QueuedRequest) {
+    pub fn requeue_unreached(&mut self, now: u64, queued_request: QueuedRequest) {
         let Some(queued_request) = self.count_unsent(queued_request) else {
             return;
         };
--- a/crates/request_queue/src/retry_budget.rs
+++ b/crates/request_queue/src/retry_budget.rs
@@ -9,7 +9,7 @@
 impl RetryBudget {
     /// Counts a first try. An incarnation begins with nothing, so that a front that is killed and started
     /// again has not its floor a second time.
-    pub fn first(&mut self, share: f64, floor: f64) {
+    pub fn earn(&mut self, share: f64, floor: f64) {
         self.credit = (self.credit + share).min(floor.max(1.0));
     }
 
--- a/crates/request_queue/src/scheduler.rs
+++ b/crates/request_queue/src/scheduler.rs
@@ -181,7 +181,7 @@
     }
 
     /// Whether a new request for the function would be taken at all.
-    pub fn may_take(&self, now: u64, function: &str) -> Result<(), Rejection> {
+    pub fn check_admission(&self, now: u64, function: &str) -> Result<(), Rejection> {
         if self.is_draining {
             return Err(Rejection::Draining);
         }
@@ -202,7 +202,7 @@
 
     /// Takes a request in.
     pub fn arrive(&mut self, now: u64, queued_request: QueuedRequest) {
-        if let Err(rejection) = self.may_take(now, &queued_request.function) {
+        if let Err(rejection) = self.check_admission(now, &queued_request.function) {
             return self.refuse(queued_request, rejection);
         }
         self.hold(now, queued_request);
--- a/crates/request_queue/tests/oracles.rs
+++ b/crates/request_queue/tests/oracles.rs
@@ -70,7 +70,7 @@
                 0 if retry_budget.take() => retries.push(now),
                 0 => {}
                 _ => {
-                    retry_budget.first(share, floor);
+                    retry_budget.earn(share, floor);
                     firsts.push(now);
                 }
             }
--- a/crates/request_queue/tests/scheduler.rs
+++ b/crates/request_queue/tests/scheduler.rs
@@ -117,19 +117,19 @@
     let mut scheduler = scheduler(10);
     scheduler.arrive(1_000, queued_request(1, 0, 1_000));
     let first = launched(&mut scheduler);
-    scheduler.count_first(1_000);
+    scheduler.count_first_attempt(1_000);
     scheduler.attempt_done(1_001, &first[0].1, AttemptOutcome::Absent);
-    scheduler.send_again(1_001, first[0].0.clone());
-    scheduler.probed(1_001, "sign.1", true);
+    scheduler.requeue_unreached(1_001, first[0].0.clone());
+    scheduler.probe_finished(1_001, "sign.1", true);
     assert_eq!(
         launched(&mut scheduler).len(),
         0,
         "a fifth is no whole retry"
     );
     for _ in 0..4 {
-        scheduler.count_first(1_010);
+        scheduler.count_first_attempt(1_010);
     }
-    scheduler.probed(1_011, "sign.1", true);
+    scheduler.probe_finished(1_011, "sign.1", true);
     assert_eq!(
         launched(&mut scheduler).len(),
         1,
@@ -150,7 +150,7 @@
         own.runners[0].owner.incarnation = incarnation;
         scheduler.set_plan(1_000, Arc::new(own), version(1));
         hear(&mut scheduler, 1_000, version(1));
-        scheduler.probed(1_000, "sign.1", true);
+        scheduler.probe_finished(1_000, "sign.1", true);
         scheduler.arrive(1_000, queued_request(0, 0, 1_000));
         launched(&mut scheduler).remove(0).1.seat_no
     });
@@ -202,7 +202,10 @@
     let notified = refused(&mut scheduler);
     assert_eq!(notified.len(), 2);
     assert!(notified.iter().all(|(_, why)| *why == Rejection::NoQuorum));
-    assert_eq!(scheduler.may_take(2_600, "sign"), Err(Rejection::NoQuorum));
+    assert_eq!(
+        scheduler.check_admission(2_600, "sign"),
+        Err(Rejection::NoQuorum)
+    );
 }
 
 #[test]
@@ -218,11 +221,14 @@
         last_assignment: 0,
     };
     scheduler.on_message(1_000, &peer("two"), heartbeat.clone());
-    assert_eq!(scheduler.may_take(1_000, "sign"), Err(Rejection::NoQuorum));
+    assert_eq!(
+        scheduler.check_admission(1_000, "sign"),
+        Err(Rejection::NoQuorum)
+    );
     assert!(scheduler.take_actions().is_empty());
     scheduler.set_ready();
     scheduler.on_message(1_000, &peer("two"), heartbeat);
-    assert_eq!(scheduler.may_take(1_000, "sign"), Ok(()));
+    assert_eq!(scheduler.check_admission(1_000, "sign"), Ok(()));
     assert_eq!(scheduler.take_actions().len(), 1);
 }
 
@@ -256,7 +262,7 @@
     let mut waiting = scheduler(10);
     waiting.set_plan(1_100, plan("me", 2, 2), version(2));
     hear(&mut waiting, 1_100, version(2));
-    waiting.probed(1_100, "sign.1", true);
+    waiting.probe_finished(1_100, "sign.1", true);
     waiting.tick(1_200);
     waiting.arrive(1_200, queued_request(0, 0, 1_200));
     assert!(launched(&mut waiting).is_empty());
@@ -270,7 +276,7 @@
         over_in_ms: 0,
     };
     handed.on_message(1_150, &peer("two"), handover);
-    handed.probed(1_150, "sign.1", true);
+    handed.probe_finished(1_150, "sign.1", true);
     handed.arrive(1_200, queued_request(0, 0, 1_200));
     assert_eq!(launched(&mut handed).len(), 1);
 }
--- a/crates/request_queue/tests/speeds.rs
+++ b/crates/request_queue/tests/speeds.rs
@@ -22,7 +22,7 @@
     scheduler.set_plan(1_000, Arc::new(own), version(1));
     hear(&mut scheduler, 1_000, version(1));
     for runner in ["sign.1", "sign.2"] {
-        scheduler.probed(1_000, runner, true);
+        scheduler.probe_finished(1_000, runner, true);
     }
     scheduler
 }
--- a/crates/simulator/src/front_node.rs
+++ b/crates/simulator/src/front_node.rs
@@ -84,7 +84,7 @@
             }
             Event::BudgetExpired(slot) => self.on_budget_expired(oracle, slot),
             Event::ProbeDone(runner, is_reachable) => {
-                self.scheduler.probed(now, &runner, is_reachable)
+                self.scheduler.probe_finished(now, &runner, is_reachable)
             }
             _ => {}
         }
@@ -216,10 +216,10 @@
         if !may_send {
             self.scheduler
                 .attempt_done(now, seat, AttemptOutcome::Unsent);
-            return self.scheduler.hold_again(now, queued_request.clone());
+            return self.scheduler.requeue_unsent(now, queued_request.clone());
         }
         if open.sent == 0 {
-            self.scheduler.count_first(now);
+            self.scheduler.count_first_attempt(now);
         }
         open.sent += 1;
         let request = RunnerRequest {
@@ -274,9 +274,9 @@
             }
             AttemptOutcome::Absent => {
                 open.sent -= 1;
-                self.scheduler.send_again(now, queued_request);
+                self.scheduler.requeue_unreached(now, queued_request);
             }
-            AttemptOutcome::Unsent => self.scheduler.hold_again(now, queued_request),
+            AttemptOutcome::Unsent => self.scheduler.requeue_unsent(now, queued_request),
             AttemptOutcome::Lost | AttemptOutcome::Broken | AttemptOutcome::Bad => {
                 if key.is_some() || !self.scheduler.retry(now, queued_request) {
                     self.finish_call(oracle, slot, "unknown");
--- a/crates/simulator/src/front_requests.rs
+++ b/crates/simulator/src/front_requests.rs
@@ -14,7 +14,7 @@
         let now = net.now;
         if self
             .scheduler
-            .may_take(now, &caller_request.function)
+            .check_admission(now, &caller_request.function)
             .is_err()
         {
             oracle.on_outcome(caller_request.call, "not-run", &caller_request.function);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -16,7 +16,7 @@
 pub use http::{call, json, read_body, serve, text, CallError, CallResponse};
 pub use inbound::{Handler, Responder, WireCounts};
 pub use links::Links;
-pub use listening::close_door;
+pub use listening::reject_new_connections;
 pub use message::{
     ConfigurationUpdate, Envelope, PeerMessage, PeerRole, PlanUpdate, ReplicaDigest, StateUpdate,
 };
--- a/crates/transport/src/listening.rs
+++ b/crates/transport/src/listening.rs
@@ -34,7 +34,7 @@
 /// Lets no new connection in at an address that this process listens on, while those that are open,
 /// or wait to be accepted, go on. Whoever connects later is refused when the process has ended,
 /// rather than cut off with a request under way. Gives whether it could be done.
-pub fn close_door(address: SocketAddr) -> bool {
+pub fn reject_new_connections(address: SocketAddr) -> bool {
     let Some(socket) = listening_on(address) else {
         return false;
     };
@@ -74,7 +74,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let mut early = TcpStream::connect(address).unwrap();
-        assert!(close_door(address));
+        assert!(reject_new_connections(address));
         let timeout = Duration::from_millis(100);
         assert!(TcpStream::connect_timeout(&address, timeout).is_err());
         let (mut taken, _) = listener.accept().unwrap();
@@ -82,6 +82,6 @@
         let mut answer = [0; 4];
         early.read_exact(&mut answer).unwrap();
         assert_eq!(&answer, b"well");
-        assert!(!close_door("127.0.0.1:1".parse().unwrap()));
+        assert!(!reject_new_connections("127.0.0.1:1".parse().unwrap()));
     }
 }
