--- a/crates/simulator/src/core_membership.rs
+++ b/crates/simulator/src/core_membership.rs
@@ -71,10 +71,10 @@
         for core in cores {
             self.send_message(net, &core, 2, PeerMessage::Hello);
         }
-        let known: Vec<PeerStatus> = statuses.into_values().collect();
-        self.advance_bootstrap(net, oracle, &known);
+        let peers: Vec<PeerStatus> = statuses.into_values().collect();
+        self.advance_bootstrap(net, oracle, &peers);
         self.advance_repair(net);
-        for one in &known {
+        for one in &peers {
             let (name, set) = (&one.address, &one.set);
             let is_member = self.set.voters.iter().any(|voter| voter.disk == one.disk);
             if is_member && set.epoch == self.set.epoch && set.number < self.set.number {
@@ -84,7 +84,7 @@
         if self.voter.acceptor().set().epoch != 0 || self.set.epoch == 0 {
             return;
         }
-        let answering: Vec<u64> = known.iter().map(|one| one.disk).collect();
+        let answering: Vec<u64> = peers.iter().map(|peer| peer.disk).collect();
         if !answering.is_empty() {
             let purpose = Purpose::JoinRead(answering);
             self.propose(net, VOTERS_KEY, Change::Read, purpose);
--- a/crates/simulator/src/core_puts.rs
+++ b/crates/simulator/src/core_puts.rs
@@ -19,24 +19,24 @@
 /// or an invalid configuration that must be rejected.
 fn edited_configuration(current: &Configuration, seed: u64) -> Configuration {
     let mut next = current.clone();
-    let place = (seed >> 8) as usize;
+    let index = (seed >> 8) as usize;
     match seed % 5 {
         0 if !next.zones.is_empty() => {
-            let place = place % next.zones.len();
+            let index = index % next.zones.len();
             let open = next
                 .zones
                 .iter()
-                .filter(|one| one.state == ZoneState::Open)
+                .filter(|zone| zone.state == ZoneState::Open)
                 .count();
-            let zone = &mut next.zones[place];
+            let zone = &mut next.zones[index];
             zone.state = match zone.state {
                 ZoneState::Open if open > 2 => ZoneState::Evacuated,
                 _ => ZoneState::Open,
             };
         }
         1 if !next.function_specs.is_empty() => {
-            let place = place % next.function_specs.len();
-            next.function_specs[place].memory_mb = 0;
+            let index = index % next.function_specs.len();
+            next.function_specs[index].memory_mb = 0;
         }
         _ => next.bounds.cooldown_ms = 30_000 + seed % 1_000_000,
     }
--- a/crates/simulator/src/core_roles.rs
+++ b/crates/simulator/src/core_roles.rs
@@ -45,10 +45,13 @@
             .due(net.now, &in_force.plan, &listed, 1_500, 6_000);
         for command in due {
             let time = net.random_time_within(20);
-            let sent = Box::new((command, observation.term));
-            let call =
-                ScheduledEvent::Platform(self.peer.name.clone(), self.peer.incarnation, sent);
-            net.schedule(time, call);
+            let command_and_term = Box::new((command, observation.term));
+            let scheduled_event = ScheduledEvent::Platform(
+                self.peer.name.clone(),
+                self.peer.incarnation,
+                command_and_term,
+            );
+            net.schedule(time, scheduled_event);
         }
     }
 
--- a/crates/simulator/src/fault_injection.rs
+++ b/crates/simulator/src/fault_injection.rs
@@ -39,10 +39,10 @@
                 }
             }
             Fault::PowerLoss(name, duration_ms) => {
-                let torn = self.net.random.random_range(0..40);
+                let torn_bytes = self.net.random.random_range(0..40);
                 let folder = self.cores[&name].folder.clone();
                 folder.inject(FaultKind::PowerLoss(0));
-                folder.inject(FaultKind::Torn(torn));
+                folder.inject(FaultKind::Torn(torn_bytes));
                 self.inject_fault(Fault::Kill(name, duration_ms));
             }
             Fault::FullDisk(name, 0) => {
@@ -88,8 +88,8 @@
                 self.oracle.set_leaving(&worker, None);
             }
             Fault::Replace(number) => self.platform.replace(now, number),
-            Fault::SlowWorker(worker, times) => {
-                self.platform.slowness.insert(worker, times);
+            Fault::SlowWorker(worker, factor) => {
+                self.platform.slowness.insert(worker, factor);
             }
             Fault::JumpWall(name, jump) => {
                 if let Some(clock) = self.clocks.get_mut(&name) {
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -112,8 +112,8 @@
                 13 => faults.push((at, Fault::Replace(random.random_range(0..1_000)))),
                 14 => {
                     let worker = pick(random, workers);
-                    let times = random.random_range(2..20);
-                    faults.push((at, Fault::SlowWorker(worker.clone(), times)));
+                    let factor = random.random_range(2..20);
+                    faults.push((at, Fault::SlowWorker(worker.clone(), factor)));
                     faults.push((at + duration_ms, Fault::SlowWorker(worker, 1)));
                 }
                 15 | 16 => {
--- a/crates/simulator/src/front_claims.rs
+++ b/crates/simulator/src/front_claims.rs
@@ -18,30 +18,30 @@
         reply: VoterResponse,
     ) {
         let mut found = self.pending_claims.iter_mut();
-        let found = found.find(|(_, claiming)| claiming.number == packet.number);
-        let Some((id, claiming)) = found else {
+        let found = found.find(|(_, pending)| pending.number == packet.number);
+        let Some((id, pending)) = found else {
             return;
         };
-        let mut voters = claiming.set.voters.iter();
+        let mut voters = pending.set.voters.iter();
         let voter_index = voters.position(|voter| voter.address == packet.from.name);
         let Some(voter_index) = voter_index else {
             return;
         };
         let id = *id;
-        match claiming.proposal.on_response(voter_index, reply) {
+        match pending.proposal.on_response(voter_index, reply) {
             ProposalStep::Wait => {}
             ProposalStep::Send(operation) => self.send_to_voters(net, id, operation),
             ProposalStep::Retry(above) => {
                 self.counter = self.counter.max(above.counter);
                 let ballot = self.next_ballot();
-                if let Some(claiming) = self.pending_claims.get_mut(&id) {
-                    let operation = claiming.proposal.retry(ballot);
+                if let Some(pending) = self.pending_claims.get_mut(&id) {
+                    let operation = pending.proposal.retry(ballot);
                     self.send_to_voters(net, id, operation);
                 }
             }
             ProposalStep::Done(outcome) => {
-                if let Some(claiming) = self.pending_claims.remove(&id) {
-                    self.on_claim_done(net, oracle, claiming.purpose, outcome);
+                if let Some(pending) = self.pending_claims.remove(&id) {
+                    self.on_claim_done(net, oracle, pending.purpose, outcome);
                 }
             }
         }
@@ -58,11 +58,11 @@
     fn send_to_voters(&mut self, net: &mut Net, id: u64, operation: VoterOperation) {
         self.counter += 1;
         let number = self.counter;
-        let Some(claiming) = self.pending_claims.get_mut(&id) else {
+        let Some(pending) = self.pending_claims.get_mut(&id) else {
             return;
         };
-        claiming.number = number;
-        net.send_to_voters(&self.peer, &claiming.set, number, &operation);
+        pending.number = number;
+        net.send_to_voters(&self.peer, &pending.set, number, &operation);
     }
 
     pub fn propose(
@@ -80,14 +80,14 @@
         let voters = self.set.voters.len();
         let (proposal, operation) = Proposal::start(register, change, tag, ballot, voters);
         let id = ballot.counter;
-        let claiming = PendingClaim {
+        let pending = PendingClaim {
             proposal,
             set: self.set.clone(),
             number: 0,
             deadline: net.now + CLAIM_TIMEOUT_MS,
             purpose,
         };
-        self.pending_claims.insert(id, claiming);
+        self.pending_claims.insert(id, pending);
         self.send_to_voters(net, id, operation);
     }
 
--- a/crates/simulator/src/front_node.rs
+++ b/crates/simulator/src/front_node.rs
@@ -115,13 +115,13 @@
         }
         let expired = self.pending_claims.iter();
         let expired: Vec<u64> = expired
-            .filter(|(_, claiming)| claiming.deadline <= now)
+            .filter(|(_, pending)| pending.deadline <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
-            if let Some(claiming) = self.pending_claims.remove(&id) {
-                let outcome = claiming.proposal.abandon();
-                self.on_claim_done(net, oracle, claiming.purpose, outcome);
+            if let Some(pending) = self.pending_claims.remove(&id) {
+                let outcome = pending.proposal.abandon();
+                self.on_claim_done(net, oracle, pending.purpose, outcome);
             }
         }
     }
--- a/crates/simulator/src/platform.rs
+++ b/crates/simulator/src/platform.rs
@@ -122,27 +122,27 @@
         let now = net.now;
         oracle.on_attempt(request.call);
         let concurrency = self.concurrency.get(&request.seat.function).copied();
-        let (wanted, address) = (request.seat.runner.clone(), request.seat.address.clone());
+        let (runner_id, address) = (request.seat.runner.clone(), request.seat.address.clone());
         let slowness = self.slowness.clone();
         let found = self.at_address(now, &address);
-        if let Some(other) = found.as_ref().filter(|there| there.entry.id != wanted) {
+        if let Some(other) = found.as_ref().filter(|there| there.entry.id != runner_id) {
             let (function, is_unmanaged) = (&other.entry.function, other.is_unmanaged);
             oracle.check_misdirected(&request.seat.function, function, is_unmanaged);
         }
-        let Some(runner) = found.filter(|runner| runner.entry.id == wanted) else {
-            let back = net.random_time_within(5);
+        let Some(runner) = found.filter(|runner| runner.entry.id == runner_id) else {
+            let arrives_at = net.random_time_within(5);
             let end = Event::AttemptOutcome(
                 request.queued_request,
                 request.seat,
                 AttemptOutcome::Absent,
                 None,
             );
-            net.schedule_at_node(back, &request.front, request.incarnation, end);
+            net.schedule_at_node(arrives_at, &request.front, request.incarnation, end);
             return;
         };
         runner.in_flight += 1;
-        oracle.check_concurrency(&wanted, runner.in_flight, concurrency.unwrap_or(0));
-        oracle.check_ramp_up(&wanted, runner.in_flight, runner.completed);
+        oracle.check_concurrency(&runner_id, runner.in_flight, concurrency.unwrap_or(0));
+        oracle.check_ramp_up(&runner_id, runner.in_flight, runner.completed);
         let (zone, worker) = (runner.entry.zone.clone(), runner.entry.worker.clone());
         oracle.on_run(request.call, request.idempotency_key, &zone, &worker);
         let duration_factor = net.random.random_range(0.5..2.0);
@@ -164,7 +164,7 @@
         }
         let run = Run {
             request,
-            runner: wanted,
+            runner: runner_id,
             runner_fault,
             began: now,
         };
@@ -238,9 +238,9 @@
                 (AttemptOutcome::Answered(took_ms), answer)
             }
         };
-        let back = net.random_time_within(5);
+        let arrives_at = net.random_time_within(5);
         let event = Event::AttemptOutcome(request.queued_request, request.seat, end, answer);
-        net.schedule_at_node(back, &request.front, request.incarnation, event);
+        net.schedule_at_node(arrives_at, &request.front, request.incarnation, event);
     }
 
     /// Executes a command that reached the platform.
@@ -262,12 +262,15 @@
         if self.runners.contains_key(&entry.id) {
             return CommandResult::Taken;
         }
-        let worker = self.workers.iter().find(|one| one.name == entry.worker);
+        let worker = self
+            .workers
+            .iter()
+            .find(|worker| worker.name == entry.worker);
         let Some(worker) = worker.filter(|one| !self.dead_workers.contains(&one.name)) else {
             return CommandResult::Refused;
         };
-        let there = self.runners.values();
-        let used: u64 = there
+        let running = self.runners.values();
+        let used: u64 = running
             .filter(|runner| runner.entry.worker == worker.name)
             .map(|runner| runner.entry.memory_mb)
             .sum();
--- a/crates/simulator/src/start.rs
+++ b/crates/simulator/src/start.rs
@@ -1,12 +1,12 @@
 use crate::config::Config;
 use configuration::{Configuration, FunctionSpec, RequestKind, Zone};
 
-pub(crate) fn zone(place: usize) -> String {
-    ["a", "b", "c"][place % 3].to_string()
+pub(crate) fn zone(index: usize) -> String {
+    ["a", "b", "c"][index % 3].to_string()
 }
 
 /// The configuration that a simulated fleet starts with.
-pub(crate) fn first_configuration(config: &Config) -> Configuration {
+pub(crate) fn initial_configuration(config: &Config) -> Configuration {
     let function_specs = (0..config.functions).map(|number| FunctionSpec {
         name: format!("f{number}"),
         memory_mb: 300,
@@ -16,8 +16,8 @@
         kinds: vec!["urgent".into(), "plain".into()],
     });
     let kinds = [("urgent", true), ("plain", false)];
-    let zones = (0..3).map(|place| Zone {
-        name: zone(place),
+    let zones = (0..3).map(|index| Zone {
+        name: zone(index),
         state: Default::default(),
     });
     let mut configuration = Configuration::empty();
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -5,7 +5,7 @@
 use crate::net::{CallerRequest, Clock, Event, Net, Packet, ScheduledEvent};
 use crate::oracle::Oracle;
 use crate::platform::SimulatedPlatform;
-use crate::start::{first_configuration, zone};
+use crate::start::{initial_configuration, zone};
 use configuration::{Configuration, PeerRef};
 use journal::MemoryFolder;
 use rand::rngs::StdRng;
@@ -44,29 +44,29 @@
     pub(crate) clocks: BTreeMap<String, Clock>,
     faults: FaultPlan,
     seed: u64,
-    calls: u64,
+    call_count: u64,
 }
 
 impl World {
     /// Creates a fleet whose entire run is determined by the seed.
     pub fn new(config: Config, seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
-        let core_names: Vec<String> = (0..3).map(|place| format!("core-{place}")).collect();
+        let core_names: Vec<String> = (0..3).map(|index| format!("core-{index}")).collect();
         let front_names: Vec<String> = (0..config.fronts)
-            .map(|place| format!("front-{place}"))
+            .map(|index| format!("front-{index}"))
             .collect();
         let workers: Vec<Worker> = (0..6)
-            .map(|place| Worker {
-                name: format!("worker-{place}"),
-                zone: zone(place),
-                host: format!("10.0.0.{place}"),
+            .map(|index| Worker {
+                name: format!("worker-{index}"),
+                zone: zone(index),
+                host: format!("10.0.0.{index}"),
                 memory_mb: 2_000,
                 first_port: 1_000,
                 ports: 200,
                 is_leaving: false,
             })
             .collect();
-        let worker_names: Vec<String> = workers.iter().map(|one| one.name.clone()).collect();
+        let worker_names: Vec<String> = workers.iter().map(|worker| worker.name.clone()).collect();
         let (from, until) = config.fault_window_ms;
         let mut faults = FaultPlan::random(
             &mut random,
@@ -79,10 +79,10 @@
         if let Some(scripted) = &config.scripted_faults {
             faults.faults = scripted.clone();
         }
-        let configuration = first_configuration(&config);
+        let configuration = initial_configuration(&config);
         let text = serde_json::to_string(&configuration).unwrap_or_default();
-        let voters = core_names.iter().enumerate().map(|(place, name)| VoterRef {
-            disk: place as u64 + 1,
+        let voters = core_names.iter().enumerate().map(|(index, name)| VoterRef {
+            disk: index as u64 + 1,
             address: name.clone(),
         });
         let set = VoterSet {
@@ -90,7 +90,7 @@
             number: 1,
             voters: voters.collect(),
         };
-        let first = VoterRequest {
+        let initial_write = VoterRequest {
             set_version: set.version(),
             operation: VoterOperation::Accept {
                 key: "blueprint".into(),
@@ -124,7 +124,7 @@
             clocks: BTreeMap::new(),
             faults,
             seed,
-            calls: 0,
+            call_count: 0,
             config,
         };
         world.platform.runner_fault_share = world.config.runner_fault_share;
@@ -139,20 +139,20 @@
             };
             world.clocks.insert(name.clone(), clock);
         }
-        for (place, name) in core_names.iter().enumerate() {
+        for (index, name) in core_names.iter().enumerate() {
             let peer = world.new_incarnation(name);
             let folder = MemoryFolder::default();
             let now = world.clocks[name].now(0);
-            let mut core = CoreNode::new(peer, folder, place as u64 + 1, core_names.clone(), now);
+            let mut core = CoreNode::new(peer, folder, index as u64 + 1, core_names.clone(), now);
             core.voter.bootstrap(set.clone(), 0);
-            core.voter.handle(first.clone());
+            core.voter.handle(initial_write.clone());
             core.voter.sync();
             core.set = set.clone();
             world.cores.insert(name.clone(), core);
         }
-        for (place, name) in front_names.iter().enumerate() {
+        for (index, name) in front_names.iter().enumerate() {
             let peer = world.new_incarnation(name);
-            let front = FrontNode::new(peer, &zone(place), core_names.clone());
+            let front = FrontNode::new(peer, &zone(index), core_names.clone());
             world.fronts.insert(name.clone(), front);
         }
         world.net.schedule(0, ScheduledEvent::PlatformTick);
@@ -257,8 +257,8 @@
             _ => current.frozen_until,
         };
         if now < until {
-            let again = ScheduledEvent::AtNode(node, incarnation, event);
-            return self.net.reschedule(until, number, again);
+            let delayed = ScheduledEvent::AtNode(node, incarnation, event);
+            return self.net.reschedule(until, number, delayed);
         }
         if let Event::Tick(incarnation) = *event {
             self.net
@@ -281,7 +281,7 @@
         let is_once = random.random_bool(0.4);
         let front = format!("front-{}", random.random_range(0..self.config.fronts));
         let other = format!("front-{}", random.random_range(0..self.config.fronts));
-        self.calls += 1;
+        self.call_count += 1;
         let mut clock_offset_ms = self.net.random.random_range(-300..=300);
         if self.net.random.random_bool(0.01) {
             clock_offset_ms += [HOUR_MS, -HOUR_MS][self.net.random.random_range(0..2)];
@@ -291,10 +291,10 @@
             ..Clock::default()
         });
         let caller_request = CallerRequest {
-            call: self.calls * 2,
+            call: self.call_count * 2,
             function,
             kind: if is_once { "urgent" } else { "plain" }.into(),
-            idempotency_key: is_once.then_some(self.net.wall * 1_000 + self.calls % 1_000),
+            idempotency_key: is_once.then_some(self.net.wall * 1_000 + self.call_count % 1_000),
         };
         // Some callers send the same request, under the same idempotency key, to a second front.
         if is_once && self.net.random.random_bool(0.3) {
