--- a/crates/autoscaler/src/quotas.rs
+++ b/crates/autoscaler/src/quotas.rs
@@ -37,7 +37,7 @@
         // Zero-padded serials, so that ties are resolved by age.
         id: format!("{serial:020}"),
         quota: runner.quota,
-        most: runner.max_quota,
+        max_quota: runner.max_quota,
         seat_rate: state.seat_rate(runner),
     });
     runner_quotas.collect()
--- a/crates/autoscaler/src/scaling_decision.rs
+++ b/crates/autoscaler/src/scaling_decision.rs
@@ -213,7 +213,7 @@
     let kept = regional_runners::kept_runners(state, function);
     let mut runner_quotas = quotas::shrinkable(state, function, &kept);
     let full_capacity =
-        |runner_quota: &RunnerQuota| f64::from(runner_quota.most) * runner_quota.seat_rate;
+        |runner_quota: &RunnerQuota| f64::from(runner_quota.max_quota) * runner_quota.seat_rate;
     let min_capacity = runner_quotas.iter().map(full_capacity).fold(0.0, f64::max);
     let Some(fastest) = runner_quotas
         .iter()
--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -136,15 +136,15 @@
     let uri = format!("http://{platform}{path}");
     let headers = [("content-type", "application/json")];
     let Ok(answer) = call(method, &uri, &headers, body, timeout, LIST_MAX) else {
-        return CommandResult::Silent;
+        return CommandResult::NoResponse;
     };
     match (command, answer.status) {
-        (_, 409) => CommandResult::OldTerm,
-        (PlatformCommand::Start(_), 200..=299) => CommandResult::Taken,
+        (_, 409) => CommandResult::StaleTerm,
+        (PlatformCommand::Start(_), 200..=299) => CommandResult::Accepted,
         (PlatformCommand::Start(_), 400..=499) => CommandResult::Refused,
         (PlatformCommand::Stop(_), 200 | 404) => CommandResult::Gone,
-        (PlatformCommand::Stop(_), 202) => CommandResult::Taken,
-        _ => CommandResult::Silent,
+        (PlatformCommand::Stop(_), 202) => CommandResult::Accepted,
+        _ => CommandResult::NoResponse,
     }
 }
 
--- a/crates/core/src/scaling.rs
+++ b/crates/core/src/scaling.rs
@@ -73,7 +73,7 @@
     let fronts = fronts_of(shared);
     let scaler_role = shared.scaler_role.load_full();
     for (command, result) in results_in.try_iter() {
-        if result == CommandResult::OldTerm {
+        if result == CommandResult::StaleTerm {
             log::warn!("scaler: the platform knows a higher term");
         }
         commands.on_result(&command, result);
--- a/crates/scaler/src/commands.rs
+++ b/crates/scaler/src/commands.rs
@@ -15,15 +15,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandResult {
     /// Taken; it is under way.
-    Taken,
+    Accepted,
     /// The runner is surely gone.
     Gone,
     /// The platform will not start it.
     Refused,
     /// The platform knows a higher term: another scaler is at work.
-    OldTerm,
+    StaleTerm,
     /// No answer; it is to be asked again.
-    Silent,
+    NoResponse,
 }
 
 /// Works out the calls between the settled plan and what the platform is known to have.
@@ -95,7 +95,7 @@
     /// Takes the end of a call.
     pub fn on_result(&mut self, command: &PlatformCommand, result: CommandResult) {
         match (command, result) {
-            (PlatformCommand::Start(entry), CommandResult::Taken) => {
+            (PlatformCommand::Start(entry), CommandResult::Accepted) => {
                 self.started.insert(entry.id.clone());
                 self.asked_at.remove(&entry.id);
             }
--- a/crates/scaler/src/quota_steps.rs
+++ b/crates/scaler/src/quota_steps.rs
@@ -8,7 +8,7 @@
     /// Its quota.
     pub quota: u32,
     /// Highest quota that it may have.
-    pub most: u32,
+    pub max_quota: u32,
     /// Requests a second that one seat carries.
     pub seat_rate: f64,
 }
@@ -28,7 +28,10 @@
         by_rate.then_with(|| one.id.cmp(&other.id))
     });
     for runner_quota in runner_quotas.iter_mut() {
-        while gap > 0.0 && runner_quota.quota < runner_quota.most && runner_quota.seat_rate > 0.0 {
+        while gap > 0.0
+            && runner_quota.quota < runner_quota.max_quota
+            && runner_quota.seat_rate > 0.0
+        {
             runner_quota.quota += 1;
             gap -= runner_quota.seat_rate;
         }
--- a/crates/scaler/src/scaler.rs
+++ b/crates/scaler/src/scaler.rs
@@ -185,7 +185,7 @@
             .map(|entry| RunnerQuota {
                 id: entry.id.clone(),
                 quota: entry.quota.min(function_spec.concurrency),
-                most: function_spec.concurrency,
+                max_quota: function_spec.concurrency,
                 seat_rate: self.demand.seat_rate(&function_spec.name, &entry.id),
             })
             .collect()
--- a/crates/scaler/tests/algorithm.rs
+++ b/crates/scaler/tests/algorithm.rs
@@ -11,11 +11,11 @@
 };
 use std::collections::BTreeMap;
 
-fn runner_quota(id: &str, quota: u32, most: u32, seat_rate: f64) -> RunnerQuota {
+fn runner_quota(id: &str, quota: u32, max_quota: u32, seat_rate: f64) -> RunnerQuota {
     RunnerQuota {
         id: id.into(),
         quota,
-        most,
+        max_quota,
         seat_rate,
     }
 }
@@ -46,8 +46,8 @@
             })
             .collect();
         let rest = grow(&mut runner_quotas, f64::from(gap));
-        let is_full = runner_quotas.iter().all(|runner_quota| runner_quota.quota == runner_quota.most);
-        runner_quotas.iter().all(|runner_quota| runner_quota.quota <= runner_quota.most) && (rest <= 0.0 || is_full)
+        let is_full = runner_quotas.iter().all(|runner_quota| runner_quota.quota == runner_quota.max_quota);
+        runner_quotas.iter().all(|runner_quota| runner_quota.quota <= runner_quota.max_quota) && (rest <= 0.0 || is_full)
     }
 
     fn shrinking_keeps_a_seat_and_takes_no_more_than_the_surplus(
--- a/crates/scaler/tests/shortage.rs
+++ b/crates/scaler/tests/shortage.rs
@@ -193,7 +193,7 @@
                             ..Alive::default()
                         };
                         self.alive.insert(entry.id.clone(), alive);
-                        CommandResult::Taken
+                        CommandResult::Accepted
                     }
                     PlatformCommand::Stop(id) => {
                         self.alive.remove(id);
--- a/crates/simulator/src/platform.rs
+++ b/crates/simulator/src/platform.rs
@@ -246,7 +246,7 @@
     /// Executes a command that reached the platform.
     pub fn command(&mut self, now: u64, command: &PlatformCommand, term: u64) -> CommandResult {
         if term < self.term {
-            return CommandResult::OldTerm;
+            return CommandResult::StaleTerm;
         }
         self.term = term;
         match command {
@@ -260,7 +260,7 @@
 
     fn start(&mut self, now: u64, entry: &RunnerEntry) -> CommandResult {
         if self.runners.contains_key(&entry.id) {
-            return CommandResult::Taken;
+            return CommandResult::Accepted;
         }
         let worker = self
             .workers
@@ -285,7 +285,7 @@
             is_unmanaged: false,
         };
         self.runners.insert(entry.id.clone(), runner);
-        CommandResult::Taken
+        CommandResult::Accepted
     }
 
     /// Crashes a worker with its runners, or brings it back empty.
