--- a/crates/scaler/src/demand.rs
+++ b/crates/scaler/src/demand.rs
@@ -3,14 +3,14 @@
 use configuration::{Bounds, PeerRef};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// Milliseconds of one answer that are assumed until answers were seen.
+/// Response time assumed for a function without any responses yet, in milliseconds.
 const INITIAL_RESPONSE_TIME_MS: f64 = 100.0;
-/// Answers over which a runner's pace is taken; the newest weigh most.
+/// Number of responses over which a runner's response time is averaged; recent ones weigh most.
 const RESPONSE_TIME_SPAN: f64 = 20.0;
-/// Answers until which a runner goes by its function's pace.
+/// Responses a runner must have given before its own response time is used instead of its function's.
 const MIN_RESPONSES: u64 = 3;
 
-/// What is known of one function's demand and pace.
+/// Measured demand and response time of one function.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
     pub forecast: Forecast,
@@ -18,19 +18,19 @@
     pub waiting: u32,
     pub response_time_ms: Option<f64>,
     pub last_arrival: u64,
-    pub calm_since: Option<u64>,
+    pub below_beta_since: Option<u64>,
     arrivals: VecDeque<(u64, u64)>,
     total: u64,
 }
 
 impl Demand {
-    /// Requests a second that are scaled for: the forecast, and what waits, which is to be served
-    /// within a third of the bound on changes.
+    /// Demand to provide capacity for, in requests per second: the forecast rate plus the rate at which
+    /// the waiting requests are served within a third of `change_ms`.
     pub fn wanted(&self, bounds: &Bounds) -> f64 {
         self.forecast.rate() + f64::from(self.waiting) * 3_000.0 / bounds.change_ms as f64
     }
 
-    /// Requests a second that one seat carries.
+    /// Requests per second that one seat can serve.
     pub fn seat_rate(&self) -> f64 {
         1_000.0
             / self
@@ -40,17 +40,17 @@
     }
 }
 
-/// Demand of every function, from the totals that the fronts tell.
+/// Demand of every function, computed from the running totals that the fronts report.
 #[derive(Debug, Default)]
 pub(crate) struct DemandTable {
     pub functions: BTreeMap<String, Demand>,
     arrived: BTreeMap<(PeerRef, String), u64>,
     answered: BTreeMap<(String, u64), (u64, u64)>,
-    paces: BTreeMap<String, ResponseTime>,
+    response_times: BTreeMap<String, ResponseTime>,
     sampled_at: u64,
 }
 
-/// What one runner's answers took.
+/// Moving average of one runner's response time.
 #[derive(Debug, Default)]
 struct ResponseTime {
     answers: u64,
@@ -58,7 +58,7 @@
 }
 
 impl ResponseTime {
-    fn learn(&mut self, answers: u64, mean_ms: f64) {
+    fn add_samples(&mut self, answers: u64, mean_ms: f64) {
         let known = (self.answers as f64).min(RESPONSE_TIME_SPAN);
         let weight = answers as f64 / (known + answers as f64);
         self.mean_ms += weight * (mean_ms - self.mean_ms);
@@ -84,7 +84,7 @@
             demand.waiting = 0;
         }
         for front in observation.fronts.values() {
-            let is_heard =
+            let is_reachable =
                 observation.now < front.heard_at + observation.configuration.bounds.lease_ms();
             for report in &front.report.functions {
                 let Some(demand) = self.functions.get_mut(&report.function) else {
@@ -97,12 +97,12 @@
                     demand.last_arrival = observation.now;
                     *known = report.arrived;
                 }
-                if is_heard {
+                if is_reachable {
                     demand.waiting += report.waiting;
                 }
             }
         }
-        self.learn_response_time(observation);
+        self.update_response_times(observation);
         self.sample(observation.now, window);
         self.arrived.retain(|(peer, _), _| {
             observation
@@ -131,22 +131,23 @@
         }
     }
 
-    /// Milliseconds that an answer of this runner takes, once enough were seen.
+    /// Response time of this runner in milliseconds; none before it has given `MIN_RESPONSES` responses.
     pub fn response_time_of(&self, runner: &str) -> Option<f64> {
-        let response_time = self.paces.get(runner)?;
+        let response_time = self.response_times.get(runner)?;
         (response_time.answers >= MIN_RESPONSES).then_some(response_time.mean_ms.max(1.0))
     }
 
-    /// Requests a second that one seat of this runner carries; its function's until it was seen.
+    /// Requests per second that one seat of this runner can serve. The function's rate is used until the
+    /// runner's own response time is known.
     pub fn seat_rate(&self, function: &str, runner: &str) -> f64 {
-        let own = self
+        let runner_rate = self
             .response_time_of(runner)
             .map(|response_time| 1_000.0 / response_time);
-        let prior = self.functions.get(function).map_or(0.0, Demand::seat_rate);
-        own.unwrap_or(prior)
+        let function_rate = self.functions.get(function).map_or(0.0, Demand::seat_rate);
+        runner_rate.unwrap_or(function_rate)
     }
 
-    fn learn_response_time(&mut self, observation: &Observation) {
+    fn update_response_times(&mut self, observation: &Observation) {
         for front in observation.fronts.values() {
             for report in &front.report.runners {
                 let Some(entry) = observation.plan.runner(&report.runner) else {
@@ -160,33 +161,33 @@
                 }
                 let mean = report.took_ms.saturating_sub(known.1) as f64 / answers as f64;
                 *known = (report.answered, report.took_ms);
-                let response_time = self.paces.entry(entry.id.clone());
+                let response_time = self.response_times.entry(entry.id.clone());
                 response_time
                     .or_insert_with(|| ResponseTime {
                         answers: 0,
                         mean_ms: f64::from(entry.response_time_ms),
                     })
-                    .learn(answers, mean);
+                    .add_samples(answers, mean);
             }
         }
         self.answered
             .retain(|(runner, _), _| observation.plan.runner(runner).is_some());
-        self.paces
+        self.response_times
             .retain(|runner, _| observation.plan.runner(runner).is_some());
-        let mut paces: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
+        let mut response_times: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         for entry in &observation.plan.runners {
-            if let Some(response_time) = self.paces.get(&entry.id) {
-                paces
+            if let Some(response_time) = self.response_times.get(&entry.id) {
+                response_times
                     .entry(&entry.function)
                     .or_default()
                     .push(response_time.mean_ms);
             }
         }
-        // The runner in the middle stands for those that were not seen yet.
-        for (function, mut paces) in paces {
-            paces.sort_by(f64::total_cmp);
+        // The median is used for runners that have no response time of their own yet.
+        for (function, mut response_times) in response_times {
+            response_times.sort_by(f64::total_cmp);
             if let Some(demand) = self.functions.get_mut(function) {
-                demand.response_time_ms = Some(paces[(paces.len() - 1) / 2]);
+                demand.response_time_ms = Some(response_times[(response_times.len() - 1) / 2]);
             }
         }
     }
--- a/crates/scaler/src/function_decision.rs
+++ b/crates/scaler/src/function_decision.rs
@@ -1,25 +1,25 @@
 use serde::Serialize;
 
-/// Why a function has the runners and quotas that it has.
+/// Inputs and outcome of the latest scaling decision for one function.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct FunctionDecision {
-    /// Requests a second that came in.
+    /// Measured arrivals, in requests per second.
     pub measured: f64,
-    /// Requests a second that are expected.
+    /// Forecast arrivals, in requests per second.
     pub forecast: f64,
-    /// Requests that wait at the fronts.
+    /// Requests queued at the fronts.
     pub waiting: u32,
-    /// Demand that is scaled for: the forecast and what waits.
+    /// Demand to provide capacity for, in requests per second: the forecast plus the rate needed for queued requests.
     pub demand: f64,
-    /// Requests a second that the runners carry.
+    /// Requests per second that the counted runners can serve at their quotas.
     pub capacity: f64,
-    /// Milliseconds of one answer, as learnt.
+    /// Measured response time in milliseconds; none before the first response.
     #[serde(rename = "pace_ms")]
     pub response_time_ms: Option<f64>,
-    /// Runners that count.
+    /// Number of runners that count towards the capacity.
     pub runners: usize,
-    /// Seats of these runners.
+    /// Sum of the quotas of these runners.
     pub seats: u32,
-    /// What was decided last, and why.
+    /// The latest change that was decided, with its reason.
     pub reason: String,
 }
--- a/crates/scaler/src/lib.rs
+++ b/crates/scaler/src/lib.rs
@@ -1,5 +1,6 @@
-//! The scaler's decisions after HAS-GPU: forecast, quotas first, least-occupied used worker, fresh
-//! worker, calm shrinking. A pure state machine that turns what is seen into the next plan.
+//! Scaling decisions, modelled on HAS-GPU: forecast the demand, raise quotas before starting runners,
+//! place runners on the least-occupied worker in use before an empty one, and shrink only after a
+//! cooldown. A pure state machine that computes the next plan from an observation of the cluster.
 #![warn(missing_docs)]
 
 mod commands;
--- a/crates/scaler/src/memory_pool.rs
+++ b/crates/scaler/src/memory_pool.rs
@@ -4,7 +4,7 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// What a function has and what it wants, as far as sharing memory goes.
+/// A function's capacity and demand, as used to divide scarce memory between functions.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemoryShare {
     pub priority: u8,
@@ -16,39 +16,40 @@
 }
 
 impl MemoryShare {
-    /// How much of the demand a capacity meets.
-    fn met(&self, capacity: f64) -> f64 {
+    /// The share of the demand that this capacity serves.
+    fn served_share(&self, capacity: f64) -> f64 {
         capacity / self.demand.max(f64::MIN_POSITIVE)
     }
 
-    fn runner(&self) -> f64 {
+    fn capacity_per_runner(&self) -> f64 {
         self.capacity / self.runners.max(1) as f64
     }
 
-    fn without_one(&self) -> f64 {
-        self.capacity - self.runner()
+    fn capacity_without_one(&self) -> f64 {
+        self.capacity - self.capacity_per_runner()
     }
 }
 
-/// How willingly a runner gives way; the lowest goes first.
+/// Order in which runners are drained for the benefit of another function; the lowest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum PreemptionOrder {
-    /// One of several of a lower priority.
-    Below,
-    /// One of several of the same priority that stays better served, or one that is not needed.
-    Beside,
-    /// The only one of a function that nobody calls.
+    /// One of several runners of a function with a lower priority.
+    LowerPriority,
+    /// One of several runners of a function with the same priority (which stays better served than the recipient,
+    /// if that has a runner), or with a higher priority if its demand is met without the runner.
+    SamePriority,
+    /// The only runner of a function without demand.
     Idle,
-    /// The only one of a lower priority.
-    OnlyBelow,
-    /// The only one of the same priority that had its turn.
-    Turn,
+    /// The only runner of a function with a lower priority.
+    LastOfLowerPriority,
+    /// The only runner of a function with the same priority, once it has been in its state for `return_ms`.
+    LastOfSamePriority,
 }
 
-/// Memory that is free on each worker, or will be when what drains has gone. Functions that lack
-/// memory reserve from it in their order, so that each drains only what is still missing.
+/// Memory of each worker that is free, or will be free once its draining runners have stopped.
+/// Functions that lack memory reserve from it in turn, so that each drains only what is still missing.
 pub(crate) struct MemoryPool {
-    soon: BTreeMap<String, u64>,
+    available_mb: BTreeMap<String, u64>,
     shares: BTreeMap<String, MemoryShare>,
 }
 
@@ -69,7 +70,7 @@
             .workers
             .iter()
             .filter(|worker| !worker.is_leaving && observation.configuration.is_open(&worker.zone));
-        let soon = open.map(|worker| {
+        let available_mb = open.map(|worker| {
             let staying = plan
                 .runners
                 .iter()
@@ -78,89 +79,97 @@
             (worker.name.clone(), worker.memory_mb.saturating_sub(used))
         });
         Self {
-            soon: soon.collect(),
+            available_mb: available_mb.collect(),
             shares,
         }
     }
 
-    /// Makes room for one more runner of a function: what others must give for it is drained, on
-    /// the worker where they give it most willingly.
-    pub fn make(
+    /// Provides memory for one more runner of a function. If no worker has enough, drains runners of other
+    /// functions, on the worker where the lowest preemption order and the fewest runners suffice.
+    /// Returns whether the memory is or becomes available.
+    pub fn reserve(
         &mut self,
         observation: &Observation,
         plan: &mut Plan,
-        needy: &FunctionSpec,
+        recipient: &FunctionSpec,
         runner_states: &RunnerStates,
     ) -> bool {
-        let reserved = self.soon.values_mut().find(|mb| **mb >= needy.memory_mb);
+        let reserved = self
+            .available_mb
+            .values_mut()
+            .find(|mb| **mb >= recipient.memory_mb);
         if let Some(memory) = reserved {
-            *memory -= needy.memory_mb;
+            *memory -= recipient.memory_mb;
             return true;
         }
-        let Some(share) = self.shares.get(&needy.name).cloned() else {
+        let Some(share) = self.shares.get(&recipient.name).cloned() else {
             return false;
         };
         let mut best: Option<(PreemptionOrder, usize, String, Vec<Donor>)> = None;
-        for (worker, free) in &self.soon {
-            let givers = self.givers(observation, plan, &share, needy, worker, runner_states);
-            let Some(chosen_givers) = enough(plan, &self.shares, givers, *free, needy) else {
+        for (worker, free) in &self.available_mb {
+            let donors = self.donors(observation, plan, &share, recipient, worker, runner_states);
+            let Some(chosen_donors) = select_donors(plan, &self.shares, donors, *free, recipient)
+            else {
                 continue;
             };
-            let worst = chosen_givers
+            let costliest = chosen_donors
                 .iter()
-                .map(|giver| giver.preemption_order)
+                .map(|donor| donor.preemption_order)
                 .max();
-            let cost = (worst.unwrap_or(PreemptionOrder::Below), chosen_givers.len());
+            let cost = (
+                costliest.unwrap_or(PreemptionOrder::LowerPriority),
+                chosen_donors.len(),
+            );
             if best
                 .as_ref()
                 .is_none_or(|(preemption_order, count, ..)| cost < (*preemption_order, *count))
             {
-                best = Some((cost.0, cost.1, worker.clone(), chosen_givers));
+                best = Some((cost.0, cost.1, worker.clone(), chosen_donors));
             }
         }
-        let Some((_, _, worker, givers)) = best else {
+        let Some((_, _, worker, donors)) = best else {
             return false;
         };
-        let memory = self.soon.entry(worker).or_default();
-        for giver in &givers {
-            let entry = &mut plan.runners[giver.place];
+        let memory = self.available_mb.entry(worker).or_default();
+        for donor in &donors {
+            let entry = &mut plan.runners[donor.place];
             entry.quota = 0;
             entry.state = RunnerState::Draining;
             *memory += entry.memory_mb;
             if let Some(share) = self.shares.get_mut(&entry.function) {
-                share.capacity = share.without_one();
+                share.capacity = share.capacity_without_one();
                 share.runners = share.runners.saturating_sub(1);
             }
         }
-        *memory = memory.saturating_sub(needy.memory_mb);
+        *memory = memory.saturating_sub(recipient.memory_mb);
         true
     }
 
-    fn givers(
+    fn donors(
         &self,
         observation: &Observation,
         plan: &Plan,
         share: &MemoryShare,
-        needy: &FunctionSpec,
+        recipient: &FunctionSpec,
         worker: &str,
         runner_states: &RunnerStates,
     ) -> Vec<Donor> {
         let entries = plan.runners.iter().enumerate();
-        let there = entries.filter(|(_, entry)| {
+        let candidates = entries.filter(|(_, entry)| {
             entry.worker == worker
                 && entry.state == RunnerState::Wanted
-                && entry.function != needy.name
+                && entry.function != recipient.name
         });
-        let mut givers: Vec<Donor> = there
+        let mut donors: Vec<Donor> = candidates
             .filter_map(|(place, entry)| {
                 let other = self.shares.get(&entry.function)?;
                 let since = runner_states.since(&entry.id);
-                let has_had_turn =
+                let has_run_long_enough =
                     since + observation.configuration.bounds.return_ms <= observation.now;
-                let preemption_order = way_of(
+                let preemption_order = preemption_order_of(
                     share,
                     other,
-                    has_had_turn,
+                    has_run_long_enough,
                     observation.configuration.bounds.alpha,
                 )?;
                 let since = if preemption_order == PreemptionOrder::Idle {
@@ -176,64 +185,66 @@
                 })
             })
             .collect();
-        givers.sort_by_key(|giver| (giver.preemption_order, giver.since));
-        givers
+        donors.sort_by_key(|donor| (donor.preemption_order, donor.since));
+        donors
     }
 }
 
-/// Whether and how willingly a runner of `other` gives way to the needy function: by priority first,
-/// and within a priority so that no function is left worse off than the one that it gives to.
-fn way_of(
-    needy: &MemoryShare,
+/// Whether a runner of `other` may be drained for the function that lacks memory, and in which order.
+/// Priority decides first. Within a priority no function ends up worse served than the one it yields memory to.
+fn preemption_order_of(
+    recipient: &MemoryShare,
     other: &MemoryShare,
-    has_had_turn: bool,
+    has_run_long_enough: bool,
     alpha: f64,
 ) -> Option<PreemptionOrder> {
     let has_several = other.runners > 1;
-    let is_unneeded = other.without_one() * alpha >= other.demand;
-    if needy.runners > 0 {
-        let gained = needy.met(needy.capacity + needy.runner());
-        let is_fair = other.met(other.without_one()) > gained;
-        return match (has_several, other.priority.cmp(&needy.priority)) {
-            (true, Ordering::Greater) => Some(PreemptionOrder::Below),
-            (true, Ordering::Equal) if is_fair => Some(PreemptionOrder::Beside),
-            (true, Ordering::Less) if is_unneeded => Some(PreemptionOrder::Beside),
+    let is_unneeded = other.capacity_without_one() * alpha >= other.demand;
+    if recipient.runners > 0 {
+        let raised_share =
+            recipient.served_share(recipient.capacity + recipient.capacity_per_runner());
+        let stays_better_served = other.served_share(other.capacity_without_one()) > raised_share;
+        return match (has_several, other.priority.cmp(&recipient.priority)) {
+            (true, Ordering::Greater) => Some(PreemptionOrder::LowerPriority),
+            (true, Ordering::Equal) if stays_better_served => Some(PreemptionOrder::SamePriority),
+            (true, Ordering::Less) if is_unneeded => Some(PreemptionOrder::SamePriority),
             _ => None,
         };
     }
-    match other.priority.cmp(&needy.priority) {
-        Ordering::Greater if has_several => Some(PreemptionOrder::Below),
-        Ordering::Equal if has_several => Some(PreemptionOrder::Beside),
-        Ordering::Less if has_several => is_unneeded.then_some(PreemptionOrder::Beside),
+    match other.priority.cmp(&recipient.priority) {
+        Ordering::Greater if has_several => Some(PreemptionOrder::LowerPriority),
+        Ordering::Equal if has_several => Some(PreemptionOrder::SamePriority),
+        Ordering::Less if has_several => is_unneeded.then_some(PreemptionOrder::SamePriority),
         _ if other.is_idle => Some(PreemptionOrder::Idle),
-        Ordering::Greater => Some(PreemptionOrder::OnlyBelow),
-        Ordering::Equal => has_had_turn.then_some(PreemptionOrder::Turn),
+        Ordering::Greater => Some(PreemptionOrder::LastOfLowerPriority),
+        Ordering::Equal => has_run_long_enough.then_some(PreemptionOrder::LastOfSamePriority),
         Ordering::Less => None,
     }
 }
 
-/// The first givers that free enough; each function gives no more than one runner of several.
-fn enough(
+/// The first donors that together free enough memory; none if all of them don't. At most `runners - 1` runners of
+/// a function are taken, or its only one.
+fn select_donors(
     plan: &Plan,
     shares: &BTreeMap<String, MemoryShare>,
-    givers: Vec<Donor>,
+    donors: Vec<Donor>,
     mut free: u64,
-    needy: &FunctionSpec,
+    recipient: &FunctionSpec,
 ) -> Option<Vec<Donor>> {
-    let mut elected = Vec::new();
-    let mut given: BTreeMap<&str, usize> = BTreeMap::new();
-    for giver in givers {
-        let function = plan.runners[giver.place].function.as_str();
+    let mut selected = Vec::new();
+    let mut donated: BTreeMap<&str, usize> = BTreeMap::new();
+    for donor in donors {
+        let function = plan.runners[donor.place].function.as_str();
         let runners = shares.get(function).map_or(0, |share| share.runners);
-        let gives = given.entry(function).or_default();
-        if *gives > 0 && *gives + 1 >= runners {
+        let donated_count = donated.entry(function).or_default();
+        if *donated_count > 0 && *donated_count + 1 >= runners {
             continue;
         }
-        *gives += 1;
-        free += giver.memory_mb;
-        elected.push(giver);
-        if free >= needy.memory_mb {
-            return Some(elected);
+        *donated_count += 1;
+        free += donor.memory_mb;
+        selected.push(donor);
+        if free >= recipient.memory_mb {
+            return Some(selected);
         }
     }
     None
--- a/crates/scaler/src/observation.rs
+++ b/crates/scaler/src/observation.rs
@@ -3,90 +3,90 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A worker as the platform lists it.
+/// A worker from the list of the platform.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Worker {
-    /// Its name.
+    /// Unique name of the worker.
     pub name: String,
-    /// Its zone.
+    /// Zone that the worker is in.
     #[serde(rename = "district")]
     pub zone: String,
-    /// IP number that its runners are reached at.
+    /// IP address at which its runners are reached.
     pub host: String,
-    /// Memory for runners, in megabytes.
+    /// Memory available to runners, in megabytes.
     pub memory_mb: u64,
-    /// First port for runners.
+    /// First port of the range for runners.
     pub first_port: u16,
-    /// How many ports there are for runners.
+    /// Number of ports in the range for runners.
     pub ports: u16,
-    /// Whether it is being emptied.
+    /// Whether the worker is being removed, so that its runners have to drain.
     pub is_leaving: bool,
 }
 
-/// State of a runner in the platform's list.
+/// State of a runner in the list of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum ListedState {
-    /// Starting or up.
+    /// The runner is starting or running.
     Up,
-    /// Notified to leave by the platform.
+    /// The platform is about to remove the runner.
     Leaving,
 }
 
-/// A runner in the platform's list.
+/// A runner from the list of the platform.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ListedRunner {
-    /// Its id.
+    /// Id of the runner, as in the plan.
     pub id: String,
-    /// Its state.
+    /// State that the platform reports.
     pub state: ListedState,
-    /// Address that it has, where the platform tells.
+    /// Address of the runner, if the platform reports it.
     pub address: Option<String>,
 }
 
-/// A front as the scaler knows it.
+/// The latest report received from a front.
 #[derive(Clone, Debug)]
 pub struct FrontObservation {
-    /// Which front, in which of its incarnations.
+    /// Name and incarnation of the front.
     pub peer: PeerRef,
-    /// When it was last heard.
+    /// Time of the last message from it, in milliseconds.
     pub heard_at: u64,
-    /// What it said.
+    /// Content of its latest report.
     pub report: FrontReport,
 }
 
-/// All that the scaler sees at one moment.
+/// The state of the cluster as seen by the scaler at one moment.
 pub struct Observation<'a> {
-    /// Now.
+    /// Current time, in milliseconds.
     pub now: u64,
-    /// Version that a plan written now would have.
+    /// Version that the next plan gets.
     pub next: Version,
-    /// Term of the role.
+    /// Term in which this scaler holds its role.
     pub term: u64,
-    /// The configuration in force.
+    /// The configuration currently in force.
     pub configuration: &'a Configuration,
-    /// The plan in force.
+    /// The plan currently in force.
     pub plan: &'a Plan,
-    /// Workers by the platform's list; it lags.
+    /// Workers from the platform's list, which lags behind the actual state.
     pub workers: &'a [Worker],
-    /// Runners by the platform's list; it lags.
+    /// Runners from the platform's list, which lags behind the actual state.
     pub listed: &'a [ListedRunner],
-    /// Fronts by name.
+    /// Latest observation of each front, by name.
     pub fronts: &'a BTreeMap<String, FrontObservation>,
 }
 
 impl Observation<'_> {
-    /// Whether a front is heard, is the same incarnation and does not drain.
+    /// Whether a front has been heard from within the lease duration and is not draining.
     pub fn is_live(&self, front: &FrontObservation) -> bool {
         let lease = self.configuration.bounds.lease_ms();
         self.now < front.heard_at + lease && !front.report.is_draining
     }
 
-    /// The worker of a name.
+    /// Finds a worker by name.
     pub fn worker(&self, name: &str) -> Option<&Worker> {
         self.workers.iter().find(|worker| worker.name == name)
     }
 
-    /// The highest priority of a function's kinds of requests; 0 goes first.
+    /// The most urgent priority among a function's request kinds. 0 is the most urgent, `u8::MAX` applies without kinds.
     pub(crate) fn priority_of(&self, function_spec: &FunctionSpec) -> u8 {
         let kinds = function_spec.kinds.iter();
         let priorities = kinds.filter_map(|kind| self.configuration.kind(kind));
--- a/crates/scaler/src/owners.rs
+++ b/crates/scaler/src/owners.rs
@@ -2,8 +2,8 @@
 use configuration::{Plan, RunnerState};
 use std::collections::BTreeMap;
 
-/// Fronts that have been silent for so many return bounds leave the membership.
-const SILENT_RETURNS: u64 = 5;
+/// A front is removed from the membership after no message from it for this many times `return_ms`.
+const REMOVAL_RETURN_BOUNDS: u64 = 5;
 
 fn owned_counts(plan: &Plan) -> BTreeMap<String, usize> {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
@@ -13,8 +13,8 @@
     counts
 }
 
-/// The front that becomes owner of a runner in a zone: one that is live and on the membership,
-/// of the same zone where there is one, with the fewest runners.
+/// Chooses the front that owns a runner in `zone`: a live member, preferably of the same zone, that owns
+/// the fewest runners. Witnesses own none.
 pub(crate) fn choose_owner<'a>(
     observation: &'a Observation,
     plan: &Plan,
@@ -31,7 +31,7 @@
     })
 }
 
-/// Brings membership and owners up to what is seen. Gives whether the plan changed.
+/// Updates the membership and the owners of runners from the observation. Returns whether the plan changed.
 pub fn update_owners(observation: &Observation, plan: &mut Plan) -> bool {
     let has_new_membership = update_membership(observation, plan);
     let mut has_new_owner = false;
@@ -44,10 +44,10 @@
         if is_owned || matches!(entry.state, RunnerState::Stopping | RunnerState::Resting) {
             continue;
         }
-        let Some(elected) = choose_owner(observation, plan, &entry.zone) else {
+        let Some(new_owner) = choose_owner(observation, plan, &entry.zone) else {
             continue;
         };
-        let owner = elected.peer.clone();
+        let owner = new_owner.peer.clone();
         let entry = &mut plan.runners[place];
         entry.owner = owner;
         entry.owner_epoch += 1;
@@ -57,45 +57,45 @@
     has_new_membership || has_new_owner
 }
 
-// One front at a time, and only once a majority of the membership holds its last change, so that any
-// two majorities that may be counted meet.
+// Adds or removes one front at a time, and only once a majority of the members has applied the previous
+// change, so that majorities before and after a change always overlap.
 fn update_membership(observation: &Observation, plan: &mut Plan) -> bool {
     if plan.membership.is_empty() {
-        let heard = observation
+        let live = observation
             .fronts
             .values()
             .filter(|front| observation.is_live(front));
-        plan.membership = heard.map(|front| front.peer.name.clone()).collect();
+        plan.membership = live.map(|front| front.peer.name.clone()).collect();
         plan.membership_since = observation.next;
         return !plan.membership.is_empty();
     }
-    let holds = |name: &&String| {
+    let has_last_change = |name: &&String| {
         observation
             .fronts
             .get(name.as_str())
             .is_some_and(|front| front.report.plan >= plan.membership_since)
     };
-    let holding = plan.membership.iter().filter(holds).count();
-    if holding <= plan.membership.len() / 2 {
+    let confirmed = plan.membership.iter().filter(has_last_change).count();
+    if confirmed <= plan.membership.len() / 2 {
         return false;
     }
-    let newcomer = observation
+    let joining_front = observation
         .fronts
         .values()
         .find(|front| observation.is_live(front) && !plan.membership.contains(&front.peer.name));
-    if let Some(newcomer) = newcomer {
-        plan.membership.push(newcomer.peer.name.clone());
+    if let Some(joining_front) = joining_front {
+        plan.membership.push(joining_front.peer.name.clone());
         plan.membership_since = observation.next;
         return true;
     }
-    let timeout = SILENT_RETURNS * observation.configuration.bounds.return_ms;
-    let silent = plan.membership.iter().position(|name| {
+    let timeout = REMOVAL_RETURN_BOUNDS * observation.configuration.bounds.return_ms;
+    let unreachable = plan.membership.iter().position(|name| {
         observation
             .fronts
             .get(name)
             .is_some_and(|front| front.heard_at + timeout < observation.now)
     });
-    let Some(place) = silent.filter(|_| plan.membership.len() > 1) else {
+    let Some(place) = unreachable.filter(|_| plan.membership.len() > 1) else {
         return false;
     };
     plan.membership.remove(place);
--- a/crates/scaler/src/placing.rs
+++ b/crates/scaler/src/placing.rs
@@ -2,7 +2,7 @@
 use configuration::{Plan, RunnerState};
 use std::collections::HashSet;
 
-/// Where a new runner goes.
+/// Worker and port chosen for a new runner.
 pub(crate) struct Placement<'a> {
     pub worker: &'a Worker,
     pub port: u16,
@@ -16,22 +16,22 @@
     entries.map(|entry| entry.memory_mb).sum()
 }
 
-/// Occupancy after the paper: each runner's share of the worker times its share of its quota.
+/// Occupancy as defined for HAS-GPU: the sum over its runners of memory share times quota share.
 pub(crate) fn occupancy(observation: &Observation, plan: &Plan, worker: &Worker) -> f64 {
     let entries = plan
         .runners
         .iter()
         .filter(|entry| entry.worker == worker.name);
-    let taken: f64 = entries
+    let used: f64 = entries
         .map(|entry| {
-            let most = observation
+            let max_quota = observation
                 .configuration
                 .function_spec(&entry.function)
                 .map_or(1, |function_spec| function_spec.concurrency);
-            entry.memory_mb as f64 * f64::from(entry.quota) / f64::from(most.max(1))
+            entry.memory_mb as f64 * f64::from(entry.quota) / f64::from(max_quota.max(1))
         })
         .sum();
-    taken / worker.memory_mb.max(1) as f64
+    used / worker.memory_mb.max(1) as f64
 }
 
 fn starting(plan: &Plan, is_warm: impl Fn(&str) -> bool, worker: &str) -> usize {
@@ -43,27 +43,27 @@
         .count()
 }
 
-/// A port that no runner of the plan has, nor one that is listed though nobody planned it.
+/// A port used neither by a runner of the plan nor by an unplanned runner that the platform lists.
 fn free_port(observation: &Observation, plan: &Plan, worker: &Worker) -> Option<u16> {
     let address = |port: u16| format!("{}:{port}", worker.host);
     let planned = plan.runners.iter().map(|entry| entry.address.as_str());
     let listed = observation.listed.iter();
     let listed = listed.filter_map(|runner| runner.address.as_deref());
-    let taken: HashSet<&str> = planned.chain(listed).collect();
+    let used: HashSet<&str> = planned.chain(listed).collect();
     (worker.first_port..worker.first_port.saturating_add(worker.ports))
-        .find(|port| !taken.contains(address(*port).as_str()))
+        .find(|port| !used.contains(address(*port).as_str()))
 }
 
-/// Why no place was found.
+/// Why no worker can take a runner.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum PlacementError {
-    /// All workers with room have their most starts under way.
+    /// Workers with enough memory have reached `worker_starts` concurrent starts, or no front can own the runner.
     Busy,
-    /// No worker has the memory.
+    /// No worker has enough free memory, or a free port.
     NoMemory,
 }
 
-/// The least-occupied worker in use that has room; a fresh one only where none has.
+/// Chooses the least-occupied worker in use that has room; an unused one only if none has.
 pub(crate) fn place<'a>(
     observation: &'a Observation,
     plan: &Plan,
@@ -71,7 +71,7 @@
     is_warm: impl Fn(&str) -> bool,
 ) -> Result<Placement<'a>, PlacementError> {
     let mut reason = PlacementError::NoMemory;
-    let mut elected: Option<(bool, f64, &Worker, u16)> = None;
+    let mut best: Option<(bool, f64, &Worker, u16)> = None;
     for worker in observation.workers {
         let is_open = !worker.is_leaving && observation.configuration.is_open(&worker.zone);
         let used = memory_used(plan, &worker.name);
@@ -87,16 +87,18 @@
         let Some(port) = free_port(observation, plan, worker) else {
             continue;
         };
-        let is_fresh = used == 0;
+        let is_unused = used == 0;
         let occupied = occupancy(observation, plan, worker);
-        let is_better = elected
+        let is_better = best
             .as_ref()
-            .is_none_or(|(fresh, least, ..)| (is_fresh, occupied) < (*fresh, *least));
+            .is_none_or(|(best_is_unused, best_occupancy, ..)| {
+                (is_unused, occupied) < (*best_is_unused, *best_occupancy)
+            });
         if is_better {
-            elected = Some((is_fresh, occupied, worker, port));
+            best = Some((is_unused, occupied, worker, port));
         }
     }
-    let Some((_, _, worker, port)) = elected else {
+    let Some((_, _, worker, port)) = best else {
         return Err(reason);
     };
     Ok(Placement { worker, port })
--- a/crates/scaler/src/quota_steps.rs
+++ b/crates/scaler/src/quota_steps.rs
@@ -1,27 +1,27 @@
 use configuration::{Plan, RunnerState};
 
-/// A runner as Algorithm 1 sees it: a quota in steps of one seat, and what one seat carries.
+/// A runner as input to Algorithm 1: its quota in seats, and the rate that one seat can serve.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerQuota {
-    /// The runner.
+    /// Id of the runner.
     pub id: String,
-    /// Its quota.
+    /// Current quota, in seats.
     pub quota: u32,
-    /// Highest quota that it may have.
+    /// Highest quota it may have, in seats.
     pub max_quota: u32,
-    /// Requests a second that one seat carries.
+    /// Requests per second that one seat can serve.
     pub seat_rate: f64,
 }
 
 impl RunnerQuota {
-    /// Requests a second that it carries at its quota.
+    /// Requests per second that the runner can serve at its current quota.
     pub fn capacity(&self) -> f64 {
         f64::from(self.quota) * self.seat_rate
     }
 }
 
-/// Raises quotas stepwise until the gap is closed, the fastest runners first. Gives what is left
-/// of the gap.
+/// Raises quotas seat by seat until the gap (in requests per second) is closed, fastest runners first.
+/// Returns the remaining gap.
 pub fn grow(runner_quotas: &mut [RunnerQuota], mut gap: f64) -> f64 {
     runner_quotas.sort_by(|one, other| {
         let by_rate = other.seat_rate.total_cmp(&one.seat_rate);
@@ -39,8 +39,9 @@
     gap
 }
 
-/// Lowers quotas stepwise while the surplus covers a step, the slowest runners first. A runner at
-/// zero is to be drained; the last one keeps one seat.
+/// Lowers quotas seat by seat while the surplus (in requests per second) covers a seat, slowest runners
+/// first. A runner with quota zero has to be drained; the last seat of all runners is kept.
+/// Returns whether any quota changed.
 pub fn shrink(runner_quotas: &mut [RunnerQuota], mut surplus: f64) -> bool {
     runner_quotas.sort_by(|one, other| {
         let by_rate = one.seat_rate.total_cmp(&other.seat_rate);
@@ -64,7 +65,7 @@
     has_changed
 }
 
-/// Writes quotas into the plan. A runner without seats drains.
+/// Writes quotas into the plan. A runner without seats is set to drain.
 pub(crate) fn set_quotas(plan: &mut Plan, runner_quotas: &[RunnerQuota]) {
     for runner_quota in runner_quotas {
         let mut entries = plan.runners.iter_mut();
--- a/crates/scaler/src/runner_states.rs
+++ b/crates/scaler/src/runner_states.rs
@@ -4,8 +4,8 @@
 use request_queue::RunnerReport;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A runner that has been slow for so many return bounds is replaced.
-const SLOW_RETURNS: u64 = 5;
+/// A runner is replaced after it has been slow for this many times `return_ms`.
+const SLOW_RETURN_BOUNDS: u64 = 5;
 
 #[derive(Debug)]
 struct ObservedRunner {
@@ -14,10 +14,10 @@
     version: Version,
     unfit_since: Option<u64>,
     slow_since: Option<u64>,
-    lost_since: Option<u64>,
+    worker_missing_since: Option<u64>,
 }
 
-/// Moves runners through their lifecycle: wanted, draining, stopping, resting, gone.
+/// Advances runners through their states: wanted, draining, stopping, resting, and removed from the plan.
 #[derive(Debug, Default)]
 pub(crate) struct RunnerStates {
     observed: BTreeMap<String, ObservedRunner>,
@@ -34,25 +34,26 @@
 }
 
 impl RunnerStates {
-    /// Whether a runner has been seen to take connections.
+    /// Whether a runner has ever been reported as accepting connections.
     pub fn is_warm(&self, id: &str) -> bool {
         self.warm.contains(id)
     }
 
-    /// Since when a runner has been in the state that it is in.
+    /// Time since which a runner has been in its current state, in milliseconds.
     pub fn since(&self, id: &str) -> u64 {
         self.observed.get(id).map_or(0, |observed| observed.since)
     }
 
-    /// Whether a wanted runner counts towards capacity: it serves, or it is still to start.
+    /// Whether a wanted runner counts towards capacity: it is serving, or it is still starting.
     pub fn counts(&self, observation: &Observation, entry: &RunnerEntry) -> bool {
         let Some(report) = report_of(observation, entry) else {
             return !self.warm.contains(&entry.id);
         };
-        let is_there = report.is_warm || !self.warm.contains(&entry.id);
-        report.is_active && is_there && !report.is_unfit && !report.is_slow
+        let is_available = report.is_warm || !self.warm.contains(&entry.id);
+        report.is_active && is_available && !report.is_unfit && !report.is_slow
     }
 
+    /// Moves each runner of the plan to its next state where that is due, and removes rested ones.
     pub fn advance(
         &mut self,
         observation: &Observation,
@@ -76,7 +77,7 @@
                     version: current,
                     unfit_since: None,
                     slow_since: None,
-                    lost_since: None,
+                    worker_missing_since: None,
                 });
             if observed.state != entry.state {
                 observed.state = entry.state;
@@ -90,8 +91,8 @@
         for place in 0..plan.runners.len() {
             let entry = &plan.runners[place];
             let next = match entry.state {
-                RunnerState::Wanted => self.leave(observation, commands, entry),
-                RunnerState::Draining => self.drained(observation, entry),
+                RunnerState::Wanted => self.next_state_of_wanted(observation, commands, entry),
+                RunnerState::Draining => self.next_state_of_draining(observation, entry),
                 RunnerState::Stopping => {
                     commands.is_gone(&entry.id).then_some(RunnerState::Resting)
                 }
@@ -102,20 +103,21 @@
             }
         }
         let bounds = &observation.configuration.bounds;
-        let rest = observation.configuration.longest_budget_ms()
+        let rest_ms = observation.configuration.longest_budget_ms()
             + bounds.lease_ms()
             + 2 * bounds.seat_window_ms();
         plan.runners.retain(|entry| {
             let observed = self.observed.get(&entry.id);
-            let is_rested = observed.is_some_and(|observed| {
-                observed.state == RunnerState::Resting && observed.since + rest <= observation.now
+            let has_rested = observed.is_some_and(|observed| {
+                observed.state == RunnerState::Resting
+                    && observed.since + rest_ms <= observation.now
             });
-            entry.state != RunnerState::Resting || !is_rested
+            entry.state != RunnerState::Resting || !has_rested
         });
     }
 
-    /// Whether a wanted runner is to leave, and how.
-    fn leave(
+    /// The next state of a wanted runner; none if it stays wanted.
+    fn next_state_of_wanted(
         &mut self,
         observation: &Observation,
         commands: &CommandPlanner,
@@ -125,68 +127,88 @@
             return Some(RunnerState::Stopping);
         }
         let bounds = &observation.configuration.bounds;
-        let is_told = observation
+        let is_leaving = observation
             .listed
             .iter()
             .any(|runner| runner.id == entry.id && runner.state == ListedState::Leaving);
         let worker = observation.worker(&entry.worker);
-        let is_emptied = worker.is_some_and(|worker| worker.is_leaving);
-        let is_listed = observation
+        let is_worker_leaving = worker.is_some_and(|worker| worker.is_leaving);
+        let is_configured = observation
             .configuration
             .function_spec(&entry.function)
             .is_some();
-        if is_told || is_emptied || !is_listed || !observation.configuration.is_open(&entry.zone) {
+        if is_leaving
+            || is_worker_leaving
+            || !is_configured
+            || !observation.configuration.is_open(&entry.zone)
+        {
             return Some(RunnerState::Draining);
         }
         let observed = self.observed.get_mut(&entry.id)?;
         let report = report_of(observation, entry);
-        let held = |since: &mut Option<u64>, is_so: bool, time: u64| {
-            if !is_so {
+        let has_lasted = |since: &mut Option<u64>, is_true: bool, duration: u64| {
+            if !is_true {
                 *since = None;
                 return false;
             }
-            since.get_or_insert(observation.now).saturating_add(time) <= observation.now
+            since
+                .get_or_insert(observation.now)
+                .saturating_add(duration)
+                <= observation.now
         };
-        let is_absent = report.is_some_and(|report| report.absent_ms > bounds.lease_ms());
-        // A list may miss a worker that is alive: who answers there stays, as long as its owner says so.
-        let is_heard = report.is_some_and(|report| report.is_warm);
-        let is_lost = worker.is_none() && !observation.workers.is_empty() && !is_heard;
-        let is_long_lost = held(&mut observed.lost_since, is_lost, bounds.lease_ms());
+        let is_unreachable = report.is_some_and(|report| report.absent_ms > bounds.lease_ms());
+        // The platform's list may omit a live worker, so a runner that its owner reports as warm is kept.
+        let responds = report.is_some_and(|report| report.is_warm);
+        let is_worker_missing = worker.is_none() && !observation.workers.is_empty() && !responds;
+        let is_missing_too_long = has_lasted(
+            &mut observed.worker_missing_since,
+            is_worker_missing,
+            bounds.lease_ms(),
+        );
         let is_unfit = report.is_some_and(|report| report.is_unfit);
-        let is_long_unfit = held(&mut observed.unfit_since, is_unfit, bounds.lease_ms());
-        // A runner that stays far slower than its peers gives its memory to one that is not.
+        let is_unfit_too_long = has_lasted(&mut observed.unfit_since, is_unfit, bounds.lease_ms());
+        // A runner that stays far slower than its peers is replaced, which frees its memory for a faster one.
         let is_slow = report.is_some_and(|report| report.is_slow);
-        let is_long_slow = held(
+        let is_slow_too_long = has_lasted(
             &mut observed.slow_since,
             is_slow,
-            SLOW_RETURNS * bounds.return_ms,
+            SLOW_RETURN_BOUNDS * bounds.return_ms,
         );
         let start_ms = observation
             .configuration
             .function_spec(&entry.function)
             .map_or(0, |function_spec| function_spec.start_ms);
-        let timeout = 2 * start_ms + bounds.return_ms;
-        let is_never_warm = !self.warm.contains(&entry.id)
+        let start_timeout = 2 * start_ms + bounds.return_ms;
+        let has_failed_to_start = !self.warm.contains(&entry.id)
             && report.is_some_and(|report| report.is_active)
-            && observed.since + timeout <= observation.now;
-        (is_absent || is_long_lost || is_long_unfit || is_long_slow || is_never_warm)
+            && observed.since + start_timeout <= observation.now;
+        (is_unreachable
+            || is_missing_too_long
+            || is_unfit_too_long
+            || is_slow_too_long
+            || has_failed_to_start)
             .then_some(RunnerState::Draining)
     }
 
-    /// Whether a draining runner has nothing in flight any more.
-    fn drained(&self, observation: &Observation, entry: &RunnerEntry) -> Option<RunnerState> {
+    /// The next state of a draining runner: stopping, once nothing is in flight or `max_drain_ms` has passed.
+    fn next_state_of_draining(
+        &self,
+        observation: &Observation,
+        entry: &RunnerEntry,
+    ) -> Option<RunnerState> {
         let observed = self.observed.get(&entry.id)?;
         if observed.state != RunnerState::Draining {
             return None;
         }
         let owner = observation.fronts.get(&entry.owner.name);
-        let knows = owner.is_some_and(|front| front.report.plan >= observed.version);
-        let report = report_of(observation, entry).filter(|_| knows);
+        let knows_of_drain = owner.is_some_and(|front| front.report.plan >= observed.version);
+        let report = report_of(observation, entry).filter(|_| knows_of_drain);
         let is_empty = report.is_some_and(|report| report.leased == 0 && report.is_active);
         let bounds = &observation.configuration.bounds;
-        let longest = observation.configuration.longest_budget_ms()
+        let max_drain_ms = observation.configuration.longest_budget_ms()
             + 2 * bounds.lease_ms()
             + bounds.seat_window_ms();
-        (is_empty || observed.since + longest <= observation.now).then_some(RunnerState::Stopping)
+        (is_empty || observed.since + max_drain_ms <= observation.now)
+            .then_some(RunnerState::Stopping)
     }
 }
--- a/crates/scaler/src/scaler.rs
+++ b/crates/scaler/src/scaler.rs
@@ -10,53 +10,54 @@
 use configuration::{FunctionSpec, Plan, RunnerEntry, RunnerState};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Rate below which a function counts as without demand, in requests a second.
+/// A function counts as idle below this arrival rate, in requests per second.
 const MIN_DEMAND_RATE: f64 = 0.2;
-/// A runner's response time is written to the plan again when it has changed by this factor.
+/// A runner's response time in the plan is updated only after it has changed by this factor.
 const RESPONSE_TIME_STEP: f64 = 1.25;
 
-/// The scaler's memory between runs. All that must outlast it is in the plan.
+/// State the scaler keeps between runs. Everything that must survive a restart is in the plan.
 pub struct Scaler {
     demand: DemandTable,
     runner_states: RunnerStates,
     decisions: BTreeMap<String, FunctionDecision>,
-    asleep_since: BTreeMap<String, u64>,
+    without_runner_since: BTreeMap<String, u64>,
     response_times_reported_at: u64,
-    /// Why nothing of a size found a place in this run.
+    /// Why a runner could not be placed in this run, by memory size.
     placement_errors: BTreeMap<u64, PlacementError>,
-    /// Places in this run's plan of each function's runners.
+    /// Indices of each function's runners in this run's plan.
     places: HashMap<String, Vec<usize>>,
-    fresh_key: Box<dyn FnMut() -> Vec<u8> + Send>,
-    named: u64,
+    generate_key: Box<dyn FnMut() -> Vec<u8> + Send>,
+    /// Number of runner ids assigned so far; part of each id.
+    seq: u64,
 }
 
 impl Scaler {
-    /// A scaler that knows nothing yet; `fresh_key` gives a new secret for each runner.
-    pub fn new(fresh_key: Box<dyn FnMut() -> Vec<u8> + Send>) -> Self {
+    /// Creates a scaler without any observations; `generate_key` generates the secret key of each new runner.
+    pub fn new(generate_key: Box<dyn FnMut() -> Vec<u8> + Send>) -> Self {
         Self {
             demand: DemandTable::default(),
             runner_states: RunnerStates::default(),
             decisions: BTreeMap::new(),
-            asleep_since: BTreeMap::new(),
+            without_runner_since: BTreeMap::new(),
             response_times_reported_at: 0,
             placement_errors: BTreeMap::new(),
             places: HashMap::new(),
-            fresh_key,
-            named: 0,
+            generate_key,
+            seq: 0,
         }
     }
 
-    /// Why each function has what it has.
+    /// The latest scaling decision for each function.
     pub fn decisions(&self) -> &BTreeMap<String, FunctionDecision> {
         &self.decisions
     }
 
-    /// Takes in what is seen without deciding anything, as a core does that has not the role.
+    /// Updates the demand without making decisions, as on a core that does not hold the scaler role.
     pub fn observe(&mut self, observation: &Observation) {
         self.demand.observe(observation);
     }
 
-    /// Decides the next plan; none where the plan in force is right as it is.
+    /// Computes the next plan; none if the current plan needs no change.
     pub fn run(&mut self, observation: &Observation, commands: &CommandPlanner) -> Option<Plan> {
         self.demand.observe(observation);
         self.placement_errors.clear();
@@ -70,19 +71,19 @@
         }
         let mut function_specs: Vec<&FunctionSpec> =
             observation.configuration.function_specs.iter().collect();
-        // Who is called goes first, by priority, and within a priority who has been without a runner longest.
+        // Functions with waiting requests come first, then by priority, then those longest without a runner.
         function_specs.sort_by_cached_key(|function_spec| {
             let demand = self.demand.functions.get(&function_spec.name);
             let is_called = demand.is_some_and(|demand| demand.waiting > 0);
-            let since = self.asleep_since.get(&function_spec.name).copied();
+            let since = self.without_runner_since.get(&function_spec.name).copied();
             let priority = observation.priority_of(function_spec);
             (!is_called, priority, since.unwrap_or(u64::MAX))
         });
-        let mut memory_pool = MemoryPool::new(observation, &plan, self.shares(observation, &plan));
+        let mut memory = MemoryPool::new(observation, &plan, self.shares(observation, &plan));
         for function_spec in &function_specs {
-            self.keep_minimal(observation, &mut plan, function_spec, &mut memory_pool);
+            self.ensure_minimal_runner(observation, &mut plan, function_spec, &mut memory);
         }
-        // Where memory is short, within a priority the function that lacks most is served first.
+        // When memory is short, the function with the least of its demand covered goes first within a priority.
         function_specs.sort_by_cached_key(|function_spec| {
             let note = self.decisions.get(&function_spec.name);
             let met = note.map_or(1.0, |note| note.capacity / note.demand.max(MIN_DEMAND_RATE));
@@ -92,7 +93,7 @@
             )
         });
         for function_spec in &function_specs {
-            self.scale(observation, &mut plan, function_spec, &mut memory_pool);
+            self.scale(observation, &mut plan, function_spec, &mut memory);
         }
         let is_due = self.response_times_reported_at + observation.configuration.bounds.change_ms
             <= observation.now;
@@ -106,7 +107,7 @@
         let names: HashSet<&str> = names.collect();
         self.decisions
             .retain(|function, _| names.contains(function.as_str()));
-        self.asleep_since
+        self.without_runner_since
             .retain(|function, _| names.contains(function.as_str()));
         if plan == *observation.plan {
             return None;
@@ -115,22 +116,22 @@
         Some(plan)
     }
 
-    /// One minimal runner of each function is kept; it sleeps only where memory has no room.
-    fn keep_minimal(
+    /// Keeps one runner with a quota of one seat for each function, unless there is no memory for it.
+    fn ensure_minimal_runner(
         &mut self,
         observation: &Observation,
         plan: &mut Plan,
         function_spec: &FunctionSpec,
-        memory_pool: &mut MemoryPool,
+        memory: &mut MemoryPool,
     ) {
         if !self
             .runner_quotas(observation, plan, function_spec)
             .is_empty()
         {
-            self.asleep_since.remove(&function_spec.name);
+            self.without_runner_since.remove(&function_spec.name);
             return;
         }
-        let since = self.asleep_since.entry(function_spec.name.clone());
+        let since = self.without_runner_since.entry(function_spec.name.clone());
         since.or_insert(observation.now);
         let started = self.start(observation, plan, function_spec, 1);
         let demand = self.demand.functions.get(&function_spec.name);
@@ -140,7 +141,7 @@
             Err(PlacementError::Busy) => "waits for a worker with a free start",
             Err(PlacementError::NoMemory)
                 if is_wanted
-                    && memory_pool.make(observation, plan, function_spec, &self.runner_states) =>
+                    && memory.reserve(observation, plan, function_spec, &self.runner_states) =>
             {
                 "no memory: other functions' runners are drained for it"
             }
@@ -149,8 +150,8 @@
         self.note(&function_spec.name).reason = reason.into();
     }
 
-    /// The plan tells each runner's pace, so that fronts know what other owners' runners carry. It
-    /// is written again only where it has changed by a quarter, since each plan goes to all.
+    /// Writes each runner's response time to the plan, from which fronts derive the capacity of runners that
+    /// they do not own. Only changes by `RESPONSE_TIME_STEP` are written, since every plan goes to all processes.
     fn report_response_times(&self, plan: &mut Plan) {
         for entry in &mut plan.runners {
             let Some(response_time) = self.demand.response_time_of(&entry.id) else {
@@ -169,7 +170,7 @@
         self.decisions.entry(function.to_string()).or_default()
     }
 
-    /// The runners that count towards the function's capacity.
+    /// Quotas of the runners that count towards the function's capacity.
     fn runner_quotas(
         &self,
         observation: &Observation,
@@ -196,7 +197,7 @@
         observation: &Observation,
         plan: &mut Plan,
         function_spec: &FunctionSpec,
-        memory_pool: &mut MemoryPool,
+        memory: &mut MemoryPool,
     ) {
         let bounds = &observation.configuration.bounds;
         let mut runner_quotas = self.runner_quotas(observation, plan, function_spec);
@@ -230,37 +231,39 @@
         }
         if wanted > capacity * bounds.alpha {
             let gap = wanted - capacity * bounds.alpha;
-            let rest = grow(&mut runner_quotas, gap);
+            let unmet = grow(&mut runner_quotas, gap);
             set_quotas(plan, &runner_quotas);
-            let (started, lacks_room) =
-                self.start_for(observation, plan, function_spec, rest, seat_rate);
-            let makes_room = lacks_room
-                && memory_pool.make(observation, plan, function_spec, &self.runner_states);
-            let remark = match (lacks_room, makes_room) {
+            let (started, lacks_memory) =
+                self.start_runners(observation, plan, function_spec, unmet, seat_rate);
+            let will_have_memory = lacks_memory
+                && memory.reserve(observation, plan, function_spec, &self.runner_states);
+            let memory_remark = match (lacks_memory, will_have_memory) {
                 (true, true) => "; others give way",
                 (true, false) => "; no memory",
                 _ => "",
             };
-            self.calm(&function_spec.name, None);
+            self.set_below_beta_since(&function_spec.name, None);
             self.note(&function_spec.name).reason = format!(
                 "grew: demand {wanted:.1}/s is over alpha of {capacity:.1}/s; quotas first, \
-                 {started} new runners for {:.1}/s{remark}",
-                rest.max(0.0)
+                 {started} new runners for {:.1}/s{memory_remark}",
+                unmet.max(0.0)
             );
         } else if wanted < capacity * bounds.beta {
-            self.shrink_calmly(observation, plan, function_spec, runner_quotas, wanted);
+            self.shrink_after_cooldown(observation, plan, function_spec, runner_quotas, wanted);
         } else {
-            self.calm(&function_spec.name, None);
+            self.set_below_beta_since(&function_spec.name, None);
         }
     }
 
-    fn calm(&mut self, function: &str, since: Option<u64>) {
+    /// Sets since when the demand has been below `beta` times the capacity; none if it is not.
+    fn set_below_beta_since(&mut self, function: &str, since: Option<u64>) {
         if let Some(demand) = self.demand.functions.get_mut(function) {
-            demand.calm_since = since;
+            demand.below_beta_since = since;
         }
     }
 
-    fn start_for(
+    /// Starts runners for a gap in requests per second. Returns how many, and whether memory was lacking.
+    fn start_runners(
         &mut self,
         observation: &Observation,
         plan: &mut Plan,
@@ -282,7 +285,7 @@
         (started, false)
     }
 
-    fn shrink_calmly(
+    fn shrink_after_cooldown(
         &mut self,
         observation: &Observation,
         plan: &mut Plan,
@@ -294,18 +297,18 @@
         let Some(demand) = self.demand.functions.get_mut(&function_spec.name) else {
             return;
         };
-        let since = *demand.calm_since.get_or_insert(observation.now);
+        let since = *demand.below_beta_since.get_or_insert(observation.now);
         if observation.now < since + bounds.cooldown_ms {
             return;
         }
-        demand.calm_since = Some(observation.now);
+        demand.below_beta_since = Some(observation.now);
         let capacity: f64 = runner_quotas.iter().map(RunnerQuota::capacity).sum();
         let slowest = runner_quotas
             .iter()
             .map(|runner_quota| runner_quota.seat_rate);
-        let least = slowest.fold(f64::INFINITY, f64::min) * bounds.alpha;
-        // What is left must carry the demand without growing again at once.
-        let surplus = capacity - wanted.max(least) / bounds.alpha;
+        let min_demand = slowest.fold(f64::INFINITY, f64::min) * bounds.alpha;
+        // The remaining capacity has to cover the demand without triggering growth at once.
+        let surplus = capacity - wanted.max(min_demand) / bounds.alpha;
         if !shrink(&mut runner_quotas, surplus) {
             return;
         }
@@ -327,35 +330,35 @@
         function_spec: &FunctionSpec,
         quota: u32,
     ) -> Result<(), PlacementError> {
-        // Within one run memory and starts are only taken, so what found no place finds none.
+        // Within one run memory and start slots are only used up, so a size that could not be placed stays unplaceable.
         if let Some(reason) = self.placement_errors.get(&function_spec.memory_mb) {
             return Err(*reason);
         }
         let runner_states = &self.runner_states;
         let is_warm = |id: &str| runner_states.is_warm(id);
-        let found = place(observation, plan, function_spec.memory_mb, is_warm);
-        if let Err(reason) = &found {
+        let placement = place(observation, plan, function_spec.memory_mb, is_warm);
+        if let Err(reason) = &placement {
             self.placement_errors
                 .insert(function_spec.memory_mb, *reason);
         }
-        let found = found?;
-        let Some(elected) = choose_owner(observation, plan, &found.worker.zone) else {
+        let placement = placement?;
+        let Some(owner) = choose_owner(observation, plan, &placement.worker.zone) else {
             return Err(PlacementError::Busy);
         };
-        self.named += 1;
+        self.seq += 1;
         let places = self.places.entry(function_spec.name.clone());
         places.or_default().push(plan.runners.len());
         plan.runners.push(RunnerEntry {
-            id: format!("{}.{}.{}", function_spec.name, observation.term, self.named),
+            id: format!("{}.{}.{}", function_spec.name, observation.term, self.seq),
             function: function_spec.name.clone(),
-            worker: found.worker.name.clone(),
-            zone: found.worker.zone.clone(),
-            address: format!("{}:{}", found.worker.host, found.port),
-            key: (self.fresh_key)(),
+            worker: placement.worker.name.clone(),
+            zone: placement.worker.zone.clone(),
+            address: format!("{}:{}", placement.worker.host, placement.port),
+            key: (self.generate_key)(),
             memory_mb: function_spec.memory_mb,
             quota,
             response_time_ms: 0,
-            owner: elected.peer.clone(),
+            owner: owner.peer.clone(),
             owner_epoch: 1,
             owner_since: observation.next,
             state: RunnerState::Wanted,
@@ -363,7 +366,7 @@
         Ok(())
     }
 
-    /// What each function has and wants, for sharing memory where it is short.
+    /// Capacity and demand of each function, for dividing scarce memory.
     fn shares(&self, observation: &Observation, plan: &Plan) -> BTreeMap<String, MemoryShare> {
         let function_specs = observation.configuration.function_specs.iter();
         let mut shares: BTreeMap<String, MemoryShare> = function_specs
--- a/crates/scaler/tests/algorithm.rs
+++ b/crates/scaler/tests/algorithm.rs
@@ -1,4 +1,5 @@
-//! The ordinary path of Algorithm 1, and where the scaler leaves it.
+//! Tests of Algorithm 1 (quota steps, starts, cooldown) and of the scaler's additions to it: memory shared between
+//! functions, queued requests as demand, and zones under evacuation.
 
 use configuration::{
     Configuration, FunctionSpec, PeerRef, Plan, RequestKind, RunnerState, Version, Zone, ZoneState,
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn quotas_rise_stepwise_on_the_fastest_runner_first() {
+fn growing_raises_the_quota_of_the_fastest_runner_first() {
     let mut runner_quotas = vec![
         runner_quota("slow", 1, 4, 5.0),
         runner_quota("fast", 1, 4, 10.0),
@@ -40,9 +41,9 @@
         let mut runner_quotas: Vec<RunnerQuota> = quotas
             .iter()
             .enumerate()
-            .map(|(place, (quota, more))| {
+            .map(|(place, (quota, headroom))| {
                 let quota = u32::from(*quota % 8);
-                runner_quota(&place.to_string(), quota, quota + u32::from(*more % 8), 3.0)
+                runner_quota(&place.to_string(), quota, quota + u32::from(*headroom % 8), 3.0)
             })
             .collect();
         let rest = grow(&mut runner_quotas, f64::from(gap));
@@ -50,7 +51,7 @@
         runner_quotas.iter().all(|runner_quota| runner_quota.quota <= runner_quota.max_quota) && (rest <= 0.0 || is_full)
     }
 
-    fn shrinking_keeps_a_seat_and_takes_no_more_than_the_surplus(
+    fn shrinking_keeps_a_seat_and_removes_no_more_than_the_surplus(
         quotas: Vec<u8>, surplus: u16
     ) -> TestResult {
         let mut runner_quotas: Vec<RunnerQuota> = quotas
@@ -64,13 +65,13 @@
         }
         shrink(&mut runner_quotas, f64::from(surplus));
         let after: u32 = runner_quotas.iter().map(|runner_quota| runner_quota.quota).sum();
-        let taken = f64::from(before - after) * 3.0;
-        TestResult::from_bool(after >= 1 && taken <= f64::from(surplus))
+        let removed_rate = f64::from(before - after) * 3.0;
+        TestResult::from_bool(after >= 1 && removed_rate <= f64::from(surplus))
     }
 }
 
-/// A small fleet whose platform and owners do at once what the plan says.
-struct Yard {
+/// A cluster of three workers whose platform and owners apply each plan immediately.
+struct TestCluster {
     configuration: Configuration,
     plan: Plan,
     no: u64,
@@ -82,7 +83,7 @@
     answered: u64,
 }
 
-impl Yard {
+impl TestCluster {
     fn new(functions: usize, memory_mb: u64) -> Self {
         let mut configuration = Configuration::empty();
         for number in 0..functions {
@@ -164,7 +165,7 @@
         BTreeMap::from([("front".to_string(), observation)])
     }
 
-    /// Lets time pass with so many arrivals a second at the first function.
+    /// Advances the clock with `rate` arrivals per second at function `f0`.
     fn run(&mut self, milliseconds: u64, rate: u64) {
         let mut commands = CommandPlanner::default();
         let end = self.now + milliseconds;
@@ -211,108 +212,121 @@
 }
 
 #[test]
-fn quotas_are_raised_before_a_runner_is_added_and_used_workers_come_first() {
-    let mut yard = Yard::new(1, 1_000);
-    yard.run(1_000, 0);
-    assert_eq!(yard.wanted("f0"), vec![("w0".into(), 1)]);
-    yard.run(3_000, 25);
-    assert_eq!(yard.wanted("f0").len(), 1, "a quota of four carries 25/s");
-    assert!(yard.wanted("f0")[0].1 >= 3);
-    yard.run(4_000, 60);
-    let wanted = yard.wanted("f0");
+fn quotas_are_raised_before_a_runner_starts_and_workers_in_use_are_preferred() {
+    let mut cluster = TestCluster::new(1, 1_000);
+    cluster.run(1_000, 0);
+    assert_eq!(cluster.wanted("f0"), vec![("w0".into(), 1)]);
+    cluster.run(3_000, 25);
+    assert_eq!(
+        cluster.wanted("f0").len(),
+        1,
+        "a quota of four seats serves 25/s"
+    );
+    assert!(cluster.wanted("f0")[0].1 >= 3);
+    cluster.run(4_000, 60);
+    let wanted = cluster.wanted("f0");
     assert!(wanted.len() >= 2, "{wanted:?}");
     assert_eq!(wanted[0], ("w0".into(), 4));
     assert_eq!(
         wanted[1].0, "w0",
-        "the used worker has room for a second runner"
+        "the worker in use has room for a second runner"
+    );
+    cluster.run(4_000, 120);
+    let uses_other_worker = cluster
+        .wanted("f0")
+        .iter()
+        .any(|(worker, _)| worker != "w0");
+    assert!(
+        uses_other_worker,
+        "the worker in use is full, so another one is chosen"
     );
-    yard.run(4_000, 120);
-    let fresh = yard.wanted("f0").iter().any(|(worker, _)| worker != "w0");
-    assert!(fresh, "the used worker is full, so a fresh one is taken");
 }
 
 #[test]
-fn shrinking_waits_for_a_calm_cooldown_and_keeps_one_minimal_runner() {
-    let mut yard = Yard::new(1, 2_000);
-    yard.run(6_000, 60);
-    let before: u32 = yard.wanted("f0").iter().map(|(_, quota)| quota).sum();
+fn shrinking_waits_for_the_cooldown_and_keeps_one_minimal_runner() {
+    let mut cluster = TestCluster::new(1, 2_000);
+    cluster.run(6_000, 60);
+    let before: u32 = cluster.wanted("f0").iter().map(|(_, quota)| quota).sum();
     assert!(before >= 7, "{before} seats");
-    yard.run(25_000, 0);
-    let calm: u32 = yard.wanted("f0").iter().map(|(_, quota)| quota).sum();
-    assert_eq!(calm, before, "nothing shrinks before the cooldown");
-    yard.run(120_000, 0);
-    assert_eq!(yard.wanted("f0").len(), 1);
-    assert_eq!(yard.wanted("f0")[0].1, 1);
+    cluster.run(25_000, 0);
+    let after_wait: u32 = cluster.wanted("f0").iter().map(|(_, quota)| quota).sum();
+    assert_eq!(
+        after_wait, before,
+        "quotas must not shrink before the cooldown"
+    );
+    cluster.run(120_000, 0);
+    assert_eq!(cluster.wanted("f0").len(), 1);
+    assert_eq!(cluster.wanted("f0")[0].1, 1);
 }
 
 #[test]
 fn queued_requests_count_as_demand_before_the_forecast_rises() {
-    let mut yard = Yard::new(1, 2_000);
-    yard.run(1_000, 0);
-    yard.waiting = 40;
-    yard.run(200, 0);
-    let seats: u32 = yard.wanted("f0").iter().map(|(_, quota)| quota).sum();
-    assert!(seats >= 5, "{seats} seats for 40 waiting tickets");
+    let mut cluster = TestCluster::new(1, 2_000);
+    cluster.run(1_000, 0);
+    cluster.waiting = 40;
+    cluster.run(200, 0);
+    let seats: u32 = cluster.wanted("f0").iter().map(|(_, quota)| quota).sum();
+    assert!(seats >= 5, "{seats} seats for 40 waiting requests");
 }
 
 #[test]
-fn where_memory_is_short_an_idle_function_sleeps_for_one_that_is_wanted() {
-    let mut yard = Yard::new(7, 800);
-    yard.run(2_000, 0);
-    let asleep = |yard: &Yard| {
+fn without_free_memory_an_idle_function_loses_its_runner_to_one_with_waiting_requests() {
+    let mut cluster = TestCluster::new(7, 800);
+    cluster.run(2_000, 0);
+    let without_runner = |cluster: &TestCluster| {
         (0..7)
-            .filter(|n| yard.wanted(&format!("f{n}")).is_empty())
+            .filter(|n| cluster.wanted(&format!("f{n}")).is_empty())
             .count()
     };
-    assert_eq!(asleep(&yard), 1, "six runners fit");
-    let sleeping = (0..7)
-        .find(|n| yard.wanted(&format!("f{n}")).is_empty())
+    assert_eq!(without_runner(&cluster), 1, "six of seven runners fit");
+    let without_runner_no = (0..7)
+        .find(|n| cluster.wanted(&format!("f{n}")).is_empty())
         .unwrap();
-    assert_eq!(sleeping, 6);
-    yard.configuration.function_specs.swap(0, 6);
-    yard.configuration.function_specs[6].name = "g".into();
-    yard.configuration.function_specs[0].name = "f0".into();
-    yard.waiting = 3;
-    yard.run(8_000, 0);
-    assert!(!yard.wanted("f0").is_empty());
+    assert_eq!(without_runner_no, 6);
+    cluster.configuration.function_specs.swap(0, 6);
+    cluster.configuration.function_specs[6].name = "g".into();
+    cluster.configuration.function_specs[0].name = "f0".into();
+    cluster.waiting = 3;
+    cluster.run(8_000, 0);
+    assert!(!cluster.wanted("f0").is_empty());
 }
 
 #[test]
-fn growing_puts_nobody_to_sleep_and_gives_way_to_a_function_without_a_runner() {
-    let mut yard = Yard::new(3, 800);
-    yard.run(1_000, 0);
-    yard.waiting = 200;
-    yard.run(3_000, 100);
+fn growth_takes_no_last_runner_and_yields_memory_to_a_function_without_a_runner() {
+    let mut cluster = TestCluster::new(3, 800);
+    cluster.run(1_000, 0);
+    cluster.waiting = 200;
+    cluster.run(3_000, 100);
     assert_eq!(
-        yard.wanted("f0").len(),
+        cluster.wanted("f0").len(),
         4,
-        "all memory but the others' minimal runners"
+        "f0 gets all memory except the minimal runners of the others"
     );
-    assert!(!yard.wanted("f1").is_empty() && !yard.wanted("f2").is_empty());
-    // A function is listed anew, in the first place, where the queued work is reported.
-    yard.configuration.function_specs[0].name = "g".into();
-    for entry in &mut yard.plan.runners {
+    assert!(!cluster.wanted("f1").is_empty() && !cluster.wanted("f2").is_empty());
+    // The function with runners is renamed to g, and a new f0 is added, to which the reported queue belongs.
+    cluster.configuration.function_specs[0].name = "g".into();
+    for entry in &mut cluster.plan.runners {
         entry.function = entry.function.replace("f0", "g");
     }
-    let mut fresh = yard.configuration.function_specs[0].clone();
-    fresh.name = "f0".into();
-    yard.configuration.function_specs.push(fresh);
-    yard.waiting = 3;
-    yard.run(12_000, 0);
-    let (fresh, grown) = (yard.wanted("f0").len(), yard.wanted("g").len());
+    let mut new_spec = cluster.configuration.function_specs[0].clone();
+    new_spec.name = "f0".into();
+    cluster.configuration.function_specs.push(new_spec);
+    cluster.waiting = 3;
+    cluster.run(12_000, 0);
+    let (new_count, renamed_count) = (cluster.wanted("f0").len(), cluster.wanted("g").len());
     assert!(
-        fresh >= 1 && grown >= 1 && fresh + grown == 4,
-        "{fresh} and {grown}"
+        new_count >= 1 && renamed_count >= 1 && new_count + renamed_count == 4,
+        "{new_count} runners of f0 and {renamed_count} of g"
     );
 }
 
 #[test]
-fn an_evacuated_zone_is_left_and_nothing_starts_there() {
-    let mut yard = Yard::new(2, 2_000);
-    yard.run(2_000, 10);
-    yard.configuration.zones[0].state = ZoneState::Evacuated;
-    yard.run(500, 10);
-    let wanted = yard.wanted("f0");
+fn runners_leave_an_evacuated_zone_and_none_start_there() {
+    let mut cluster = TestCluster::new(2, 2_000);
+    cluster.run(2_000, 10);
+    cluster.configuration.zones[0].state = ZoneState::Evacuated;
+    cluster.run(500, 10);
+    let wanted = cluster.wanted("f0");
     assert!(
         !wanted.is_empty() && wanted.iter().all(|(worker, _)| worker == "w2"),
         "{wanted:?}"
--- a/crates/scaler/tests/shortage.rs
+++ b/crates/scaler/tests/shortage.rs
@@ -1,5 +1,5 @@
-//! Runners that differ in speed, and memory that is short: a town whose functions are called at
-//! given rates, whose platform starts what the plan says, and whose work waits where seats lack.
+//! Scaling with runners of different speed and with too little memory, against a simulated cluster: requests
+//! arrive at fixed rates, the platform executes every command, and requests queue while seats are lacking.
 
 use configuration::{
     Configuration, FunctionSpec, PeerRef, Plan, RequestKind, RunnerState, Version, Zone, ZoneState,
@@ -10,42 +10,42 @@
 };
 use std::collections::BTreeMap;
 
-const TICK: u64 = 100;
-const START: u64 = 500;
-/// Work waits no longer than its budget.
-const BUDGET: f64 = 2.0;
+const TICK_MS: u64 = 100;
+const START_MS: u64 = 500;
+/// Seconds after which a queued request gives up.
+const BUDGET_S: f64 = 2.0;
 
 #[derive(Default)]
-struct Work {
+struct FunctionLoad {
     rate: f64,
     arrived: f64,
     waiting: f64,
     served: f64,
-    served_lately: f64,
+    served_in_run: f64,
 }
 
 #[derive(Default)]
-struct Alive {
+struct RunningRunner {
     since: u64,
     answered: f64,
     took_ms: f64,
 }
 
-struct Town {
+struct SimulatedCluster {
     configuration: Configuration,
     plan: Plan,
     no: u64,
     workers: Vec<Worker>,
     scaler: Scaler,
     now: u64,
-    works: BTreeMap<String, Work>,
-    alive: BTreeMap<String, Alive>,
+    loads: BTreeMap<String, FunctionLoad>,
+    running: BTreeMap<String, RunningRunner>,
     commands: CommandPlanner,
-    /// Milliseconds of an answer on each worker.
+    /// Response time on each worker, in milliseconds; 100 where absent.
     response_time_ms: BTreeMap<String, f64>,
 }
 
-impl Town {
+impl SimulatedCluster {
     fn new(functions: &[(&str, &str)], workers: usize, memory_mb: u64) -> Self {
         let mut configuration = Configuration::empty();
         for kind in ["urgent", "batch"] {
@@ -58,7 +58,7 @@
             configuration.function_specs.push(FunctionSpec {
                 name: name.to_string(),
                 memory_mb: 400,
-                start_ms: START,
+                start_ms: START_MS,
                 concurrency: 4,
                 budget_ms: 2_000,
                 kinds: vec![kind.to_string()],
@@ -78,9 +78,9 @@
             is_leaving: false,
         });
         Self {
-            works: functions
+            loads: functions
                 .iter()
-                .map(|(name, _)| (name.to_string(), Work::default()))
+                .map(|(name, _)| (name.to_string(), FunctionLoad::default()))
                 .collect(),
             configuration,
             plan: Plan::default(),
@@ -88,22 +88,22 @@
             workers: workers.collect(),
             scaler: Scaler::new(Box::new(|| vec![0])),
             now: 1_000,
-            alive: BTreeMap::new(),
+            running: BTreeMap::new(),
             commands: CommandPlanner::default(),
             response_time_ms: BTreeMap::new(),
         }
     }
 
-    fn call(&mut self, function: &str, rate: f64) {
-        self.works.get_mut(function).unwrap().rate = rate;
+    fn set_rate(&mut self, function: &str, rate: f64) {
+        self.loads.get_mut(function).unwrap().rate = rate;
     }
 
     fn is_warm(&self, id: &str) -> bool {
-        let alive = self.alive.get(id);
-        alive.is_some_and(|alive| alive.since + START <= self.now)
+        let running = self.running.get(id);
+        running.is_some_and(|running| running.since + START_MS <= self.now)
     }
 
-    /// Throughput by what the runners really do.
+    /// Actual capacity of the warm runners, in requests per second.
     fn capacity(&self, function: &str) -> f64 {
         let entries = self.plan.runners.iter().filter(|entry| {
             entry.function == function
@@ -121,21 +121,23 @@
 
     fn fronts(&self) -> BTreeMap<String, FrontObservation> {
         let runners = self.plan.runners.iter().map(|entry| {
-            let alive = self.alive.get(&entry.id);
+            let running = self.running.get(&entry.id);
             RunnerReport {
                 runner: entry.id.clone(),
                 epoch: entry.owner_epoch,
                 is_active: true,
                 is_warm: self.is_warm(&entry.id),
-                answered: alive.map_or(0, |alive| alive.answered as u64),
-                took_ms: alive.map_or(0, |alive| alive.took_ms as u64 * (alive.answered as u64)),
+                answered: running.map_or(0, |running| running.answered as u64),
+                took_ms: running.map_or(0, |running| {
+                    running.took_ms as u64 * (running.answered as u64)
+                }),
                 ..RunnerReport::default()
             }
         });
-        let functions = self.works.iter().map(|(name, work)| FunctionReport {
+        let functions = self.loads.iter().map(|(name, load)| FunctionReport {
             function: name.clone(),
-            arrived: work.arrived as u64,
-            waiting: work.waiting as u32,
+            arrived: load.arrived as u64,
+            waiting: load.waiting as u32,
             ..FunctionReport::default()
         });
         let report = FrontReport {
@@ -160,12 +162,12 @@
     }
 
     fn run(&mut self, milliseconds: u64) {
-        for work in self.works.values_mut() {
-            work.served_lately = 0.0;
+        for load in self.loads.values_mut() {
+            load.served_in_run = 0.0;
         }
         let end = self.now + milliseconds;
         while self.now < end {
-            self.now += TICK;
+            self.now += TICK_MS;
             self.serve();
             let fronts = self.fronts();
             let observation = Observation {
@@ -188,15 +190,15 @@
             for command in self.commands.due(self.now, &self.plan, &[], 1_000, 10_000) {
                 let result = match &command {
                     PlatformCommand::Start(entry) => {
-                        let alive = Alive {
+                        let running = RunningRunner {
                             since: self.now,
-                            ..Alive::default()
+                            ..RunningRunner::default()
                         };
-                        self.alive.insert(entry.id.clone(), alive);
+                        self.running.insert(entry.id.clone(), running);
                         CommandResult::Accepted
                     }
                     PlatformCommand::Stop(id) => {
-                        self.alive.remove(id);
+                        self.running.remove(id);
                         CommandResult::Gone
                     }
                 };
@@ -206,18 +208,18 @@
     }
 
     fn serve(&mut self) {
-        let seconds = TICK as f64 / 1_000.0;
-        for name in self.works.keys().cloned().collect::<Vec<_>>() {
+        let seconds = TICK_MS as f64 / 1_000.0;
+        for name in self.loads.keys().cloned().collect::<Vec<_>>() {
             let capacity = self.capacity(&name);
-            let work = self.works.get_mut(&name).unwrap();
-            work.arrived += work.rate * seconds;
-            let most = capacity * seconds;
-            let served = (work.waiting + work.rate * seconds).min(most);
-            work.waiting = (work.waiting + work.rate * seconds - served)
-                .min(work.rate * BUDGET)
+            let load = self.loads.get_mut(&name).unwrap();
+            load.arrived += load.rate * seconds;
+            let max_served = capacity * seconds;
+            let served = (load.waiting + load.rate * seconds).min(max_served);
+            load.waiting = (load.waiting + load.rate * seconds - served)
+                .min(load.rate * BUDGET_S)
                 .max(0.0);
-            work.served += served;
-            work.served_lately += served;
+            load.served += served;
+            load.served_in_run += served;
             let warm: Vec<(String, f64)> = self
                 .plan
                 .runners
@@ -232,14 +234,14 @@
                     (entry.id.clone(), response_time)
                 })
                 .collect();
-            let quotas: f64 = warm
+            let total_speed: f64 = warm
                 .iter()
                 .map(|(_, response_time)| 1.0 / response_time)
                 .sum();
             for (id, response_time) in warm {
-                let alive = self.alive.entry(id).or_default();
-                alive.answered += served * (1.0 / response_time) / quotas;
-                alive.took_ms = response_time;
+                let running = self.running.entry(id).or_default();
+                running.answered += served * (1.0 / response_time) / total_speed;
+                running.took_ms = response_time;
             }
         }
     }
@@ -252,89 +254,106 @@
     }
 
     fn share(&self, function: &str, seconds: f64) -> f64 {
-        let work = &self.works[function];
-        work.served_lately / (work.rate * seconds)
+        let load = &self.loads[function];
+        load.served_in_run / (load.rate * seconds)
     }
 }
 
 #[test]
-fn capacity_is_the_sum_of_what_each_runner_carries() {
-    let mut town = Town::new(&[("f", "batch")], 3, 800);
+fn capacity_is_the_sum_of_the_rates_of_runners_of_different_speed() {
+    let mut cluster = SimulatedCluster::new(&[("f", "batch")], 3, 800);
     for (worker, response_time) in [("w0", 60.0), ("w1", 180.0), ("w2", 600.0)] {
-        town.response_time_ms.insert(worker.into(), response_time);
+        cluster
+            .response_time_ms
+            .insert(worker.into(), response_time);
     }
-    town.call("f", 90.0);
-    town.run(30_000);
-    let (reported, real) = (town.scaler.decisions()["f"].capacity, town.capacity("f"));
-    let off = 100.0 * (reported - real).abs() / real;
+    cluster.set_rate("f", 90.0);
+    cluster.run(30_000);
+    let (reported, real) = (
+        cluster.scaler.decisions()["f"].capacity,
+        cluster.capacity("f"),
+    );
+    let error_percent = 100.0 * (reported - real).abs() / real;
     assert!(
-        off < 5.0,
-        "{reported:.1}/s were predicted, {real:.1}/s are carried"
+        error_percent < 5.0,
+        "the scaler reports {reported:.1}/s, the runners serve {real:.1}/s"
     );
-    assert!(real > 90.0 && town.runners("f") >= 3, "{real:.1}/s");
-    let paces: Vec<u32> = town
+    assert!(real > 90.0 && cluster.runners("f") >= 3, "{real:.1}/s");
+    let response_times: Vec<u32> = cluster
         .plan
         .runners
         .iter()
         .map(|one| one.response_time_ms)
         .collect();
     assert!(
-        paces.contains(&60) && paces.iter().any(|response_time| *response_time > 100),
-        "{paces:?}"
+        response_times.contains(&60)
+            && response_times
+                .iter()
+                .any(|response_time| *response_time > 100),
+        "{response_times:?}"
     );
 }
 
 #[test]
 fn a_higher_priority_takes_memory_from_a_lower_one_but_not_its_last_runner() {
     let functions = [("low", "batch"), ("high", "urgent")];
-    let mut town = Town::new(&functions, 2, 1_200);
-    town.call("low", 500.0);
-    town.run(10_000);
-    assert_eq!((town.runners("low"), town.runners("high")), (5, 1));
-    town.call("high", 500.0);
-    town.run(15_000);
-    assert_eq!((town.runners("low"), town.runners("high")), (1, 5));
+    let mut cluster = SimulatedCluster::new(&functions, 2, 1_200);
+    cluster.set_rate("low", 500.0);
+    cluster.run(10_000);
+    assert_eq!((cluster.runners("low"), cluster.runners("high")), (5, 1));
+    cluster.set_rate("high", 500.0);
+    cluster.run(15_000);
+    assert_eq!((cluster.runners("low"), cluster.runners("high")), (1, 5));
 }
 
 #[test]
-fn functions_of_one_priority_share_memory_by_what_they_need() {
+fn functions_of_one_priority_share_memory_by_demand() {
     let functions = [("first", "batch"), ("second", "batch"), ("third", "batch")];
-    let mut town = Town::new(&functions, 3, 1_600);
-    town.call("first", 480.0);
-    town.run(10_000);
-    assert_eq!(town.runners("first"), 10);
-    town.call("second", 480.0);
-    town.call("third", 120.0);
-    town.run(20_000);
-    let counts = functions.map(|(name, _)| town.runners(name));
+    let mut cluster = SimulatedCluster::new(&functions, 3, 1_600);
+    cluster.set_rate("first", 480.0);
+    cluster.run(10_000);
+    assert_eq!(cluster.runners("first"), 10);
+    cluster.set_rate("second", 480.0);
+    cluster.set_rate("third", 120.0);
+    cluster.run(20_000);
+    let counts = functions.map(|(name, _)| cluster.runners(name));
     assert!(
         counts[0] <= 6 && counts[1] >= 4 && counts[2] >= 1,
         "{counts:?}"
     );
-    town.run(20_000);
-    let shares = functions.map(|(name, _)| town.share(name, 20.0));
+    cluster.run(20_000);
+    let shares = functions.map(|(name, _)| cluster.share(name, 20.0));
     let least = shares.iter().copied().fold(f64::INFINITY, f64::min);
     assert!(
         least > 0.25,
-        "{shares:?} of what is asked, with 480/s for 1080/s"
+        "{shares:?} of the demand served, with a capacity of 480/s for 1080/s"
+    );
+    let plan_no_before = cluster.no;
+    cluster.run(10_000);
+    assert!(
+        cluster.no - plan_no_before < 10,
+        "runners must not move back and forth"
     );
-    let settled = town.no;
-    town.run(10_000);
-    assert!(town.no - settled < 10, "runners are not moved to and fro");
 }
 
 #[test]
-fn more_functions_than_memory_holds_take_turns_and_none_starves() {
+fn functions_that_do_not_all_fit_into_memory_take_turns_and_none_starves() {
     let names: Vec<String> = (0..24).map(|number| format!("f{number:02}")).collect();
     let functions: Vec<(&str, &str)> = names.iter().map(|name| (name.as_str(), "batch")).collect();
-    let mut town = Town::new(&functions, 3, 1_600);
+    let mut cluster = SimulatedCluster::new(&functions, 3, 1_600);
     for name in &names {
-        town.call(name, 4.0);
+        cluster.set_rate(name, 4.0);
     }
-    town.run(120_000);
-    let served: Vec<f64> = names.iter().map(|name| town.share(name, 120.0)).collect();
+    cluster.run(120_000);
+    let served: Vec<f64> = names
+        .iter()
+        .map(|name| cluster.share(name, 120.0))
+        .collect();
     let least = served.iter().copied().fold(f64::INFINITY, f64::min);
     assert!(least > 0.1, "{served:?}");
-    let all: f64 = served.iter().sum::<f64>() / served.len() as f64;
-    assert!(all > 0.35, "{all} of all, where half fits at once");
+    let mean: f64 = served.iter().sum::<f64>() / served.len() as f64;
+    assert!(
+        mean > 0.35,
+        "on average {mean} of the requests were served, where half of the functions fit at once"
+    );
 }
