--- a/tests/cluster/src/client.rs
+++ b/tests/cluster/src/client.rs
@@ -1,4 +1,4 @@
-//! A client over HTTP/1.1: its requests and its connections.
+//! HTTP/1.1 client: requests and connections.
 
 use super::runner::response_body;
 use http1::{write_request, MessageLimits, Response, ResponseReader};
@@ -13,10 +13,10 @@
     body_bytes: 64 << 20,
 };
 
-/// Bytes that the system takes for a client that wants few.
+/// Receive buffer of connections with a small window.
 const SMALL_WINDOW_BYTES: usize = 4 << 10;
 
-/// A request as a client sends it.
+/// A request of a client.
 #[derive(Clone, Debug, Default)]
 pub struct ClientRequest {
     pub method: &'static str,
@@ -52,18 +52,20 @@
 
     pub fn bytes(&self) -> Vec<u8> {
         let mut out = Vec::new();
-        let own = [
+        let standard_headers = [
             ("Host", self.host.as_bytes()),
             ("Request-Id", self.id.as_bytes()),
         ];
-        let own = own.into_iter().filter(|(_, value)| !value.is_empty());
+        let standard_headers = standard_headers
+            .into_iter()
+            .filter(|(_, value)| !value.is_empty());
         let others = self.headers.iter();
-        let headers = own.chain(others.map(|(name, value)| (*name, value.as_bytes())));
+        let headers = standard_headers.chain(others.map(|(name, value)| (*name, value.as_bytes())));
         write_request(&mut out, self.method, &self.target, headers, &self.body);
         out
     }
 
-    /// The body that a runner answers this with.
+    /// The response body that a runner returns for this request.
     pub fn expected(&self, size: usize) -> Vec<u8> {
         response_body(&self.id, self.method, &self.target, &self.body, size)
     }
@@ -85,7 +87,7 @@
         })
     }
 
-    /// Opens a connection on which the system takes few bytes that the client has not read.
+    /// Opens a connection with a small receive buffer, so that unread responses block the sender early.
     pub fn open_with_small_window(address: SocketAddr) -> Option<Self> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None).ok()?;
         socket.set_recv_buffer_size(SMALL_WINDOW_BYTES).ok()?;
@@ -100,22 +102,22 @@
         self.stream.write_all(bytes).is_ok()
     }
 
-    /// One complete response; none where the connection ends, breaks or is silent before that.
+    /// Reads one complete response. Returns `None` if the connection closes, fails or times out first.
     pub fn receive(&mut self, within: Duration) -> Option<Response> {
         self.receive_as(false, within)
     }
 
     fn receive_as(&mut self, is_head: bool, within: Duration) -> Option<Response> {
-        let ends_at = Instant::now() + within;
+        let deadline = Instant::now() + within;
         let mut reader = ResponseReader::new(is_head);
         let mut scratch = vec![0; 64 << 10];
         loop {
             if let Some(response) = reader.read(&mut self.buffer, &LIMITS).ok()? {
                 return Some(response);
             }
-            let left = ends_at.checked_duration_since(Instant::now())?;
+            let remaining = deadline.checked_duration_since(Instant::now())?;
             self.stream
-                .set_read_timeout(Some(left.max(Duration::from_millis(1))))
+                .set_read_timeout(Some(remaining.max(Duration::from_millis(1))))
                 .ok()?;
             match self.stream.read(&mut scratch) {
                 Ok(0) => return reader.end_of_stream(&mut self.buffer).ok()?,
@@ -125,7 +127,7 @@
         }
     }
 
-    /// One complete response, of which a slow client reads little at a time until it has to read fast.
+    /// Reads one complete response slowly, in small parts, until `reads_fast` is set.
     pub fn receive_slowly(&mut self, reads_fast: &AtomicBool) -> Option<Response> {
         let mut scratch = vec![0; 64 << 10];
         while !reads_fast.load(Ordering::SeqCst) {
@@ -147,7 +149,7 @@
         self.receive_as(request.method == "HEAD", Duration::from_secs(8))
     }
 
-    /// The connection gives nothing more: it ended without another byte.
+    /// Whether the connection is closed with no unread data.
     pub fn is_at_end(&mut self, within: Duration) -> bool {
         let _ = self.stream.set_read_timeout(Some(within));
         let mut byte = [0; 1];
@@ -155,14 +157,14 @@
     }
 }
 
-/// Asks on a connection of its own.
+/// Sends a request on a new connection.
 pub fn send_request(address: SocketAddr, request: &ClientRequest) -> Option<Response> {
     Connection::open(address)?.request(request)
 }
 
-/// Sends bytes on a connection of their own: the statuses of all responses until it ends or is silent.
+/// Sends raw bytes on a new connection. Returns the statuses of all responses until it closes or times out.
 pub fn statuses(address: SocketAddr, bytes: &[u8], within: Duration) -> Vec<u16> {
-    let mut connection = Connection::open(address).expect("nobody takes connections");
+    let mut connection = Connection::open(address).expect("the connection is refused");
     connection.send(bytes);
     std::iter::from_fn(|| connection.receive(within).map(|response| response.status)).collect()
 }
--- a/tests/cluster/src/daemon.rs
+++ b/tests/cluster/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon as a process, with its settings file, its log and the signals that it is sent.
+//! A daemon process: its settings file, its log and the signals sent to it.
 
 use super::paths::program;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 pub const METRICS: u16 = 8_027;
 pub const GRACE: Duration = Duration::from_millis(2_000);
 
-/// A machine with one daemon, which this process started.
+/// A simulated machine with one daemon, which runs as a child process.
 pub struct Daemon {
     pub name: String,
     pub zone: String,
@@ -22,19 +22,19 @@
     folder: PathBuf,
     is_controller: bool,
     has_disk: bool,
-    /// Where it listens for other daemons, if a relay stands at its own address.
+    /// Address on which it listens for other daemons if a relay occupies its own.
     behind_relay: Option<IpAddr>,
     descriptors: Option<usize>,
     child: Option<Child>,
 }
 
-/// What all settings files of a cluster share.
+/// Settings that all daemons of a cluster share.
 #[derive(Clone)]
 pub struct ClusterSettings {
     pub platform: SocketAddr,
     pub seeds: Vec<IpAddr>,
     pub retry_slack: u32,
-    /// Each zone with its region.
+    /// Region of each zone.
     pub regions: BTreeMap<&'static str, &'static str>,
 }
 
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Has so few file descriptors from the next start on, whatever its settings say.
+    /// Limits the file descriptors of the process from its next start on, regardless of its settings.
     pub fn limit_descriptors(&mut self, descriptors: usize) {
         self.descriptors = Some(descriptors);
     }
 
-    /// The program, begun by a shell where the system is to allow it less.
+    /// The command that runs the executable, through a shell with `ulimit` if descriptors are limited.
     fn command(&self, program: &Path) -> Command {
         let Some(descriptors) = self.descriptors else {
             return Command::new(program);
@@ -69,12 +69,12 @@
         command
     }
 
-    /// Listens for other daemons at another ip than the one by which they know it, since a relay stands there.
+    /// Listens for other daemons on another IP than the one they use, because a relay occupies that one.
     pub fn listen_behind_relay(&mut self, ip: IpAddr) {
         self.behind_relay = Some(ip);
     }
 
-    /// Has no disk from the next start on.
+    /// Starts without a data folder from the next start on.
     pub fn lose_disk(&mut self) {
         self.has_disk = false;
     }
@@ -120,19 +120,19 @@
         self.folder.join("log")
     }
 
-    /// All that it wrote, in all its runs.
+    /// The whole log, over all starts.
     pub fn log_text(&self) -> String {
         std::fs::read_to_string(self.log()).unwrap_or_default()
     }
 
-    /// The last lines that it wrote.
+    /// The last lines of the log.
     pub fn log_tail(&self) -> String {
         let text = self.log_text();
         let lines: Vec<&str> = text.lines().collect();
         lines[lines.len().saturating_sub(25)..].join("\n")
     }
 
-    /// Ends it at once (SIGKILL).
+    /// Kills the process (SIGKILL).
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -140,28 +140,28 @@
         }
     }
 
-    /// Asks it to end (SIGTERM).
+    /// Asks the process to shut down (SIGTERM).
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Tells it that the settings have changed (SIGHUP).
+    /// Makes the process reload its settings (SIGHUP).
     pub fn send_hangup(&self) {
         self.signal("-HUP");
     }
 
-    /// Freezes it (SIGSTOP).
+    /// Suspends the process (SIGSTOP).
     pub fn freeze(&self) {
         self.signal("-STOP");
     }
 
-    /// Wakes it again (SIGCONT).
+    /// Resumes the process (SIGCONT).
     pub fn unfreeze(&self) {
         self.signal("-CONT");
     }
 
     fn signal(&self, signal: &str) {
-        let child = self.child.as_ref().expect("it does not run");
+        let child = self.child.as_ref().expect("the daemon is not running");
         let kill = Command::new("kill")
             .arg(signal)
             .arg(child.id().to_string())
@@ -169,17 +169,17 @@
         assert!(kill.unwrap().success());
     }
 
-    /// Its process id, while it runs.
+    /// Process id, if the process was started and not killed.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Where its settings file is.
+    /// Path of the settings file.
     pub fn settings_path(&self) -> PathBuf {
         self.folder.join("local.toml")
     }
 
-    /// Writes its settings anew while it runs.
+    /// Rewrites the settings file while the daemon runs.
     pub fn rewrite_settings(&self, shared_settings: &ClusterSettings) {
         let settings = self.folder.join("local.toml");
         std::fs::write(settings, self.settings(shared_settings, false)).unwrap();
--- a/tests/cluster/src/disk_probe.rs
+++ b/tests/cluster/src/disk_probe.rs
@@ -1,5 +1,5 @@
-//! Whether the disk beside a soak answers. A small file is synced again and again, and each sync that takes long is remembered: a time
-//! limit on daemons that acknowledge nothing before a sync says nothing of them while the machine's disk stalls.
+//! Detects disk stalls during a soak by syncing a small file repeatedly and recording slow syncs. Daemons acknowledge nothing
+//! before a sync, so a time limit that expires while the machine's disk stalls does not indicate a fault in them.
 
 use std::fs::File;
 use std::io::Write;
@@ -7,7 +7,7 @@
 use std::sync::{Mutex, Once};
 use std::time::{Duration, Instant};
 
-/// Syncs that take less are usual.
+/// Shortest sync that counts as a stall; shorter ones are normal.
 const STALL_MIN: Duration = Duration::from_millis(300);
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -17,7 +17,7 @@
     syncing_since: None,
 });
 
-/// A time in which the disk did not answer.
+/// A period in which a sync did not complete.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stall {
     pub began_at: Instant,
@@ -29,7 +29,7 @@
         self.ended_at - self.began_at
     }
 
-    /// How much of it lies after a time.
+    /// The part of the stall after `since`.
     fn duration_since(&self, since: Instant) -> Duration {
         self.ended_at
             .saturating_duration_since(self.began_at.max(since))
@@ -41,7 +41,7 @@
     syncing_since: Option<Instant>,
 }
 
-/// Starts the probe of this process in a folder; later calls do nothing.
+/// Starts this process's probe in a folder; later calls have no effect.
 pub fn start(folder: &Path) {
     let path = folder.join(format!("disk-probe-{}", std::process::id()));
     START.call_once(|| {
@@ -69,7 +69,7 @@
 }
 
 impl Probe {
-    /// The sync under way, where it takes long.
+    /// The sync in progress, if it already counts as a stall.
     fn current_stall(&self) -> Option<Stall> {
         let stall = Stall {
             began_at: self.syncing_since?,
@@ -79,20 +79,20 @@
     }
 }
 
-/// All stalls so far, in order, with the one under way. None where no probe was started.
+/// All stalls so far in order, including one in progress. Empty if no probe was started.
 pub fn stalls() -> Vec<Stall> {
     let probe = PROBE.lock().expect("the probe does not panic");
     let ended = probe.stalls.iter().copied();
     ended.chain(probe.current_stall()).collect()
 }
 
-/// How long the disk has stalled since a time.
+/// Total stall time since a point in time.
 pub fn stalled_since(since: Instant) -> Duration {
     let stalls = stalls();
     stalls.iter().map(|stall| stall.duration_since(since)).sum()
 }
 
-/// A time limit that stands still while the disk stalls.
+/// A time limit that does not advance while the disk stalls.
 #[derive(Clone, Copy, Debug)]
 pub struct Deadline {
     began_at: Instant,
@@ -100,7 +100,7 @@
 }
 
 impl Deadline {
-    /// The limit counts from now.
+    /// Starts the limit now.
     pub fn after(limit: Duration) -> Self {
         Self {
             began_at: Instant::now(),
--- a/tests/cluster/src/lib.rs
+++ b/tests/cluster/src/lib.rs
@@ -1,8 +1,8 @@
-//! A simulated platform with runners, clients and an operator around the real daemons `hallkeel-gateway` and
-//! `hallkeel-controller`, which run as processes on loopback. The tests of the package `platform` and the soak are made of it.
+//! Test harness that runs the real daemons `hallkeel-gateway` and `hallkeel-controller` as processes on loopback, together with a
+//! simulated platform, runners, clients and an operator. The tests of the package `platform` and the soak use it.
 //!
-//! What a run is judged by stands outside of the daemons: the runners' log of what they received ([`request_log`]) and what the
-//! clients and the operator were answered.
+//! Runs are checked only by what is visible outside the daemons: the requests that runners received ([`request_log`]) and the
+//! responses that the clients and the operator got.
 
 pub mod client;
 pub mod daemon;
@@ -27,7 +27,7 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Looks again and again until something is there, or fails the test after so long. While the disk beside a soak stalls the time stands still.
+/// Polls until `condition` returns a value and panics after the timeout, which does not advance while the disk of a soak stalls.
 pub fn wait_until<T>(what: &str, within: Duration, mut condition: impl FnMut() -> Option<T>) -> T {
     let deadline = Deadline::after(within);
     loop {
--- a/tests/cluster/src/operator.rs
+++ b/tests/cluster/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator: commands to the controllers, and the configurations that the tests start from.
+//! Operator commands to the controllers, and the base configurations of the tests.
 
 use super::client::Connection;
 use crate::disk_probe::Deadline;
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One call at one controller: status and body, none where no clear response came.
+/// Calls one controller. Returns status and body, or `None` if there was no complete response.
 pub fn call(
     address: SocketAddr,
     method: &str,
@@ -19,7 +19,7 @@
     Some((response.status, response.body))
 }
 
-/// One call at one controller: the response as it came.
+/// Calls one controller and returns the response unchanged.
 pub fn call_controller(
     address: SocketAddr,
     method: &str,
@@ -39,7 +39,7 @@
     connection.receive(Duration::from_secs(4))
 }
 
-/// Where a response redirects its caller to, if it does.
+/// The address that a 307 response redirects to.
 fn redirect_target(response: &Response) -> Option<SocketAddr> {
     let location = response.headers.get("Location")?;
     let location = std::str::from_utf8(location).ok()?;
@@ -47,7 +47,7 @@
     address.parse().ok().filter(|_| response.status == 307)
 }
 
-/// One command at one controller, or at where that redirects it to, at most twice.
+/// Calls one controller and follows at most two redirects.
 pub fn call_following_redirects(
     address: SocketAddr,
     (method, target): (&str, &str),
@@ -65,7 +65,7 @@
     call_controller(address, method, target, base, body)
 }
 
-/// Calls one controller after the other until one gives a clear response. A 307 beyond the second is none.
+/// Calls the controllers in turn until one gives a definite response: no 5xx and no third 307.
 pub fn send_command(
     controllers: &[SocketAddr],
     call: (&str, &str),
@@ -100,12 +100,12 @@
             "concurrency": concurrency })
 }
 
-/// A tenant with its keys.
+/// A tenant with its API keys.
 pub fn tenant(name: &str, keys: &[&str]) -> Value {
     json!({ "name": name, "api_keys": keys, "priority": 0 })
 }
 
-/// The usual configuration with tenants.
+/// The base configuration with tenants added.
 pub fn configuration_with_tenants(version: u64, tenants: &[Value]) -> Value {
     let mut document = configuration(version);
     document["tenants"] = json!(tenants);
--- a/tests/cluster/src/paths.rs
+++ b/tests/cluster/src/paths.rs
@@ -1,11 +1,12 @@
-//! Where the daemons' programs and the folders of a run are.
+//! Paths of the daemons' executables and of the data folders of a run.
 
 use std::path::PathBuf;
 
-/// Variable that names a folder of programs to run in place of those built together with the running one: those of another version.
+/// Environment variable with a folder of daemon executables to run instead of those built along with this one, for example those
+/// of another version.
 const PROGRAMS_VARIABLE: &str = "HALLKEEL_PROGRAMS";
 
-/// Folder of the programs that cargo built together with the running one, which may be a test.
+/// Folder of the executables that cargo built along with the current one, which may be a test.
 fn programs() -> PathBuf {
     let own = std::env::current_exe().expect("the running program has a path");
     let mut folder = own
@@ -18,7 +19,7 @@
     folder
 }
 
-/// A program of the workspace. It must have been built: cargo builds those of a package before its tests.
+/// Path of an executable of the workspace. Panics if it is not built; cargo builds a package's binaries before its tests.
 pub fn program(name: &str) -> PathBuf {
     let folder = std::env::var_os(PROGRAMS_VARIABLE).map_or_else(programs, PathBuf::from);
     let path = folder.join(name);
@@ -30,7 +31,7 @@
     path
 }
 
-/// Folder for the data and logs of runs.
+/// Folder for the data and logs of test runs.
 pub fn scratch() -> PathBuf {
     let programs = programs();
     let target = programs.parent().unwrap_or(&programs);
--- a/tests/cluster/src/platform.rs
+++ b/tests/cluster/src/platform.rs
@@ -1,4 +1,4 @@
-//! The simulated platform: its API for listing, starting and stopping runners.
+//! The simulated platform, with an API to list, start and stop runners.
 
 use super::request_log::RequestLog;
 use super::runner::{respond, Runner};
@@ -11,8 +11,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Runners on one page of the list.
-const PAGE: usize = 2;
+/// Runners per page of the list.
+const PAGE_SIZE: usize = 2;
 
 #[derive(Clone, Debug)]
 pub struct Service {
@@ -30,7 +30,7 @@
 #[derive(Default)]
 struct RunnerTimeline {
     listed: Option<Instant>,
-    drains: Option<Instant>,
+    drains_since: Option<Instant>,
     ended: Option<Instant>,
 }
 
@@ -49,18 +49,18 @@
 pub enum ApiFault {
     #[default]
     None,
-    /// No call is answered.
+    /// Calls hang and get no response.
     Down,
-    /// Every call is answered 429.
+    /// Every call gets a 429 response.
     Rejects,
-    /// Calls are carried out and their answers lost.
+    /// Calls are executed but their responses are dropped.
     DropsResponses,
 }
 
-/// Time for which a call hangs that is not answered.
-const DOWN_HANGS: Duration = Duration::from_millis(1_500);
+/// Time until the connection of an unanswered call is closed.
+const DOWN_HANG_TIME: Duration = Duration::from_millis(1_500);
 
-/// The platform's API and its workers.
+/// The platform's API and its workers, on which runners are started.
 pub struct Platform {
     pub request_log: Arc<RequestLog>,
     pub list_lag: Duration,
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Answers calls at an address.
+    /// Serves the API at an address.
     pub fn open(self: &Arc<Self>, address: SocketAddr) -> Server {
         let platform = Arc::clone(self);
         Server::open(address, move |request, stream| {
@@ -106,7 +106,7 @@
             .collect()
     }
 
-    /// Runners of a service that take connections now.
+    /// Runners of a service that currently accept connections.
     pub fn running_runners(&self, service: &str) -> Vec<Arc<Runner>> {
         let runners = self.runners().into_iter();
         runners
@@ -114,13 +114,13 @@
             .collect()
     }
 
-    /// Name of the daemon that started a runner last.
+    /// Name of the daemon that sent the last start or stop.
     pub fn scaler_name(&self) -> Option<String> {
         let state = self.state.lock().unwrap();
         state.scalers.last().map(|(name, _)| name.clone())
     }
 
-    /// Numbers of the terms in the order in which starts and stops came.
+    /// Terms of the scaler in the order of the starts and stops received.
     pub fn terms(&self) -> Vec<u64> {
         let state = self.state.lock().unwrap();
         state.scalers.iter().map(|(_, term)| *term).collect()
@@ -134,14 +134,14 @@
         self.state.lock().unwrap().stops
     }
 
-    /// Lets a runner leave: the list says so from now on, and it ends after so long. Gives the moment at which the
-    /// list says so.
+    /// Drains a runner: the list shows it as draining at once, and it stops after the given time.
+    /// Returns the moment from which the list shows it as draining.
     pub fn drain(self: &Arc<Self>, id: &str, after: Duration) -> Instant {
         let mut state = self.state.lock().unwrap();
         let found = state.runners.iter_mut().find(|(runner, _)| runner.id == id);
         let (runner, timeline) = found.expect("no such runner");
         let now = Instant::now();
-        timeline.drains = Some(now);
+        timeline.drains_since = Some(now);
         let (runner, platform) = (Arc::clone(runner), Arc::clone(self));
         std::thread::spawn(move || {
             std::thread::sleep(after);
@@ -151,41 +151,41 @@
         now
     }
 
-    /// The runners that leave or left, with the moment from which on the list says so.
+    /// Runners that were drained, with the moment from which the list shows it.
     pub fn drained_runners(&self) -> Vec<(Arc<Runner>, Instant)> {
         let state = self.state.lock().unwrap();
         let runners = state.runners.iter();
-        let drained =
-            runners.filter_map(|(runner, timeline)| Some((Arc::clone(runner), timeline.drains?)));
+        let drained = runners
+            .filter_map(|(runner, timeline)| Some((Arc::clone(runner), timeline.drains_since?)));
         drained.collect()
     }
 
-    /// How the API fails from now on.
+    /// Sets how the API fails from now on.
     pub fn set_fault(&self, fault: ApiFault) {
         *self.fault.lock().unwrap() = fault;
     }
 
-    /// The runner that was started first of those that run, which the list still shows for a while.
-    fn first_running(&self) -> Option<Arc<Runner>> {
+    /// The oldest runner that is still up.
+    fn oldest_running(&self) -> Option<Arc<Runner>> {
         self.runners().into_iter().find(|runner| runner.is_up())
     }
 
-    /// A runner crashes.
+    /// Crashes the oldest runner; the list still shows it for [`Platform::list_lag`].
     pub fn crash_one(&self) {
-        if let Some(runner) = self.first_running() {
+        if let Some(runner) = self.oldest_running() {
             runner.crash();
             self.ended(&runner.id);
         }
     }
 
-    /// A runner leaves, and ends after so long.
+    /// Drains the oldest runner, which stops after the given time.
     pub fn drain_one(self: &Arc<Self>, after: Duration) {
-        if let Some(runner) = self.first_running() {
+        if let Some(runner) = self.oldest_running() {
             self.drain(&runner.id, after);
         }
     }
 
-    /// All runners have nothing to do.
+    /// Whether no runner has requests in flight.
     pub fn is_idle(&self) -> bool {
         self.runners().iter().all(|runner| runner.in_flight() == 0)
     }
@@ -212,7 +212,7 @@
         match fault {
             ApiFault::None | ApiFault::DropsResponses => {}
             ApiFault::Down => {
-                std::thread::sleep(DOWN_HANGS);
+                std::thread::sleep(DOWN_HANG_TIME);
                 return false;
             }
             ApiFault::Rejects => return respond(stream, 429, &[], b"{}", true),
@@ -265,35 +265,32 @@
             .and_then(|token| token.strip_prefix("p-")?.parse().ok())
             .unwrap_or(0);
         let state = self.state.lock().unwrap();
-        let has_come = |at: Option<Instant>| at.is_some_and(|at| at.elapsed() >= self.list_lag);
-        // What crashed stays for as long as the list lags.
+        let is_visible = |at: Option<Instant>| at.is_some_and(|at| at.elapsed() >= self.list_lag);
+        // A runner that crashed stays listed for the lag.
         let is_listed =
-            |timeline: &RunnerTimeline| has_come(timeline.listed) && !has_come(timeline.ended);
+            |timeline: &RunnerTimeline| is_visible(timeline.listed) && !is_visible(timeline.ended);
         let listed: Vec<Value> = state
             .runners
             .iter()
             .filter(|(_, timeline)| is_listed(timeline))
             .map(|(runner, timeline)| {
-                let leaves = timeline.drains.is_some();
+                let is_draining = timeline.drains_since.is_some();
                 json!({ "id": runner.id, "service": runner.service, "address": runner.address.to_string(),
                         "zone": runner.zone, "version": "v1", "capacity": runner.concurrency,
-                        "state": if leaves { "draining" } else { "ready" }, "cold_left_ms": 0,
+                        "state": if is_draining { "draining" } else { "ready" }, "cold_left_ms": 0,
                         "worker_id": runner.worker })
             })
             .collect();
-        let end = (start + PAGE).min(listed.len());
+        let end = (start + PAGE_SIZE).min(listed.len());
         let next = (end < listed.len()).then(|| format!("p-{end}"));
         let page = listed.get(start..end).unwrap_or(&[]);
         (200, json!({ "instances": page, "next_token": next }))
     }
 
     fn begin(self: &Arc<Self>, request: &Request) -> (u16, Value) {
-        let send_command: Value = serde_json::from_slice(&request.body).unwrap_or_default();
-        let (service, worker) = (
-            send_command["service"].as_str(),
-            send_command["worker_id"].as_str(),
-        );
-        let nonce = send_command["request_nonce"].as_str();
+        let command: Value = serde_json::from_slice(&request.body).unwrap_or_default();
+        let (service, worker) = (command["service"].as_str(), command["worker_id"].as_str());
+        let nonce = command["request_nonce"].as_str();
         let mut state = self.state.lock().unwrap();
         let known = service.and_then(|name| Some((name, state.services.get(name)?.clone())));
         let (Some((name, service)), Some(worker), Some(nonce)) = (known, worker, nonce) else {
@@ -328,7 +325,7 @@
         let platform = Arc::clone(self);
         let reply = json!({ "id": runner.id, "address": address.to_string() });
         std::thread::spawn(move || {
-            // The start itself takes its time.
+            // Simulates the boot time.
             std::thread::sleep(Duration::from_millis(service.boot_ms));
             runner.boot();
             platform.state.lock().unwrap().runners[index].1.listed = Some(Instant::now());
@@ -337,8 +334,8 @@
     }
 
     fn stop(&self, request: &Request) -> (u16, Value) {
-        let send_command: Value = serde_json::from_slice(&request.body).unwrap_or_default();
-        let id = send_command["id"].as_str().unwrap_or_default();
+        let command: Value = serde_json::from_slice(&request.body).unwrap_or_default();
+        let id = command["id"].as_str().unwrap_or_default();
         let Some(runner) = self.runners().into_iter().find(|one| one.id == id) else {
             return (404, json!({}));
         };
--- a/tests/cluster/src/relay.rs
+++ b/tests/cluster/src/relay.rs
@@ -1,7 +1,7 @@
-//! Relays between daemons, which partition the cluster, delay bytes and reset connections.
+//! TCP relays between daemons that can partition the cluster, delay data and reset connections.
 //!
-//! Each daemon listens for others at an address of its own, and a relay stands at the address by which they know it. Who opened a connection
-//! is known from its first bytes, in which every daemon names itself.
+//! Each daemon listens on a separate address, and a relay listens on the address that the others use. The daemon that opened a
+//! connection is identified by its first bytes, which contain its name or address.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -10,14 +10,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often a relay looks whether a partition has healed or it is to end.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// How often a relay checks whether a partition has healed or the relay is closed.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const CHUNK_BYTES: usize = 64 << 10;
 
-/// The name by which a daemon is known to relays.
+/// Name that identifies a daemon to the relays.
 pub type MachineName = String;
 
-/// One way between two machines.
+/// A direction of traffic between two machines.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Direction {
     pub from: MachineName,
@@ -39,31 +39,31 @@
 
 #[derive(Default)]
 struct Faults {
-    /// How many faults cut each way at the moment: they may overlap.
+    /// Number of active faults that cut each direction, as faults may overlap.
     cuts: BTreeMap<Direction, usize>,
     delays: BTreeMap<Direction, Duration>,
-    /// Connections that are reset; those that were opened before this number.
+    /// Connections with a number up to this one are reset.
     reset_before: u64,
 }
 
-/// What all relays of a cluster share.
+/// State shared by all relays of a cluster.
 #[derive(Default)]
 pub struct Network {
     faults: Mutex<Faults>,
-    /// Texts that a daemon's first bytes bear, with its name.
+    /// Text contained in a daemon's first bytes, and the daemon's name.
     identities: Mutex<Vec<(String, MachineName)>>,
     connections: Mutex<u64>,
     is_closed: AtomicBool,
 }
 
 impl Network {
-    /// Whoever sends this text first is this machine.
+    /// Attributes connections whose first bytes contain this text to this machine.
     pub fn identify(&self, text: &str, name: &str) {
         let mut identities = self.identities.lock().unwrap();
         identities.push((text.into(), name.into()));
     }
 
-    /// Bytes in these directions are held from now on.
+    /// Holds back all data in these directions until [`heal`](Self::heal).
     pub fn cut(&self, directions: &BTreeSet<Direction>) {
         let mut faults = self.faults.lock().unwrap();
         for direction in directions {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Ends a former cut of these directions; what was held arrives late.
+    /// Removes one cut of each of these directions; data that was held back is then delivered.
     pub fn heal(&self, directions: &BTreeSet<Direction>) {
         let mut faults = self.faults.lock().unwrap();
         for direction in directions {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Bytes in these directions take so much longer; zero ends it.
+    /// Delays data in these directions; zero removes the delay.
     pub fn delay(&self, directions: &BTreeSet<Direction>, delay: Duration) {
         let mut faults = self.faults.lock().unwrap();
         for direction in directions {
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Resets all connections between daemons that are open now.
+    /// Resets all currently open connections between daemons.
     pub fn reset_connections(&self) {
-        let opened = *self.connections.lock().unwrap();
-        self.faults.lock().unwrap().reset_before = opened;
+        let accepted = *self.connections.lock().unwrap();
+        self.faults.lock().unwrap().reset_before = accepted;
     }
 
-    /// Ends all relays.
+    /// Stops all relays.
     pub fn close(&self) {
         self.is_closed.store(true, Ordering::SeqCst);
     }
@@ -129,17 +129,17 @@
     }
 }
 
-/// Accepts connections to one port of a machine and passes them on to where its daemon listens.
+/// Accepts connections to one port of a machine and forwards them to the address on which its daemon listens.
 pub fn open(network: &Arc<Network>, to: &str, at: SocketAddr, target: SocketAddr) {
     let listener = TcpListener::bind(at).unwrap_or_else(|error| panic!("{at}: {error}"));
     let (network, to) = (Arc::clone(network), to.to_string());
     listener
         .set_nonblocking(true)
-        .expect("a listener may be asked without waiting");
+        .expect("a listener can be made non-blocking");
     std::thread::spawn(move || {
         while !network.is_closed() {
             let Ok((stream, _)) = listener.accept() else {
-                std::thread::sleep(LOOK_INTERVAL);
+                std::thread::sleep(POLL_INTERVAL);
                 continue;
             };
             let (network, to) = (Arc::clone(&network), to.clone());
@@ -148,17 +148,17 @@
     });
 }
 
-/// Reads who opened the connection, then passes bytes on both ways until either side ends.
-fn relay(network: &Arc<Network>, to: &str, mut opened: TcpStream, target: SocketAddr) {
-    let _ = opened.set_nonblocking(false);
-    let _ = opened.set_nodelay(true);
+/// Identifies the sender, then forwards data in both directions until either side closes.
+fn relay(network: &Arc<Network>, to: &str, mut accepted: TcpStream, target: SocketAddr) {
+    let _ = accepted.set_nonblocking(false);
+    let _ = accepted.set_nodelay(true);
     let number = {
         let mut connections = network.connections.lock().unwrap();
         *connections += 1;
         *connections
     };
     let mut first = vec![0; CHUNK_BYTES];
-    let Ok(count @ 1..) = opened.read(&mut first) else {
+    let Ok(count @ 1..) = accepted.read(&mut first) else {
         return;
     };
     first.truncate(count);
@@ -166,34 +166,35 @@
         .sender_of(&first)
         .unwrap_or_else(|| "unknown".into());
     let direction = Direction::new(&from, to);
-    // A connection that is opened while the way is cut comes up once it has healed, as the system sends its first packet again.
+    // A connection opened during a cut is established after it heals, like a retransmitted SYN.
     while network.is_cut(&direction) && !network.is_closed() && !network.is_reset(number) {
-        std::thread::sleep(LOOK_INTERVAL);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    let Ok(passed) = TcpStream::connect_timeout(&target, Duration::from_secs(1)) else {
+    let Ok(upstream) = TcpStream::connect_timeout(&target, Duration::from_secs(1)) else {
         return;
     };
-    let _ = passed.set_nodelay(true);
-    let (Ok(opened_copy), Ok(passed_copy)) = (opened.try_clone(), passed.try_clone()) else {
+    let _ = upstream.set_nodelay(true);
+    let (Ok(accepted_copy), Ok(upstream_copy)) = (accepted.try_clone(), upstream.try_clone())
+    else {
         return;
     };
-    let backwards = direction.reversed();
-    let back_network = Arc::clone(network);
+    let reverse_direction = direction.reversed();
+    let reverse_network = Arc::clone(network);
     std::thread::spawn(move || {
-        pass(
-            &back_network,
+        forward(
+            &reverse_network,
             number,
-            &backwards,
-            passed_copy,
-            opened_copy,
+            &reverse_direction,
+            upstream_copy,
+            accepted_copy,
             Vec::new(),
         )
     });
-    pass(network, number, &direction, opened, passed, first);
+    forward(network, number, &direction, accepted, upstream, first);
 }
 
-/// Passes bytes one way until the end, a reset or the end of the run.
-fn pass(
+/// Forwards data in one direction until the stream ends, the connection is reset or the relays are closed.
+fn forward(
     network: &Network,
     number: u64,
     direction: &Direction,
@@ -201,33 +202,33 @@
     mut to: TcpStream,
     first: Vec<u8>,
 ) {
-    let _ = from.set_read_timeout(Some(LOOK_INTERVAL));
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let mut chunk = vec![0; CHUNK_BYTES];
-    let mut held: Vec<u8> = first;
-    let mut due = Instant::now();
+    let mut buffered: Vec<u8> = first;
+    let mut deliver_at = Instant::now();
     let mut is_ended = false;
     while !network.is_closed() && !network.is_reset(number) {
-        let may_pass = !network.is_cut(direction) && Instant::now() >= due;
-        if may_pass && !held.is_empty() {
-            if to.write_all(&held).is_err() {
+        let may_forward = !network.is_cut(direction) && Instant::now() >= deliver_at;
+        if may_forward && !buffered.is_empty() {
+            if to.write_all(&buffered).is_err() {
                 break;
             }
-            held.clear();
+            buffered.clear();
         }
         if is_ended {
-            if held.is_empty() && !network.is_cut(direction) {
+            if buffered.is_empty() && !network.is_cut(direction) {
                 break;
             }
-            std::thread::sleep(LOOK_INTERVAL);
+            std::thread::sleep(POLL_INTERVAL);
             continue;
         }
         match from.read(&mut chunk) {
             Ok(0) => is_ended = true,
             Ok(count) => {
-                if held.is_empty() {
-                    due = Instant::now() + network.delay_of(direction);
+                if buffered.is_empty() {
+                    deliver_at = Instant::now() + network.delay_of(direction);
                 }
-                held.extend_from_slice(&chunk[..count]);
+                buffered.extend_from_slice(&chunk[..count]);
             }
             Err(error) if is_timeout(&error) => {}
             Err(_) => is_ended = true,
--- a/tests/cluster/src/request_log.rs
+++ b/tests/cluster/src/request_log.rs
@@ -1,4 +1,4 @@
-//! What reached the runners.
+//! Log of the requests that reached the runners.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Mutex;
@@ -7,15 +7,15 @@
 /// What a runner did with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It began to work on it.
+    /// The runner started to process it.
     Ran,
-    /// It was meant for another runner.
+    /// It was addressed to another runner.
     Misdirected,
-    /// The runner had as many in flight as it may.
+    /// The runner was already at its concurrency limit.
     OverCapacity,
-    /// Its connection was closed while the runner worked on it.
+    /// Its connection was closed while the runner processed it.
     Abandoned,
-    /// The test asked for its rejection.
+    /// The runner rejected it because the test asked for that.
     Rejected,
 }
 
@@ -29,9 +29,9 @@
     pub method: String,
     pub target: String,
     pub body: Vec<u8>,
-    /// Names of the tenant, one for each such header.
+    /// Values of the tenant header, one for each occurrence.
     pub tenants: Vec<String>,
-    /// Keys of clients, which no runner may see.
+    /// Values of the client credential header, which the gateway must not forward.
     pub keys: Vec<String>,
     pub outcome: RequestOutcome,
     pub at: Instant,
@@ -51,7 +51,7 @@
 }
 
 impl RequestLog {
-    /// Records a request; true where a runner ran or rejected one of this id before.
+    /// Records a request. Returns whether a runner had already run or rejected one with this id.
     pub fn record(&self, request: ReceivedRequest) -> bool {
         let mut records = self.records.lock().unwrap();
         let is_known = records.handled.contains(&request.id);
@@ -77,7 +77,7 @@
         self.records.lock().unwrap().received.len()
     }
 
-    /// How often each request ran.
+    /// Number of runs by request id.
     pub fn runs(&self) -> BTreeMap<String, usize> {
         let mut runs = BTreeMap::new();
         for request in self.all() {
--- a/tests/cluster/src/runner.rs
+++ b/tests/cluster/src/runner.rs
@@ -1,4 +1,4 @@
-//! A simulated runner, which runs requests and fails as their headers ask.
+//! A simulated runner, which fails in the ways that request headers ask for.
 
 use super::request_log::{ReceivedRequest, RequestLog, RequestOutcome};
 use super::runner_script::RunnerScript;
@@ -10,23 +10,23 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Header by which a test chooses the fault of the first runner of a request; others respond well.
+/// Header that selects the fault of the first runner of a request; later runners respond normally.
 pub const FAULT: &str = "X-Deed";
-/// Header with the milliseconds of work.
+/// Header with the processing time in milliseconds.
 pub const WORK: &str = "X-Work";
-/// Header with the bytes of the response's body.
+/// Header with the size of the response body in bytes.
 pub const SIZE: &str = "X-Size";
-/// Header with the key of a client's tenant.
+/// Header in which a client sends its tenant's API key.
 pub const CREDENTIAL: &str = "Credential";
-/// Header with the name of a client's tenant, which the gateway sets.
+/// Header with the tenant's name, set by the gateway.
 pub const TENANT: &str = "Tenant";
-/// Work from which on a runner looks whether it is still wanted, and how often it does.
-const LOOKS_FROM: Duration = Duration::from_millis(200);
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// What a late response's body says.
+/// Shortest work during which a runner checks for a disconnect, and how often it checks.
+const DISCONNECT_CHECK_MIN_WORK: Duration = Duration::from_millis(200);
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Body of a late response, which no client may receive.
 pub const LATE: &str = "this response is late and belongs to nobody";
 
-/// A runner: one instance of a function.
+/// A runner process: one instance of a function.
 pub struct Runner {
     pub id: String,
     pub service: String,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Listens; connections before were refused.
+    /// Starts listening; earlier connections are refused.
     pub fn boot(self: &Arc<Self>) {
         let mut server = self.server.lock().unwrap();
         if self.is_ended() {
@@ -88,7 +88,7 @@
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Takes nobody any more; what it works on goes on.
+    /// Stops accepting connections; requests in progress continue.
     pub fn stop(&self) {
         self.is_ended.store(true, Ordering::SeqCst);
         if let Some(server) = &*self.server.lock().unwrap() {
@@ -96,14 +96,14 @@
         }
     }
 
-    /// Closes the connections that are open now, and accepts others.
+    /// Closes the open connections but keeps accepting new ones.
     pub fn close_connections(&self) {
         if let Some(server) = &*self.server.lock().unwrap() {
             server.close_connections();
         }
     }
 
-    /// Ends at once; what it works on gets no response.
+    /// Ends at once; requests in progress get no response.
     pub fn crash(&self) {
         self.is_ended.store(true, Ordering::SeqCst);
         if let Some(server) = self.server.lock().unwrap().take() {
@@ -130,34 +130,34 @@
         self.run(request, &id, stream)
     }
 
-    // A seat is free before the response leaves: whoever has the response may send the next request at once.
+    // Called before the response is sent, because its recipient may send the next request at once.
     fn free_seat(&self) {
         self.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 
     fn run(&self, request: &Request, id: &str, stream: &mut TcpStream) -> bool {
-        let held = self.in_flight.fetch_add(1, Ordering::SeqCst) + 1;
+        let in_flight = self.in_flight.fetch_add(1, Ordering::SeqCst) + 1;
         let text = |name: &str| request.headers.get_text(name).unwrap_or("").to_string();
         let not_run = [("Not-Run", "1"), ("Request-Id", id)];
-        if held > self.concurrency {
+        if in_flight > self.concurrency {
             self.record(request, id, RequestOutcome::OverCapacity);
             self.free_seat();
             return respond(stream, 503, &not_run, b"full", true);
         }
-        self.max_in_flight.fetch_max(held, Ordering::SeqCst);
+        self.max_in_flight.fetch_max(in_flight, Ordering::SeqCst);
         let fault = text(FAULT);
         if fault == "turn-away" {
-            let was_here = self.record(request, id, RequestOutcome::Rejected);
-            if !was_here {
+            let is_repeat = self.record(request, id, RequestOutcome::Rejected);
+            if !is_repeat {
                 self.free_seat();
                 return respond(stream, 503, &not_run, b"not now", true);
             }
         }
-        let was_here = self.record(request, id, RequestOutcome::Ran);
+        let is_repeat = self.record(request, id, RequestOutcome::Ran);
         let work = text(WORK).parse().unwrap_or(0);
-        let is_wanted = work_while_wanted(stream, Duration::from_millis(work));
+        let is_connected = work_while_connected(stream, Duration::from_millis(work));
         self.free_seat();
-        if !is_wanted {
+        if !is_connected {
             self.record(request, id, RequestOutcome::Abandoned);
             return false;
         }
@@ -165,9 +165,9 @@
         let body = response_body(id, &request.method, &request.target, &request.body, size);
         let seal = format!("seal.{}.{id}", self.id);
         let headers = [("Request-Id", id), ("Server-Seal", seal.as_str())];
-        let is_always = fault.starts_with("always-");
+        let is_repeated_fault = fault.starts_with("always-");
         let fault = fault.trim_start_matches("always-");
-        if was_here && !is_always {
+        if is_repeat && !is_repeated_fault {
             return respond(stream, 200, &headers, &body, true);
         }
         if let Some(runner_script) = RunnerScript::of(request) {
@@ -238,24 +238,24 @@
         .collect()
 }
 
-/// The work itself: it takes its time. False where the connection was closed meanwhile; short work is done in any case.
-fn work_while_wanted(stream: &TcpStream, work: Duration) -> bool {
-    if work < LOOKS_FROM {
+/// Simulates work by sleeping. Returns false if the connection was closed meanwhile; short work is not interrupted.
+fn work_while_connected(stream: &TcpStream, work: Duration) -> bool {
+    if work < DISCONNECT_CHECK_MIN_WORK {
         std::thread::sleep(work);
         return true;
     }
-    let ends_at = Instant::now() + work;
-    let mut is_wanted = true;
-    while is_wanted && Instant::now() < ends_at {
-        std::thread::sleep(LOOK_INTERVAL);
+    let deadline = Instant::now() + work;
+    let mut is_connected = true;
+    while is_connected && Instant::now() < deadline {
+        std::thread::sleep(DISCONNECT_CHECK_INTERVAL);
         let _ = stream.set_nonblocking(true);
-        is_wanted = !matches!(stream.peek(&mut [0]), Ok(0));
+        is_connected = !matches!(stream.peek(&mut [0]), Ok(0));
         let _ = stream.set_nonblocking(false);
     }
-    is_wanted
+    is_connected
 }
 
-/// The body that a runner answers a request with.
+/// The response body for a request.
 pub fn response_body(id: &str, method: &str, target: &str, body: &[u8], size: usize) -> Vec<u8> {
     let mut response = format!("{id} {method} {target} ").into_bytes();
     response.extend_from_slice(body);
--- a/tests/cluster/src/runner_script.rs
+++ b/tests/cluster/src/runner_script.rs
@@ -1,4 +1,4 @@
-//! Exact bytes that a runner writes in place of a response, and how it ends the connection.
+//! Scripted runner responses: raw bytes to write instead of a response, and how to end the connection.
 
 use http1::Request;
 use socket2::SockRef;
@@ -6,16 +6,16 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// Header with the bytes, in hexadecimal, that the first runner of a request writes as they are.
+/// Header with the raw bytes, in hexadecimal, that the first runner of a request writes.
 pub const BYTES: &str = "X-Bytes";
-/// Header with what that runner does after these bytes: one of the names of [`Then`].
+/// Header with what the runner does after writing the bytes: the name of a variant of [`Then`].
 pub const THEN: &str = "X-Then";
-/// Header with further bytes, in hexadecimal, that it writes a moment later if the connection stays.
+/// Header with more bytes, in hexadecimal, that the runner writes after [`LATER_DELAY`] if the connection stays open.
 pub const LATER: &str = "X-Later";
 
-const LATER_AFTER: Duration = Duration::from_millis(4);
+const LATER_DELAY: Duration = Duration::from_millis(4);
 
-/// What a runner does with a connection after the bytes of a script.
+/// What a runner does with the connection after writing the scripted bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Then {
     Close,
@@ -23,7 +23,7 @@
     Stay,
 }
 
-/// Bytes that a runner writes in place of a response.
+/// Raw bytes that a runner writes instead of a response.
 pub struct RunnerScript {
     bytes: Vec<u8>,
     later: Vec<u8>,
@@ -43,7 +43,7 @@
         Some(Self { bytes, later, then })
     }
 
-    /// Writes the bytes; whether the connection stays.
+    /// Writes the bytes. Returns whether the connection stays open.
     pub fn play(self, stream: &mut TcpStream) -> bool {
         let is_written = stream.write_all(&self.bytes).is_ok();
         match self.then {
@@ -51,7 +51,7 @@
                 let _ = stream.shutdown(Shutdown::Both);
             }
             Then::Reset => {
-                // A connection that may not linger is reset by its closing.
+                // With a linger time of zero, closing the socket sends RST.
                 let _ = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
             }
             Then::Stay => {
@@ -70,7 +70,7 @@
             return;
         }
         std::thread::spawn(move || {
-            std::thread::sleep(LATER_AFTER);
+            std::thread::sleep(LATER_DELAY);
             let _ = stream.write_all(&self.later);
         });
     }
--- a/tests/cluster/src/server.rs
+++ b/tests/cluster/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 server for the simulated platform and its runners.
+//! A minimal HTTP/1.1 server for the simulated platform and its runners.
 
 use http1::{MessageLimits, Request, RequestReader};
 use socket2::SockRef;
@@ -14,10 +14,10 @@
     body_bytes: 8 << 20,
 };
 
-/// Open connections by number. A copy that stays here would keep its connection from being reset.
+/// Open connections by number. An entry must be removed when its connection ends: the duplicate descriptor would prevent a reset.
 type Streams = Arc<Mutex<HashMap<usize, TcpStream>>>;
 
-/// A server with a thread for each connection.
+/// A server with one thread per connection.
 pub struct Server {
     pub address: SocketAddr,
     is_closed: Arc<AtomicBool>,
@@ -25,7 +25,7 @@
 }
 
 impl Server {
-    /// Listens, and gives each request to the handler, which writes the response and says whether the connection stays.
+    /// Starts listening. The handler writes the response to each request and returns whether the connection stays open.
     pub fn open<H>(address: SocketAddr, handler: H) -> Self
     where
         H: Fn(&Request, &mut TcpStream) -> bool + Send + Sync + 'static,
@@ -60,21 +60,21 @@
         server
     }
 
-    /// Takes no more connections; those that are open stay.
+    /// Stops accepting connections; open ones stay open.
     pub fn stop_listening(&self) {
         if !self.is_closed.swap(true, Ordering::SeqCst) {
-            // The thread that listens looks up once more, and ends.
+            // Wakes the listening thread, which then ends.
             let _ = TcpStream::connect_timeout(&self.address, Duration::from_secs(1));
         }
     }
 
-    /// Takes no more connections and breaks the open ones.
+    /// Stops accepting connections and shuts down the open ones.
     pub fn close(&self) {
         self.stop_listening();
         self.close_connections();
     }
 
-    /// Closes the connections that are open now, and accepts others.
+    /// Closes the open connections but keeps accepting new ones.
     pub fn close_connections(&self) {
         for (_, stream) in self.streams.lock().unwrap().drain() {
             let _ = stream.shutdown(Shutdown::Both);
@@ -88,7 +88,7 @@
     }
 }
 
-/// Ends a connection: it is reset where it may not linger, and closed in order otherwise.
+/// Ends a connection. With a linger time of zero, dropping it sends RST; otherwise it is shut down gracefully.
 fn end(stream: &TcpStream) {
     let linger = SockRef::from(stream).linger();
     let is_reset = matches!(linger, Ok(Some(wait)) if wait.is_zero());
--- a/tests/cluster/src/simulated_cluster.rs
+++ b/tests/cluster/src/simulated_cluster.rs
@@ -1,4 +1,4 @@
-//! The simulated cluster: real controllers and gateways as processes, and a simulated platform with its runners.
+//! A cluster of real controller and gateway processes with a simulated platform and its runners.
 
 use super::client::{send_request, ClientRequest};
 use super::daemon::{ClusterSettings, Daemon, CONTROL, PUBLIC, READINESS};
@@ -18,24 +18,24 @@
 use std::sync::Arc;
 
 pub const ZONES: [&str; 3] = ["north-a", "north-b", "north-c"];
-/// The region of all zones, where a test sets nothing else.
+/// Default region of all zones.
 const REGION: &str = "here";
 const WORKER_MB: u64 = 4_096;
 const PLATFORM_PORT: u16 = 8_029;
-/// Ports at which daemons listen for one another.
+/// Ports on which daemons listen for each other.
 const INTERNAL_PORTS: std::ops::RangeInclusive<u16> = 7_300..=7_302;
-/// Gateways where nothing else is asked for, and most that have addresses in a cluster's net.
-const GATEWAYS: usize = 4;
-const GATEWAYS_MAX: usize = 170;
-/// What the last number of an address grows by where a daemon listens behind a relay.
-const BEHIND_RELAY: u8 = 100;
+/// Default number of gateways, and the most for which a cluster's network has addresses.
+const DEFAULT_GATEWAYS: usize = 4;
+const MAX_GATEWAYS: usize = 170;
+/// Offset of the last octet of the address on which a daemon listens behind its relay.
+const BEHIND_RELAY_OFFSET: u8 = 100;
 
-/// Retries that are free in each span, where a test sets nothing else.
+/// Default for the retries per window that do not count against the retry ratio.
 const RETRY_SLACK: u32 = 60;
 
 static CLUSTERS: AtomicU16 = AtomicU16::new(0);
 
-/// How a cluster is set up.
+/// Options of a simulated cluster.
 pub struct ClusterBuilder {
     retry_slack: u32,
     is_configured: bool,
@@ -46,38 +46,38 @@
 }
 
 impl ClusterBuilder {
-    /// How many gateways there are.
+    /// Sets the number of gateways.
     pub fn gateways(mut self, gateways: usize) -> Self {
-        assert!(gateways <= GATEWAYS_MAX, "{gateways} gateways");
+        assert!(gateways <= MAX_GATEWAYS, "{gateways} gateways");
         self.gateways = gateways;
         self
     }
 
-    /// Retries that are free in each span, by the settings of all daemons.
+    /// Sets `retry_slack` of all daemons: the retries per window that do not count against the retry ratio.
     pub fn retry_slack(mut self, retry_slack: u32) -> Self {
         self.retry_slack = retry_slack;
         self
     }
 
-    /// Each zone is a region of its own, with the name of the zone.
+    /// Makes each zone a region with the zone's name.
     pub fn region_per_zone(mut self) -> Self {
         self.has_region_per_zone = true;
         self
     }
 
-    /// Daemons reach one another through relays, which can partition them.
+    /// Connects daemons through relays, which can partition them.
     pub fn relayed(mut self) -> Self {
         self.is_relayed = true;
         self
     }
 
-    /// The first configuration is in force at every gateway.
+    /// Applies the first configuration and waits until every gateway is ready.
     pub fn configured(mut self) -> Self {
         self.is_configured = true;
         self
     }
 
-    /// The first configuration is in force, and every gateway has had a good response for this target.
+    /// Applies the first configuration and waits until every gateway has returned a 200 for this target.
     pub fn warmed_up(mut self, target: &'static str) -> Self {
         self.warm_up_target = Some(target);
         self.configured()
@@ -107,27 +107,27 @@
     }
 }
 
-/// Three controllers with data folders in three zones, gateways (four where nothing else is asked for), and the platform.
+/// Three controllers with data folders in three zones, gateways (four by default), and the platform.
 pub struct SimulatedCluster {
     pub platform: Arc<Platform>,
     pub controllers: Vec<Daemon>,
     pub gateways: Vec<Daemon>,
     pub shared_settings: ClusterSettings,
-    /// What relays between the daemons do, where there are relays.
+    /// State of the relays between the daemons, if there are relays.
     pub network: Arc<Network>,
-    /// The key of requests that are sent with [`get`](Self::get), where there are tenants.
+    /// API key of requests sent with [`get`](Self::get), if the configuration has tenants.
     pub key: Option<&'static str>,
     net: [u8; 3],
     folder: PathBuf,
-    /// Whether the data and logs stay after the run.
+    /// Whether the data and logs are kept after the run.
     keeps_folder: bool,
     next_request_number: AtomicUsize,
     _api: Server,
     _net: TcpListener,
 }
 
-/// A loopback net that nobody uses, held until the listener is dropped: every machine of a cluster has the same ports at an
-/// address of its own.
+/// Reserves an unused loopback network until the returned listener is dropped. Each machine of a cluster has its own address in
+/// it and uses the same ports.
 fn free_net() -> ([u8; 3], TcpListener) {
     let own = std::process::id() as u16 & 0x3ff;
     for _ in 0..200 {
@@ -138,7 +138,7 @@
             return (net, held);
         }
     }
-    panic!("no loopback net is free");
+    panic!("no loopback network is free");
 }
 
 fn ip(net: [u8; 3], machine: u8) -> IpAddr {
@@ -153,7 +153,7 @@
             is_relayed: false,
             warm_up_target: None,
             has_region_per_zone: false,
-            gateways: GATEWAYS,
+            gateways: DEFAULT_GATEWAYS,
         }
     }
 
@@ -209,14 +209,14 @@
         cluster
     }
 
-    /// Puts a relay at each internal port of each daemon, and lets the daemons listen behind it.
+    /// Opens a relay on each internal port of each daemon and makes the daemons listen behind them.
     fn open_relays(&mut self) {
         for daemon in self.controllers.iter_mut().chain(&mut self.gateways) {
             let IpAddr::V4(own) = daemon.ip else {
                 continue;
             };
             let [.., machine] = own.octets();
-            let behind = ip(self.net, machine + BEHIND_RELAY);
+            let behind = ip(self.net, machine + BEHIND_RELAY_OFFSET);
             daemon.listen_behind_relay(behind);
             for port in INTERNAL_PORTS {
                 let address = daemon.at(port);
@@ -228,12 +228,12 @@
         }
     }
 
-    /// The data and logs stay after the run.
+    /// Keeps the data and logs after the run.
     pub fn keep_folder(&mut self) {
         self.keeps_folder = true;
     }
 
-    /// Where the data and logs of the daemons are.
+    /// Folder with the data and logs of the daemons.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
@@ -290,7 +290,7 @@
         serde_json::from_slice(&body).unwrap()
     }
 
-    /// What one controller says is in force, if it says so.
+    /// The configuration in force according to one controller; `None` if it does not return one.
     pub fn read_at(&self, index: usize) -> Option<Value> {
         let address = self.controllers[index].at(CONTROL);
         let (status, body) = call(address, "GET", "/v1/Config.Read", None, b"")?;
@@ -308,7 +308,7 @@
         )
     }
 
-    /// Sends a request to a gateway, with an id of its own.
+    /// Sends a request with a new id to a gateway.
     pub fn get(&self, index: usize, target: &str) -> (ClientRequest, Option<Response>) {
         let mut request = ClientRequest::get(target, &self.new_request_id());
         if let Some(key) = self.key {
@@ -318,7 +318,7 @@
         (request, response)
     }
 
-    /// Sends requests until a response is good, as a client does that learns that a request did not run.
+    /// Sends requests with new ids until one gets a 200.
     pub fn get_until_good(&self, index: usize, target: &str) -> (ClientRequest, Response) {
         wait_until(&format!("a good response to {target}"), seconds(10), || {
             let (request, response) = self.get(index, target);
@@ -328,7 +328,7 @@
         })
     }
 
-    /// One more controller, at an address that no seed names.
+    /// Adds a controller at an address that is not among the seeds.
     pub fn add_controller(&mut self, zone: &str) -> &mut Daemon {
         let index = self.controllers.len() as u8;
         let name = format!("control-{}", index + 1);
@@ -338,7 +338,7 @@
         self.controllers.last_mut().unwrap()
     }
 
-    /// One more machine of the control plane, without a disk, that knows one controller alone.
+    /// Starts another control plane machine without a disk whose only seed is the given controller.
     pub fn add_diskless_controller(&self, seed: usize) -> Daemon {
         let (zone, ip) = (ZONES[0], ip(self.net, 31));
         let mut daemon = Daemon::new(&self.folder, "diskless-1", zone, ip, true);
@@ -347,7 +347,7 @@
         daemon
     }
 
-    /// The settings that all share, with one controller as the only seed.
+    /// The shared settings with one controller as the only seed.
     pub fn settings_with_seed(&self, seed: usize) -> ClusterSettings {
         ClusterSettings {
             seeds: vec![self.controllers[seed].ip],
