--- a/tests/cluster/src/bin/hallkeel-soak.rs
+++ b/tests/cluster/src/bin/hallkeel-soak.rs
@@ -1,4 +1,5 @@
-//! `hallkeel-soak`: runs the real daemons on loopback under overlapping faults and judges what clients, operators and runners saw.
+//! `hallkeel-soak`: runs the real daemons on loopback under overlapping faults and checks what clients, operators and runners
+//! observed.
 
 use clap::Parser;
 use cluster::disk_probe::{self, Stall};
@@ -8,19 +9,19 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Seeds of the short form, which CI runs.
+/// Seeds of the short form, which CI runs, and the length of each run.
 const SHORT_SEEDS: std::ops::Range<u64> = 1..5;
 const SHORT_LENGTH_S: u64 = 14;
-/// Seeds of the short form with restarts in series, one with kills and one without; one at a time.
+/// Rolling-restart seeds of the short form, one with kills and one without, run one at a time.
 const SHORT_ROLLING_SEEDS: std::ops::Range<u64> = 1..3;
 const SHORT_ROLLING_GATEWAYS: usize = 16;
-/// Seeds of the short form that are aimed at owners, both at a time.
+/// Seeds of the short form that pause owners, both run at the same time.
 const SHORT_AIMED_SEEDS: std::ops::Range<u64> = 9000..9002;
 const SHORT_AIMED_GATEWAYS: usize = 10;
 
-/// Runs seeds one after the other, each on a cluster of its own, with a violated invariant ending its process.
+/// Runs seeds, each on its own cluster. A daemon exits when one of its invariants is violated.
 ///
-/// Exit codes: 0 all promises held, 1 some did not; the folder of each such run is kept and named.
+/// Exit codes: 0 no findings, 1 findings. The folder of each run with findings is kept and its path printed.
 #[derive(Parser)]
 #[command(name = "hallkeel-soak", version)]
 struct Flags {
@@ -30,25 +31,25 @@
     /// Number of seeds
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Seconds for which faults and traffic last
+    /// Duration of faults and traffic in seconds
     #[arg(long, default_value_t = 25)]
     length: u64,
-    /// Runs at a time
+    /// Number of runs at the same time
     #[arg(long, default_value_t = 1)]
     jobs: usize,
-    /// Many gateways that are restarted in series, while runners leave and configurations change; odd seeds kill gateways too
+    /// Restart many gateways one after the other while runners drain and configurations change; odd seeds also kill gateways
     #[arg(long)]
     rolling: bool,
-    /// Gateways of a run with `--rolling`
+    /// Number of gateways with `--rolling`
     #[arg(long, default_value_t = 24)]
     gateways: usize,
-    /// Clients of a run with `--rolling`
+    /// Number of clients with `--rolling`
     #[arg(long, default_value_t = 48)]
     clients: usize,
-    /// With `--rolling`: owners of seats stand still as a runner of theirs leaves
+    /// With `--rolling`: pause the owner of a function while one of its runners drains
     #[arg(long)]
     aimed: bool,
-    /// Keep data and logs of a run with `--rolling` also where nothing was found
+    /// Keep data and logs of runs with `--rolling` even without findings
     #[arg(long)]
     keep: bool,
     /// The short form: fixed seeds, two at a time, then some with `--rolling`, then some with `--aimed`
@@ -59,17 +60,17 @@
 fn main() -> ExitCode {
     let mut flags = Flags::parse();
     start_disk_probe();
-    let broken = if flags.short {
+    let failed = if flags.short {
         flags.length = SHORT_LENGTH_S;
         flags.jobs = 2;
-        let broken = run_seeds(&flags, SHORT_SEEDS);
+        let failed = run_seeds(&flags, SHORT_SEEDS);
         flags.jobs = 1;
         flags.gateways = SHORT_ROLLING_GATEWAYS;
-        let broken = broken + run_rolling_seeds(&flags, SHORT_ROLLING_SEEDS);
+        let failed = failed + run_rolling_seeds(&flags, SHORT_ROLLING_SEEDS);
         flags.aimed = true;
         flags.jobs = 2;
         flags.gateways = SHORT_AIMED_GATEWAYS;
-        broken + run_rolling_seeds(&flags, SHORT_AIMED_SEEDS)
+        failed + run_rolling_seeds(&flags, SHORT_AIMED_SEEDS)
     } else {
         let seeds = flags.from..flags.from + flags.seeds;
         match flags.rolling {
@@ -77,10 +78,10 @@
             false => run_seeds(&flags, seeds),
         }
     };
-    ExitCode::from(u8::from(broken > 0))
+    ExitCode::from(u8::from(failed > 0))
 }
 
-/// Runs seeds in groups of as many as may run at a time, and prints each report. Returns how many had a finding.
+/// Runs seeds in groups of `jobs` and prints each report. Returns how many had findings.
 fn run_all<R: Send>(
     seeds: std::ops::Range<u64>,
     jobs: usize,
@@ -88,7 +89,7 @@
     print: impl Fn(&R) -> bool,
 ) -> usize {
     let seeds: Vec<u64> = seeds.collect();
-    let mut broken = 0;
+    let mut failed = 0;
     for group in seeds.chunks(jobs.max(1)) {
         let reports: Vec<R> = std::thread::scope(|scope| {
             let run = &run;
@@ -97,16 +98,18 @@
                 .map(|seed| scope.spawn(move || run(*seed)))
                 .collect();
             let ended = running.into_iter();
-            ended.map(|one| one.join().expect("a run ends")).collect()
+            ended
+                .map(|one| one.join().expect("a run does not panic"))
+                .collect()
         });
-        broken += reports.iter().filter(|report| print(report)).count();
+        failed += reports.iter().filter(|report| print(report)).count();
     }
-    println!("{} seeds, {broken} with a finding", seeds.len());
+    println!("{} seeds, {failed} with a finding", seeds.len());
     print_stalls();
-    broken
+    failed
 }
 
-/// The probe writes where the daemons do.
+/// Starts the disk probe in the folder that holds the daemons' data.
 fn start_disk_probe() {
     let folder = scratch();
     if std::fs::create_dir_all(&folder).is_ok() {
@@ -114,7 +117,7 @@
     }
 }
 
-/// Tells of times in which the disk beside the runs did not answer.
+/// Prints how often and how long the disk stalled.
 fn print_stalls() {
     let stalls = disk_probe::stalls();
     let longest = stalls.iter().map(Stall::duration).max();
--- a/tests/cluster/src/soak/disturbances.rs
+++ b/tests/cluster/src/soak/disturbances.rs
@@ -1,10 +1,11 @@
-//! When machines were started, stopped, frozen or woken, and which are in touch: rules that are bound to a time hold for these alone.
+//! Records when machines were started, stopped, suspended or resumed. Rules with a time limit apply only to gateways that are in
+//! touch.
 
 use super::fault::Target;
 use crate::disk_probe::Stall;
 use std::time::{Duration, Instant};
 
-/// Time without a disturbance of its own or of a controller after which a gateway is in touch.
+/// Time since the last disturbance of a gateway or of any controller after which the gateway is in touch.
 const IN_TOUCH: Duration = Duration::from_millis(2_000);
 
 /// The disturbances of a run, in order.
@@ -12,7 +13,7 @@
 pub struct Disturbances {
     of_controllers: Vec<Instant>,
     of_gateways: Vec<Vec<Instant>>,
-    /// While the disk stalls no controller can commit anything, so that none leads and no gateway is in touch.
+    /// During a disk stall no controller can commit, so none leads and no gateway is in touch.
     of_disk: Vec<Stall>,
 }
 
@@ -25,7 +26,7 @@
         }
     }
 
-    /// A machine is disturbed.
+    /// Records a disturbance of a machine.
     pub fn record(&mut self, target: Target, at: Instant) {
         match target {
             Target::Gateway(gateway) => self.of_gateways[gateway].push(at),
@@ -33,7 +34,7 @@
         }
     }
 
-    /// These, with the stalls of the disk that all controllers of a run share.
+    /// A copy with the stalls of the disk, which all controllers of a run share.
     pub fn with_stalls(&self, stalls: Vec<Stall>) -> Self {
         Self {
             of_disk: stalls,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Whether a gateway was in touch at a time.
+    /// Whether a gateway was in touch at a point in time.
     pub fn is_in_touch(&self, gateway: usize, at: Instant) -> bool {
         let is_calm = |disturbances: &[Instant]| {
             let last = disturbances.iter().rev().find(|time| **time <= at);
--- a/tests/cluster/src/soak/drains.rs
+++ b/tests/cluster/src/soak/drains.rs
@@ -1,4 +1,4 @@
-//! Judges DRAIN: a request that a machine in touch passes on does not reach a runner long after the platform's list said that it leaves.
+//! DRAIN check: a gateway in touch forwards no request to a runner that the platform has listed as draining for more than [`DRAIN`].
 
 use super::disturbances::Disturbances;
 use super::ledger::ClientRecord;
@@ -6,17 +6,17 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Bound of the settings files.
+/// `drain_ms` in the settings files.
 pub const DRAIN: Duration = Duration::from_millis(1_500);
 
-/// A runner that leaves, and since when the list says so.
+/// A draining runner, and since when the platform lists it as such.
 #[derive(Clone, Debug)]
 pub struct LeavingRunner {
     pub id: String,
     pub listed_at: Instant,
 }
 
-/// The requests that reached a leaving runner too late.
+/// Reports requests that reached a draining runner too late.
 pub fn judge(
     received: &[ReceivedRequest],
     requests: &[ClientRecord],
--- a/tests/cluster/src/soak/fault.rs
+++ b/tests/cluster/src/soak/fault.rs
@@ -1,8 +1,8 @@
-//! The faults of a soak.
+//! The kinds of faults of a soak.
 
 use std::fmt;
 
-/// Which machines of the cluster, by index.
+/// A machine of the cluster, by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     Gateway(usize),
@@ -18,10 +18,10 @@
     }
 }
 
-/// What goes wrong. A fault lasts for the time that its schedule says.
+/// A fault. Its duration is set by the schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// SIGKILL; the process is started again at the end.
+    /// SIGKILL; the process is restarted at the end.
     Kill(Target),
     /// SIGKILL of all controllers at once.
     KillControllers,
@@ -29,35 +29,35 @@
     KillGateways,
     /// SIGSTOP; SIGCONT at the end.
     Freeze(Target),
-    /// SIGTERM, then SIGKILL after the grace period; started again at the end.
+    /// SIGTERM, then SIGKILL after the grace period; restarted at the end.
     Terminate(Target),
     /// SIGTERM twice.
     TerminateTwice(Target),
-    /// The settings file is cut short and SIGHUP sent; at the end it is whole again, with another SIGHUP.
+    /// The settings file is truncated and SIGHUP sent; at the end it is restored, with another SIGHUP.
     TruncateSettings(Target),
-    /// The machine is cut off from all other daemons, both ways.
+    /// The machine is partitioned from all other daemons in both directions.
     Isolate(Target),
-    /// The machine hears others and is not heard.
+    /// Outgoing data of the machine is held back; incoming data still arrives.
     Mute(Target),
-    /// The machine is heard and hears nobody.
+    /// Incoming data of the machine is held back; outgoing data still arrives elsewhere.
     Deafen(Target),
-    /// All machines are cut into two halves.
+    /// The network is partitioned into two halves.
     Halve,
-    /// Bytes between daemons take a quarter of a second longer to and from the machine.
+    /// Data to and from the machine is delayed by 250 ms.
     Delay(Target),
-    /// All connections between daemons are reset at the beginning.
+    /// All connections between daemons are reset when the fault starts.
     ResetLinks,
-    /// SIGKILL, and the controller's disk is empty at its next start.
+    /// SIGKILL, and the controller's data is deleted before its next start.
     WipeDisk(usize),
-    /// The runner that was started first among those that run crashes at the beginning.
+    /// The oldest running runner crashes when the fault starts.
     CrashRunner,
-    /// The platform says that a runner leaves, which ends a while later.
+    /// The platform lists a runner as draining and stops it later.
     DrainRunner,
-    /// The platform answers no call.
+    /// The platform responds to no call.
     PlatformDown,
-    /// The platform answers 429 to every call.
+    /// The platform responds to every call with 429.
     PlatformRejects,
-    /// The platform starts runners and its answers are lost.
+    /// The platform executes calls but its responses are lost.
     PlatformLosesAnswers,
 }
 
--- a/tests/cluster/src/soak/jobs.rs
+++ b/tests/cluster/src/soak/jobs.rs
@@ -1,4 +1,4 @@
-//! Clients that send one job, under one idempotency key, through several gateways at once and again after a failure.
+//! Clients that submit a job with one idempotency key through several gateways at once, and resubmit it after a failure.
 
 use super::ledger::{JobCopy, JobRecord, Ledger};
 use super::tenants::STEADY;
@@ -11,22 +11,22 @@
 use std::time::Duration;
 
 const KEY: &str = "Idempotency-Key";
-/// Keeps this client's random numbers apart from those of the others.
+/// Gives these clients a different random sequence than the others.
 const SEED_OFFSET: u64 = 0x6a6f_6273;
-/// Times that a job is sent anew where no copy of it was answered.
+/// How many times a job is submitted until one of its copies succeeds.
 const ROUNDS_MAX: usize = 4;
 const SUCCESS: u16 = 200;
 
-/// Sends jobs until it is told to stop.
+/// Submits jobs until `is_over` is set.
 pub fn run(seed: u64, number: u64, gateways: &[SocketAddr], ledger: &Ledger, is_over: &AtomicBool) {
     let mut random = StdRng::seed_from_u64((seed ^ SEED_OFFSET).wrapping_add(number));
     let mut sent = 0;
     while !is_over.load(Ordering::SeqCst) {
         sent += 1;
-        // The first two clients are of different tenants and give their jobs the same names.
+        // The first two clients belong to different tenants and use the same idempotency keys.
         let client = JobClient {
             key: format!("job-{}-{sent}", number.max(1)),
-            ids: format!("job-{number}-{sent}"),
+            id_prefix: format!("job-{number}-{sent}"),
             credential: STEADY[number as usize % STEADY.len()].1,
         };
         let record = run_job(&client, &mut random, gateways, is_over);
@@ -35,11 +35,11 @@
     }
 }
 
-/// Who sends a job, and under which idempotency key.
+/// The idempotency key, request ids and credential of a job.
 struct JobClient {
     key: String,
-    /// What the ids of its requests begin with.
-    ids: String,
+    /// Prefix of the ids of its requests.
+    id_prefix: String,
     credential: &'static str,
 }
 
@@ -50,7 +50,7 @@
     is_over: &AtomicBool,
 ) -> JobRecord {
     let mut record = JobRecord {
-        key: client.ids.clone(),
+        key: client.id_prefix.clone(),
         copies: Vec::new(),
     };
     let work = random.random_range(0..120);
@@ -59,7 +59,7 @@
     for round in 0..ROUNDS_MAX {
         let copies: Vec<(ClientRequest, SocketAddr)> = (0..random.random_range(1..4))
             .map(|number| {
-                let id = format!("{}-{round}-{number}", client.ids);
+                let id = format!("{}-{round}-{number}", client.id_prefix);
                 let mut request = ClientRequest::get("/write/job", &id)
                     .post(client.key.as_bytes())
                     .with(KEY, &client.key)
@@ -73,18 +73,18 @@
             })
             .collect();
         record.copies.extend(send_copies(copies));
-        let is_answered = record
+        let has_succeeded = record
             .copies
             .iter()
             .any(|copy| copy.status == Some(SUCCESS));
-        if is_answered || is_over.load(Ordering::SeqCst) {
+        if has_succeeded || is_over.load(Ordering::SeqCst) {
             break;
         }
     }
     record
 }
 
-/// Sends copies of a job at the same time.
+/// Sends copies of a job concurrently.
 fn send_copies(copies: Vec<(ClientRequest, SocketAddr)>) -> Vec<JobCopy> {
     std::thread::scope(|scope| {
         let sent: Vec<_> = copies
@@ -92,7 +92,9 @@
             .map(|(request, gateway)| scope.spawn(move || send_copy(&request, gateway)))
             .collect();
         let ended = sent.into_iter();
-        ended.map(|one| one.join().expect("a copy ends")).collect()
+        ended
+            .map(|one| one.join().expect("a sender does not panic"))
+            .collect()
     })
 }
 
--- a/tests/cluster/src/soak/ledger.rs
+++ b/tests/cluster/src/soak/ledger.rs
@@ -1,27 +1,27 @@
-//! What clients and operators were answered.
+//! Record of the responses that clients and operators got.
 
 use serde_json::Value;
 use std::fmt;
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// How a client's request ended, as the client saw it.
+/// Outcome of a request as seen by the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// A whole response with this status.
+    /// A complete response with this status.
     Answered(u16),
-    /// A success that is not the runner's whole, sealed response to this request.
+    /// A success response without the seal or the body of this request; the text says which.
     WrongSuccess(String),
-    /// A response that bears the id of another request.
+    /// A response with the id of another request.
     AnotherRequests(String),
-    /// The connection ended or stayed silent without a whole response.
+    /// The connection closed or timed out without a complete response.
     Unanswered,
-    /// No connection came up.
+    /// No connection could be established.
     NotConnected,
 }
 
 impl ClientOutcome {
-    /// What a summary counts it as.
+    /// Label for summaries.
     pub fn label(&self) -> String {
         match self {
             Self::Answered(status) => status.to_string(),
@@ -33,17 +33,17 @@
     }
 }
 
-/// One request of a client.
+/// A request of a client and its outcome.
 #[derive(Clone, Debug)]
 pub struct ClientRecord {
     pub id: String,
     pub gateway: usize,
     pub target: String,
-    /// The key that it bears.
+    /// The API key that it carries.
     pub key: &'static str,
-    /// Whether it must run at most once.
+    /// Whether it may run at most once.
     pub at_most_once: bool,
-    /// Whether it asks its runner neither to fail nor to take longer than its route allows.
+    /// Whether it requests neither a runner fault nor work longer than its route's timeout.
     pub is_ordinary: bool,
     pub sent_at: Instant,
     pub ended_at: Instant,
@@ -61,16 +61,16 @@
     }
 }
 
-/// How an operator's change ended.
+/// Outcome of an operator's change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
     Acknowledged(Instant),
     Rejected(u16),
-    /// No clear answer came, however often it was sent.
+    /// No definite response, although it was resent.
     Unclear,
 }
 
-/// One configuration that an operator sent.
+/// A configuration that an operator sent.
 #[derive(Clone, Debug)]
 pub struct ChangeRecord {
     pub base: u64,
@@ -79,7 +79,7 @@
     pub outcome: ChangeOutcome,
 }
 
-/// A configuration that was read back with status 200.
+/// A configuration that was read with status 200.
 #[derive(Clone, Debug)]
 pub struct ReadRecord {
     pub controller: usize,
@@ -88,23 +88,23 @@
     pub document: Value,
 }
 
-/// One copy of a job, as its client sent it.
+/// One of the requests with which a client submitted a job.
 #[derive(Clone, Debug)]
 pub struct JobCopy {
     pub id: String,
-    /// None where no whole response came.
+    /// `None` if there was no complete response.
     pub status: Option<u16>,
     pub body: Vec<u8>,
 }
 
-/// All copies of one job, which have the same idempotency key.
+/// All copies of a job, which share an idempotency key.
 #[derive(Clone, Debug)]
 pub struct JobRecord {
     pub key: String,
     pub copies: Vec<JobCopy>,
 }
 
-/// All that clients and operators saw in a run.
+/// All responses that clients and operators got in a run.
 #[derive(Default)]
 pub struct Ledger {
     requests: Mutex<Vec<ClientRecord>>,
@@ -112,7 +112,7 @@
     changes: Mutex<Vec<ChangeRecord>>,
     reads: Mutex<Vec<ReadRecord>>,
     planned_from: Mutex<Option<Instant>>,
-    /// Gateways that were asked to stop as planned, and when.
+    /// Planned restarts: the gateway and when it was asked to stop.
     restarts: Mutex<Vec<(usize, Instant)>>,
 }
 
@@ -133,12 +133,12 @@
         self.reads.lock().unwrap().push(record);
     }
 
-    /// From now on nothing goes wrong but what operators plan.
+    /// Marks the start of planned work: no other faults occur from now on.
     pub fn begin_planned_work(&self) {
         *self.planned_from.lock().unwrap() = Some(Instant::now());
     }
 
-    /// A gateway is asked to stop, as planned.
+    /// Records that a gateway is asked to stop for a planned restart.
     pub fn record_restart(&self, gateway: usize) {
         self.restarts
             .lock()
@@ -146,7 +146,7 @@
             .push((gateway, Instant::now()));
     }
 
-    /// When a gateway was asked to stop last before a time, as planned.
+    /// When a gateway was last asked to stop for a planned restart, up to a point in time.
     pub fn restarted_before(&self, gateway: usize, at: Instant) -> Option<Instant> {
         let restarts = self.restarts.lock().unwrap();
         let mut of_gateway = restarts.iter().rev();
@@ -155,7 +155,7 @@
             .map(|(_, asked_at)| *asked_at)
     }
 
-    /// When planned work began, after which nothing else went wrong.
+    /// When planned work began; no other faults occurred after that.
     pub fn planned_from(&self) -> Option<Instant> {
         *self.planned_from.lock().unwrap()
     }
--- a/tests/cluster/src/soak/misbehaving.rs
+++ b/tests/cluster/src/soak/misbehaving.rs
@@ -1,4 +1,4 @@
-//! Clients that misbehave. What they are answered is not judged; what they cause elsewhere is.
+//! Misbehaving clients. Their responses are not checked, but their effects on runners and other clients are.
 
 use super::tenants::STEADY;
 use crate::client::{ClientRequest, Connection};
@@ -10,11 +10,11 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Keeps this client's random numbers apart from those of the others.
+/// Gives this client a different random sequence than the others.
 const SEED_OFFSET: u64 = 0x6d69_7362;
 const PIPELINED: usize = 6;
 
-/// Sends malformed, slow, cut off and unread requests until it is told to stop.
+/// Sends malformed, slow and truncated requests and leaves responses unread, until `is_over` is set.
 pub fn run(seed: u64, gateways: &[SocketAddr], is_over: &AtomicBool) {
     let mut random = StdRng::seed_from_u64(seed ^ SEED_OFFSET);
     let mut sent = 0;
@@ -36,7 +36,7 @@
         .with(SIZE, 5_000);
     let bytes = request.bytes();
     match kind {
-        // A head that comes byte by byte and stops.
+        // Request head sent byte by byte and then abandoned.
         0 => {
             for byte in &bytes[..bytes.len().min(30)] {
                 connection.send(&[*byte]);
@@ -44,7 +44,7 @@
             }
         }
         1 => reset_within_body(id, connection),
-        // Several requests at once, of whose responses none is read.
+        // Pipelined requests whose responses are not read.
         2 => {
             for number in 0..PIPELINED {
                 let id = format!("{id}-{number}");
@@ -57,7 +57,7 @@
             }
             std::thread::sleep(Duration::from_millis(100));
         }
-        // A request, and nothing more will come.
+        // A complete request followed by a half-close.
         3 => {
             connection.send(&bytes);
             let _ = connection.stream.shutdown(Shutdown::Write);
@@ -67,7 +67,7 @@
             connection.send(b"\x16\x03\x01 this is no request\r\n\r\n");
             connection.receive(Duration::from_secs(1));
         }
-        // Leaves while a runner works.
+        // Disconnects while a runner processes the request.
         5 => {
             connection.send(
                 &ClientRequest::get("/write/x", id)
@@ -78,7 +78,7 @@
             );
             std::thread::sleep(Duration::from_millis(30));
         }
-        // Connects and says nothing.
+        // Connects and sends nothing.
         _ => std::thread::sleep(Duration::from_millis(150)),
     }
 }
--- a/tests/cluster/src/soak/mod.rs
+++ b/tests/cluster/src/soak/mod.rs
@@ -1,8 +1,8 @@
-//! A soak of the daemons: seeded faults that overlap in time, traffic and operators' commands meanwhile, and a judgement by what the runners
-//! received and what clients and operators were answered.
+//! Soak test of the daemons: seeded, overlapping faults under traffic and operator commands, checked against the requests that
+//! runners received and the responses that clients and operators got.
 //!
-//! A seed gives one schedule of faults and one sequence of requests. The schedule is printed and can be repeated; the real times of a run
-//! differ a little, as the processes and sockets are real.
+//! A seed determines the schedule of faults and the sequence of requests. The schedule is printed and reproducible; actual times
+//! vary slightly because processes and sockets are real.
 
 mod calm;
 pub mod disturbances;
--- a/tests/cluster/src/soak/operators.rs
+++ b/tests/cluster/src/soak/operators.rs
@@ -1,4 +1,4 @@
-//! An operator who changes the configuration and evacuates zones, sometimes twice at once, and a reader at any controller.
+//! Operators that change the configuration (sometimes concurrently) and evacuate zones, and a reader of the configuration.
 
 use super::ledger::{ChangeOutcome, ChangeRecord, Ledger, ReadRecord};
 use super::tenants::add_tenants;
@@ -12,24 +12,24 @@
 
 const REPLACE: (&str, &str) = ("POST", "/v1/Config.Replace");
 const READ: (&str, &str) = ("GET", "/v1/Config.Read");
-/// Longest time for which a change is sent again while it gets no clear answer.
-const RESEND_FOR: Duration = Duration::from_secs(4);
+/// How long a change is resent while it gets no definite response.
+const RESEND_TIMEOUT: Duration = Duration::from_secs(4);
 const RESEND_PAUSE: Duration = Duration::from_millis(60);
-/// Version of the configuration that a run begins with.
+/// Version of the first configuration of a run.
 pub const FIRST_VERSION: u64 = 1;
 const READ_SEED: u64 = 0x7265_6164;
-/// Distance between the seeds of two operators of one run.
-const OPERATOR_SEEDS: u64 = 77;
+/// Difference between the seeds of two operators of a run.
+const OPERATOR_SEED_STRIDE: u64 = 77;
 const CHANGE_SEED: u64 = 0x6368_616e;
 
-/// One operator, who knows the newest configuration as far as it was answered.
+/// An operator, which tracks the newest configuration version that it has seen.
 pub struct Operator<'a> {
     random: StdRng,
     controllers: &'a [SocketAddr],
     ledger: &'a Ledger,
     version: u64,
     changes: u64,
-    /// Tells its documents from those of other operators.
+    /// Distinguishes its documents from those of other operators.
     number: u64,
     base_configuration: fn(u64) -> Value,
     seed: u64,
@@ -37,14 +37,14 @@
 }
 
 impl<'a> Operator<'a> {
-    /// An operator whose first configuration was taken. All others are the base configuration with some routes more.
+    /// Creates an operator after the first configuration was accepted. Later ones are the base configuration with added routes.
     pub fn new(
         (seed, number): (u64, u64),
         controllers: &'a [SocketAddr],
         ledger: &'a Ledger,
         base_configuration: fn(u64) -> Value,
     ) -> Self {
-        let own_seed = seed.wrapping_add(number * OPERATOR_SEEDS);
+        let own_seed = seed.wrapping_add(number * OPERATOR_SEED_STRIDE);
         Self {
             seed,
             began_at: Instant::now(),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Changes the configuration until it is told to stop.
+    /// Changes the configuration until `is_over` is set.
     pub fn run(&mut self, is_over: &AtomicBool) {
         while !is_over.load(Ordering::SeqCst) {
             let step = self.random.random_range(1..5);
@@ -87,7 +87,7 @@
         document
     }
 
-    /// Sends one change until its answer is clear; where it never is, learns what is in place.
+    /// Sends a change until it gets a definite response. If it is not acknowledged, reads the current version.
     fn change(&mut self, document: &Value, is_over: &AtomicBool) {
         let (base, version) = (self.version, version_of(document));
         let outcome = send_change(self.controllers, base, document, &mut self.random, is_over);
@@ -99,11 +99,11 @@
         });
         match outcome {
             ChangeOutcome::Acknowledged(_) => self.version = version,
-            ChangeOutcome::Rejected(_) | ChangeOutcome::Unclear => self.learn_version(is_over),
+            ChangeOutcome::Rejected(_) | ChangeOutcome::Unclear => self.refresh_version(is_over),
         }
     }
 
-    /// Two different changes on one base at the same time, perhaps under one number.
+    /// Sends two different changes on the same base concurrently, sometimes with the same version.
     fn race(&mut self, step: u64, is_over: &AtomicBool) {
         let one = self.next_document(step);
         let other_step = step + u64::from(self.random.random_bool(0.5));
@@ -118,7 +118,7 @@
             };
             let first = scope.spawn(move || send(first_document, seed));
             let second = send(&other, seed.wrapping_add(1));
-            [first.join().expect("a sender ends"), second]
+            [first.join().expect("a sender does not panic"), second]
         });
         for (document, outcome) in [one, other].into_iter().zip(outcomes) {
             let version = version_of(&document);
@@ -129,10 +129,10 @@
                 outcome,
             });
         }
-        self.learn_version(is_over);
+        self.refresh_version(is_over);
     }
 
-    fn learn_version(&mut self, is_over: &AtomicBool) {
+    fn refresh_version(&mut self, is_over: &AtomicBool) {
         while !is_over.load(Ordering::SeqCst) {
             let controller = self.random.random_range(0..self.controllers.len());
             if let Some(document) = read(self.controllers[controller]) {
@@ -152,8 +152,8 @@
 
     fn send_evacuation(&mut self, verb: &str, zone: &str, is_over: &AtomicBool) {
         let target = format!("/v1/Evacuation.{verb}/{zone}");
-        let until = Instant::now() + RESEND_FOR;
-        while Instant::now() < until && !is_over.load(Ordering::SeqCst) {
+        let deadline = Instant::now() + RESEND_TIMEOUT;
+        while Instant::now() < deadline && !is_over.load(Ordering::SeqCst) {
             let controller = self.random.random_range(0..self.controllers.len());
             let response = call_following_redirects(
                 self.controllers[controller],
@@ -169,7 +169,7 @@
     }
 }
 
-/// Reads the configuration at one controller after the other, and records what is answered.
+/// Reads the configuration at random controllers and records each result.
 pub fn run_reader(seed: u64, controllers: &[SocketAddr], ledger: &Ledger, is_over: &AtomicBool) {
     let mut random = StdRng::seed_from_u64(seed ^ READ_SEED);
     while !is_over.load(Ordering::SeqCst) {
@@ -187,7 +187,7 @@
     }
 }
 
-/// The configuration as one controller answers it itself.
+/// The configuration as returned by one controller, without following redirects.
 pub fn read(controller: SocketAddr) -> Option<Value> {
     let (status, body) = call(controller, READ.0, READ.1, None, b"")?;
     let document = serde_json::from_slice(&body).ok();
@@ -198,7 +198,7 @@
     document["version"].as_u64().unwrap_or(0)
 }
 
-/// Sends a change as it is, to any controller, until an answer is clear.
+/// Sends a change unmodified to random controllers until it gets a definite response.
 fn send_change(
     controllers: &[SocketAddr],
     base: u64,
@@ -207,8 +207,8 @@
     is_over: &AtomicBool,
 ) -> ChangeOutcome {
     let body = document.to_string();
-    let until = Instant::now() + RESEND_FOR;
-    while Instant::now() < until && !is_over.load(Ordering::SeqCst) {
+    let deadline = Instant::now() + RESEND_TIMEOUT;
+    while Instant::now() < deadline && !is_over.load(Ordering::SeqCst) {
         let controller = controllers[random.random_range(0..controllers.len())];
         let response = call_following_redirects(controller, REPLACE, Some(base), body.as_bytes());
         match response.map(|response| response.status) {
--- a/tests/cluster/src/soak/planned_work.rs
+++ b/tests/cluster/src/soak/planned_work.rs
@@ -1,23 +1,23 @@
-//! What operators plan, while nothing else goes wrong: gateways that are stopped and started in turn, and settings that change.
+//! Planned operator work without other faults: gateway restarts in turn and settings reloads.
 
 use super::injector::Injector;
 use super::ledger::Ledger;
 use std::time::{Duration, Instant};
 
-/// Time without a fault after which daemons are in touch.
+/// Time without faults after which daemons are in touch.
 const IN_TOUCH: Duration = Duration::from_millis(2_500);
-/// Time between two acts.
+/// Time after each reload or restart.
 const PAUSE: Duration = Duration::from_millis(900);
-/// Longest time that a restarted gateway may take to be ready.
-const READY_WITHIN: Duration = Duration::from_secs(8);
-/// Gateways that are restarted in a run.
+/// Longest time until a restarted gateway must be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(8);
+/// Number of gateways restarted in a run.
 const RESTARTS: usize = 2;
 const SUPERVISION_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Heals all, waits until daemons are in touch, and restarts some gateways, which the seed chooses, under traffic.
+/// Heals all faults, waits until daemons are in touch, then restarts and reloads gateways chosen by the seed, under traffic.
 pub fn run(injector: &mut Injector, seed: u64, ledger: &Ledger) {
     injector.heal();
-    if !wait_whole(injector) {
+    if !wait_all_ready(injector) {
         return;
     }
     supervise_for(injector, IN_TOUCH);
@@ -31,18 +31,18 @@
         ledger.record_restart(restarted);
         injector.restart_gateway(restarted);
         supervise_for(injector, PAUSE);
-        if !wait_whole(injector) {
+        if !wait_all_ready(injector) {
             return;
         }
     }
 }
 
-/// Waits until all daemons run and all gateways are ready; whether they are.
-fn wait_whole(injector: &mut Injector) -> bool {
-    let until = Instant::now() + READY_WITHIN;
-    while Instant::now() < until {
+/// Waits until all daemons run and all gateways are ready. Returns false on a timeout.
+fn wait_all_ready(injector: &mut Injector) -> bool {
+    let deadline = Instant::now() + READY_TIMEOUT;
+    while Instant::now() < deadline {
         injector.supervise();
-        if injector.is_whole() && is_ready(injector) {
+        if injector.is_whole() && are_gateways_ready(injector) {
             return true;
         }
         std::thread::sleep(SUPERVISION_INTERVAL);
@@ -50,15 +50,15 @@
     false
 }
 
-fn is_ready(injector: &Injector) -> bool {
+fn are_gateways_ready(injector: &Injector) -> bool {
     let cluster = &injector.cluster;
     let mut gateways = cluster.gateways.iter();
     gateways.all(|gateway| cluster.readiness(gateway) == Some(200))
 }
 
 fn supervise_for(injector: &mut Injector, time: Duration) {
-    let until = Instant::now() + time;
-    while Instant::now() < until {
+    let deadline = Instant::now() + time;
+    while Instant::now() < deadline {
         injector.supervise();
         std::thread::sleep(SUPERVISION_INTERVAL);
     }
--- a/tests/cluster/src/soak/schedule.rs
+++ b/tests/cluster/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! Which faults happen when, drawn from a seed.
+//! Fault schedule generated from a seed.
 
 use super::fault::{Fault, Target};
 use rand::rngs::StdRng;
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 /// Time before the first fault.
-const QUIET: Duration = Duration::from_millis(1_000);
-/// Shortest and longest time that a fault lasts, in milliseconds.
-const LASTS_MS: std::ops::Range<u64> = 300..6_000;
-/// Mean time between the beginnings of two faults, so that two or three overlap.
+const INITIAL_DELAY: Duration = Duration::from_millis(1_000);
+/// Range of fault durations in milliseconds.
+const DURATION_MS: std::ops::Range<u64> = 300..6_000;
+/// Mean time between the starts of two faults, chosen so that two or three overlap.
 const MEAN_GAP_MS: u64 = 1_100;
 
-/// One fault with its times since the start of the traffic.
+/// A fault with its start and end time, relative to the start of the traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScheduledFault {
     pub fault: Fault,
@@ -21,7 +21,7 @@
     pub ends: Duration,
 }
 
-/// The faults of one seed, in the order of their beginnings.
+/// The faults of one seed, ordered by start time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Schedule {
     pub seed: u64,
@@ -30,20 +30,20 @@
 }
 
 impl Schedule {
-    /// Draws the faults of a run of this length for a cluster of so many gateways and controllers. One disk is lost at most.
+    /// Generates the faults of a run for a cluster of this size. At most one disk is wiped.
     pub fn draw(seed: u64, length: Duration, gateways: usize, controllers: usize) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let mut faults = Vec::new();
-        let mut begins = QUIET;
-        let mut has_wiped = false;
+        let mut begins = INITIAL_DELAY;
+        let mut has_wipe = false;
         while begins < length {
             let mut fault = draw_fault(&mut random, gateways, controllers);
             let is_wipe = matches!(fault, Fault::WipeDisk(_));
-            if is_wipe && std::mem::replace(&mut has_wiped, true) {
+            if is_wipe && std::mem::replace(&mut has_wipe, true) {
                 fault = Fault::ResetLinks;
             }
-            let lasts = Duration::from_millis(random.random_range(LASTS_MS));
-            let ends = (begins + lasts).min(length);
+            let duration = Duration::from_millis(random.random_range(DURATION_MS));
+            let ends = (begins + duration).min(length);
             faults.push(ScheduledFault {
                 fault,
                 begins,
--- a/tests/cluster/tests/disk_probe.rs
+++ b/tests/cluster/tests/disk_probe.rs
@@ -1,4 +1,4 @@
-//! What a stall of the disk does to the time limits of a soak.
+//! Effect of a disk stall on the time limits of a soak.
 
 use cluster::disk_probe::{self, Deadline, Stall};
 use cluster::soak::disturbances::Disturbances;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn no_gateway_is_in_touch_while_the_disk_stalls_and_shortly_after() {
+fn no_gateway_is_in_touch_during_and_shortly_after_a_disk_stall() {
     let began_at = Instant::now();
     let stall = Stall {
         began_at,
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_stall_excuses_no_gateway_at_other_times() {
+fn a_stall_does_not_affect_gateways_at_other_times() {
     let began_at = Instant::now();
     let mut disturbances = Disturbances::new(1);
     disturbances.record(Target::Gateway(GATEWAY), began_at + seconds(10));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_limit_counts_all_time_where_the_disk_does_not_stall() {
+fn a_deadline_counts_all_time_without_a_disk_stall() {
     assert!(Deadline::after(Duration::ZERO).is_over());
     let deadline = Deadline::after(Duration::from_millis(20));
     std::thread::sleep(Duration::from_millis(25));
--- a/tests/cluster/tests/limits.rs
+++ b/tests/cluster/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The soak's judgement of requests that runners reject as over their concurrency.
+//! The soak's check of requests that runners reject because they are at their concurrency limit.
 
 use cluster::request_log::{ReceivedRequest, RequestOutcome};
 use cluster::soak::limits::{judge, REJECTIONS_MAX, WINDOW};
@@ -20,7 +20,7 @@
     }
 }
 
-/// So many rejections, evenly over a time.
+/// `count` rejections of a service, evenly spaced over a duration.
 fn rejections(service: &str, count: usize, from: Instant, over: Duration) -> Vec<ReceivedRequest> {
     let step = over / count as u32;
     let times = (0..count as u32).map(|number| from + step * number);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn more_rejections_of_one_service_than_allowed_within_a_window_are_told() {
+fn too_many_rejections_of_one_service_within_a_window_are_reported() {
     let from = Instant::now();
     let many = rejections("stamp", REJECTIONS_MAX + 1, from, WINDOW);
     assert_eq!(judge(&many, from).len(), 1);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn rejections_of_other_services_windows_kinds_and_times_do_not_add_up() {
+fn rejections_of_other_services_windows_kinds_and_times_are_not_added_up() {
     let from = Instant::now();
     let mut all = rejections("stamp", REJECTIONS_MAX, from, WINDOW);
     all.extend(rejections("count", REJECTIONS_MAX, from, WINDOW));
--- a/tests/cluster/tests/tenants.rs
+++ b/tests/cluster/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! What the soak takes for a broken promise about keys, and what it leaves out.
+//! Which uses of API keys the soak reports as violations and which it accepts.
 
 use cluster::request_log::{ReceivedRequest, RequestOutcome};
 use cluster::soak::ledger::{ChangeOutcome, ChangeRecord, ClientOutcome, ClientRecord, Ledger};
@@ -6,14 +6,14 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// Longer than the bound within which an acknowledged change is in force.
-const AFTER_THE_BOUND: Duration = Duration::from_secs(3);
+/// Longer than the limit within which an acknowledged change must be in force.
+const AFTER_THE_LIMIT: Duration = Duration::from_secs(3);
 
 fn document(version: u64, tenants: Value) -> Value {
     json!({ "version": version, "tenants": tenants })
 }
 
-/// Version 1 gives the first changing key to the first tenant, version 2 takes it away.
+/// Version 1 gives the first changing key to the first tenant, version 2 removes it.
 fn history(outcome: ChangeOutcome) -> KeyHistory {
     let (tenant, steady) = STEADY[0];
     let first = document(
@@ -62,51 +62,51 @@
     }
 }
 
-/// The names of the rules that are broken.
-fn broken(
+/// The names of the violated rules.
+fn violated_rules(
     history: &KeyHistory,
     request: ClientRecord,
     runs: &[ReceivedRequest],
     in_touch: bool,
 ) -> Vec<String> {
-    let told = judge(history, &[request], runs, |_, _| in_touch);
-    let rules = told.iter().filter_map(|text| text.split(':').next());
+    let findings = judge(history, &[request], runs, |_, _| in_touch);
+    let rules = findings.iter().filter_map(|text| text.split(':').next());
     rules.map(str::to_string).collect()
 }
 
 #[test]
-fn a_run_with_a_key_that_was_taken_away_breaks_config_once_it_must_be_in_force() {
+fn a_run_with_a_removed_key_violates_config_once_the_removal_must_be_in_force() {
     let now = Instant::now();
     let tenant = STEADY[0].0;
-    let taken_away = history(ChangeOutcome::Acknowledged(now));
+    let key_removed = history(ChangeOutcome::Acknowledged(now));
     let ran = |sent_at: Instant| [run(&[tenant], &[], sent_at)];
-    let late = now + AFTER_THE_BOUND;
+    let late = now + AFTER_THE_LIMIT;
     let request_at = |sent_at| request(CHANGING[0], sent_at, 200);
     assert_eq!(
-        broken(&taken_away, request_at(late), &ran(late), true),
+        violated_rules(&key_removed, request_at(late), &ran(late), true),
         ["CONFIG"]
     );
-    assert!(broken(&taken_away, request_at(late), &ran(late), false).is_empty());
-    assert!(broken(&taken_away, request_at(now), &ran(now), true).is_empty());
+    assert!(violated_rules(&key_removed, request_at(late), &ran(late), false).is_empty());
+    assert!(violated_rules(&key_removed, request_at(now), &ran(now), true).is_empty());
     let unclear = history(ChangeOutcome::Unclear);
-    assert!(broken(&unclear, request_at(late), &ran(late), true).is_empty());
+    assert!(violated_rules(&unclear, request_at(late), &ran(late), true).is_empty());
 }
 
 #[test]
-fn a_refusal_needs_a_version_without_the_key() {
+fn a_401_is_a_violation_unless_some_version_lacks_the_key() {
     let now = Instant::now();
-    let late = now + AFTER_THE_BOUND;
-    let taken_away = history(ChangeOutcome::Acknowledged(now));
-    assert!(broken(&taken_away, request(CHANGING[0], late, 401), &[], true).is_empty());
+    let late = now + AFTER_THE_LIMIT;
+    let key_removed = history(ChangeOutcome::Acknowledged(now));
+    assert!(violated_rules(&key_removed, request(CHANGING[0], late, 401), &[], true).is_empty());
     let steady = request(STEADY[0].1, late, 401);
-    assert_eq!(broken(&taken_away, steady, &[], false), ["DENIED"]);
+    assert_eq!(violated_rules(&key_removed, steady, &[], false), ["DENIED"]);
     let rejected = history(ChangeOutcome::Rejected(412));
     let refused = request(CHANGING[0], late, 401);
-    assert_eq!(broken(&rejected, refused, &[], true), ["DENIED"]);
+    assert_eq!(violated_rules(&rejected, refused, &[], true), ["DENIED"]);
 }
 
 #[test]
-fn keys_at_runners_wrong_tenants_and_invented_keys_are_told_at_any_time() {
+fn forwarded_keys_wrong_tenants_and_invented_keys_are_always_reported() {
     let now = Instant::now();
     let history = history(ChangeOutcome::Acknowledged(now));
     let (tenant, steady) = STEADY[0];
@@ -119,15 +119,15 @@
     ];
     for (key, tenants, keys, rule) in cases {
         let runs = [run(tenants, keys, now)];
-        let told = broken(&history, request(key, now, 200), &runs, false);
-        assert_eq!(told, [rule], "{key} {tenants:?} {keys:?}");
+        let findings = violated_rules(&history, request(key, now, 200), &runs, false);
+        assert_eq!(findings, [rule], "{key} {tenants:?} {keys:?}");
     }
     let fine = [run(&[tenant], &[], now)];
-    assert!(broken(&history, request(steady, now, 200), &fine, true).is_empty());
+    assert!(violated_rules(&history, request(steady, now, 200), &fine, true).is_empty());
 }
 
 #[test]
-fn drawn_tenants_hold_the_steady_keys_and_never_the_invented_one() {
+fn random_tenants_have_the_steady_keys_and_never_the_invented_one() {
     let mut differing = 0;
     let mut last = Value::Null;
     for version in 1..60 {
@@ -139,5 +139,5 @@
         differing += usize::from(drawn["tenants"] != last);
         last = drawn["tenants"].take();
     }
-    assert!(differing > 15, "keys came and went {differing} times");
+    assert!(differing > 15, "keys changed {differing} times");
 }
