--- a/tests/cluster/src/bin/hallkeel-soak.rs
+++ b/tests/cluster/src/bin/hallkeel-soak.rs
@@ -143,7 +143,7 @@
             length: Duration::from_secs(flags.length),
             gateways: flags.gateways,
             clients: flags.clients,
-            aims_at_owners: flags.aimed,
+            pauses_owners: flags.aimed,
             keeps_folder: flags.keep,
         })
     };
@@ -165,7 +165,7 @@
         report.series.steps.len(),
         report.requests,
         outcomes.join(", "),
-        report.leaving_runners,
+        report.draining_runners,
         report.changes,
         report.findings.len()
     );
--- a/tests/cluster/src/runner_script.rs
+++ b/tests/cluster/src/runner_script.rs
@@ -10,7 +10,7 @@
 pub const BYTES: &str = "X-Bytes";
 /// Header with what the runner does after writing the bytes: the name of a variant of [`Then`].
 pub const THEN: &str = "X-Then";
-/// Header with more bytes, in hexadecimal, that the runner writes after [`LATER_DELAY`] if the connection stays open.
+/// Header with more bytes, in hexadecimal, that the runner writes 4 ms later if the connection stays open.
 pub const LATER: &str = "X-Later";
 
 const LATER_DELAY: Duration = Duration::from_millis(4);
--- a/tests/cluster/src/soak/drains.rs
+++ b/tests/cluster/src/soak/drains.rs
@@ -1,4 +1,4 @@
-//! DRAIN check: a gateway in touch forwards no request to a runner that the platform has listed as draining for more than [`DRAIN`].
+//! DRAIN check: a gateway in touch forwards no request to a runner that has been listed as draining for more than [`DRAIN`].
 
 use super::disturbances::Disturbances;
 use super::ledger::ClientRecord;
@@ -11,19 +11,19 @@
 
 /// A draining runner, and since when the platform lists it as such.
 #[derive(Clone, Debug)]
-pub struct LeavingRunner {
+pub struct DrainingRunner {
     pub id: String,
     pub listed_at: Instant,
 }
 
 /// Reports requests that reached a draining runner too late.
-pub fn judge(
+pub fn check(
     received: &[ReceivedRequest],
     requests: &[ClientRecord],
-    leaving: &[LeavingRunner],
+    draining: &[DrainingRunner],
     disturbances: &Disturbances,
 ) -> Vec<String> {
-    let listed_at: HashMap<&str, Instant> = leaving
+    let listed_at: HashMap<&str, Instant> = draining
         .iter()
         .map(|runner| (runner.id.as_str(), runner.listed_at))
         .collect();
@@ -47,7 +47,7 @@
         if disturbances.is_in_touch(request.gateway, one.at) {
             let (runner, function) = (&one.runner, &one.service);
             late.push(format!(
-                "DRAIN: {after:?} after {runner} of {function} was listed as leaving: {request}"
+                "DRAIN: {after:?} after {runner} of {function} was listed as draining: {request}"
             ));
         }
     }
--- a/tests/cluster/src/soak/fault.rs
+++ b/tests/cluster/src/soak/fault.rs
@@ -39,7 +39,7 @@
     Isolate(Target),
     /// Outgoing data of the machine is held back; incoming data still arrives.
     Mute(Target),
-    /// Incoming data of the machine is held back; outgoing data still arrives elsewhere.
+    /// Incoming data of the machine is held back; outgoing data still arrives.
     Deafen(Target),
     /// The network is partitioned into two halves.
     Halve,
--- a/tests/cluster/src/soak/injector.rs
+++ b/tests/cluster/src/soak/injector.rs
@@ -1,4 +1,4 @@
-//! Carries faults out on the cluster, and starts processes again that ended as they were meant to.
+//! Injects faults into the cluster and restarts processes that were stopped or killed.
 
 use super::disturbances::Disturbances;
 use super::fault::{Fault, Target};
@@ -11,33 +11,33 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Time for which processes are down that are all killed at once, at most.
-const HERD_DOWN_MAX: Duration = Duration::from_millis(900);
+/// Longest downtime of processes that are all killed at once.
+const MASS_KILL_DOWN_MAX: Duration = Duration::from_millis(900);
 const DELAY: Duration = Duration::from_millis(250);
-/// Time from the platform's word that a runner leaves until it ends.
-const RUNNER_DRAINS_FOR: Duration = Duration::from_millis(2_500);
-/// Time after the grace period by which a process that was asked to stop must have ended.
+/// Time from when the platform lists a runner as draining until it stops.
+const RUNNER_DRAIN_TIME: Duration = Duration::from_millis(2_500);
+/// Extra time after the grace period within which a process that was asked to stop must have exited.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
 
-/// What is meant to happen with the process of one machine.
+/// Expected state of one machine's process.
 #[derive(Default)]
 struct Intent {
-    /// It is down, and starts again then.
+    /// When to start the process again if it is down.
     restart_at: Option<Instant>,
-    /// It was asked to stop.
+    /// When the process was asked to stop.
     terminated_at: Option<Instant>,
     is_frozen: bool,
-    /// It has ended, and the system holds it.
-    is_held: bool,
-    /// Its disk is emptied before the next start.
+    /// The process has exited except for threads stuck in the kernel, and this was logged.
+    is_stuck: bool,
+    /// The data folder is deleted before the next start.
     loses_disk: bool,
 }
 
-/// The cluster under faults.
+/// Injects faults into a cluster and supervises its processes.
 pub struct Injector {
     pub cluster: SimulatedCluster,
     intents: Vec<Intent>,
-    /// What broke that no fault explains.
+    /// Failures that no injected fault explains.
     pub findings: Vec<String>,
     disturbances: Disturbances,
 }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// When machines were started, stopped, frozen or woken.
+    /// When machines were started, stopped, suspended or resumed.
     pub fn disturbances(&self) -> &Disturbances {
         &self.disturbances
     }
@@ -84,7 +84,7 @@
         }
     }
 
-    fn names(&self) -> Vec<String> {
+    fn machine_names(&self) -> Vec<String> {
         let daemons = self
             .cluster
             .controllers
@@ -93,15 +93,15 @@
         daemons.map(|daemon| daemon.name.clone()).collect()
     }
 
-    /// A fault begins.
+    /// Starts a fault.
     pub fn begin(&mut self, scheduled: &ScheduledFault) {
-        let lasts = scheduled.ends - scheduled.begins;
-        let ends_at = Instant::now() + lasts;
+        let duration = scheduled.ends - scheduled.begins;
+        let ends_at = Instant::now() + duration;
         match scheduled.fault {
             Fault::Kill(target) => self.kill(self.index(target), ends_at),
-            Fault::KillControllers => self.kill_all(0..self.cluster.controllers.len(), lasts),
+            Fault::KillControllers => self.kill_all(0..self.cluster.controllers.len(), duration),
             Fault::KillGateways => {
-                self.kill_all(self.cluster.controllers.len()..self.intents.len(), lasts);
+                self.kill_all(self.cluster.controllers.len()..self.intents.len(), duration);
             }
             Fault::WipeDisk(index) => {
                 self.intents[index].loses_disk = true;
@@ -116,7 +116,7 @@
             Fault::TruncateSettings(target) => self.truncate_settings(self.index(target)),
             Fault::ResetLinks => self.cluster.network.reset_connections(),
             Fault::CrashRunner => self.cluster.platform.crash_one(),
-            Fault::DrainRunner => self.cluster.platform.drain_one(RUNNER_DRAINS_FOR),
+            Fault::DrainRunner => self.cluster.platform.drain_one(RUNNER_DRAIN_TIME),
             Fault::PlatformDown => self.cluster.platform.set_fault(ApiFault::Down),
             Fault::PlatformRejects => self.cluster.platform.set_fault(ApiFault::Rejects),
             Fault::PlatformLosesAnswers => {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// A fault ends.
+    /// Ends a fault.
     pub fn end(&mut self, scheduled: &ScheduledFault) {
         match scheduled.fault {
             Fault::Freeze(target) => self.unfreeze(self.index(target)),
@@ -147,8 +147,8 @@
         }
     }
 
-    fn kill_all(&mut self, machines: std::ops::Range<usize>, lasts: Duration) {
-        let ends_at = Instant::now() + lasts.min(HERD_DOWN_MAX);
+    fn kill_all(&mut self, machines: std::ops::Range<usize>, duration: Duration) {
+        let ends_at = Instant::now() + duration.min(MASS_KILL_DOWN_MAX);
         for machine in machines {
             self.kill(machine, ends_at);
         }
@@ -175,7 +175,7 @@
         if std::mem::take(&mut self.intents[machine].is_frozen) && self.daemon(machine).runs() {
             self.record_disturbance(machine);
             self.daemon(machine).unfreeze();
-            // A frozen process does not hear that it is to stop; its grace counts from here.
+            // A suspended process does not receive SIGTERM, so its grace period starts now.
             if let Some(at) = self.intents[machine].terminated_at.as_mut() {
                 *at = Instant::now();
             }
@@ -192,12 +192,12 @@
         }
     }
 
-    /// Asks a gateway to stop, as operators do; it starts again once it has ended.
+    /// Asks a gateway to stop, as an operator would; it is started again once it has exited.
     pub fn restart_gateway(&mut self, gateway: usize) {
         self.terminate(self.index(Target::Gateway(gateway)), Instant::now());
     }
 
-    /// Ends a gateway at once; it starts again after so long.
+    /// Kills a gateway; it is started again after `down_for`.
     pub fn kill_gateway(&mut self, gateway: usize, down_for: Duration) {
         self.kill(
             self.index(Target::Gateway(gateway)),
@@ -205,28 +205,28 @@
         );
     }
 
-    /// Asks a controller to stop; it starts again once it has ended.
+    /// Asks a controller to stop; it is started again once it has exited.
     pub fn restart_controller(&mut self, controller: usize) {
         self.terminate(controller, Instant::now());
     }
 
-    /// Whether a daemon runs and was not asked to stop.
+    /// Whether a daemon is running and was not asked to stop.
     pub fn is_serving(&mut self, target: Target) -> bool {
         let machine = self.index(target);
         self.daemon(machine).runs() && self.intents[machine].terminated_at.is_none()
     }
 
-    /// A gateway's process stands still.
+    /// Suspends a gateway's process.
     pub fn pause_gateway(&mut self, gateway: usize) {
         self.freeze(self.index(Target::Gateway(gateway)));
     }
 
-    /// It goes on.
+    /// Resumes a gateway's process.
     pub fn resume_gateway(&mut self, gateway: usize) {
         self.unfreeze(self.index(Target::Gateway(gateway)));
     }
 
-    /// Tells a gateway that its settings have changed.
+    /// Rewrites a gateway's settings and makes it reload them.
     pub fn reload_gateway(&mut self, gateway: usize) {
         self.restore_settings(self.index(Target::Gateway(gateway)));
     }
@@ -259,20 +259,20 @@
         self.cluster.network.delay(&directions, delay);
     }
 
-    /// The directions between machines that a fault concerns.
+    /// The directions between machines that a network fault affects.
     fn directions(&self, fault: Fault) -> BTreeSet<Direction> {
-        let names = self.names();
-        let pairs = names.iter().flat_map(|from| {
-            let names = names.iter();
-            names.map(move |to| (from, to))
+        let machine_names = self.machine_names();
+        let pairs = machine_names.iter().flat_map(|from| {
+            let machine_names = machine_names.iter();
+            machine_names.map(move |to| (from, to))
         });
-        let concerned = pairs.filter(|(from, to)| from != to && concerns(fault, from, to));
-        concerned
+        let affected = pairs.filter(|(from, to)| from != to && affects(fault, from, to));
+        affected
             .map(|(from, to)| Direction::new(from, to))
             .collect()
     }
 
-    /// Starts what is due to start, kills what overruns its grace period, and notes what ended by itself.
+    /// Starts processes that are due, kills those that overrun their grace period, and reports those that exited unexpectedly.
     pub fn supervise(&mut self) {
         for machine in 0..self.intents.len() {
             self.supervise_machine(machine);
@@ -288,14 +288,14 @@
             let was_asked = self.intents[machine].terminated_at.take().is_some();
             if !was_asked || !status.success() {
                 let tail = self.daemon(machine).log_tail();
-                let finding = format!("{name} ended by itself: {status}\n{tail}");
+                let finding = format!("{name} exited unexpectedly: {status}\n{tail}");
                 self.findings.push(finding);
             }
             let intent = &mut self.intents[machine];
             intent.is_frozen = false;
             intent.restart_at.get_or_insert(now);
         }
-        self.end_overdue(machine, now);
+        self.kill_overdue(machine, now);
         let is_down = self.daemon(machine).pid().is_none();
         let is_due = self.intents[machine].restart_at.is_some_and(|at| now >= at);
         if is_down && is_due {
@@ -303,36 +303,36 @@
         }
     }
 
-    /// Kills a daemon that was asked to end and has not within its grace period.
-    fn end_overdue(&mut self, machine: usize, now: Instant) {
+    /// Kills a daemon that did not exit within its grace period.
+    fn kill_overdue(&mut self, machine: usize, now: Instant) {
         let asked_at = self.intents[machine].terminated_at;
         let is_overdue = asked_at.is_some_and(|at| now > at + GRACE + GRACE_MARGIN);
-        // What has ended for its part, and is inside a sync of a disk that stalls, can be ended by nobody.
+        // A process stuck in a sync on a stalled disk cannot be killed.
         if !is_overdue || self.is_stuck_in_kernel(machine) {
             return;
         }
-        // A frozen process cannot end.
+        // A suspended process cannot exit.
         if !self.intents[machine].is_frozen {
             let daemon = self.daemon(machine);
             let threads = daemon.pid().map(sample_threads).unwrap_or_default();
             let (name, tail) = (&daemon.name, daemon.log_tail());
-            let finding = format!("{name} did not end within its grace period\n{threads}\n{tail}");
+            let finding = format!("{name} did not exit within its grace period\n{threads}\n{tail}");
             self.findings.push(finding);
         }
         self.kill(machine, now);
     }
 
-    /// Whether a daemon that is still there has ended for its part; told once for each end.
+    /// Whether a daemon has exited except for threads stuck in the kernel. Logged once per exit.
     fn is_stuck_in_kernel(&mut self, machine: usize) -> bool {
         let pid = self.daemon(machine).pid();
-        let is_held = pid.is_some_and(is_stuck_in_kernel);
-        if is_held && !std::mem::replace(&mut self.intents[machine].is_held, true) {
+        let is_stuck = pid.is_some_and(is_stuck_in_kernel);
+        if is_stuck && !std::mem::replace(&mut self.intents[machine].is_stuck, true) {
             let name = &self.daemon(machine).name;
             eprintln!(
-                "{name} has ended and is held by a call of the system, as of a disk that stalls"
+                "{name} has exited but has threads stuck in a system call, such as a sync on a stalled disk"
             );
         }
-        is_held
+        is_stuck
     }
 
     fn start(&mut self, machine: usize) {
@@ -345,7 +345,7 @@
         self.intents[machine] = Intent::default();
     }
 
-    /// Ends every fault, and starts whatever is down.
+    /// Resumes suspended processes and makes all stopped ones due to start.
     pub fn heal(&mut self) {
         for machine in 0..self.intents.len() {
             self.unfreeze(machine);
@@ -355,8 +355,8 @@
         }
     }
 
-    /// Whether all processes run and none was asked to stop.
-    pub fn is_whole(&mut self) -> bool {
+    /// Whether all processes are running and none was asked to stop.
+    pub fn is_all_running(&mut self) -> bool {
         let mut machines = 0..self.intents.len();
         machines.all(|machine| {
             let is_stopping = self.intents[machine].terminated_at.is_some();
@@ -365,8 +365,8 @@
     }
 }
 
-/// Whether a fault of the network is about this direction.
-fn concerns(fault: Fault, from: &str, to: &str) -> bool {
+/// Whether a network fault affects this direction.
+fn affects(fault: Fault, from: &str, to: &str) -> bool {
     match fault {
         Fault::Isolate(target) | Fault::Delay(target) => {
             let name = target.to_string();
@@ -379,7 +379,7 @@
     }
 }
 
-/// The half of a cluster that is cut in two: one controller and the gateways with an odd number.
+/// Whether a machine is in the first half of a halved cluster: one controller and the odd-numbered gateways.
 fn is_first_half(name: &str) -> bool {
     matches!(name, "control-1" | "edge-1" | "edge-3")
 }
--- a/tests/cluster/src/soak/limits.rs
+++ b/tests/cluster/src/soak/limits.rs
@@ -10,7 +10,7 @@
 pub const REJECTIONS_MAX: usize = 10;
 
 /// Reports services whose runners rejected too many requests within a window after `from`.
-pub fn judge(received: &[ReceivedRequest], from: Instant) -> Vec<String> {
+pub fn check(received: &[ReceivedRequest], from: Instant) -> Vec<String> {
     let mut by_service: BTreeMap<&str, Vec<&ReceivedRequest>> = BTreeMap::new();
     for request in received {
         if request.outcome == RequestOutcome::OverCapacity && request.at >= from {
@@ -18,15 +18,15 @@
             rejected.push(request);
         }
     }
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (service, mut rejected) in by_service {
         rejected.sort_unstable_by_key(|request| request.at);
         let busiest = busiest_window(&rejected);
         if busiest.len() > REJECTIONS_MAX {
-            broken.push(explain(service, busiest, from, received));
+            violations.push(explain(service, busiest, from, received));
         }
     }
-    broken
+    violations
 }
 
 /// The window with the most rejections.
--- a/tests/cluster/src/soak/mod.rs
+++ b/tests/cluster/src/soak/mod.rs
@@ -4,7 +4,6 @@
 //! A seed determines the schedule of faults and the sequence of requests. The schedule is printed and reproducible; actual times
 //! vary slightly because processes and sockets are real.
 
-mod calm;
 pub mod disturbances;
 pub mod drains;
 pub mod fault;
@@ -16,6 +15,7 @@
 mod operators;
 mod oracle;
 mod planned_work;
+mod recovery;
 pub mod rolling;
 mod run;
 mod schedule;
--- a/tests/cluster/src/soak/oracle.rs
+++ b/tests/cluster/src/soak/oracle.rs
@@ -1,4 +1,5 @@
-//! Judges a run by what the runners received and what clients and operators were answered, and by nothing that the daemons say.
+//! Checks a run using only the requests that runners received and the responses that clients and operators got, and nothing that
+//! daemons report about themselves.
 
 use super::ledger::{
     ChangeOutcome, ChangeRecord, ClientOutcome, ClientRecord, JobCopy, JobRecord, Ledger,
@@ -11,38 +12,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Most times that a request may run which may be repeated: the tries of its route.
+/// Most runs of a request that may be retried: the tries of its route.
 const TRIES: usize = 3;
-/// Time after a request's last byte within which a connection may end that a gateway had not read.
+/// Time after sending within which a connection may close without a response because the gateway had not read the request.
 const LOSS_SLACK: Duration = Duration::from_millis(200);
-/// Time after a signal to stop within which a request must be sent that its runner may still work on when the grace period ends.
+/// Longest time after the stop signal at which a request may be sent and still be excused if the grace period ends while it runs.
 const SENT_AFTER_SIGNAL_MAX: Duration = Duration::from_secs(3);
-/// Statuses that promise that a request has not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses that guarantee that a request has not run and never will.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Everything in a run that breaks a promise.
-pub fn judge(ledger: &Ledger, received: &[ReceivedRequest]) -> Vec<String> {
+/// All violations of guarantees in a run.
+pub fn check(ledger: &Ledger, received: &[ReceivedRequest]) -> Vec<String> {
     let runs = count_runs(received);
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for request in &ledger.requests() {
-        judge_request(
+        check_request(
             request,
             runs.get(&request.id).copied().unwrap_or(0),
-            &mut broken,
+            &mut violations,
         );
     }
-    judge_planned_work(ledger, received, &mut broken);
+    check_planned_work(ledger, received, &mut violations);
     if let Some(planned_from) = ledger.planned_from() {
-        broken.extend(limits::judge(received, planned_from));
+        violations.extend(limits::check(received, planned_from));
     }
-    judge_misbehaving(&runs, received, &mut broken);
+    check_misbehaving(&runs, received, &mut violations);
     for job in &ledger.jobs() {
-        judge_job(job, &runs, &mut broken);
+        check_job(job, &runs, &mut violations);
     }
     let (changes, reads) = (ledger.changes(), ledger.reads());
-    judge_changes(&changes, &mut broken);
-    judge_reads(&changes, &reads, &mut broken);
-    broken
+    check_changes(&changes, &mut violations);
+    check_reads(&changes, &reads, &mut violations);
+    violations
 }
 
 fn count_runs(received: &[ReceivedRequest]) -> BTreeMap<String, usize> {
@@ -55,60 +56,62 @@
     runs
 }
 
-fn judge_request(request: &ClientRecord, runs: usize, broken: &mut Vec<String>) {
+fn check_request(request: &ClientRecord, runs: usize, violations: &mut Vec<String>) {
     let id = &request.id;
     if request.at_most_once && runs > 1 {
-        broken.push(format!("TWICE: {id} ran {runs} times: {request}"));
+        violations.push(format!("TWICE: {id} ran {runs} times: {request}"));
     }
     if !request.at_most_once && runs > TRIES {
-        broken.push(format!("BUDGET: {id} ran {runs} times: {request}"));
+        violations.push(format!("BUDGET: {id} ran {runs} times: {request}"));
     }
     match &request.outcome {
         ClientOutcome::WrongSuccess(_) | ClientOutcome::AnotherRequests(_) => {
-            broken.push(format!("MIXED: {request}"));
+            violations.push(format!("MIXED: {request}"));
         }
-        ClientOutcome::Answered(status) if PROMISES.contains(status) => {
+        ClientOutcome::Answered(status) if NOT_RUN_STATUSES.contains(status) => {
             if request.at_most_once && runs > 0 {
-                broken.push(format!(
-                    "REFUSED: {id} ran and was told {status}: {request}"
+                violations.push(format!(
+                    "REFUSED: {id} ran but was answered {status}: {request}"
                 ));
             }
         }
         ClientOutcome::Answered(200) if runs == 0 => {
-            broken.push(format!(
-                "MIXED: {id} was answered and ran nowhere: {request}"
+            violations.push(format!(
+                "MIXED: {id} was answered but did not run: {request}"
             ));
         }
         ClientOutcome::Answered(status @ (400 | 404)) => {
-            broken.push(format!("DENIED: {id} was told {status}: {request}"));
+            violations.push(format!("DENIED: {id} was answered {status}: {request}"));
         }
         ClientOutcome::Answered(_) | ClientOutcome::Unanswered | ClientOutcome::NotConnected => {}
     }
 }
 
-/// Around planned work, and in calm time, no request is lost that a gateway has read: the connection does not end once the request was
-/// passed on to a runner, nor long after it was sent.
-fn judge_planned_work(ledger: &Ledger, received: &[ReceivedRequest], broken: &mut Vec<String>) {
+/// During planned work and without faults, no request is lost that a gateway has read: the connection must not close after the
+/// request was forwarded to a runner, nor long after it was sent.
+fn check_planned_work(ledger: &Ledger, received: &[ReceivedRequest], violations: &mut Vec<String>) {
     let Some(planned_from) = ledger.planned_from() else {
         return;
     };
-    let passed_on: BTreeSet<&str> = received.iter().map(|one| one.id.as_str()).collect();
+    let forwarded: BTreeSet<&str> = received.iter().map(|one| one.id.as_str()).collect();
     for request in &ledger.requests() {
-        let is_judged = request.is_ordinary && request.sent_at >= planned_from;
-        if !is_judged || request.outcome != ClientOutcome::Unanswered {
+        let is_checked = request.is_ordinary && request.sent_at >= planned_from;
+        if !is_checked || request.outcome != ClientOutcome::Unanswered {
             continue;
         }
-        let was_passed_on = passed_on.contains(request.id.as_str());
+        let was_forwarded = forwarded.contains(request.id.as_str());
         let was_read = request.ended_at > request.sent_at + LOSS_SLACK;
-        if (was_passed_on && !outlasts_grace(request, ledger)) || (was_read && !was_passed_on) {
-            broken.push(format!("LOST: passed on {was_passed_on}: {request}"));
+        if (was_forwarded && !outlasts_grace_period(request, ledger))
+            || (was_read && !was_forwarded)
+        {
+            violations.push(format!("LOST: forwarded {was_forwarded}: {request}"));
         }
     }
 }
 
-/// Whether a request's runner was still at work in the last sixth of the grace period of its gateway, which ended then. The users' rule leaves
-/// such a request out if it was sent early enough after the signal.
-fn outlasts_grace(request: &ClientRecord, ledger: &Ledger) -> bool {
+/// Whether a request was still running in the last sixth of its gateway's grace period and ended with it. The guarantee to users
+/// excludes such a request if it was sent early enough after the stop signal.
+fn outlasts_grace_period(request: &ClientRecord, ledger: &Ledger) -> bool {
     let asked_at = ledger.restarted_before(request.gateway, request.ended_at);
     asked_at.is_some_and(|asked_at| {
         request.ended_at >= asked_at + GRACE * 5 / 6
@@ -116,23 +119,28 @@
     })
 }
 
-/// A job runs once at most, and all copies that are answered get the same response.
-fn judge_job(job: &JobRecord, runs: &BTreeMap<String, usize>, broken: &mut Vec<String>) {
+/// A job runs at most once, and all its successful copies get the same response.
+fn check_job(job: &JobRecord, runs: &BTreeMap<String, usize>, violations: &mut Vec<String>) {
     let runs_of = |copy: &JobCopy| runs.get(&copy.id).copied().unwrap_or(0);
     let total: usize = job.copies.iter().map(runs_of).sum();
     if total > 1 {
-        let told: Vec<_> = job
+        let outcomes: Vec<_> = job
             .copies
             .iter()
             .map(|copy| (copy.status, runs_of(copy)))
             .collect();
-        broken.push(format!("TWICE: {} ran {total} times: {told:?}", job.key));
+        violations.push(format!(
+            "TWICE: {} ran {total} times: {outcomes:?}",
+            job.key
+        ));
     }
     for copy in &job.copies {
-        let is_promise = copy.status.is_some_and(|status| PROMISES.contains(&status));
-        if is_promise && runs_of(copy) > 0 {
-            broken.push(format!(
-                "REFUSED: {} ran and was told {:?}",
+        let promises_not_run = copy
+            .status
+            .is_some_and(|status| NOT_RUN_STATUSES.contains(&status));
+        if promises_not_run && runs_of(copy) > 0 {
+            violations.push(format!(
+                "REFUSED: {} ran but was answered {:?}",
                 copy.id, copy.status
             ));
         }
@@ -141,42 +149,45 @@
     let mut bodies: Vec<&Vec<u8>> = answered.map(|copy| &copy.body).collect();
     bodies.dedup();
     if bodies.len() > 1 {
-        broken.push(format!(
+        violations.push(format!(
             "MIXED: copies of {} got different responses",
             job.key
         ));
     }
-    let is_own = |body: &&Vec<u8>| {
+    let is_own_response = |body: &&Vec<u8>| {
         let mut copies = job.copies.iter();
         copies.any(|copy| body.starts_with(format!("{} ", copy.id).as_bytes()))
     };
-    if !bodies.iter().all(is_own) {
-        broken.push(format!("MIXED: {} got the answer of another job", job.key));
+    if !bodies.iter().all(is_own_response) {
+        violations.push(format!(
+            "MIXED: {} got the response of another job",
+            job.key
+        ));
     }
     if bodies.len() == 1 && total == 0 {
-        broken.push(format!("MIXED: {} was answered and ran nowhere", job.key));
+        violations.push(format!("MIXED: {} was answered but did not run", job.key));
     }
 }
 
-/// Requests of misbehaving clients run at most once too, where they must.
-fn judge_misbehaving(
+/// Unsafe requests of misbehaving clients also run at most once, and never with a partial body.
+fn check_misbehaving(
     runs: &BTreeMap<String, usize>,
     received: &[ReceivedRequest],
-    broken: &mut Vec<String>,
+    violations: &mut Vec<String>,
 ) {
     for request in received {
-        let is_theirs = request.id.starts_with("m-");
+        let is_misbehaving = request.id.starts_with("m-");
         let count = runs.get(&request.id).copied().unwrap_or(0);
-        if is_theirs && request.target.starts_with("/write/") && count > 1 {
-            broken.push(format!("TWICE: {} ran {count} times", request.id));
+        if is_misbehaving && request.target.starts_with("/write/") && count > 1 {
+            violations.push(format!("TWICE: {} ran {count} times", request.id));
         }
-        if is_theirs && request.target.starts_with("/write/") && request.body.len() == 1_500 {
-            broken.push(format!("UNASKED: half a body ran: {}", request.id));
+        if is_misbehaving && request.target.starts_with("/write/") && request.body.len() == 1_500 {
+            violations.push(format!("UNASKED: half a body ran: {}", request.id));
         }
     }
 }
 
-fn judge_changes(changes: &[ChangeRecord], broken: &mut Vec<String>) {
+fn check_changes(changes: &[ChangeRecord], violations: &mut Vec<String>) {
     let acknowledged = changes
         .iter()
         .filter(|change| matches!(change.outcome, ChangeOutcome::Acknowledged(_)));
@@ -185,7 +196,7 @@
         let former = by_base.insert(change.base, change);
         if let Some(former) = former.filter(|former| former.document != change.document) {
             let (one, other) = (former.version, change.version);
-            broken.push(format!(
+            violations.push(format!(
                 "CONFIG: two changes on base {} were acknowledged: {one} and {other}",
                 change.base
             ));
@@ -193,20 +204,20 @@
     }
 }
 
-fn judge_reads(changes: &[ChangeRecord], reads: &[ReadRecord], broken: &mut Vec<String>) {
+fn check_reads(changes: &[ChangeRecord], reads: &[ReadRecord], violations: &mut Vec<String>) {
     for read in reads {
         for change in changes {
-            judge_read(change, read, broken);
+            check_read(change, read, violations);
         }
     }
 }
 
-fn judge_read(change: &ChangeRecord, read: &ReadRecord, broken: &mut Vec<String>) {
+fn check_read(change: &ChangeRecord, read: &ReadRecord, violations: &mut Vec<String>) {
     let controller = read.controller + 1;
     let version = read.version;
     match change.outcome {
         ChangeOutcome::Acknowledged(at) if read.sent_at > at && version < change.version => {
-            broken.push(format!(
+            violations.push(format!(
                 "CONFIG: control-{controller} read {version} after {} was acknowledged",
                 change.version
             ));
@@ -214,12 +225,12 @@
         ChangeOutcome::Acknowledged(_)
             if version == change.version && read.document != change.document =>
         {
-            broken.push(format!(
-                "CONFIG: control-{controller} read {version} with another content than was acknowledged"
+            violations.push(format!(
+                "CONFIG: control-{controller} read {version} with different content than was acknowledged"
             ));
         }
         ChangeOutcome::Rejected(status) if read.document == change.document => {
-            broken.push(format!(
+            violations.push(format!(
                 "CONFIG: version {version} on base {} was rejected with {status} and is in force",
                 change.base
             ));
@@ -228,21 +239,21 @@
     }
 }
 
-/// What is read back at the end, at each controller, is the newest acknowledged configuration or one that got no clear answer.
-pub fn judge_end(ledger: &Ledger, last: &[ReadRecord]) -> Vec<String> {
-    let mut broken = Vec::new();
+/// The final configuration at each controller must be the newest acknowledged one or one without a definite response.
+pub fn check_final_reads(ledger: &Ledger, last: &[ReadRecord]) -> Vec<String> {
+    let mut violations = Vec::new();
     let changes = ledger.changes();
-    judge_reads(&changes, last, &mut broken);
+    check_reads(&changes, last, &mut violations);
     for read in last {
         let is_known = changes
             .iter()
             .any(|change| change.document == read.document);
         if !is_known && version_of(&read.document) != 1 {
             let (controller, version) = (read.controller + 1, read.version);
-            broken.push(format!(
+            violations.push(format!(
                 "CONFIG: control-{controller} reads {version}, which nobody sent"
             ));
         }
     }
-    broken
+    violations
 }
--- a/tests/cluster/src/soak/planned_work.rs
+++ b/tests/cluster/src/soak/planned_work.rs
@@ -42,7 +42,7 @@
     let deadline = Instant::now() + READY_TIMEOUT;
     while Instant::now() < deadline {
         injector.supervise();
-        if injector.is_whole() && are_gateways_ready(injector) {
+        if injector.is_all_running() && are_gateways_ready(injector) {
             return true;
         }
         std::thread::sleep(SUPERVISION_INTERVAL);
--- a/tests/cluster/src/soak/calm.rs
+++ b/tests/cluster/src/soak/recovery.rs
@@ -1,4 +1,4 @@
-//! What must hold once all faults have ended: everything serves again, nothing that was acknowledged is gone, and nothing is held for nobody.
+//! Checks after all faults have ended: every gateway serves again, no acknowledged change is lost, and no resource has leaked.
 
 use super::injector::Injector;
 use super::ledger::{Ledger, ReadRecord};
@@ -9,43 +9,43 @@
 use crate::metrics::{metric_value, scrape_metrics};
 use std::time::{Duration, Instant};
 
-/// Time within which service is back.
+/// Time within which the cluster must recover.
 const RECOVERY: Duration = Duration::from_secs(12);
-/// Time within which everything that the traffic left behind has ended: longer than any request may take.
+/// Time within which gateways must become idle after the traffic; longer than any request may take.
 const IDLE_WITHIN: Duration = Duration::from_secs(9);
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const TARGETS: [&str; 3] = ["/read/x", "/write/x", "/rare/x"];
-/// Successes in a row on each route at each gateway that show that it serves.
+/// Consecutive successes required on each route at each gateway.
 const SUCCESSES: usize = 4;
-/// Memory that each process may take, as the settings say.
+/// Memory limit of each process, as in the settings.
 const MEMORY_MAX_KB: u64 = 260 << 10;
-/// Descriptors of an idle process, far above what links and kept connections to runners need: at least so many, and in a large cluster
-/// some for all runners and two for each gateway.
+/// Allowed descriptors of an idle process, far above what links and pooled runner connections need: at least this many, and in a
+/// large cluster some for all runners and two for each gateway.
 const IDLE_DESCRIPTORS_MIN: usize = 250;
 const IDLE_DESCRIPTORS_FOR_RUNNERS: usize = 150;
 const LINKS_PER_GATEWAY_MAX: usize = 2;
 
-/// Waits for recovery and judges what is left. The findings are put with those of the injector.
-pub fn judge(injector: &mut Injector, ledger: &Ledger) {
+/// Waits for recovery and checks the final state. Findings are added to those of the injector.
+pub fn check(injector: &mut Injector, ledger: &Ledger) {
     wait_for_processes(injector);
-    judge_service(injector);
+    check_service(injector);
     let last = read_everywhere(injector);
-    let broken = oracle::judge_end(ledger, &last);
-    injector.findings.extend(broken);
-    judge_idle(injector);
-    judge_figures(injector);
+    let violations = oracle::check_final_reads(ledger, &last);
+    injector.findings.extend(violations);
+    check_idle(injector);
+    check_metrics(injector);
 }
 
 fn wait_for_processes(injector: &mut Injector) {
     let deadline = Deadline::after(RECOVERY);
-    while !injector.is_whole() && !deadline.is_over() {
+    while !injector.is_all_running() && !deadline.is_over() {
         injector.supervise();
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Every gateway answers on every route, several times in a row, within the time for recovery.
-fn judge_service(injector: &mut Injector) {
+/// Checks that every gateway responds successfully on every route, several times in a row, within [`RECOVERY`].
+fn check_service(injector: &mut Injector) {
     let deadline = Deadline::after(RECOVERY);
     for index in 0..injector.cluster.gateways.len() {
         for target in TARGETS {
@@ -59,7 +59,7 @@
     }
 }
 
-/// What came last instead of a success, where there are not enough in time.
+/// Returns the last status if there were not enough consecutive successes in time.
 fn wait_for_successes(
     injector: &Injector,
     index: usize,
@@ -67,7 +67,7 @@
     deadline: Deadline,
 ) -> Option<String> {
     let mut successes = 0;
-    let mut last = "nothing was asked".to_string();
+    let mut last = "no request was sent".to_string();
     while successes < SUCCESSES {
         if deadline.is_over() {
             return Some(last);
@@ -81,13 +81,13 @@
             0
         };
         if successes == 0 {
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
     None
 }
 
-/// The configuration as each controller answers it itself.
+/// The configuration as returned by each controller.
 fn read_everywhere(injector: &mut Injector) -> Vec<ReadRecord> {
     let mut last = Vec::new();
     for controller in 0..injector.cluster.controllers.len() {
@@ -99,7 +99,7 @@
             if document.is_some() || deadline.is_over() {
                 break document.map(|document| (sent_at, document));
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         };
         match found {
             Some((sent_at, document)) => last.push(ReadRecord {
@@ -109,7 +109,10 @@
                 document,
             }),
             None => {
-                let finding = format!("RECOVER: control-{} answers no read", controller + 1);
+                let finding = format!(
+                    "RECOVER: control-{} does not respond to reads",
+                    controller + 1
+                );
                 injector.findings.push(finding);
             }
         }
@@ -117,13 +120,13 @@
     last
 }
 
-/// Nothing is in flight, waits or is leased once nobody asks for anything.
-fn judge_idle(injector: &mut Injector) {
+/// Checks that no requests are in flight or waiting and no seats are leased after the traffic ended.
+fn check_idle(injector: &mut Injector) {
     let deadline = Deadline::after(IDLE_WITHIN);
     for index in 0..injector.cluster.gateways.len() {
         loop {
             let gateway = &injector.cluster.gateways[index];
-            let held = held_figures(gateway);
+            let held = nonzero_metrics(gateway);
             if held.is_empty() {
                 break;
             }
@@ -132,14 +135,14 @@
                 injector.findings.push(finding);
                 break;
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
-fn held_figures(gateway: &Daemon) -> Vec<String> {
+fn nonzero_metrics(gateway: &Daemon) -> Vec<String> {
     let Some(text) = scrape_metrics(gateway) else {
-        return vec!["no figures".into()];
+        return vec!["no metrics".into()];
     };
     let names = ["requests_in_flight", "requests_waiting", "seats_leased"];
     let held = names
@@ -149,28 +152,28 @@
     held.collect()
 }
 
-fn judge_figures(injector: &mut Injector) {
+fn check_metrics(injector: &mut Injector) {
     let mut findings = Vec::new();
     let daemons = injector.cluster.controllers.iter();
     for daemon in daemons.chain(&injector.cluster.gateways) {
-        findings.extend(violations(daemon));
-        findings.extend(resources(daemon, injector.cluster.gateways.len()));
+        findings.extend(invariant_violations(daemon));
+        findings.extend(resource_findings(daemon, injector.cluster.gateways.len()));
     }
-    findings.extend(disagreement(
+    findings.extend(differing_metrics(
         &injector.cluster.gateways,
         &["configuration_version", "evacuations_version", "members"],
     ));
     let versions = "committed_version{register=\"configuration\"}";
-    findings.extend(disagreement(
+    findings.extend(differing_metrics(
         &injector.cluster.controllers,
         &[versions, "voters", "contact"],
     ));
     injector.findings.extend(findings);
 }
 
-fn violations(daemon: &Daemon) -> Vec<String> {
+fn invariant_violations(daemon: &Daemon) -> Vec<String> {
     let Some(text) = scrape_metrics(daemon) else {
-        return vec![format!("{} tells no figures", daemon.name)];
+        return vec![format!("{} serves no metrics", daemon.name)];
     };
     let lines = text.lines();
     let violated = lines
@@ -181,32 +184,32 @@
         .collect()
 }
 
-/// Daemons of one kind that tell different figures.
-fn disagreement(daemons: &[Daemon], names: &[&str]) -> Vec<String> {
+/// Reports metrics that differ between daemons of one kind.
+fn differing_metrics(daemons: &[Daemon], names: &[&str]) -> Vec<String> {
     let deadline = Deadline::after(RECOVERY);
     let mut findings = Vec::new();
     for name in names {
         loop {
-            let told: Vec<Option<u64>> = daemons
+            let values: Vec<Option<u64>> = daemons
                 .iter()
                 .map(|daemon| metric_value(&scrape_metrics(daemon)?, name))
                 .collect();
-            if told.windows(2).all(|pair| pair[0] == pair[1]) {
+            if values.windows(2).all(|pair| pair[0] == pair[1]) {
                 break;
             }
             if deadline.is_over() {
-                findings.push(format!("{name} differs: {told:?}"));
+                findings.push(format!("{name} differs: {values:?}"));
                 break;
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
     findings
 }
 
-fn resources(daemon: &Daemon, gateways: usize) -> Vec<String> {
+fn resource_findings(daemon: &Daemon, gateways: usize) -> Vec<String> {
     let Some(pid) = daemon.pid() else {
-        return vec![format!("{} does not run", daemon.name)];
+        return vec![format!("{} is not running", daemon.name)];
     };
     let mut findings = Vec::new();
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
--- a/tests/cluster/src/soak/rolling/clients.rs
+++ b/tests/cluster/src/soak/rolling/clients.rs
@@ -1,10 +1,10 @@
-//! Clients that keep a connection for as long as the gateway at its other end keeps it, and then go to another gateway.
+//! Clients that keep a connection until the gateway closes it and then connect to a random gateway.
 
 use crate::client::{ClientRequest, Connection};
 use crate::runner::{CREDENTIAL, SIZE, WORK};
 use crate::soak::ledger::{ClientOutcome, ClientRecord, Ledger};
 use crate::soak::tenants::draw_key;
-use crate::soak::traffic::judge;
+use crate::soak::traffic::classify_response;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddr;
@@ -12,18 +12,18 @@
 use std::time::{Duration, Instant};
 
 const WAIT_MAX: Duration = Duration::from_secs(6);
-/// Milliseconds of work and bytes of the body of an ordinary request.
+/// Work in milliseconds and response size in bytes of an ordinary request.
 const WORK_MS: std::ops::Range<u64> = 3..40;
 const BODY: usize = 400;
-/// One request in so many works for long, so that it outlasts what happens around it.
+/// One request in this many takes long, so that it is in flight across restarts and drains.
 const LONG_ONE_IN: u32 = 50;
 const LONG_WORK_MS: std::ops::Range<u64> = 300..1_500;
 /// Milliseconds between two requests of a client.
 const PAUSE_MS: std::ops::Range<u64> = 2..30;
-/// Pause after an attempt to connect to a gateway that does not listen.
+/// Pause after a failed connection attempt.
 const NOT_CONNECTED_PAUSE: Duration = Duration::from_millis(20);
 
-/// One client with its own random numbers.
+/// A client with its own random number generator.
 pub struct RollingClient<'a> {
     number: usize,
     random: StdRng,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Sends one request after the other until it is told to stop.
+    /// Sends requests one after the other until `is_over` is set.
     pub fn run(&mut self, is_over: &AtomicBool) {
         let mut sent = 0;
         while !is_over.load(Ordering::SeqCst) {
@@ -75,7 +75,7 @@
         let is_sent = connection.send(&request.bytes());
         let response = connection.receive(WAIT_MAX).filter(|_| is_sent);
         let outcome = match &response {
-            Some(response) => judge(&request, BODY, response),
+            Some(response) => classify_response(&request, BODY, response),
             None => ClientOutcome::Unanswered,
         };
         if response.is_some_and(|response| response.keeps_alive) {
@@ -94,7 +94,7 @@
         });
     }
 
-    /// The connection that is kept, or one to a gateway that the client draws.
+    /// The kept connection, or a new one to a random gateway.
     fn take_connection(&mut self) -> Option<(usize, Connection)> {
         if let Some(kept) = self.connection.take() {
             return Some(kept);
--- a/tests/cluster/src/soak/rolling/mod.rs
+++ b/tests/cluster/src/soak/rolling/mod.rs
@@ -1,6 +1,6 @@
-//! A soak of many gateways under operators' work in series: one gateway after the other is stopped and started again, while runners leave,
-//! configurations change and settings are read anew; in half of the runs gateways are killed as well. Clients keep their connections until
-//! the process at the other end is gone.
+//! Soak test of rolling restarts with many gateways: they are restarted one after the other while runners drain, configurations
+//! change and settings are reloaded; in half of the runs gateways are also killed. Clients keep their connections until the
+//! gateway closes them.
 
 mod clients;
 mod run;
--- a/tests/cluster/src/soak/rolling/run.rs
+++ b/tests/cluster/src/soak/rolling/run.rs
@@ -1,4 +1,4 @@
-//! One run: the cluster is started, the series and traffic go on, and the promises are judged.
+//! Runs one seed: starts the cluster, executes the steps under traffic and checks the guarantees.
 
 use super::clients::RollingClient;
 use super::series::{Series, Step};
@@ -7,13 +7,13 @@
 use crate::relay::Direction;
 use crate::runner::Runner;
 use crate::simulated_cluster::SimulatedCluster;
-use crate::soak::drains::{self, LeavingRunner};
+use crate::soak::drains::{self, DrainingRunner};
 use crate::soak::fault::Target;
 use crate::soak::injector::Injector;
 use crate::soak::ledger::Ledger;
 use crate::soak::operators::{run_reader, Operator, FIRST_VERSION};
 use crate::soak::tenants::{self, KeyHistory, STEADY};
-use crate::soak::{calm, oracle};
+use crate::soak::{oracle, recovery};
 use protocol::Member;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -23,45 +23,45 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Functions with routes of their own, beside those of the base configuration.
+/// Functions with their own routes, in addition to those of the base configuration.
 const FUNCTIONS: usize = 24;
 const SUPERVISION_INTERVAL: Duration = Duration::from_millis(15);
-/// Time from the platform's word that a runner leaves until it ends. The platform may let it serve for many seconds.
-const RUNNER_LEAVES_AFTER: Duration = Duration::from_millis(6_500);
-/// Retries that are free in each span.
+/// Time from when the platform lists a runner as draining until it stops; the platform may let it serve for many seconds.
+const RUNNER_DRAIN_TIME: Duration = Duration::from_millis(6_500);
+/// Retries per window that do not count against the retry ratio.
 const RETRY_SLACK: u32 = 400;
-/// Delay of what controllers tell an owner that stands still, and the time after its pause for which that lasts: others hear of its return
-/// before it hears that it was removed.
-const WAKING_DELAY: Duration = Duration::from_millis(250);
-const WAKING_DELAY_LASTS: Duration = Duration::from_millis(800);
-/// Operators who change the configuration, each in the way of the other.
+/// Delay of data from controllers to a suspended owner, and how long it lasts after the pause. Others thus learn that the owner
+/// is back before the owner learns that it was removed.
+const RESUME_DELAY: Duration = Duration::from_millis(250);
+const RESUME_DELAY_DURATION: Duration = Duration::from_millis(800);
+/// Operators that change the configuration concurrently and conflict with each other.
 const OPERATORS: u64 = 2;
 
-/// What a run is made of.
+/// Options of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RollingOptions {
     pub seed: u64,
-    /// Time for which the series and the traffic last.
+    /// Duration of the steps and the traffic.
     pub length: Duration,
     pub gateways: usize,
     pub clients: usize,
-    /// Whether owners stand still as a runner of theirs leaves.
-    pub aims_at_owners: bool,
-    /// Whether data and logs are kept also where nothing was found.
+    /// Whether owners are suspended while one of their runners drains.
+    pub pauses_owners: bool,
+    /// Whether data and logs are kept even without findings.
     pub keeps_folder: bool,
 }
 
-/// What came of a run.
+/// Result of a run.
 pub struct RollingReport {
     pub series: Series,
-    /// Everything that broke a promise; empty where all held.
+    /// Violated guarantees; empty if all held.
     pub findings: Vec<String>,
     pub requests: usize,
-    /// Requests by how they ended.
+    /// Number of requests by outcome.
     pub outcomes: BTreeMap<String, usize>,
-    pub leaving_runners: usize,
+    pub draining_runners: usize,
     pub changes: usize,
-    /// Where the data and logs are, if they are kept.
+    /// Folder with data and logs, if they are kept.
     pub folder: Option<PathBuf>,
 }
 
@@ -73,21 +73,21 @@
         options.length,
         options.gateways,
         cluster.controllers.len(),
-        options.aims_at_owners,
+        options.pauses_owners,
     );
     let ledger = Ledger::default();
     let mut injector = Injector::new(cluster);
     run_traffic(&mut injector, &series, &ledger, options.clients);
-    calm::judge(&mut injector, &ledger);
+    recovery::check(&mut injector, &ledger);
     let received = injector.cluster.platform.request_log.all();
-    let mut findings = oracle::judge(&ledger, &received);
-    let leaving = leaving_runners(&injector);
+    let mut findings = oracle::check(&ledger, &received);
+    let leaving = draining_runners(&injector);
     let disturbances = injector.disturbances().with_stalls(disk_probe::stalls());
     let requests = ledger.requests();
-    findings.extend(drains::judge(&received, &requests, &leaving, &disturbances));
+    findings.extend(drains::check(&received, &requests, &leaving, &disturbances));
     let history = KeyHistory::new(&first_configuration(options.seed), &ledger);
     let is_in_touch = tenants::in_touch_by(&disturbances);
-    findings.extend(tenants::judge(&history, &requests, &received, is_in_touch));
+    findings.extend(tenants::check(&history, &requests, &received, is_in_touch));
     findings.append(&mut injector.findings);
     let keeps_folder = options.keeps_folder || !findings.is_empty();
     if keeps_folder {
@@ -102,23 +102,23 @@
         series,
         outcomes,
         requests: requests.len(),
-        leaving_runners: leaving.len(),
+        draining_runners: leaving.len(),
         changes: ledger.changes().len(),
         folder: keeps_folder.then_some(folder),
         findings,
     }
 }
 
-fn leaving_runners(injector: &Injector) -> Vec<LeavingRunner> {
+fn draining_runners(injector: &Injector) -> Vec<DrainingRunner> {
     let drained = injector.cluster.platform.drained_runners().into_iter();
-    let leaving = drained.map(|(runner, listed_at)| LeavingRunner {
+    let leaving = drained.map(|(runner, listed_at)| DrainingRunner {
         id: runner.id.clone(),
         listed_at,
     });
     leaving.collect()
 }
 
-/// The base configuration with the functions of the run, each with a route for requests that may be repeated and one for those that must not.
+/// The base configuration with the functions of the run, each with a route for safe requests and one for unsafe requests.
 fn rolling_configuration(version: u64) -> Value {
     let mut document = configuration(version);
     let services = document["services"]
@@ -148,7 +148,7 @@
     let builder = SimulatedCluster::builder()
         .retry_slack(RETRY_SLACK)
         .gateways(gateways);
-    let builder = match options.aims_at_owners {
+    let builder = match options.pauses_owners {
         true => builder.relayed(),
         false => builder,
     };
@@ -187,7 +187,7 @@
             });
         }
         scope.spawn(move || run_reader(seed, controllers, ledger, is_over));
-        play(injector, series, ledger);
+        execute_steps(injector, series, ledger);
         is_over.store(true, Ordering::SeqCst);
         injector.heal();
         injector.supervise();
@@ -197,7 +197,7 @@
     }
 }
 
-fn play(injector: &mut Injector, series: &Series, ledger: &Ledger) {
+fn execute_steps(injector: &mut Injector, series: &Series, ledger: &Ledger) {
     let started = Instant::now();
     let mut steps = series.steps.iter().peekable();
     let mut paused: Vec<(Instant, usize)> = Vec::new();
@@ -205,7 +205,7 @@
     let mut delayed: Vec<(Instant, usize)> = Vec::new();
     while started.elapsed() < series.length {
         while let Some(scheduled) = steps.next_if(|step| step.at <= started.elapsed()) {
-            take_step(injector, scheduled.step, ledger);
+            execute_step(injector, scheduled.step, ledger);
             match scheduled.step {
                 Step::Pause(gateway, lasts) => paused.push((Instant::now() + lasts, gateway)),
                 Step::PauseOwner {
@@ -217,8 +217,8 @@
                         let now = Instant::now();
                         paused.push((now + lasts, gateway));
                         leaving.push((now + leaves_after, runner));
-                        delayed.push((now + lasts + WAKING_DELAY_LASTS, gateway));
-                        delay_controllers(injector, gateway, WAKING_DELAY);
+                        delayed.push((now + lasts + RESUME_DELAY_DURATION, gateway));
+                        delay_controllers(injector, gateway, RESUME_DELAY);
                     }
                 }
                 _ => {}
@@ -226,10 +226,7 @@
         }
         let now = Instant::now();
         for (_, runner) in leaving.extract_if(.., |(at, _)| *at <= now) {
-            injector
-                .cluster
-                .platform
-                .drain(&runner, RUNNER_LEAVES_AFTER);
+            injector.cluster.platform.drain(&runner, RUNNER_DRAIN_TIME);
         }
         for (_, gateway) in delayed.extract_if(.., |(until, _)| *until <= now) {
             delay_controllers(injector, gateway, Duration::ZERO);
@@ -242,7 +239,7 @@
     }
 }
 
-fn take_step(injector: &mut Injector, step: Step, ledger: &Ledger) {
+fn execute_step(injector: &mut Injector, step: Step, ledger: &Ledger) {
     match step {
         Step::Restart(gateway) => {
             if injector.is_serving(Target::Gateway(gateway)) {
@@ -259,24 +256,24 @@
         Step::Kill(gateway, lasts) => injector.kill_gateway(gateway, lasts),
         Step::Reload(gateway) => injector.reload_gateway(gateway),
         Step::DrainRunner(number) => drain_runner(injector, number),
-        // It has two parts, of which the second comes later.
+        // Handled by the caller, because its second part comes later.
         Step::PauseOwner { .. } => {}
     }
 }
 
-/// Lets the owner of a runner that works stand still. Returns the gateway, and the runner that is to leave.
+/// Suspends the owner of a busy runner. Returns the gateway and the runner to drain.
 fn pause_owner(injector: &mut Injector, number: usize) -> Option<(usize, String)> {
-    let working: Vec<_> = staying_runners(injector)
+    let busy: Vec<_> = active_runners(injector)
         .into_iter()
         .filter(|runner| runner.in_flight() > 0)
         .collect();
-    let runner = working.get(number % working.len().max(1))?;
+    let runner = busy.get(number % busy.len().max(1))?;
     let owner = owner_of(injector, &runner.service)?;
     injector.pause_gateway(owner);
     Some((owner, runner.id.clone()))
 }
 
-/// What controllers tell a gateway takes so much longer from now on.
+/// Sets the delay of data from controllers to a gateway.
 fn delay_controllers(injector: &Injector, gateway: usize, delay: Duration) {
     let cluster = &injector.cluster;
     let to = &cluster.gateways[gateway].name;
@@ -285,7 +282,7 @@
     cluster.network.delay(&directions.collect(), delay);
 }
 
-/// The gateway that owns a function by the table of those that serve.
+/// The gateway that owns a function according to the ownership table of the serving gateways.
 fn owner_of(injector: &mut Injector, function: &str) -> Option<usize> {
     let gateways = 0..injector.cluster.gateways.len();
     let serving: Vec<usize> = gateways
@@ -304,22 +301,22 @@
     serving.into_iter().find(|gateway| name(gateway) == owner)
 }
 
-/// Lets one of the runners leave that run and do not leave yet.
+/// Drains a runner that is up and not draining yet.
 fn drain_runner(injector: &Injector, number: usize) {
-    let staying = staying_runners(injector);
-    if let Some(runner) = staying.get(number % staying.len().max(1)) {
+    let active = active_runners(injector);
+    if let Some(runner) = active.get(number % active.len().max(1)) {
         let platform = &injector.cluster.platform;
-        platform.drain(&runner.id, RUNNER_LEAVES_AFTER);
+        platform.drain(&runner.id, RUNNER_DRAIN_TIME);
     }
 }
 
-/// Runners that run and do not leave yet.
-fn staying_runners(injector: &Injector) -> Vec<Arc<Runner>> {
+/// Runners that are up and not draining yet.
+fn active_runners(injector: &Injector) -> Vec<Arc<Runner>> {
     let platform = &injector.cluster.platform;
     let drained = platform.drained_runners();
-    let leaves = |id: &str| drained.iter().any(|(runner, _)| runner.id == id);
+    let is_draining = |id: &str| drained.iter().any(|(runner, _)| runner.id == id);
     let running = platform.runners().into_iter();
     running
-        .filter(|runner| runner.is_up() && !leaves(&runner.id))
+        .filter(|runner| runner.is_up() && !is_draining(&runner.id))
         .collect()
 }
--- a/tests/cluster/src/soak/rolling/series.rs
+++ b/tests/cluster/src/soak/rolling/series.rs
@@ -1,4 +1,4 @@
-//! What happens when, drawn from a seed.
+//! Schedule of steps generated from a seed.
 
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -7,83 +7,84 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Time before the first step.
-const QUIET: Duration = Duration::from_millis(800);
-/// Milliseconds between two steps of each series.
+/// Time before the first step of each series.
+const INITIAL_DELAY: Duration = Duration::from_millis(800);
+/// Milliseconds between two steps, for each kind of step.
 const RESTART_GAP_MS: Range<u64> = 250..700;
 const DRAIN_GAP_MS: Range<u64> = 200..700;
 const RELOAD_GAP_MS: Range<u64> = 700..2_500;
 const KILL_GAP_MS: Range<u64> = 700..2_500;
 const PAUSE_GAP_MS: Range<u64> = 400..1_500;
-/// Milliseconds for which a paused gateway stands still: some are taken for silent, others not.
-const PAUSE_LASTS_MS: Range<u64> = 300..1_500;
-/// Milliseconds between two owners that stand still as a runner of theirs leaves, for how long they do, and after which part of it the
-/// runner leaves: the owner wakes once the runner must get nothing more, and was removed meanwhile.
+/// Milliseconds for which a gateway is suspended: long enough for some to be considered unreachable, but not all.
+const PAUSE_DURATION_MS: Range<u64> = 300..1_500;
+/// Milliseconds between two owner pauses, the duration of a pause, and when during it a runner of that owner starts
+/// to drain. The owner resumes when the runner may get no more requests, and was removed as a member meanwhile.
 const OWNER_PAUSE_GAP_MS: Range<u64> = 350..900;
-const OWNER_PAUSE_LASTS_MS: Range<u64> = 1_500..2_300;
-const LEAVES_AFTER_MS: Range<u64> = 20..250;
+const OWNER_PAUSE_DURATION_MS: Range<u64> = 1_500..2_300;
+const DRAIN_DELAY_MS: Range<u64> = 20..250;
 const CONTROLLER_GAP_MS: Range<u64> = 3_000..6_000;
 /// Milliseconds for which a killed gateway is down.
-const KILL_LASTS_MS: Range<u64> = 50..900;
-/// Milliseconds from a kill to the next one of the same gateway, which is back by then and owns its functions again.
+const KILL_DOWN_MS: Range<u64> = 50..900;
+/// Milliseconds from a kill to the next one of the same gateway, which by then is up and owns its functions again.
 const KILL_AGAIN_MS: Range<u64> = 1_200..5_500;
 
-/// One step of a series.
+/// A step of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The gateway is asked to stop, and started again once it has ended.
+    /// The gateway is asked to stop and restarted once it has exited.
     Restart(usize),
     /// The same for a controller.
     RestartController(usize),
-    /// The gateway is killed and started again after a while.
+    /// The gateway is killed and restarted after this time.
     Kill(usize, Duration),
-    /// The gateway's process stands still for a while.
+    /// The gateway's process is suspended for this time.
     Pause(usize, Duration),
-    /// The owner of a runner that works stands still for a while, and the runner leaves meanwhile; the number chooses it.
+    /// The owner of a busy runner is suspended and the runner drains meanwhile; `number` selects the runner.
     PauseOwner {
         number: usize,
         lasts: Duration,
         leaves_after: Duration,
     },
-    /// The gateway is told that its settings have changed.
+    /// The gateway reloads its settings.
     Reload(usize),
-    /// A runner leaves; the number chooses it among those that run.
+    /// A runner drains; the number selects it among those that are up.
     DrainRunner(usize),
 }
 
-/// A step with its time since the start of the traffic.
+/// A step with its time, relative to the start of the traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScheduledStep {
     pub at: Duration,
     pub step: Step,
 }
 
-/// All steps of one seed, in order.
+/// All steps of one seed, ordered by time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Series {
     pub seed: u64,
     pub length: Duration,
-    /// Whether owners stand still as a runner of theirs leaves.
-    pub aims_at_owners: bool,
+    /// Whether owners are suspended while one of their runners drains.
+    pub pauses_owners: bool,
     pub steps: Vec<ScheduledStep>,
 }
 
 impl Series {
-    /// Draws the steps of a run. With `aims_at_owners` owners stand still as a runner of theirs leaves. Odd seeds kill gateways too, each one twice; seeds that leave 2 or 3 after a division by four restart
-    /// controllers too; in every second four of them gateways stand still as well.
+    /// Generates the steps of a run. Odd seeds also kill gateways, each one twice. Seeds with a remainder of 2 or 3 modulo 4 also
+    /// restart controllers, and seeds with a remainder of 4 or more modulo 8 also suspend gateways. With `pauses_owners`, owners
+    /// are suspended while one of their runners drains.
     pub fn draw(
         seed: u64,
         length: Duration,
         gateways: usize,
         controllers: usize,
-        aims_at_owners: bool,
+        pauses_owners: bool,
     ) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let mut order: Vec<usize> = (0..gateways).collect();
         order.shuffle(&mut random);
         let mut steps = Vec::new();
         let mut add = |gap: Range<u64>, draw: &mut dyn FnMut(usize, &mut StdRng) -> Step| {
-            let mut at = QUIET;
+            let mut at = INITIAL_DELAY;
             for number in 0.. {
                 at += draw_milliseconds(&mut random, gap.clone());
                 if at >= length {
@@ -108,7 +109,7 @@
         });
         if pauses_gateways(seed) {
             add(PAUSE_GAP_MS, &mut |_, random| {
-                let lasts = draw_milliseconds(random, PAUSE_LASTS_MS);
+                let lasts = draw_milliseconds(random, PAUSE_DURATION_MS);
                 Step::Pause(random.random_range(0..gateways), lasts)
             });
         }
@@ -119,22 +120,22 @@
         }
         if kills_gateways(seed) {
             add(KILL_GAP_MS, &mut |_, random| {
-                let lasts = draw_milliseconds(random, KILL_LASTS_MS);
+                let lasts = draw_milliseconds(random, KILL_DOWN_MS);
                 Step::Kill(random.random_range(0..gateways), lasts)
             });
         }
-        if aims_at_owners {
+        if pauses_owners {
             add(OWNER_PAUSE_GAP_MS, &mut |_, random| Step::PauseOwner {
                 number: random.random_range(0..1 << 16),
-                lasts: draw_milliseconds(random, OWNER_PAUSE_LASTS_MS),
-                leaves_after: draw_milliseconds(random, LEAVES_AFTER_MS),
+                lasts: draw_milliseconds(random, OWNER_PAUSE_DURATION_MS),
+                leaves_after: draw_milliseconds(random, DRAIN_DELAY_MS),
             });
         }
         steps.sort_by_key(|scheduled| scheduled.at);
         Self {
             seed,
             length,
-            aims_at_owners,
+            pauses_owners,
             steps,
         }
     }
@@ -145,9 +146,9 @@
 }
 
 impl Series {
-    /// Whether all that happens in the run is planned.
+    /// Whether the run consists of planned work only.
     pub fn is_planned(&self) -> bool {
-        !kills_gateways(self.seed) && !pauses_gateways(self.seed) && !self.aims_at_owners
+        !kills_gateways(self.seed) && !pauses_gateways(self.seed) && !self.pauses_owners
     }
 }
 
--- a/tests/cluster/src/soak/run.rs
+++ b/tests/cluster/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! One run: the cluster is started, faults and traffic overlap, all is healed, and the promises are judged.
+//! Runs one seed: starts the cluster, injects faults under traffic, heals them and checks the guarantees.
 
 use super::injector::Injector;
 use super::jobs;
@@ -10,7 +10,7 @@
 use super::schedule::{Schedule, ScheduledFault};
 use super::tenants::{self, KeyHistory, STEADY};
 use super::traffic::Client;
-use super::{calm, ledger::ClientOutcome, ledger::ClientRecord};
+use super::{ledger::ClientOutcome, ledger::ClientRecord, recovery};
 use crate::disk_probe;
 use crate::operator::{configuration, route};
 use crate::simulated_cluster::SimulatedCluster;
@@ -23,28 +23,28 @@
 const CLIENTS: usize = 20;
 const JOB_CLIENTS: u64 = 3;
 const SUPERVISION_INTERVAL: Duration = Duration::from_millis(20);
-/// Retries that are free in each span.
+/// Retries per window that do not count against the retry ratio.
 const RETRY_SLACK: u32 = 200;
 
-/// What a run is made of.
+/// Options of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakOptions {
     pub seed: u64,
-    /// Time for which faults and traffic last.
+    /// Duration of faults and traffic.
     pub length: Duration,
 }
 
-/// What came of a run.
+/// Result of a run.
 pub struct SoakReport {
     pub schedule: Schedule,
-    /// Everything that broke a promise; empty where all held.
+    /// Violated guarantees; empty if all held.
     pub findings: Vec<String>,
     pub requests: usize,
     pub answered: usize,
     pub jobs: usize,
     pub changes: usize,
     pub reads: usize,
-    /// Where the data and logs are, if there are findings.
+    /// Folder with data and logs, if there are findings.
     pub folder: Option<PathBuf>,
 }
 
@@ -56,11 +56,11 @@
     let ledger = Ledger::default();
     let mut injector = Injector::new(cluster);
     run_traffic(&mut injector, &schedule, &ledger);
-    calm::judge(&mut injector, &ledger);
+    recovery::check(&mut injector, &ledger);
     let received = injector.cluster.platform.request_log.all();
-    let mut findings = oracle::judge(&ledger, &received);
+    let mut findings = oracle::check(&ledger, &received);
     let history = KeyHistory::new(&first_configuration(options.seed), &ledger);
-    // While faults overlap only what holds at any time is judged.
+    // While faults overlap, only guarantees without a time limit are checked.
     let planned_from = ledger.planned_from();
     let disturbances = injector.disturbances().with_stalls(disk_probe::stalls());
     let is_in_touch = |request: &ClientRecord, at: Instant| {
@@ -68,7 +68,7 @@
         is_calm && disturbances.is_in_touch(request.gateway, at)
     };
     let requests = ledger.requests();
-    findings.extend(tenants::judge(&history, &requests, &received, is_in_touch));
+    findings.extend(tenants::check(&history, &requests, &received, is_in_touch));
     findings.append(&mut injector.findings);
     let folder = injector.cluster.folder().to_path_buf();
     if !findings.is_empty() {
@@ -123,17 +123,17 @@
         inject(injector, schedule);
         planned_work::run(injector, seed, ledger);
         is_over.store(true, Ordering::SeqCst);
-        // Clients end once their last request has, which may need the daemons.
+        // Clients end after their last request, which may need running daemons.
         injector.heal();
         injector.supervise();
     });
     finish_evacuations(injector);
 }
 
-/// An operator may have stopped between the two halves of an evacuation.
+/// Ends evacuations that an operator began but did not finish before it stopped.
 fn finish_evacuations(injector: &mut Injector) {
-    let until = Instant::now() + Duration::from_secs(3);
-    while !injector.is_whole() && Instant::now() < until {
+    let deadline = Instant::now() + Duration::from_secs(3);
+    while !injector.is_all_running() && Instant::now() < deadline {
         injector.supervise();
         std::thread::sleep(SUPERVISION_INTERVAL);
     }
@@ -144,14 +144,14 @@
 
 fn inject(injector: &mut Injector, schedule: &Schedule) {
     let started = Instant::now();
-    let mut waiting: Vec<ScheduledFault> = schedule.faults.clone();
+    let mut pending: Vec<ScheduledFault> = schedule.faults.clone();
     let mut active: Vec<ScheduledFault> = Vec::new();
     while started.elapsed() < schedule.length || !active.is_empty() {
         let now = started.elapsed();
         for fault in take(&mut active, |fault| fault.ends <= now) {
             injector.end(&fault);
         }
-        for fault in take(&mut waiting, |fault| fault.begins <= now) {
+        for fault in take(&mut pending, |fault| fault.begins <= now) {
             injector.begin(&fault);
             active.push(fault);
         }
@@ -160,13 +160,13 @@
     }
 }
 
-/// Takes those out that match, in their order.
+/// Removes and returns the matching faults, in order.
 fn take(
     faults: &mut Vec<ScheduledFault>,
     matches: impl Fn(&ScheduledFault) -> bool,
 ) -> Vec<ScheduledFault> {
-    let (taken, left) = faults.iter().partition(|fault| matches(fault));
-    *faults = left;
+    let (taken, remaining) = faults.iter().partition(|fault| matches(fault));
+    *faults = remaining;
     taken
 }
 
--- a/tests/cluster/src/soak/tenants.rs
+++ b/tests/cluster/src/soak/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants of a soak, whose keys come and go, and the judgement on what ran with which key.
+//! Tenants of a soak, whose API keys change during the run, and the checks of which request ran with which key.
 
 use super::disturbances::Disturbances;
 use super::ledger::{ChangeOutcome, ChangeRecord, ClientOutcome, ClientRecord, Ledger};
@@ -9,13 +9,13 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Tenants, each with a key that every configuration holds.
+/// Tenants, each with a key that is in every configuration.
 pub const STEADY: [(&str, &str); 3] = [
     ("tenant-a", "steady-key-a"),
     ("tenant-b", "steady-key-b"),
     ("tenant-c", "steady-key-c"),
 ];
-/// Keys that are taken away, given back and moved to other tenants.
+/// Keys that are removed, restored and moved to other tenants.
 pub const CHANGING: [&str; 5] = [
     "changing-key-0",
     "changing-key-1",
@@ -23,18 +23,18 @@
     "changing-key-3",
     "changing-key-4",
 ];
-/// A key that no configuration ever holds.
+/// A key that is in no configuration.
 pub const INVENTED: &str = "invented-key";
-/// Time for which keys stay as they are, but for the first: that one goes and comes with each change.
-const EPOCH: Duration = Duration::from_millis(3_500);
-/// Bound of the settings files on how long after its acknowledgement a change may not be in force.
+/// Time for which the changing keys stay the same. The first one is exempt and is reassigned with each version.
+const KEY_ROTATION_PERIOD: Duration = Duration::from_millis(3_500);
+/// `apply_within_ms` in the settings files: time after its acknowledgement within which a change must be in force.
 const APPLY_WITHIN: Duration = Duration::from_millis(2_000);
-/// Of so many requests, one bears a key that comes and goes, and one bears an invented key.
+/// One request in this many carries a changing key, and one in this many an invented key.
 const CHANGING_ONE_IN: u32 = 4;
 const INVENTED_ONE_IN: u32 = 40;
 const UNAUTHORIZED: u16 = 401;
 
-/// The key of a client's next request.
+/// Chooses the key of a client's next request.
 pub fn draw_key(random: &mut StdRng) -> &'static str {
     if random.random_ratio(1, INVENTED_ONE_IN) {
         return INVENTED;
@@ -45,10 +45,10 @@
     STEADY[random.random_range(0..STEADY.len())].1
 }
 
-/// Puts tenants into a configuration. All operators of a run draw the same keys at the same time.
+/// Adds tenants to a configuration. All operators of a run generate the same keys at the same time, except for the first one.
 pub fn add_tenants(document: &mut Value, seed: u64, elapsed: Duration) {
     let version = document["version"].as_u64().unwrap_or(0);
-    let epoch = elapsed.as_millis() / EPOCH.as_millis();
+    let rotation = elapsed.as_millis() / KEY_ROTATION_PERIOD.as_millis();
     let mut keys: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for (tenant, key) in STEADY {
         keys.insert(tenant, vec![key]);
@@ -56,7 +56,7 @@
     for (number, key) in CHANGING.iter().enumerate() {
         let draw = match number {
             0 => version,
-            _ => seed ^ ((epoch as u64) << 8) ^ number as u64,
+            _ => seed ^ ((rotation as u64) << 8) ^ number as u64,
         };
         let holder = StdRng::seed_from_u64(draw).random_range(0..STEADY.len() + 2);
         if let Some((tenant, _)) = STEADY.get(holder) {
@@ -68,7 +68,7 @@
     document["tenants"] = tenants.collect();
 }
 
-/// Which tenant holds each key in a configuration.
+/// The tenant of each key in a configuration.
 fn holders(document: &Value) -> HashMap<String, String> {
     let tenants = document["tenants"].as_array().into_iter().flatten();
     let pairs = tenants.flat_map(|tenant| {
@@ -79,7 +79,7 @@
     pairs.collect()
 }
 
-/// A configuration that may have been in force, with the holders of its keys.
+/// A configuration that may have been in force, with the tenants of its keys.
 struct Version {
     number: u64,
     acknowledged_at: Option<Instant>,
@@ -101,13 +101,13 @@
     }
 }
 
-/// The configurations of a run, the first one among them.
+/// The configurations of a run, including the first one.
 pub struct KeyHistory {
     versions: Vec<Version>,
 }
 
 impl KeyHistory {
-    /// The history of a run that began with this configuration.
+    /// Creates the history of a run that started with this configuration.
     pub fn new(first: &Value, ledger: &Ledger) -> Self {
         let mut versions = vec![Version {
             number: first["version"].as_u64().unwrap_or(0),
@@ -118,20 +118,23 @@
         Self { versions }
     }
 
-    /// The versions that may decide on a request that is sent at a time: none that is older than one which was acknowledged
-    /// so long before that it must be in force.
+    /// The versions that may apply to a request sent at this time: none older than a version that was acknowledged at least
+    /// [`APPLY_WITHIN`] before and must be in force.
     fn in_force(&self, sent_at: Instant) -> impl Iterator<Item = &Version> {
-        let is_bound = |version: &&Version| {
+        let is_binding = |version: &&Version| {
             let at = version.acknowledged_at;
             at.is_some_and(|at| at + APPLY_WITHIN <= sent_at)
         };
-        let bound = self.versions.iter().filter(is_bound);
-        let oldest = bound.map(|version| version.number).max().unwrap_or(0);
+        let due_versions = self.versions.iter().filter(is_binding);
+        let oldest = due_versions
+            .map(|version| version.number)
+            .max()
+            .unwrap_or(0);
         let versions = self.versions.iter();
         versions.filter(move |version| version.number >= oldest)
     }
 
-    fn is_ever(&self, key: &str, tenant: &str) -> bool {
+    fn was_ever_held_by(&self, key: &str, tenant: &str) -> bool {
         let mut versions = self.versions.iter();
         versions.any(|version| {
             version
@@ -142,8 +145,8 @@
     }
 }
 
-/// Everything that ran, or was refused, against the keys of its time. Bounds of time hold for gateways in touch alone.
-pub fn judge(
+/// Checks requests that ran or got a 401 against the keys in force. Time limits apply only to gateways in touch.
+pub fn check(
     history: &KeyHistory,
     requests: &[ClientRecord],
     received: &[ReceivedRequest],
@@ -153,27 +156,27 @@
         .iter()
         .map(|request| (request.id.as_str(), request))
         .collect();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for run in received {
         if !run.keys.is_empty() {
-            broken.push(format!("UNASKED: {} came with its client's key", run.id));
+            violations.push(format!("UNASKED: {} came with its client's key", run.id));
         }
         let Some(request) = sent.get(run.id.as_str()) else {
             continue;
         };
         if run.outcome == RequestOutcome::Ran {
-            broken.extend(judge_run(history, request, run, &is_in_touch));
+            violations.extend(check_run(history, request, run, &is_in_touch));
         }
     }
     for request in requests {
         if request.outcome == ClientOutcome::Answered(UNAUTHORIZED) {
-            broken.extend(judge_refusal(history, request, &is_in_touch));
+            violations.extend(check_refusal(history, request, &is_in_touch));
         }
     }
-    broken
+    violations
 }
 
-fn judge_run(
+fn check_run(
     history: &KeyHistory,
     request: &ClientRecord,
     run: &ReceivedRequest,
@@ -186,7 +189,7 @@
             run.id, run.tenants
         ));
     };
-    if !history.is_ever(key, tenant) {
+    if !history.was_ever_held_by(key, tenant) {
         return Some(format!(
             "ROUTE: {} with {key} ran as {tenant}, which never had it",
             run.id
@@ -194,12 +197,12 @@
     }
     let mut in_force = history.in_force(request.sent_at);
     let is_allowed = in_force.any(|version| version.holders.get(key) == Some(tenant));
-    let is_bound = is_in_touch(request, request.sent_at) && is_in_touch(request, run.at);
-    (!is_allowed && is_bound)
+    let is_binding = is_in_touch(request, request.sent_at) && is_in_touch(request, run.at);
+    (!is_allowed && is_binding)
         .then(|| format!("CONFIG: {key} ran as {tenant} by an old version: {request}"))
 }
 
-fn judge_refusal(
+fn check_refusal(
     history: &KeyHistory,
     request: &ClientRecord,
     is_in_touch: impl Fn(&ClientRecord, Instant) -> bool,
@@ -212,8 +215,9 @@
         ));
     }
     let is_allowed = history.in_force(request.sent_at).any(lacks);
-    let is_bound = is_in_touch(request, request.sent_at) && is_in_touch(request, request.ended_at);
-    (!is_allowed && is_bound).then(|| {
+    let is_binding =
+        is_in_touch(request, request.sent_at) && is_in_touch(request, request.ended_at);
+    (!is_allowed && is_binding).then(|| {
         format!(
             "CONFIG: {} was refused by an old version: {request}",
             request.key
@@ -221,7 +225,7 @@
     })
 }
 
-/// Whether a request's gateway was in touch, by the disturbances of a run.
+/// Whether a request's gateway was in touch, based on the disturbances of a run.
 pub fn in_touch_by(disturbances: &Disturbances) -> impl Fn(&ClientRecord, Instant) -> bool + '_ {
     |request, at| disturbances.is_in_touch(request.gateway, at)
 }
--- a/tests/cluster/src/soak/traffic.rs
+++ b/tests/cluster/src/soak/traffic.rs
@@ -1,4 +1,4 @@
-//! Well-behaved clients: they send one request at a time, read its response whole and record what they were answered.
+//! Well-behaved clients: they send one request at a time, read the complete response and record the outcome.
 
 use super::ledger::{ClientOutcome, ClientRecord, Ledger};
 use super::tenants::{draw_key, STEADY};
@@ -11,18 +11,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Longest time that a client waits for a response; the routes' timeout is 4 s.
+/// Response timeout of a client; the routes' timeout is 4 s.
 const WAIT_MAX: Duration = Duration::from_secs(9);
-/// Requests after which a client opens another connection.
+/// Number of requests after which a client opens a new connection.
 const REQUESTS_PER_CONNECTION: usize = 12;
 const LARGEST_BODY: usize = 20_000;
-/// One response in so many may be as large as this.
+/// One request in `HUGE_ONE_IN` asks for a response of up to `HUGE_BODY` bytes.
 const HUGE_ONE_IN: u32 = 40;
 const HUGE_BODY: usize = 2_000_000;
-/// One request in so many may take longer than any route allows.
+/// One request in `ENDLESS_ONE_IN` may take longer than any route's timeout.
 const ENDLESS_ONE_IN: u32 = 60;
 const ENDLESS_WORK_MS: u64 = 9_000;
-/// Faults of runners that a request may ask for.
+/// Runner faults that a request may ask for.
 const RUNNER_FAULTS: [&str; 8] = [
     "lose",
     "cut",
@@ -33,20 +33,20 @@
     "fail",
     "no-seal",
 ];
-/// One request in so many asks for a fault.
+/// One request in this many asks for a runner fault.
 const FAULT_ONE_IN: u32 = 10;
-/// One request in so many says itself which tenant sends it.
+/// One request in this many carries a forged tenant header.
 const FORGED_ONE_IN: u32 = 6;
 const SUCCESS: u16 = 200;
 
-/// What is expected of a request.
+/// Properties of a request that determine which outcomes are allowed.
 struct RequestKind {
     key: &'static str,
     at_most_once: bool,
     is_ordinary: bool,
 }
 
-/// One client with its own random numbers.
+/// A client with its own random number generator.
 pub struct Client<'a> {
     number: usize,
     random: StdRng,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sends requests until it is told to stop.
+    /// Sends requests until `is_over` is set.
     pub fn run(&mut self, is_over: &AtomicBool) {
         while !is_over.load(Ordering::SeqCst) {
             self.send_one();
@@ -137,7 +137,7 @@
 
     fn outcome(&mut self, request: &ClientRequest, size: usize) -> (usize, ClientOutcome) {
         let Some((gateway, mut connection, used)) = self.take_connection() else {
-            // Nobody listens where it went; the pause keeps it from spinning.
+            // The gateway is not listening; the pause prevents a busy loop.
             std::thread::sleep(Duration::from_millis(30));
             return (0, ClientOutcome::NotConnected);
         };
@@ -151,7 +151,7 @@
         if is_kept {
             self.connection = Some((gateway, connection, used + 1));
         }
-        (gateway, judge(request, size, &response))
+        (gateway, classify_response(request, size, &response))
     }
 
     fn take_connection(&mut self) -> Option<(usize, Connection, usize)> {
@@ -164,11 +164,15 @@
     }
 }
 
-/// What a response means for the request that it came for.
-pub fn judge(request: &ClientRequest, size: usize, response: &Response) -> ClientOutcome {
-    let bears = response.headers.get_text("Request-Id").unwrap_or("");
-    if !bears.is_empty() && bears != request.id {
-        return ClientOutcome::AnotherRequests(bears.to_string());
+/// Classifies the response to a request.
+pub fn classify_response(
+    request: &ClientRequest,
+    size: usize,
+    response: &Response,
+) -> ClientOutcome {
+    let response_id = response.headers.get_text("Request-Id").unwrap_or("");
+    if !response_id.is_empty() && response_id != request.id {
+        return ClientOutcome::AnotherRequests(response_id.to_string());
     }
     if response.status != SUCCESS {
         return ClientOutcome::Answered(response.status);
--- a/tests/cluster/tests/limits.rs
+++ b/tests/cluster/tests/limits.rs
@@ -1,7 +1,7 @@
 //! The soak's check of requests that runners reject because they are at their concurrency limit.
 
 use cluster::request_log::{ReceivedRequest, RequestOutcome};
-use cluster::soak::limits::{judge, REJECTIONS_MAX, WINDOW};
+use cluster::soak::limits::{check, REJECTIONS_MAX, WINDOW};
 use std::time::{Duration, Instant};
 
 fn received(service: &str, outcome: RequestOutcome, at: Instant) -> ReceivedRequest {
@@ -33,9 +33,9 @@
 fn too_many_rejections_of_one_service_within_a_window_are_reported() {
     let from = Instant::now();
     let many = rejections("stamp", REJECTIONS_MAX + 1, from, WINDOW);
-    assert_eq!(judge(&many, from).len(), 1);
+    assert_eq!(check(&many, from).len(), 1);
     let few = rejections("stamp", REJECTIONS_MAX, from, WINDOW);
-    assert!(judge(&few, from).is_empty());
+    assert!(check(&few, from).is_empty());
 }
 
 #[test]
@@ -50,7 +50,7 @@
         WINDOW,
     ));
     all.push(received("stamp", RequestOutcome::Rejected, from));
-    assert!(judge(&all, from).is_empty());
+    assert!(check(&all, from).is_empty());
     let early = rejections("stamp", REJECTIONS_MAX * 2, from, WINDOW);
-    assert!(judge(&early, from + WINDOW).is_empty());
+    assert!(check(&early, from + WINDOW).is_empty());
 }
--- a/tests/cluster/tests/tenants.rs
+++ b/tests/cluster/tests/tenants.rs
@@ -2,7 +2,7 @@
 
 use cluster::request_log::{ReceivedRequest, RequestOutcome};
 use cluster::soak::ledger::{ChangeOutcome, ChangeRecord, ClientOutcome, ClientRecord, Ledger};
-use cluster::soak::tenants::{add_tenants, judge, KeyHistory, CHANGING, INVENTED, STEADY};
+use cluster::soak::tenants::{add_tenants, check, KeyHistory, CHANGING, INVENTED, STEADY};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
@@ -69,7 +69,7 @@
     runs: &[ReceivedRequest],
     in_touch: bool,
 ) -> Vec<String> {
-    let findings = judge(history, &[request], runs, |_, _| in_touch);
+    let findings = check(history, &[request], runs, |_, _| in_touch);
     let rules = findings.iter().filter_map(|text| text.split(':').next());
     rules.map(str::to_string).collect()
 }
