--- a/tests/cluster/src/soak/rolling/run.rs
+++ b/tests/cluster/src/soak/rolling/run.rs
@@ -81,10 +81,15 @@
     recovery::check(&mut injector, &ledger);
     let received = injector.cluster.platform.request_log.all();
     let mut findings = oracle::check(&ledger, &received);
-    let leaving = draining_runners(&injector);
+    let draining = draining_runners(&injector);
     let disturbances = injector.disturbances().with_stalls(disk_probe::stalls());
     let requests = ledger.requests();
-    findings.extend(drains::check(&received, &requests, &leaving, &disturbances));
+    findings.extend(drains::check(
+        &received,
+        &requests,
+        &draining,
+        &disturbances,
+    ));
     let history = KeyHistory::new(&first_configuration(options.seed), &ledger);
     let is_in_touch = tenants::in_touch_by(&disturbances);
     findings.extend(tenants::check(&history, &requests, &received, is_in_touch));
@@ -102,7 +107,7 @@
         series,
         outcomes,
         requests: requests.len(),
-        draining_runners: leaving.len(),
+        draining_runners: draining.len(),
         changes: ledger.changes().len(),
         folder: keeps_folder.then_some(folder),
         findings,
@@ -111,11 +116,11 @@
 
 fn draining_runners(injector: &Injector) -> Vec<DrainingRunner> {
     let drained = injector.cluster.platform.drained_runners().into_iter();
-    let leaving = drained.map(|(runner, listed_at)| DrainingRunner {
+    let draining = drained.map(|(runner, listed_at)| DrainingRunner {
         id: runner.id.clone(),
         listed_at,
     });
-    leaving.collect()
+    draining.collect()
 }
 
 /// The base configuration with the functions of the run, each with a route for safe requests and one for unsafe requests.
@@ -201,7 +206,7 @@
     let started = Instant::now();
     let mut steps = series.steps.iter().peekable();
     let mut paused: Vec<(Instant, usize)> = Vec::new();
-    let mut leaving: Vec<(Instant, String)> = Vec::new();
+    let mut pending_drains: Vec<(Instant, String)> = Vec::new();
     let mut delayed: Vec<(Instant, usize)> = Vec::new();
     while started.elapsed() < series.length {
         while let Some(scheduled) = steps.next_if(|step| step.at <= started.elapsed()) {
@@ -216,7 +221,7 @@
                     if let Some((gateway, runner)) = pause_owner(injector, number) {
                         let now = Instant::now();
                         paused.push((now + lasts, gateway));
-                        leaving.push((now + leaves_after, runner));
+                        pending_drains.push((now + leaves_after, runner));
                         delayed.push((now + lasts + RESUME_DELAY_DURATION, gateway));
                         delay_controllers(injector, gateway, RESUME_DELAY);
                     }
@@ -225,7 +230,7 @@
             }
         }
         let now = Instant::now();
-        for (_, runner) in leaving.extract_if(.., |(at, _)| *at <= now) {
+        for (_, runner) in pending_drains.extract_if(.., |(at, _)| *at <= now) {
             injector.cluster.platform.drain(&runner, RUNNER_DRAIN_TIME);
         }
         for (_, gateway) in delayed.extract_if(.., |(until, _)| *until <= now) {
--- a/tests/cluster/src/wire.rs
+++ b/tests/cluster/src/wire.rs
@@ -9,7 +9,7 @@
 const INTERNAL_PORT: u16 = 7_301;
 
 /// Sends a message on a new connection and returns the response.
-pub fn ask(gateway: &Daemon, request: &Message) -> Message {
+pub fn exchange(gateway: &Daemon, request: &Message) -> Message {
     let mut stream = TcpStream::connect(gateway.at(INTERNAL_PORT)).unwrap();
     stream.write_all(&frame(request)).unwrap();
     let (mut bytes, mut chunk) = (Vec::new(), [0; 4_096]);
