--- a/crates/core/src/identity.rs
+++ b/crates/core/src/identity.rs
@@ -6,9 +6,9 @@
 use std::path::Path;
 
 const FORMAT: u32 = 1;
-const FILE: &str = "identity.json";
+const FILE_NAME: &str = "identity.json";
 
-/// Whose data folder it is. The disk's id is made with it, so that an emptied disk is another one.
+/// Owner of a data folder. The random disk id is created together with it, so an emptied disk gets a new id.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Identity {
     pub format: u32,
@@ -16,7 +16,7 @@
     pub disk: u64,
 }
 
-/// Opens a data folder for a daemon, and holds it for this process alone.
+/// Opens the data folder of a daemon, writing its identity on first use, and locks it for this process.
 pub fn open(path: &Path, name: &str) -> Result<(Identity, File), CoreError> {
     let mut folder = DiskFolder::open(path).map_err(CoreError::Io)?;
     let lock = File::create(path.join("lock")).map_err(CoreError::Io)?;
@@ -25,23 +25,23 @@
             "data folder {} is in use by another process",
             path.display()
         );
-        return Err(CoreError::NotOurs(reason));
+        return Err(CoreError::UnusableDataFolder(reason));
     }
     let names = folder.list().map_err(CoreError::Io)?;
-    if !names.iter().any(|known| known == FILE) {
+    if !names.iter().any(|existing| existing == FILE_NAME) {
         let identity = Identity {
             format: FORMAT,
             name: name.to_string(),
             disk: rand::rng().random(),
         };
-        let text = serde_json::to_vec(&identity).unwrap_or_default();
-        folder.replace(FILE, &text).map_err(CoreError::Io)?;
+        let bytes = serde_json::to_vec(&identity).unwrap_or_default();
+        folder.replace(FILE_NAME, &bytes).map_err(CoreError::Io)?;
         return Ok((identity, lock));
     }
-    let text = folder.read(FILE).map_err(CoreError::Io)?;
-    let Ok(identity) = serde_json::from_slice::<Identity>(&text) else {
-        let reason = format!("{} in {} cannot be read", FILE, path.display());
-        return Err(CoreError::NotOurs(reason));
+    let bytes = folder.read(FILE_NAME).map_err(CoreError::Io)?;
+    let Ok(identity) = serde_json::from_slice::<Identity>(&bytes) else {
+        let reason = format!("{} in {} cannot be read", FILE_NAME, path.display());
+        return Err(CoreError::UnusableDataFolder(reason));
     };
     if identity.format > FORMAT {
         let reason = format!(
@@ -49,7 +49,7 @@
             path.display(),
             identity.format
         );
-        return Err(CoreError::NotOurs(reason));
+        return Err(CoreError::UnusableDataFolder(reason));
     }
     if identity.name != name {
         let reason = format!(
@@ -57,7 +57,7 @@
             path.display(),
             identity.name
         );
-        return Err(CoreError::NotOurs(reason));
+        return Err(CoreError::UnusableDataFolder(reason));
     }
     Ok((identity, lock))
 }
--- a/crates/core/src/main.rs
+++ b/crates/core/src/main.rs
@@ -1,8 +1,7 @@
-//! `hallkeel-core`: the control plane. It keeps the blueprint and the ledger, knows fronts, workers
-//! and runners, and scales.
+//! `hallkeel-core`: the control plane. It votes on the registers that hold configuration, plan and idempotency
+//! claims, tracks fronts, workers and runners, and runs the scaler.
 
 mod identity;
-mod joining;
 mod operators;
 mod platform;
 mod puts;
@@ -13,6 +12,7 @@
 mod shared;
 mod store;
 mod update;
+mod voter_membership;
 mod voting;
 mod witness;
 
@@ -35,32 +35,32 @@
     #[arg(long)]
     #[serde(skip)]
     settings: Option<PathBuf>,
-    /// Name of this core, one of its own in the fleet
+    /// Name of this core, unique in the cluster
     #[arg(long)]
     #[serde(skip_serializing_if = "Option::is_none")]
     name: Option<String>,
-    /// District that it stands in
+    /// District (zone) of this core
     #[arg(long = "district", value_name = "DISTRICT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "district")]
     zone: Option<String>,
-    /// Address for operators
+    /// Address of the operator API
     #[arg(long)]
     #[serde(skip_serializing_if = "Option::is_none")]
     http: Option<SocketAddr>,
-    /// Address for the other daemons
+    /// Address for connections from the other daemons
     #[arg(long)]
     #[serde(skip_serializing_if = "Option::is_none")]
     wire: Option<SocketAddr>,
-    /// Address at which the other daemons reach this one, where it is not --wire itself
+    /// Address at which the other daemons reach this one, if it differs from --wire
     #[arg(long)]
     #[serde(skip_serializing_if = "Option::is_none")]
     advertise: Option<SocketAddr>,
-    /// Wire addresses of the three cores, with commas between
+    /// Wire addresses of the three cores, comma-separated
     #[arg(long, value_delimiter = ',')]
     #[serde(skip_serializing_if = "Option::is_none")]
     seeds: Option<Vec<SocketAddr>>,
-    /// Folder for everything that must last
+    /// Folder for persistent data
     #[arg(long)]
     #[serde(skip_serializing_if = "Option::is_none")]
     data: Option<PathBuf>,
@@ -87,7 +87,7 @@
     };
     match shared::run(settings) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(shared::CoreError::NotOurs(reason)) => {
+        Err(shared::CoreError::UnusableDataFolder(reason)) => {
             eprintln!("hallkeel-core: {reason}");
             ExitCode::from(2)
         }
--- a/crates/core/src/operators.rs
+++ b/crates/core/src/operators.rs
@@ -1,7 +1,7 @@
-use crate::joining;
 use crate::puts;
 use crate::repair;
 use crate::shared::Shared;
+use crate::voter_membership;
 use crate::voting::VoterTask;
 use configuration::{RunnerEntry, MAX_TEXT_BYTES};
 use crossbeam::channel::bounded;
@@ -13,20 +13,20 @@
 use std::time::Duration;
 use transport::{json, now_ms, read_body, serve as serve_http, text};
 
-const CONNECTIONS_MAX: usize = 256;
+const MAX_CONNECTIONS: usize = 256;
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Opens the port for operators.
+/// Serves the operator API.
 pub fn serve(shared: &Arc<Shared>) -> io::Result<()> {
-    let handling = shared.clone();
+    let core = shared.clone();
     serve_http(
         shared.settings.http,
-        CONNECTIONS_MAX,
+        MAX_CONNECTIONS,
         IDLE_TIMEOUT,
         move |request| {
-            handling.handling.fetch_add(1, Ordering::SeqCst);
-            let response = handle(&handling, request);
-            handling.handling.fetch_sub(1, Ordering::SeqCst);
+            core.handling.fetch_add(1, Ordering::SeqCst);
+            let response = handle(&core, request);
+            core.handling.fetch_sub(1, Ordering::SeqCst);
             response
         },
     )
@@ -34,11 +34,11 @@
 
 fn handle(shared: &Shared, request: &mut Request<Body>) -> Response<Body> {
     let path = request.uri().path().to_string();
-    let query = query_of(request.uri().query().unwrap_or_default());
+    let query = parse_query(request.uri().query().unwrap_or_default());
     match (request.method().clone(), path.as_str()) {
         (Method::GET, "/blueprint") => configuration(shared),
         (Method::GET, "/blueprint/history") => history(shared),
-        (Method::POST, "/blueprint/check") => checked(shared, request),
+        (Method::POST, "/blueprint/check") => check(shared, request),
         (Method::PUT, "/blueprint") => put(shared, request, &query),
         (Method::GET, "/voters") => voters(shared),
         (Method::POST, "/voters/replace") => replace(shared, &query),
@@ -51,7 +51,7 @@
     }
 }
 
-fn query_of(text: &str) -> HashMap<String, String> {
+fn parse_query(text: &str) -> HashMap<String, String> {
     text.split('&')
         .filter_map(|pair| pair.split_once('='))
         .map(|(name, value)| (name.to_string(), value.to_string()))
@@ -64,7 +64,7 @@
 }
 
 fn configuration(shared: &Shared) -> Response<Body> {
-    // Read at a majority first, so that an operator sees every put that was acknowledged.
+    // Read at a majority first, so that the response includes every acknowledged PUT.
     let lease = shared.store.committed().configuration.bounds.lease_ms();
     let is_certain = shared.store.refresh(Duration::from_millis(lease / 3));
     let committed = shared.store.committed();
@@ -83,7 +83,7 @@
     json(200, &shared.store.committed().value.history)
 }
 
-fn checked(shared: &Shared, request: &mut Request<Body>) -> Response<Body> {
+fn check(shared: &Shared, request: &mut Request<Body>) -> Response<Body> {
     let body = match read_text(request) {
         Ok(body) => body,
         Err(response) => return *response,
@@ -93,7 +93,7 @@
             200,
             &serde_json::json!({ "outcome": "good", "listings": configuration.function_specs.len() }),
         ),
-        Err(faults) => puts::refused(&faults),
+        Err(faults) => puts::rejected_response(&faults),
     }
 }
 
@@ -122,12 +122,12 @@
         .voters
         .iter()
         .map(|voter| {
-            let copy = repair::copy_of(shared, &voter.address);
+            let digest = repair::fetch_digest(shared, &voter.address);
             serde_json::json!({
                 "address": voter.address,
                 "disk": format!("{:x}", voter.disk),
-                "answers": copy.is_some(),
-                "votes": copy.is_some_and(|copy| copy.is_open && copy.set.version() == set.version()),
+                "answers": digest.is_some(),
+                "votes": digest.is_some_and(|digest| digest.is_open && digest.set.version() == set.version()),
             })
         })
         .collect();
@@ -144,7 +144,7 @@
             "say both: POST /voters/replace?old=<address>&new=<address>",
         );
     };
-    match joining::replace(shared, old, new) {
+    match voter_membership::replace(shared, old, new) {
         Ok(set) => json(
             200,
             &serde_json::json!({ "outcome": "replaced", "era": set.epoch, "no": set.number }),
@@ -166,7 +166,7 @@
     let entries = committed.plan.runners.iter();
     let runners: Vec<_> = entries
         .filter(|entry| entry.function == function)
-        .map(|entry| runner_line(shared, entry))
+        .map(|entry| runner_status(shared, entry))
         .collect();
     json(
         200,
@@ -178,7 +178,7 @@
     )
 }
 
-/// What a runner's owner says of it, in one word.
+/// Health of a runner as last reported by its owner, as one word.
 fn fitness(shared: &Shared, entry: &RunnerEntry) -> &'static str {
     let fronts = shared.fronts.lock();
     let owner = fronts.get(&entry.owner.name);
@@ -199,7 +199,7 @@
     }
 }
 
-fn runner_line(shared: &Shared, entry: &RunnerEntry) -> serde_json::Value {
+fn runner_status(shared: &Shared, entry: &RunnerEntry) -> serde_json::Value {
     serde_json::json!({
         "id": entry.id,
         "function": entry.function,
@@ -219,14 +219,14 @@
     let committed = shared.store.committed();
     let scaler_role = shared.scaler_role.load();
     let now = now_ms();
-    let (reported, answer) = bounded(1);
-    let _ = shared.voter.try_send(VoterTask::Report(reported));
+    let (reply_to, answer) = bounded(1);
+    let _ = shared.voter.try_send(VoterTask::Summary(reply_to));
     let keys = answer.recv_timeout(shared.timeout()).ok();
     let fronts = shared.fronts.lock();
     let own_fronts = fronts
         .values()
         .filter(|known| !known.observation.report.is_witness);
-    let front_lines: Vec<_> = own_fronts
+    let front_statuses: Vec<_> = own_fronts
         .map(|known| {
             let report = &known.observation.report;
             serde_json::json!({
@@ -243,12 +243,12 @@
         })
         .collect();
     let clocks = fronts.values().map(
-        |known| serde_json::json!({ "name": known.observation.peer.name, "off_ms": known.off_ms }),
+        |known| serde_json::json!({ "name": known.observation.peer.name, "off_ms": known.clock_offset_ms }),
     );
     let clocks: Vec<_> = clocks.collect();
     drop(fronts);
     let runners = committed.plan.runners.iter();
-    let runners: Vec<_> = runners.map(|entry| runner_line(shared, entry)).collect();
+    let runners: Vec<_> = runners.map(|entry| runner_status(shared, entry)).collect();
     let set = shared.store.set();
     serde_json::json!({
         "role": "core",
@@ -262,7 +262,7 @@
         "plan": committed.plan_version.no,
         "duty": { "holder": scaler_role.tenure.leader.name, "term": scaler_role.tenure.term, "here": scaler_role.term.is_some() },
         "roster": committed.plan.membership,
-        "fronts": front_lines,
+        "fronts": front_statuses,
         "clocks": clocks,
         "workers": shared.platform.load().workers,
         "runners": runners,
--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -10,17 +10,17 @@
 use std::time::Duration;
 use transport::call;
 
-const LIST_MAX: u64 = 8 << 20;
+const MAX_RESPONSE_BYTES: u64 = 8 << 20;
 
-/// What the platform listed last; it lags.
+/// The latest lists read from the platform. They lag behind the actual state.
 #[derive(Default)]
-pub struct Lists {
+pub struct PlatformLists {
     pub workers: Vec<Worker>,
     pub runners: Vec<ListedRunner>,
 }
 
 #[derive(Deserialize)]
-struct WorkerLine {
+struct WorkerEntry {
     name: String,
     #[serde(rename = "district")]
     zone: String,
@@ -32,7 +32,7 @@
 }
 
 #[derive(Deserialize)]
-struct RunnerLine {
+struct ListedRunnerEntry {
     id: String,
     state: String,
     #[serde(default)]
@@ -43,12 +43,12 @@
 
 #[derive(Deserialize)]
 struct WorkerList {
-    workers: Vec<WorkerLine>,
+    workers: Vec<WorkerEntry>,
 }
 
 #[derive(Deserialize)]
 struct RunnerList {
-    runners: Vec<RunnerLine>,
+    runners: Vec<ListedRunnerEntry>,
 }
 
 fn get<T: for<'a> Deserialize<'a>>(
@@ -57,18 +57,26 @@
     timeout: Duration,
 ) -> Option<T> {
     let uri = format!("http://{platform}{path}");
-    let answer = call(Method::GET, &uri, &[], Vec::new(), timeout, LIST_MAX).ok()?;
-    if answer.status != 200 {
+    let response = call(
+        Method::GET,
+        &uri,
+        &[],
+        Vec::new(),
+        timeout,
+        MAX_RESPONSE_BYTES,
+    )
+    .ok()?;
+    if response.status != 200 {
         return None;
     }
-    serde_json::from_slice(&answer.body).ok()
+    serde_json::from_slice(&response.body).ok()
 }
 
-fn read_lists(platform: SocketAddr, timeout: Duration) -> Option<Lists> {
+fn read_lists(platform: SocketAddr, timeout: Duration) -> Option<PlatformLists> {
     let workers: WorkerList = get(platform, "/v1/workers", timeout)?;
     let runners: RunnerList = get(platform, "/v1/runners", timeout)?;
     let is_leaving = |state: &str| state == "leaving";
-    let address_of = |line: &RunnerLine| {
+    let address_of = |line: &ListedRunnerEntry| {
         let mut workers = workers.workers.iter();
         let worker = workers.find(|worker| worker.name == line.worker)?;
         Some(format!("{}:{}", worker.host, line.port))
@@ -83,7 +91,7 @@
         address: address_of(line),
     });
     let listed = listed.collect();
-    Some(Lists {
+    Some(PlatformLists {
         workers: workers
             .workers
             .into_iter()
@@ -101,8 +109,8 @@
     })
 }
 
-/// Reads the platform's lists again and again. Where it does not answer the last lists stay.
-pub fn follow(shared: &Shared) {
+/// Polls the platform's lists at the heartbeat interval. The previous lists are kept if it does not answer.
+pub fn poll_lists(shared: &Shared) {
     loop {
         let bounds = shared.store.committed().configuration.bounds.clone();
         let timeout = Duration::from_millis(bounds.lease_ms());
@@ -114,8 +122,8 @@
     }
 }
 
-/// Carries out one call to the platform.
-pub fn carry_out(
+/// Sends one command to the platform and classifies the response.
+pub fn execute(
     platform: SocketAddr,
     command: &PlatformCommand,
     term: u64,
@@ -135,10 +143,10 @@
     };
     let uri = format!("http://{platform}{path}");
     let headers = [("content-type", "application/json")];
-    let Ok(answer) = call(method, &uri, &headers, body, timeout, LIST_MAX) else {
+    let Ok(response) = call(method, &uri, &headers, body, timeout, MAX_RESPONSE_BYTES) else {
         return CommandResult::NoResponse;
     };
-    match (command, answer.status) {
+    match (command, response.status) {
         (_, 409) => CommandResult::StaleTerm,
         (PlatformCommand::Start(_), 200..=299) => CommandResult::Accepted,
         (PlatformCommand::Start(_), 400..=499) => CommandResult::Refused,
--- a/crates/core/src/repair.rs
+++ b/crates/core/src/repair.rs
@@ -8,26 +8,28 @@
 use std::time::Duration;
 use transport::{PeerMessage, ReplicaDigest, Responder};
 
-/// Takes the messages that have to do with sets and copies.
+/// Handles messages about voter sets and replicas.
 pub fn on_message(shared: &Shared, message: PeerMessage, responder: Option<Responder>) {
     match (message, responder) {
         (PeerMessage::Form(set, floor), None) => {
-            let names_us = set.voters.iter().any(|voter| voter.disk == shared.disk);
-            if names_us {
-                if let Some(set) = set::form_here(shared, set, floor) {
-                    shared.store.learn_set(&set);
+            let includes_this_core = set.voters.iter().any(|voter| voter.disk == shared.disk);
+            if includes_this_core {
+                if let Some(set) = set::bootstrap_local_voter(shared, set, floor) {
+                    shared.store.update_set(&set);
                 }
             }
         }
         (PeerMessage::Adopt(set), Some(responder)) => {
-            shared.store.learn_set(&set);
+            shared.store.update_set(&set);
             let _ = shared.voter.try_send(VoterTask::Adopt(set, responder));
         }
         (PeerMessage::Digests, Some(responder)) => {
             let _ = shared.voter.try_send(VoterTask::ReplicaDigest(responder));
         }
         (PeerMessage::Range(range), Some(responder)) => {
-            let _ = shared.voter.try_send(VoterTask::Range(range, responder));
+            let _ = shared
+                .voter
+                .try_send(VoterTask::ReadRange(range, responder));
         }
         (PeerMessage::RememberedClaims(keys), None) => {
             let _ = shared.voter.try_send(VoterTask::Repair(keys));
@@ -36,48 +38,49 @@
     }
 }
 
-/// This core's own copy in short.
-pub fn own_copy(shared: &Shared) -> Option<ReplicaDigest> {
-    let (reported, answer) = bounded(1);
-    shared.voter.try_send(VoterTask::Digests(reported)).ok()?;
+/// Digest of this core's replica; none if its voter does not answer in time.
+pub fn own_digest(shared: &Shared) -> Option<ReplicaDigest> {
+    let (reply_to, answer) = bounded(1);
+    shared.voter.try_send(VoterTask::OwnDigest(reply_to)).ok()?;
     answer.recv_timeout(shared.timeout()).ok()
 }
 
-/// A voter's copy in short; none where it does not answer.
-pub fn copy_of(shared: &Shared, address: &str) -> Option<ReplicaDigest> {
+/// Digest of a voter's replica; none if it does not answer in time.
+pub fn fetch_digest(shared: &Shared, address: &str) -> Option<ReplicaDigest> {
     match shared
         .links
         .ask_wait(address, PeerMessage::Digests, shared.timeout())
     {
-        Some(PeerMessage::DigestsResponse(copy)) => Some(copy),
+        Some(PeerMessage::DigestsResponse(digest)) => Some(digest),
         _ => None,
     }
 }
 
-/// Reads another voter's copy: the ranges that differ from `known`, or all that hold anything.
-pub fn pull(
+/// Reads another voter's replica: only the ranges whose digests differ from `known`, if given, else all that are
+/// not empty. None if any of them cannot be read.
+pub fn fetch_replica(
     shared: &Shared,
     address: &str,
     known: Option<&[u64]>,
 ) -> Option<(ReplicaDigest, Vec<(String, RegisterState)>)> {
-    let copy = copy_of(shared, address)?;
+    let digest = fetch_digest(shared, address)?;
     let own = known.map_or_else(RangeDigests::default, RangeDigests::from_ranges);
-    let differing = own.differing_ranges(&copy.ranges);
+    let differing = own.differing_ranges(&digest.ranges);
     let mut keys = Vec::new();
     for range in differing {
         let answer = shared
             .links
             .ask_wait(address, PeerMessage::Range(range), shared.timeout());
-        let Some(PeerMessage::RangeResponse(held)) = answer else {
+        let Some(PeerMessage::RangeResponse(registers)) = answer else {
             return None;
         };
-        keys.extend(held);
+        keys.extend(registers);
     }
-    Some((copy, keys))
+    Some((digest, keys))
 }
 
-/// Compares this core's copy with the other voters' now and then and mends it from the newer.
-pub fn keep(shared: &Shared) {
+/// Periodically compares this core's replica with those of the other voters and repairs it from newer values.
+pub fn run(shared: &Shared) {
     loop {
         let bounds = shared.store.committed().configuration.bounds.clone();
         thread::sleep(Duration::from_millis(2 * bounds.change_ms));
@@ -87,14 +90,15 @@
             continue;
         }
         for voter in set.voters.iter().filter(|voter| voter.disk != shared.disk) {
-            let Some(own) = own_copy(shared).filter(|own| own.set.version() == set.version())
+            let Some(own) = own_digest(shared).filter(|own| own.set.version() == set.version())
             else {
                 continue;
             };
-            let Some((copy, keys)) = pull(shared, &voter.address, Some(&own.ranges)) else {
+            let Some((digest, keys)) = fetch_replica(shared, &voter.address, Some(&own.ranges))
+            else {
                 continue;
             };
-            if copy.set.version() == set.version() && !keys.is_empty() {
+            if digest.set.version() == set.version() && !keys.is_empty() {
                 let _ = shared.voter.try_send(VoterTask::Repair(keys));
             }
         }
--- a/crates/core/src/scaler_role.rs
+++ b/crates/core/src/scaler_role.rs
@@ -8,20 +8,20 @@
 
 const KEY: &str = "duty/scaler";
 
-/// Whether this core votes and hears fronts, without which it could not scale.
-fn sees_fleet(shared: &Shared, now: u64, lease: u64) -> bool {
+/// Whether this core is a voter and has heard from a front within the lease, as scaling requires.
+fn can_scale(shared: &Shared, now: u64, lease: u64) -> bool {
     let set = shared.store.set();
-    let votes = set.voters.iter().any(|voter| voter.disk == shared.disk);
+    let is_voter = set.voters.iter().any(|voter| voter.disk == shared.disk);
     let fronts = shared.fronts.lock();
-    let mut heard = fronts
+    let mut reported = fronts
         .values()
         .filter(|known| !known.observation.report.is_witness);
-    let hears = heard.any(|known| now < known.observation.heard_at + lease);
-    votes && hears
+    let hears_front = reported.any(|known| now < known.observation.heard_at + lease);
+    is_voter && hears_front
 }
 
-/// Wins and keeps the scaler's role, or watches who has it.
-pub fn keep(shared: &Shared) {
+/// Acquires and renews the scaler role, or follows which core holds it.
+pub fn run(shared: &Shared) {
     let lease = shared
         .store
         .committed()
@@ -31,15 +31,15 @@
     let timeout = Duration::from_millis(lease / 3);
     let mut scaler_role = LeaderElection::new(shared.links.me().clone(), lease, now_ms());
     loop {
-        let began = now_ms();
+        let started_at = now_ms();
         scaler_role.enter_epoch(shared.store.set().epoch);
-        let mut next = scaler_role.next_step(began);
-        let is_blind = !sees_fleet(shared, began, lease);
-        if is_blind && scaler_role.term(began).is_some() {
+        let mut next = scaler_role.next_step(started_at);
+        let is_isolated = !can_scale(shared, started_at, lease);
+        if is_isolated && scaler_role.term(started_at).is_some() {
             log::warn!("role: this core hears no front and gives the role up");
-            scaler_role.step_down(began);
+            scaler_role.step_down(started_at);
         }
-        if is_blind && matches!(next, ElectionStep::Write(..)) {
+        if is_isolated && matches!(next, ElectionStep::Write(..)) {
             next = ElectionStep::Read;
         }
         let (change, tenure) = match next {
@@ -60,11 +60,11 @@
                 if scaler_role.leadership() != &tenure {
                     log::info!("role: this core scales, term {}", tenure.term);
                 }
-                scaler_role.on_elected(now_ms(), began, stored.version, tenure);
+                scaler_role.on_elected(now_ms(), started_at, stored.version, tenure);
             }
             (ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored), _) => {
-                let seen = Leadership::read_from_buffer(&stored.bytes).unwrap_or_default();
-                scaler_role.observe(now_ms(), stored.version, seen);
+                let observed = Leadership::read_from_buffer(&stored.bytes).unwrap_or_default();
+                scaler_role.observe(now_ms(), stored.version, observed);
             }
             _ => {}
         }
--- a/crates/core/src/scaling.rs
+++ b/crates/core/src/scaling.rs
@@ -16,40 +16,40 @@
 use std::time::Duration;
 use transport::now_ms;
 
-/// Calls to the platform that are under way at once.
-const CALLERS: usize = 16;
+/// Threads that call the platform, and so the number of concurrent calls.
+const PLATFORM_CALL_THREADS: usize = 16;
 
-/// A call, the term that it goes with, and the time that it may take.
-type Sent = (PlatformCommand, u64, Duration);
+/// A command, the term it is sent with, and its timeout.
+type QueuedCommand = (PlatformCommand, u64, Duration);
 
-/// Runs the scaler: it decides while this core has the role, and only looks on otherwise.
+/// Runs the scaler: it makes decisions while this core holds the role, and otherwise only observes.
 pub fn run(shared: &Shared) {
-    let (orders_out, orders_in) = bounded::<Sent>(4_096);
+    let (queue_out, queue_in) = bounded::<QueuedCommand>(4_096);
     let (results_out, results_in) = bounded::<(PlatformCommand, CommandResult)>(8_192);
-    for _ in 0..CALLERS {
-        let (commands, results) = (orders_in.clone(), results_out.clone());
+    for _ in 0..PLATFORM_CALL_THREADS {
+        let (commands, results) = (queue_in.clone(), results_out.clone());
         let address = shared.settings.platform;
         thread::spawn(move || {
             for (command, term, timeout) in &commands {
-                let result = platform::carry_out(address, &command, term, timeout);
+                let result = platform::execute(address, &command, term, timeout);
                 if results.send((command, result)).is_err() {
                     return;
                 }
             }
         });
     }
-    let fresh_key = || {
+    let generate_key = || {
         let key: [u8; 32] = rand::rng().random();
         key.to_vec()
     };
-    let mut scaler = Scaler::new(Box::new(fresh_key));
+    let mut scaler = Scaler::new(Box::new(generate_key));
     let mut commands = CommandPlanner::default();
     loop {
         let committed = shared.store.committed();
         thread::sleep(Duration::from_millis(
             committed.configuration.bounds.tick_ms(),
         ));
-        run_once(shared, &mut scaler, &mut commands, &orders_out, &results_in);
+        run_once(shared, &mut scaler, &mut commands, &queue_out, &results_in);
     }
 }
 
@@ -65,7 +65,7 @@
     shared: &Shared,
     scaler: &mut Scaler,
     commands: &mut CommandPlanner,
-    orders_out: &Sender<Sent>,
+    queue_out: &Sender<QueuedCommand>,
     results_in: &Receiver<(PlatformCommand, CommandResult)>,
 ) {
     let committed = shared.store.committed();
@@ -92,33 +92,33 @@
         listed: &lists.runners,
         fronts: &fronts,
     };
-    let holds = scaler_role
+    let is_leader = scaler_role
         .term
         .is_some_and(|term| term >= committed.plan.term);
-    if !holds || shared.store.is_blank() {
+    if !is_leader || shared.store.awaits_restore() {
         scaler.observe(&observation);
         return;
     }
-    let decided = scaler.run(&observation, commands);
+    let next_plan = scaler.run(&observation, commands);
     shared.decisions.store(Arc::new(scaler.decisions().clone()));
-    if let Some(plan) = decided {
+    if let Some(plan) = next_plan {
         write_plan(shared, &plan, committed.plan_version.no);
         return;
     }
     let platform_timeout = Duration::from_millis(bounds.platform_ms());
-    let (pause, grace) = (bounds.lease_ms(), 2 * bounds.change_ms);
+    let (retry_interval, grace) = (bounds.lease_ms(), 2 * bounds.change_ms);
     for command in commands.due(
         observation.now,
         &committed.plan,
         &lists.runners,
-        pause,
+        retry_interval,
         grace,
     ) {
-        // The term is looked at again right before each call.
+        // Check the term again for each command, in case the role was lost meanwhile.
         let Some(term) = shared.scaler_role.load().term else {
             return;
         };
-        if orders_out
+        if queue_out
             .try_send((command, term, platform_timeout))
             .is_err()
         {
@@ -136,8 +136,8 @@
         .change(PLAN, change, Duration::from_millis(timeout));
     match outcome {
         ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) => {
-            shared.store.put_in_force(PLAN, epoch, &stored);
-            update::answer_all(shared);
+            shared.store.apply_if_newer(PLAN, epoch, &stored);
+            update::answer_due(shared);
         }
         other => log::warn!("scaler: the plan was not taken: {other:?}"),
     }
--- a/crates/core/src/set.rs
+++ b/crates/core/src/set.rs
@@ -1,6 +1,6 @@
-use crate::joining;
 use crate::repair;
 use crate::shared::Shared;
+use crate::voter_membership;
 use crate::voting::VoterTask;
 use configuration::Version;
 use crossbeam::channel::bounded;
@@ -13,45 +13,54 @@
     Bootstrap, BootstrapStep, BootstrapView, GatewayEvidence, MembershipChange, PeerStatus,
 };
 
-/// Finds out which voters count, again and again. Where all three seeds say that they are empty,
-/// the first of them forms a new epoch; a core that is empty beside others joins them.
-pub fn settle_set(shared: &Shared) {
-    let mut founding = Bootstrap::default();
-    let mut joining = MembershipChange::default();
+/// Keeps the current voter set up to date. If all seeds report to be empty, the first of them bootstraps a new
+/// epoch; an empty core next to others that are not becomes a voter of their set.
+pub fn maintain_voter_set(shared: &Shared) {
+    let mut bootstrap = Bootstrap::default();
+    let mut membership_change = MembershipChange::default();
     loop {
-        let heard = hear(shared);
-        let newest = heard
+        let statuses = poll_peers(shared);
+        let newest = statuses
             .iter()
-            .map(|one| &one.set)
+            .map(|status| &status.set)
             .max_by_key(|set| set.version());
         let newest = newest.cloned().unwrap_or_default();
-        found(shared, &mut founding, &heard, newest.epoch == 0);
+        advance_bootstrap(shared, &mut bootstrap, &statuses, newest.epoch == 0);
         if newest.epoch > 0 {
-            shared.store.learn_set(&newest);
-            log_lagging_fronts(shared, &newest, &heard);
-            let own = heard.iter().find(|one| one.disk == shared.disk);
-            if own.is_none_or(|one| one.set.epoch == 0) {
-                joining::step(shared, &mut joining, &newest, &heard);
-            } else if shared.store.is_blank() {
-                start_from_fronts(shared, &mut founding);
+            shared.store.update_set(&newest);
+            update_lagging_voters(shared, &newest, &statuses);
+            let own_status = statuses.iter().find(|status| status.disk == shared.disk);
+            if own_status.is_none_or(|status| status.set.epoch == 0) {
+                voter_membership::step(shared, &mut membership_change, &newest, &statuses);
+            } else if shared.store.awaits_restore() {
+                restore_from_fronts(shared, &mut bootstrap);
             }
         }
-        let is_settled = shared.store.set().epoch > 0;
+        let has_voters = shared.store.set().epoch > 0;
         let timeout = shared.timeout();
-        let pause = if is_settled { timeout } else { timeout / 5 };
+        let pause = if has_voters { timeout } else { timeout / 5 };
         thread::sleep(pause);
     }
 }
 
-/// Takes the next step of an epoch's founding.
-fn found(shared: &Shared, founding: &mut Bootstrap, heard: &[PeerStatus], is_empty: bool) {
-    let gathered = if is_empty { gather(shared) } else { Ok(None) };
-    let Ok(gathered) = gathered else {
+/// Executes the next step of bootstrapping an epoch.
+fn advance_bootstrap(
+    shared: &Shared,
+    bootstrap: &mut Bootstrap,
+    statuses: &[PeerStatus],
+    is_empty: bool,
+) {
+    let recovered = if is_empty {
+        recover_from_fronts(shared)
+    } else {
+        Ok(None)
+    };
+    let Ok(recovered) = recovered else {
         return;
     };
-    let held = gathered.as_ref().map(|found| GatewayEvidence {
-        epoch: found.epoch(),
-        is_majority: found.is_majority,
+    let gateway_evidence = recovered.as_ref().map(|state| GatewayEvidence {
+        epoch: state.epoch(),
+        is_majority: state.is_majority,
     });
     let bounds = shared.store.committed().configuration.bounds.clone();
     let is_first = shared.settings.seeds[0] == shared.settings.address();
@@ -63,17 +72,18 @@
         own_disk: shared.disk,
         is_first_seed: is_first,
         seeds,
-        peers: heard,
-        evidence: held,
+        peers: statuses,
+        evidence: gateway_evidence,
     };
-    match founding.decide(&view) {
+    match bootstrap.decide(&view) {
         BootstrapStep::Wait => {}
         BootstrapStep::Form {
             set,
             refused_before,
-        } => form_epoch(shared, set, refused_before, gathered.as_ref()),
+        } => form_epoch(shared, set, refused_before, recovered.as_ref()),
         BootstrapStep::Resend { set, addresses } => {
-            let Some(floor) = repair::own_copy(shared).map(|copy| copy.claim_floors.refused_before)
+            let Some(floor) =
+                repair::own_digest(shared).map(|digest| digest.claim_floors.refused_before)
             else {
                 return;
             };
@@ -85,32 +95,32 @@
     }
 }
 
-/// Gives the values that fronts hold of an earlier epoch to this one, where nobody has done so yet.
-fn start_from_fronts(shared: &Shared, founding: &mut Bootstrap) {
-    let Ok(Some(found)) = gather(shared) else {
+/// Restores the values that fronts hold of an earlier epoch, unless another core has done so.
+fn restore_from_fronts(shared: &Shared, bootstrap: &mut Bootstrap) {
+    let Ok(Some(state)) = recover_from_fronts(shared) else {
         return;
     };
     let bounds = shared.store.committed().configuration.bounds.clone();
-    if founding.may_restore_values(now_ms(), &bounds, found.is_majority) {
-        shared.store.start_from(&found.update);
+    if bootstrap.may_restore_values(now_ms(), &bounds, state.is_majority) {
+        shared.store.restore(&state.update);
     }
 }
 
-/// A member that missed a change of the set is sent it: what another member has taken is settled.
-fn log_lagging_fronts(shared: &Shared, newest: &VoterSet, heard: &[PeerStatus]) {
-    for one in heard {
-        let is_member = newest.voters.iter().any(|voter| voter.disk == one.disk);
-        if is_member && one.set.epoch == newest.epoch && one.set.number < newest.number {
-            let question = PeerMessage::Adopt(newest.clone());
+/// Sends the newest set to members that missed the change. A set that any member has adopted is committed.
+fn update_lagging_voters(shared: &Shared, newest: &VoterSet, statuses: &[PeerStatus]) {
+    for status in statuses {
+        let is_member = newest.voters.iter().any(|voter| voter.disk == status.disk);
+        if is_member && status.set.epoch == newest.epoch && status.set.number < newest.number {
+            let request = PeerMessage::Adopt(newest.clone());
             shared
                 .links
-                .ask(&one.address, question, Box::new(|_adopted| {}));
+                .ask(&status.address, request, Box::new(|_adopted| {}));
         }
     }
 }
 
-/// Asks all seeds and all voters who they are.
-fn hear(shared: &Shared) -> Vec<PeerStatus> {
+/// Asks all seeds and voters for their status, and collects the answers that arrive within the timeout.
+fn poll_peers(shared: &Shared) -> Vec<PeerStatus> {
     let seeds = shared.settings.seeds.iter().map(SocketAddr::to_string);
     let mut addresses: Vec<String> = seeds.collect();
     let set = shared.store.set();
@@ -141,28 +151,28 @@
     }
     drop(sender);
     let end = Instant::now() + shared.timeout();
-    let mut heard = Vec::new();
-    while heard.len() < addresses.len() {
-        let Ok(one) = receiver.recv_deadline(end) else {
+    let mut statuses = Vec::new();
+    while statuses.len() < addresses.len() {
+        let Ok(status) = receiver.recv_deadline(end) else {
             break;
         };
-        heard.push(one);
+        statuses.push(status);
     }
-    heard
+    statuses
 }
 
-/// What the fronts still hold after all voters lost their state.
-struct Gathered {
+/// Configuration and plan that fronts still hold after all voters have lost their state.
+struct RecoveredState {
     version: Version,
     update: StateUpdate,
     is_majority: bool,
 }
 
-/// Fronts hold something, and could not be asked for it.
-struct Unheard;
+/// Fronts reported values but did not answer the request for them.
+struct FrontsUnreachable;
 
-impl Gathered {
-    /// The newest epoch of which fronts hold a value.
+impl RecoveredState {
+    /// The newest epoch of the recovered values.
     fn epoch(&self) -> u64 {
         let plan = self.update.plan.as_ref();
         let plan_epoch = plan.map_or(0, |update| update.version.epoch);
@@ -170,26 +180,26 @@
     }
 }
 
-/// What the fronts hold of earlier epochs, or none where they say that they hold nothing. `Err` where they hold
-/// something that they could not be asked for now: an epoch must not begin without it.
-fn gather(shared: &Shared) -> Result<Option<Gathered>, Unheard> {
+/// Reads the values that fronts hold of earlier epochs; none if they report that they hold nothing. Fails if they hold
+/// values but do not answer: a new epoch must not begin without these.
+fn recover_from_fronts(shared: &Shared) -> Result<Option<RecoveredState>, FrontsUnreachable> {
     let lease = shared.store.committed().configuration.bounds.lease_ms();
     let now = now_ms();
-    let holders: Vec<(String, Version, Version)> = {
+    let recent_reports: Vec<(String, Version, Version)> = {
         let fronts = shared.fronts.lock();
-        let fresh = fronts
+        let recent = fronts
             .values()
             .filter(|known| now < known.observation.heard_at + lease)
             .filter(|known| !known.observation.report.is_witness);
-        fresh
+        recent
             .map(|known| {
                 let report = &known.observation.report;
                 (known.address.clone(), report.configuration, report.plan)
             })
             .collect()
     };
-    let by_plan = holders.iter().max_by_key(|(_, _, plan)| *plan);
-    let by_configuration = holders
+    let by_plan = recent_reports.iter().max_by_key(|(_, _, plan)| *plan);
+    let by_configuration = recent_reports
         .iter()
         .max_by_key(|(_, configuration, _)| *configuration);
     let Some((by_plan, by_configuration)) = by_plan.zip(by_configuration) else {
@@ -198,22 +208,22 @@
     if by_configuration.1.epoch == 0 && by_plan.2.epoch == 0 {
         return Ok(None);
     }
-    let question = || PeerMessage::AwaitUpdate {
+    let request = || PeerMessage::AwaitUpdate {
         configuration: Version::default(),
         plan: Version::default(),
         wants_certain: false,
     };
-    let ask = |address: &str| shared.links.ask_wait(address, question(), shared.timeout());
+    let ask = |address: &str| shared.links.ask_wait(address, request(), shared.timeout());
     let (Some(PeerMessage::StateUpdate(plan)), Some(PeerMessage::StateUpdate(configuration))) =
         (ask(&by_plan.0), ask(&by_configuration.0))
     else {
-        return Err(Unheard);
+        return Err(FrontsUnreachable);
     };
     let membership = plan
         .plan
         .as_ref()
         .map_or(0, |update| update.plan.membership.len());
-    Ok(Some(Gathered {
+    Ok(Some(RecoveredState {
         version: by_configuration.1,
         update: StateUpdate {
             configuration: configuration.configuration,
@@ -221,25 +231,25 @@
             ..StateUpdate::default()
         },
         is_majority: GatewayEvidence::is_sufficient(
-            holders.len(),
+            recent_reports.len(),
             membership,
             shared.settings.seeds.len(),
         ),
     }))
 }
 
-/// Forms an epoch on this core's own disk, tells its members, and starts it from what fronts hold.
-fn form_epoch(shared: &Shared, set: VoterSet, floor: u64, gathered: Option<&Gathered>) {
-    let Some(set) = form_here(shared, set, floor) else {
+/// Bootstraps an epoch on this core's disk, notifies its members, and restores what fronts held.
+fn form_epoch(shared: &Shared, set: VoterSet, floor: u64, recovered: Option<&RecoveredState>) {
+    let Some(set) = bootstrap_local_voter(shared, set, floor) else {
         return;
     };
-    if let Some(found) = gathered {
+    if let Some(state) = recovered {
         log::warn!(
             "set: ALL VOTERS WERE EMPTY. Era {} starts from what the fronts held: blueprint {:?}, \
              heard a majority of fronts: {}. Once-keys issued before now are refused.",
             set.epoch,
-            found.version,
-            found.is_majority
+            state.version,
+            state.is_majority
         );
     } else {
         log::info!("set: formed epoch 1 with {} voters", set.voters.len());
@@ -248,18 +258,18 @@
         let form = PeerMessage::Form(set.clone(), floor);
         shared.links.cast(&voter.address, form);
     }
-    shared.store.learn_set(&set);
-    if let Some(found) = gathered {
-        shared.store.start_from(&found.update);
+    shared.store.update_set(&set);
+    if let Some(state) = recovered {
+        shared.store.restore(&state.update);
     }
 }
 
-/// Takes a first set on this core's own disk.
-pub fn form_here(shared: &Shared, set: VoterSet, floor: u64) -> Option<VoterSet> {
-    let (reported, answer) = bounded(1);
+/// Stores the first voter set on this core's disk. Returns the set that is then in force there.
+pub fn bootstrap_local_voter(shared: &Shared, set: VoterSet, floor: u64) -> Option<VoterSet> {
+    let (reply_to, answer) = bounded(1);
     shared
         .voter
-        .send(VoterTask::Form(set, floor, reported))
+        .send(VoterTask::Bootstrap(set, floor, reply_to))
         .ok()?;
     answer.recv().ok().filter(|set| set.epoch > 0)
 }
--- a/crates/core/src/shared.rs
+++ b/crates/core/src/shared.rs
@@ -21,20 +21,20 @@
 use voter::median_wall_clock;
 use voter::VoterError;
 
-/// Questions to this voter that may wait.
-const VOTER_WORK_MAX: usize = 16_384;
-/// Fronts that a core knows at most.
-const FRONTS_MAX: usize = 512;
+/// Most tasks that may be queued for this core's voter.
+const MAX_VOTER_TASKS: usize = 16_384;
+/// Most fronts and witnesses that a core keeps reports of.
+const MAX_FRONTS: usize = 512;
 
-/// Why a core stopped or did not start.
+/// Why a core failed to start.
 #[derive(Debug)]
 pub enum CoreError {
     /// A port or the data folder could not be opened.
     Io(io::Error),
     /// The voter's disk could not be read.
     Voter(Report<VoterError>),
-    /// The data folder is not for this daemon.
-    NotOurs(String),
+    /// The data folder is in use, unreadable, of a newer format or of another daemon.
+    UnusableDataFolder(String),
 }
 
 impl fmt::Display for CoreError {
@@ -42,29 +42,29 @@
         match self {
             Self::Io(error) => write!(formatter, "{error}"),
             Self::Voter(report) => write!(formatter, "{report:#}"),
-            Self::NotOurs(reason) => formatter.write_str(reason),
+            Self::UnusableDataFolder(reason) => formatter.write_str(reason),
         }
     }
 }
 
 impl std::error::Error for CoreError {}
 
-/// A front as this core knows it.
+/// The latest report of a front or witness, as received by this core.
 pub struct KnownFront {
     pub observation: FrontObservation,
     pub address: String,
-    /// How far its wall clock was ahead of this core's when it last reported, in milliseconds.
-    pub off_ms: i64,
+    /// How far its wall clock was ahead of this core's at its latest report, in milliseconds.
+    pub clock_offset_ms: i64,
 }
 
-/// The scaler's role as this core sees it.
+/// Who holds the scaler role, as known to this core, and the term if it is this core.
 #[derive(Clone, Default)]
-pub struct RoleView {
+pub struct ScalerRoleView {
     pub tenure: Leadership,
     pub term: Option<u64>,
 }
 
-/// What all threads of a core share. Lock order: fronts, then the askers' list.
+/// State shared by all threads of a core. Lock order: `fronts`, then the list of update subscribers.
 pub struct Shared {
     pub settings: CoreSettings,
     pub disk: u64,
@@ -73,15 +73,15 @@
     pub voter: Sender<VoterTask>,
     pub subscribers: UpdateSubscribers,
     pub fronts: Mutex<BTreeMap<String, KnownFront>>,
-    pub platform: ArcSwap<platform::Lists>,
-    pub scaler_role: ArcSwap<RoleView>,
+    pub platform: ArcSwap<platform::PlatformLists>,
+    pub scaler_role: ArcSwap<ScalerRoleView>,
     pub decisions: ArcSwap<BTreeMap<String, FunctionDecision>>,
-    /// Whether this incarnation has read the plan at a majority, so that it cannot tell an older one than
-    /// it reported before.
+    /// Whether this incarnation has read configuration and plan at a majority. Before, it could report an older
+    /// plan than it did before its restart.
     pub is_certain: AtomicBool,
-    /// Operators' requests that are being handled.
+    /// Number of operator requests in progress.
     pub handling: AtomicUsize,
-    certain: Sender<(Version, Version, Responder)>,
+    certain_requests: Sender<(Version, Version, Responder)>,
 }
 
 impl Shared {
@@ -90,18 +90,19 @@
         let known = self.scaler_role.load();
         if known.term != term || known.tenure != *scaler_role.leadership() {
             let tenure = scaler_role.leadership().clone();
-            self.scaler_role.store(Arc::new(RoleView { tenure, term }));
+            self.scaler_role
+                .store(Arc::new(ScalerRoleView { tenure, term }));
         }
     }
 
-    /// How long one question to another daemon may take.
+    /// Timeout of one request to another daemon.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.store.committed().configuration.bounds.ask_ms())
     }
 
-    /// A front asks again as soon as it has an update, well before its next report. The plan's version
-    /// is left as it was reported, since what the report says of seats goes with it.
-    fn note_configuration(&self, from: &PeerRef, configuration: Version) {
+    /// Records the configuration version of a front's update request, which arrives well before its next report.
+    /// The plan version stays as reported, since the seats in the report belong to it.
+    fn record_configuration(&self, from: &PeerRef, configuration: Version) {
         let mut fronts = self.fronts.lock();
         let known = fronts.get_mut(&from.name);
         if let Some(known) = known.filter(|known| known.observation.peer == *from) {
@@ -110,15 +111,15 @@
         }
     }
 
-    /// The wall time that this core's and the fronts' clocks agree on.
+    /// Median of the wall clocks of this core and the fronts, in milliseconds since 1970.
     pub fn median_wall_clock(&self) -> u64 {
         let fronts = self.fronts.lock();
         let reported = fronts.values();
         let reported = reported.filter(|known| !known.observation.report.is_witness);
-        median_wall_clock(unix_ms(), reported.map(|known| known.off_ms))
+        median_wall_clock(unix_ms(), reported.map(|known| known.clock_offset_ms))
     }
 
-    /// The newest epoch of which a front reported that it holds a value, also one that is silent now.
+    /// The newest epoch of a value that any front has reported, including fronts no longer heard from.
     pub fn fronts_epoch(&self) -> u64 {
         let fronts = self.fronts.lock();
         let reports = fronts.values().map(|known| &known.observation.report);
@@ -129,23 +130,23 @@
             .unwrap_or(0)
     }
 
-    pub fn take_report(&self, envelope_from: PeerRef, address: String, report: FrontReport) {
+    pub fn record_report(&self, peer: PeerRef, address: String, report: FrontReport) {
         let mut fronts = self.fronts.lock();
-        if fronts.len() >= FRONTS_MAX && !fronts.contains_key(&envelope_from.name) {
+        if fronts.len() >= MAX_FRONTS && !fronts.contains_key(&peer.name) {
             return;
         }
-        let off_ms = report.wall_ms as i64 - unix_ms() as i64;
+        let clock_offset_ms = report.wall_ms as i64 - unix_ms() as i64;
         let observation = FrontObservation {
-            peer: envelope_from.clone(),
+            peer: peer.clone(),
             heard_at: now_ms(),
             report,
         };
         fronts.insert(
-            envelope_from.name,
+            peer.name,
             KnownFront {
                 observation,
                 address,
-                off_ms,
+                clock_offset_ms,
             },
         );
     }
@@ -158,7 +159,7 @@
         let shared = &self.0;
         match (envelope.body, responder) {
             (PeerMessage::Voter(message), Some(responder)) => {
-                // Where the voter cannot keep up the question is dropped, as on a lossy link.
+                // If the voter's queue is full the request is dropped, as on a lossy link.
                 let _ = shared.voter.try_send(VoterTask::Ask(message, responder));
             }
             (
@@ -169,9 +170,11 @@
                 },
                 Some(responder),
             ) => {
-                shared.note_configuration(&envelope.from, configuration);
+                shared.record_configuration(&envelope.from, configuration);
                 if wants_certain {
-                    let _ = shared.certain.try_send((configuration, plan, responder));
+                    let _ = shared
+                        .certain_requests
+                        .try_send((configuration, plan, responder));
                 } else {
                     shared
                         .subscribers
@@ -184,7 +187,7 @@
             (PeerMessage::Report(report), None)
                 if report.is_witness == (envelope.role == PeerRole::Core) =>
             {
-                shared.take_report(envelope.from, envelope.address, report);
+                shared.record_report(envelope.from, envelope.address, report);
             }
             (PeerMessage::Hello, Some(responder)) => {
                 let _ = shared.voter.try_send(VoterTask::Hello(
@@ -198,7 +201,7 @@
     }
 }
 
-/// Runs a core until it is asked to stop.
+/// Runs a core until it receives a stop signal.
 pub fn run(settings: CoreSettings) -> Result<(), CoreError> {
     let (identity, _lock) = identity::open(&settings.data, &settings.name)?;
     let voter = voting::open(&settings.data)?;
@@ -208,13 +211,13 @@
         incarnation: rand::rng().random(),
     };
     let links = Arc::new(Links::new(me, settings.address(), PeerRole::Core));
-    let (voter_work, asked) = bounded(VOTER_WORK_MAX);
-    let (certain, wanted) = bounded(256);
+    let (tasks_out, tasks_in) = bounded(MAX_VOTER_TASKS);
+    let (certain_requests, requests) = bounded(256);
     let shared = Arc::new(Shared {
         disk: identity.disk,
         store: Store::new(links.clone()),
         links: links.clone(),
-        voter: voter_work,
+        voter: tasks_out,
         subscribers: UpdateSubscribers::default(),
         fronts: Mutex::default(),
         platform: ArcSwap::default(),
@@ -222,21 +225,21 @@
         decisions: ArcSwap::default(),
         is_certain: AtomicBool::new(false),
         handling: AtomicUsize::new(0),
-        certain,
+        certain_requests,
         settings,
     });
-    let asked_of = shared.clone();
-    spawn("core-voter", move || voting::run(&asked_of, voter, &asked))?;
+    let core = shared.clone();
+    spawn("core-voter", move || voting::run(&core, voter, &tasks_in))?;
     links
         .listen(listener, Arc::new(Incoming(shared.clone())))
         .map_err(CoreError::Io)?;
-    with(&shared, "core-set", set::settle_set)?;
-    with(&shared, "core-repair", repair::keep)?;
-    with(&shared, "core-scaler-role", scaler_role::keep)?;
-    with(&shared, "core-lists", platform::follow)?;
-    with(&shared, "core-scaler", scaling::run)?;
-    let certain = shared.clone();
-    spawn("core-certain", move || answer_certain(&certain, &wanted))?;
+    spawn_with(&shared, "core-set", set::maintain_voter_set)?;
+    spawn_with(&shared, "core-repair", repair::run)?;
+    spawn_with(&shared, "core-scaler-role", scaler_role::run)?;
+    spawn_with(&shared, "core-lists", platform::poll_lists)?;
+    spawn_with(&shared, "core-scaler", scaling::run)?;
+    let reader = shared.clone();
+    spawn("core-certain", move || answer_certain(&reader, &requests))?;
     operators::serve(&shared).map_err(CoreError::Io)?;
     log::info!(
         "core: {} serves operators on {}",
@@ -248,14 +251,14 @@
         let _ = stop.try_send(());
     });
     let mut refreshed_at = 0;
-    let mut aged_at = now_ms();
+    let mut claims_expired_at = now_ms();
     loop {
         let bounds = shared.store.committed().configuration.bounds.clone();
         if stopped
             .recv_timeout(Duration::from_millis(bounds.tick_ms()))
             .is_ok()
         {
-            return end_in_order(&shared);
+            return shut_down(&shared);
         }
         let now = now_ms();
         if now >= refreshed_at + bounds.heartbeat_ms() {
@@ -266,50 +269,50 @@
             }
         }
         witness::report(&shared);
-        if now >= aged_at + bounds.retry_window_ms {
-            aged_at = now;
-            let work = VoterTask::AgeOut(unix_ms(), bounds.claim_ms);
-            let _ = shared.voter.try_send(work);
+        if now >= claims_expired_at + bounds.retry_window_ms {
+            claims_expired_at = now;
+            let task = VoterTask::ExpireClaims(unix_ms(), bounds.claim_ms);
+            let _ = shared.voter.try_send(task);
         }
-        update::answer_all(&shared);
+        update::answer_due(&shared);
     }
 }
 
-/// Lets the operators' requests that are under way end. All that was promised is synced already.
-fn end_in_order(shared: &Shared) -> Result<(), CoreError> {
+/// Waits for operator requests in progress, up to a deadline. All acknowledged changes are already synced to disk.
+fn shut_down(shared: &Shared) -> Result<(), CoreError> {
     log::info!("core: stops");
     let bounds = shared.store.committed().configuration.bounds.clone();
     if !transport::reject_new_connections(shared.settings.http) {
         log::warn!("core: new connections could not be kept out");
     }
-    let stop_by = now_ms() + 2 * bounds.change_ms;
+    let deadline = now_ms() + 2 * bounds.change_ms;
     loop {
         thread::sleep(Duration::from_millis(bounds.slack_ms()));
-        if shared.handling.load(Ordering::SeqCst) == 0 || now_ms() >= stop_by {
+        if shared.handling.load(Ordering::SeqCst) == 0 || now_ms() >= deadline {
             return Ok(());
         }
     }
 }
 
-fn answer_certain(shared: &Shared, wanted: &Receiver<(Version, Version, Responder)>) {
-    for (configuration, plan, responder) in wanted {
-        update::answer_certain(shared, configuration, plan, responder);
+fn answer_certain(shared: &Shared, requests: &Receiver<(Version, Version, Responder)>) {
+    for (configuration, plan, responder) in requests {
+        update::answer_after_refresh(shared, configuration, plan, responder);
     }
 }
 
-fn with(
+fn spawn_with(
     shared: &Arc<Shared>,
     name: &str,
-    work: impl FnOnce(&Shared) + Send + 'static,
+    task: impl FnOnce(&Shared) + Send + 'static,
 ) -> Result<(), CoreError> {
     let shared = shared.clone();
-    spawn(name, move || work(&shared))
+    spawn(name, move || task(&shared))
 }
 
-fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<(), CoreError> {
+fn spawn(name: &str, task: impl FnOnce() + Send + 'static) -> Result<(), CoreError> {
     thread::Builder::new()
         .name(name.into())
-        .spawn(work)
+        .spawn(task)
         .map(|_| ())
         .map_err(CoreError::Io)
 }
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -11,43 +11,43 @@
 pub const CONFIGURATION: &str = "blueprint";
 /// Key of the plan's register.
 pub const PLAN: &str = "plan";
-/// Lines of history kept with a configuration.
+/// Most history entries kept with a configuration.
 const MAX_HISTORY_ENTRIES: usize = 32;
 
-/// What the configuration's register holds.
+/// Value of the configuration's register.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct ConfigurationValue {
-    /// JSON text as it was put.
+    /// JSON text as submitted.
     pub text: String,
-    /// How it came to be, the oldest first; the last line is this one.
+    /// Changes that led to this value, oldest first; the last entry is the current version.
     pub history: Vec<HistoryEntry>,
 }
 
-/// One put in a configuration's history.
+/// One change in the history of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable, Serialize)]
 pub struct HistoryEntry {
-    /// Version that the put made.
+    /// Version that the change created.
     pub version: u64,
-    /// When, in milliseconds since 1970 by the core's wall clock.
+    /// Time of the change by the core's wall clock, in milliseconds since 1970.
     pub at_unix_ms: u64,
-    /// Core that took it.
+    /// Name of the core that accepted it.
     pub core: String,
-    /// The operator's note.
+    /// Note given by the operator.
     pub note: String,
 }
 
 impl ConfigurationValue {
-    /// The next value, with its line added to the history.
-    pub fn next(&self, text: String, line: HistoryEntry) -> Self {
+    /// The value that follows this one, with its entry appended to the history.
+    pub fn next(&self, text: String, entry: HistoryEntry) -> Self {
         let mut history = self.history.clone();
-        history.push(line);
-        let surplus = history.len().saturating_sub(MAX_HISTORY_ENTRIES);
-        history.drain(..surplus);
+        history.push(entry);
+        let excess = history.len().saturating_sub(MAX_HISTORY_ENTRIES);
+        history.drain(..excess);
         Self { text, history }
     }
 }
 
-/// Values that are known to be settled.
+/// Newest values known to be committed.
 #[derive(Clone)]
 pub struct CommittedState {
     pub configuration_version: Version,
@@ -69,7 +69,7 @@
     }
 }
 
-/// The registers as a core uses them.
+/// Access to the registers, with a cache of the newest committed values.
 pub struct Store {
     client: RegisterClient<WireVoters>,
     set: ArcSwap<VoterSet>,
@@ -85,24 +85,24 @@
         }
     }
 
-    /// The voters that count, as far as is known; epoch 0 where none are.
+    /// The newest known voter set; its epoch is 0 if none is known.
     pub fn set(&self) -> Arc<VoterSet> {
         self.set.load_full()
     }
 
-    /// Learns which voters count; an older set is ignored.
-    pub fn learn_set(&self, set: &VoterSet) {
+    /// Replaces the known voter set if this one is newer.
+    pub fn update_set(&self, set: &VoterSet) {
         if set.version() > self.set.load().version() {
             self.set.store(Arc::new(set.clone()));
         }
     }
 
-    /// Values in force.
+    /// The newest known committed values.
     pub fn committed(&self) -> Arc<CommittedState> {
         self.committed.load_full()
     }
 
-    /// Reads or writes a register.
+    /// Reads or writes a register. Returns the epoch it was done in, and the outcome.
     pub fn change(&self, key: &str, change: Change, budget: Duration) -> (u64, ChangeOutcome) {
         let set = self.set();
         if set.epoch == 0 {
@@ -111,17 +111,17 @@
         }
         let outcome = self.client.change(&set, key, change, budget);
         if let ChangeOutcome::SetMismatch(set) = &outcome {
-            self.learn_set(set);
+            self.update_set(set);
         }
         (set.epoch, outcome)
     }
 
-    /// Starts a new epoch from the values that the fronts held. Where another core was faster its
-    /// values stay.
-    pub fn start_from(&self, update: &StateUpdate) {
+    /// Writes the values that fronts held as the first of a new epoch. If another core has already written
+    /// some, those are kept.
+    pub fn restore(&self, update: &StateUpdate) {
         let timeout = Duration::from_secs(2);
         let configuration = update.configuration.as_ref().map(|update| {
-            let line = HistoryEntry {
+            let entry = HistoryEntry {
                 version: 1,
                 note: format!(
                     "from era {} version {}",
@@ -129,7 +129,7 @@
                 ),
                 ..HistoryEntry::default()
             };
-            let value = ConfigurationValue::default().next(update.text.clone(), line);
+            let value = ConfigurationValue::default().next(update.text.clone(), entry);
             (CONFIGURATION, value.write_to_vec().unwrap_or_default())
         });
         let plan = update.plan.as_ref();
@@ -139,33 +139,33 @@
             let (epoch, outcome) = self.change(key, change, timeout);
             match outcome {
                 ChangeOutcome::Committed(stored) | ChangeOutcome::Conflict(stored) => {
-                    self.put_in_force(key, epoch, &stored);
+                    self.apply_if_newer(key, epoch, &stored);
                 }
                 other => log::error!("store: {key} of the last epoch was not taken: {other:?}"),
             }
         }
     }
 
-    /// Whether an epoch after a loss has not got its values back yet; nothing is planned until then.
-    pub fn is_blank(&self) -> bool {
+    /// Whether the values of earlier epochs have yet to be restored in this one. No plan is made until then.
+    pub fn awaits_restore(&self) -> bool {
         let epoch = self.set().epoch;
         epoch > 1 && self.committed().configuration_version.epoch < epoch
     }
 
-    /// Reads configuration and plan at a majority and puts them in force. Gives whether both were read.
+    /// Reads configuration and plan at a majority and applies them. Returns whether both were read.
     pub fn refresh(&self, budget: Duration) -> bool {
         [CONFIGURATION, PLAN].into_iter().all(|key| {
             let (epoch, outcome) = self.change(key, Change::Read, budget);
             let ChangeOutcome::Committed(stored) = outcome else {
                 return false;
             };
-            self.put_in_force(key, epoch, &stored);
+            self.apply_if_newer(key, epoch, &stored);
             true
         })
     }
 
-    /// Puts a settled value in force where it is newer.
-    pub fn put_in_force(&self, key: &str, epoch: u64, stored: &VersionedValue) {
+    /// Applies a committed value if it is newer than the known one.
+    pub fn apply_if_newer(&self, key: &str, epoch: u64, stored: &VersionedValue) {
         let version = Version {
             epoch,
             no: stored.version,
@@ -174,13 +174,13 @@
             return;
         }
         if key == PLAN {
-            self.plan_in_force(version, stored);
+            self.apply_plan(version, stored);
         } else {
-            self.configuration_in_force(version, stored);
+            self.apply_configuration(version, stored);
         }
     }
 
-    fn plan_in_force(&self, version: Version, stored: &VersionedValue) {
+    fn apply_plan(&self, version: Version, stored: &VersionedValue) {
         let Ok(plan) = Plan::read_from_buffer(&stored.bytes) else {
             log::error!("store: settled plan {} cannot be read", version.no);
             return;
@@ -196,7 +196,7 @@
         });
     }
 
-    fn configuration_in_force(&self, version: Version, stored: &VersionedValue) {
+    fn apply_configuration(&self, version: Version, stored: &VersionedValue) {
         if version <= self.committed.load().configuration_version {
             return;
         }
--- a/crates/core/src/update.rs
+++ b/crates/core/src/update.rs
@@ -5,24 +5,24 @@
 use std::time::Duration;
 use transport::{now_ms, ConfigurationUpdate, PeerMessage, PlanUpdate, Responder, StateUpdate};
 
-/// Questions that may wait at once.
-const WAITING_MAX: usize = 2_048;
+/// Most requests that may wait at once; further ones get an empty update immediately.
+const MAX_WAITING: usize = 2_048;
 
-struct Waiting {
+struct WaitingRequest {
     configuration: Version,
     plan: Version,
-    until: u64,
+    deadline: u64,
     responder: Responder,
 }
 
-/// Fronts that asked for updates and wait until there is one.
+/// Long-poll requests of fronts that wait for an update.
 #[derive(Default)]
 pub struct UpdateSubscribers {
-    waiting: Mutex<Vec<Waiting>>,
+    waiting: Mutex<Vec<WaitingRequest>>,
 }
 
 impl UpdateSubscribers {
-    /// Takes a question; it is answered by [`answer_all`] when there is an update or its time is over.
+    /// Queues a request. [`answer_due`] answers it once there is an update or after a lease duration.
     pub fn ask(
         &self,
         shared: &Shared,
@@ -32,19 +32,19 @@
     ) {
         let lease = shared.store.committed().configuration.bounds.lease_ms();
         let mut waiting = self.waiting.lock();
-        if waiting.len() >= WAITING_MAX {
+        if waiting.len() >= MAX_WAITING {
             drop(waiting);
             responder.answer(PeerMessage::StateUpdate(StateUpdate::default()));
             return;
         }
-        waiting.push(Waiting {
+        waiting.push(WaitingRequest {
             configuration,
             plan,
-            until: now_ms() + lease,
+            deadline: now_ms() + lease,
             responder,
         });
         drop(waiting);
-        answer_all(shared);
+        answer_due(shared);
     }
 }
 
@@ -54,13 +54,13 @@
     configuration: Version,
     plan: Version,
 ) -> StateUpdate {
-    let known = shared.fronts.lock();
-    let reached = |is_witness: bool| {
-        let those = known
+    let fronts = shared.fronts.lock();
+    let peers_by_role = |is_witness: bool| {
+        let matching = fronts
             .values()
-            .filter(|one| one.observation.report.is_witness == is_witness);
-        those
-            .map(|one| (one.observation.peer.clone(), one.address.clone()))
+            .filter(|known| known.observation.report.is_witness == is_witness);
+        matching
+            .map(|known| (known.observation.peer.clone(), known.address.clone()))
             .collect()
     };
     StateUpdate {
@@ -75,36 +75,36 @@
             plan: (*committed.plan).clone(),
         }),
         set: (*shared.store.set()).clone(),
-        fronts: reached(false),
-        cores: reached(true),
+        fronts: peers_by_role(false),
+        cores: peers_by_role(true),
         is_certain: false,
     }
 }
 
-/// Answers all for whom there is an update, or whose time is over.
-pub fn answer_all(shared: &Shared) {
+/// Answers all waiting requests for which there is an update or whose deadline has passed.
+pub fn answer_due(shared: &Shared) {
     let committed = shared.store.committed();
     let now = now_ms();
-    let due: Vec<Waiting> = {
+    let due: Vec<WaitingRequest> = {
         let mut waiting = shared.subscribers.waiting.lock();
-        let (due, left) = std::mem::take(&mut *waiting)
+        let (due, remaining) = std::mem::take(&mut *waiting)
             .into_iter()
-            .partition(|asker| {
-                asker.configuration < committed.configuration_version
-                    || asker.plan < committed.plan_version
-                    || asker.until <= now
+            .partition(|request| {
+                request.configuration < committed.configuration_version
+                    || request.plan < committed.plan_version
+                    || request.deadline <= now
             });
-        *waiting = left;
+        *waiting = remaining;
         due
     };
-    for asker in due {
-        let update = update_for(shared, &committed, asker.configuration, asker.plan);
-        asker.responder.answer(PeerMessage::StateUpdate(update));
+    for request in due {
+        let update = update_for(shared, &committed, request.configuration, request.plan);
+        request.responder.answer(PeerMessage::StateUpdate(update));
     }
 }
 
-/// Answers a front that has just started with what a majority of voters holds now.
-pub fn answer_certain(
+/// Answers a front that has just started, after reading the current values at a majority of voters.
+pub fn answer_after_refresh(
     shared: &Shared,
     configuration: Version,
     plan: Version,
--- a/crates/core/src/joining.rs
+++ b/crates/core/src/voter_membership.rs
@@ -1,4 +1,4 @@
-use crate::repair::{copy_of, pull};
+use crate::repair::{fetch_digest, fetch_replica};
 use crate::shared::Shared;
 use crate::voting::VoterTask;
 use crossbeam::channel::bounded;
@@ -10,27 +10,32 @@
 use transport::{now_ms, PeerMessage};
 use voter::{Installation, MembershipChange, MembershipStep, MembershipView, PeerStatus};
 
-/// Takes the next step of an empty core into the set of voters.
-pub fn step(shared: &Shared, joining: &mut MembershipChange, set: &VoterSet, heard: &[PeerStatus]) {
-    let Some((version, newest)) = settled_set(shared, set) else {
+/// Executes the next step by which a core without a voter set becomes a voter.
+pub fn step(
+    shared: &Shared,
+    membership_change: &mut MembershipChange,
+    set: &VoterSet,
+    statuses: &[PeerStatus],
+) {
+    let Some((version, committed_set)) = read_committed_set(shared, set) else {
         return;
     };
-    let me = VoterRef {
+    let local_voter = VoterRef {
         disk: shared.disk,
         address: shared.settings.address().to_string(),
     };
     let timeout = shared.store.committed().configuration.bounds.return_ms;
-    let answering: Vec<u64> = heard.iter().map(|one| one.disk).collect();
+    let answering: Vec<u64> = statuses.iter().map(|status| status.disk).collect();
     let view = MembershipView {
         now: now_ms(),
         replacement_timeout_ms: timeout,
-        local_voter: &me,
+        local_voter: &local_voter,
         set,
         answering: &answering,
         committed_version: version,
-        committed_set: &newest,
+        committed_set: &committed_set,
     };
-    match joining.decide(&view) {
+    match membership_change.decide(&view) {
         MembershipStep::Wait => {}
         MembershipStep::Adopt(next) => {
             adopt(shared, set, &next);
@@ -48,17 +53,17 @@
     }
 }
 
-/// Puts an empty core in the place of a voter, as an operator asks. It is refused where too few of
-/// the other voters answer for the new set to have a majority at once.
+/// Replaces a voter by an empty core on an operator's request. Rejected unless enough of the remaining voters
+/// answer for the new set to have a majority immediately.
 pub fn replace(shared: &Shared, old: &str, new: &str) -> Result<VoterSet, String> {
     let set = shared.store.set();
-    let leaving = set.voters.iter().find(|voter| voter.address == old);
-    let Some(leaving) = leaving else {
+    let replaced = set.voters.iter().find(|voter| voter.address == old);
+    let Some(replaced) = replaced else {
         return Err(format!("{old} is no voter"));
     };
-    let staying = set.voters.iter().filter(|voter| voter.address != old);
-    let answering = staying
-        .filter(|voter| copy_of(shared, &voter.address).is_some_and(|copy| copy.set == *set))
+    let remaining = set.voters.iter().filter(|voter| voter.address != old);
+    let answering = remaining
+        .filter(|voter| fetch_digest(shared, &voter.address).is_some_and(|copy| copy.set == *set))
         .count();
     if answering < set.majority() {
         return Err(format!(
@@ -70,23 +75,23 @@
         .ask_wait(new, PeerMessage::Hello, shared.timeout());
     let Some(PeerMessage::HelloResponse {
         disk,
-        set: their_set,
+        set: new_core_set,
         ..
     }) = hello
     else {
         return Err(format!("no core answers at {new}"));
     };
-    if their_set.epoch != 0 {
+    if new_core_set.epoch != 0 {
         return Err(format!("the core at {new} is not empty"));
     }
-    let newcomer = VoterRef {
+    let new_voter = VoterRef {
         disk,
         address: new.to_string(),
     };
-    let next = set.with_replacement(leaving.disk, newcomer);
+    let next = set.with_replacement(replaced.disk, new_voter);
     let next = next.ok_or_else(|| format!("the core at {new} is a voter already"))?;
-    let (version, committed) =
-        settled_set(shared, &set).ok_or_else(|| "no majority of voters answers".to_string())?;
+    let (version, committed) = read_committed_set(shared, &set)
+        .ok_or_else(|| "no majority of voters answers".to_string())?;
     if committed.version() > set.version() {
         adopt(shared, &set, &committed);
         return Err("another change of the voters was under way; ask again".into());
@@ -101,8 +106,8 @@
     }
 }
 
-/// The newest set that was settled, with its register's version.
-pub fn settled_set(shared: &Shared, set: &VoterSet) -> Option<(u64, VoterSet)> {
+/// Reads the committed voter set at a majority, with the version of its register.
+pub fn read_committed_set(shared: &Shared, set: &VoterSet) -> Option<(u64, VoterSet)> {
     let (_, outcome) = shared
         .store
         .change(VOTERS_KEY, Change::Read, shared.timeout());
@@ -116,54 +121,54 @@
     VoterSet::read_from_buffer(&stored.bytes).unwrap_or_else(|_| known.clone())
 }
 
-/// Tells the members of the old set to take the new one, and waits for a majority of them.
+/// Sends the new set to the members of the old one. Returns whether a majority of them adopted it.
 pub fn adopt(shared: &Shared, old: &VoterSet, next: &VoterSet) -> bool {
     let mut adopted = 0;
     for voter in &old.voters {
-        let question = PeerMessage::Adopt(next.clone());
+        let request = PeerMessage::Adopt(next.clone());
         let answer = shared
             .links
-            .ask_wait(&voter.address, question, shared.timeout());
+            .ask_wait(&voter.address, request, shared.timeout());
         if let Some(PeerMessage::Adopted(set)) = answer {
             adopted += usize::from(set.version() >= next.version());
         }
     }
     let is_majority = adopted >= old.majority();
     if is_majority {
-        shared.store.learn_set(next);
+        shared.store.update_set(next);
         log::info!("set: {adopted} voters are in set {} now", next.version());
     }
     is_majority
 }
 
-/// Takes over what a majority of the other members holds.
+/// Installs the merged registers of a majority of the other members into this core's voter.
 fn install(shared: &Shared, set: &VoterSet) {
-    let mut copies = Vec::new();
+    let mut replicas = Vec::new();
     let mut claim_floors = ClaimFloors::default();
     for voter in set.voters.iter().filter(|voter| voter.disk != shared.disk) {
-        let Some((copy, keys)) = pull(shared, &voter.address, None) else {
+        let Some((digest, keys)) = fetch_replica(shared, &voter.address, None) else {
             continue;
         };
-        if copy.set.version() == set.version() {
-            claim_floors = claim_floors.max(copy.claim_floors);
-            copies.push(keys);
+        if digest.set.version() == set.version() {
+            claim_floors = claim_floors.max(digest.claim_floors);
+            replicas.push(keys);
         }
     }
-    if copies.len() < set.majority() {
+    if replicas.len() < set.majority() {
         return;
     }
-    let keys = merge_replicas(copies);
+    let keys = merge_replicas(replicas);
     let count = keys.len();
-    let (reported, answer) = bounded(1);
+    let (reply_to, answer) = bounded(1);
     let set = set.clone();
-    let given = Installation {
+    let installation = Installation {
         set,
         claim_floors,
         registers: keys,
     };
     if shared
         .voter
-        .send(VoterTask::Install(given, reported))
+        .send(VoterTask::Install(installation, reply_to))
         .is_err()
     {
         return;
--- a/crates/core/src/voting.rs
+++ b/crates/core/src/voting.rs
@@ -7,36 +7,36 @@
 use transport::{PeerMessage, ReplicaDigest, Responder};
 use voter::{Installation, Voter};
 
-/// Most questions that are answered with one sync.
-const BATCH_MAX: usize = 256;
+/// Most tasks handled with one disk sync, beyond the first.
+const MAX_BATCH: usize = 256;
 
-/// What the voter's thread is asked.
+/// A task for the voter thread.
 pub enum VoterTask {
-    /// A question from the wire.
+    /// Handle a register request from another daemon.
     Ask(VoterRequest, Responder),
-    /// Take this first set with its floor, and tell what is held then.
-    Form(VoterSet, u64, Sender<VoterSet>),
-    /// Take the set that follows.
+    /// Store this first set and the claim floor; reply with the set that is then in force.
+    Bootstrap(VoterSet, u64, Sender<VoterSet>),
+    /// Adopt a newer set.
     Adopt(VoterSet, Responder),
-    /// Take a set with all that its other members hold, into an empty voter.
+    /// Install a set and the registers of its other members into an empty voter.
     Install(Installation, Sender<VoterSet>),
-    /// Take newer values from another copy.
+    /// Apply newer register states from another replica.
     Repair(Vec<(String, RegisterState)>),
-    /// Tell who this is, with the id of the disk and the newest epoch that fronts reported.
+    /// Answer a hello with the disk id, the set and the newest epoch that fronts reported.
     Hello(u64, u64, Responder),
-    /// Tell the copy in short, to another core.
+    /// Send the digest of the replica to another core.
     ReplicaDigest(Responder),
-    /// Tell the copy in short, here.
-    Digests(Sender<ReplicaDigest>),
-    /// Tell all that is held in a range.
-    Range(u16, Responder),
-    /// Forget claims, by this wall clock and the time for which they are remembered.
-    AgeOut(u64, u64),
-    /// Tell the set and how many keys are held.
-    Report(Sender<(VoterSet, usize)>),
+    /// Return the digest of the replica to a thread of this core.
+    OwnDigest(Sender<ReplicaDigest>),
+    /// Send all registers of a range.
+    ReadRange(u16, Responder),
+    /// Expire claims, given the wall clock and how long claims are kept, both in milliseconds.
+    ExpireClaims(u64, u64),
+    /// Return the set and the number of registers.
+    Summary(Sender<(VoterSet, usize)>),
 }
 
-/// What came of the work that is synced together.
+/// Replies that are sent after the sync of a batch of tasks.
 #[derive(Default)]
 struct Batch {
     replies: Vec<(Responder, VoterResponse)>,
@@ -44,29 +44,29 @@
     adopted: Vec<Responder>,
 }
 
-/// Opens the voter of a data folder.
+/// Opens the voter stored in a data folder.
 pub fn open(path: &Path) -> Result<Voter, CoreError> {
     let folder = DiskFolder::open(&path.join("register")).map_err(CoreError::Io)?;
     Voter::open(Box::new(folder)).map_err(CoreError::Voter)
 }
 
-/// What comes next; nothing after a pause, where the disk has failed and may be tried again.
-fn next(
+/// Waits for the next task. With a failed disk, returns `None` after `reopen_interval`, so that reopening is tried.
+fn next_task(
     voter: &Voter,
-    work: &Receiver<VoterTask>,
-    pause: Duration,
+    tasks: &Receiver<VoterTask>,
+    reopen_interval: Duration,
 ) -> Result<Option<VoterTask>, ()> {
     if !voter.can_reopen() {
-        return work.recv().map(Some).map_err(|_| ());
+        return tasks.recv().map(Some).map_err(|_| ());
     }
-    match work.recv_timeout(pause) {
+    match tasks.recv_timeout(reopen_interval) {
         Ok(first) => Ok(Some(first)),
         Err(RecvTimeoutError::Timeout) => Ok(None),
         Err(RecvTimeoutError::Disconnected) => Err(()),
     }
 }
 
-/// Opens the data folder again after its disk has failed.
+/// Reopens the data folder after a disk failure.
 fn reopen(path: &Path) -> Option<Voter> {
     let folder = DiskFolder::open(&path.join("register")).ok()?;
     let voter = Voter::reopen(Box::new(folder)).ok()?;
@@ -74,23 +74,23 @@
     Some(voter)
 }
 
-/// Works until nobody asks any more: one sync for all that has come in meanwhile. A disk that failed
-/// is tried again three times in a bound on changes.
-pub fn run(shared: &Shared, mut voter: Voter, work: &Receiver<VoterTask>) {
-    let pause =
+/// Handles tasks until all senders are gone, with one sync for each batch of queued tasks. A failed disk is
+/// reopened up to three times per `change_ms`.
+pub fn run(shared: &Shared, mut voter: Voter, tasks: &Receiver<VoterTask>) {
+    let reopen_interval =
         || Duration::from_millis(shared.store.committed().configuration.bounds.change_ms / 3);
-    let mut tried_at = Instant::now();
-    while let Ok(first) = next(&voter, work, pause()) {
-        if voter.can_reopen() && tried_at.elapsed() >= pause() {
-            tried_at = Instant::now();
+    let mut reopen_tried_at = Instant::now();
+    while let Ok(first) = next_task(&voter, tasks, reopen_interval()) {
+        if voter.can_reopen() && reopen_tried_at.elapsed() >= reopen_interval() {
+            reopen_tried_at = Instant::now();
             voter = reopen(&shared.settings.data).unwrap_or(voter);
         }
         let Some(first) = first else {
             continue;
         };
         let mut batch = Batch::default();
-        for item in std::iter::once(first).chain(work.try_iter().take(BATCH_MAX)) {
-            take(&mut voter, item, &mut batch);
+        for task in std::iter::once(first).chain(tasks.try_iter().take(MAX_BATCH)) {
+            process(&mut voter, task, &mut batch);
         }
         let is_synced = voter.sync();
         for (responder, reply) in batch.replies {
@@ -106,8 +106,8 @@
             continue;
         }
         let set = voter.acceptor().set();
-        for reported in batch.set_waiters {
-            let _ = reported.send(set.clone());
+        for reply_to in batch.set_waiters {
+            let _ = reply_to.send(set.clone());
         }
         for responder in batch.adopted {
             responder.answer(PeerMessage::Adopted(set.clone()));
@@ -115,15 +115,15 @@
     }
 }
 
-fn take(voter: &mut Voter, item: VoterTask, batch: &mut Batch) {
-    match item {
+fn process(voter: &mut Voter, task: VoterTask, batch: &mut Batch) {
+    match task {
         VoterTask::Ask(message, responder) => {
             let reply = voter.handle(message);
             batch.replies.push((responder, reply));
         }
-        VoterTask::Form(set, floor, reported) => {
+        VoterTask::Bootstrap(set, floor, reply_to) => {
             voter.bootstrap(set, floor);
-            batch.set_waiters.push(reported);
+            batch.set_waiters.push(reply_to);
         }
         VoterTask::Adopt(set, responder) => {
             voter.adopt_set(set);
@@ -131,12 +131,12 @@
                 batch.adopted.push(responder);
             }
         }
-        VoterTask::Install(given, reported) => {
-            voter.install(given);
-            batch.set_waiters.push(reported);
+        VoterTask::Install(installation, reply_to) => {
+            voter.install(installation);
+            batch.set_waiters.push(reply_to);
         }
         VoterTask::Repair(keys) => voter.repair(keys),
-        VoterTask::AgeOut(wall, remembered) => voter.expire_claims(wall, remembered),
+        VoterTask::ExpireClaims(wall_ms, claim_ms) => voter.expire_claims(wall_ms, claim_ms),
         VoterTask::Hello(disk, fronts_epoch, responder) => {
             let set = voter.acceptor().set().clone();
             responder.answer(PeerMessage::HelloResponse {
@@ -146,29 +146,29 @@
             });
         }
         VoterTask::ReplicaDigest(responder) => {
-            responder.answer(PeerMessage::DigestsResponse(copy_of(voter)));
+            responder.answer(PeerMessage::DigestsResponse(replica_digest(voter)));
         }
-        VoterTask::Digests(reported) => {
-            let _ = reported.send(copy_of(voter));
+        VoterTask::OwnDigest(reply_to) => {
+            let _ = reply_to.send(replica_digest(voter));
         }
-        VoterTask::Range(range, responder) => {
+        VoterTask::ReadRange(range, responder) => {
             responder.answer(PeerMessage::RangeResponse(
                 voter.acceptor().registers_in_range(range),
             ));
         }
-        VoterTask::Report(reported) => {
-            let held = voter.acceptor();
-            let _ = reported.send((held.set().clone(), held.len()));
+        VoterTask::Summary(reply_to) => {
+            let acceptor = voter.acceptor();
+            let _ = reply_to.send((acceptor.set().clone(), acceptor.len()));
         }
     }
 }
 
-fn copy_of(voter: &Voter) -> ReplicaDigest {
-    let held = voter.acceptor();
+fn replica_digest(voter: &Voter) -> ReplicaDigest {
+    let acceptor = voter.acceptor();
     ReplicaDigest {
         is_open: voter.is_open(),
-        set: held.set().clone(),
-        claim_floors: held.claim_floors(),
-        ranges: held.digests().as_slice().to_vec(),
+        set: acceptor.set().clone(),
+        claim_floors: acceptor.claim_floors(),
+        ranges: acceptor.digests().as_slice().to_vec(),
     }
 }
--- a/crates/core/src/witness.rs
+++ b/crates/core/src/witness.rs
@@ -3,10 +3,10 @@
 use std::sync::atomic::Ordering;
 use transport::{unix_ms, PeerMessage};
 
-/// Answers a front's heartbeat. Cores are on the membership beside the fronts, so that fronts keep their
-/// quorum lease when many of them are gone, and when all cores are.
+/// Answers a front's heartbeat. Cores are members beside the fronts, so that fronts keep their quorum lease when many
+/// fronts are unreachable, and also when all cores are.
 pub fn answer(shared: &Shared, address: &str, stamp: u64) {
-    if !shared.is_certain.load(Ordering::SeqCst) || shared.store.is_blank() {
+    if !shared.is_certain.load(Ordering::SeqCst) || shared.store.awaits_restore() {
         return;
     }
     let committed = shared.store.committed();
@@ -18,11 +18,11 @@
     shared.links.cast(address, PeerMessage::Front(answer));
 }
 
-/// Tells all cores, this one too, that this core bears witness, and which versions it holds.
+/// Reports to all cores, including this one, that this core is a witness and which versions it holds.
 pub fn report(shared: &Shared) {
     let set = shared.store.set();
-    let votes = set.voters.iter().any(|voter| voter.disk == shared.disk);
-    if !votes || !shared.is_certain.load(Ordering::SeqCst) || shared.store.is_blank() {
+    let is_voter = set.voters.iter().any(|voter| voter.disk == shared.disk);
+    if !is_voter || !shared.is_certain.load(Ordering::SeqCst) || shared.store.awaits_restore() {
         return;
     }
     let committed = shared.store.committed();
@@ -35,11 +35,15 @@
         configuration: committed.configuration_version,
         ..FrontReport::default()
     };
-    let own = shared.settings.address().to_string();
-    for voter in set.voters.iter().filter(|voter| voter.address != own) {
+    let own_address = shared.settings.address().to_string();
+    for voter in set
+        .voters
+        .iter()
+        .filter(|voter| voter.address != own_address)
+    {
         shared
             .links
             .cast(&voter.address, PeerMessage::Report(report.clone()));
     }
-    shared.take_report(shared.links.me().clone(), own, report);
+    shared.record_report(shared.links.me().clone(), own_address, report);
 }
