--- a/crates/front/src/attempts.rs
+++ b/crates/front/src/attempts.rs
@@ -10,17 +10,17 @@
 use std::time::Duration;
 use transport::{call, now_ms, CallError, CallResponse};
 
-/// Timers of attempts and callers may fire so far apart.
+/// The timers of an attempt and of its caller may fire this far apart.
 const TIMER_SLACK_MS: u64 = 5;
 
-/// How a try went, seen from the request.
+/// Result of one attempt, from the point of view of the request.
 enum AttemptResult {
     Succeeded(CallResponse),
     RunnerAbsent,
     Failed(&'static str, AttemptOutcome),
 }
 
-/// Runs one try of a request on a seat.
+/// Runs one attempt of a request on a seat.
 pub fn run(shared: &Shared, queued_request: QueuedRequest, seat: &SeatGrant) {
     let Some(call) = shared.continuations.call(queued_request.slot) else {
         shared.with_scheduler(|scheduler, now| {
@@ -28,9 +28,9 @@
         });
         return;
     };
-    let may_send =
+    let is_permitted =
         shared.with_scheduler(|scheduler, now| scheduler.permit(now, &queued_request, seat));
-    if !may_send {
+    if !is_permitted {
         shared.with_scheduler(|scheduler, now| {
             scheduler.attempt_done(now, seat, AttemptOutcome::Unsent);
             scheduler.requeue_unsent(now, queued_request);
@@ -47,9 +47,9 @@
         shared.with_scheduler(|scheduler, now| scheduler.count_first_attempt(now));
     }
     shared.counts.attempts.fetch_add(1, Ordering::Relaxed);
-    let started = now_ms();
+    let started_at = now_ms();
     let result = send(shared, &queued_request, seat, &call);
-    let took_ms = now_ms().saturating_sub(started);
+    let took_ms = now_ms().saturating_sub(started_at);
     match result {
         AttemptResult::Succeeded(answer) => {
             let content_type = content_type_of(&answer);
@@ -76,15 +76,15 @@
         }
         AttemptResult::Failed(reason, end) => {
             let slot = queued_request.slot;
-            // The try's own time ends with the budget, a little before its caller's does.
+            // The attempt's timeout ends with the budget, shortly before that of its caller.
             let is_over = end == AttemptOutcome::Lost
                 && now_ms() + TIMER_SLACK_MS >= queued_request.budget_end;
             let reason = if is_over { "budget-over" } else { reason };
-            let is_held = shared.with_scheduler(|scheduler, now| {
+            let is_requeued = shared.with_scheduler(|scheduler, now| {
                 scheduler.attempt_done(now, seat, end);
                 !call.is_once && scheduler.retry(now, queued_request)
             });
-            if is_held {
+            if is_requeued {
                 shared.counts.retries.fetch_add(1, Ordering::Relaxed);
             } else {
                 shared.continuations.end(slot, CallOutcome::Failed(reason));
@@ -102,7 +102,7 @@
         .to_string()
 }
 
-/// Whether the runner itself ended the connection.
+/// Whether the runner closed the connection.
 fn is_closed(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -124,13 +124,13 @@
         "{}-{:x}-{:x}-{:x}",
         me.name, me.incarnation, queued_request.slot, seat.seat_no
     );
-    let left_ms = queued_request.budget_end.saturating_sub(now_ms()).max(1);
-    let left_text = left_ms.to_string();
+    let remaining_ms = queued_request.budget_end.saturating_sub(now_ms()).max(1);
+    let remaining_text = remaining_ms.to_string();
     let mut headers = vec![
         ("Hallkeel-Runner", seat.runner.as_str()),
         ("Hallkeel-Ticket", attempt_id.as_str()),
         ("Hallkeel-Kind", request.kind.as_str()),
-        ("Hallkeel-Budget-Ms", left_text.as_str()),
+        ("Hallkeel-Budget-Ms", remaining_text.as_str()),
         ("Content-Type", request.content_type.as_str()),
     ];
     if let Some(key) = &request.idempotency_key {
@@ -141,7 +141,7 @@
         &format!("http://{}/invoke", seat.address),
         &headers,
         request.body.clone(),
-        Duration::from_millis(left_ms),
+        Duration::from_millis(remaining_ms),
         shared.configuration.load().bounds.body_max,
     );
     let answer = match answered {
@@ -160,7 +160,7 @@
     if answer.status == 421 {
         return AttemptResult::RunnerAbsent;
     }
-    let wanted = seal(
+    let expected_seal = seal(
         &seat.key,
         &attempt_id,
         &seat.runner,
@@ -169,21 +169,22 @@
         &answer.body,
     );
     let sealed = answer.headers.get("hallkeel-seal");
-    if sealed.is_none_or(|sealed| sealed.as_bytes() != wanted.as_bytes()) {
+    if sealed.is_none_or(|sealed| sealed.as_bytes() != expected_seal.as_bytes()) {
         shared.counts.bad_seals.fetch_add(1, Ordering::Relaxed);
         return AttemptResult::Failed("answer-not-sealed", AttemptOutcome::Bad);
     }
     AttemptResult::Succeeded(answer)
 }
 
-/// Looks whether runners take connections.
-pub fn probe(shared: &Shared, wanted: &Receiver<(String, String)>) {
-    for (runner, address) in wanted {
+/// Probes whether runners accept connections, and reports the results to the scheduler.
+pub fn probe(shared: &Shared, requested: &Receiver<(String, String)>) {
+    for (runner, address) in requested {
         let Ok(socket) = address.parse::<SocketAddr>() else {
             continue;
         };
         let timeout = Duration::from_millis(shared.configuration.load().bounds.slack_ms());
-        let is_there = TcpStream::connect_timeout(&socket, timeout).is_ok();
-        shared.with_scheduler(|scheduler, now| scheduler.probe_finished(now, &runner, is_there));
+        let is_reachable = TcpStream::connect_timeout(&socket, timeout).is_ok();
+        shared
+            .with_scheduler(|scheduler, now| scheduler.probe_finished(now, &runner, is_reachable));
     }
 }
--- a/crates/front/src/claims.rs
+++ b/crates/front/src/claims.rs
@@ -1,4 +1,4 @@
-use crate::unsettled_claims::UnsettledClaim;
+use crate::unresolved_claims::UnresolvedClaim;
 use arc_swap::ArcSwap;
 use configuration::PeerRef;
 use crossbeam::channel::{bounded, Receiver, Sender};
@@ -15,56 +15,56 @@
 use std::time::{Duration, Instant};
 use transport::{Links, PeerMessage, WireVoters};
 
-/// Largest answer that is kept with a claim, in bytes.
+/// Largest response body that is stored with a claim, in bytes.
 const MAX_STORED_BODY_BYTES: usize = 32 * 1024;
-/// Claims of which the end is still to be written.
-const MAX_UNSETTLED_CLAIMS: usize = 10_000;
-/// Unsettled claims up to which answers are kept with them.
-const MAX_UNSETTLED_BODIES: usize = 500;
-/// Longest time for one try to settle a claim, and the pause before the next one where it failed.
-const SETTLE_TIMEOUT: Duration = Duration::from_secs(2);
-const SETTLE_PAUSE: Duration = Duration::from_millis(200);
-/// Pauses within a claim's time while the set of voters changes.
-const SET_PAUSES: u32 = 50;
-/// Claims that a front remembers.
+/// Most claims that may wait to be resolved.
+const MAX_UNRESOLVED_CLAIMS: usize = 10_000;
+/// Number of unresolved claims from which on response bodies are no longer kept with them.
+const MAX_UNRESOLVED_WITH_BODY: usize = 500;
+/// Timeout of each register access when resolving a claim, and the wait after a failed attempt.
+const RESOLVE_TIMEOUT: Duration = Duration::from_secs(2);
+const RESOLVE_RETRY_WAIT: Duration = Duration::from_millis(200);
+/// While the voter set changes, a claim is retried after its time budget divided by this number.
+const SET_CHANGE_RETRIES: u32 = 50;
+/// Most claims that a front remembers.
 const MAX_REMEMBERED_CLAIMS: usize = 20_000;
-/// Remembered claims in one message.
-const REMEMBERED_PART: usize = 100;
+/// Most remembered claims in one message.
+const REMEMBERED_PER_MESSAGE: usize = 100;
 
-/// What asking for a claim gave.
-pub enum Claimed {
-    /// This request alone may send the work.
-    Ours(HeldClaim),
-    /// Another request has or had the key.
-    Theirs(Claim),
-    /// The key is older than what the ledger knows, so it is not claimed any more.
-    AgedOut,
-    /// No majority of voters took the claim: nothing may be sent.
-    Shut,
+/// Result of an attempt to claim a key.
+pub enum ClaimResult {
+    /// The request holds the claim, and only it may be sent.
+    Acquired(HeldClaim),
+    /// Another request holds or held the key.
+    Existing(Claim),
+    /// The key is older than the claims that the voters still keep, so it cannot be claimed.
+    Expired,
+    /// No majority of voters accepted the claim, so nothing may be sent.
+    NoQuorum,
 }
 
-/// A claim that is committed.
+/// A committed claim of this front.
 pub struct HeldClaim {
     version: u64,
-    taken: Claim,
+    proposed: Claim,
 }
 
-/// Claims of this front that it still knows, for voters that lose theirs.
+/// Recent claims of this front, kept for voters that lose their state.
 #[derive(Default)]
 struct RememberedClaims {
     claims: BTreeMap<String, (u64, Vec<u8>)>,
 }
 
 impl RememberedClaims {
-    fn note(&mut self, register: &str, version: u64, bytes: Vec<u8>) {
+    fn record(&mut self, register: &str, version: u64, bytes: Vec<u8>) {
         self.claims.insert(register.to_string(), (version, bytes));
-        // Keys begin with the time at which they were issued, so the first is the oldest.
+        // Keys start with their time of issue, so the first is the oldest.
         if self.claims.len() > MAX_REMEMBERED_CLAIMS {
             self.claims.pop_first();
         }
     }
 
-    fn held(&self, proposer: u64) -> Vec<(String, RegisterState)> {
+    fn register_states(&self, proposer: u64) -> Vec<(String, RegisterState)> {
         let ballot = Ballot {
             counter: 1,
             proposer,
@@ -88,16 +88,16 @@
     }
 }
 
-/// The ledger of once-work, kept at the voters: one register for each key.
+/// Claims on idempotency keys, stored at the voters in one register for each key.
 pub struct ClaimStore {
     client: RegisterClient<WireVoters>,
     set: ArcSwap<VoterSet>,
     me: PeerRef,
     remembered: Mutex<RememberedClaims>,
     links: Arc<Links>,
-    unsettled: (Sender<UnsettledClaim>, Receiver<UnsettledClaim>),
-    /// Unsettled claims, also the one that is being settled.
-    unsettled_count: AtomicUsize,
+    unresolved: (Sender<UnresolvedClaim>, Receiver<UnresolvedClaim>),
+    /// Number of unresolved claims, including the one being resolved.
+    unresolved_count: AtomicUsize,
 }
 
 fn bytes_of(claim: &Claim) -> Vec<u8> {
@@ -112,14 +112,14 @@
             remembered: Mutex::default(),
             links,
             set: ArcSwap::default(),
-            unsettled: bounded(MAX_UNSETTLED_CLAIMS),
-            unsettled_count: AtomicUsize::new(0),
+            unresolved: bounded(MAX_UNRESOLVED_CLAIMS),
+            unresolved_count: AtomicUsize::new(0),
         }
     }
 
-    /// Learns which voters count; an older set is ignored. Voters of a new epoch are sent the claims
-    /// that this front still knows.
-    pub fn learn_set(&self, set: &VoterSet) {
+    /// Replaces the known voter set if this one is newer. Voters of a new epoch are sent the claims that this
+    /// front remembers.
+    pub fn update_set(&self, set: &VoterSet) {
         let known = self.set.load_full();
         if set.version() <= known.version() {
             return;
@@ -128,13 +128,13 @@
         if known.epoch == 0 || set.epoch == known.epoch {
             return;
         }
-        let held = self.remembered.lock().held(self.me.incarnation);
+        let held = self.remembered.lock().register_states(self.me.incarnation);
         log::warn!(
             "front: epoch {} began; its voters are notified {} claims",
             set.epoch,
             held.len()
         );
-        for part in held.chunks(REMEMBERED_PART) {
+        for part in held.chunks(REMEMBERED_PER_MESSAGE) {
             for voter in &set.voters {
                 let message = PeerMessage::RememberedClaims(part.to_vec());
                 self.links.cast(&voter.address, message);
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Addresses of the voters that count.
+    /// Addresses of the voters in the known set.
     pub fn voters(&self) -> Vec<String> {
         let set = self.set.load();
         set.voters
@@ -166,11 +166,11 @@
         if let ChangeOutcome::Committed(stored) = outcome.clone() {
             if is_write {
                 let mut remembered = self.remembered.lock();
-                remembered.note(key, stored.version, stored.bytes);
+                remembered.record(key, stored.version, stored.bytes);
             }
         }
         if let ChangeOutcome::SetMismatch(set) = &outcome {
-            self.learn_set(set);
+            self.update_set(set);
         }
         outcome
     }
@@ -182,85 +182,91 @@
         slot: u64,
         digest: &str,
         budget: Duration,
-    ) -> Claimed {
+    ) -> ClaimResult {
         let claim = Claim::Taken {
             by: self.me.clone(),
             slot,
             digest: digest.to_string(),
         };
         let mut expected = 0;
-        let end = Instant::now() + budget;
-        while Instant::now() < end {
-            let left = end.saturating_duration_since(Instant::now());
-            match self.write(&key.register, expected, &claim, left) {
+        let deadline = Instant::now() + budget;
+        while Instant::now() < deadline {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match self.write(&key.register, expected, &claim, remaining) {
                 ChangeOutcome::Committed(stored) => {
-                    return Claimed::Ours(HeldClaim {
+                    return ClaimResult::Acquired(HeldClaim {
                         version: stored.version,
-                        taken: claim,
+                        proposed: claim,
                     });
                 }
                 ChangeOutcome::Conflict(stored) => match Claim::read_from_buffer(&stored.bytes) {
                     Ok(Claim::Free) => expected = stored.version,
-                    Ok(claim) => return Claimed::Theirs(claim),
-                    Err(_) => return Claimed::Shut,
+                    Ok(claim) => return ClaimResult::Existing(claim),
+                    Err(_) => return ClaimResult::NoQuorum,
                 },
-                // While the set changes, some voters are in the old one and some in the next.
-                ChangeOutcome::SetMismatch(_) => thread::sleep(budget / SET_PAUSES),
-                ChangeOutcome::Expired => return self.recall(&key.register),
+                // During a change of the set, some voters are in the old one and some in the new one.
+                ChangeOutcome::SetMismatch(_) => thread::sleep(budget / SET_CHANGE_RETRIES),
+                ChangeOutcome::Expired => return self.lookup_remembered(&key.register),
                 ChangeOutcome::Indeterminate => {
-                    self.settle_later(&key.register, claim, Claim::Free);
-                    return Claimed::Shut;
+                    self.resolve_later(&key.register, claim, Claim::Free);
+                    return ClaimResult::NoQuorum;
                 }
-                _ => return Claimed::Shut,
+                _ => return ClaimResult::NoQuorum,
             }
         }
-        Claimed::Shut
+        ClaimResult::NoQuorum
     }
 
-    /// What this front itself remembers of a key that the voters do not know any more.
-    fn recall(&self, register: &str) -> Claimed {
+    /// Looks up a key that the voters no longer know in the claims that this front remembers.
+    fn lookup_remembered(&self, register: &str) -> ClaimResult {
         let remembered = self.remembered.lock();
         let known = remembered.claims.get(register);
         match known.map(|(_, bytes)| Claim::read_from_buffer(bytes)) {
-            Some(Ok(claim)) if claim != Claim::Free => Claimed::Theirs(claim),
-            _ => Claimed::AgedOut,
+            Some(Ok(claim)) if claim != Claim::Free => ClaimResult::Existing(claim),
+            _ => ClaimResult::Expired,
         }
     }
 
-    /// Keeps a claim whose end could not be written. Where many wait, their answers are not kept.
-    fn settle_later(&self, register: &str, taken: Claim, mut end: Claim) {
-        if self.unsettled_count.load(Ordering::SeqCst) >= MAX_UNSETTLED_BODIES {
-            drop_body(&mut end);
+    /// Queues a claim whose outcome could not be written. If many are queued, response bodies are dropped.
+    fn resolve_later(&self, register: &str, proposed: Claim, mut replacement: Claim) {
+        if self.unresolved_count.load(Ordering::SeqCst) >= MAX_UNRESOLVED_WITH_BODY {
+            drop_body(&mut replacement);
         }
-        let unsettled = UnsettledClaim {
+        let unresolved = UnresolvedClaim {
             register: register.to_string(),
-            taken,
-            end,
+            proposed,
+            replacement,
         };
-        self.unsettled_count.fetch_add(1, Ordering::SeqCst);
-        self.keep_unsettled(unsettled);
+        self.unresolved_count.fetch_add(1, Ordering::SeqCst);
+        self.enqueue_unresolved(unresolved);
     }
 
-    fn keep_unsettled(&self, unsettled: UnsettledClaim) {
-        if self.unsettled.0.try_send(unsettled).is_err() {
-            self.unsettled_count.fetch_sub(1, Ordering::SeqCst);
+    fn enqueue_unresolved(&self, unresolved: UnresolvedClaim) {
+        if self.unresolved.0.try_send(unresolved).is_err() {
+            self.unresolved_count.fetch_sub(1, Ordering::SeqCst);
             log::warn!("front: too many claims are to be settled, one is left to its age");
         }
     }
 
-    /// Gives a claim back, of which nothing was sent, so that the caller may ask elsewhere as soon as
-    /// it is known. Where voters do not answer now it is done later.
-    pub fn free(&self, key: &IdempotencyKey, held: HeldClaim, budget: Duration) {
-        self.end(key, held, Claim::Free, budget);
+    /// Releases a claim for which nothing was sent, so that the caller may retry at another front.
+    /// If the voters do not answer, this is done later.
+    pub fn release(&self, key: &IdempotencyKey, held: HeldClaim, budget: Duration) {
+        self.finish(key, held, Claim::Free, budget);
     }
 
-    /// Whether claims are still to be settled.
-    pub fn has_unsettled(&self) -> bool {
-        self.unsettled_count.load(Ordering::SeqCst) > 0
+    /// Whether any claim is unresolved.
+    pub fn has_unresolved(&self) -> bool {
+        self.unresolved_count.load(Ordering::SeqCst) > 0
     }
 
-    /// Notes the answer, or that it was lost. Where voters do not answer now it is done later.
-    pub fn note(&self, key: &IdempotencyKey, held: HeldClaim, mut claim: Claim, budget: Duration) {
+    /// Records the response, or that it was lost. If the voters do not answer, this is done later.
+    pub fn record_outcome(
+        &self,
+        key: &IdempotencyKey,
+        held: HeldClaim,
+        mut claim: Claim,
+        budget: Duration,
+    ) {
         if let Claim::Done {
             body: Some(bytes), ..
         } = &claim
@@ -269,27 +275,27 @@
                 drop_body(&mut claim);
             }
         }
-        self.end(key, held, claim, budget);
+        self.finish(key, held, claim, budget);
     }
 
-    fn end(&self, key: &IdempotencyKey, held: HeldClaim, end: Claim, budget: Duration) {
-        let outcome = self.write(&key.register, held.version, &end, budget);
+    fn finish(&self, key: &IdempotencyKey, held: HeldClaim, replacement: Claim, budget: Duration) {
+        let outcome = self.write(&key.register, held.version, &replacement, budget);
         if !matches!(outcome, ChangeOutcome::Committed(_)) {
             log::warn!("front: the end of a claim was not taken, it is settled later: {outcome:?}");
-            self.settle_later(&key.register, held.taken, end);
+            self.resolve_later(&key.register, held.proposed, replacement);
         }
     }
 
-    /// Settles claims whose end could not be written, until the process ends.
-    pub fn settle_claims(&self) {
-        for unsettled in &self.unsettled.1 {
-            let register = &unsettled.register;
-            if unsettled.settle(|change| self.change(register, change, SETTLE_TIMEOUT)) {
-                self.unsettled_count.fetch_sub(1, Ordering::SeqCst);
+    /// Resolves queued claims until the process exits.
+    pub fn resolve_claims(&self) {
+        for unresolved in &self.unresolved.1 {
+            let register = &unresolved.register;
+            if unresolved.resolve(|change| self.change(register, change, RESOLVE_TIMEOUT)) {
+                self.unresolved_count.fetch_sub(1, Ordering::SeqCst);
                 continue;
             }
-            self.keep_unsettled(unsettled);
-            thread::sleep(SETTLE_PAUSE);
+            self.enqueue_unresolved(unresolved);
+            thread::sleep(RESOLVE_RETRY_WAIT);
         }
     }
 }
--- a/crates/front/src/continuations.rs
+++ b/crates/front/src/continuations.rs
@@ -4,7 +4,7 @@
 use slab::Slab;
 use std::sync::Arc;
 
-/// What a caller asked for, kept until it is answered.
+/// A call as received, kept until it is answered.
 #[derive(Debug)]
 pub struct Call {
     pub function: String,
@@ -15,7 +15,7 @@
     pub idempotency_key: Option<String>,
 }
 
-/// How a request ended.
+/// Final outcome of a request.
 #[derive(Debug)]
 pub enum CallOutcome {
     Answered {
@@ -24,7 +24,7 @@
         body: Vec<u8>,
     },
     Refused(Rejection),
-    /// Sent, and no good answer came.
+    /// The request was sent, and no valid response was received.
     Failed(&'static str),
 }
 
@@ -35,14 +35,14 @@
     is_sent: bool,
 }
 
-/// Continuations of all requests, by slot: index and generation. A slot that was ended is gone, so
-/// that whoever comes late with it finds nothing.
+/// Continuations of all requests in progress, by slot (index and generation). A finished request is removed, so
+/// that late events for its slot are ignored.
 #[derive(Default)]
 pub struct Continuations {
     table: Mutex<(Slab<Continuation>, u32)>,
 }
 
-fn split(slot: u64) -> (usize, u32) {
+fn split_slot(slot: u64) -> (usize, u32) {
     ((slot & 0xffff_ffff) as usize, (slot >> 32) as u32)
 }
 
@@ -62,7 +62,7 @@
     }
 
     pub fn call(&self, slot: u64) -> Option<Arc<Call>> {
-        let (index, generation) = split(slot);
+        let (index, generation) = split_slot(slot);
         let table = self.table.lock();
         let found = table.0.get(index);
         found
@@ -70,26 +70,26 @@
             .map(|found| found.call.clone())
     }
 
-    /// Marks that bytes may leave from now on; none where the request has ended already. Gives
-    /// whether it was marked before.
+    /// Sets whether bytes of the request may have been sent. Returns the previous value; none if the request has
+    /// already ended.
     pub fn mark_sent(&self, slot: u64, is_sent: bool) -> Option<bool> {
-        let (index, generation) = split(slot);
+        let (index, generation) = split_slot(slot);
         let mut table = self.table.lock();
         let found = table.0.get_mut(index);
         let found = found.filter(|found| found.generation == generation)?;
         Some(std::mem::replace(&mut found.is_sent, is_sent))
     }
 
-    /// Ends a request and wakes its caller. A rejection is a promise that nothing ran, so it is not
-    /// given for a request of which an earlier try may have run.
+    /// Ends a request and wakes its caller. A rejection guarantees that nothing ran, so it is replaced by a failure
+    /// if an earlier attempt may have run.
     pub fn end(&self, slot: u64, outcome: CallOutcome) {
-        let (index, generation) = split(slot);
+        let (index, generation) = split_slot(slot);
         let mut table = self.table.lock();
-        let is_there = table
+        let is_current = table
             .0
             .get(index)
             .is_some_and(|found| found.generation == generation);
-        if is_there {
+        if is_current {
             let continuation = table.0.remove(index);
             let outcome = match outcome {
                 CallOutcome::Refused(Rejection::BudgetOver) if continuation.is_sent => {
@@ -104,10 +104,10 @@
         }
     }
 
-    /// Takes a request out on the caller's side. Gives whether bytes may have left; none where it
-    /// has just been ended.
+    /// Removes a request on behalf of its caller. Returns whether bytes may have been sent; none if the request has
+    /// already ended.
     pub fn abandon(&self, slot: u64) -> Option<bool> {
-        let (index, generation) = split(slot);
+        let (index, generation) = split_slot(slot);
         let mut table = self.table.lock();
         let found = table.0.get(index)?;
         if found.generation != generation {
@@ -139,7 +139,7 @@
     #[test]
     fn nothing_is_sent_after_the_caller_was_notified() {
         let table = Continuations::default();
-        let (slot, _ending) = table.open(call());
+        let (slot, _outcome) = table.open(call());
         assert_eq!(table.abandon(slot), Some(false));
         assert_eq!(table.mark_sent(slot, true), None);
     }
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -1,4 +1,4 @@
-//! `hallkeel-front`: the data plane. It takes callers' requests and carries them to runners.
+//! `hallkeel-front`: the data plane. It accepts calls over HTTP and forwards them to runners.
 
 mod attempts;
 mod callers;
@@ -7,12 +7,12 @@
 mod operators;
 mod peer_view;
 mod shared;
-mod unsettled_claims;
+mod unresolved_claims;
 mod update;
 
 #[cfg(test)]
-#[path = "../tests/unit/unsettled_claims.rs"]
-mod unsettled_claims_tests;
+#[path = "../tests/unit/unresolved_claims.rs"]
+mod unresolved_claims_tests;
 
 use clap::Parser;
 use configuration::{read_settings, DaemonSettingsError, FrontSettings};
@@ -21,7 +21,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Carries callers' requests to runners.
+/// Forwards calls to runners.
 ///
 /// Settings come from a TOML file, from flags, or from both; flags win.
 /// Exit codes: 0 stopped as asked, 1 a port could not be opened, 2 bad settings.
@@ -32,11 +32,11 @@
     #[arg(long)]
     #[serde(skip)]
     settings: Option<PathBuf>,
-    /// Name of this front, one of its own in the fleet
+    /// Name of this front, unique in the cluster
     #[arg(long)]
     #[serde(skip_serializing_if = "Option::is_none")]
     name: Option<String>,
-    /// District that it stands in
+    /// District (zone) of this front
     #[arg(long = "district", value_name = "DISTRICT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "district")]
@@ -45,15 +45,15 @@
     #[arg(long)]
     #[serde(skip_serializing_if = "Option::is_none")]
     http: Option<SocketAddr>,
-    /// Address for the other daemons
+    /// Address for connections from the other daemons
     #[arg(long)]
     #[serde(skip_serializing_if = "Option::is_none")]
     wire: Option<SocketAddr>,
-    /// Address at which the other daemons reach this one, where it is not --wire itself
+    /// Address at which the other daemons reach this one, if it differs from --wire
     #[arg(long)]
     #[serde(skip_serializing_if = "Option::is_none")]
     advertise: Option<SocketAddr>,
-    /// Wire addresses of the three cores, with commas between
+    /// Wire addresses of the three cores, comma-separated
     #[arg(long, value_delimiter = ',')]
     #[serde(skip_serializing_if = "Option::is_none")]
     seeds: Option<Vec<SocketAddr>>,
--- a/crates/front/src/operators.rs
+++ b/crates/front/src/operators.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use transport::{json, now_ms, text, unix_ms, PeerMessage};
 
-/// Answers what operators ask of a front.
+/// Handles operator requests.
 pub fn handle(shared: &Shared, request: &Request<Body>, path: &str) -> Response<Body> {
     match (request.method(), path) {
         (&Method::GET, "/status") => json(200, &status(shared)),
@@ -57,7 +57,7 @@
         "blueprint": report.configuration,
         "plan": report.plan,
         "roster": plan.membership,
-        "view": shared.view.lock().peers().iter().map(|one| &one.peer.name).collect::<Vec<_>>(),
+        "view": shared.view.lock().peers().iter().map(|descriptor| &descriptor.peer.name).collect::<Vec<_>>(),
         "runners": runners,
         "waiting": waiting,
     })
@@ -80,7 +80,7 @@
     })
 }
 
-/// Tells every core what this front sees.
+/// Sends a report to every core.
 pub fn report(shared: &Shared) {
     let mut report =
         shared.with_scheduler(|scheduler, now| scheduler.report(now, &shared.settings.zone));
@@ -92,29 +92,29 @@
     }
 }
 
-/// Whether a draining front has no work left: no request, and no runner in its keeping.
+/// Whether a draining front has no work left: no requests, and no runners that it owns.
 pub fn has_drained(shared: &Shared) -> bool {
     shared.with_scheduler(|scheduler, _| {
-        let keeps = scheduler.plan().runners.iter().any(|entry| {
+        let owns_runners = scheduler.plan().runners.iter().any(|entry| {
             let is_served = matches!(entry.state, RunnerState::Wanted | RunnerState::Draining);
             is_served && entry.owner == *shared.links.me()
         });
-        scheduler.is_idle() && !keeps
+        scheduler.is_idle() && !owns_runners
     })
 }
 
-/// Whether all callers have their answers.
+/// Whether all callers have received their responses and all claims are resolved.
 pub fn has_answered(shared: &Shared) -> bool {
-    // The library writes an answer after its handler has returned, so a little time is left for it.
-    let answers_have_left = shared.handled_at.load(Ordering::SeqCst)
+    // The HTTP library writes a response after its handler has returned, so some slack is added.
+    let responses_are_written = shared.handled_at.load(Ordering::SeqCst)
         + shared.configuration.load().bounds.slack_ms()
         < now_ms();
     shared.handling.load(Ordering::SeqCst) == 0
-        && answers_have_left
-        && !shared.claim_store.has_unsettled()
+        && responses_are_written
+        && !shared.claim_store.has_unresolved()
 }
 
-/// Longest time that a drain may take when cores cannot move its runners away.
+/// Longest duration of a drain, in milliseconds, in case the cores cannot reassign this front's runners.
 pub fn drain_limit_ms(configuration: &Configuration) -> u64 {
     configuration.longest_budget_ms() + configuration.bounds.return_ms
 }
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -19,10 +19,10 @@
 use std::time::Duration;
 use transport::{now_ms, Envelope, Handler, Links, PeerMessage, PeerRole, Responder};
 
-/// Probes that may wait at once.
+/// Most probes that may be queued.
 const MAX_PENDING_PROBES: usize = 1_024;
 
-/// Counts for `/metrics`.
+/// Counters for `/metrics`.
 #[derive(Default)]
 pub struct Counts {
     pub answered: AtomicU64,
@@ -33,8 +33,8 @@
     pub attempts: AtomicU64,
 }
 
-/// What all threads of a front share. Lock order: scheduler, then continuations;
-/// the view's lock is held alone.
+/// State shared by all threads of a front. Lock order: `scheduler`, then `continuations`. No other lock is held
+/// together with `view`.
 pub struct Shared {
     pub settings: FrontSettings,
     pub links: Arc<Links>,
@@ -44,10 +44,10 @@
     pub claim_store: ClaimStore,
     pub counts: Counts,
     pub is_stopping: AtomicBool,
-    /// Callers' requests that are being handled, and when the last that was taken ended.
+    /// Number of calls in progress, and the time at which the latest call ended, in milliseconds.
     pub handling: AtomicUsize,
     pub handled_at: AtomicU64,
-    pub asked: Mutex<HashMap<String, u64>>,
+    pub update_requested_at: Mutex<HashMap<String, u64>>,
     pub view: Mutex<PartialView>,
     pub stop: Sender<()>,
     scheduler: Mutex<SeatScheduler>,
@@ -56,7 +56,7 @@
 }
 
 impl Shared {
-    /// Lets the scheduler decide something and carries its actions out, in the order it gave them.
+    /// Runs `decide` on the scheduler and executes the resulting actions in order.
     pub fn with_scheduler<T>(&self, decide: impl FnOnce(&mut SeatScheduler, u64) -> T) -> T {
         let mut scheduler = self.scheduler.lock();
         let result = decide(&mut scheduler, now_ms());
@@ -66,12 +66,12 @@
                 return result;
             }
             for action in actions {
-                self.carry_out(&mut scheduler, action);
+                self.execute(&mut scheduler, action);
             }
         }
     }
 
-    fn carry_out(&self, scheduler: &mut SeatScheduler, action: Action) {
+    fn execute(&self, scheduler: &mut SeatScheduler, action: Action) {
         match action {
             Action::Send(name, message) => self.send(&name, message),
             Action::Launch(queued_request, seat) => {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Wire addresses of all cores: the seeds and whoever votes.
+    /// Wire addresses of all cores: the seeds and the voters.
     pub fn cores(&self) -> Vec<String> {
         let seeds = self.settings.seeds.iter();
         let mut cores: Vec<String> = seeds.map(ToString::to_string).collect();
@@ -107,8 +107,8 @@
         cores
     }
 
-    /// Learns where a front is reached, by its newest incarnation.
-    pub fn meet(&self, peer: &PeerRef, address: &str) {
+    /// Records the address of a peer and its current incarnation.
+    pub fn record_address(&self, peer: &PeerRef, address: &str) {
         let is_known = self
             .peers
             .load()
@@ -135,8 +135,8 @@
                 if envelope.role == PeerRole::Front
                     || matches!(message, FrontMessage::HeartbeatResponse { .. }) =>
             {
-                shared.meet(&envelope.from, &envelope.address);
-                update::ask_if_newer(shared, &envelope.address, &message);
+                shared.record_address(&envelope.from, &envelope.address);
+                update::request_if_newer(shared, &envelope.address, &message);
                 shared.with_scheduler(|scheduler, now| {
                     scheduler.on_message(now, &envelope.from, message)
                 });
@@ -150,7 +150,7 @@
                 Some(responder),
             ) => update::answer(shared, configuration, plan, responder),
             (PeerMessage::Shuffle(part), Some(responder)) => {
-                let answer = peer_view::take_in(shared, part);
+                let answer = peer_view::exchange(shared, part);
                 responder.answer(PeerMessage::Shuffle(answer));
             }
             _ => {}
@@ -158,7 +158,7 @@
     }
 }
 
-/// Runs a front until it is asked to stop and has drained.
+/// Runs a front until it has received a stop signal and drained.
 pub fn run(settings: FrontSettings) -> io::Result<()> {
     let me = PeerRef {
         name: settings.name.clone(),
@@ -166,8 +166,8 @@
     };
     let listener = TcpListener::bind(settings.wire)?;
     let links = Arc::new(Links::new(me.clone(), settings.address(), PeerRole::Front));
-    let (attempts, launched) = bounded(settings.max_attempts);
-    let (probes, wanted_probes) = bounded(MAX_PENDING_PROBES);
+    let (attempts, launches) = bounded(settings.max_attempts);
+    let (probes, probe_requests) = bounded(MAX_PENDING_PROBES);
     let (stop, stopped) = bounded(1);
     let shared = Arc::new(Shared {
         stop: stop.clone(),
@@ -184,7 +184,7 @@
         is_stopping: AtomicBool::new(false),
         handling: AtomicUsize::new(0),
         handled_at: AtomicU64::new(0),
-        asked: Mutex::default(),
+        update_requested_at: Mutex::default(),
         scheduler: Mutex::new(SeatScheduler::new(me)),
         attempts,
         probes,
@@ -192,24 +192,24 @@
     });
     links.listen(listener, Arc::new(Incoming(shared.clone())))?;
     for _ in 0..shared.settings.max_attempts {
-        let (shared, launched) = (shared.clone(), launched.clone());
+        let (shared, launches) = (shared.clone(), launches.clone());
         spawn("front-try", move || {
-            for (queued_request, seat) in &launched {
+            for (queued_request, seat) in &launches {
                 attempts::run(&shared, queued_request, &seat);
             }
         })?;
     }
     for _ in 0..4 {
-        let (shared, wanted) = (shared.clone(), wanted_probes.clone());
-        spawn("front-probe", move || attempts::probe(&shared, &wanted))?;
+        let (shared, requests) = (shared.clone(), probe_requests.clone());
+        spawn("front-probe", move || attempts::probe(&shared, &requests))?;
     }
-    let following = shared.clone();
-    spawn("front-news", move || update::follow_all(&following))?;
+    let updater = shared.clone();
+    spawn("front-news", move || update::poll_cores(&updater))?;
     let peer_view = shared.clone();
-    spawn("front-views", move || peer_view::keep(&peer_view))?;
+    spawn("front-views", move || peer_view::run_shuffle(&peer_view))?;
     let claim_store = shared.clone();
     spawn("front-ledger", move || {
-        claim_store.claim_store.settle_claims()
+        claim_store.claim_store.resolve_claims()
     })?;
     callers::serve(&shared)?;
     log::info!(
@@ -220,28 +220,28 @@
     let _ = ctrlc::set_handler(move || {
         let _ = stop.try_send(());
     });
-    tend(&shared, &stopped)
+    run_until_drained(&shared, &stopped)
 }
 
-/// Lets time go on, until the front is asked to stop and has drained.
-fn tend(shared: &Shared, stopped: &Receiver<()>) -> io::Result<()> {
+/// Runs the periodic work of the scheduler and the reports until the front has drained after a stop signal.
+fn run_until_drained(shared: &Shared, stopped: &Receiver<()>) -> io::Result<()> {
     let bounds = Configuration::empty().bounds;
-    let mut told_at = None;
-    let mut shut_at = None;
+    let mut drain_started_at = None;
+    let mut closed_at = None;
     loop {
         if stopped
             .recv_timeout(Duration::from_millis(bounds.tick_ms()))
             .is_ok()
-            && told_at.is_none()
+            && drain_started_at.is_none()
         {
             log::info!("front: drains before it stops");
             shared.is_stopping.store(true, Ordering::SeqCst);
-            told_at = Some(now_ms());
+            drain_started_at = Some(now_ms());
             shared.with_scheduler(|scheduler, _| scheduler.drain());
         }
         shared.with_scheduler(|scheduler, now| scheduler.tick(now));
         operators::report(shared);
-        let Some(since) = told_at else {
+        let Some(since) = drain_started_at else {
             continue;
         };
         let now = now_ms();
@@ -249,15 +249,15 @@
             log::warn!("front: stops with work left, since the drain took too long");
             return Ok(());
         }
-        // Callers on connections that they keep learn for the length of a lease that it drains.
+        // For the duration of a lease, callers on keep-alive connections can still learn that this front is draining.
         let is_notified = now >= since + bounds.lease_ms();
-        if shut_at.is_none() && is_notified && operators::has_drained(shared) {
+        if closed_at.is_none() && is_notified && operators::has_drained(shared) {
             if !transport::reject_new_connections(shared.settings.http) {
                 log::warn!("front: new connections could not be kept out");
             }
-            shut_at = Some(now);
+            closed_at = Some(now);
         }
-        let is_quiet = shut_at.is_some_and(|shut| now >= shut + bounds.slack_ms());
+        let is_quiet = closed_at.is_some_and(|closed| now >= closed + bounds.slack_ms());
         if is_quiet && operators::has_answered(shared) {
             log::info!("front: has drained and stops");
             return Ok(());
@@ -265,16 +265,16 @@
     }
 }
 
-fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> io::Result<()> {
+fn spawn(name: &str, task: impl FnOnce() + Send + 'static) -> io::Result<()> {
     thread::Builder::new()
         .name(name.into())
         .stack_size(512 * 1024)
-        .spawn(work)
+        .spawn(task)
         .map(|_| ())
 }
 
-/// Words for why a request was not run, and the status that goes with them.
-pub fn refusal_words(rejection: Rejection) -> (u16, &'static str) {
+/// HTTP status and reason code of a rejection.
+pub fn rejection_reason(rejection: Rejection) -> (u16, &'static str) {
     match rejection {
         Rejection::QueueFull => (503, "holding-full"),
         Rejection::Shed => (503, "shed-for-urgent-work"),
--- a/crates/front/src/update.rs
+++ b/crates/front/src/update.rs
@@ -9,38 +9,38 @@
 use std::time::Duration;
 use transport::{now_ms, ConfigurationUpdate, PeerMessage, PlanUpdate, Responder, StateUpdate};
 
-/// Follows every seed and every voter, also those that become voters later.
-pub fn follow_all(shared: &Arc<Shared>) {
-    let mut followed = BTreeSet::new();
+/// Polls every seed and voter, including later voters, each in a thread of its own.
+pub fn poll_cores(shared: &Arc<Shared>) {
+    let mut polled = BTreeSet::new();
     loop {
         for address in shared.cores() {
-            if followed.insert(address.clone()) {
+            if polled.insert(address.clone()) {
                 let shared = shared.clone();
-                thread::spawn(move || follow(&shared, &address));
+                thread::spawn(move || poll_core(&shared, &address));
             }
         }
         let cores = shared.cores();
-        followed.retain(|address| cores.contains(address));
+        polled.retain(|address| cores.contains(address));
         let lease = shared.configuration.load().bounds.lease_ms();
         thread::sleep(Duration::from_millis(lease / 5));
     }
 }
 
-/// Asks one core for updates, again and again, until it is neither seed nor voter any more.
-fn follow(shared: &Shared, address: &str) {
+/// Long-polls one core for updates until it is no longer a seed or voter.
+fn poll_core(shared: &Shared, address: &str) {
     while shared.cores().iter().any(|core| core == address) {
         let (configuration, plan, is_ready) = shared.with_scheduler(|scheduler, _| {
             let (configuration, plan) = scheduler.versions();
             (configuration, plan, scheduler.is_ready())
         });
-        let question = PeerMessage::AwaitUpdate {
+        let request = PeerMessage::AwaitUpdate {
             configuration,
             plan,
             wants_certain: !is_ready,
         };
         let lease = shared.configuration.load().bounds.lease_ms();
         let timeout = Duration::from_millis(2 * lease);
-        match shared.links.ask_wait(address, question, timeout) {
+        match shared.links.ask_wait(address, request, timeout) {
             Some(PeerMessage::StateUpdate(update)) => {
                 apply(shared, update);
             }
@@ -49,10 +49,10 @@
     }
 }
 
-/// Puts updates in force, where they are newer.
+/// Applies an update; values that are not newer are ignored.
 pub fn apply(shared: &Shared, update: StateUpdate) {
     for (peer, address) in &update.cores {
-        shared.meet(peer, address);
+        shared.record_address(peer, address);
     }
     let fronts = update.fronts.iter().map(|(peer, address)| PeerDescriptor {
         peer: peer.clone(),
@@ -60,10 +60,10 @@
         age: 0,
     });
     for descriptor in fronts {
-        peer_view::take_in(shared, vec![descriptor]);
+        peer_view::exchange(shared, vec![descriptor]);
     }
     if update.set.epoch != 0 {
-        shared.claim_store.learn_set(&update.set);
+        shared.claim_store.update_set(&update.set);
     }
     let configuration = update
         .configuration
@@ -91,7 +91,7 @@
     });
 }
 
-/// Answers another front's question with what this one holds, where that is newer.
+/// Answers the update request of another front with the values that are newer here.
 pub fn answer(shared: &Shared, configuration: Version, plan: Version, responder: Responder) {
     let update = shared.with_scheduler(|scheduler, _| {
         let (own_configuration, own_plan) = scheduler.versions();
@@ -110,8 +110,8 @@
     responder.answer(PeerMessage::StateUpdate(update));
 }
 
-/// A heartbeat that tells of newer versions makes this front ask the one that has them.
-pub fn ask_if_newer(shared: &Arc<Shared>, address: &str, message: &FrontMessage) {
+/// Requests an update from the sender of a heartbeat that announces newer versions, at most once per tick.
+pub fn request_if_newer(shared: &Arc<Shared>, address: &str, message: &FrontMessage) {
     let Some((configuration, plan)) = message.versions() else {
         return;
     };
@@ -120,24 +120,24 @@
         return;
     }
     let tick = shared.configuration.load().bounds.tick_ms();
-    let mut asked = shared.asked.lock();
-    let last = asked.entry(address.to_string()).or_insert(0);
+    let mut requested_at = shared.update_requested_at.lock();
+    let last = requested_at.entry(address.to_string()).or_insert(0);
     if *last + tick > now_ms() {
         return;
     }
     *last = now_ms();
-    drop(asked);
-    let question = PeerMessage::AwaitUpdate {
+    drop(requested_at);
+    let request = PeerMessage::AwaitUpdate {
         configuration: own_configuration,
         plan: own_plan,
         wants_certain: false,
     };
-    let shared_then = shared.clone();
+    let callback_shared = shared.clone();
     let on_answer = Box::new(move |answer| {
         if let PeerMessage::StateUpdate(mut update) = answer {
             update.is_certain = false;
-            apply(&shared_then, update);
+            apply(&callback_shared, update);
         }
     });
-    shared.links.ask(address, question, on_answer);
+    shared.links.ask(address, request, on_answer);
 }
--- a/crates/front/tests/unit/unsettled_claims.rs
+++ b/crates/front/tests/unit/unresolved_claims.rs
@@ -1,12 +1,12 @@
-//! Claims that are settled late replace themselves and nothing else.
+//! Resolving a claim late replaces that claim only, never the claim of another request.
 
-use crate::unsettled_claims::UnsettledClaim;
+use crate::unresolved_claims::UnresolvedClaim;
 use configuration::PeerRef;
 use idempotency_keys::Claim;
 use register::{Change, ChangeOutcome, VersionedValue};
 use speedy::{Readable, Writable};
 
-/// A register at voters that may be out of reach.
+/// A register whose voters may be unreachable or whose write responses may be lost.
 #[derive(Default)]
 struct Register {
     stored: VersionedValue,
@@ -15,7 +15,7 @@
 }
 
 impl Register {
-    fn holding(version: u64, claim: &Claim) -> Self {
+    fn with_claim(version: u64, claim: &Claim) -> Self {
         let stored = VersionedValue {
             version,
             bytes: claim.write_to_vec().unwrap(),
@@ -62,34 +62,34 @@
     }
 }
 
-fn lost() -> Claim {
+fn unknown() -> Claim {
     Claim::Unknown {
         digest: "digest".into(),
     }
 }
 
-fn unsettled(end: Claim) -> UnsettledClaim {
-    UnsettledClaim {
+fn unresolved(replacement: Claim) -> UnresolvedClaim {
+    UnresolvedClaim {
         register: "key".into(),
-        taken: taken("front-0", 7),
-        end,
+        proposed: taken("front-0", 7),
+        replacement,
     }
 }
 
 #[test]
-fn the_own_claim_is_replaced() {
-    for end in [Claim::Free, lost()] {
-        let mut register = Register::holding(3, &taken("front-0", 7));
-        assert!(unsettled(end.clone()).settle(|change| register.change(change)));
+fn the_claim_of_the_same_request_is_replaced() {
+    for end in [Claim::Free, unknown()] {
+        let mut register = Register::with_claim(3, &taken("front-0", 7));
+        assert!(unresolved(end.clone()).resolve(|change| register.change(change)));
         assert_eq!((register.stored.version, register.claim()), (4, Some(end)));
     }
 }
 
 #[test]
-fn the_claim_of_another_request_stays_though_its_version_is_the_expected_one() {
-    for other in [taken("front-1", 7), taken("front-0", 8), lost()] {
-        let mut register = Register::holding(1, &other);
-        assert!(unsettled(Claim::Free).settle(|change| register.change(change)));
+fn the_claim_of_another_request_with_the_same_version_is_kept() {
+    for other in [taken("front-1", 7), taken("front-0", 8), unknown()] {
+        let mut register = Register::with_claim(1, &other);
+        assert!(unresolved(Claim::Free).resolve(|change| register.change(change)));
         assert_eq!(
             (register.stored.version, register.claim()),
             (1, Some(other))
@@ -98,9 +98,9 @@
 }
 
 #[test]
-fn a_claim_that_was_never_committed_cannot_be_any_more() {
+fn resolving_an_uncommitted_claim_prevents_its_late_commit() {
     let mut register = Register::default();
-    assert!(unsettled(Claim::Free).settle(|change| register.change(change)));
+    assert!(unresolved(Claim::Free).resolve(|change| register.change(change)));
     assert_eq!(register.claim(), Some(Claim::Free));
     let late = Change::Write {
         expected: 0,
@@ -110,39 +110,39 @@
 }
 
 #[test]
-fn a_claim_that_the_voters_lost_is_not_written_by_its_end() {
+fn the_outcome_of_a_claim_lost_by_the_voters_is_not_written() {
     let mut register = Register::default();
-    assert!(unsettled(lost()).settle(|change| register.change(change)));
+    assert!(unresolved(unknown()).resolve(|change| register.change(change)));
     assert_eq!(register.stored.version, 0);
 }
 
 #[test]
-fn it_is_tried_again_until_it_is_known_to_be_settled() {
-    let claim = unsettled(lost());
-    let mut register = Register::holding(1, &taken("front-0", 7));
+fn resolving_is_retried_until_its_result_is_known() {
+    let claim = unresolved(unknown());
+    let mut register = Register::with_claim(1, &taken("front-0", 7));
     register.is_unreachable = true;
-    assert!(!claim.settle(|change| register.change(change)));
+    assert!(!claim.resolve(|change| register.change(change)));
     register.is_unreachable = false;
     register.is_write_lost = true;
-    assert!(!claim.settle(|change| register.change(change)));
-    assert!(claim.settle(|change| register.change(change)));
+    assert!(!claim.resolve(|change| register.change(change)));
+    assert!(claim.resolve(|change| register.change(change)));
     assert_eq!(
         (register.stored.version, register.claim()),
-        (2, Some(lost()))
+        (2, Some(unknown()))
     );
 }
 
 #[test]
-fn a_claim_that_came_between_read_and_write_is_looked_at_again() {
-    let claim = unsettled(Claim::Free);
+fn a_claim_written_between_read_and_write_is_read_again() {
+    let claim = unresolved(Claim::Free);
     let mut register = Register::default();
-    let is_settled = claim.settle(|change| {
+    let is_resolved = claim.resolve(|change| {
         if matches!(change, Change::Write { .. }) {
-            register = Register::holding(1, &taken("front-1", 1));
+            register = Register::with_claim(1, &taken("front-1", 1));
         }
         register.change(change)
     });
-    assert!(!is_settled);
-    assert!(claim.settle(|change| register.change(change)));
+    assert!(!is_resolved);
+    assert!(claim.resolve(|change| register.change(change)));
     assert_eq!(register.claim(), Some(taken("front-1", 1)));
 }
