--- a/crates/request_queue/src/action.rs
+++ b/crates/request_queue/src/action.rs
@@ -1,94 +1,94 @@
 use configuration::PeerRef;
 
-/// A request as the scheduler knows it.
+/// A client request as the scheduler sees it. All times are in milliseconds on the front's clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuedRequest {
-    /// Key of its continuation in the front's slab, with the generation.
+    /// Key of the request's continuation in the front's slab; includes the slab generation.
     pub slot: u64,
-    /// Function that it is for.
+    /// Name of the function to run.
     pub function: String,
-    /// Priority of its kind; 0 is the most urgent.
+    /// Priority of the request's kind; 0 is the most urgent.
     pub priority: u8,
-    /// When it came in.
+    /// Time of arrival.
     pub arrived: u64,
-    /// When its budget is over.
+    /// Deadline: the time at which its budget expires.
     pub budget_end: u64,
-    /// Attempts that provably never reached a runner.
+    /// Number of attempts that provably never reached a runner.
     pub unsent: u32,
 }
 
-/// Why a request was not run.
+/// Why a request was rejected without being run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The queue was full and nothing in it ranked lower.
+    /// The queue was full and held no request of a lower priority.
     QueueFull,
-    /// It was shed from a full queue for one of a higher priority.
+    /// Shed from a full queue to make room for a request of a higher priority.
     Shed,
-    /// Its budget was over before a seat was free.
+    /// Its budget expired before a seat was free.
     BudgetOver,
-    /// This front is cut off from the majority of fronts.
+    /// This front holds no quorum lease: it cannot reach a majority of the fronts.
     NoQuorum,
-    /// The function is not listed (any more).
+    /// The function is not in the configuration, or no longer.
     Unlisted,
     /// This front is draining.
     Draining,
-    /// Its attempts could not reach any runner.
+    /// None of its attempts reached a runner.
     Unreachable,
 }
 
-/// The right to have one request in flight on one runner.
+/// A lease on one seat: the right to have one request in flight on one runner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SeatGrant {
-    /// Runner that it is for.
+    /// Id of the runner.
     pub runner: String,
-    /// Function of that runner.
+    /// Function that the runner serves.
     pub function: String,
-    /// Address of the runner.
+    /// Address (ip and port) of the runner.
     pub address: String,
-    /// Key that the runner seals with.
+    /// Key with which the runner seals its responses.
     pub key: Vec<u8>,
-    /// Front that lent it.
+    /// Front that owns the runner and leased the seat.
     pub owner: PeerRef,
-    /// Epoch of that owner.
+    /// Owner epoch of the runner when the seat was leased.
     pub epoch: u64,
-    /// Number among the owner's seats.
+    /// Number of the seat, unique per owner.
     pub seat_no: u64,
-    /// It must start before this time.
+    /// The attempt must start before this time.
     pub start_by: u64,
 }
 
-/// How a try ended, as far as its seat goes.
+/// How an attempt ended, which decides what happens to its seat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A whole answer came; it took so many milliseconds.
+    /// A complete response arrived after this many milliseconds.
     Answered(u64),
-    /// A whole answer came that was not good (unsealed, garbage).
+    /// A complete but invalid response arrived (without a seal, or malformed).
     Bad,
-    /// Provably nothing was sent, since the seat was no longer good.
+    /// Provably nothing was sent, because the seat was no longer valid.
     Unsent,
-    /// Provably nothing was run, since the runner was not there or refused the id.
+    /// Provably nothing was run, because the runner was unreachable or refused the id.
     Absent,
-    /// The runner closed the connection before a whole answer; by its contract it works on the
-    /// request no more.
+    /// The runner closed the connection before the response was complete. By its contract it has
+    /// stopped working on the request.
     Broken,
-    /// It may still run: the answer was lost.
+    /// The response was lost; the request may still be running.
     Lost,
 }
 
-/// What the front must do.
+/// An action that the front must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a message to another front.
+    /// Send a message to the named front.
     Send(String, crate::FrontMessage),
-    /// Start a try of the request on the seat.
+    /// Start an attempt of the request on the seat.
     Launch(QueuedRequest, SeatGrant),
-    /// Tell the caller at once that the request was not run.
+    /// Respond to the caller that the request was not run.
     Refuse(QueuedRequest, Rejection),
-    /// See whether the runner takes connections, then call [`crate::SeatScheduler::probe_finished`].
+    /// Check whether the runner accepts connections, then call [`crate::SeatScheduler::probe_finished`].
     Probe {
-        /// Runner to look at.
+        /// Id of the runner.
         runner: String,
-        /// Its address.
+        /// Address of the runner.
         address: String,
     },
 }
--- a/crates/request_queue/src/lib.rs
+++ b/crates/request_queue/src/lib.rs
@@ -1,5 +1,5 @@
-//! The request's way through a front: queues by priority, seat requests for seats, owners that lease them,
-//! quorum lease, and the retry budget. Pure state machines: events and time in, actions out.
+//! Scheduling of requests in a front: priority queues, requests for seats, owners that lease seats, the quorum
+//! lease and the retry budget. Pure state machines without I/O: events and the time go in, actions come out.
 #![warn(missing_docs)]
 
 mod action;
--- a/crates/request_queue/src/message.rs
+++ b/crates/request_queue/src/message.rs
@@ -1,54 +1,54 @@
 use configuration::Version;
 use speedy::{Readable, Writable};
 
-/// Longest list within a message between fronts.
+/// Maximum length of a list in a message between fronts.
 pub const MAX_LIST_ENTRIES: usize = 20_000;
 
-/// Requests of one priority that wait at a front.
+/// Number of requests of one priority that are queued at a front.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct PriorityCount {
-    /// The priority.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// How many wait.
+    /// Number of queued requests.
     pub count: u32,
-    /// Age of the oldest, in milliseconds.
+    /// Age of the oldest one, in milliseconds.
     pub oldest_ms: u64,
 }
 
-/// A seat that an owner lends.
+/// A seat leased by its owner to another front.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct SeatAssignment {
-    /// Stamp of the newest seat request that the owner had.
+    /// Stamp of the newest seat request that the owner had received.
     pub stamp: u64,
     /// The function.
     pub function: String,
     /// The runner.
     pub runner: String,
-    /// Epoch of the owner.
+    /// Owner epoch of the runner.
     pub epoch: u64,
-    /// Number of the seat; it grows with each seat lent to the same front.
+    /// Number of the seat; increases with each seat leased to the same front.
     pub seat_no: u64,
 }
 
-/// A seat that goes back to its owner.
+/// A seat returned to its owner.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct Return {
     /// The runner.
     pub runner: String,
     /// Number of the seat.
     pub seat_no: u64,
-    /// How the try ended: milliseconds of a good answer.
+    /// Response time in milliseconds, if the response was valid.
     pub took_ms: Option<u64>,
     /// Whether the runner was at fault.
     pub is_bad: bool,
-    /// Whether the runner was not there at all.
+    /// Whether the runner was unreachable.
     pub is_absent: bool,
 }
 
-/// Messages between fronts. Each may be lost, doubled or late.
+/// Messages between fronts. Any of them may be lost, duplicated or delayed.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum FrontMessage {
-    /// Heartbeat, with the sender's clock.
+    /// Heartbeat, stamped with the sender's clock.
     Heartbeat {
         /// The sender's time.
         stamp: u64,
@@ -56,61 +56,61 @@
         plan: Version,
         /// Version of the configuration that the sender holds.
         configuration: Version,
-        /// Number of the last seat that the sender lent to the receiver.
+        /// Number of the last seat that the sender leased to the receiver.
         last_assignment: u64,
     },
-    /// Answer to a heartbeat, with its stamp.
+    /// Response to a heartbeat; repeats its stamp.
     HeartbeatResponse {
         /// Stamp of the heartbeat.
         stamp: u64,
-        /// Version of the plan that the answerer holds.
+        /// Version of the plan that the responder holds.
         plan: Version,
-        /// Version of the configuration that the answerer holds.
+        /// Version of the configuration that the responder holds.
         configuration: Version,
     },
-    /// Request for seats of a function; it stands until the next one replaces it.
+    /// Request for seats of a function; valid until the next one replaces it.
     SeatRequest {
-        /// The bidder's time.
+        /// Time of the requesting front.
         stamp: u64,
-        /// Incarnation of the owner whose seats are meant.
+        /// Incarnation of the owner that the seat numbers refer to.
         incarnation: u64,
         /// Highest seat number seen from the owner in that incarnation.
         seen_assignment: u64,
         /// The function.
         function: String,
-        /// What waits, by priority.
+        /// Queued requests by priority.
         priorities: Vec<PriorityCount>,
     },
-    /// A seat is lent.
+    /// An owner leases a seat to the receiver.
     SeatAssignment(SeatAssignment),
-    /// A seat goes back.
+    /// A seat is returned to its owner.
     Return(Return),
-    /// All seats that the sender holds of the receiver's.
+    /// All of the receiver's seats that the sender holds.
     Holds {
         /// The sender's time.
         stamp: u64,
-        /// Incarnation of the owner whose seats are meant.
+        /// Incarnation of the owner that the seat numbers refer to.
         incarnation: u64,
         /// Highest seat number seen from the owner in that incarnation.
         seen_assignment: u64,
         /// Numbers of the seats held.
         seats: Vec<u64>,
     },
-    /// A former owner tells the next one how many seats are still out.
+    /// A former owner tells the next one how many seats are still leased.
     Handover {
         /// The runner.
         runner: String,
         /// Epoch of the former owner.
         epoch: u64,
-        /// Seats still out.
+        /// Number of seats still leased.
         leased: u32,
-        /// The last of them is surely over after this time, in milliseconds.
+        /// Milliseconds after which the last of them can no longer be in use.
         over_in_ms: u64,
     },
 }
 
 impl FrontMessage {
-    /// Versions of configuration and plan that the sender holds, where the message tells them.
+    /// Versions of configuration and plan that the sender holds, if the message carries them.
     pub fn versions(&self) -> Option<(Version, Version)> {
         match self {
             Self::Heartbeat {
@@ -128,43 +128,43 @@
     }
 }
 
-/// What a front tells the scaler.
+/// A front's report to the scaler.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct FrontReport {
-    /// Its zone.
+    /// Zone of the front.
     pub zone: String,
-    /// Address at which it serves callers and operators.
+    /// Address at which the front serves callers and operators.
     pub http: String,
-    /// Its wall clock, in milliseconds since 1970.
+    /// The front's wall clock, in milliseconds since 1970.
     pub wall_ms: u64,
-    /// Whether it is a core, which only answers heartbeats for quorum leases and never owns a runner.
+    /// Whether the sender is a core, which only responds to heartbeats for quorum leases and never owns a runner.
     pub is_witness: bool,
-    /// Whether it drains.
+    /// Whether the front is draining.
     pub is_draining: bool,
-    /// Whether it has a quorum lease.
+    /// Whether the front has a quorum lease.
     pub has_quorum: bool,
-    /// Version of the plan it holds.
+    /// Version of the plan that the front holds.
     pub plan: Version,
-    /// Version of the configuration it holds.
+    /// Version of the configuration that the front holds.
     pub configuration: Version,
-    /// Functions with traffic.
+    /// Functions that have had traffic.
     pub functions: Vec<FunctionReport>,
-    /// Runners that it keeps.
+    /// Runners that the front owns.
     pub runners: Vec<RunnerReport>,
 }
 
-/// Totals of one function at one front since its start.
+/// Totals of one function at one front since the front started.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct FunctionReport {
     /// The function.
     pub function: String,
-    /// Requests that came in.
+    /// Requests that arrived.
     pub arrived: u64,
     /// Requests that were answered.
     pub answered: u64,
-    /// Requests that were refused.
+    /// Requests that were rejected.
     pub refused: u64,
-    /// Requests that wait now.
+    /// Requests queued now.
     pub waiting: u32,
 }
 
@@ -173,22 +173,22 @@
 pub struct RunnerReport {
     /// The runner.
     pub runner: String,
-    /// Epoch of this owner.
+    /// Owner epoch of the runner.
     pub epoch: u64,
-    /// Whether this owner may lend its seats yet.
+    /// Whether this owner may lease the runner's seats yet.
     pub is_active: bool,
-    /// Whether it takes connections.
+    /// Whether the runner accepts connections.
     pub is_warm: bool,
-    /// Seats out.
+    /// Number of leased seats.
     pub leased: u32,
-    /// Good answers since this owner began.
+    /// Valid responses since this owner took over.
     pub answered: u64,
-    /// Milliseconds that they took in all.
+    /// Total response time of these, in milliseconds.
     pub took_ms: u64,
-    /// Whether it is left out for a while as unfit.
+    /// Whether the runner is ejected for a while after consecutive faults.
     pub is_unfit: bool,
-    /// Whether it is far slower than a good runner of its function, and gets only trials.
+    /// Whether the runner is far slower than a typical one of its function, so that it gets only trial requests.
     pub is_slow: bool,
-    /// Milliseconds for which it has not been there though it once was.
+    /// Milliseconds since the runner became unreachable; 0 if it is reachable or never was.
     pub absent_ms: u64,
 }
--- a/crates/request_queue/src/owned.rs
+++ b/crates/request_queue/src/owned.rs
@@ -1,18 +1,20 @@
 use configuration::{Bounds, PeerRef, RunnerEntry, RunnerState};
 use std::collections::BTreeMap;
 
-/// Faults in a row after which a runner is left out.
-const FAULTS_MAX: u32 = 3;
-/// Answers over which a runner's pace is taken; the newest weigh most, so that it can mend.
-const RESPONSE_TIME_SPAN: f64 = 20.0;
-/// A runner this many times as slow as a good one of its function is left out as slow.
-const SLOW_TIMES: f64 = 3.0;
-/// Answers until which a runner is not called slow.
-const SLOW_ANSWERS: u64 = 3;
-/// A slow runner is tried once in so many seats that others of its function are lent.
-const SLOW_PASSED: u32 = 100;
-/// Answers over which a slow runner's pace is taken, so that few trials show that it has recovered.
-const SLOW_SPAN: f64 = 4.0;
+/// Consecutive faults after which a runner is ejected.
+const MAX_CONSECUTIVE_FAULTS: u32 = 3;
+/// Number of responses over which a runner's response time is averaged. The newest weigh most, so that a
+/// recovered runner is no longer considered slow.
+const RESPONSE_TIME_SAMPLES: f64 = 20.0;
+/// A runner counts as slow if its response time is above the function's typical one times this factor.
+const SLOW_FACTOR: f64 = 3.0;
+/// Minimum number of responses before a runner may count as slow.
+const SLOW_MIN_RESPONSES: u64 = 3;
+/// A slow runner gets a trial request once per this many seats leased on other runners of its function.
+const SLOW_TRIAL_INTERVAL: u32 = 100;
+/// Number of responses over which a slow runner's response time is averaged; small, so that few trials show
+/// that it has recovered.
+const SLOW_RESPONSE_TIME_SAMPLES: f64 = 4.0;
 
 #[derive(Clone, Debug)]
 pub(crate) struct LeasedSeat {
@@ -20,7 +22,7 @@
     pub reclaim_at: u64,
 }
 
-/// One runner as its owner holds it: what is lent, what is blocked, and how it fares.
+/// A runner as seen by its owner: leased seats, seats still leased by a former owner, and health.
 #[derive(Debug)]
 pub struct OwnedRunner {
     pub(crate) entry: RunnerEntry,
@@ -80,8 +82,8 @@
             .map_or(0, |since| now.saturating_sub(since))
     }
 
-    /// Seats out, also those that a former owner lent.
-    pub(crate) fn out(&self, now: u64) -> u32 {
+    /// Number of seats in use, including those leased by a former owner.
+    pub(crate) fn leased_count(&self, now: u64) -> u32 {
         let blocked = if now < self.blocked_until {
             self.blocked
         } else {
@@ -90,21 +92,21 @@
         self.leased.len() as u32 + blocked
     }
 
-    /// Seats that may be lent now, under the listing's concurrency as it stands. A runner that is
-    /// its function's last resort is lent even when it is unfit.
+    /// Number of seats that may be leased now, under the function's current concurrency limit. A runner that
+    /// is its function's last resort gets requests even while it is ejected.
     pub(crate) fn free(&self, now: u64, concurrency: u32, is_last_resort: bool) -> u32 {
-        let may_lend = self.entry.state == RunnerState::Wanted
+        let may_lease = self.entry.state == RunnerState::Wanted
             && self.is_active(now)
             && self.is_warm
             && (is_last_resort || !self.is_unfit(now));
-        if !may_lend {
+        if !may_lease {
             return 0;
         }
-        let most = self.entry.quota.min(concurrency).min(self.ramp);
-        most.saturating_sub(self.out(now))
+        let limit = self.entry.quota.min(concurrency).min(self.ramp);
+        limit.saturating_sub(self.leased_count(now))
     }
 
-    /// Milliseconds that one answer takes, from the newest answers; the prior until any was seen.
+    /// Average response time in milliseconds, weighted to the newest responses; `prior` until one was seen.
     pub(crate) fn response_time_ms(&self, prior: u32) -> f64 {
         if self.response_time_ms > 0.0 {
             self.response_time_ms
@@ -113,26 +115,26 @@
         }
     }
 
-    /// Whether it is far slower than a good one of its function's runners.
+    /// Whether the runner is far slower than a typical one of its function.
     pub(crate) fn is_slow(&self, typical_response_time: u32) -> bool {
-        let is_known = self.answered >= SLOW_ANSWERS || self.entry.response_time_ms > 0;
+        let is_known = self.answered >= SLOW_MIN_RESPONSES || self.entry.response_time_ms > 0;
         is_known
             && typical_response_time > 0
-            && self.response_time_ms > SLOW_TIMES * f64::from(typical_response_time)
+            && self.response_time_ms > SLOW_FACTOR * f64::from(typical_response_time)
     }
 
-    /// Whether a slow runner may be lent a seat: every so often one, to see whether it has recovered,
-    /// and wherever work has already waited for longer than it takes.
-    pub(crate) fn may_try_slow(&self, now: u64, waited_ms: u64) -> bool {
+    /// Whether a slow runner may get a request: a trial from time to time, to see whether it has recovered,
+    /// and any request that has already waited longer than this runner's response time.
+    pub(crate) fn may_lease_while_slow(&self, now: u64, waited_ms: u64) -> bool {
         waited_ms as f64 > self.response_time_ms || self.is_trial_due(now)
     }
 
     pub(crate) fn is_trial_due(&self, now: u64) -> bool {
-        self.passed_over >= SLOW_PASSED && self.out(now) == 0
+        self.passed_over >= SLOW_TRIAL_INTERVAL && self.leased_count(now) == 0
     }
 
-    /// A seat of another runner of its function was lent.
-    pub(crate) fn pass_over(&mut self) {
+    /// Counts a seat that was leased on another runner of the function.
+    pub(crate) fn record_passed_over(&mut self) {
         self.passed_over = self.passed_over.saturating_add(1);
     }
 
@@ -141,8 +143,8 @@
         self.leased.insert(seat_no, LeasedSeat { to, reclaim_at });
     }
 
-    /// Takes a seat back from whom it was lent to; the ramp rises by one with each good answer.
-    pub(crate) fn take_back(
+    /// Takes a seat back from the front it was leased to; each valid response raises the ramp-up limit by one.
+    pub(crate) fn accept_return(
         &mut self,
         from: &PeerRef,
         seat_no: u64,
@@ -163,8 +165,8 @@
             let is_first = self.response_time_ms == 0.0;
             let weight = match self.is_slow(typical_response_time) {
                 _ if is_first => 1.0,
-                true => 1.0 / SLOW_SPAN,
-                false => 1.0 / RESPONSE_TIME_SPAN,
+                true => 1.0 / SLOW_RESPONSE_TIME_SAMPLES,
+                false => 1.0 / RESPONSE_TIME_SAMPLES,
             };
             self.response_time_ms += weight * (took_ms.max(1) as f64 - self.response_time_ms);
             self.faults = 0;
@@ -174,10 +176,10 @@
         true
     }
 
-    /// Counts a fault; after a few in a row the runner is left out, each time for longer.
-    pub(crate) fn fault(&mut self, now: u64, bounds: &Bounds) {
+    /// Counts a fault. After several consecutive ones the runner is ejected, for longer each time.
+    pub(crate) fn record_fault(&mut self, now: u64, bounds: &Bounds) {
         self.faults += 1;
-        if self.faults < FAULTS_MAX {
+        if self.faults < MAX_CONSECUTIVE_FAULTS {
             return;
         }
         self.faults = 0;
@@ -185,8 +187,8 @@
         self.unfit_until = now + bounds.lease_ms() * u64::from(self.ejections);
     }
 
-    /// The runner was not there: it is cold until a probe finds it again.
-    pub(crate) fn absent(&mut self, now: u64) {
+    /// Marks the runner as unreachable; it counts as cold until a probe succeeds.
+    pub(crate) fn record_absence(&mut self, now: u64) {
         if self.is_warm {
             self.is_warm = false;
             self.absent_since = Some(now);
@@ -195,15 +197,15 @@
         }
     }
 
-    pub(crate) fn probe_finished(&mut self, is_there: bool) {
-        if is_there && !self.is_warm {
+    pub(crate) fn probe_finished(&mut self, is_reachable: bool) {
+        if is_reachable && !self.is_warm {
             self.is_warm = true;
             self.absent_since = None;
             self.ramp = 1;
         }
     }
 
-    pub(crate) fn wants_probe(&mut self, now: u64, bounds: &Bounds) -> bool {
+    pub(crate) fn take_due_probe(&mut self, now: u64, bounds: &Bounds) -> bool {
         let is_due = !self.is_warm
             && self.entry.state == RunnerState::Wanted
             && self.active_at.is_some()
@@ -214,13 +216,13 @@
         is_due
     }
 
-    /// Seats that the former owner still has out.
+    /// Sets aside the seats that the former owner still has leased.
     pub(crate) fn block(&mut self, count: u32, until: u64) {
         self.blocked = count;
         self.blocked_until = until;
     }
 
-    /// Takes back every seat that nobody can be using any more.
+    /// Takes back every seat that can no longer be in use.
     pub(crate) fn reclaim(&mut self, now: u64) {
         self.leased.retain(|_, leased| now < leased.reclaim_at);
     }
--- a/crates/request_queue/src/ownership.rs
+++ b/crates/request_queue/src/ownership.rs
@@ -2,14 +2,14 @@
 use crate::index::Index;
 use crate::message::{FrontMessage, Return, MAX_LIST_ENTRIES};
 use crate::owned::OwnedRunner;
-use crate::scheduler::{Former, SeatScheduler};
+use crate::scheduler::{FormerRunner, SeatScheduler};
 use crate::seat_requests::OpenSeatRequest;
 use configuration::{Configuration, PeerRef, Plan, RunnerState, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 impl SeatScheduler {
-    /// A newer configuration is in force; an older one is ignored.
+    /// Applies a newer configuration; an older one is ignored.
     pub fn set_configuration(
         &mut self,
         now: u64,
@@ -29,7 +29,10 @@
             .collect();
         for function in unlisted {
             let queue = self.queues.remove(&function);
-            for queued_request in queue.into_iter().flat_map(|mut held| held.clear()) {
+            for queued_request in queue
+                .into_iter()
+                .flat_map(|mut removed_queue| removed_queue.clear())
+            {
                 self.refuse(queued_request, crate::Rejection::Unlisted);
             }
         }
@@ -37,10 +40,10 @@
         self.counts
             .retain(|function, _| listed.function_spec(function).is_some());
         self.dirty.extend(self.queues.keys().cloned());
-        self.settle(now);
+        self.dispatch(now);
     }
 
-    /// A newer plan is in force; an older one is ignored.
+    /// Applies a newer plan; an older one is ignored.
     pub fn set_plan(&mut self, now: u64, plan: Arc<Plan>, version: Version) {
         if version <= self.plan_version {
             return;
@@ -48,16 +51,16 @@
         self.plan = plan;
         self.plan_version = version;
         self.index = Index::of(&self.plan);
-        self.quorum_lease.keep_only(&self.plan);
-        self.seat_requests.keep_only(&self.plan.membership);
-        let mut kept_before = std::mem::take(&mut self.owned);
+        self.quorum_lease.retain_members(&self.plan);
+        self.seat_requests.retain_members(&self.plan.membership);
+        let mut previously_owned = std::mem::take(&mut self.owned);
         for entry in &self.plan.runners {
             let is_mine = entry.owner == self.me
                 && matches!(entry.state, RunnerState::Wanted | RunnerState::Draining);
             if !is_mine {
                 continue;
             }
-            let same = kept_before
+            let same = previously_owned
                 .remove(&entry.id)
                 .filter(|owned| owned.entry.owner_epoch == entry.owner_epoch);
             let mut owned = same.unwrap_or_else(|| OwnedRunner::new(entry.clone(), now));
@@ -65,21 +68,21 @@
             self.owned.insert(entry.id.clone(), owned);
             self.dirty.insert(entry.function.clone());
         }
-        self.part_with(now, kept_before);
-        self.take_handovers(now);
+        self.release_runners(now, previously_owned);
+        self.apply_handovers(now);
         self.dirty.extend(self.queues.keys().cloned());
-        self.settle(now);
+        self.dispatch(now);
     }
 
-    /// Runners that have another owner now are handed over; what is out still comes back here.
-    fn part_with(&mut self, now: u64, parted: BTreeMap<String, OwnedRunner>) {
-        for (runner, owned) in parted {
+    /// Hands over runners that have another owner now. Seats that are still leased are returned to this front.
+    fn release_runners(&mut self, now: u64, released: BTreeMap<String, OwnedRunner>) {
+        for (runner, owned) in released {
             let next = self.plan.runner(&runner).map(|entry| entry.owner.clone());
             let to = next.unwrap_or_else(|| self.me.clone());
             if owned.is_active(now) {
                 let key = (runner, owned.entry.owner_epoch);
                 let since = now;
-                self.former.insert(key, Former { owned, to, since });
+                self.former.insert(key, FormerRunner { owned, to, since });
             }
         }
         self.send_handovers(now);
@@ -94,7 +97,7 @@
             let message = FrontMessage::Handover {
                 runner: runner.clone(),
                 epoch: *epoch,
-                leased: former.owned.out(now),
+                leased: former.owned.leased_count(now),
                 over_in_ms: ends.max().unwrap_or(now).saturating_sub(now),
             };
             let next_owner = former.to.name.clone();
@@ -102,7 +105,7 @@
         }
     }
 
-    fn take_handovers(&mut self, now: u64) {
+    fn apply_handovers(&mut self, now: u64) {
         for (runner, owned) in &mut self.owned {
             let key = (runner.clone(), owned.entry.owner_epoch.wrapping_sub(1));
             let Some((leased, until)) = self.handovers.get(&key) else {
@@ -121,12 +124,12 @@
         let lease = bounds.lease_ms();
         let wait = lease * 11 / 10 + bounds.seat_window_ms() + 2 * bounds.slack_ms();
         let longest = self.configuration.longest_budget_ms();
-        let may_lend = self.has_quorum(now);
+        let may_lease = self.has_quorum(now);
         for (runner, owned) in &mut self.owned {
             owned.reclaim(now);
             if owned.active_at.is_none()
-                && may_lend
-                && self.quorum_lease.majority_holds(
+                && may_lease
+                && self.quorum_lease.majority_has_version(
                     &self.me.name,
                     &self.plan,
                     owned.entry.owner_since,
@@ -136,7 +139,7 @@
                 let budget = function_spec.map_or(longest, |function_spec| function_spec.budget_ms);
                 owned.active_at = Some(now + wait + budget);
             }
-            if owned.wants_probe(now, &bounds) {
+            if owned.take_due_probe(now, &bounds) {
                 self.actions.push(Action::Probe {
                     runner: runner.clone(),
                     address: owned.entry.address.clone(),
@@ -147,20 +150,20 @@
             former.owned.reclaim(now);
             !former.owned.leased.is_empty() || now < former.since + 2 * lease
         });
-        self.seat_requests.forget_old(now.saturating_sub(lease));
+        self.seat_requests.expire_before(now.saturating_sub(lease));
         self.dirty.extend(self.seat_requests.functions());
     }
 
-    /// Whether the runner took a connection when it was looked at.
-    pub fn probe_finished(&mut self, now: u64, runner: &str, is_there: bool) {
+    /// Records the result of a probe: whether the runner accepted a connection.
+    pub fn probe_finished(&mut self, now: u64, runner: &str, is_reachable: bool) {
         if let Some(owned) = self.owned.get_mut(runner) {
-            owned.probe_finished(is_there);
+            owned.probe_finished(is_reachable);
             self.dirty.insert(owned.entry.function.clone());
         }
-        self.settle(now);
+        self.dispatch(now);
     }
 
-    /// Takes a message from another front.
+    /// Handles a message from another front.
     pub fn on_message(&mut self, now: u64, from: &PeerRef, message: FrontMessage) {
         match message {
             FrontMessage::Heartbeat {
@@ -168,14 +171,14 @@
                 last_assignment,
                 ..
             } => {
-                self.seat_requests.see(from, last_assignment);
+                self.seat_requests.record_seat_number(from, last_assignment);
                 if self.is_ready {
-                    let answer = FrontMessage::HeartbeatResponse {
+                    let response = FrontMessage::HeartbeatResponse {
                         stamp,
                         plan: self.plan_version,
                         configuration: self.configuration_version,
                     };
-                    self.actions.push(Action::Send(from.name.clone(), answer));
+                    self.actions.push(Action::Send(from.name.clone(), response));
                 }
             }
             FrontMessage::HeartbeatResponse {
@@ -186,7 +189,8 @@
                 if stamp <= now {
                     let theirs = (plan, configuration);
                     let mine = (self.plan_version, self.configuration_version);
-                    self.quorum_lease.on_answer(&from.name, stamp, theirs, mine);
+                    self.quorum_lease
+                        .on_response(&from.name, stamp, theirs, mine);
                 }
             }
             FrontMessage::SeatRequest {
@@ -201,24 +205,25 @@
                     let seat_request = OpenSeatRequest {
                         from: from.clone(),
                         stamp,
-                        heard_at: now,
+                        received_at: now,
                         priorities,
                     };
-                    let seen_assignment = self.own_seats(incarnation, seen_assignment);
+                    let seen_assignment =
+                        self.seen_in_this_incarnation(incarnation, seen_assignment);
                     self.seat_requests
-                        .take_in(&function, seen_assignment, seat_request);
+                        .insert(&function, seen_assignment, seat_request);
                     self.dirty.insert(function);
                 }
             }
             FrontMessage::SeatAssignment(assignment) => self.on_assignment(now, from, &assignment),
-            FrontMessage::Return(given_back) => self.on_return(now, from, &given_back),
+            FrontMessage::Return(returned) => self.on_return(now, from, &returned),
             FrontMessage::Holds {
                 stamp,
                 incarnation,
                 seen_assignment,
                 seats,
             } => {
-                let seen_assignment = self.own_seats(incarnation, seen_assignment);
+                let seen_assignment = self.seen_in_this_incarnation(incarnation, seen_assignment);
                 self.on_holds(from, stamp, seen_assignment, seats);
             }
             FrontMessage::Handover {
@@ -230,42 +235,42 @@
                 if self.handovers.len() < MAX_LIST_ENTRIES {
                     self.handovers
                         .insert((runner, epoch), (leased, now + over_in_ms));
-                    self.take_handovers(now);
+                    self.apply_handovers(now);
                 }
             }
         }
-        self.settle(now);
+        self.dispatch(now);
     }
 
-    fn on_return(&mut self, now: u64, from: &PeerRef, given_back: &Return) {
+    fn on_return(&mut self, now: u64, from: &PeerRef, returned: &Return) {
         let bounds = &self.configuration.bounds;
-        let (seat_no, took_ms) = (given_back.seat_no, given_back.took_ms);
-        let entry = self.index.runner(&self.plan, &given_back.runner);
+        let (seat_no, took_ms) = (returned.seat_no, returned.took_ms);
+        let entry = self.index.runner(&self.plan, &returned.runner);
         let typical_response_time =
             entry.map_or(0, |entry| self.index.typical_response_time(&entry.function));
-        if let Some(owned) = self.owned.get_mut(&given_back.runner) {
-            if owned.take_back(from, seat_no, took_ms, typical_response_time) {
-                if given_back.is_bad {
-                    owned.fault(now, bounds);
+        if let Some(owned) = self.owned.get_mut(&returned.runner) {
+            if owned.accept_return(from, seat_no, took_ms, typical_response_time) {
+                if returned.is_bad {
+                    owned.record_fault(now, bounds);
                 }
-                if given_back.is_absent {
-                    owned.absent(now);
+                if returned.is_absent {
+                    owned.record_absence(now);
                 }
                 self.dirty.insert(owned.entry.function.clone());
                 return;
             }
         }
         for ((name, _), former) in &mut self.former {
-            if *name == given_back.runner {
+            if *name == returned.runner {
                 former
                     .owned
-                    .take_back(from, seat_no, took_ms, typical_response_time);
+                    .accept_return(from, seat_no, took_ms, typical_response_time);
             }
         }
     }
 
-    /// Numbers of seats of another incarnation of this front say nothing of this one's.
-    fn own_seats(&self, incarnation: u64, seen_assignment: u64) -> u64 {
+    /// Seat numbers of another incarnation of this front cannot be compared with this one's, so they count as 0.
+    fn seen_in_this_incarnation(&self, incarnation: u64, seen_assignment: u64) -> u64 {
         if incarnation == self.me.incarnation {
             seen_assignment
         } else {
@@ -273,7 +278,8 @@
         }
     }
 
-    /// Seats that the front has seen and does not list are back, also where a return was lost.
+    /// Frees the seats that the front has seen but does not list as held, so that a lost return does not leak a
+    /// seat.
     fn on_holds(&mut self, from: &PeerRef, stamp: u64, seen_assignment: u64, seats: Vec<u64>) {
         let newest = self
             .seat_requests
@@ -284,7 +290,7 @@
             return;
         }
         *newest = stamp;
-        self.seat_requests.note_seen(from, seen_assignment);
+        self.seat_requests.acknowledge_up_to(from, seen_assignment);
         let seats: BTreeSet<u64> = seats.into_iter().collect();
         let formers = self.former.values_mut().map(|former| &mut former.owned);
         for owned in self.owned.values_mut().chain(formers) {
--- a/crates/request_queue/src/queue.rs
+++ b/crates/request_queue/src/queue.rs
@@ -2,21 +2,21 @@
 use crate::message::PriorityCount;
 use std::collections::BTreeMap;
 
-/// One in so many requests is taken by age alone, so that low priorities do not starve.
+/// One in this many requests is taken by age alone, so that low priorities do not starve.
 pub(crate) const AGEING_SHARE: u64 = 8;
 
-/// What became of a request that asked to be held.
+/// Result of adding a request to a queue.
 #[derive(Debug, PartialEq)]
 pub enum Admission {
-    /// It is held.
-    Held,
-    /// It is held, and this one of a lower priority was shed for it.
-    HeldAfterShedding(QueuedRequest),
-    /// It is not held.
+    /// The request was queued.
+    Queued,
+    /// The request was queued, and this one of a lower priority was shed to make room.
+    QueuedAfterShedding(QueuedRequest),
+    /// The queue is full; the request is returned.
     Full(QueuedRequest),
 }
 
-/// Requests of one function that wait for a seat, by priority and then by age.
+/// Requests of one function that wait for a seat, ordered by priority and then by age.
 #[derive(Debug, Default)]
 pub struct RequestQueue {
     queued_requests: BTreeMap<(u8, u64, u64), QueuedRequest>,
@@ -25,20 +25,20 @@
 }
 
 impl RequestQueue {
-    /// How many wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.queued_requests.len()
     }
 
-    /// Whether none waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.queued_requests.is_empty()
     }
 
-    /// Holds a request, where need be in place of the youngest of the lowest priority.
-    pub fn admit(&mut self, queued_request: QueuedRequest, most: usize) -> Admission {
+    /// Adds a request. A full queue sheds the newest request of the lowest priority, if that is below the new one's.
+    pub fn admit(&mut self, queued_request: QueuedRequest, limit: usize) -> Admission {
         let mut shed = None;
-        if self.queued_requests.len() >= most {
+        if self.queued_requests.len() >= limit {
             let lowest = self.queued_requests.keys().next_back().copied();
             let Some(key) = lowest.filter(|(priority, ..)| *priority > queued_request.priority)
             else {
@@ -56,12 +56,12 @@
             queued_request,
         );
         match shed {
-            Some(shed) => Admission::HeldAfterShedding(shed),
-            None => Admission::Held,
+            Some(shed) => Admission::QueuedAfterShedding(shed),
+            None => Admission::Queued,
         }
     }
 
-    /// Takes the next request: by priority, and every so often the oldest of all.
+    /// Takes the next request by priority; one in `AGEING_SHARE` times the oldest of all.
     pub fn take(&mut self) -> Option<QueuedRequest> {
         self.taken += 1;
         if self.taken.is_multiple_of(AGEING_SHARE) {
@@ -77,7 +77,7 @@
             .map(|(_, queued_request)| queued_request)
     }
 
-    /// Takes out a request by its slot.
+    /// Removes a request by its slot.
     pub fn remove(&mut self, slot: u64) -> Option<QueuedRequest> {
         let found = self
             .queued_requests
@@ -87,8 +87,9 @@
         self.queued_requests.remove(&key)
     }
 
-    /// Takes out all whose budget is over, or will be before work of the needed time could end. Who has
-    /// half of the budget left may always try, also where answers take nearly all of it.
+    /// Removes the requests whose budget has expired, or will expire before work that takes `needed`
+    /// milliseconds could finish. A request with more than half of its budget left always stays, even if
+    /// responses take nearly the whole budget.
     pub fn expire(&mut self, now: u64, needed: u64) -> Vec<QueuedRequest> {
         let over = |queued_request: &QueuedRequest| {
             let half = queued_request
@@ -108,14 +109,14 @@
             .collect()
     }
 
-    /// Takes out everything.
+    /// Removes and returns all requests.
     pub fn clear(&mut self) -> Vec<QueuedRequest> {
         std::mem::take(&mut self.queued_requests)
             .into_values()
             .collect()
     }
 
-    /// What waits, by priority, the most urgent first.
+    /// Number of queued requests by priority, the most urgent first.
     pub fn priorities(&self, now: u64) -> Vec<PriorityCount> {
         let mut priorities: Vec<PriorityCount> = Vec::new();
         for (priority, arrived, _) in self.queued_requests.keys() {
--- a/crates/request_queue/src/reporting.rs
+++ b/crates/request_queue/src/reporting.rs
@@ -3,7 +3,7 @@
 use crate::scheduler::SeatScheduler;
 
 impl SeatScheduler {
-    /// What this front reports to the scaler.
+    /// Builds this front's report to the scaler; the caller fills in its address and wall clock.
     pub fn report(&self, now: u64, zone: &str) -> FrontReport {
         let waiting =
             |function: &str| self.queues.get(function).map_or(0, RequestQueue::len) as u32;
@@ -19,7 +19,7 @@
             epoch: owned.entry.owner_epoch,
             is_active: owned.is_active(now),
             is_warm: owned.is_warm(),
-            leased: owned.out(now),
+            leased: owned.leased_count(now),
             answered: owned.answered,
             took_ms: owned.took_ms,
             is_unfit: owned.is_unfit(now),
--- a/crates/request_queue/src/resending.rs
+++ b/crates/request_queue/src/resending.rs
@@ -1,11 +1,11 @@
 use crate::action::{QueuedRequest, Rejection};
 use crate::scheduler::SeatScheduler;
 
-/// Attempts of one request that may end before a runner was reached.
-const UNSENT_MAX: u32 = 4;
+/// Maximum number of attempts of one request that end before a runner is reached.
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
 impl SeatScheduler {
-    /// Counts the first try of a request, which is sent now. What waits for credit may go then.
+    /// Counts the first attempt of a request, which is sent now. The credit it earns may release deferred requests.
     pub fn count_first_attempt(&mut self, now: u64) {
         let bounds = &self.configuration.bounds;
         let floor = f64::from(bounds.retry_floor) / self.plan.membership.len().max(1) as f64;
@@ -19,31 +19,31 @@
                 return;
             };
             self.retry_budget.take();
-            self.hold(now, queued_request);
+            self.enqueue(now, queued_request);
         }
     }
 
-    /// A repeatable request whose try failed asks to be tried again; it is held or refused.
+    /// Queues a repeatable request again after a failed attempt. Returns false if its budget has expired or
+    /// the retry budget has no credit.
     pub fn retry(&mut self, now: u64, queued_request: QueuedRequest) -> bool {
         if now >= queued_request.budget_end || !self.retry_budget.take() {
             return false;
         }
-        self.hold(now, queued_request);
-        self.settle(now);
+        self.enqueue(now, queued_request);
+        self.dispatch(now);
         true
     }
 
-    /// A request whose seat was no longer good before anything was sent is held again, a few times
-    /// at most.
+    /// Queues a request again whose seat became invalid before anything was sent, at most a few times.
     pub fn requeue_unsent(&mut self, now: u64, queued_request: QueuedRequest) {
         if let Some(queued_request) = self.count_unsent(queued_request) {
-            self.hold(now, queued_request);
-            self.settle(now);
+            self.enqueue(now, queued_request);
+            self.dispatch(now);
         }
     }
 
-    /// A request whose runner was not there is sent again, as one of the retries: at once where
-    /// there is credit, and otherwise as soon as first attempts have earned it.
+    /// Queues a request again whose runner was unreachable. It counts as a retry: it is queued at once if there
+    /// is credit, and otherwise as soon as first attempts have earned some.
     pub fn requeue_unreached(&mut self, now: u64, queued_request: QueuedRequest) {
         let Some(queued_request) = self.count_unsent(queued_request) else {
             return;
@@ -53,24 +53,24 @@
         }
         self.deferred.push_back(queued_request);
         self.resend_deferred(now);
-        self.settle(now);
+        self.dispatch(now);
     }
 
     fn count_unsent(&mut self, mut queued_request: QueuedRequest) -> Option<QueuedRequest> {
         queued_request.unsent += 1;
-        if queued_request.unsent > UNSENT_MAX {
+        if queued_request.unsent > MAX_UNSENT_ATTEMPTS {
             self.refuse(queued_request, Rejection::Unreachable);
             return None;
         }
         Some(queued_request)
     }
 
-    pub(crate) fn refuse_late_deferred(&mut self, now: u64) {
-        let (over, owned): (Vec<_>, Vec<_>) = std::mem::take(&mut self.deferred)
+    pub(crate) fn refuse_expired_deferred(&mut self, now: u64) {
+        let (expired, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut self.deferred)
             .into_iter()
             .partition(|queued_request| queued_request.budget_end <= now);
-        self.deferred = owned.into();
-        for queued_request in over {
+        self.deferred = remaining.into();
+        for queued_request in expired {
             self.refuse(queued_request, Rejection::Unreachable);
         }
     }
--- a/crates/request_queue/src/retry_budget.rs
+++ b/crates/request_queue/src/retry_budget.rs
@@ -1,14 +1,14 @@
-/// Keeps retries below a share of first attempts, plus a small floor, in every window of time: credit
-/// grows by the share with each first try, up to the floor, and each retry takes one. What any
-/// window holds of retries is at most the credit that it began with and what it earned.
+/// Limits retries in every window of time to a share of the first attempts plus a small floor. Each first
+/// attempt adds the share to the credit, up to the floor, and each retry takes one. The retries in a window are
+/// thus at most the credit at its start plus what was earned within it.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     credit: f64,
 }
 
 impl RetryBudget {
-    /// Counts a first try. An incarnation begins with nothing, so that a front that is killed and started
-    /// again has not its floor a second time.
+    /// Adds the credit of one first attempt. An incarnation starts without credit, so that a front that is
+    /// killed and restarted does not get the floor a second time.
     pub fn earn(&mut self, share: f64, floor: f64) {
         self.credit = (self.credit + share).min(floor.max(1.0));
     }
@@ -18,7 +18,7 @@
         self.credit >= 1.0
     }
 
-    /// Takes one retry where there is credit for it.
+    /// Takes the credit of one retry; false if there is not enough.
     pub fn take(&mut self) -> bool {
         let has_credit = self.has_credit();
         if has_credit {
--- a/crates/request_queue/src/scheduler.rs
+++ b/crates/request_queue/src/scheduler.rs
@@ -10,41 +10,42 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Answers over which a function's pace is taken.
-const RESPONSE_TIME_SPAN: f64 = 20.0;
-/// Seats that one incarnation may number, in bits, and incarnations that number them apart.
-const SEATS_BITS: u32 = 32;
-const LIVES: u64 = 1 << 31;
+/// Number of responses over which a function's response time is averaged.
+const RESPONSE_TIME_SAMPLES: f64 = 20.0;
+/// Bits of a seat number that count the seats of one incarnation.
+const SEAT_NUMBER_BITS: u32 = 32;
+/// Number of distinct incarnations in the upper bits of a seat number.
+const INCARNATIONS: u64 = 1 << 31;
 
 #[derive(Debug, Default)]
 pub(crate) struct Counts {
     pub arrived: u64,
     pub answered: u64,
     pub refused: u64,
-    /// Milliseconds that an answer takes, as seen from here; the newest answers weigh most.
+    /// Average response time in milliseconds as measured by this front; the newest responses weigh most.
     pub response_time_ms: f64,
-    /// How far answers are off that, in milliseconds.
+    /// Average absolute deviation from it, in milliseconds.
     pub spread_ms: f64,
 }
 
 impl Counts {
-    /// Time that must be left for a try to be worth its seat: what an answer takes, and four times
-    /// the spread. Work that is sent with less is mostly lost, and holds its seat for the whole budget.
+    /// Time that must be left of a budget for an attempt: the average response time plus four times the
+    /// deviation. With less time left, the attempt would mostly fail and occupy its seat for the whole budget.
     fn needed_ms(&self) -> u64 {
         (self.response_time_ms + 4.0 * self.spread_ms) as u64
     }
 
-    fn learn(&mut self, took_ms: u64) {
+    fn record_response(&mut self, took_ms: u64) {
         self.answered += 1;
-        let weight = 1.0 / RESPONSE_TIME_SPAN.min(self.answered as f64);
-        let off = took_ms as f64 - self.response_time_ms;
+        let weight = 1.0 / RESPONSE_TIME_SAMPLES.min(self.answered as f64);
+        let deviation = took_ms as f64 - self.response_time_ms;
         let is_first = self.answered == 1;
         let spread = if is_first {
             took_ms as f64 / 8.0
         } else {
-            off.abs()
+            deviation.abs()
         };
-        self.response_time_ms += weight * off;
+        self.response_time_ms += weight * deviation;
         self.spread_ms += weight * (spread - self.spread_ms);
     }
 }
@@ -52,19 +53,19 @@
 #[derive(Debug)]
 pub(crate) struct HeldSeat {
     pub grant: SeatGrant,
-    /// Where the answer was lost: when the runner has surely given up.
+    /// If the response was lost: the time by which the runner must have given up.
     pub lost_until: Option<u64>,
 }
 
-/// A runner that this front kept until another front became its owner.
+/// A runner that this front owned until another front became its owner.
 #[derive(Debug)]
-pub(crate) struct Former {
+pub(crate) struct FormerRunner {
     pub owned: OwnedRunner,
     pub to: PeerRef,
     pub since: u64,
 }
 
-/// A front's scheduler: all that it decides about requests, seats and its quorum lease.
+/// A front's scheduler: decides about requests, seats and the quorum lease.
 pub struct SeatScheduler {
     pub(crate) me: PeerRef,
     pub(crate) configuration: Arc<Configuration>,
@@ -78,27 +79,27 @@
     pub(crate) queues: BTreeMap<String, RequestQueue>,
     pub(crate) counts: BTreeMap<String, Counts>,
     pub(crate) owned: BTreeMap<String, OwnedRunner>,
-    pub(crate) former: BTreeMap<(String, u64), Former>,
+    pub(crate) former: BTreeMap<(String, u64), FormerRunner>,
     pub(crate) handovers: BTreeMap<(String, u64), (u32, u64)>,
     pub(crate) seat_requests: SeatRequestTable,
     pub(crate) seats: BTreeMap<(String, u64), HeldSeat>,
     pub(crate) next_seat: u64,
-    /// Whether open seat requests are sent again though nothing changed.
+    /// Whether open seat requests are sent again although nothing changed.
     pub(crate) refreshes_seat_requests: bool,
     pub(crate) dirty: BTreeSet<String>,
     pub(crate) actions: Vec<Action>,
     pub(crate) retry_budget: RetryBudget,
-    /// Requests whose try reached no runner, and that wait for credit to be sent again.
+    /// Requests whose attempt reached no runner and that wait for retry credit.
     pub(crate) deferred: VecDeque<QueuedRequest>,
     next_heartbeat: u64,
 }
 
 impl SeatScheduler {
-    /// A scheduler that knows nothing yet and takes no work.
+    /// Creates a scheduler without configuration or plan, which accepts no requests yet.
     pub fn new(me: PeerRef) -> Self {
-        // Seats are numbered apart in each incarnation, so that one from before a restart, which may still
-        // be out, is never taken for a new one.
-        let first_seat = ((me.incarnation % LIVES) << SEATS_BITS) + 1;
+        // Each incarnation has its own range of seat numbers, so that a seat from before a restart, which may
+        // still be leased, is never mistaken for a new one.
+        let first_seat = ((me.incarnation % INCARNATIONS) << SEAT_NUMBER_BITS) + 1;
         Self {
             me,
             configuration: Arc::new(Configuration::empty()),
@@ -126,12 +127,12 @@
         }
     }
 
-    /// What the front must do now.
+    /// Takes the actions that the front must carry out now.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The newest configuration was learnt in a way that cannot miss a newer one held before a restart.
+    /// Declares that the configuration was read in a way that cannot miss a newer one held before a restart.
     pub fn set_ready(&mut self) {
         self.is_ready = true;
     }
@@ -141,12 +142,12 @@
         self.is_ready
     }
 
-    /// No new requests are taken from now on.
+    /// Starts draining: no new requests are accepted from now on.
     pub fn drain(&mut self) {
         self.is_draining = true;
     }
 
-    /// Whether nothing waits, no seat is held and no seat is lent.
+    /// Whether no request is queued, no seat is held and no seat is leased.
     pub fn is_idle(&self) -> bool {
         let is_out = |owned: &OwnedRunner| !owned.leased.is_empty();
         self.queues.values().all(RequestQueue::is_empty)
@@ -162,7 +163,7 @@
         self.is_ready
             && self
                 .quorum_lease
-                .holds(&self.me.name, &self.plan, now, lease)
+                .is_held(&self.me.name, &self.plan, now, lease)
     }
 
     /// Versions of configuration and plan in force here.
@@ -180,7 +181,7 @@
         self.plan.clone()
     }
 
-    /// Whether a new request for the function would be taken at all.
+    /// Whether a new request for the function may be queued, or why not.
     pub fn check_admission(&self, now: u64, function: &str) -> Result<(), Rejection> {
         if self.is_draining {
             return Err(Rejection::Draining);
@@ -194,31 +195,31 @@
         Ok(())
     }
 
-    /// Counts a request that came in, also one that is refused before it is held.
+    /// Counts a request that arrived, including one that is rejected before it is queued.
     pub fn count_arrival(&mut self, function: &str) {
         let counts = self.counts.entry(function.to_string()).or_default();
         counts.arrived += 1;
     }
 
-    /// Takes a request in.
+    /// Queues a new request or rejects it.
     pub fn arrive(&mut self, now: u64, queued_request: QueuedRequest) {
         if let Err(rejection) = self.check_admission(now, &queued_request.function) {
             return self.refuse(queued_request, rejection);
         }
-        self.hold(now, queued_request);
-        self.settle(now);
+        self.enqueue(now, queued_request);
+        self.dispatch(now);
     }
 
-    pub(crate) fn hold(&mut self, now: u64, queued_request: QueuedRequest) {
+    pub(crate) fn enqueue(&mut self, now: u64, queued_request: QueuedRequest) {
         if queued_request.budget_end <= now {
             return self.refuse(queued_request, Rejection::BudgetOver);
         }
         let function = queued_request.function.clone();
-        let most = self.configuration.bounds.queue_max as usize;
+        let limit = self.configuration.bounds.queue_max as usize;
         let queue = self.queues.entry(function.clone()).or_default();
-        match queue.admit(queued_request, most) {
-            Admission::Held => {}
-            Admission::HeldAfterShedding(shed) => self.refuse(shed, Rejection::Shed),
+        match queue.admit(queued_request, limit) {
+            Admission::Queued => {}
+            Admission::QueuedAfterShedding(shed) => self.refuse(shed, Rejection::Shed),
             Admission::Full(queued_request) => self.refuse(queued_request, Rejection::QueueFull),
         }
         self.dirty.insert(function);
@@ -233,7 +234,7 @@
         self.actions.push(Action::Refuse(queued_request, rejection));
     }
 
-    /// Asked right before the bytes of a try leave. Without leave nothing may be sent.
+    /// Whether an attempt may be sent. Called right before sending; if false, nothing may be sent.
     pub fn permit(&mut self, now: u64, queued_request: &QueuedRequest, seat: &SeatGrant) -> bool {
         let entry = self.index.runner(&self.plan, &seat.runner);
         let is_current = entry.is_some_and(|entry| {
@@ -253,11 +254,11 @@
             && self.has_quorum(now)
     }
 
-    /// A try ended: its seat goes back, or stays taken while the work may still run.
-    pub fn attempt_done(&mut self, now: u64, seat: &SeatGrant, end: AttemptOutcome) {
+    /// Records the end of an attempt: its seat is returned, or kept while the request may still be running.
+    pub fn attempt_done(&mut self, now: u64, seat: &SeatGrant, outcome: AttemptOutcome) {
         let key = (seat.owner.name.clone(), seat.seat_no);
-        if matches!(end, AttemptOutcome::Lost | AttemptOutcome::Broken) {
-            let rest = match end {
+        if matches!(outcome, AttemptOutcome::Lost | AttemptOutcome::Broken) {
+            let rest = match outcome {
                 AttemptOutcome::Lost => self.longest_budget(&seat.function),
                 _ => 0,
             };
@@ -267,14 +268,14 @@
             }
             return;
         }
-        if let AttemptOutcome::Answered(took_ms) = end {
+        if let AttemptOutcome::Answered(took_ms) = outcome {
             let counts = self.counts.entry(seat.function.clone()).or_default();
-            counts.learn(took_ms);
+            counts.record_response(took_ms);
         }
         if let Some(held) = self.seats.remove(&key) {
-            self.give_back(now, &held.grant, end);
+            self.return_seat(now, &held.grant, outcome);
         }
-        self.settle(now);
+        self.dispatch(now);
     }
 
     pub(crate) fn longest_budget(&self, function: &str) -> u64 {
@@ -284,12 +285,12 @@
         )
     }
 
-    /// Time goes on: budgets end, seats are reclaimed, heartbeats leave.
+    /// Runs the periodic work: expires budgets, reclaims seats and sends heartbeats.
     pub fn tick(&mut self, now: u64) {
         for function in self.queues.keys().cloned().collect::<Vec<_>>() {
-            self.refuse_hopeless(now, &function);
+            self.refuse_unfinishable(now, &function);
         }
-        self.refuse_late_deferred(now);
+        self.refuse_expired_deferred(now);
         if !self.has_quorum(now) {
             self.refuse_all(Rejection::NoQuorum);
         }
@@ -303,7 +304,7 @@
             self.dirty.extend(self.queues.keys().cloned());
             self.refreshes_seat_requests = true;
         }
-        self.settle(now);
+        self.dispatch(now);
         self.refreshes_seat_requests = false;
         self.queues.retain(|_, queue| !queue.is_empty());
     }
@@ -318,13 +319,13 @@
             .collect();
         for key in ended {
             if let Some(held) = self.seats.remove(&key) {
-                self.give_back(now, &held.grant, AttemptOutcome::Lost);
+                self.return_seat(now, &held.grant, AttemptOutcome::Lost);
             }
         }
     }
 
-    /// Refuses at once what cannot be answered within its budget any more.
-    pub(crate) fn refuse_hopeless(&mut self, now: u64, function: &str) {
+    /// Rejects at once the requests that can no longer finish within their budget.
+    pub(crate) fn refuse_unfinishable(&mut self, now: u64, function: &str) {
         let needed = self.counts.get(function).map_or(0, Counts::needed_ms);
         let Some(queue) = self.queues.get_mut(function) else {
             return;
--- a/crates/request_queue/src/seat_leasing.rs
+++ b/crates/request_queue/src/seat_leasing.rs
@@ -5,7 +5,7 @@
 use configuration::{PeerRef, RunnerEntry, RunnerState};
 use std::collections::BTreeMap;
 
-/// Who is served next by an owner: this front's own queue, or another front's seat request.
+/// Candidate for the next seat of an owner: this front's own queue (`front` is none) or another front's request.
 struct Candidate {
     priority: u8,
     since: u64,
@@ -13,41 +13,41 @@
 }
 
 impl SeatScheduler {
-    /// Leases free seats to what waits, and requests seats of other owners for the rest.
-    pub(crate) fn settle(&mut self, now: u64) {
+    /// Leases free seats to queued requests, and requests seats of other owners for the rest.
+    pub(crate) fn dispatch(&mut self, now: u64) {
         let dirty = std::mem::take(&mut self.dirty);
         if !self.has_quorum(now) {
             return;
         }
         for function in dirty {
-            self.refuse_hopeless(now, &function);
-            while self.lend_one(now, &function) {}
+            self.refuse_unfinishable(now, &function);
+            while self.lease_one(now, &function) {}
             self.send_seat_requests(now, &function);
         }
     }
 
-    fn lend_one(&mut self, now: u64, function: &str) -> bool {
-        let Some(candidate) = self.elect_candidate(now, function) else {
+    fn lease_one(&mut self, now: u64, function: &str) -> bool {
+        let Some(candidate) = self.select_candidate(now, function) else {
             return false;
         };
         let waited_ms = now.saturating_sub(candidate.since);
-        let Some(elected_runner) = self.elect_runner(now, function, waited_ms) else {
+        let Some(selected_runner) = self.select_runner(now, function, waited_ms) else {
             return false;
         };
         for owned in self.owned.values_mut() {
-            if owned.entry.function == function && owned.entry.id != elected_runner {
-                owned.pass_over();
+            if owned.entry.function == function && owned.entry.id != selected_runner {
+                owned.record_passed_over();
             }
         }
         let seat_no = self.next_seat;
         self.next_seat += 1;
         match candidate.front {
-            None => self.lend_own(now, function, &elected_runner, seat_no),
+            None => self.lease_to_self(now, function, &selected_runner, seat_no),
             Some(front) => {
-                self.lend_other(
+                self.lease_to_peer(
                     now,
                     function,
-                    &elected_runner,
+                    &selected_runner,
                     seat_no,
                     &front,
                     candidate.priority,
@@ -57,20 +57,21 @@
         true
     }
 
-    /// The runner of this owner with the most predicted throughput to spare.
-    fn elect_runner(&self, now: u64, function: &str, waited_ms: u64) -> Option<String> {
+    /// Selects this owner's runner with the highest predicted spare throughput.
+    fn select_runner(&self, now: u64, function: &str, waited_ms: u64) -> Option<String> {
         let function_spec = self.configuration.function_spec(function)?;
         let last_resort = self.last_resort(function);
         let typical_response_time = self.index.typical_response_time(function);
         let spare = |owned: &OwnedRunner, free: u32| {
-            let may_lend = free > 0
+            let may_lease = free > 0
                 && self.configuration.is_open(&owned.entry.zone)
-                && (!owned.is_slow(typical_response_time) || owned.may_try_slow(now, waited_ms));
+                && (!owned.is_slow(typical_response_time)
+                    || owned.may_lease_while_slow(now, waited_ms));
             let spare = (f64::from(free) * 1e6
                 / owned.response_time_ms(typical_response_time).max(1.0))
                 as u64;
             let is_trial = owned.is_slow(typical_response_time) && owned.is_trial_due(now);
-            may_lend.then_some(if is_trial { u64::MAX } else { spare })
+            may_lease.then_some(if is_trial { u64::MAX } else { spare })
         };
         let scored = self.owned.iter().filter_map(|(runner, owned)| {
             if owned.entry.function != function {
@@ -83,31 +84,31 @@
         scored.max().map(|(_, runner)| runner.clone())
     }
 
-    /// One wanted runner of each function is never left out as unfit.
+    /// The one wanted runner of a function that gets requests even while it is ejected.
     fn last_resort(&self, function: &str) -> Option<String> {
         let entries = self.index.entries(&self.plan, function);
         let wanted = entries.filter(|entry| self.may_run_on(entry));
         wanted.map(|entry| &entry.id).min().cloned()
     }
 
-    fn elect_candidate(&self, now: u64, function: &str) -> Option<Candidate> {
+    fn select_candidate(&self, now: u64, function: &str) -> Option<Candidate> {
         let own = self.queues.get(function).map(|queue| queue.priorities(now));
         let own = own.into_iter().flatten().map(|count| Candidate {
             priority: count.priority,
             since: now.saturating_sub(count.oldest_ms),
             front: None,
         });
-        let heard_since = now.saturating_sub(self.configuration.bounds.lease_ms());
-        let seat_requests = self
-            .seat_requests
-            .of(function, heard_since)
-            .flat_map(|seat_request| {
-                seat_request.priorities.iter().map(|count| Candidate {
-                    priority: count.priority,
-                    since: seat_request.heard_at.saturating_sub(count.oldest_ms),
-                    front: Some(seat_request.from.name.clone()),
-                })
-            });
+        let received_since = now.saturating_sub(self.configuration.bounds.lease_ms());
+        let seat_requests =
+            self.seat_requests
+                .of(function, received_since)
+                .flat_map(|seat_request| {
+                    seat_request.priorities.iter().map(|count| Candidate {
+                        priority: count.priority,
+                        since: seat_request.received_at.saturating_sub(count.oldest_ms),
+                        front: Some(seat_request.from.name.clone()),
+                    })
+                });
         let by_age = self.next_seat.is_multiple_of(crate::queue::AGEING_SHARE);
         own.chain(seat_requests).min_by_key(|candidate| {
             let priority = if by_age { 0 } else { candidate.priority };
@@ -115,13 +116,13 @@
         })
     }
 
-    /// When a seat that is lent now can surely not be in use any more.
+    /// Time from which a seat that is leased now can no longer be in use.
     fn reclaim_at(&self, now: u64, function: &str) -> u64 {
         let bounds = &self.configuration.bounds;
         now + bounds.seat_window_ms() + self.longest_budget(function) + 2 * bounds.slack_ms()
     }
 
-    fn lend_own(&mut self, now: u64, function: &str, runner: &str, seat_no: u64) {
+    fn lease_to_self(&mut self, now: u64, function: &str, runner: &str, seat_no: u64) {
         let reclaim_at = self.reclaim_at(now, function);
         let Some(queued_request) = self.queues.get_mut(function).and_then(|held| held.take())
         else {
@@ -137,7 +138,7 @@
         self.launch(queued_request, grant);
     }
 
-    fn lend_other(
+    fn lease_to_peer(
         &mut self,
         now: u64,
         function: &str,
@@ -147,23 +148,24 @@
         priority: u8,
     ) {
         let reclaim_at = self.reclaim_at(now, function);
-        let heard_since = now.saturating_sub(self.configuration.bounds.lease_ms());
-        let bidder = self
+        let received_since = now.saturating_sub(self.configuration.bounds.lease_ms());
+        let requester = self
             .seat_requests
-            .of(function, heard_since)
+            .of(function, received_since)
             .find(|seat_request| seat_request.from.name == front)
             .map(|seat_request| seat_request.from.clone());
-        let Some((bidder, stamp)) = bidder.zip(self.seat_requests.serve(function, front, priority))
+        let Some((requester, stamp)) =
+            requester.zip(self.seat_requests.record_lease(function, front, priority))
         else {
             return;
         };
         let Some(owned) = self.owned.get_mut(runner) else {
             return;
         };
-        owned.lease_seat(seat_no, bidder.clone(), reclaim_at);
+        owned.lease_seat(seat_no, requester.clone(), reclaim_at);
         let epoch = owned.entry.owner_epoch;
         self.seat_requests
-            .note_assignment(&bidder, seat_no, function);
+            .record_assignment(&requester, seat_no, function);
         let assignment = FrontMessage::SeatAssignment(SeatAssignment {
             stamp,
             function: function.to_string(),
@@ -198,9 +200,12 @@
         self.actions.push(Action::Launch(queued_request, grant));
     }
 
-    /// A seat was lent to this front: the best waiting request takes it, or it goes back.
+    /// Handles a seat leased to this front: the next queued request takes it, or it is returned.
     pub(crate) fn on_assignment(&mut self, now: u64, from: &PeerRef, assignment: &SeatAssignment) {
-        if !self.seat_requests.see(from, assignment.seat_no) {
+        if !self
+            .seat_requests
+            .record_seat_number(from, assignment.seat_no)
+        {
             return;
         }
         let entry = self.index.runner(&self.plan, &assignment.runner);
@@ -212,34 +217,33 @@
         });
         let is_fresh = now < assignment.stamp + self.configuration.bounds.seat_window_ms();
         let usable = entry.filter(|_| is_fresh && self.has_quorum(now));
-        self.refuse_hopeless(now, &assignment.function);
+        self.refuse_unfinishable(now, &assignment.function);
         let queued_request = usable
             .is_some()
             .then(|| self.queues.get_mut(&assignment.function)?.take())
             .flatten();
         self.dirty.insert(assignment.function.clone());
         let Some((entry, queued_request)) = usable.zip(queued_request) else {
-            let give_back = returning(
+            let message = return_message(
                 &assignment.runner,
                 assignment.seat_no,
                 AttemptOutcome::Unsent,
             );
-            self.actions
-                .push(Action::Send(from.name.clone(), give_back));
+            self.actions.push(Action::Send(from.name.clone(), message));
             return;
         };
         let grant = self.grant(assignment.stamp, &entry, from.clone(), assignment.seat_no);
         self.launch(queued_request, grant);
     }
 
-    /// Whether new work may go to a runner by plan and configuration.
+    /// Whether plan and configuration allow new requests on a runner.
     pub(crate) fn may_run_on(&self, entry: &RunnerEntry) -> bool {
         entry.state == RunnerState::Wanted && self.configuration.is_open(&entry.zone)
     }
 
-    /// Gives a seat back to its owner, which may be this front.
-    pub(crate) fn give_back(&mut self, now: u64, grant: &SeatGrant, end: AttemptOutcome) {
-        let message = returning(&grant.runner, grant.seat_no, end);
+    /// Returns a seat to its owner, which may be this front.
+    pub(crate) fn return_seat(&mut self, now: u64, grant: &SeatGrant, outcome: AttemptOutcome) {
+        let message = return_message(&grant.runner, grant.seat_no, outcome);
         if grant.owner == self.me {
             self.on_message(now, &self.me.clone(), message);
         } else {
@@ -248,7 +252,7 @@
         }
     }
 
-    /// Requests seats of other owners for what waits, shared out by the predicted throughput of their runners.
+    /// Requests seats of other owners for queued requests, divided by the predicted throughput of their runners.
     fn send_seat_requests(&mut self, now: u64, function: &str) {
         let lease = self.configuration.bounds.lease_ms();
         let typical_response_time = self.index.typical_response_time(function).max(1);
@@ -258,14 +262,14 @@
                 && (entry.owner == self.me
                     || self
                         .quorum_lease
-                        .heard_within(&entry.owner.name, now, lease));
+                        .responded_within(&entry.owner.name, now, lease));
             if is_candidate {
-                let pace = if entry.response_time_ms > 0 {
+                let response_time_ms = if entry.response_time_ms > 0 {
                     entry.response_time_ms
                 } else {
                     typical_response_time
                 };
-                let throughput = u64::from(entry.quota) * 1_000_000 / u64::from(pace);
+                let throughput = u64::from(entry.quota) * 1_000_000 / u64::from(response_time_ms);
                 *weights.entry(entry.owner.name.clone()).or_default() += throughput;
             }
         }
@@ -281,7 +285,7 @@
         weights.remove(&self.me.name);
         for (owner, weight) in weights {
             let share = (u64::from(waiting) * weight).div_ceil(total);
-            let seat_request = first_of(&priorities, share as u32);
+            let seat_request = take_first(&priorities, share as u32);
             let (incarnation, seen_assignment) = self.seat_requests.seen(&owner);
             if !self.is_update(function, &owner, &seat_request, seen_assignment) {
                 continue;
@@ -297,8 +301,8 @@
         }
     }
 
-    /// Whether a seat request says anything that the last one to this owner did not. Seat requests answer one another, so
-    /// that repeating them at once would never end.
+    /// Whether a seat request differs from the last one sent to this owner. Seat requests trigger one another,
+    /// so sending unchanged ones at once would never end.
     fn is_update(
         &mut self,
         function: &str,
@@ -306,19 +310,19 @@
         seat_request: &[PriorityCount],
         seen: u64,
     ) -> bool {
-        let place = (function.to_string(), owner.to_string());
+        let key = (function.to_string(), owner.to_string());
         let counts: Vec<(u8, u32)> = seat_request
             .iter()
             .map(|one| (one.priority, one.count))
             .collect();
-        let last = self.seat_requests.sent.get(&place);
+        let last = self.seat_requests.sent.get(&key);
         if counts.is_empty() {
-            return self.seat_requests.sent.remove(&place).is_some();
+            return self.seat_requests.sent.remove(&key).is_some();
         }
         if !self.refreshes_seat_requests && last == Some(&(counts.clone(), seen)) {
             return false;
         }
-        self.seat_requests.sent.insert(place, (counts, seen));
+        self.seat_requests.sent.insert(key, (counts, seen));
         true
     }
 
@@ -347,8 +351,8 @@
     }
 }
 
-fn returning(runner: &str, seat_no: u64, end: AttemptOutcome) -> FrontMessage {
-    let took_ms = match end {
+fn return_message(runner: &str, seat_no: u64, outcome: AttemptOutcome) -> FrontMessage {
+    let took_ms = match outcome {
         AttemptOutcome::Answered(took_ms) => Some(took_ms),
         _ => None,
     };
@@ -357,15 +361,15 @@
         seat_no,
         took_ms,
         is_bad: matches!(
-            end,
+            outcome,
             AttemptOutcome::Bad | AttemptOutcome::Broken | AttemptOutcome::Lost
         ),
-        is_absent: end == AttemptOutcome::Absent,
+        is_absent: outcome == AttemptOutcome::Absent,
     })
 }
 
-/// The first `share` requests of what waits.
-fn first_of(priorities: &[PriorityCount], share: u32) -> Vec<PriorityCount> {
+/// The first `share` of the queued requests, the most urgent first.
+fn take_first(priorities: &[PriorityCount], share: u32) -> Vec<PriorityCount> {
     let mut left = share;
     let mut first = Vec::new();
     for count in priorities {
--- a/crates/request_queue/tests/oracles.rs
+++ b/crates/request_queue/tests/oracles.rs
@@ -1,4 +1,4 @@
-//! Queues and the retry budget against plain lists.
+//! Property tests of the queue and the retry budget against plain lists.
 
 mod fixtures;
 
@@ -16,8 +16,8 @@
             if step % 3 > 0 {
                 let worst = list.iter().max().copied();
                 match queue.admit(queued_request(number, priority, number), 8) {
-                    Admission::Held if list.len() < 8 => list.push((priority, number)),
-                    Admission::HeldAfterShedding(shed) if list.len() == 8 => {
+                    Admission::Queued if list.len() < 8 => list.push((priority, number)),
+                    Admission::QueuedAfterShedding(shed) if list.len() == 8 => {
                         let Some(worst) = worst else { return false };
                         if worst != (shed.priority, shed.slot) || worst.0 <= priority {
                             return false;
@@ -58,14 +58,14 @@
         (0..8).any(|_| queue.take().is_some_and(|taken| taken.slot == 0))
     }
 
-    fn retries_stay_below_share_and_floor_in_every_window(steps: Vec<(u8, u8)>) -> bool {
+    fn retries_stay_within_share_and_floor_in_every_window(steps: Vec<(u8, u8)>) -> bool {
         let (share, floor, span) = (0.2, 2.0, 1_000);
         let mut retry_budget = RetryBudget::default();
         let (mut now, mut firsts, mut retries) = (0u64, Vec::new(), Vec::new());
         for (pause, step) in steps {
             now += u64::from(pause % 32);
             match step % 2 {
-                // The front is killed and started again, all in one window.
+                // The front is killed and restarted within one window.
                 0 if step > 240 => retry_budget = RetryBudget::default(),
                 0 if retry_budget.take() => retries.push(now),
                 0 => {}
@@ -75,7 +75,7 @@
                 }
             }
         }
-        // Windows that begin and end anywhere, also where traffic has stopped since.
+        // Windows that begin and end anywhere, including after the traffic has stopped.
         let within = |times: &[u64], from: u64| {
             times.iter().filter(|time| (from..=from + span).contains(time)).count() as f64
         };
--- a/crates/request_queue/tests/scheduler.rs
+++ b/crates/request_queue/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The steps in the lifecycle of a request and of a seat, one by one.
+//! Each step in the lifecycle of a request and of a seat.
 
 mod fixtures;
 
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 #[test]
-fn a_warming_runner_gets_one_request_and_then_one_more_with_each_answer() {
+fn a_warming_runner_gets_one_request_and_one_more_with_each_response() {
     let mut scheduler = scheduler(10);
     for slot in 0..4 {
         scheduler.arrive(1_000, queued_request(slot, 0, 1_000));
@@ -21,12 +21,12 @@
     assert_eq!(
         launched(&mut scheduler).len(),
         2,
-        "quota two after one answer"
+        "two seats after one response"
     );
 }
 
 #[test]
-fn a_seat_goes_back_only_from_the_life_that_it_was_lent_to() {
+fn a_seat_is_returned_only_by_the_incarnation_that_it_was_leased_to() {
     let mut scheduler = scheduler(10);
     let seat_request = |scheduler: &mut SeatScheduler, incarnation: u64, count: u32| {
         let from = PeerRef {
@@ -72,7 +72,7 @@
     assert_eq!(
         seat_request(&mut scheduler, 2, 1).1.len(),
         0,
-        "the seat is still out"
+        "the seat is still leased"
     );
     scheduler.on_message(1_002, &first, back);
     let assignments = scheduler.take_actions().into_iter();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_list_of_seats_from_before_a_restart_frees_none_of_this_life() {
+fn a_seat_list_for_another_incarnation_frees_no_seat() {
     let mut scheduler = scheduler(10);
     let priorities = vec![PriorityCount {
         priority: 0,
@@ -105,7 +105,7 @@
         seen_assignment: u64::MAX,
         seats: vec![],
     };
-    // The assignment is still on its way; what was seen of another incarnation says nothing of it.
+    // The assignment is still in transit; seat numbers of another incarnation must not free its seat.
     scheduler.on_message(1_001, &peer("two"), holds(7));
     assert_eq!(scheduler.report(1_001, "a").runners[0].leased, 1);
     scheduler.on_message(1_010, &peer("two"), holds(1));
@@ -124,7 +124,7 @@
     assert_eq!(
         launched(&mut scheduler).len(),
         0,
-        "a fifth is no whole retry"
+        "a credit of 0.2 is not enough for a retry"
     );
     for _ in 0..4 {
         scheduler.count_first_attempt(1_010);
@@ -133,12 +133,12 @@
     assert_eq!(
         launched(&mut scheduler).len(),
         1,
-        "five first tries earn one"
+        "five first attempts earn one retry"
     );
 }
 
 #[test]
-fn seats_of_two_lives_are_numbered_apart() {
+fn seat_numbers_of_two_incarnations_differ() {
     let numbers = [1, 2].map(|incarnation| {
         let mut scheduler = SeatScheduler::new(PeerRef {
             name: "me".into(),
@@ -149,7 +149,7 @@
         let mut own = (*plan("me", 1, 1)).clone();
         own.runners[0].owner.incarnation = incarnation;
         scheduler.set_plan(1_000, Arc::new(own), version(1));
-        hear(&mut scheduler, 1_000, version(1));
+        deliver_response(&mut scheduler, 1_000, version(1));
         scheduler.probe_finished(1_000, "sign.1", true);
         scheduler.arrive(1_000, queued_request(0, 0, 1_000));
         launched(&mut scheduler).remove(0).1.seat_no
@@ -158,35 +158,35 @@
 }
 
 #[test]
-fn a_lost_answer_keeps_its_seat_until_the_runner_has_surely_given_up() {
+fn a_lost_response_keeps_its_seat_until_the_runner_must_have_given_up() {
     let mut scheduler = scheduler(10);
     scheduler.arrive(1_000, queued_request(0, 0, 1_000));
     let seat = launched(&mut scheduler).remove(0).1;
     scheduler.attempt_done(1_100, &seat, AttemptOutcome::Lost);
     scheduler.arrive(1_200, queued_request(1, 0, 1_200));
-    hear(&mut scheduler, 2_000, version(1));
+    deliver_response(&mut scheduler, 2_000, version(1));
     scheduler.tick(2_100);
     assert!(
         launched(&mut scheduler).is_empty(),
-        "the seat was given twice"
+        "the seat was leased twice"
     );
-    hear(&mut scheduler, 3_300, version(1));
+    deliver_response(&mut scheduler, 3_300, version(1));
     scheduler.arrive(3_300, queued_request(2, 0, 3_300));
     scheduler.tick(3_400);
     assert_eq!(launched(&mut scheduler).len(), 1);
 }
 
 #[test]
-fn nothing_leaves_after_a_freeze() {
+fn nothing_is_sent_after_a_pause_longer_than_the_lease() {
     let mut scheduler = scheduler(10);
     scheduler.arrive(1_000, queued_request(0, 0, 1_000));
     let (queued_request, seat) = launched(&mut scheduler).remove(0);
     assert!(scheduler.permit(1_010, &queued_request, &seat));
     assert!(!scheduler.permit(1_000 + LEASE, &queued_request, &seat));
-    hear(&mut scheduler, 1_000 + LEASE, version(1));
+    deliver_response(&mut scheduler, 1_000 + LEASE, version(1));
     assert!(
         !scheduler.permit(1_000 + LEASE, &queued_request, &seat),
-        "the seat's window is over though there is standing again"
+        "the seat's start window has passed although the quorum lease is back"
     );
 }
 
@@ -209,11 +209,11 @@
 }
 
 #[test]
-fn a_front_that_has_not_read_at_a_majority_neither_works_nor_answers() {
+fn a_front_that_is_not_ready_neither_takes_requests_nor_answers_heartbeats() {
     let mut scheduler = SeatScheduler::new(peer("me"));
     scheduler.set_configuration(1_000, configuration(10), version(1));
     scheduler.set_plan(1_000, plan("me", 1, 1), version(1));
-    hear(&mut scheduler, 1_000, version(1));
+    deliver_response(&mut scheduler, 1_000, version(1));
     let heartbeat = FrontMessage::Heartbeat {
         stamp: 1,
         plan: version(1),
@@ -233,35 +233,35 @@
 }
 
 #[test]
-fn an_answer_from_a_front_with_a_newer_plan_does_not_extend_the_lease() {
+fn a_response_from_a_newer_plan_does_not_extend_the_lease() {
     let mut scheduler = scheduler(10);
-    hear(&mut scheduler, 2_000, version(2));
+    deliver_response(&mut scheduler, 2_000, version(2));
     assert!(!scheduler.has_quorum(1_000 + LEASE));
     scheduler.set_plan(2_100, plan("me", 1, 1), version(2));
-    hear(&mut scheduler, 2_200, version(2));
+    deliver_response(&mut scheduler, 2_200, version(2));
     assert!(scheduler.has_quorum(2_200 + LEASE - 1));
 }
 
 #[test]
 fn a_response_from_a_newer_configuration_does_not_extend_the_lease() {
     let mut scheduler = scheduler(10);
-    let answer = |stamp: u64, no: u64| FrontMessage::HeartbeatResponse {
+    let response = |stamp: u64, no: u64| FrontMessage::HeartbeatResponse {
         stamp,
         plan: version(1),
         configuration: version(no),
     };
-    scheduler.on_message(2_000, &peer("two"), answer(2_000, 2));
+    scheduler.on_message(2_000, &peer("two"), response(2_000, 2));
     assert!(!scheduler.has_quorum(1_000 + LEASE));
     scheduler.set_configuration(2_100, configuration(10), version(2));
-    scheduler.on_message(2_200, &peer("two"), answer(2_200, 2));
+    scheduler.on_message(2_200, &peer("two"), response(2_200, 2));
     assert!(scheduler.has_quorum(2_200 + LEASE - 1));
 }
 
 #[test]
-fn a_next_owner_waits_out_the_former_one_unless_it_is_handed_over() {
+fn a_new_owner_waits_for_old_leases_to_expire_unless_they_are_handed_over() {
     let mut waiting = scheduler(10);
     waiting.set_plan(1_100, plan("me", 2, 2), version(2));
-    hear(&mut waiting, 1_100, version(2));
+    deliver_response(&mut waiting, 1_100, version(2));
     waiting.probe_finished(1_100, "sign.1", true);
     waiting.tick(1_200);
     waiting.arrive(1_200, queued_request(0, 0, 1_200));
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn an_older_configuration_or_plan_is_never_taken() {
+fn an_older_configuration_or_plan_is_never_applied() {
     let mut scheduler = scheduler(10);
     scheduler.set_configuration(1_000, configuration(3), version(3));
     scheduler.set_configuration(1_000, configuration(5), version(2));
@@ -304,27 +304,27 @@
     assert_eq!(
         refused(&mut scheduler).len(),
         3,
-        "900 ms are left of 1350 needed"
+        "900 ms left, 1350 ms needed"
     );
 }
 
 #[test]
-fn answers_that_take_most_of_the_budget_do_not_shut_a_function() {
+fn responses_that_take_most_of_the_budget_do_not_block_a_function() {
     let mut scheduler = scheduler(10);
     scheduler.arrive(1_000, queued_request(1, 0, 1_000));
     let first = launched(&mut scheduler);
     scheduler.attempt_done(2_800, &first[0].1, AttemptOutcome::Answered(1_800));
-    hear(&mut scheduler, 2_800, version(1));
+    deliver_response(&mut scheduler, 2_800, version(1));
     scheduler.arrive(2_800, queued_request(2, 0, 2_800));
     assert_eq!(
         launched(&mut scheduler).len(),
         1,
-        "1.8 s of a budget of 2 s"
+        "responses take 1.8 s of a 2 s budget"
     );
 }
 
 #[test]
-fn a_full_queue_sheds_the_lowest_priority_and_never_the_urgent() {
+fn a_full_queue_sheds_the_lowest_priority_and_never_the_highest() {
     let mut scheduler = scheduler(2);
     scheduler.arrive(1_000, queued_request(9, 0, 1_000));
     launched(&mut scheduler);
--- a/crates/request_queue/tests/speeds.rs
+++ b/crates/request_queue/tests/speeds.rs
@@ -1,4 +1,4 @@
-//! Runners that are far slower than their peers.
+//! Scheduling on runners that are far slower than the others of their function.
 
 mod fixtures;
 
@@ -6,7 +6,7 @@
 use request_queue::{AttemptOutcome, QueuedRequest, SeatScheduler};
 use std::sync::Arc;
 
-/// A scheduler that keeps a quick runner, and a slow one that has shown what it takes.
+/// A scheduler that owns a fast runner and a slow one whose response time is known.
 fn scheduler_with_a_slow_runner() -> SeatScheduler {
     let mut configuration = (*configuration(10)).clone();
     configuration.function_specs[0].budget_ms = 30_000;
@@ -20,7 +20,7 @@
     scheduler.set_ready();
     scheduler.set_configuration(1_000, Arc::new(configuration), version(1));
     scheduler.set_plan(1_000, Arc::new(own), version(1));
-    hear(&mut scheduler, 1_000, version(1));
+    deliver_response(&mut scheduler, 1_000, version(1));
     for runner in ["sign.1", "sign.2"] {
         scheduler.probe_finished(1_000, runner, true);
     }
@@ -28,13 +28,13 @@
 }
 
 #[test]
-fn a_slow_runner_gets_trials_alone_until_it_has_mended() {
+fn a_slow_runner_gets_only_trials_until_it_has_recovered() {
     let mut scheduler = scheduler_with_a_slow_runner();
     let mut slow_runs = 0;
     let mut slot = 0;
     let (mut now, end) = (1_000, 21_000);
     while now < end {
-        hear(&mut scheduler, now, version(1));
+        deliver_response(&mut scheduler, now, version(1));
         for _ in 0..2 {
             slot += 1;
             let queued_request = QueuedRequest {
@@ -51,12 +51,15 @@
         }
         now += 50;
     }
-    assert!((4..=8).contains(&slow_runs), "{slow_runs} trials in {slot}");
+    assert!(
+        (4..=8).contains(&slow_runs),
+        "{slow_runs} trials in {slot} requests"
+    );
     assert!(scheduler.report(now, "a").runners[1].is_slow);
-    // It answers quickly again; each trial shows it, and the newest answers weigh most.
+    // The runner responds quickly again; each trial shows it, and the newest responses weigh most.
     for _ in 0..500 {
         now += 100;
-        hear(&mut scheduler, now, version(1));
+        deliver_response(&mut scheduler, now, version(1));
         slot += 1;
         let last = QueuedRequest {
             budget_end: now + 30_000,
@@ -78,7 +81,7 @@
 }
 
 #[test]
-fn what_waits_for_longer_than_a_slow_runner_takes_goes_to_it() {
+fn requests_that_waited_longer_than_its_response_time_go_to_a_slow_runner() {
     let mut scheduler = scheduler_with_a_slow_runner();
     let own = |slot: u64| QueuedRequest {
         budget_end: 30_000,
@@ -88,14 +91,14 @@
         scheduler.arrive(1_000, own(slot));
     }
     let first = launched(&mut scheduler);
-    assert_eq!(first.len(), 1, "the slow runner is left out");
-    hear(&mut scheduler, 1_400, version(1));
+    assert_eq!(first.len(), 1, "the slow runner gets no request");
+    deliver_response(&mut scheduler, 1_400, version(1));
     scheduler.tick(1_400);
     assert!(
         launched(&mut scheduler).is_empty(),
-        "they waited for 400 ms"
+        "requests have waited only 400 ms"
     );
-    hear(&mut scheduler, 1_800, version(1));
+    deliver_response(&mut scheduler, 1_800, version(1));
     scheduler.tick(1_800);
     let late = launched(&mut scheduler);
     assert!(late.iter().all(|(_, seat)| seat.runner == "sign.2") && !late.is_empty());
