--- a/crates/transport/src/frame.rs
+++ b/crates/transport/src/frame.rs
@@ -3,22 +3,22 @@
 use std::fmt;
 use std::io::{self, Read};
 
-/// Version of the messages; another one is refused.
+/// Version of the wire protocol; frames of another version are rejected.
 pub const WIRE_VERSION: u8 = 1;
-/// Longest frame, in bytes.
+/// Maximum length of a frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// Why a frame was refused.
+/// Why a frame was rejected.
 #[derive(Debug)]
 pub enum FrameError {
-    /// The connection broke or ended.
+    /// The connection failed or was closed.
     Io(io::Error),
     /// The frame is longer than [`MAX_FRAME_BYTES`].
     TooLong(usize),
-    /// The frame is of another version.
+    /// The frame has another version than [`WIRE_VERSION`].
     OtherVersion(u8),
-    /// The frame is not a message.
-    Garbage,
+    /// The frame does not decode to exactly one message.
+    Malformed,
 }
 
 impl fmt::Display for FrameError {
@@ -26,15 +26,15 @@
         match self {
             Self::Io(error) => write!(formatter, "connection: {error}"),
             Self::TooLong(length) => write!(formatter, "frame of {length} bytes is too long"),
-            Self::OtherVersion(version) => write!(formatter, "frame of version {version}"),
-            Self::Garbage => formatter.write_str("frame is no message"),
+            Self::OtherVersion(version) => write!(formatter, "unsupported frame version {version}"),
+            Self::Malformed => formatter.write_str("frame is not a valid message"),
         }
     }
 }
 
 impl std::error::Error for FrameError {}
 
-/// A whole frame for a message; none where it is over the bound.
+/// Encodes a message as a frame (length, version, payload); none if it would be longer than [`MAX_FRAME_BYTES`].
 pub fn encode(envelope: &Envelope) -> Option<Vec<u8>> {
     let payload = envelope.write_to_vec().ok()?;
     if payload.len() >= MAX_FRAME_BYTES {
@@ -47,18 +47,18 @@
     Some(frame)
 }
 
-/// Reads one frame.
+/// Reads and decodes one frame.
 pub fn decode(reader: &mut impl Read) -> Result<Envelope, FrameError> {
-    let mut head = [0; 5];
-    reader.read_exact(&mut head).map_err(FrameError::Io)?;
-    let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
+    let mut header = [0; 5];
+    reader.read_exact(&mut header).map_err(FrameError::Io)?;
+    let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
     if length > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(length));
     }
-    if head[4] != WIRE_VERSION {
-        return Err(FrameError::OtherVersion(head[4]));
+    if header[4] != WIRE_VERSION {
+        return Err(FrameError::OtherVersion(header[4]));
     }
-    let payload_length = length.checked_sub(1).ok_or(FrameError::Garbage)?;
+    let payload_length = length.checked_sub(1).ok_or(FrameError::Malformed)?;
     let mut payload = Vec::new();
     reader
         .take(payload_length as u64)
@@ -67,9 +67,9 @@
     if payload.len() < payload_length {
         return Err(FrameError::Io(io::ErrorKind::UnexpectedEof.into()));
     }
-    let (envelope, used) = Envelope::read_with_length_from_buffer(&payload);
+    let (envelope, read_bytes) = Envelope::read_with_length_from_buffer(&payload);
     match envelope {
-        Ok(envelope) if used == payload.len() => Ok(envelope),
-        _ => Err(FrameError::Garbage),
+        Ok(envelope) if read_bytes == payload.len() => Ok(envelope),
+        _ => Err(FrameError::Malformed),
     }
 }
--- a/crates/transport/src/http.rs
+++ b/crates/transport/src/http.rs
@@ -6,14 +6,14 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How a call over HTTP failed.
+/// How an HTTP call failed.
 #[derive(Debug)]
 pub enum CallError {
-    /// No connection: provably nothing was sent.
+    /// No connection was made, or the request was invalid: provably nothing was sent.
     NotConnected(io::Error),
-    /// The connection broke, was too slow, or the answer was no HTTP.
+    /// The connection failed or timed out, or the response was not valid HTTP.
     Broken(io::Error),
-    /// The answer's body is over the bound.
+    /// The body of the response is over the limit.
     TooLarge,
 }
 
@@ -29,18 +29,18 @@
 
 impl std::error::Error for CallError {}
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct CallResponse {
     /// Status code.
     pub status: u16,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body; at most as long as the caller allowed.
     pub body: Vec<u8>,
 }
 
-/// Serves HTTP until the process ends.
+/// Starts an HTTP server in the background, which runs until the process ends.
 pub fn serve(
     address: SocketAddr,
     connections_max: usize,
@@ -55,7 +55,7 @@
         .map(|_| ())
 }
 
-/// A JSON answer.
+/// Builds a JSON response.
 pub fn json(status: u16, body: &impl Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     let code = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -68,35 +68,41 @@
     response
 }
 
-/// A JSON answer that holds one sentence under `error`.
+/// Builds a JSON response with one sentence under `error`.
 pub fn text(status: u16, sentence: &str) -> Response<Body> {
     json(status, &serde_json::json!({ "error": sentence }))
 }
 
-/// Reads a request's body up to a bound; over it the 413 answer is given back.
-pub fn read_body(request: &mut Request<Body>, most: u64) -> Result<Vec<u8>, Box<Response<Body>>> {
+/// Reads a request's body. If it is over the limit or cannot be read, the error is the 413 or 400 response to send.
+pub fn read_body(
+    request: &mut Request<Body>,
+    max_bytes: u64,
+) -> Result<Vec<u8>, Box<Response<Body>>> {
     let mut body = Vec::new();
-    let read = request.body_mut().take(most + 1).read_to_end(&mut body);
+    let read = request
+        .body_mut()
+        .take(max_bytes + 1)
+        .read_to_end(&mut body);
     if read.is_err() {
         return Err(Box::new(text(400, "the body could not be read")));
     }
-    if body.len() as u64 > most {
-        let sentence = format!("the body is over {most} bytes");
+    if body.len() as u64 > max_bytes {
+        let sentence = format!("the body is over {max_bytes} bytes");
         return Err(Box::new(text(413, &sentence)));
     }
     Ok(body)
 }
 
-/// Calls a server on a connection of its own, which is closed after the answer.
+/// Calls a server over a new connection, which is closed after the response.
 pub fn call(
     method: Method,
     uri: &str,
     headers: &[(&str, &str)],
     body: Vec<u8>,
     timeout: Duration,
-    most: u64,
+    max_bytes: u64,
 ) -> Result<CallResponse, CallError> {
-    let end = Instant::now() + timeout;
+    let deadline = Instant::now() + timeout;
     let uri: Uri = uri
         .parse()
         .map_err(|error| CallError::NotConnected(io::Error::other(format!("{error}"))))?;
@@ -115,26 +121,26 @@
             _ => CallError::Broken(error),
         })?;
     let (parts, mut stream) = response.into_parts();
-    let declared = parts
+    let content_length = parts
         .headers
         .get(oxhttp::model::header::CONTENT_LENGTH)
         .and_then(|length| length.to_str().ok()?.parse::<u64>().ok());
     let mut body = Vec::new();
-    let mut part = [0; 16 * 1024];
+    let mut chunk = [0; 16 * 1024];
     loop {
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             return Err(CallError::Broken(io::ErrorKind::TimedOut.into()));
         }
-        let read = stream.read(&mut part).map_err(CallError::Broken)?;
+        let read = stream.read(&mut chunk).map_err(CallError::Broken)?;
         if read == 0 {
             break;
         }
-        body.extend_from_slice(&part[..read]);
-        if body.len() as u64 > most {
+        body.extend_from_slice(&chunk[..read]);
+        if body.len() as u64 > max_bytes {
             return Err(CallError::TooLarge);
         }
     }
-    if declared.is_some_and(|length| length != body.len() as u64) {
+    if content_length.is_some_and(|length| length != body.len() as u64) {
         return Err(CallError::Broken(io::ErrorKind::UnexpectedEof.into()));
     }
     Ok(CallResponse {
--- a/crates/transport/src/inbound.rs
+++ b/crates/transport/src/inbound.rs
@@ -13,32 +13,32 @@
 const MAX_QUEUED_RESPONSES: usize = 4_096;
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Counts of what came over the wire.
+/// Counters of messages between daemons.
 #[derive(Debug, Default)]
 pub struct WireCounts {
-    /// Messages taken in.
+    /// Messages received.
     pub taken: AtomicU64,
-    /// Connections closed for a frame that was no good.
+    /// Connections closed because of an invalid frame, or rejected at the connection limit.
     pub refused: AtomicU64,
-    /// Messages not sent for a full queue or a broken link.
+    /// Messages not sent because of a full queue or a failed link.
     pub dropped: AtomicU64,
 }
 
-/// Takes the messages that come in.
+/// Handles received messages.
 pub trait Handler: Send + Sync {
-    /// Called on the connection's thread; it must not wait. `responder` is there for questions.
+    /// Called on the connection's thread; it must not block. `responder` is set if the sender expects a response.
     fn on_message(&self, envelope: Envelope, responder: Option<Responder>);
 }
 
-/// Answers one question, at once or later, from any thread.
+/// Responds to one request, at once or later, from any thread.
 pub struct Responder {
     number: u64,
     me: (PeerRef, String, PeerRole),
-    answers: Sender<Envelope>,
+    responses: Sender<Envelope>,
 }
 
 impl Responder {
-    /// Sends the answer.
+    /// Sends the response; it is dropped if the connection's queue is full or the connection was closed.
     pub fn answer(self, body: PeerMessage) {
         let (from, address, role) = self.me;
         let envelope = Envelope {
@@ -49,7 +49,7 @@
             is_answer: true,
             body,
         };
-        let _ = self.answers.try_send(envelope);
+        let _ = self.responses.try_send(envelope);
     }
 }
 
@@ -59,26 +59,26 @@
     handler: Arc<dyn Handler>,
     counts: Arc<WireCounts>,
 ) -> io::Result<()> {
-    let open = Arc::new(AtomicUsize::new(0));
+    let open_count = Arc::new(AtomicUsize::new(0));
     let accept = move || {
         for stream in listener.incoming() {
             let Ok(stream) = stream else {
                 continue;
             };
-            if open.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
+            if open_count.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
                 counts.refused.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
             let (me, handler) = (me.clone(), handler.clone());
-            let (counts, open_here) = (counts.clone(), open.clone());
-            open.fetch_add(1, Ordering::Relaxed);
+            let (counts, open_connections) = (counts.clone(), open_count.clone());
+            open_count.fetch_add(1, Ordering::Relaxed);
             let serve = move || {
                 serve_connection(stream, me, handler.as_ref(), &counts);
-                open_here.fetch_sub(1, Ordering::Relaxed);
+                open_connections.fetch_sub(1, Ordering::Relaxed);
             };
             let spawned = thread::Builder::new().name("wire-in".into()).spawn(serve);
             if spawned.is_err() {
-                open.fetch_sub(1, Ordering::Relaxed);
+                open_count.fetch_sub(1, Ordering::Relaxed);
             }
         }
     };
@@ -99,7 +99,7 @@
     let Ok(writer) = stream.try_clone() else {
         return;
     };
-    let (answers, outgoing) = bounded::<Envelope>(MAX_QUEUED_RESPONSES);
+    let (responses, outgoing) = bounded::<Envelope>(MAX_QUEUED_RESPONSES);
     let write = move || {
         let mut buffer = BufWriter::new(&writer);
         while let Ok(first) = outgoing.recv() {
@@ -129,7 +129,7 @@
                 let responder = (envelope.number != 0).then(|| Responder {
                     number: envelope.number,
                     me: me.clone(),
-                    answers: answers.clone(),
+                    responses: responses.clone(),
                 });
                 handler.on_message(envelope, responder);
             }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! What daemons say to each other (speedy over TCP, versioned and bounded), the clock that counts
-//! suspend, and small helpers for HTTP with JSON.
+//! Messages between daemons (encoded with speedy over TCP, with a version and a maximum length), a monotonic
+//! clock that includes suspended time, and helpers for HTTP with JSON.
 #![warn(missing_docs)]
 
 mod clock;
--- a/crates/transport/src/links.rs
+++ b/crates/transport/src/links.rs
@@ -18,87 +18,88 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
-/// Questions that were not answered by then are forgotten.
+/// Requests without a response after this time may be dropped, once [`MAX_PENDING_CALLS`] are pending.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-type OnAnswer = Box<dyn FnOnce(PeerMessage) + Send>;
+type ResponseCallback = Box<dyn FnOnce(PeerMessage) + Send>;
 
 #[derive(Default)]
-struct PendingCall {
-    waiting: Mutex<HashMap<u64, (Instant, OnAnswer)>>,
+struct PendingCalls {
+    waiting: Mutex<HashMap<u64, (Instant, ResponseCallback)>>,
 }
 
-impl PendingCall {
-    fn add(&self, number: u64, on_answer: OnAnswer) -> bool {
+impl PendingCalls {
+    fn add(&self, number: u64, on_response: ResponseCallback) -> bool {
         let mut waiting = self.waiting.lock();
         if waiting.len() >= MAX_PENDING_CALLS {
-            waiting.retain(|_, (asked, _)| asked.elapsed() < RESPONSE_TIMEOUT);
+            waiting.retain(|_, (sent_at, _)| sent_at.elapsed() < RESPONSE_TIMEOUT);
             if waiting.len() >= MAX_PENDING_CALLS {
                 return false;
             }
         }
-        waiting.insert(number, (Instant::now(), on_answer));
+        waiting.insert(number, (Instant::now(), on_response));
         true
     }
 
     fn answer(&self, number: u64, body: PeerMessage) {
         let found = self.waiting.lock().remove(&number);
-        if let Some((_, on_answer)) = found {
-            on_answer(body);
+        if let Some((_, on_response)) = found {
+            on_response(body);
         }
     }
 }
 
-/// Links to the other daemons: one connection to each, kept up while there is something to say.
+/// Links to the other daemons: one outgoing queue and connection for each, connected when there is a message to
+/// send.
 pub struct Links {
     me: (PeerRef, String, PeerRole),
     outgoing: Mutex<HashMap<String, Sender<Envelope>>>,
-    pending: Arc<PendingCall>,
-    numbers: AtomicU64,
+    pending: Arc<PendingCalls>,
+    next_number: AtomicU64,
     counts: Arc<WireCounts>,
 }
 
 impl Links {
-    /// Links of a daemon that is reached at `address`.
+    /// Creates the links of a daemon that others reach at `address`.
     pub fn new(me: PeerRef, address: SocketAddr, role: PeerRole) -> Self {
         Self {
             me: (me, address.to_string(), role),
             outgoing: Mutex::default(),
             pending: Arc::default(),
-            numbers: AtomicU64::new(1),
+            next_number: AtomicU64::new(1),
             counts: Arc::default(),
         }
     }
 
-    /// This daemon in this incarnation.
+    /// Name and incarnation of this daemon.
     pub fn me(&self) -> &PeerRef {
         &self.me.0
     }
 
-    /// Counts of what came and went.
+    /// Counters of sent and received messages.
     pub fn counts(&self) -> &WireCounts {
         &self.counts
     }
 
-    /// Takes in messages from now on.
+    /// Starts to accept connections and passes the received messages to the handler.
     pub fn listen(&self, listener: TcpListener, handler: Arc<dyn Handler>) -> io::Result<()> {
         listen(listener, self.me.clone(), handler, self.counts.clone())
     }
 
-    /// Sends a message that wants no answer. It may be lost; it never waits.
+    /// Sends a message without a response. It may be lost; the call never blocks.
     pub fn cast(&self, address: &str, body: PeerMessage) {
         self.send(address, 0, body);
     }
 
-    /// Asks a question. The answer may never come; it is taken on the link's own thread.
-    pub fn ask(&self, address: &str, body: PeerMessage, on_answer: OnAnswer) {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        if self.pending.add(number, on_answer) {
+    /// Sends a request. The response may never arrive; `on_response` runs on the link's reader thread.
+    pub fn ask(&self, address: &str, body: PeerMessage, on_response: ResponseCallback) {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        if self.pending.add(number, on_response) {
             self.send(address, number, body);
         }
     }
 
-    /// Asks a question and waits for the answer.
+    /// Sends a request and waits for the response; none after `timeout`.
     pub fn ask_wait(
         &self,
         address: &str,
@@ -106,10 +107,10 @@
         timeout: Duration,
     ) -> Option<PeerMessage> {
         let (sender, receiver) = bounded(1);
-        let on_answer = Box::new(move |answer| {
+        let on_response = Box::new(move |answer| {
             let _ = sender.try_send(answer);
         });
-        self.ask(address, body, on_answer);
+        self.ask(address, body, on_response);
         receiver.recv_timeout(timeout).ok()
     }
 
@@ -123,10 +124,10 @@
             is_answer: false,
             body,
         };
-        let is_sent = self
+        let is_queued = self
             .link(address)
             .is_some_and(|link| link.try_send(envelope).is_ok());
-        if !is_sent {
+        if !is_queued {
             self.counts.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
@@ -162,7 +163,7 @@
     }
 }
 
-fn connect(socket: SocketAddr, pending: &Arc<PendingCall>) -> io::Result<PeerConnection> {
+fn connect(socket: SocketAddr, pending: &Arc<PendingCalls>) -> io::Result<PeerConnection> {
     let stream = TcpStream::connect_timeout(&socket, CONNECT_TIMEOUT)?;
     stream.set_nodelay(true)?;
     stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
@@ -190,7 +191,7 @@
 fn run_link(
     socket: SocketAddr,
     outgoing: &Receiver<Envelope>,
-    pending: &Arc<PendingCall>,
+    pending: &Arc<PendingCalls>,
     counts: &WireCounts,
 ) {
     let mut connection: Option<PeerConnection> = None;
--- a/crates/transport/src/listening.rs
+++ b/crates/transport/src/listening.rs
@@ -3,17 +3,19 @@
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::{FromRawFd, IntoRawFd, RawFd};
 
-/// The library keeps its listening socket to itself, so it is found among the process's own.
-fn listening_on(address: SocketAddr) -> Option<RawFd> {
-    let names = fs::read_dir("/proc/self/fd").ok()?.flatten();
-    let mut numbers = names.filter_map(|entry| entry.file_name().to_str()?.parse::<RawFd>().ok());
-    numbers.find(|number| {
+/// Finds the socket that listens on an address among the process's file descriptors, because the HTTP library
+/// does not expose it.
+fn find_listening_socket(address: SocketAddr) -> Option<RawFd> {
+    let entries = fs::read_dir("/proc/self/fd").ok()?.flatten();
+    let mut descriptors =
+        entries.filter_map(|entry| entry.file_name().to_str()?.parse::<RawFd>().ok());
+    descriptors.find(|descriptor| {
         let mut is_listening: libc::c_int = 0;
         let mut size = mem::size_of::<libc::c_int>() as libc::socklen_t;
-        // SAFETY: the call writes an int of the size that it is given, and fails on what is no socket.
+        // SAFETY: the call writes one int of the given size, and fails if the descriptor is not a socket.
         let code = unsafe {
             libc::getsockopt(
-                *number,
+                *descriptor,
                 libc::SOL_SOCKET,
                 libc::SO_ACCEPTCONN,
                 (&raw mut is_listening).cast(),
@@ -23,22 +25,22 @@
         if code != 0 || is_listening == 0 {
             return false;
         }
-        // SAFETY: the number is an open listening socket's, and is given back before it could be closed.
-        let listener = unsafe { TcpListener::from_raw_fd(*number) };
-        let is_ours = listener.local_addr().is_ok_and(|own| own == address);
+        // SAFETY: the descriptor is an open listening socket, and `into_raw_fd` releases it without closing it.
+        let listener = unsafe { TcpListener::from_raw_fd(*descriptor) };
+        let is_match = listener.local_addr().is_ok_and(|local| local == address);
         let _ = listener.into_raw_fd();
-        is_ours
+        is_match
     })
 }
 
-/// Lets no new connection in at an address that this process listens on, while those that are open,
-/// or wait to be accepted, go on. Whoever connects later is refused when the process has ended,
-/// rather than cut off with a request under way. Gives whether it could be done.
+/// Stops new connections at an address that this process listens on, while those that are open or wait to be
+/// accepted continue. A client that connects later is refused when the process ends, rather than cut off with a
+/// request in progress. Returns whether it succeeded.
 pub fn reject_new_connections(address: SocketAddr) -> bool {
-    let Some(socket) = listening_on(address) else {
+    let Some(socket) = find_listening_socket(address) else {
         return false;
     };
-    // One instruction: take nothing of any packet that would begin a connection.
+    // A socket filter of one instruction, `return 0`, which drops every packet that would open a connection.
     let mut drop_all = libc::sock_filter {
         code: 0x06,
         jt: 0,
@@ -49,7 +51,7 @@
         len: 1,
         filter: &raw mut drop_all,
     };
-    // SAFETY: the program and its one instruction live through the call, which copies them.
+    // SAFETY: the program and its instruction outlive the call, which copies them.
     let code = unsafe {
         libc::setsockopt(
             socket,
@@ -70,18 +72,18 @@
     use std::time::Duration;
 
     #[test]
-    fn a_closed_door_keeps_who_is_in_and_lets_nobody_else_in() {
+    fn pending_connections_are_kept_and_new_ones_rejected() {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let mut early = TcpStream::connect(address).unwrap();
         assert!(reject_new_connections(address));
         let timeout = Duration::from_millis(100);
         assert!(TcpStream::connect_timeout(&address, timeout).is_err());
-        let (mut taken, _) = listener.accept().unwrap();
-        taken.write_all(b"well").unwrap();
-        let mut answer = [0; 4];
-        early.read_exact(&mut answer).unwrap();
-        assert_eq!(&answer, b"well");
+        let (mut accepted, _) = listener.accept().unwrap();
+        accepted.write_all(b"well").unwrap();
+        let mut response = [0; 4];
+        early.read_exact(&mut response).unwrap();
+        assert_eq!(&response, b"well");
         assert!(!reject_new_connections("127.0.0.1:1".parse().unwrap()));
     }
 }
--- a/crates/transport/src/message.rs
+++ b/crates/transport/src/message.rs
@@ -4,42 +4,42 @@
 use request_queue::{FrontMessage, FrontReport};
 use speedy::{Readable, Writable};
 
-/// What a daemon is.
+/// Kind of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum PeerRole {
-    /// Carries traffic.
+    /// Front: forwards requests to runners.
     Front,
-    /// Keeps state and scales.
+    /// Core: stores the state and runs the scaler.
     Core,
 }
 
-/// One message with what is needed to answer it.
+/// A message with what the receiver needs to respond.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct Envelope {
-    /// Who sends it, in which of its incarnations.
+    /// Name and incarnation of the sender.
     pub from: PeerRef,
-    /// Wire address at which the sender is reached.
+    /// Wire address of the sender.
     pub address: String,
-    /// What the sender is.
+    /// Kind of the sender.
     pub role: PeerRole,
-    /// Number of the question; 0 where no answer is wanted.
+    /// Number of the request; 0 if no response is expected.
     pub number: u64,
-    /// Whether this is the answer to the question of that number.
+    /// Whether this is the response to the request of that number.
     pub is_answer: bool,
     /// The message.
     pub body: PeerMessage,
 }
 
-/// A configuration that is known to be settled, as JSON text.
+/// A committed configuration, as JSON text.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct ConfigurationUpdate {
     /// Its version.
     pub version: Version,
-    /// Its text.
+    /// Its JSON text.
     pub text: String,
 }
 
-/// A plan that is known to be settled.
+/// A committed plan.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct PlanUpdate {
     /// Its version.
@@ -48,85 +48,85 @@
     pub plan: Plan,
 }
 
-/// Settled values that are newer than what the asker has.
+/// Committed values that are newer than those of the requester, and the known members.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct StateUpdate {
-    /// The configuration, where it is newer.
+    /// The configuration, if it is newer.
     pub configuration: Option<ConfigurationUpdate>,
-    /// The plan, where it is newer.
+    /// The plan, if it is newer.
     pub plan: Option<PlanUpdate>,
-    /// The voters as the answerer knows them.
+    /// Voter set as known to the responder.
     pub set: VoterSet,
-    /// Addresses of all fronts that the answerer knows.
+    /// Addresses of all fronts known to the responder.
     pub fronts: Vec<(PeerRef, String)>,
-    /// Addresses of all cores that bear witness.
+    /// Addresses of all cores that respond to heartbeats for quorum leases.
     pub cores: Vec<(PeerRef, String)>,
-    /// Whether the answer was read at a majority of voters after the question came.
+    /// Whether the values were read at a majority of the voters after the request arrived.
     pub is_certain: bool,
 }
 
-/// Everything that daemons say to each other.
+/// Every message between daemons.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum PeerMessage {
-    /// Between fronts.
+    /// Message between fronts.
     Front(FrontMessage),
-    /// To a voter.
+    /// Request to a voter.
     Voter(VoterRequest),
-    /// From a voter.
+    /// Response of a voter.
     VoterResponse(VoterResponse),
-    /// Question for updates; it is answered when there is some, or after a while.
+    /// Request for updates (long poll): the response comes when there is an update, or after a while.
     AwaitUpdate {
-        /// Configuration version that the asker has.
+        /// Configuration version that the requester has.
         configuration: Version,
-        /// Plan version that the asker has.
+        /// Plan version that the requester has.
         plan: Version,
-        /// Whether the answer must be read at a majority of voters.
+        /// Whether the values must be read at a majority of the voters.
         wants_certain: bool,
     },
-    /// Answer to a question for updates.
+    /// Response to `AwaitUpdate`.
     StateUpdate(StateUpdate),
     /// A front's report for the scaler.
     Report(FrontReport),
-    /// Who are you?
+    /// Request for the receiver's identity and state.
     Hello,
-    /// Answer to a hello.
+    /// Response to `Hello`.
     HelloResponse {
-        /// Id of the disk.
+        /// Id of the responder's disk.
         disk: u64,
-        /// The set that it believes in; epoch 0 where it is empty.
+        /// The voter set that it holds; epoch 0 if it holds none.
         set: VoterSet,
-        /// The newest epoch of which a front reported that it holds a value.
+        /// Newest epoch of which a front has reported that it holds a value.
         fronts_epoch: u64,
     },
-    /// A part of the sender's view; the answer is a part of the receiver's.
+    /// Sample of the sender's partial view; the response is a sample of the receiver's.
     Shuffle(Vec<PeerDescriptor>),
-    /// Take this first set; claims that were issued before the time stay refused.
+    /// Adopt this first voter set; claims issued before the given time remain rejected.
     Form(VoterSet, u64),
-    /// Take this set, which was settled as the one that follows.
+    /// Adopt this voter set, which was committed as the next one.
     Adopt(VoterSet),
-    /// Answer to an adoption: the set that the voter is in now.
+    /// Response to `Adopt`: the set that the voter is in now.
     Adopted(VoterSet),
-    /// What are the digests of your ranges?
+    /// Request for the digests of all key ranges (anti-entropy).
     Digests,
-    /// Answer: the voter's set, its floors, and a digest for each range.
+    /// Response to `Digests`: the voter's set, its claim floors and a digest for each range.
     DigestsResponse(ReplicaDigest),
-    /// What do you hold in this range?
+    /// Request for the registers of one key range.
     Range(u16),
-    /// Answer: all keys of the range.
+    /// Response to `Range`: all keys of the range with their states.
     RangeResponse(Vec<(String, RegisterState)>),
-    /// Claims that a front still knows after the ledger was lost.
+    /// Claims that a front still remembers after the voters lost their data.
     RememberedClaims(Vec<(String, RegisterState)>),
 }
 
-/// A voter's copy in short.
+/// Summary of a voter's copy of the registers.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct ReplicaDigest {
-    /// Whether its disk can be trusted, so that it votes.
+    /// Whether the voter's data is trusted, so that it votes.
     pub is_open: bool,
     /// The set that it is in.
     pub set: VoterSet,
-    /// Times before which claims are forgotten, and before which unknown ones are refused.
+    /// Times before which claims are expired, and before which unknown ones are rejected.
     pub claim_floors: ClaimFloors,
-    /// A digest for each range.
+    /// A digest for each key range.
     pub ranges: Vec<u64>,
 }
--- a/crates/transport/src/voters.rs
+++ b/crates/transport/src/voters.rs
@@ -4,13 +4,13 @@
 use register::{NumberedResponse, VoterPort, VoterRef, VoterRequest};
 use std::sync::Arc;
 
-/// Reaches voters over the links.
+/// Sends requests to voters over the links.
 pub struct WireVoters {
     links: Arc<Links>,
 }
 
 impl WireVoters {
-    /// Voters that are reached over these links.
+    /// Creates a port to the voters that uses these links.
     pub fn new(links: Arc<Links>) -> Self {
         Self { links }
     }
@@ -25,8 +25,8 @@
         index: usize,
         responses: Sender<NumberedResponse>,
     ) {
-        let on_answer = Box::new(move |answer| {
-            if let PeerMessage::VoterResponse(response) = answer {
+        let on_response = Box::new(move |message| {
+            if let PeerMessage::VoterResponse(response) = message {
                 let _ = responses.send(NumberedResponse {
                     number,
                     voter: index,
@@ -35,6 +35,6 @@
             }
         });
         self.links
-            .ask(&voter.address, PeerMessage::Voter(request), on_answer);
+            .ask(&voter.address, PeerMessage::Voter(request), on_response);
     }
 }
--- a/crates/transport/tests/frames.rs
+++ b/crates/transport/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames under fuzzing: what was written is read again, and nothing else is taken for a message.
+//! Property tests of frames: an encoded message decodes to itself, and nothing else is accepted as a message.
 
 use configuration::{PeerRef, Version};
 use fuzzing::{seeded, TestResult};
@@ -74,7 +74,7 @@
 }
 
 seeded! {
-    fn every_message_is_read_as_it_was_written(text: String, number: u64, bytes: Vec<u8>) -> bool {
+    fn every_message_decodes_to_itself(text: String, number: u64, bytes: Vec<u8>) -> bool {
         bodies(&text, number, &bytes).into_iter().all(|body| {
             let sent = envelope(body, number);
             let frame = encode(&sent).unwrap();
@@ -82,25 +82,25 @@
         })
     }
 
-    fn a_cut_frame_is_no_message(number: u64, cut: usize) -> TestResult {
+    fn a_truncated_frame_is_rejected(number: u64, end: usize) -> TestResult {
         let frame = encode(&envelope(bodies("f", number, &[1, 2])[2].clone(), number)).unwrap();
-        let cut = cut % frame.len();
-        TestResult::from_bool(matches!(decode(&mut &frame[..cut]), Err(FrameError::Io(_))))
+        let end = end % frame.len();
+        TestResult::from_bool(matches!(decode(&mut &frame[..end]), Err(FrameError::Io(_))))
     }
 
-    fn any_bytes_are_read_without_a_panic(bytes: Vec<u8>) -> bool {
+    fn random_bytes_do_not_panic(bytes: Vec<u8>) -> bool {
         let mut frame = (bytes.len() as u32 + 1).to_le_bytes().to_vec();
         frame.push(transport::WIRE_VERSION);
         frame.extend(&bytes);
-        // A short garbage payload cannot hold a whole envelope with its names and numbers.
+        // A random payload this short cannot hold a complete envelope with its names and numbers.
         bytes.len() > 24 || decode(&mut frame.as_slice()).is_err()
     }
 
-    fn a_flipped_bit_never_brings_a_panic_or_a_longer_read(place: usize, bit: u8) -> bool {
+    fn a_flipped_bit_never_causes_a_panic_or_a_longer_read(position: usize, bit: u8) -> bool {
         let sent = envelope(bodies("function", 9, &[7; 40])[3].clone(), 9);
         let mut frame = encode(&sent).unwrap();
-        let place = place % frame.len();
-        frame[place] ^= 1 << (bit % 8);
+        let position = position % frame.len();
+        frame[position] ^= 1 << (bit % 8);
         let length = frame.len();
         let mut reader = frame.as_slice();
         let _ = decode(&mut reader);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn oversized_and_foreign_frames_are_refused() {
+fn frames_over_the_limit_or_of_another_version_are_rejected() {
     let mut long = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes().to_vec();
     long.push(transport::WIRE_VERSION);
     assert!(matches!(
