--- a/crates/scaler/src/demand.rs
+++ b/crates/scaler/src/demand.rs
@@ -26,7 +26,7 @@
 impl Demand {
     /// Demand to provide capacity for, in requests per second: the forecast rate plus the rate at which
     /// the waiting requests are served within a third of `change_ms`.
-    pub fn wanted(&self, bounds: &Bounds) -> f64 {
+    pub fn required_rate(&self, bounds: &Bounds) -> f64 {
         self.forecast.rate() + f64::from(self.waiting) * 3_000.0 / bounds.change_ms as f64
     }
 
@@ -74,12 +74,12 @@
                 .entry(function_spec.name.clone())
                 .or_default();
         }
-        let listed = observation.configuration.function_specs.iter();
-        let listed: HashSet<&str> = listed
+        let configured = observation.configuration.function_specs.iter();
+        let configured: HashSet<&str> = configured
             .map(|function_spec| function_spec.name.as_str())
             .collect();
         self.functions
-            .retain(|name, _| listed.contains(name.as_str()));
+            .retain(|name, _| configured.contains(name.as_str()));
         for demand in self.functions.values_mut() {
             demand.waiting = 0;
         }
--- a/crates/scaler/src/memory_pool.rs
+++ b/crates/scaler/src/memory_pool.rs
@@ -56,7 +56,7 @@
 struct Donor {
     preemption_order: PreemptionOrder,
     since: u64,
-    place: usize,
+    index: usize,
     memory_mb: u64,
 }
 
@@ -132,7 +132,7 @@
         };
         let memory = self.available_mb.entry(worker).or_default();
         for donor in &donors {
-            let entry = &mut plan.runners[donor.place];
+            let entry = &mut plan.runners[donor.index];
             entry.quota = 0;
             entry.state = RunnerState::Draining;
             *memory += entry.memory_mb;
@@ -161,7 +161,7 @@
                 && entry.function != recipient.name
         });
         let mut donors: Vec<Donor> = candidates
-            .filter_map(|(place, entry)| {
+            .filter_map(|(index, entry)| {
                 let other = self.shares.get(&entry.function)?;
                 let since = runner_states.since(&entry.id);
                 let has_run_long_enough =
@@ -180,7 +180,7 @@
                 Some(Donor {
                     preemption_order,
                     since,
-                    place,
+                    index,
                     memory_mb: entry.memory_mb,
                 })
             })
@@ -234,7 +234,7 @@
     let mut selected = Vec::new();
     let mut donated: BTreeMap<&str, usize> = BTreeMap::new();
     for donor in donors {
-        let function = plan.runners[donor.place].function.as_str();
+        let function = plan.runners[donor.index].function.as_str();
         let runners = shares.get(function).map_or(0, |share| share.runners);
         let donated_count = donated.entry(function).or_default();
         if *donated_count > 0 && *donated_count + 1 >= runners {
--- a/crates/scaler/src/owners.rs
+++ b/crates/scaler/src/owners.rs
@@ -35,8 +35,8 @@
 pub fn update_owners(observation: &Observation, plan: &mut Plan) -> bool {
     let has_new_membership = update_membership(observation, plan);
     let mut has_new_owner = false;
-    for place in 0..plan.runners.len() {
-        let entry = &plan.runners[place];
+    for index in 0..plan.runners.len() {
+        let entry = &plan.runners[index];
         let is_owned = observation
             .fronts
             .get(&entry.owner.name)
@@ -48,7 +48,7 @@
             continue;
         };
         let owner = new_owner.peer.clone();
-        let entry = &mut plan.runners[place];
+        let entry = &mut plan.runners[index];
         entry.owner = owner;
         entry.owner_epoch += 1;
         entry.owner_since = observation.next;
@@ -95,10 +95,10 @@
             .get(name)
             .is_some_and(|front| front.heard_at + timeout < observation.now)
     });
-    let Some(place) = unreachable.filter(|_| plan.membership.len() > 1) else {
+    let Some(index) = unreachable.filter(|_| plan.membership.len() > 1) else {
         return false;
     };
-    plan.membership.remove(place);
+    plan.membership.remove(index);
     plan.membership_since = observation.next;
     true
 }
--- a/crates/scaler/src/quota_steps.rs
+++ b/crates/scaler/src/quota_steps.rs
@@ -48,8 +48,8 @@
         by_rate.then_with(|| other.id.cmp(&one.id))
     });
     let mut has_changed = false;
-    for place in 0..runner_quotas.len() {
-        while runner_quotas[place].quota > 0 && surplus >= runner_quotas[place].seat_rate {
+    for index in 0..runner_quotas.len() {
+        while runner_quotas[index].quota > 0 && surplus >= runner_quotas[index].seat_rate {
             let seats: u32 = runner_quotas
                 .iter()
                 .map(|runner_quota| runner_quota.quota)
@@ -57,8 +57,8 @@
             if seats <= 1 {
                 return has_changed;
             }
-            runner_quotas[place].quota -= 1;
-            surplus -= runner_quotas[place].seat_rate;
+            runner_quotas[index].quota -= 1;
+            surplus -= runner_quotas[index].seat_rate;
             has_changed = true;
         }
     }
--- a/crates/scaler/src/runner_states.rs
+++ b/crates/scaler/src/runner_states.rs
@@ -88,8 +88,8 @@
                 self.warm.insert(entry.id.clone());
             }
         }
-        for place in 0..plan.runners.len() {
-            let entry = &plan.runners[place];
+        for index in 0..plan.runners.len() {
+            let entry = &plan.runners[index];
             let next = match entry.state {
                 RunnerState::Wanted => self.next_state_of_wanted(observation, commands, entry),
                 RunnerState::Draining => self.next_state_of_draining(observation, entry),
@@ -99,7 +99,7 @@
                 RunnerState::Resting => None,
             };
             if let Some(next) = next {
-                plan.runners[place].state = next;
+                plan.runners[index].state = next;
             }
         }
         let bounds = &observation.configuration.bounds;
--- a/crates/scaler/src/scaler.rs
+++ b/crates/scaler/src/scaler.rs
@@ -25,7 +25,7 @@
     /// Why a runner could not be placed in this run, by memory size.
     placement_errors: BTreeMap<u64, PlacementError>,
     /// Indices of each function's runners in this run's plan.
-    places: HashMap<String, Vec<usize>>,
+    indices: HashMap<String, Vec<usize>>,
     generate_key: Box<dyn FnMut() -> Vec<u8> + Send>,
     /// Number of runner ids assigned so far; part of each id.
     seq: u64,
@@ -41,7 +41,7 @@
             without_runner_since: BTreeMap::new(),
             response_times_reported_at: 0,
             placement_errors: BTreeMap::new(),
-            places: HashMap::new(),
+            indices: HashMap::new(),
             generate_key,
             seq: 0,
         }
@@ -64,10 +64,10 @@
         let mut plan = observation.plan.clone();
         update_owners(observation, &mut plan);
         self.runner_states.advance(observation, commands, &mut plan);
-        self.places.clear();
-        for (place, entry) in plan.runners.iter().enumerate() {
-            let places = self.places.entry(entry.function.clone());
-            places.or_default().push(place);
+        self.indices.clear();
+        for (index, entry) in plan.runners.iter().enumerate() {
+            let indices = self.indices.entry(entry.function.clone());
+            indices.or_default().push(index);
         }
         let mut function_specs: Vec<&FunctionSpec> =
             observation.configuration.function_specs.iter().collect();
@@ -85,8 +85,8 @@
         }
         // When memory is short, the function with the least of its demand covered goes first within a priority.
         function_specs.sort_by_cached_key(|function_spec| {
-            let note = self.decisions.get(&function_spec.name);
-            let met = note.map_or(1.0, |note| note.capacity / note.demand.max(MIN_DEMAND_RATE));
+            let last = self.decisions.get(&function_spec.name);
+            let met = last.map_or(1.0, |last| last.capacity / last.demand.max(MIN_DEMAND_RATE));
             (
                 observation.priority_of(function_spec),
                 (met.min(1_000.0) * 1_000.0) as u64,
@@ -147,7 +147,7 @@
             }
             Err(PlacementError::NoMemory) => "sleeps: no worker has the memory",
         };
-        self.note(&function_spec.name).reason = reason.into();
+        self.decision(&function_spec.name).reason = reason.into();
     }
 
     /// Writes each runner's response time to the plan, from which fronts derive the capacity of runners that
@@ -166,7 +166,7 @@
         }
     }
 
-    fn note(&mut self, function: &str) -> &mut FunctionDecision {
+    fn decision(&mut self, function: &str) -> &mut FunctionDecision {
         self.decisions.entry(function.to_string()).or_default()
     }
 
@@ -177,8 +177,8 @@
         plan: &Plan,
         function_spec: &FunctionSpec,
     ) -> Vec<RunnerQuota> {
-        let places = self.places.get(&function_spec.name).into_iter().flatten();
-        let own = places.filter_map(|place| plan.runners.get(*place));
+        let indices = self.indices.get(&function_spec.name).into_iter().flatten();
+        let own = indices.filter_map(|index| plan.runners.get(*index));
         let counted = own.filter(|entry| {
             entry.state == RunnerState::Wanted && self.runner_states.counts(observation, entry)
         });
@@ -204,14 +204,14 @@
         let Some(demand) = self.demand.functions.get(&function_spec.name) else {
             return;
         };
-        let wanted = demand.wanted(bounds);
+        let required = demand.required_rate(bounds);
         let seat_rate = demand.seat_rate();
         let capacity: f64 = runner_quotas.iter().map(RunnerQuota::capacity).sum();
-        let note = FunctionDecision {
+        let decision = FunctionDecision {
             measured: demand.measured,
             forecast: demand.forecast.rate(),
             waiting: demand.waiting,
-            demand: wanted,
+            demand: required,
             capacity,
             response_time_ms: demand.response_time_ms,
             runners: runner_quotas.len(),
@@ -221,16 +221,16 @@
                 .sum(),
             reason: String::new(),
         };
-        let known = self.note(&function_spec.name);
-        *known = FunctionDecision {
-            reason: std::mem::take(&mut known.reason),
-            ..note
+        let previous = self.decision(&function_spec.name);
+        *previous = FunctionDecision {
+            reason: std::mem::take(&mut previous.reason),
+            ..decision
         };
         if runner_quotas.is_empty() {
             return;
         }
-        if wanted > capacity * bounds.alpha {
-            let gap = wanted - capacity * bounds.alpha;
+        if required > capacity * bounds.alpha {
+            let gap = required - capacity * bounds.alpha;
             let unmet = grow(&mut runner_quotas, gap);
             set_quotas(plan, &runner_quotas);
             let (started, lacks_memory) =
@@ -243,13 +243,13 @@
                 _ => "",
             };
             self.set_below_beta_since(&function_spec.name, None);
-            self.note(&function_spec.name).reason = format!(
-                "grew: demand {wanted:.1}/s is over alpha of {capacity:.1}/s; quotas first, \
+            self.decision(&function_spec.name).reason = format!(
+                "grew: demand {required:.1}/s is over alpha of {capacity:.1}/s; quotas first, \
                  {started} new runners for {:.1}/s{memory_remark}",
                 unmet.max(0.0)
             );
-        } else if wanted < capacity * bounds.beta {
-            self.shrink_after_cooldown(observation, plan, function_spec, runner_quotas, wanted);
+        } else if required < capacity * bounds.beta {
+            self.shrink_after_cooldown(observation, plan, function_spec, runner_quotas, required);
         } else {
             self.set_below_beta_since(&function_spec.name, None);
         }
@@ -291,7 +291,7 @@
         plan: &mut Plan,
         function_spec: &FunctionSpec,
         mut runner_quotas: Vec<RunnerQuota>,
-        wanted: f64,
+        required: f64,
     ) {
         let bounds = &observation.configuration.bounds;
         let Some(demand) = self.demand.functions.get_mut(&function_spec.name) else {
@@ -308,7 +308,7 @@
             .map(|runner_quota| runner_quota.seat_rate);
         let min_demand = slowest.fold(f64::INFINITY, f64::min) * bounds.alpha;
         // The remaining capacity has to cover the demand without triggering growth at once.
-        let surplus = capacity - wanted.max(min_demand) / bounds.alpha;
+        let surplus = capacity - required.max(min_demand) / bounds.alpha;
         if !shrink(&mut runner_quotas, surplus) {
             return;
         }
@@ -317,8 +317,8 @@
             .iter()
             .filter(|runner_quota| runner_quota.quota == 0)
             .count();
-        self.note(&function_spec.name).reason = format!(
-            "shrank after a calm cooldown: demand {wanted:.1}/s is under beta of \
+        self.decision(&function_spec.name).reason = format!(
+            "shrank after a calm cooldown: demand {required:.1}/s is under beta of \
              {capacity:.1}/s; {drained} runners drain"
         );
     }
@@ -346,8 +346,8 @@
             return Err(PlacementError::Busy);
         };
         self.seq += 1;
-        let places = self.places.entry(function_spec.name.clone());
-        places.or_default().push(plan.runners.len());
+        let indices = self.indices.entry(function_spec.name.clone());
+        indices.or_default().push(plan.runners.len());
         plan.runners.push(RunnerEntry {
             id: format!("{}.{}.{}", function_spec.name, observation.term, self.seq),
             function: function_spec.name.clone(),
@@ -374,7 +374,7 @@
                 let demand = self.demand.functions.get(&function_spec.name)?;
                 let share = MemoryShare {
                     priority: observation.priority_of(function_spec),
-                    demand: demand.wanted(&observation.configuration.bounds),
+                    demand: demand.required_rate(&observation.configuration.bounds),
                     is_idle: demand.waiting == 0 && demand.measured < MIN_DEMAND_RATE,
                     last_arrival: demand.last_arrival,
                     ..MemoryShare::default()
