--- a/crates/scaler/src/placing.rs
+++ b/crates/scaler/src/placing.rs
@@ -91,9 +91,7 @@
         let occupied = occupancy(observation, plan, worker);
         let is_better = best
             .as_ref()
-            .is_none_or(|(best_is_unused, best_occupancy, ..)| {
-                (is_unused, occupied) < (*best_is_unused, *best_occupancy)
-            });
+            .is_none_or(|(unused, least, ..)| (is_unused, occupied) < (*unused, *least));
         if is_better {
             best = Some((is_unused, occupied, worker, port));
         }
--- a/crates/scaler/tests/shortage.rs
+++ b/crates/scaler/tests/shortage.rs
@@ -121,16 +121,14 @@
 
     fn fronts(&self) -> BTreeMap<String, FrontObservation> {
         let runners = self.plan.runners.iter().map(|entry| {
-            let running = self.running.get(&entry.id);
+            let state = self.running.get(&entry.id);
             RunnerReport {
                 runner: entry.id.clone(),
                 epoch: entry.owner_epoch,
                 is_active: true,
                 is_warm: self.is_warm(&entry.id),
-                answered: running.map_or(0, |running| running.answered as u64),
-                took_ms: running.map_or(0, |running| {
-                    running.took_ms as u64 * (running.answered as u64)
-                }),
+                answered: state.map_or(0, |state| state.answered as u64),
+                took_ms: state.map_or(0, |state| state.took_ms as u64 * (state.answered as u64)),
                 ..RunnerReport::default()
             }
         });
