--- a/crates/configuration/src/bounds.rs
+++ b/crates/configuration/src/bounds.rs
@@ -1,37 +1,37 @@
 use serde::{Deserialize, Serialize};
 
-/// Bounds of the whole system. Every other time or share in the daemons is a ratio to one of these.
+/// Limits of the whole system. Every other time or share in the daemons is derived from one of these.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// An acknowledged change holds everywhere within this time, in milliseconds.
+    /// Time within which an acknowledged change is in force everywhere, in milliseconds.
     pub change_ms: u64,
-    /// An evacuated zone gets no more work after this time, in milliseconds.
+    /// Time after which an evacuated zone gets no more requests, in milliseconds.
     pub evacuation_ms: u64,
     /// Window over which retries are counted, in milliseconds.
     pub retry_window_ms: u64,
-    /// Share of first attempts that retries may reach in the window.
+    /// Retries allowed in the window, as a share of the first attempts.
     pub retry_share: f64,
-    /// Retries allowed in the window beside the share, over all fronts.
+    /// Retries allowed in the window in addition to the share, over all fronts.
     pub retry_floor: u32,
-    /// Service is back this long after a failure has closed, in milliseconds.
+    /// Time after the end of a failure within which service is restored, in milliseconds.
     pub return_ms: u64,
-    /// Demand above this share of the capacity makes the scaler grow.
+    /// The scaler scales up if demand is above this share of the capacity.
     pub alpha: f64,
-    /// Demand below this share of the capacity lets the scaler shrink.
+    /// The scaler may scale down if demand is below this share of the capacity.
     pub beta: f64,
-    /// Calm time before the scaler shrinks, in milliseconds.
+    /// Time of low demand before the scaler scales down, in milliseconds.
     pub cooldown_ms: u64,
     /// Memory of the largest worker, in megabytes.
     pub worker_memory_mb: u64,
-    /// Starts that one worker may have under way at once.
+    /// Maximum number of runners that one worker may be starting at once.
     pub worker_starts: u32,
-    /// Most requests that one front holds for one function.
+    /// Maximum number of requests that one front queues for one function.
     #[serde(rename = "holding_max")]
     pub queue_max: u32,
-    /// Largest request or answer body, in bytes.
+    /// Maximum size of a request or response body, in bytes.
     pub body_max: u64,
-    /// How long an idempotency key is remembered, in milliseconds.
+    /// Time for which an idempotency key is remembered, in milliseconds.
     pub claim_ms: u64,
 }
 
@@ -57,43 +57,43 @@
 }
 
 impl Bounds {
-    /// A front's quorum lease: half the bound on changes, so that a cut-off front is quiet
-    /// well before a change must hold everywhere.
+    /// Duration of a front's quorum lease: half of `change_ms`, so that a partitioned front stops well before a
+    /// change must be in force everywhere.
     pub fn lease_ms(&self) -> u64 {
         self.change_ms / 2
     }
 
-    /// Time between heartbeats: a fifth of the lease, so that four may be lost.
+    /// Interval of heartbeats: a fifth of the lease, so that four in a row may be lost.
     pub fn heartbeat_ms(&self) -> u64 {
         (self.lease_ms() / 5).max(1)
     }
 
-    /// Window in which a lent seat must start: a sixth of the bound on changes.
+    /// Time within which an attempt on a leased seat must start: a sixth of `change_ms`.
     pub fn seat_window_ms(&self) -> u64 {
         self.change_ms / 6
     }
 
-    /// Slack for connecting and for clocks that run apart: a twelfth of the bound on changes.
+    /// Safety margin for connecting and for clock drift: a twelfth of `change_ms`.
     pub fn slack_ms(&self) -> u64 {
         self.change_ms / 12
     }
 
-    /// Time between runs of a front's or the scaler's loop: a thirtieth of the bound on changes.
+    /// Interval of a front's and of the scaler's periodic work: a thirtieth of `change_ms`.
     pub fn tick_ms(&self) -> u64 {
         (self.change_ms / 30).max(1)
     }
 
-    /// Time that one question to another daemon may take: a third of the lease.
-    pub fn ask_ms(&self) -> u64 {
+    /// Timeout of a request to another daemon: a third of the lease.
+    pub fn request_timeout_ms(&self) -> u64 {
         self.lease_ms() / 3
     }
 
-    /// Time that a call to the platform may take: two thirds of the bound on changes.
-    pub fn platform_ms(&self) -> u64 {
+    /// Timeout of a call to the platform: two thirds of `change_ms`.
+    pub fn platform_timeout_ms(&self) -> u64 {
         self.change_ms * 2 / 3
     }
 
-    /// Time that a role's holder may be silent before the role is vacant: the same as the lease.
+    /// Time without contact after which a role's holder loses the role: the same as the lease.
     pub fn role_lease_ms(&self) -> u64 {
         self.lease_ms()
     }
--- a/crates/configuration/src/checks.rs
+++ b/crates/configuration/src/checks.rs
@@ -4,21 +4,21 @@
 use serde::Serialize;
 use std::collections::HashSet;
 
-/// Longest text of a configuration, in bytes.
+/// Maximum length of a configuration's JSON text, in bytes.
 pub const MAX_TEXT_BYTES: usize = 1 << 20;
 const MAX_NAME_BYTES: usize = 64;
 const MAX_FUNCTION_SPECS: usize = 2_000;
 const MAX_KINDS: usize = 16;
 const MAX_ZONES: usize = 32;
 const MAX_CONCURRENCY: u32 = 1_024;
-const TIME_MAX_MS: u64 = 300_000;
+const MAX_TIME_MS: u64 = 300_000;
 
-/// One thing that is wrong with a configuration, and where.
+/// One error in a configuration document.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ValidationError {
-    /// Path of the field, as `listings[3].memory_mb`.
+    /// Path of the field in the document, such as `listings[3].memory_mb`.
     pub path: String,
-    /// What is wrong, in a short sentence.
+    /// Reason, in a short sentence.
     pub reason: String,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Reads a configuration from JSON text and checks it; all faults are reported at once.
+/// Parses a configuration from JSON text and checks it. If it parses, all errors of the checks are returned together.
 pub fn parse(text: &str) -> Result<Configuration, Vec<ValidationError>> {
     if text.len() > MAX_TEXT_BYTES {
         let reason = format!("text of {} bytes is over {MAX_TEXT_BYTES}", text.len());
@@ -52,7 +52,7 @@
     }
 }
 
-/// Checks everything that the types of a configuration cannot.
+/// Checks the constraints that the types cannot express, and returns all errors.
 pub fn check(configuration: &Configuration) -> Vec<ValidationError> {
     let mut errors = Vec::new();
     check_names(
@@ -82,8 +82,8 @@
             "at least one district is needed",
         ));
     }
-    for (place, function_spec) in configuration.function_specs.iter().enumerate() {
-        check_function_spec(&mut errors, configuration, place, function_spec);
+    for (index, function_spec) in configuration.function_specs.iter().enumerate() {
+        check_function_spec(&mut errors, configuration, index, function_spec);
     }
     check_bounds(&mut errors, configuration);
     errors
@@ -92,28 +92,28 @@
 fn check_names<'a>(
     errors: &mut Vec<ValidationError>,
     field: &str,
-    most: usize,
+    max: usize,
     names: impl Iterator<Item = &'a String>,
 ) {
     let mut seen = HashSet::new();
     let mut count = 0;
-    for (place, name) in names.enumerate() {
+    for (index, name) in names.enumerate() {
         count += 1;
-        let path = format!("{field}[{place}].name");
-        let fits = name
+        let path = format!("{field}[{index}].name");
+        let is_valid = name
             .bytes()
             .all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
-        if name.is_empty() || name.len() > MAX_NAME_BYTES || !fits {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || !is_valid {
             let reason = format!("must be 1 to {MAX_NAME_BYTES} letters, digits, '-', '_' or '.'");
             errors.push(validation_error(path, reason));
         } else if !seen.insert(name) {
             errors.push(validation_error(path, format!("{name:?} is named twice")));
         }
     }
-    if count > most {
+    if count > max {
         errors.push(validation_error(
             field,
-            format!("{count} entries are over {most}"),
+            format!("{count} entries are over {max}"),
         ));
     }
 }
@@ -121,10 +121,10 @@
 fn check_function_spec(
     errors: &mut Vec<ValidationError>,
     configuration: &Configuration,
-    place: usize,
+    index: usize,
     function_spec: &FunctionSpec,
 ) {
-    let path = |field: &str| format!("listings[{place}].{field}");
+    let path = |field: &str| format!("listings[{index}].{field}");
     let worker_memory = configuration.bounds.worker_memory_mb;
     if function_spec.memory_mb == 0 {
         errors.push(validation_error(path("memory_mb"), "must be above zero"));
@@ -139,12 +139,12 @@
         let reason = format!("must be 1 to {MAX_CONCURRENCY}");
         errors.push(validation_error(path("concurrency"), reason));
     }
-    for (field, value, least) in [
+    for (field, value, min) in [
         ("start_ms", function_spec.start_ms, 0),
         ("budget_ms", function_spec.budget_ms, 1),
     ] {
-        if value < least || value > TIME_MAX_MS {
-            let reason = format!("must be {least} to {TIME_MAX_MS}");
+        if value < min || value > MAX_TIME_MS {
+            let reason = format!("must be {min} to {MAX_TIME_MS}");
             errors.push(validation_error(path(field), reason));
         }
     }
@@ -154,14 +154,14 @@
             "at least one kind is needed",
         ));
     }
-    for (kind_place, kind) in function_spec.kinds.iter().enumerate() {
-        let kind_path = path(&format!("kinds[{kind_place}]"));
+    for (kind_index, kind) in function_spec.kinds.iter().enumerate() {
+        let kind_path = path(&format!("kinds[{kind_index}]"));
         if configuration.kind(kind).is_none() {
             errors.push(validation_error(
                 kind_path,
                 format!("kind {kind:?} is not in the ranking"),
             ));
-        } else if function_spec.kinds[..kind_place].contains(kind) {
+        } else if function_spec.kinds[..kind_index].contains(kind) {
             errors.push(validation_error(
                 kind_path,
                 format!("{kind:?} is named twice"),
@@ -173,7 +173,7 @@
 fn check_bounds(errors: &mut Vec<ValidationError>, configuration: &Configuration) {
     let bounds = &configuration.bounds;
     let path = |field: &str| format!("bounds.{field}");
-    for (field, value, least, most) in [
+    for (field, value, min, max) in [
         ("change_ms", bounds.change_ms, 600, 60_000),
         ("evacuation_ms", bounds.evacuation_ms, 600, 600_000),
         ("retry_window_ms", bounds.retry_window_ms, 100, 600_000),
@@ -190,8 +190,8 @@
         ("body_max", bounds.body_max, 1, 16 << 20),
         ("claim_ms", bounds.claim_ms, 10_000, 86_400_000),
     ] {
-        if value < least || value > most {
-            let reason = format!("{value} is not within {least} to {most}");
+        if value < min || value > max {
+            let reason = format!("{value} is not within {min} to {max}");
             errors.push(validation_error(path(field), reason));
         }
     }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,4 +1,4 @@
-//! What operators write: the configuration, its checks, and the daemons' own settings.
+//! The configuration and its checks, the daemons' settings, and the plan that the scaler writes.
 #![warn(missing_docs)]
 
 mod bounds;
--- a/crates/configuration/src/settings.rs
+++ b/crates/configuration/src/settings.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// A fault in a daemon's settings, in one sentence.
+/// An error in a daemon's settings, in one sentence.
 #[derive(Debug)]
 pub struct DaemonSettingsError(pub String);
 
@@ -21,25 +21,25 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FrontSettings {
-    /// Name of this front, one of its own in the fleet.
+    /// Name of this front, unique in the deployment.
     pub name: String,
-    /// Zone that it stands in.
+    /// Availability zone that it runs in.
     #[serde(rename = "district")]
     pub zone: String,
-    /// Address for callers and operators (HTTP).
+    /// Listen address for callers and operators (HTTP).
     pub http: SocketAddr,
-    /// Address for the other daemons.
+    /// Listen address for the other daemons.
     pub wire: SocketAddr,
-    /// Address at which the other daemons reach this one, where it is not `wire` itself.
+    /// Address at which the other daemons reach this one, if it differs from `wire`.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
     /// Wire addresses of the three cores with a disk.
     pub seeds: Vec<SocketAddr>,
-    /// Attempts that may run at once in this front.
+    /// Maximum number of concurrent attempts of this front.
     #[serde(default = "default_attempts")]
     #[serde(rename = "tries_max")]
     pub max_attempts: usize,
-    /// Callers' connections at once.
+    /// Maximum number of concurrent client connections.
     #[serde(default = "default_connections")]
     pub connections_max: usize,
 }
@@ -48,21 +48,21 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CoreSettings {
-    /// Name of this core, one of its own in the fleet.
+    /// Name of this core, unique in the deployment.
     pub name: String,
-    /// Zone that it stands in.
+    /// Availability zone that it runs in.
     #[serde(rename = "district")]
     pub zone: String,
-    /// Address for operators (HTTP).
+    /// Listen address for operators (HTTP).
     pub http: SocketAddr,
-    /// Address for the other daemons.
+    /// Listen address for the other daemons.
     pub wire: SocketAddr,
-    /// Address at which the other daemons reach this one, where it is not `wire` itself.
+    /// Address at which the other daemons reach this one, if it differs from `wire`.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
-    /// Wire addresses of the three cores with a disk; those of the first start form the fleet.
+    /// Wire addresses of the three cores with a disk; at the first start these form the voter set.
     pub seeds: Vec<SocketAddr>,
-    /// Folder for everything that must last.
+    /// Directory of the persistent data.
     pub data: PathBuf,
     /// Address of the platform's API.
     pub platform: SocketAddr,
@@ -76,7 +76,7 @@
     2_048
 }
 
-/// Reads settings from a file (where one is named) with the flags given on top of it.
+/// Reads settings from a file, if one is given; command-line flags override its values.
 pub fn read_settings<T: DeserializeOwned>(
     file: Option<&Path>,
     flags: impl Serialize,
@@ -99,12 +99,12 @@
 
 fn check_common(name: &str, zone: &str, seeds: &[SocketAddr]) -> Result<(), DaemonSettingsError> {
     for (field, text) in [("name", name), ("district", zone)] {
-        let fits = !text.is_empty()
+        let is_valid = !text.is_empty()
             && text.len() <= 64
             && text
                 .bytes()
                 .all(|byte| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_');
-        if !fits {
+        if !is_valid {
             return Err(DaemonSettingsError(format!(
                 "{field} must be 1 to 64 letters, digits, '-' or '_', found {text:?}"
             )));
@@ -128,7 +128,7 @@
         self.advertise.unwrap_or(self.wire)
     }
 
-    /// Checks what the types cannot.
+    /// Checks the constraints that the types cannot express.
     pub fn check(&self) -> Result<(), DaemonSettingsError> {
         check_common(&self.name, &self.zone, &self.seeds)?;
         if self.max_attempts == 0 || self.connections_max == 0 {
@@ -146,7 +146,7 @@
         self.advertise.unwrap_or(self.wire)
     }
 
-    /// Checks what the types cannot.
+    /// Checks the constraints that the types cannot express.
     pub fn check(&self) -> Result<(), DaemonSettingsError> {
         check_common(&self.name, &self.zone, &self.seeds)
     }
--- a/crates/configuration/tests/checks.rs
+++ b/crates/configuration/tests/checks.rs
@@ -1,10 +1,10 @@
-//! Configurations that must be refused whole, each fault with its path, and texts of any kind.
+//! Invalid configurations are rejected as a whole, with the path of each error; arbitrary texts do not panic.
 
 use configuration::{check, parse, Configuration, ValidationError, MAX_TEXT_BYTES};
 use fuzzing::seeded;
 use serde_json::{json, Value};
 
-fn good() -> Value {
+fn valid() -> Value {
     json!({
         "listings": [
             { "name": "sign", "memory_mb": 1000, "start_ms": 1500, "concurrency": 8,
@@ -17,13 +17,13 @@
     })
 }
 
-fn faults_of(configuration: &Value) -> Vec<ValidationError> {
-    parse(&configuration.to_string()).expect_err("the blueprint was taken")
+fn errors_of(configuration: &Value) -> Vec<ValidationError> {
+    parse(&configuration.to_string()).expect_err("an invalid configuration was accepted")
 }
 
 #[test]
-fn a_good_configuration_is_read_as_written() {
-    let configuration = parse(&good().to_string()).unwrap();
+fn a_valid_configuration_round_trips() {
+    let configuration = parse(&valid().to_string()).unwrap();
     assert_eq!(configuration.kind("urgent").unwrap().0, 0);
     assert!(configuration.kind("urgent").unwrap().1.once);
     assert!(
@@ -62,39 +62,39 @@
         ("/districts", json!([]), "districts"),
     ];
     for (pointer, value, path) in cases {
-        let mut configuration = good();
+        let mut configuration = valid();
         *configuration.pointer_mut(pointer).unwrap() = value.clone();
-        let errors = faults_of(&configuration);
-        let is_told = errors
+        let errors = errors_of(&configuration);
+        let is_reported = errors
             .iter()
             .any(|validation_error| validation_error.path == path);
-        assert!(is_told, "{pointer} = {value}: {errors:?}");
+        assert!(is_reported, "{pointer} = {value}: {errors:?}");
     }
 }
 
 #[test]
 fn fields_of_the_wrong_name_or_type_are_rejected() {
-    let mut unknown = good();
+    let mut unknown = valid();
     unknown["listings"][0]["memmory"] = json!(1);
-    assert!(faults_of(&unknown)[0].reason.contains("memmory"));
-    let mut negative = good();
+    assert!(errors_of(&unknown)[0].reason.contains("memmory"));
+    let mut negative = valid();
     negative["listings"][0]["memory_mb"] = json!(-1);
-    assert!(!faults_of(&negative).is_empty());
-    let mut missing = good();
+    assert!(!errors_of(&negative).is_empty());
+    let mut missing = valid();
     missing["listings"][0]
         .as_object_mut()
         .unwrap()
         .remove("name");
-    assert!(faults_of(&missing)[0].reason.contains("name"));
+    assert!(errors_of(&missing)[0].reason.contains("name"));
 }
 
 #[test]
 fn all_errors_are_reported_at_once() {
-    let mut configuration = good();
+    let mut configuration = valid();
     configuration["listings"][0]["memory_mb"] = json!(0);
     configuration["listings"][1]["concurrency"] = json!(0);
     configuration["bounds"] = json!({ "alpha": 0.4, "beta": 0.5 });
-    assert_eq!(faults_of(&configuration).len(), 3);
+    assert_eq!(errors_of(&configuration).len(), 3);
 }
 
 #[test]
@@ -107,20 +107,20 @@
 }
 
 seeded! {
-    fn any_text_is_read_without_a_panic(text: String) -> bool {
+    fn random_text_is_rejected_without_a_panic(text: String) -> bool {
         parse(&text).is_err()
     }
 
-    fn any_change_of_one_byte_is_refused_or_stays_checked(place: usize, byte: u8) -> bool {
-        let mut bytes = good().to_string().into_bytes();
-        let place = place % bytes.len();
-        bytes[place] = byte;
+    fn a_changed_byte_is_rejected_or_still_passes_the_checks(position: usize, byte: u8) -> bool {
+        let mut bytes = valid().to_string().into_bytes();
+        let position = position % bytes.len();
+        bytes[position] = byte;
         let text = String::from_utf8_lossy(&bytes).into_owned();
         parse(&text).map_or(true, |configuration| check(&configuration).is_empty())
     }
 }
 
 #[test]
-fn the_empty_configuration_is_good() {
+fn the_empty_configuration_is_valid() {
     assert!(check(&Configuration::empty()).is_empty());
 }
--- a/crates/core/src/scaling.rs
+++ b/crates/core/src/scaling.rs
@@ -105,7 +105,7 @@
         write_plan(shared, &plan, committed.plan_version.no);
         return;
     }
-    let platform_timeout = Duration::from_millis(bounds.platform_ms());
+    let platform_timeout = Duration::from_millis(bounds.platform_timeout_ms());
     let (retry_interval, grace) = (bounds.lease_ms(), 2 * bounds.change_ms);
     for command in commands.due(
         observation.now,
--- a/crates/core/src/shared.rs
+++ b/crates/core/src/shared.rs
@@ -97,7 +97,13 @@
 
     /// Timeout of one request to another daemon.
     pub fn timeout(&self) -> Duration {
-        Duration::from_millis(self.store.committed().configuration.bounds.ask_ms())
+        Duration::from_millis(
+            self.store
+                .committed()
+                .configuration
+                .bounds
+                .request_timeout_ms(),
+        )
     }
 
     /// Records the configuration version of a front's update request, which arrives well before its next report.
