--- a/crates/idempotency_keys/src/claim.rs
+++ b/crates/idempotency_keys/src/claim.rs
@@ -1,42 +1,42 @@
-//! The claim on a key, as its register holds it.
+//! The claim on an idempotency key, which is stored in a register.
 
 use configuration::PeerRef;
 use speedy::{Readable, Writable};
 
-/// What a key's register holds.
+/// State of a claim: the value of the key's register.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum Claim {
-    /// Nothing was sent under the key; it may be claimed.
+    /// Nothing was sent under the key, so it may be claimed.
     Free,
-    /// A front claimed it, and may have sent the work.
+    /// A front claimed the key and may have sent the request.
     Taken {
-        /// The front, in that incarnation.
+        /// Name and incarnation of the front.
         by: PeerRef,
-        /// Slot of the request there.
+        /// Slot of the request at that front.
         slot: u64,
-        /// Digest of the body.
+        /// Digest of the request's body.
         digest: String,
     },
-    /// The work ran and this is its answer.
+    /// The request ran; its response is kept.
     Done {
         /// Digest of the request's body.
         digest: String,
-        /// Status of the answer.
+        /// HTTP status of the response.
         status: u16,
-        /// Its content type.
+        /// Content type of the response.
         content_type: String,
-        /// Its body; none where it was too large to keep.
+        /// Body of the response; none if it was too large to keep.
         body: Option<Vec<u8>>,
     },
-    /// The work was sent and its answer was lost.
+    /// The request was sent and its response was lost, so it may have run.
     Unknown {
-        /// Digest of the body.
+        /// Digest of the request's body.
         digest: String,
     },
 }
 
 impl Claim {
-    /// Digest of the body that the key was claimed with.
+    /// Digest of the request's body with which the key was claimed; none if it is free.
     pub fn digest(&self) -> Option<&str> {
         match self {
             Self::Free => None,
--- a/crates/idempotency_keys/src/key.rs
+++ b/crates/idempotency_keys/src/key.rs
@@ -1,27 +1,27 @@
-//! The idempotency key of a request, as a caller writes it and as its register is named.
+//! Idempotency keys: the caller's format and the name of the register that holds the claim.
 
 use crate::seal::digest_hex;
 use std::fmt;
 
 const MAX_KEY_BYTES: usize = 200;
 
-/// An idempotency key: the time at which the caller made it, and the caller's own text.
+/// A valid idempotency key, sent by the caller as `<milliseconds since 1970>-<text>`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IdempotencyKey {
-    /// Milliseconds since 1970, as in the key.
+    /// Time in the key at which the caller issued it, in milliseconds since 1970.
     pub issued_ms: u64,
-    /// Key of its register.
+    /// Name of the register that holds its claim.
     pub register: String,
 }
 
-/// What is wrong with an idempotency key.
+/// Why an idempotency key was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyKeyError {
-    /// It is not `<milliseconds since 1970>-<text>`.
+    /// It does not have the form `<milliseconds since 1970>-<text>`, or is too long.
     Malformed,
-    /// It was issued longer ago than keys are remembered.
+    /// It was issued too long ago: claims of that age may already be expired.
     TooOld,
-    /// It was issued in the future.
+    /// Its time is in the future by more than the tolerated clock offset.
     TooNew,
 }
 
@@ -38,8 +38,9 @@
 }
 
 impl IdempotencyKey {
-    /// Reads a key for a function, from a caller whose clock may be `ahead_ms` ahead. Keys older than half of what voters remember are refused, so
-    /// that none is taken while its claim may be ageing out.
+    /// Parses the key of a request for a function, from a caller whose clock may be up to `ahead_ms` ahead. Voters
+    /// remember claims for `remembered_ms`; keys older than half of that are rejected, so that no key is accepted
+    /// whose claim may be about to expire.
     pub fn read(
         text: &str,
         function: &str,
@@ -47,10 +48,10 @@
         remembered_ms: u64,
         ahead_ms: u64,
     ) -> Result<Self, IdempotencyKeyError> {
-        let (digits, own_text) = text.split_once('-').ok_or(IdempotencyKeyError::Malformed)?;
-        let is_time =
+        let (digits, suffix) = text.split_once('-').ok_or(IdempotencyKeyError::Malformed)?;
+        let is_timestamp =
             (1..=14).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
-        if !is_time || own_text.is_empty() || text.len() > MAX_KEY_BYTES {
+        if !is_timestamp || suffix.is_empty() || text.len() > MAX_KEY_BYTES {
             return Err(IdempotencyKeyError::Malformed);
         }
         let issued_ms: u64 = digits.parse().map_err(|_| IdempotencyKeyError::Malformed)?;
--- a/crates/idempotency_keys/src/lib.rs
+++ b/crates/idempotency_keys/src/lib.rs
@@ -1,4 +1,4 @@
-//! Claims on work that must never run twice, their keys, and the seal on a runner's answer.
+//! Idempotency keys and their claims, for requests that must never run twice, and the seal of a runner's response.
 #![warn(missing_docs)]
 
 mod claim;
