--- a/tests/compatibility/examples/capture_new_version.rs
+++ b/tests/compatibility/examples/capture_new_version.rs
@@ -1,7 +1,7 @@
-//! Captures fixtures that are not there yet, for a new fixture of a new version only.
+//! Writes the fixtures that do not exist yet. Only for adding fixtures for a new version.
 //!
-//! A file that exists is never written again: it stands for bytes that are on disks and on the wire, and a test that
-//! fails against it has found a change that breaks a running system. Run it by hand, from the root of the workspace:
+//! An existing file is never overwritten: it holds bytes that are on disks and on the wire, so a test that fails against
+//! it has found an incompatible change. Run by hand from the workspace root:
 //! `cargo run -p compatibility --example capture_new_version`.
 
 use compatibility::{families, fixtures_path, folders, FolderContent};
@@ -27,7 +27,7 @@
     }
     for stage in folders() {
         let path = FolderContent::path(stage.scenario, stage.stage);
-        // A captured folder is whole: a file that a newer version writes beside the others does not belong to it.
+        // A captured folder is complete: files that only a newer version writes must not be added to it.
         if path.exists() {
             continue;
         }
--- a/tests/compatibility/src/controller_folder.rs
+++ b/tests/compatibility/src/controller_folder.rs
@@ -1,4 +1,4 @@
-//! The data folder of a controller's voter, written through `consensus` in stages.
+//! Scenario that writes the data folder of a controller's voter through `consensus`, stage by stage.
 
 use crate::samples::operator_commands::{replaced_configuration, two_zones, updated_configuration};
 use crate::samples::register::voter;
@@ -12,21 +12,21 @@
 use std::io;
 use voter::{Installation, VoterDisk};
 
-/// Identity of the disk.
+/// Disk identity at the start of the scenario.
 const DISK: u64 = 0x0102_0304_0506_0708;
-/// Identity of the disk after its voter began anew.
-const DISK_ANEW: u64 = 0x6162_6364_6566_6768;
-/// Identity that a test would see where the folder counted as new.
+/// Disk identity after the voter was reset.
+const DISK_AFTER_RESET: u64 = 0x6162_6364_6566_6768;
+/// Identity that a folder would get if it were wrongly treated as new.
 const UNEXPECTED_DISK: u64 = 0xdead_dead_dead_dead;
 
-/// A controller's voter on a folder in memory.
+/// A controller's voter on an in-memory folder.
 pub struct ControllerScenario {
     folder: MemoryFolder,
     disk: VoterDisk,
 }
 
 impl ControllerScenario {
-    /// Stages of the scenario in their order; each one continues from the one before.
+    /// Stages in the order they are written; each continues from the previous one.
     pub const STAGES: [&'static str; 8] = [
         "founded",
         "configured",
@@ -38,12 +38,12 @@
         "begun_anew",
     ];
 
-    /// An empty folder.
+    /// Opens an empty folder.
     pub fn start() -> Self {
         Self::open_as(MemoryFolder::default(), DISK)
     }
 
-    /// Opens a folder that an earlier stage left, as after a start of the daemon.
+    /// Opens the folder that an earlier stage wrote, as the daemon does when it starts.
     pub fn open(folder: MemoryFolder) -> Self {
         Self::open_as(folder, UNEXPECTED_DISK)
     }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The folder that is written.
+    /// The folder that the scenario writes to.
     pub fn folder(&self) -> &MemoryFolder {
         &self.folder
     }
@@ -69,43 +69,43 @@
         &self.disk
     }
 
-    /// All that the voter holds, encoded as in a snapshot.
+    /// The voter's whole state, encoded as in a snapshot.
     pub fn state(&self) -> Vec<u8> {
         let state = self.disk.voter().acceptor().write_to_vec();
         state.expect("writing to memory does not fail")
     }
 
-    /// Writes a stage on top of the one before.
+    /// Writes a stage after the previous one.
     ///
     /// # Panics
-    /// Where there is no such stage.
+    /// If no stage has this name.
     pub fn write(&mut self, stage: &str) {
         match stage {
-            "founded" => self.perform(vec![DiskWork::FormSet(first_set())]),
-            "configured" => self.perform_each(configuration_rounds()),
-            "jobs" => self.perform_each(job_rounds()),
-            "membership_changed" => self.perform(membership_change()),
-            "jobs_forgotten" => self.perform_each(forgetting()),
+            "founded" => self.execute(vec![DiskWork::FormSet(first_set())]),
+            "configured" => self.execute_each(configuration_rounds()),
+            "jobs" => self.execute_each(job_rounds()),
+            "membership_changed" => self.execute(membership_change()),
+            "jobs_forgotten" => self.execute_each(job_expiry_rounds()),
             "snapshot" => self.disk.reopen().expect("the folder can be opened again"),
-            "after_snapshot" => self.perform_each(last_rounds()),
-            "begun_anew" => self.perform(beginning_anew()),
+            "after_snapshot" => self.execute_each(rounds_after_snapshot()),
+            "begun_anew" => self.execute(disk_reset()),
             other => panic!("no stage is named {other}"),
         }
     }
 
-    /// Writes the last record of the stage `configured` once more, as after a loss of power that tore it.
+    /// Rewrites the last record of the stage `configured`, which a power loss may have left torn.
     pub fn repeat_last_configuration_round(&mut self) {
         let last = configuration_rounds().pop();
-        self.perform(last.into_iter().collect());
+        self.execute(last.into_iter().collect());
     }
 
-    fn perform(&mut self, batch: Vec<DiskWork>) {
+    fn execute(&mut self, batch: Vec<DiskWork>) {
         execute_batch_on_disk(&mut self.disk, batch);
     }
 
-    fn perform_each(&mut self, works: Vec<DiskWork>) {
-        for work in works {
-            self.perform(vec![work]);
+    fn execute_each(&mut self, work_items: Vec<DiskWork>) {
+        for work in work_items {
+            self.execute(vec![work]);
         }
     }
 }
@@ -146,24 +146,24 @@
     }
 }
 
-fn ask(set: &VoterSet, ask: VoterOperation) -> DiskWork {
+fn request(set: &VoterSet, voter_operation: VoterOperation) -> DiskWork {
     DiskWork::VoterRequest {
         to: "10.0.0.2:7000".into(),
         number: 1,
         known: ValueId::default(),
         request: VoterRequest {
             set_version: set.version(),
-            operation: ask,
+            operation: voter_operation,
         },
     }
 }
 
-fn promise(set: &VoterSet, key: &str, counter: u64) -> DiskWork {
-    let promise = VoterOperation::Prepare {
+fn prepare(set: &VoterSet, key: &str, counter: u64) -> DiskWork {
+    let prepare = VoterOperation::Prepare {
         key: key.into(),
         ballot: ballot(counter),
     };
-    ask(set, promise)
+    request(set, prepare)
 }
 
 fn accept(set: &VoterSet, key: &str, counter: u64, stored: VersionedValue) -> DiskWork {
@@ -172,19 +172,19 @@
         ballot: ballot(counter),
         value: stored,
     };
-    ask(set, accept)
+    request(set, accept)
 }
 
 fn configuration_rounds() -> Vec<DiskWork> {
     let set = first_set();
     vec![
-        promise(&set, "description", 1),
+        prepare(&set, "description", 1),
         accept(&set, "description", 1, stored(1, &replaced_configuration())),
-        promise(&set, "description", 2),
+        prepare(&set, "description", 2),
         accept(&set, "description", 2, stored(2, &updated_configuration())),
         accept(&set, "closures", 1, stored(1, &two_zones())),
         accept(&set, "duty", 3, stored(1, &role_lease())),
-        promise(&set, "duty", 4),
+        prepare(&set, "duty", 4),
     ]
 }
 
@@ -193,25 +193,25 @@
     let first = jobs::register_key("resize", "invoice-2041");
     let second = jobs::register_key("resize", "invoice-2042");
     vec![
-        promise(&set, &first, 5),
+        prepare(&set, &first, 5),
         accept(&set, &first, 5, stored(1, &taken_job())),
         accept(&set, &first, 6, stored(2, &done_job())),
         accept(&set, &second, 5, stored(1, &taken_job())),
-        promise(&set, &jobs::register_key("resize", "invoice-2043"), 7),
+        prepare(&set, &jobs::register_key("resize", "invoice-2043"), 7),
     ]
 }
 
 fn membership_change() -> Vec<DiskWork> {
     let set = first_set();
     vec![
-        promise(&set, "voters", 9),
+        prepare(&set, "voters", 9),
         accept(&set, "voters", 9, stored(1, &second_set())),
         DiskWork::AdoptSet(second_set()),
-        promise(&second_set(), "voters", 10),
+        prepare(&second_set(), "voters", 10),
     ]
 }
 
-fn forgetting() -> Vec<DiskWork> {
+fn job_expiry_rounds() -> Vec<DiskWork> {
     let newer = RegisterState {
         promised: ballot(20),
         accepted: ballot(20),
@@ -232,7 +232,7 @@
     ]
 }
 
-fn last_rounds() -> Vec<DiskWork> {
+fn rounds_after_snapshot() -> Vec<DiskWork> {
     let set = second_set();
     vec![
         accept(&set, "description", 30, stored(3, &updated_configuration())),
@@ -240,10 +240,10 @@
     ]
 }
 
-fn beginning_anew() -> Vec<DiskWork> {
+fn disk_reset() -> Vec<DiskWork> {
     let mut set = second_set();
     set.number = 3;
-    set.voters[0] = voter(DISK_ANEW, "10.0.0.1:7000");
+    set.voters[0] = voter(DISK_AFTER_RESET, "10.0.0.1:7000");
     let held = RegisterState {
         promised: ballot(31),
         accepted: ballot(30),
@@ -254,5 +254,8 @@
         claim_floors: ClaimFloors::default(),
         registers: vec![("description".into(), held)],
     };
-    vec![DiskWork::Reset(DISK_ANEW), DiskWork::Install(installation)]
+    vec![
+        DiskWork::Reset(DISK_AFTER_RESET),
+        DiskWork::Install(installation),
+    ]
 }
--- a/tests/compatibility/src/core_folder.rs
+++ b/tests/compatibility/src/core_folder.rs
@@ -1,4 +1,4 @@
-//! The journal in the data folder of an older core, written through `voter` in stages.
+//! Scenario that writes the journal of an older core's data folder through `voter`, stage by stage.
 
 use crate::samples::register::{register_state, voter};
 use crate::samples::stored::{once_claims, plan, tenures};
@@ -7,46 +7,46 @@
 use speedy::{LittleEndian, Writable};
 use voter::Voter;
 
-/// Time at which the work of the scenario is claimed, in milliseconds since 1970.
+/// Time of the first claim in the scenario, in milliseconds since the Unix epoch.
 const WALL_MS: u64 = 1_700_000_000_000;
-/// How long claims are remembered, in milliseconds.
-const REMEMBERED_MS: u64 = 60_000;
+/// How long the voter keeps claims, in milliseconds.
+const CLAIM_RETENTION_MS: u64 = 60_000;
 
-/// A core's voter on a folder in memory.
+/// A core's voter on an in-memory folder.
 pub struct CoreScenario {
     folder: MemoryFolder,
     voter: Voter,
 }
 
 impl CoreScenario {
-    /// Stages of the scenario in their order; each one continues from the one before.
+    /// Stages in the order they are written; each continues from the previous one.
     pub const STAGES: [&'static str; 5] = ["founded", "planned", "claimed", "aged_out", "snapshot"];
 
-    /// Opens a folder: an empty one, or what an earlier stage left.
+    /// Opens an empty folder or one that an earlier stage wrote.
     pub fn open(folder: MemoryFolder) -> Self {
         let voter = Voter::open(handle(&folder)).expect("the folder can be opened");
         Self { folder, voter }
     }
 
-    /// The folder that is written.
+    /// The folder that the scenario writes to.
     pub fn folder(&self) -> &MemoryFolder {
         &self.folder
     }
 
-    /// The voter.
+    /// The voter that the scenario writes through.
     pub fn voter(&self) -> &Voter {
         &self.voter
     }
 
-    /// All that the voter holds, encoded as in a snapshot.
+    /// The voter's whole state, encoded as in a snapshot.
     pub fn state(&self) -> Vec<u8> {
         encoded(self.voter.acceptor())
     }
 
-    /// Writes a stage on top of the one before.
+    /// Writes a stage after the previous one.
     ///
     /// # Panics
-    /// Where there is no such stage.
+    /// If no stage has this name.
     pub fn write(&mut self, stage: &str) {
         match stage {
             "founded" => self.voter.bootstrap(first_set(), WALL_MS - 1),
@@ -54,7 +54,7 @@
             "claimed" => self.claim(),
             "aged_out" => self
                 .voter
-                .expire_claims(WALL_MS + REMEMBERED_MS + 2, REMEMBERED_MS),
+                .expire_claims(WALL_MS + CLAIM_RETENTION_MS + 2, CLAIM_RETENTION_MS),
             "snapshot" => self.take_snapshot(),
             other => panic!("no stage is named {other}"),
         }
@@ -71,12 +71,12 @@
     }
 
     fn claim(&mut self) {
-        for (place, claim) in once_claims().iter().enumerate() {
-            let time = WALL_MS + place as u64;
-            let key = format!("once/{time}/invoice-{place}");
+        for (index, claim) in once_claims().iter().enumerate() {
+            let time = WALL_MS + index as u64;
+            let key = format!("once/{time}/invoice-{index}");
             self.accept(&key, 4, claim.encoded());
         }
-        let late = format!("once/{}/late", WALL_MS + REMEMBERED_MS + 10);
+        let late = format!("once/{}/late", WALL_MS + CLAIM_RETENTION_MS + 10);
         self.accept(&late, 4, Vec::new());
     }
 
--- a/tests/compatibility/src/families.rs
+++ b/tests/compatibility/src/families.rs
@@ -1,4 +1,4 @@
-//! Everything that is captured, as today's code encodes it.
+//! All captured values and folders, as the current code encodes them.
 
 use crate::controller_folder::ControllerScenario;
 use crate::core_folder::CoreScenario;
@@ -11,11 +11,11 @@
 use journal::MemoryFolder;
 use speedy::{LittleEndian, Writable};
 
-/// The values of one kind with their encoded form.
+/// The encoded sample values of one type; one fixture file.
 pub struct Family {
-    /// Name of the fixture file without its ending.
+    /// Name of the fixture file without its extension.
     pub name: &'static str,
-    /// The encoded values.
+    /// The encoded values by sample name.
     pub values: HexFixture,
 }
 
@@ -25,13 +25,13 @@
     pub scenario: &'static str,
     /// Name of the stage.
     pub stage: &'static str,
-    /// The folder's files.
+    /// The folder's files after the stage.
     pub content: FolderContent,
-    /// What the voter held then, encoded.
+    /// The voter's encoded state after the stage.
     pub state: Vec<u8>,
 }
 
-/// All families of values.
+/// All families, one for each fixture file.
 pub fn families() -> Vec<Family> {
     vec![
         family("protocol", &protocol::messages(), Sample::framed),
@@ -97,7 +97,7 @@
     }
 }
 
-/// All stages of all scenarios. The folder is opened anew between stages, as after a start of the daemon.
+/// All stages of all scenarios. The folder is reopened between stages, as when the daemon restarts.
 pub fn folders() -> Vec<FolderStage> {
     let mut stages = controller_stages();
     stages.extend(core_stages());
--- a/tests/compatibility/src/fixture.rs
+++ b/tests/compatibility/src/fixture.rs
@@ -1,11 +1,11 @@
-//! Captured values: one text file for each family, with a line `name = hex` for each value.
+//! Captured values: one text file for each family, one line `name = hex` for each value.
 
 use crate::hex;
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::PathBuf;
 
-/// Folder of all captured bytes.
+/// Folder of all fixture files.
 pub fn fixtures_path() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("fixtures")
 }
@@ -17,10 +17,10 @@
 }
 
 impl HexFixture {
-    /// Reads a family's file.
+    /// Reads a family's fixture file.
     ///
     /// # Panics
-    /// Where the file cannot be read or a line is malformed: a fixture is part of the sources.
+    /// If the file cannot be read or a line is malformed: fixtures are part of the source tree.
     pub fn load(family: &str) -> Self {
         let path = fixtures_path().join(format!("{family}.hex"));
         let text = fs::read_to_string(&path);
@@ -37,16 +37,16 @@
     /// Adds a value.
     ///
     /// # Panics
-    /// Where the name is taken.
+    /// If the name already exists.
     pub fn insert(&mut self, name: &str, bytes: Vec<u8>) {
-        let former = self.values.insert(name.to_string(), bytes);
-        assert!(former.is_none(), "{name} stands twice");
+        let previous = self.values.insert(name.to_string(), bytes);
+        assert!(previous.is_none(), "{name} is present twice");
     }
 
     /// The captured bytes of a value.
     ///
     /// # Panics
-    /// Where there is no value of this name.
+    /// If no value has this name.
     pub fn bytes(&self, name: &str) -> &[u8] {
         let bytes = self.values.get(name);
         bytes.unwrap_or_else(|| panic!("no captured value is named {name}"))
@@ -57,7 +57,7 @@
         self.values.keys().map(String::as_str).collect()
     }
 
-    /// The text of the family's file.
+    /// The text of the fixture file.
     pub fn to_text(&self) -> String {
         let lines = self.values.iter();
         lines
--- a/tests/compatibility/src/folder.rs
+++ b/tests/compatibility/src/folder.rs
@@ -1,4 +1,4 @@
-//! Whole data folders: their files by name, on the disk as fixtures and in memory under test.
+//! Data folders as maps of file names to bytes, loaded from fixtures or from an in-memory folder under test.
 
 use crate::fixture::fixtures_path;
 use journal::{Folder, MemoryFolder};
@@ -17,14 +17,14 @@
     /// Reads a captured folder.
     ///
     /// # Panics
-    /// Where it is missing: a fixture is part of the sources.
+    /// If it cannot be read: fixtures are part of the source tree.
     pub fn load(scenario: &str, stage: &str) -> Self {
         let path = Self::path(scenario, stage);
         let content = Self::read_directory(&path);
         content.unwrap_or_else(|error| panic!("{}: {error}", path.display()))
     }
 
-    /// Where a captured folder lies.
+    /// Path of a captured folder.
     pub fn path(scenario: &str, stage: &str) -> PathBuf {
         fixtures_path().join("folders").join(scenario).join(stage)
     }
@@ -39,7 +39,7 @@
         Ok(Self { files })
     }
 
-    /// What a folder in memory holds.
+    /// The files of an in-memory folder.
     pub fn of(folder: &MemoryFolder) -> Self {
         let names = folder.list().expect("a folder in memory can be listed");
         let files = names.into_iter().map(|name| {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A folder in memory with these files, all synced.
+    /// An in-memory folder with these files, all synced.
     pub fn to_memory(&self) -> MemoryFolder {
         let mut folder = MemoryFolder::default();
         for (name, bytes) in &self.files {
@@ -62,12 +62,12 @@
         folder
     }
 
-    /// The files by name.
+    /// File contents by name.
     pub fn files(&self) -> &BTreeMap<String, Vec<u8>> {
         &self.files
     }
 
-    /// Names of the files that differ from those of another folder, or are in one of the two alone.
+    /// Sorted names of the files whose contents differ or that exist in only one of the two folders.
     pub fn differing_files(&self, other: &Self) -> Vec<String> {
         let names = self.files.keys().chain(other.files.keys());
         let mut differing: Vec<String> = names
@@ -79,10 +79,10 @@
         differing
     }
 
-    /// The same folder with the end of one file cut off, as a loss of power leaves it.
+    /// A copy in which one file lacks its last `missing` bytes, as after a power loss.
     ///
     /// # Panics
-    /// Where there is no such file, or it is shorter.
+    /// If the file does not exist or is shorter than `missing`.
     pub fn with_torn_end(&self, name: &str, missing: usize) -> Self {
         let mut torn = self.clone();
         let bytes = torn.files.get_mut(name).expect("the file is there");
--- a/tests/compatibility/src/hex.rs
+++ b/tests/compatibility/src/hex.rs
@@ -1,11 +1,11 @@
-//! Hexadecimal text of bytes.
+//! Hexadecimal encoding and decoding.
 
-/// Two lower-case digits for each byte.
+/// Encodes each byte as two lower-case digits.
 pub(crate) fn encode(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes of a text; none where it is not hexadecimal.
+/// Decodes hexadecimal text; `None` if it is invalid.
 pub(crate) fn decode(text: &str) -> Option<Vec<u8>> {
     if !text.is_ascii() || !text.len().is_multiple_of(2) {
         return None;
--- a/tests/compatibility/src/lib.rs
+++ b/tests/compatibility/src/lib.rs
@@ -1,8 +1,8 @@
-//! Compatibility of the wire and of stored data between versions: sample values, the scenarios that write whole data
-//! folders, and the bytes that an earlier version wrote for them.
+//! Compatibility of wire messages and stored data between versions: sample values, scenarios that write whole data
+//! folders, and the bytes that an earlier version wrote for both.
 //!
-//! The files under `fixtures/` were captured once and never change. The samples follow the renames of Rust items; the
-//! bytes that they encode to must stay.
+//! The files under `fixtures/` were captured once and never change. Samples may follow renames of Rust items, but must
+//! still encode to the same bytes.
 #![warn(missing_docs)]
 
 mod controller_folder;
--- a/tests/compatibility/src/samples/consensus.rs
+++ b/tests/compatibility/src/samples/consensus.rs
@@ -2,19 +2,19 @@
 
 use crate::sample::{sample, Sample};
 use crate::samples::register::{
-    answers, ballot, questions, register_state, versioned_value, voter_set,
+    ballot, register_state, requests, responses, versioned_value, voter_set,
 };
 use consensus::{
     ConsensusMessage, Heartbeat, HeartbeatAck, ReplicaPage, RoleLeaseAck, ValueId, VoterSetUpdate,
 };
 use register::{ClaimFloors, SetVersion, VoterRequest, VoterResponse, VoterSet};
 
-/// Every message between controllers.
+/// One message of each kind between controllers, some with several variants.
 pub fn messages() -> Vec<Sample<ConsensusMessage>> {
     let mut all = liveness();
-    all.extend(rounds());
+    all.extend(register_rounds());
     all.extend(membership());
-    all.extend(catching_up());
+    all.extend(replication());
     all
 }
 
@@ -63,24 +63,27 @@
     }
 }
 
-fn rounds() -> Vec<Sample<ConsensusMessage>> {
-    let [peek, promise, accept] = questions().try_into().expect("there are three questions");
-    let [holds, accepted, refused, other_set, aged_out, closed] =
-        answers().try_into().expect("there are six answers");
+fn register_rounds() -> Vec<Sample<ConsensusMessage>> {
+    let [query, prepare, accept] = requests().try_into().expect("there are three requests");
+    let [last_accepted, accepted, rejected, set_mismatch, expired, unavailable] =
+        responses().try_into().expect("there are six responses");
     vec![
-        sample("ask_peek", ask(peek.value)),
-        sample("ask_promise", ask(promise.value)),
-        sample("ask_accept", ask(accept.value)),
-        sample("answer_holds", answer(true, holds.value)),
-        sample("answer_accepted", answer(false, accepted.value)),
-        sample("answer_refused", answer(false, refused.value)),
-        sample("answer_other_set", answer(false, other_set.value)),
-        sample("answer_aged_out", answer(false, aged_out.value)),
-        sample("answer_closed", answer(false, closed.value)),
+        sample("ask_peek", voter_request(query.value)),
+        sample("ask_promise", voter_request(prepare.value)),
+        sample("ask_accept", voter_request(accept.value)),
+        sample("answer_holds", voter_response(true, last_accepted.value)),
+        sample("answer_accepted", voter_response(false, accepted.value)),
+        sample("answer_refused", voter_response(false, rejected.value)),
+        sample(
+            "answer_other_set",
+            voter_response(false, set_mismatch.value),
+        ),
+        sample("answer_aged_out", voter_response(false, expired.value)),
+        sample("answer_closed", voter_response(false, unavailable.value)),
     ]
 }
 
-fn ask(request: VoterRequest) -> ConsensusMessage {
+fn voter_request(request: VoterRequest) -> ConsensusMessage {
     ConsensusMessage::VoterRequest {
         number: 77,
         known: ValueId::new(9, 0xfeed_beef_0000_0001),
@@ -88,7 +91,7 @@
     }
 }
 
-fn answer(is_value_omitted: bool, response: VoterResponse) -> ConsensusMessage {
+fn voter_response(is_value_omitted: bool, response: VoterResponse) -> ConsensusMessage {
     ConsensusMessage::VoterResponse {
         disk: 0x1112_1314_1516_1718,
         number: 77,
@@ -127,7 +130,7 @@
     ]
 }
 
-fn catching_up() -> Vec<Sample<ConsensusMessage>> {
+fn replication() -> Vec<Sample<ConsensusMessage>> {
     let request_replica = ConsensusMessage::RequestReplica {
         set_version: SetVersion::new(2, 5),
         after: "closures".into(),
--- a/tests/compatibility/src/samples/daemons.rs
+++ b/tests/compatibility/src/samples/daemons.rs
@@ -1,7 +1,7 @@
-//! Messages between the older daemons.
+//! Messages between daemons of older versions (cores and fronts).
 
 use crate::sample::{sample, Sample};
-use crate::samples::register::{answers, questions, register_state, voter_set};
+use crate::samples::register::{register_state, requests, responses, voter_set};
 use crate::samples::stored::{peer, plan, version};
 use peer_sampling::PeerDescriptor;
 use register::ClaimFloors;
@@ -12,7 +12,7 @@
     ConfigurationUpdate, Envelope, PeerMessage, PeerRole, PlanUpdate, ReplicaDigest, StateUpdate,
 };
 
-/// Every message between the older daemons, in envelopes.
+/// Messages between the older daemons, in envelopes.
 pub fn envelopes() -> Vec<Sample<Envelope>> {
     let mut bodies = between_fronts();
     bodies.extend(returned_seats());
@@ -20,8 +20,8 @@
     bodies.extend(updates());
     bodies.extend(membership());
     bodies.extend(repair());
-    let enclose = |body: Sample<PeerMessage>| sample(body.name, envelope(body.value));
-    bodies.into_iter().map(enclose).collect()
+    let in_envelope = |body: Sample<PeerMessage>| sample(body.name, envelope(body.value));
+    bodies.into_iter().map(in_envelope).collect()
 }
 
 fn envelope(body: PeerMessage) -> Envelope {
@@ -50,7 +50,7 @@
         configuration: version(),
         last_assignment: 7,
     };
-    let heartbeat_answer = FrontMessage::HeartbeatResponse {
+    let heartbeat_response = FrontMessage::HeartbeatResponse {
         stamp: 100,
         plan: version(),
         configuration: version(),
@@ -78,7 +78,7 @@
         sample("desk_heartbeat", PeerMessage::Front(heartbeat)),
         sample(
             "desk_heartbeat_answer",
-            PeerMessage::Front(heartbeat_answer),
+            PeerMessage::Front(heartbeat_response),
         ),
         sample("desk_seat_request", PeerMessage::Front(seat_request)),
         sample("desk_seat_lease", PeerMessage::Front(lease)),
@@ -93,7 +93,7 @@
         is_bad: true,
         is_absent: false,
     });
-    let holds = FrontMessage::Holds {
+    let seats_held = FrontMessage::Holds {
         stamp: 102,
         incarnation: 9,
         seen_assignment: 8,
@@ -107,34 +107,34 @@
     };
     vec![
         sample("desk_return", PeerMessage::Front(returned)),
-        sample("desk_holds", PeerMessage::Front(holds)),
+        sample("desk_holds", PeerMessage::Front(seats_held)),
         sample("desk_handover", PeerMessage::Front(handover)),
     ]
 }
 
 fn to_voters() -> Vec<Sample<PeerMessage>> {
-    let [peek, promise, accept] = questions().try_into().expect("there are three questions");
-    let [holds, .., closed] = answers()
+    let [query, prepare, accept] = requests().try_into().expect("there are three requests");
+    let [last_accepted, .., unavailable] = responses()
         .try_into()
-        .map(|answers: [_; 6]| answers)
-        .expect("there are six answers");
+        .map(|responses: [_; 6]| responses)
+        .expect("there are six responses");
     vec![
-        sample("voter_peek", PeerMessage::Voter(peek.value)),
-        sample("voter_promise", PeerMessage::Voter(promise.value)),
+        sample("voter_peek", PeerMessage::Voter(query.value)),
+        sample("voter_promise", PeerMessage::Voter(prepare.value)),
         sample("voter_accept", PeerMessage::Voter(accept.value)),
         sample(
             "voter_answer_holds",
-            PeerMessage::VoterResponse(holds.value),
+            PeerMessage::VoterResponse(last_accepted.value),
         ),
         sample(
             "voter_answer_closed",
-            PeerMessage::VoterResponse(closed.value),
+            PeerMessage::VoterResponse(unavailable.value),
         ),
     ]
 }
 
 fn updates() -> Vec<Sample<PeerMessage>> {
-    let ask = PeerMessage::AwaitUpdate {
+    let await_update = PeerMessage::AwaitUpdate {
         configuration: version(),
         plan: version(),
         wants_certain: true,
@@ -154,7 +154,7 @@
         is_certain: true,
     };
     vec![
-        sample("ask", ask),
+        sample("ask", await_update),
         sample("news", PeerMessage::StateUpdate(all)),
         sample(
             "news_blank",
@@ -199,7 +199,7 @@
 }
 
 fn membership() -> Vec<Sample<PeerMessage>> {
-    let hello_answer = PeerMessage::HelloResponse {
+    let hello_response = PeerMessage::HelloResponse {
         disk: 0x0102_0304_0506_0708,
         set: voter_set(),
         fronts_epoch: 2,
@@ -212,7 +212,7 @@
     let form = PeerMessage::Form(voter_set(), 1_700_000_000_000);
     vec![
         sample("hello", PeerMessage::Hello),
-        sample("hello_answer", hello_answer),
+        sample("hello_answer", hello_response),
         sample("shuffle", PeerMessage::Shuffle(vec![descriptor])),
         sample("form", form),
         sample("adopt", PeerMessage::Adopt(voter_set())),
--- a/tests/compatibility/src/samples/frames.rs
+++ b/tests/compatibility/src/samples/frames.rs
@@ -1,11 +1,11 @@
-//! Frames between controllers, and responses as gateways store them.
+//! Frames between controllers, and a response for gateways to store.
 
 use crate::sample::{sample, Sample};
 use consensus::ConsensusMessage;
 use controller::PeerFrame;
 use http1::{Headers, Response};
 
-/// Every frame between controllers.
+/// One frame of each kind between controllers.
 pub fn peer_frames() -> Vec<Sample<PeerFrame>> {
     let link = ConsensusMessage::Link {
         address: "10.0.0.1:7000".into(),
@@ -16,7 +16,7 @@
     ]
 }
 
-/// A runner's response, with a header that belongs to its connection alone.
+/// A runner's response with a hop-by-hop header (`Connection`), which is not stored.
 pub fn response() -> Response {
     let mut headers = Headers::default();
     headers.push("Content-Type", b"text/plain");
--- a/tests/compatibility/src/samples/mod.rs
+++ b/tests/compatibility/src/samples/mod.rs
@@ -1,4 +1,4 @@
-//! Sample values of every message and of every stored value.
+//! Sample values of every message kind and every stored type.
 
 pub mod consensus;
 pub mod daemons;
--- a/tests/compatibility/src/samples/operator_commands.rs
+++ b/tests/compatibility/src/samples/operator_commands.rs
@@ -1,27 +1,27 @@
-//! Values of the registers that operators' commands change.
+//! Values of the registers that operator commands change.
 
 use crate::sample::{sample, Sample};
 use operator_commands::{CommandKind, ConfigurationRecord, Evacuations, ACCEPTED_COMMANDS_MAX};
 
-/// Document of the first version.
+/// Configuration document of the first version.
 const FIRST_DOCUMENT: &[u8] = br#"{"version":4,"bindings":[],"functions":[]}"#;
-/// Change that leads to the second version.
+/// Update that produces the second version, with surrounding whitespace.
 const SECOND_CHANGE: &[u8] = b" {\"version\":7,\"limits\":{}} \n";
-/// Document of the second version.
+/// Configuration document of the second version.
 const SECOND_DOCUMENT: &[u8] = br#"{"version":7,"bindings":[],"functions":[],"limits":{}}"#;
 
-/// The configuration after a whole document was put in place.
+/// The configuration after a command that replaces the whole document.
 pub fn replaced_configuration() -> ConfigurationRecord {
     let blank = ConfigurationRecord::default();
     blank.next(&CommandKind::Replace, 4, FIRST_DOCUMENT, FIRST_DOCUMENT)
 }
 
-/// The configuration after a change of named items.
+/// The configuration after a command that updates only some fields.
 pub fn updated_configuration() -> ConfigurationRecord {
     replaced_configuration().next(&CommandKind::Update, 7, SECOND_DOCUMENT, SECOND_CHANGE)
 }
 
-/// The configuration after so many commands that the oldest ones are forgotten.
+/// The configuration after so many commands that the oldest are dropped from its history.
 pub fn long_history_configuration() -> ConfigurationRecord {
     let mut configuration = ConfigurationRecord::default();
     let count = ACCEPTED_COMMANDS_MAX as u64 + 3;
@@ -33,7 +33,7 @@
     configuration
 }
 
-/// Values of the configuration's register.
+/// Values of the configuration register.
 pub fn configurations() -> Vec<Sample<ConfigurationRecord>> {
     vec![
         sample("blank", ConfigurationRecord::default()),
@@ -43,7 +43,7 @@
     ]
 }
 
-/// The evacuations after one zone was evacuated and another one was taken back.
+/// Two zones were evacuated, and one of them was reopened.
 pub fn two_zones() -> Evacuations {
     let blank = Evacuations::default();
     blank
@@ -52,7 +52,7 @@
         .next("north", false)
 }
 
-/// Values of the evacuations' register.
+/// Values of the evacuations register.
 pub fn evacuations() -> Vec<Sample<Evacuations>> {
     vec![
         sample("blank", Evacuations::default()),
--- a/tests/compatibility/src/samples/ownership.rs
+++ b/tests/compatibility/src/samples/ownership.rs
@@ -1,4 +1,4 @@
-//! Messages about the owners of functions' seats.
+//! Messages about which gateway owns the seats of a function.
 
 use crate::sample::{sample, Sample};
 use protocol::{
@@ -7,7 +7,7 @@
     RunnerUpdate, SeatHandover, UpdateVersion,
 };
 
-/// Every message about owners, with the messages about the membership that came before them.
+/// Messages about seat ownership and the gateway membership that it is derived from.
 pub fn messages() -> Vec<Sample<Message>> {
     let mut all = membership();
     all.extend(tables());
--- a/tests/compatibility/src/samples/protocol.rs
+++ b/tests/compatibility/src/samples/protocol.rs
@@ -7,7 +7,7 @@
     RunnerReport, RunnerStage, RunnerUpdate, SeatLease, StartBlock, UpdateVersion, ZoneArrivals,
 };
 
-/// Every message between gateways, controllers and operators' tools.
+/// Messages between gateways, controllers and operator tools.
 pub fn messages() -> Vec<Sample<Message>> {
     let mut all = liveness();
     all.extend(configuration());
@@ -15,7 +15,7 @@
     all.extend(seats());
     all.extend(releases());
     all.extend(job_attempts());
-    all.extend(job_ends());
+    all.extend(job_completions());
     all.extend(job_verdicts());
     all.extend(job_registers());
     all
@@ -69,11 +69,11 @@
 }
 
 fn configuration() -> Vec<Sample<Message>> {
-    let ask = Message::RequestConfiguration {
+    let request = Message::RequestConfiguration {
         configuration_version: 12,
         evacuations_version: 3,
     };
-    let whole = Message::Configuration {
+    let full = Message::Configuration {
         version: 13,
         document: protocol::deflate(br#"{"version":13}"#),
     };
@@ -93,8 +93,8 @@
         members: vec![gateway(), other_gateway()],
     };
     vec![
-        sample("request_configuration", ask),
-        sample("configuration", whole),
+        sample("request_configuration", request),
+        sample("configuration", full),
         sample("configuration_changes", changes),
         sample("evacuations", evacuations),
         sample("gateway_membership", membership),
@@ -140,7 +140,7 @@
         is_up: true,
         is_unreachable: false,
     };
-    let gone = RunnerReport {
+    let unreachable = RunnerReport {
         is_unreachable: true,
         ..RunnerReport::default()
     };
@@ -159,7 +159,7 @@
         ],
         waiting: 6,
         abandoned: 2,
-        runners: vec![runner, gone],
+        runners: vec![runner, unreachable],
     }
 }
 
@@ -219,11 +219,11 @@
         sample("cancel_request", Message::CancelRequest(RequestId(42))),
         sample("seat_lease", Message::SeatLease(lease)),
         sample("reject", rejection),
-        sample("known", known()),
+        sample("known", leases_in_use()),
     ]
 }
 
-fn known() -> Message {
+fn leases_in_use() -> Message {
     let runner = RunnerLeases {
         runner: "r-19".to_string(),
         address: "10.0.2.1:9000".to_string(),
@@ -285,8 +285,8 @@
     ]
 }
 
-fn job_ends() -> Vec<Sample<Message>> {
-    let end = |result| {
+fn job_completions() -> Vec<Sample<Message>> {
+    let completion = |result| {
         Message::JobCompletion(JobCompletion {
             request_id: RequestId(42),
             function: "resize".into(),
@@ -297,10 +297,10 @@
     };
     let answer = JobResult::Answer(b"packed answer".to_vec());
     vec![
-        sample("job_end_answer", end(answer)),
-        sample("job_end_too_large", end(JobResult::TooLarge)),
-        sample("job_end_lost", end(JobResult::Lost)),
-        sample("job_end_not_run", end(JobResult::NotRun)),
+        sample("job_end_answer", completion(answer)),
+        sample("job_end_too_large", completion(JobResult::TooLarge)),
+        sample("job_end_lost", completion(JobResult::Lost)),
+        sample("job_end_not_run", completion(JobResult::NotRun)),
     ]
 }
 
@@ -337,9 +337,9 @@
         expected_version: Some(2),
         value: b"claim".to_vec(),
     };
-    let response = |said| Message::JobRegisterResponse {
+    let response = |register_response| Message::JobRegisterResponse {
         number: 6,
-        response: said,
+        response: register_response,
     };
     let found = RegisterResponse::Found(2, b"claim".to_vec());
     vec![
--- a/tests/compatibility/src/samples/register.rs
+++ b/tests/compatibility/src/samples/register.rs
@@ -1,4 +1,4 @@
-//! Questions to voters and their answers.
+//! Requests to voters, their responses, and the records of their journals.
 
 use crate::sample::{sample, Sample};
 use register::{
@@ -19,7 +19,7 @@
     }
 }
 
-/// A voter at an address.
+/// A reference to a voter by disk identity and address.
 pub fn voter(disk: u64, address: &str) -> VoterRef {
     VoterRef {
         disk,
@@ -27,7 +27,7 @@
     }
 }
 
-/// A ballot with both of its numbers above 32 bits.
+/// A ballot whose counter and proposer both exceed 32 bits.
 pub fn ballot() -> Ballot {
     Ballot {
         counter: 0x0000_0021_0000_0007,
@@ -35,7 +35,7 @@
     }
 }
 
-/// A written value.
+/// A value with bytes that are not valid UTF-8.
 pub fn versioned_value() -> VersionedValue {
     VersionedValue {
         version: 9,
@@ -44,7 +44,7 @@
     }
 }
 
-/// What a voter holds for a key.
+/// A register whose promised ballot is newer than its accepted one.
 pub fn register_state() -> RegisterState {
     RegisterState {
         promised: Ballot {
@@ -56,15 +56,15 @@
     }
 }
 
-/// Each question, under the version of [`voter_set`].
-pub fn questions() -> Vec<Sample<VoterRequest>> {
-    let question = |ask| VoterRequest {
+/// One request of each operation, with the version of [`voter_set`].
+pub fn requests() -> Vec<Sample<VoterRequest>> {
+    let request = |voter_operation| VoterRequest {
         set_version: SetVersion::new(2, 5),
-        operation: ask,
+        operation: voter_operation,
     };
     let key = "description".to_string();
-    let peek = VoterOperation::Query { key: key.clone() };
-    let promise = VoterOperation::Prepare {
+    let query = VoterOperation::Query { key: key.clone() };
+    let prepare = VoterOperation::Prepare {
         key: key.clone(),
         ballot: ballot(),
     };
@@ -74,34 +74,34 @@
         value: versioned_value(),
     };
     vec![
-        sample("peek", question(peek)),
-        sample("promise", question(promise)),
-        sample("accept", question(accept)),
+        sample("peek", request(query)),
+        sample("promise", request(prepare)),
+        sample("accept", request(accept)),
     ]
 }
 
-/// Each answer.
-pub fn answers() -> Vec<Sample<VoterResponse>> {
-    let holds = VoterResponse::LastAccepted {
+/// One response of each kind.
+pub fn responses() -> Vec<Sample<VoterResponse>> {
+    let last_accepted = VoterResponse::LastAccepted {
         ballot: ballot(),
         value: versioned_value(),
     };
-    let refused = VoterResponse::Rejected { promised: ballot() };
-    let other_set = VoterResponse::SetMismatch { set: voter_set() };
-    let closed = VoterResponse::Unavailable {
+    let rejected = VoterResponse::Rejected { promised: ballot() };
+    let set_mismatch = VoterResponse::SetMismatch { set: voter_set() };
+    let unavailable = VoterResponse::Unavailable {
         reason: "the disk failed".into(),
     };
     vec![
-        sample("holds", holds),
+        sample("holds", last_accepted),
         sample("accepted", VoterResponse::Accepted),
-        sample("refused", refused),
-        sample("other_set", other_set),
+        sample("refused", rejected),
+        sample("other_set", set_mismatch),
         sample("aged_out", VoterResponse::Expired),
-        sample("closed", closed),
+        sample("closed", unavailable),
     ]
 }
 
-/// Each record of a voter's journal.
+/// One record of each kind in a voter's journal.
 pub fn records() -> Vec<Sample<Record>> {
     vec![
         sample("key", Record::Register("duty".into(), register_state())),
--- a/tests/compatibility/src/samples/stored.rs
+++ b/tests/compatibility/src/samples/stored.rs
@@ -1,4 +1,4 @@
-//! Values of the other registers: jobs, the scaler's lease, and those of the older daemons.
+//! Values of the other registers: jobs, the scaling controller's lease, and the registers of older daemons.
 
 use crate::sample::{sample, Sample};
 use configuration::{PeerRef, Plan, RunnerEntry, RunnerState, Version};
@@ -7,7 +7,7 @@
 use jobs::{Claim, ClaimHolder, ClaimState, ClaimWriter, StoredClaim};
 use leader_election::Leadership;
 
-/// A job's register while a request may be running.
+/// A job's claim while its request may be running.
 pub fn taken_job() -> Claim {
     Claim {
         digest: jobs::request_digest("POST", "/resize?w=10", b"body"),
@@ -24,7 +24,7 @@
     }
 }
 
-/// A job's register after its request ended.
+/// A job's claim after its request completed.
 pub fn done_job() -> Claim {
     Claim {
         state: ClaimState::Done(Some(b"packed answer".to_vec())),
@@ -32,7 +32,7 @@
     }
 }
 
-/// Values of jobs' registers.
+/// Job claims in each state.
 pub fn jobs() -> Vec<Sample<Claim>> {
     let free = Claim {
         state: ClaimState::Free,
@@ -51,7 +51,7 @@
     ]
 }
 
-/// Values of jobs' registers that name the attempt.
+/// Job claims that include the attempt number.
 pub fn stored_claims() -> Vec<Sample<StoredClaim>> {
     let stored = |claim, attempt| StoredClaim { claim, attempt };
     vec![
@@ -60,7 +60,7 @@
     ]
 }
 
-/// The lease of the controller that scales.
+/// The lease of the scaling controller.
 pub fn role_lease() -> RoleHolder {
     RoleHolder {
         address: "10.0.0.1:7000".into(),
@@ -69,12 +69,12 @@
     }
 }
 
-/// Values of the scaler's register.
+/// Values of the register that holds the scaling controller's lease.
 pub fn role_leases() -> Vec<Sample<RoleHolder>> {
     vec![sample("role_lease", role_lease())]
 }
 
-/// A front in one incarnation.
+/// A front with its incarnation.
 pub fn peer() -> PeerRef {
     PeerRef {
         name: "front-1".into(),
@@ -82,16 +82,16 @@
     }
 }
 
-/// Values of the older daemons' election register.
+/// Values of the leader election register of older daemons.
 pub fn tenures() -> Vec<Sample<Leadership>> {
-    let tenure = Leadership {
+    let leadership = Leadership {
         leader: peer(),
         term: (1 << 40) | 3,
     };
-    vec![sample("tenure", tenure)]
+    vec![sample("tenure", leadership)]
 }
 
-/// Values of the older daemons' registers for work that runs once.
+/// Values of the idempotency key registers of older daemons.
 pub fn once_claims() -> Vec<Sample<OnceClaim>> {
     let digest = "0f1e2d3c".to_string();
     let taken = OnceClaim::Taken {
@@ -125,7 +125,7 @@
     Version { epoch: 2, no: 31 }
 }
 
-/// The older daemons' plan with a runner in each state.
+/// A plan of the older daemons with a runner in each state.
 pub fn plan() -> Plan {
     let states = [
         RunnerState::Wanted,
@@ -159,7 +159,7 @@
     }
 }
 
-/// Values of the older daemons' plan register.
+/// Values of the plan register of older daemons.
 pub fn plans() -> Vec<Sample<Plan>> {
     vec![
         sample("blank", Plan::default()),
--- a/tests/compatibility/src/samples/tenants.rs
+++ b/tests/compatibility/src/samples/tenants.rs
@@ -1,4 +1,4 @@
-//! Messages about tenants.
+//! Messages that carry a tenant or its usage.
 
 use crate::sample::{sample, Sample};
 use protocol::{
@@ -6,7 +6,7 @@
     TENANT_SUPPORT_FLAG,
 };
 
-/// Every message about tenants.
+/// One message of each kind that concerns tenants.
 pub fn messages() -> Vec<Sample<Message>> {
     let tenant = RequestTenant {
         name: "north".into(),
--- a/tests/compatibility/tests/stored_values.rs
+++ b/tests/compatibility/tests/stored_values.rs
@@ -1,4 +1,4 @@
-//! Values in registers and records in journals keep the bytes that an earlier version wrote.
+//! Register values and journal records encode to the bytes that an earlier version wrote, and those bytes decode.
 
 use compatibility::samples::{operator_commands, register, stored};
 use compatibility::{families, HexFixture, Sample};
@@ -6,7 +6,7 @@
 use speedy::{LittleEndian, Readable, Writable};
 use std::fmt::Debug;
 
-fn assert_stays<T>(family: &str, samples: Vec<Sample<T>>)
+fn assert_encoding_unchanged<T>(family: &str, samples: Vec<Sample<T>>)
 where
     T: for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian> + Debug + PartialEq,
 {
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn configurations_with_their_history_stay() {
-    assert_stays("configurations", operator_commands::configurations());
+fn encoding_of_configurations_with_history_is_unchanged() {
+    assert_encoding_unchanged("configurations", operator_commands::configurations());
 }
 
 #[test]
-fn a_captured_configuration_gives_its_document() {
+fn document_is_read_from_a_captured_configuration() {
     let captured = HexFixture::load("configurations");
     let read = ::operator_commands::ConfigurationRecord::read(captured.bytes("updated"));
     let document = read.and_then(|configuration| configuration.document());
@@ -36,34 +36,34 @@
 }
 
 #[test]
-fn evacuations_stay() {
-    assert_stays("evacuations", operator_commands::evacuations());
+fn encoding_of_evacuations_is_unchanged() {
+    assert_encoding_unchanged("evacuations", operator_commands::evacuations());
 }
 
 #[test]
-fn registers_of_jobs_stay() {
-    assert_stays("jobs", stored::jobs());
+fn encoding_of_job_claims_is_unchanged() {
+    assert_encoding_unchanged("jobs", stored::jobs());
 }
 
 #[test]
-fn the_lease_of_the_scaling_controller_stays() {
-    assert_stays("role_leases", stored::role_leases());
+fn encoding_of_the_scaling_lease_is_unchanged() {
+    assert_encoding_unchanged("role_leases", stored::role_leases());
 }
 
 #[test]
-fn records_of_voters_stay() {
-    assert_stays("voter_records", register::records());
+fn encoding_of_voter_records_is_unchanged() {
+    assert_encoding_unchanged("voter_records", register::records());
 }
 
 #[test]
-fn registers_of_older_daemons_stay() {
-    assert_stays("tenures", stored::tenures());
-    assert_stays("once_claims", stored::once_claims());
-    assert_stays("plans", stored::plans());
+fn encoding_of_older_daemons_registers_is_unchanged() {
+    assert_encoding_unchanged("tenures", stored::tenures());
+    assert_encoding_unchanged("once_claims", stored::once_claims());
+    assert_encoding_unchanged("plans", stored::plans());
 }
 
 #[test]
-fn every_family_has_its_captured_values() {
+fn every_family_has_a_captured_value_for_each_sample() {
     for family in families() {
         let captured = HexFixture::load(family.name);
         assert_eq!(captured.names(), family.values.names(), "{}", family.name);
@@ -71,12 +71,12 @@
 }
 
 #[test]
-fn claims_of_jobs_that_name_an_attempt_stay() {
-    assert_stays("stored_claims", stored::stored_claims());
+fn encoding_of_job_claims_with_an_attempt_is_unchanged() {
+    assert_encoding_unchanged("stored_claims", stored::stored_claims());
 }
 
 #[test]
-fn claims_that_name_no_attempt_are_read() {
+fn claims_without_an_attempt_are_read() {
     let captured = HexFixture::load("jobs");
     for sample in stored::jobs() {
         let read = StoredClaim::read_from_buffer(captured.bytes(sample.name));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_earlier_version_reads_claims_that_name_an_attempt() {
+fn an_earlier_version_reads_claims_with_an_attempt() {
     for sample in stored::stored_claims() {
         let read = Claim::read_from_buffer(&sample.encoded());
         assert_eq!(read.expect("a claim"), sample.value.claim);
--- a/tests/compatibility/tests/wire.rs
+++ b/tests/compatibility/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages keep the bytes that an earlier version sent.
+//! Messages encode to the bytes that an earlier version sent, and those bytes decode.
 
 use ::consensus::ConsensusMessage;
 use ::protocol::{take_frames, FrameReader, Message};
@@ -7,29 +7,33 @@
 use speedy::{LittleEndian, Readable};
 use std::collections::BTreeSet;
 
-/// Bytes of a frame before its message.
-const FRAME_HEAD: usize = 4;
-/// Kinds of messages between gateways and controllers at the time of the capture.
+/// Length of the frame header in bytes.
+const FRAME_HEADER_BYTES: usize = 4;
+/// Number of message kinds between gateways and controllers when the fixture was captured.
 const PROTOCOL_VARIANTS: u32 = 28;
-/// Kinds of messages between controllers at the time of the capture.
+/// Number of message kinds between controllers when the fixture was captured.
 const CONSENSUS_VARIANTS: u32 = 14;
 
-/// The values of the family as today's code encodes them.
-fn encoded_today(name: &str) -> HexFixture {
+/// The family's values as the current code encodes them.
+fn encode_current(name: &str) -> HexFixture {
     let mut families = families().into_iter();
     let family = families.find(|family| family.name == name);
     family.expect("the family exists").values
 }
 
 fn assert_encodes_as_captured(name: &str) {
-    let (captured, today) = (HexFixture::load(name), encoded_today(name));
-    assert_eq!(captured.names(), today.names());
+    let (captured, current) = (HexFixture::load(name), encode_current(name));
+    assert_eq!(captured.names(), current.names());
     for value in captured.names() {
-        assert_eq!(captured.bytes(value), today.bytes(value), "{name}: {value}");
+        assert_eq!(
+            captured.bytes(value),
+            current.bytes(value),
+            "{name}: {value}"
+        );
     }
 }
 
-fn assert_reads_frames<T>(name: &str, samples: Vec<Sample<T>>)
+fn assert_frames_are_read<T>(name: &str, samples: Vec<Sample<T>>)
 where
     T: for<'a> Readable<'a, LittleEndian> + std::fmt::Debug + PartialEq,
 {
@@ -43,11 +47,11 @@
     }
 }
 
-/// Discriminants of the captured messages; each message begins with its own in four bytes.
+/// Discriminants of the captured messages: the first four bytes of each message.
 fn discriminants(name: &str) -> BTreeSet<u32> {
     let captured = HexFixture::load(name);
     let discriminant = |value: &str| {
-        let bytes = &captured.bytes(value)[FRAME_HEAD..FRAME_HEAD + 4];
+        let bytes = &captured.bytes(value)[FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + 4];
         u32::from_le_bytes(bytes.try_into().expect("there are four bytes"))
     };
     captured.names().into_iter().map(discriminant).collect()
@@ -61,22 +65,22 @@
 #[test]
 fn messages_about_owners_encode_as_captured_and_are_read() {
     assert_encodes_as_captured("ownership");
-    assert_reads_frames("ownership", ownership::messages());
+    assert_frames_are_read("ownership", ownership::messages());
 }
 
 #[test]
-fn messages_about_tenants_keep_their_bytes() {
+fn messages_about_tenants_encode_as_captured_and_are_read() {
     assert_encodes_as_captured("tenants");
-    assert_reads_frames("tenants", tenants::messages());
+    assert_frames_are_read("tenants", tenants::messages());
 }
 
 #[test]
 fn gateways_and_controllers_read_captured_messages() {
-    assert_reads_frames("protocol", protocol::messages());
+    assert_frames_are_read("protocol", protocol::messages());
 }
 
 #[test]
-fn a_stream_of_captured_messages_is_read_in_its_order() {
+fn a_stream_of_captured_messages_is_read_in_order() {
     let captured = HexFixture::load("protocol");
     let samples = protocol::messages();
     let bytes = samples.iter().map(|sample| captured.bytes(sample.name));
@@ -99,7 +103,7 @@
 
 #[test]
 fn controllers_read_captured_messages() {
-    assert_reads_frames::<ConsensusMessage>("consensus", consensus::messages());
+    assert_frames_are_read::<ConsensusMessage>("consensus", consensus::messages());
 }
 
 #[test]
@@ -127,7 +131,7 @@
 #[test]
 fn controllers_frame_their_messages_as_captured() {
     assert_encodes_as_captured("peer_frames");
-    assert_reads_frames("peer_frames", frames::peer_frames());
+    assert_frames_are_read("peer_frames", frames::peer_frames());
 }
 
 #[test]
