--- a/tests/experiment/src/arm.rs
+++ b/tests/experiment/src/arm.rs
@@ -1,26 +1,26 @@
-//! One side of an experiment: a folder of sources with the options that differ from their defaults.
+//! One arm of an experiment: a source tree and its policy settings.
 
 use policy::PolicySetting;
 use std::path::PathBuf;
 
-/// The key of a role's command in the deploy file.
+/// Key in the deploy file that holds a role's command.
 const RUN_KEY: &str = "run";
-/// The flag by which a daemon takes an option of a policy.
+/// Command line flag that sets a policy option of a daemon.
 const POLICY_FLAG: &str = "--policy";
 
-/// One side of an experiment.
+/// One of the variants that an experiment compares.
 #[derive(Clone, Debug)]
 pub struct Arm {
-    /// What tables call it.
+    /// Name of the arm in tables and journal entries.
     pub label: String,
-    /// Folder of its sources, a checkout.
+    /// Git checkout that the arm is built from.
     pub sources: PathBuf,
-    /// Options that differ from their defaults.
+    /// Policy options that differ from their defaults.
     pub settings: Vec<PolicySetting>,
 }
 
 impl Arm {
-    /// The deploy file with the options added to the command of each role.
+    /// The deploy file with the arm's policy options appended to each role's command.
     #[must_use]
     pub fn deploy_file(&self, original: &str) -> String {
         let flags: String = self
--- a/tests/experiment/src/bin/hallkeel-experiment.rs
+++ b/tests/experiment/src/bin/hallkeel-experiment.rs
@@ -1,4 +1,4 @@
-//! `hallkeel-experiment`: plays the same days with and without one change, and tells whether the difference lies beyond the noise.
+//! `hallkeel-experiment`: runs the same days with and without a change and tests whether the differences are significant.
 
 use clap::Parser;
 use experiment::arm::Arm;
@@ -11,52 +11,52 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Compares the code as it stands with an option's value, or with another checkout.
+/// Compares the current code with other policy options or with another checkout.
 ///
-/// Exit codes: 0 compared, 1 a build or a day failed, 2 bad arguments.
+/// Exit codes: 0 compared, 1 a build or a day failed, 2 invalid arguments.
 #[derive(Parser)]
 #[command(name = "hallkeel-experiment", version)]
 struct Flags {
-    /// The program that plays days
+    /// Benchmark program that runs days
     #[arg(long)]
     bench: PathBuf,
-    /// File of a deployment; may be given several times
+    /// Deployment file; may be given several times
     #[arg(long, required = true)]
     site: Vec<PathBuf>,
-    /// Name of a day; may be given several times
+    /// Name of a day (workload scenario); may be given several times
     #[arg(long, default_value = "mix")]
     day: Vec<String>,
-    /// Seeds, as numbers and ranges: 1-5,9
+    /// Seeds as numbers and ranges: 1-5,9
     #[arg(long, default_value = "1-5", value_parser = parse_seeds)]
     seeds: std::vec::Vec<u64>,
     /// Checkout without the change
     #[arg(long, default_value = ".")]
     base: PathBuf,
-    /// Checkout with the change; the base's where only options change
+    /// Checkout with the change; defaults to the base checkout
     #[arg(long)]
     change: Option<PathBuf>,
-    /// Option of the change, NAME=VALUE; may be given several times
+    /// Policy option of the change, NAME=VALUE; may be given several times
     #[arg(long)]
     set: Vec<PolicySetting>,
-    /// Compare each option's value alone with the base, as an ablation does
+    /// Compare each option separately with the base (ablation)
     #[arg(long)]
     each: bool,
-    /// Option of both sides, NAME=VALUE; may be given several times
+    /// Policy option of both arms, NAME=VALUE; may be given several times
     #[arg(long)]
     both: Vec<PolicySetting>,
-    /// Days that are played at the same time
+    /// Number of days that run at the same time
     #[arg(long, default_value_t = 4)]
     jobs: usize,
-    /// Leave the processor time of daemons out
+    /// Leave out the CPU time of daemons
     #[arg(long)]
     no_cpu: bool,
-    /// What the change is, for the table and the journal
+    /// Description of the change, for the table and the journal
     #[arg(long)]
     why: String,
-    /// Folder of the scratch checkouts
+    /// Folder for the scratch checkouts
     #[arg(long, default_value = "target/experiment")]
     scratch: PathBuf,
-    /// Where the table (.md) and the plot (.svg) go, without the ending; the table is printed where nothing is given
+    /// Output path without extension for the table (.md) and the plot (.svg); without it, the table is printed
     #[arg(long)]
     out: Option<PathBuf>,
 }
@@ -85,12 +85,12 @@
         sources: flags.base.clone(),
         settings: flags.both.clone(),
     };
-    let before = play_arm(&plan, &base, flags)?;
+    let before = run_arm(&plan, &base, flags)?;
     if flags.each {
         return ablate(&plan, &before, flags);
     }
-    let change = change(flags, "change", &flags.set);
-    let after = play_arm(&plan, &change, flags)?;
+    let change = changed_arm(flags, "change", &flags.set);
+    let after = run_arm(&plan, &change, flags)?;
     let changes = compare(&before, &after);
     let text = format!(
         "# {}\n\n{} days a side.\n\n{}{}{}",
@@ -107,7 +107,7 @@
     Ok(())
 }
 
-/// Compares each option's value alone with the base.
+/// Compares each option separately with the base.
 fn ablate(plan: &Plan, before: &play::Reports, flags: &Flags) -> Result<(), ExperimentError> {
     let mut text = format!(
         "# {}\n\n{} days a side.\n\n{}",
@@ -117,9 +117,9 @@
     );
     for setting in &flags.set {
         let label = format!("{}={}", setting.name, setting.value);
-        let after = play_arm(
+        let after = run_arm(
             plan,
-            &change(flags, &label, std::slice::from_ref(setting)),
+            &changed_arm(flags, &label, std::slice::from_ref(setting)),
             flags,
         )?;
         text += &table::ablation_row(&label, &compare(before, &after));
@@ -129,8 +129,8 @@
     Ok(())
 }
 
-/// The side with these options beside those of both sides.
-fn change(flags: &Flags, label: &str, settings: &[PolicySetting]) -> Arm {
+/// The changed arm: the options of both arms and then these settings.
+fn changed_arm(flags: &Flags, label: &str, settings: &[PolicySetting]) -> Arm {
     Arm {
         label: label.to_owned(),
         sources: flags.change.clone().unwrap_or_else(|| flags.base.clone()),
@@ -159,14 +159,14 @@
     })
 }
 
-fn play_arm(plan: &Plan, arm: &Arm, flags: &Flags) -> Result<play::Reports, ExperimentError> {
+fn run_arm(plan: &Plan, arm: &Arm, flags: &Flags) -> Result<play::Reports, ExperimentError> {
     std::fs::create_dir_all(&flags.scratch).map_err(ExperimentError::io(&flags.scratch))?;
     let scratch = flags
         .scratch
         .canonicalize()
         .map_err(ExperimentError::io(&flags.scratch))?;
     let checkout = Checkout::prepare(&arm.sources, &scratch)?;
-    let reports = play::play(plan, arm, &checkout)?;
+    let reports = play::run_days(plan, arm, &checkout)?;
     checkout.copy_journal(Path::new("."))?;
     Ok(reports)
 }
--- a/tests/experiment/src/checkout.rs
+++ b/tests/experiment/src/checkout.rs
@@ -1,6 +1,6 @@
-//! Scratch checkouts in which arms are built and played, so that an experiment changes nothing in the sources that it compares.
+//! Scratch checkouts in which arms are built and run, so that an experiment doesn't modify the source trees it compares.
 //!
-//! A checkout keeps its build from one experiment to the next; only files that differ are copied.
+//! A scratch checkout keeps its build output between experiments; only files that differ are copied.
 
 use crate::arm::Arm;
 use crate::error::ExperimentError;
@@ -9,12 +9,12 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The deploy file, from the root of a checkout.
+/// Path of the deploy file in a checkout.
 const DEPLOY_FILE: &str = "deploy/system.toml";
-/// The folder of journal entries, from the root of a checkout.
+/// Folder of the journal entries in a checkout.
 const JOURNAL: &str = "journal";
 
-/// A scratch checkout of one folder of sources.
+/// A scratch copy of one source tree.
 #[derive(Debug)]
 pub struct Checkout {
     sources: PathBuf,
@@ -22,11 +22,11 @@
 }
 
 impl Checkout {
-    /// Brings the scratch checkout of these sources up to date.
+    /// Creates or updates the scratch checkout of a source tree.
     ///
     /// # Errors
     ///
-    /// The sources are no checkout, or a file cannot be copied.
+    /// The source tree is not a git checkout, or a file cannot be copied.
     pub fn prepare(sources: &Path, scratch: &Path) -> Result<Self, ExperimentError> {
         let sources = sources
             .canonicalize()
@@ -38,20 +38,20 @@
             std::fs::create_dir_all(scratch).map_err(ExperimentError::io(scratch))?;
             let mut clone = Command::new("git");
             clone.args(["clone", "--quiet", "--shared"]);
-            run(clone.arg(&sources).arg(&folder))?;
+            run_command(clone.arg(&sources).arg(&folder))?;
         }
         let checkout = Self { sources, folder };
         checkout.copy_sources()?;
         Ok(checkout)
     }
 
-    /// The folder in which days are played.
+    /// The folder in which days run.
     #[must_use]
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Writes the deploy file of an arm.
+    /// Writes an arm's deploy file to the scratch checkout.
     ///
     /// # Errors
     ///
@@ -63,11 +63,11 @@
         std::fs::write(&path, arm.deploy_file(&text)).map_err(ExperimentError::io(&path))
     }
 
-    /// Copies the journal entries that were written here to a folder that keeps them; how many there were.
+    /// Copies new journal entries from the scratch checkout to `to` and returns their number.
     ///
     /// # Errors
     ///
-    /// A folder cannot be read, or a file not copied.
+    /// A folder cannot be read, or a file cannot be copied.
     pub fn copy_journal(&self, to: &Path) -> Result<usize, ExperimentError> {
         let from = self.folder.join(JOURNAL);
         let to = to.join(JOURNAL);
@@ -88,11 +88,11 @@
     }
 
     fn copy_sources(&self) -> Result<(), ExperimentError> {
-        let wanted = listed_files(&self.sources)?;
-        for name in &wanted {
+        let source_files = listed_files(&self.sources)?;
+        for name in &source_files {
             copy_if_changed(&self.sources.join(name), &self.folder.join(name))?;
         }
-        for name in listed_files(&self.folder)?.difference(&wanted) {
+        for name in listed_files(&self.folder)?.difference(&source_files) {
             let path = self.folder.join(name);
             if !name.starts_with(JOURNAL) && path.exists() {
                 std::fs::remove_file(&path).map_err(ExperimentError::io(&path))?;
@@ -102,16 +102,16 @@
     }
 }
 
-/// Files that git knows or does not ignore.
+/// Tracked files and untracked files that git doesn't ignore.
 fn listed_files(folder: &Path) -> Result<BTreeSet<String>, ExperimentError> {
     let mut list = Command::new("git");
     list.current_dir(folder);
     list.args(["ls-files", "--cached", "--others", "--exclude-standard"]);
-    let output = run(&mut list)?;
+    let output = run_command(&mut list)?;
     Ok(output.lines().map(str::to_owned).collect())
 }
 
-/// Copies a file unless the target has its content already, so that builds see no change where there is none.
+/// Copies a file unless the target already has the same content: a newer modification time would trigger a rebuild.
 fn copy_if_changed(from: &Path, to: &Path) -> Result<(), ExperimentError> {
     if !from.exists() {
         return Ok(());
@@ -127,12 +127,12 @@
     Ok(())
 }
 
-/// Runs a command to its end and gives what it wrote.
+/// Runs a command to completion and returns its standard output.
 ///
 /// # Errors
 ///
-/// The command cannot be run, or ends with an error.
-pub fn run(command: &mut Command) -> Result<String, ExperimentError> {
+/// The command cannot be started or exits with an error.
+pub fn run_command(command: &mut Command) -> Result<String, ExperimentError> {
     let program = PathBuf::from(command.get_program());
     let output = command.output().map_err(ExperimentError::io(&program))?;
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
--- a/tests/experiment/src/comparison.rs
+++ b/tests/experiment/src/comparison.rs
@@ -1,28 +1,28 @@
-//! Two arms compared, day by day and metric by metric.
+//! Compares two arms by the differences of each metric on the same days.
 
 use crate::play::Reports;
 use crate::statistics::Summary;
 use std::collections::BTreeMap;
 
-/// Changes of a metric below this are not told.
+/// Smaller differences of a metric count as unchanged and are not reported.
 const UNCHANGED_BELOW: f64 = 5e-5;
 
-/// How one metric changed.
+/// How one metric differs between the arms.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MetricChange {
-    /// Name of the metric.
+    /// Name of the metric, as in the report of a day.
     pub metric: String,
-    /// Its median without the change.
+    /// Median over all days without the change.
     pub base: f64,
-    /// Its median with the change.
+    /// Median over all days with the change.
     pub change: f64,
-    /// The differences, in the order of the days.
+    /// Difference (change minus base) of each day, in the order of the days.
     pub differences: Vec<f64>,
-    /// What the differences show.
+    /// Statistics of the differences.
     pub summary: Summary,
 }
 
-/// All metrics that days of both arms have.
+/// Compares all metrics that both arms report for the same day.
 #[must_use]
 pub fn compare(base: &Reports, change: &Reports) -> Vec<MetricChange> {
     let mut pairs: BTreeMap<&str, Vec<(f64, f64)>> = BTreeMap::new();
@@ -57,9 +57,9 @@
 }
 
 impl MetricChange {
-    /// Whether it moved on any day.
+    /// Whether the metric differs on any day.
     #[must_use]
-    pub fn has_moved(&self) -> bool {
+    pub fn has_changed(&self) -> bool {
         let mut differences = self.differences.iter();
         differences.any(|difference| difference.abs() >= UNCHANGED_BELOW)
     }
--- a/tests/experiment/src/error.rs
+++ b/tests/experiment/src/error.rs
@@ -1,31 +1,31 @@
-//! Why an experiment fails.
+//! Errors of experiments.
 
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why an experiment fails.
+/// Error that ends an experiment.
 #[derive(Debug)]
 pub enum ExperimentError {
-    /// A file or program cannot be used.
+    /// A file cannot be accessed or a program cannot be started.
     Io {
-        /// Its path.
+        /// Path of the file or program.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// A command ended with an error.
+    /// A command exited with an error.
     Command {
-        /// The command.
+        /// The command with its arguments.
         command: String,
-        /// The end of what it wrote.
+        /// The last lines of its output.
         output: String,
     },
     /// A day's report cannot be read.
     Report {
-        /// Its path.
+        /// Path of the report.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Parse error.
         reason: String,
     },
     /// The plot cannot be drawn.
@@ -33,7 +33,7 @@
 }
 
 impl ExperimentError {
-    /// An error of the system about a path.
+    /// Wraps an I/O error together with the path concerned; for `map_err`.
     pub fn io(path: &Path) -> impl FnOnce(io::Error) -> Self + '_ {
         move |error| Self::Io {
             path: path.to_path_buf(),
--- a/tests/experiment/src/lib.rs
+++ b/tests/experiment/src/lib.rs
@@ -1,7 +1,7 @@
-//! Paired experiments: the same days are played by the code as it stands and with one change, and the differences are judged
-//! against their own spread.
+//! Paired experiments: the same days run with and without a change, and a significance test is applied to the differences.
 //!
-//! The program that plays a day, and the files of deployments, are arguments: nothing here knows one by name.
+//! A day is a workload scenario of the benchmark. The benchmark program and the deployment files are arguments; nothing
+//! here refers to a particular one.
 
 pub mod arm;
 pub mod checkout;
--- a/tests/experiment/src/plan.rs
+++ b/tests/experiment/src/plan.rs
@@ -1,20 +1,20 @@
-//! Which days are played, and how.
+//! The days that an experiment runs, and the options for running them.
 
 use std::path::PathBuf;
 
-/// One day of a deployment under one seed.
+/// One day (workload scenario) on one deployment with one seed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Day {
-    /// File of the deployment.
+    /// Deployment file.
     pub site: PathBuf,
     /// Name of the day.
     pub day: String,
-    /// Seed of its luck.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
 impl Day {
-    /// A name for tables: the deployment, the day and the seed.
+    /// Label for tables: deployment, day and seed.
     #[must_use]
     pub fn label(&self) -> String {
         let site = self.site.file_stem().unwrap_or_default();
@@ -22,23 +22,23 @@
     }
 }
 
-/// How days are played.
+/// The days of an experiment and how to run them.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The program that plays days.
+    /// Benchmark program that runs the days.
     pub bench: PathBuf,
-    /// The days; each arm plays all of them.
+    /// The days; each arm runs all of them.
     pub days: Vec<Day>,
-    /// Days that are played at the same time.
+    /// Number of days that run at the same time.
     pub jobs: usize,
-    /// Whether the processor time of daemons is left out, so that a day repeats.
+    /// Whether the CPU time of daemons is left out, so that a day is reproducible.
     pub ignores_cpu: bool,
-    /// Why they are played, for the journal.
+    /// Description of the change, for the journal.
     pub why: String,
 }
 
 impl Plan {
-    /// All days of these deployments under all seeds.
+    /// All combinations of deployments, days and seeds.
     #[must_use]
     pub fn all_days(sites: &[PathBuf], days: &[String], seeds: &[u64]) -> Vec<Day> {
         let mut all = Vec::new();
@@ -55,18 +55,18 @@
     }
 }
 
-/// Reads seeds: numbers and ranges such as `1-5`, separated by commas.
+/// Parses seeds: comma-separated numbers and ranges such as `1-5`.
 ///
 /// # Errors
 ///
-/// A part that is neither, or a range that ends before it begins.
+/// A part is neither a number nor a range, or a range ends before it begins.
 pub fn parse_seeds(text: &str) -> Result<Vec<u64>, String> {
     let mut seeds = Vec::new();
     for part in text.split(',') {
         let (first, last) = part.split_once('-').unwrap_or((part, part));
         let number = |text: &str| {
             let parsed = text.trim().parse::<u64>();
-            parsed.map_err(|_| format!("'{text}' is no seed"))
+            parsed.map_err(|_| format!("'{text}' is not a seed"))
         };
         let (first, last) = (number(first)?, number(last)?);
         if last < first {
--- a/tests/experiment/src/play.rs
+++ b/tests/experiment/src/play.rs
@@ -1,7 +1,7 @@
-//! Plays the days of an arm, several at a time.
+//! Runs the days of an arm, several at a time.
 
 use crate::arm::Arm;
-use crate::checkout::{run, Checkout};
+use crate::checkout::{run_command, Checkout};
 use crate::error::ExperimentError;
 use crate::plan::{Day, Plan};
 use crate::report::DayReport;
@@ -11,30 +11,32 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The reports of an arm, by day.
+/// The reports of one arm by day.
 pub type Reports = BTreeMap<Day, DayReport>;
 
-/// Builds an arm in its checkout and plays all days.
+/// Builds an arm in its scratch checkout and runs all days.
 ///
 /// # Errors
 ///
-/// The build fails, or a day does not play.
-pub fn play(plan: &Plan, arm: &Arm, checkout: &Checkout) -> Result<Reports, ExperimentError> {
+/// The build fails, or a day ends without a report.
+pub fn run_days(plan: &Plan, arm: &Arm, checkout: &Checkout) -> Result<Reports, ExperimentError> {
     checkout.deploy(arm)?;
-    run(Command::new(&plan.bench)
-        .arg("build")
-        .current_dir(checkout.folder()))?;
+    run_command(
+        Command::new(&plan.bench)
+            .arg("build")
+            .current_dir(checkout.folder()),
+    )?;
     let next = AtomicUsize::new(0);
     let reports: Mutex<Reports> = Mutex::default();
     let failure: Mutex<Option<ExperimentError>> = Mutex::default();
     std::thread::scope(|scope| {
         for _ in 0..plan.jobs.max(1) {
             scope.spawn(|| loop {
-                let place = next.fetch_add(1, Ordering::Relaxed);
-                let Some(day) = plan.days.get(place) else {
+                let index = next.fetch_add(1, Ordering::Relaxed);
+                let Some(day) = plan.days.get(index) else {
                     return;
                 };
-                match play_day(plan, arm, checkout.folder(), day, place) {
+                match run_day(plan, arm, checkout.folder(), day, index) {
                     Ok(report) => {
                         reports.lock().insert(day.clone(), report);
                     }
@@ -49,14 +51,14 @@
     }
 }
 
-fn play_day(
+fn run_day(
     plan: &Plan,
     arm: &Arm,
     folder: &Path,
     day: &Day,
-    place: usize,
+    index: usize,
 ) -> Result<DayReport, ExperimentError> {
-    let report = report_path(folder, place);
+    let report = report_path(folder, index);
     let mut command = Command::new(&plan.bench);
     command.current_dir(folder).arg("run").arg(&day.site);
     command.args([&day.day, "--seed", &day.seed.to_string(), "--jobs", "1"]);
@@ -65,8 +67,8 @@
     if plan.ignores_cpu {
         command.arg("--no-cpu");
     }
-    // The exit code tells whether the day passed; a day that broke a rule has a report as well.
-    if let Err(error) = run(&mut command) {
+    // The benchmark also exits with an error when a day violates a rule; such a day still has a report.
+    if let Err(error) = run_command(&mut command) {
         if !report.exists() {
             return Err(error);
         }
@@ -76,8 +78,8 @@
     Ok(read)
 }
 
-fn report_path(folder: &Path, place: usize) -> PathBuf {
+fn report_path(folder: &Path, index: usize) -> PathBuf {
     folder
         .join("target")
-        .join(format!("experiment-{place}.json"))
+        .join(format!("experiment-{index}.json"))
 }
--- a/tests/experiment/src/report.rs
+++ b/tests/experiment/src/report.rs
@@ -1,20 +1,20 @@
-//! What the bench reports of one day.
+//! The benchmark's report of one day.
 
 use crate::error::ExperimentError;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Metric of the worth after prices.
+/// Name of the metric for the net worth, after prices.
 pub const WORTH: &str = "worth";
-/// Metric of the share of requests that were served.
+/// Name of the metric for the share of requests that were served.
 pub const SERVED: &str = "served";
-/// Metric of all prices together.
+/// Name of the metric for the sum of all prices.
 pub const PRICES: &str = "prices";
 
-/// One day as the bench reports it; fields that are not needed are left out.
+/// The report file of one day; only the fields that are needed.
 #[derive(Clone, Debug, Deserialize)]
-struct DayForm {
+struct RawDayReport {
     #[serde(rename = "G")]
     worth: f64,
     served: f64,
@@ -27,18 +27,18 @@
 /// The metrics of one day.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DayReport {
-    /// Worth, the share served, the parts of the worth, and each price.
+    /// Net worth, share of requests served, parts of the worth, each price and their sum.
     pub metrics: BTreeMap<String, f64>,
-    /// Names of the rules that were broken, and the fault, if any.
+    /// Names of the violated rules, and the fault, if any.
     pub violations: Vec<String>,
 }
 
 impl DayReport {
-    /// Reads a report.
+    /// Reads a report file.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or is no report.
+    /// The file cannot be read or is not a valid report.
     pub fn read(path: &Path) -> Result<Self, ExperimentError> {
         let text = std::fs::read_to_string(path).map_err(ExperimentError::io(path))?;
         Self::parse(&text).map_err(|error| ExperimentError::Report {
@@ -47,25 +47,25 @@
         })
     }
 
-    /// Parses the text of a report.
+    /// Parses the JSON text of a report.
     ///
     /// # Errors
     ///
-    /// The text is no report.
+    /// The text is not a valid report.
     pub fn parse(text: &str) -> Result<Self, serde_json::Error> {
-        let form: DayForm = serde_json::from_str(text)?;
+        let raw: RawDayReport = serde_json::from_str(text)?;
         let mut metrics = BTreeMap::new();
-        metrics.insert(WORTH.to_owned(), form.worth);
-        metrics.insert(SERVED.to_owned(), form.served);
-        for (name, _, value) in form.parts {
+        metrics.insert(WORTH.to_owned(), raw.worth);
+        metrics.insert(SERVED.to_owned(), raw.served);
+        for (name, _, value) in raw.parts {
             metrics.insert(format!("part: {name}"), value);
         }
-        let total: f64 = form.prices.iter().map(|(_, _, price)| price).sum();
+        let total: f64 = raw.prices.iter().map(|(_, _, price)| price).sum();
         metrics.insert(PRICES.to_owned(), total);
-        for (name, _, price) in form.prices {
+        for (name, _, price) in raw.prices {
             metrics.insert(format!("price: {name}"), price);
         }
-        let violations = form.breaks.into_keys().chain(form.fault).collect();
+        let violations = raw.breaks.into_keys().chain(raw.fault).collect();
         Ok(Self {
             metrics,
             violations,
--- a/tests/experiment/src/statistics.rs
+++ b/tests/experiment/src/statistics.rs
@@ -1,47 +1,47 @@
-//! The median and spread of paired differences, and whether chance alone explains them.
+//! Median and range of paired differences, and a significance test.
 
-/// Chance of a false alarm below which a difference counts as beyond the noise.
-pub const SIGNIFICANCE: f64 = 0.1;
-/// Most pairs whose signs are enumerated; of more the first ones are judged.
-const ENUMERATED_MAX: usize = 16;
-/// Differences below this are rounding.
-const ROUNDING: f64 = 1e-9;
+/// Largest p-value at which a difference counts as significant.
+pub const SIGNIFICANCE_LEVEL: f64 = 0.1;
+/// Largest number of pairs whose sign patterns are enumerated (2^16 patterns); any further pairs are left out of the test.
+const MAX_ENUMERATED_PAIRS: usize = 16;
+/// Sums that differ by less than this count as equal.
+const ROUNDING_ERROR: f64 = 1e-9;
 
-/// What a set of paired differences shows.
+/// Statistics of a set of paired differences.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Summary {
-    /// Their number.
+    /// Number of pairs.
     pub pairs: usize,
-    /// The middle one.
+    /// Median difference.
     pub median: f64,
-    /// The least.
-    pub least: f64,
-    /// The greatest.
-    pub greatest: f64,
-    /// Chance that random signs give a sum as far from zero as theirs.
-    pub chance: f64,
+    /// Smallest difference.
+    pub min: f64,
+    /// Largest difference.
+    pub max: f64,
+    /// p-value of the sign-flip test: probability that random signs give a sum at least as far from zero.
+    pub p_value: f64,
 }
 
 impl Summary {
-    /// Summarizes differences; none where there are none.
+    /// Summarizes differences; `None` if there are none.
     #[must_use]
     pub fn of(differences: &[f64]) -> Option<Self> {
         let mut sorted = differences.to_vec();
         sorted.sort_by(f64::total_cmp);
-        let (least, greatest) = (*sorted.first()?, *sorted.last()?);
+        let (min, max) = (*sorted.first()?, *sorted.last()?);
         Some(Self {
             pairs: sorted.len(),
             median: median_of_sorted(&sorted),
-            least,
-            greatest,
-            chance: chance_of_signs(differences),
+            min,
+            max,
+            p_value: sign_flip_p_value(differences),
         })
     }
 
-    /// Whether the difference lies beyond the noise.
+    /// Whether the differences are statistically significant.
     #[must_use]
-    pub fn is_beyond_noise(&self) -> bool {
-        self.chance <= SIGNIFICANCE
+    pub fn is_significant(&self) -> bool {
+        self.p_value <= SIGNIFICANCE_LEVEL
     }
 }
 
@@ -53,23 +53,23 @@
     (sorted[middle - 1] + sorted[middle]) / 2.0
 }
 
-/// The exact sign-flip test: had the change no effect, each difference would as likely have had the other sign.
-fn chance_of_signs(differences: &[f64]) -> f64 {
-    let judged = &differences[..differences.len().min(ENUMERATED_MAX)];
-    let observed = judged.iter().sum::<f64>().abs();
-    if observed < ROUNDING {
+/// p-value of the exact sign-flip test: without an effect, each difference is equally likely to have either sign.
+fn sign_flip_p_value(differences: &[f64]) -> f64 {
+    let tested = &differences[..differences.len().min(MAX_ENUMERATED_PAIRS)];
+    let observed = tested.iter().sum::<f64>().abs();
+    if observed < ROUNDING_ERROR {
         return 1.0;
     }
-    let flips = 1_u32 << judged.len();
-    let is_as_far = |signs: &u32| signed_sum(judged, *signs).abs() + ROUNDING >= observed;
-    let as_far = (0..flips).filter(is_as_far).count();
-    as_far as f64 / f64::from(flips)
+    let sign_patterns = 1_u32 << tested.len();
+    let is_as_extreme = |signs: &u32| signed_sum(tested, *signs).abs() + ROUNDING_ERROR >= observed;
+    let as_extreme = (0..sign_patterns).filter(is_as_extreme).count();
+    as_extreme as f64 / f64::from(sign_patterns)
 }
 
-/// The sum in which the differences of the set bits are flipped.
+/// Sum of the differences after flipping the sign of those whose bit is set in `signs`.
 fn signed_sum(differences: &[f64], signs: u32) -> f64 {
-    let flipped = differences.iter().enumerate().map(|(place, difference)| {
-        if signs & (1 << place) == 0 {
+    let flipped = differences.iter().enumerate().map(|(index, difference)| {
+        if signs & (1 << index) == 0 {
             *difference
         } else {
             -difference
--- a/tests/experiment/tests/experiment.rs
+++ b/tests/experiment/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! What an experiment concludes, and what it plays.
+//! Statistics, tables, plots and plans of experiments.
 
 use experiment::arm::Arm;
 use experiment::comparison::compare;
@@ -19,8 +19,8 @@
     Summary::of(differences).expect("there are differences")
 }
 
-fn reports(worths: &[f64]) -> Reports {
-    let days = worths.iter().zip(1..).map(|(worth, seed)| {
+fn reports(worth_by_seed: &[f64]) -> Reports {
+    let days = worth_by_seed.iter().zip(1..).map(|(worth, seed)| {
         let day = Day {
             site: PathBuf::from("sites/here.toml"),
             day: "mix".into(),
@@ -34,29 +34,29 @@
 }
 
 #[test]
-fn five_differences_of_one_sign_are_beyond_the_noise() {
-    let seen = summary(&[0.01, 0.02, 0.015, 0.011, 0.03]);
-    assert!(seen.is_beyond_noise(), "{seen:?}");
-    assert!((seen.median - 0.015).abs() < 1e-12);
-    assert!((seen.least - 0.01).abs() < 1e-12 && (seen.greatest - 0.03).abs() < 1e-12);
-    assert!((seen.chance - 2.0 / 32.0).abs() < 1e-12);
+fn five_differences_of_one_sign_are_significant() {
+    let observed = summary(&[0.01, 0.02, 0.015, 0.011, 0.03]);
+    assert!(observed.is_significant(), "{observed:?}");
+    assert!((observed.median - 0.015).abs() < 1e-12);
+    assert!((observed.min - 0.01).abs() < 1e-12 && (observed.max - 0.03).abs() < 1e-12);
+    assert!((observed.p_value - 2.0 / 32.0).abs() < 1e-12);
 }
 
 #[test]
-fn differences_of_both_signs_or_none_are_noise() {
-    assert!(!summary(&[0.01, -0.02, 0.015, -0.011, 0.003]).is_beyond_noise());
-    assert!(!summary(&[0.0; 8]).is_beyond_noise());
-    assert!(!summary(&[0.5]).is_beyond_noise());
+fn differences_of_mixed_sign_or_none_are_not_significant() {
+    assert!(!summary(&[0.01, -0.02, 0.015, -0.011, 0.003]).is_significant());
+    assert!(!summary(&[0.0; 8]).is_significant());
+    assert!(!summary(&[0.5]).is_significant());
     assert_eq!(Summary::of(&[]), None);
 }
 
 #[test]
-fn the_median_of_an_even_number_lies_between_the_middle_two() {
+fn the_median_of_an_even_count_is_the_mean_of_the_middle_two() {
     assert!((summary(&[1.0, 4.0, 2.0, 8.0]).median - 3.0).abs() < 1e-12);
 }
 
 #[test]
-fn a_report_gives_worth_parts_and_each_price() {
+fn a_report_is_parsed_into_worth_parts_and_prices() {
     let report = DayReport::parse(REPORT).expect("it is a report");
     assert!((report.metrics[WORTH] - 0.75).abs() < 1e-12);
     assert!((report.metrics[PRICES] - 0.17).abs() < 1e-12);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn days_are_compared_with_their_own_pair() {
+fn only_days_that_both_arms_have_are_compared() {
     let changes = compare(&reports(&[0.7, 0.8, 0.6]), &reports(&[0.71, 0.82]));
     assert_eq!(changes.len(), 1);
     let change = &changes[0];
@@ -77,13 +77,13 @@
 }
 
 #[test]
-fn a_metric_that_did_not_move_is_not_told() {
+fn an_unchanged_metric_is_not_in_the_table() {
     let changes = compare(&reports(&[0.7, 0.8]), &reports(&[0.7, 0.8]));
     assert!(!table::metrics(&changes).contains("worth"));
 }
 
 #[test]
-fn options_are_added_to_the_commands_of_all_roles_alone() {
+fn options_are_appended_only_to_role_commands() {
     let arm = Arm {
         label: "change".into(),
         sources: PathBuf::new(),
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn seeds_are_numbers_and_ranges() {
+fn seeds_are_parsed_from_numbers_and_ranges() {
     assert_eq!(parse_seeds("1-3,9"), Ok(vec![1, 2, 3, 9]));
     for text in ["", "a", "3-1", "1-", "-"] {
         assert!(parse_seeds(text).is_err(), "{text}");
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn every_deployment_plays_every_day_under_every_seed() {
+fn a_plan_combines_every_deployment_day_and_seed() {
     let sites = [PathBuf::from("a.toml"), PathBuf::from("b.toml")];
     let days = Plan::all_days(&sites, &["quiet".into(), "mix".into()], &[1, 2]);
     assert_eq!(days.len(), 8);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_plot_names_the_metrics_that_moved() {
+fn a_plot_names_the_metrics_that_changed() {
     let changes = compare(&reports(&[0.7, 0.8]), &reports(&[0.71, 0.82]));
     let folder = std::env::temp_dir().join(format!("hallkeel-plot-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a temporary folder can be made");
@@ -127,9 +127,9 @@
 }
 
 #[test]
-fn a_row_of_an_ablation_tells_worth_and_prices() {
-    let with_prices = |worths: &[f64]| {
-        let mut reports = reports(worths);
+fn an_ablation_row_shows_worth_and_prices() {
+    let with_prices = |worth_by_seed: &[f64]| {
+        let mut reports = reports(worth_by_seed);
         for report in reports.values_mut() {
             report.metrics.insert(PRICES.into(), 0.2);
         }
