--- a/crates/simulator/src/core_membership.rs
+++ b/crates/simulator/src/core_membership.rs
@@ -123,7 +123,7 @@
         let before = self.voter.acceptor().digests().clone();
         self.voter.repair(keys);
         if self.voter.sync() && *self.voter.acceptor().digests() != before {
-            oracle.count_case("repaired");
+            oracle.count_case("mended");
         }
     }
 
