--- a/crates/request_queue/src/ownership.rs
+++ b/crates/request_queue/src/ownership.rs
@@ -33,7 +33,7 @@
                 .into_iter()
                 .flat_map(|mut removed_queue| removed_queue.clear())
             {
-                self.refuse(queued_request, crate::Rejection::Unlisted);
+                self.reject(queued_request, crate::Rejection::Unlisted);
             }
         }
         let listed = &self.configuration;
@@ -55,7 +55,7 @@
         self.seat_requests.retain_members(&self.plan.membership);
         let mut previously_owned = std::mem::take(&mut self.owned);
         for entry in &self.plan.runners {
-            let is_mine = entry.owner == self.me
+            let is_mine = entry.owner == self.local_peer
                 && matches!(entry.state, RunnerState::Wanted | RunnerState::Draining);
             if !is_mine {
                 continue;
@@ -78,7 +78,7 @@
     fn release_runners(&mut self, now: u64, released: BTreeMap<String, OwnedRunner>) {
         for (runner, owned) in released {
             let next = self.plan.runner(&runner).map(|entry| entry.owner.clone());
-            let to = next.unwrap_or_else(|| self.me.clone());
+            let to = next.unwrap_or_else(|| self.local_peer.clone());
             if owned.is_active(now) {
                 let key = (runner, owned.entry.owner_epoch);
                 let since = now;
@@ -90,7 +90,7 @@
 
     pub(crate) fn send_handovers(&mut self, now: u64) {
         for ((runner, epoch), former) in &self.former {
-            if former.to == self.me {
+            if former.to == self.local_peer {
                 continue;
             }
             let ends = former.owned.leased.values().map(|leased| leased.reclaim_at);
@@ -130,7 +130,7 @@
             if owned.active_at.is_none()
                 && may_lease
                 && self.quorum_lease.majority_has_version(
-                    &self.me.name,
+                    &self.local_peer.name,
                     &self.plan,
                     owned.entry.owner_since,
                 )
@@ -271,7 +271,7 @@
 
     /// Seat numbers of another incarnation of this front cannot be compared with this one's, so they count as 0.
     fn seen_in_this_incarnation(&self, incarnation: u64, seen_assignment: u64) -> u64 {
-        if incarnation == self.me.incarnation {
+        if incarnation == self.local_peer.incarnation {
             seen_assignment
         } else {
             0
--- a/crates/request_queue/src/quorum_lease.rs
+++ b/crates/request_queue/src/quorum_lease.rs
@@ -42,12 +42,12 @@
     }
 
     /// Whether this front has a quorum lease at `now`.
-    pub fn is_held(&self, me: &str, plan: &Plan, now: u64, lease: u64) -> bool {
-        if !plan.membership.iter().any(|name| name == me) {
+    pub fn is_held(&self, local_name: &str, plan: &Plan, now: u64, lease: u64) -> bool {
+        if !plan.membership.iter().any(|name| name == local_name) {
             return false;
         }
         let fresh = |name: &&String| {
-            name.as_str() == me
+            name.as_str() == local_name
                 || self
                     .last_responses
                     .get(name.as_str())
@@ -64,9 +64,9 @@
     }
 
     /// Whether a majority of the members, counting this front, holds this version of the plan or a newer one.
-    pub fn majority_has_version(&self, me: &str, plan: &Plan, version: Version) -> bool {
+    pub fn majority_has_version(&self, local_name: &str, plan: &Plan, version: Version) -> bool {
         let has_version = |name: &&String| {
-            name.as_str() == me
+            name.as_str() == local_name
                 || self
                     .last_responses
                     .get(name.as_str())
--- a/crates/request_queue/src/reporting.rs
+++ b/crates/request_queue/src/reporting.rs
@@ -11,7 +11,7 @@
             function: function.clone(),
             arrived: counts.arrived,
             answered: counts.answered,
-            refused: counts.refused,
+            refused: counts.rejected,
             waiting: waiting(function),
         });
         let runners = self.owned.iter().map(|(runner, owned)| RunnerReport {
--- a/crates/request_queue/src/resending.rs
+++ b/crates/request_queue/src/resending.rs
@@ -49,7 +49,7 @@
             return;
         };
         if self.deferred.len() >= self.configuration.bounds.queue_max as usize {
-            return self.refuse(queued_request, Rejection::Unreachable);
+            return self.reject(queued_request, Rejection::Unreachable);
         }
         self.deferred.push_back(queued_request);
         self.resend_deferred(now);
@@ -59,19 +59,19 @@
     fn count_unsent(&mut self, mut queued_request: QueuedRequest) -> Option<QueuedRequest> {
         queued_request.unsent += 1;
         if queued_request.unsent > MAX_UNSENT_ATTEMPTS {
-            self.refuse(queued_request, Rejection::Unreachable);
+            self.reject(queued_request, Rejection::Unreachable);
             return None;
         }
         Some(queued_request)
     }
 
-    pub(crate) fn refuse_expired_deferred(&mut self, now: u64) {
+    pub(crate) fn reject_expired_deferred(&mut self, now: u64) {
         let (expired, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut self.deferred)
             .into_iter()
             .partition(|queued_request| queued_request.budget_end <= now);
         self.deferred = remaining.into();
         for queued_request in expired {
-            self.refuse(queued_request, Rejection::Unreachable);
+            self.reject(queued_request, Rejection::Unreachable);
         }
     }
 }
--- a/crates/request_queue/src/scheduler.rs
+++ b/crates/request_queue/src/scheduler.rs
@@ -21,7 +21,7 @@
 pub(crate) struct Counts {
     pub arrived: u64,
     pub answered: u64,
-    pub refused: u64,
+    pub rejected: u64,
     /// Average response time in milliseconds as measured by this front; the newest responses weigh most.
     pub response_time_ms: f64,
     /// Average absolute deviation from it, in milliseconds.
@@ -67,7 +67,7 @@
 
 /// A front's scheduler: decides about requests, seats and the quorum lease.
 pub struct SeatScheduler {
-    pub(crate) me: PeerRef,
+    pub(crate) local_peer: PeerRef,
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) configuration_version: Version,
     pub(crate) plan: Arc<Plan>,
@@ -96,12 +96,12 @@
 
 impl SeatScheduler {
     /// Creates a scheduler without configuration or plan, which accepts no requests yet.
-    pub fn new(me: PeerRef) -> Self {
+    pub fn new(local_peer: PeerRef) -> Self {
         // Each incarnation has its own range of seat numbers, so that a seat from before a restart, which may
         // still be leased, is never mistaken for a new one.
-        let first_seat = ((me.incarnation % INCARNATIONS) << SEAT_NUMBER_BITS) + 1;
+        let first_seat = ((local_peer.incarnation % INCARNATIONS) << SEAT_NUMBER_BITS) + 1;
         Self {
-            me,
+            local_peer,
             configuration: Arc::new(Configuration::empty()),
             configuration_version: Version::default(),
             plan: Arc::default(),
@@ -163,7 +163,7 @@
         self.is_ready
             && self
                 .quorum_lease
-                .is_held(&self.me.name, &self.plan, now, lease)
+                .is_held(&self.local_peer.name, &self.plan, now, lease)
     }
 
     /// Versions of configuration and plan in force here.
@@ -204,7 +204,7 @@
     /// Queues a new request or rejects it.
     pub fn arrive(&mut self, now: u64, queued_request: QueuedRequest) {
         if let Err(rejection) = self.check_admission(now, &queued_request.function) {
-            return self.refuse(queued_request, rejection);
+            return self.reject(queued_request, rejection);
         }
         self.enqueue(now, queued_request);
         self.dispatch(now);
@@ -212,25 +212,25 @@
 
     pub(crate) fn enqueue(&mut self, now: u64, queued_request: QueuedRequest) {
         if queued_request.budget_end <= now {
-            return self.refuse(queued_request, Rejection::BudgetOver);
+            return self.reject(queued_request, Rejection::BudgetOver);
         }
         let function = queued_request.function.clone();
         let limit = self.configuration.bounds.queue_max as usize;
         let queue = self.queues.entry(function.clone()).or_default();
         match queue.admit(queued_request, limit) {
             Admission::Queued => {}
-            Admission::QueuedAfterShedding(shed) => self.refuse(shed, Rejection::Shed),
-            Admission::Full(queued_request) => self.refuse(queued_request, Rejection::QueueFull),
+            Admission::QueuedAfterShedding(shed) => self.reject(shed, Rejection::Shed),
+            Admission::Full(queued_request) => self.reject(queued_request, Rejection::QueueFull),
         }
         self.dirty.insert(function);
     }
 
-    pub(crate) fn refuse(&mut self, queued_request: QueuedRequest, rejection: Rejection) {
+    pub(crate) fn reject(&mut self, queued_request: QueuedRequest, rejection: Rejection) {
         let counts = self
             .counts
             .entry(queued_request.function.clone())
             .or_default();
-        counts.refused += 1;
+        counts.rejected += 1;
         self.actions.push(Action::Refuse(queued_request, rejection));
     }
 
@@ -288,11 +288,11 @@
     /// Runs the periodic work: expires budgets, reclaims seats and sends heartbeats.
     pub fn tick(&mut self, now: u64) {
         for function in self.queues.keys().cloned().collect::<Vec<_>>() {
-            self.refuse_unfinishable(now, &function);
+            self.reject_unfinishable(now, &function);
         }
-        self.refuse_expired_deferred(now);
+        self.reject_expired_deferred(now);
         if !self.has_quorum(now) {
-            self.refuse_all(Rejection::NoQuorum);
+            self.reject_all(Rejection::NoQuorum);
         }
         self.end_lost_seats(now);
         self.refresh_owned(now);
@@ -325,7 +325,7 @@
     }
 
     /// Rejects at once the requests that can no longer finish within their budget.
-    pub(crate) fn refuse_unfinishable(&mut self, now: u64, function: &str) {
+    pub(crate) fn reject_unfinishable(&mut self, now: u64, function: &str) {
         let needed = self.counts.get(function).map_or(0, Counts::needed_ms);
         let Some(queue) = self.queues.get_mut(function) else {
             return;
@@ -335,22 +335,22 @@
             self.dirty.insert(function.to_string());
         }
         for queued_request in expired {
-            self.refuse(queued_request, Rejection::BudgetOver);
+            self.reject(queued_request, Rejection::BudgetOver);
         }
     }
 
-    fn refuse_all(&mut self, rejection: Rejection) {
+    fn reject_all(&mut self, rejection: Rejection) {
         let queues = std::mem::take(&mut self.queues).into_values();
-        let held = queues.flat_map(|mut queue| queue.clear());
+        let queued = queues.flat_map(|mut queue| queue.clear());
         let deferred = std::mem::take(&mut self.deferred);
-        for queued_request in held.chain(deferred) {
-            self.refuse(queued_request, rejection);
+        for queued_request in queued.chain(deferred) {
+            self.reject(queued_request, rejection);
         }
     }
 
     fn heartbeat(&mut self, now: u64) {
         for name in self.plan.membership.clone() {
-            if name == self.me.name {
+            if name == self.local_peer.name {
                 continue;
             }
             let heartbeat = FrontMessage::Heartbeat {
--- a/crates/request_queue/src/seat_leasing.rs
+++ b/crates/request_queue/src/seat_leasing.rs
@@ -20,7 +20,7 @@
             return;
         }
         for function in dirty {
-            self.refuse_unfinishable(now, &function);
+            self.reject_unfinishable(now, &function);
             while self.lease_one(now, &function) {}
             self.send_seat_requests(now, &function);
         }
@@ -124,17 +124,17 @@
 
     fn lease_to_self(&mut self, now: u64, function: &str, runner: &str, seat_no: u64) {
         let reclaim_at = self.reclaim_at(now, function);
-        let Some(queued_request) = self.queues.get_mut(function).and_then(|held| held.take())
+        let Some(queued_request) = self.queues.get_mut(function).and_then(|queue| queue.take())
         else {
             return;
         };
-        let me = self.me.clone();
+        let local_peer = self.local_peer.clone();
         let Some(owned) = self.owned.get_mut(runner) else {
             return;
         };
-        owned.lease_seat(seat_no, me.clone(), reclaim_at);
+        owned.lease_seat(seat_no, local_peer.clone(), reclaim_at);
         let entry = owned.entry.clone();
-        let grant = self.grant(now, &entry, me, seat_no);
+        let grant = self.grant(now, &entry, local_peer, seat_no);
         self.launch(queued_request, grant);
     }
 
@@ -217,7 +217,7 @@
         });
         let is_fresh = now < assignment.stamp + self.configuration.bounds.seat_window_ms();
         let usable = entry.filter(|_| is_fresh && self.has_quorum(now));
-        self.refuse_unfinishable(now, &assignment.function);
+        self.reject_unfinishable(now, &assignment.function);
         let queued_request = usable
             .is_some()
             .then(|| self.queues.get_mut(&assignment.function)?.take())
@@ -244,8 +244,8 @@
     /// Returns a seat to its owner, which may be this front.
     pub(crate) fn return_seat(&mut self, now: u64, grant: &SeatGrant, outcome: AttemptOutcome) {
         let message = return_message(&grant.runner, grant.seat_no, outcome);
-        if grant.owner == self.me {
-            self.on_message(now, &self.me.clone(), message);
+        if grant.owner == self.local_peer {
+            self.on_message(now, &self.local_peer.clone(), message);
         } else {
             let owner = grant.owner.name.clone();
             self.actions.push(Action::Send(owner, message));
@@ -259,7 +259,7 @@
         let mut weights: BTreeMap<String, u64> = BTreeMap::new();
         for entry in self.index.entries(&self.plan, function) {
             let is_candidate = self.may_run_on(entry)
-                && (entry.owner == self.me
+                && (entry.owner == self.local_peer
                     || self
                         .quorum_lease
                         .responded_within(&entry.owner.name, now, lease));
@@ -282,7 +282,7 @@
         for name in self.seat_requests.sent_to(function) {
             weights.entry(name).or_default();
         }
-        weights.remove(&self.me.name);
+        weights.remove(&self.local_peer.name);
         for (owner, weight) in weights {
             let share = (u64::from(waiting) * weight).div_ceil(total);
             let seat_request = take_first(&priorities, share as u32);
@@ -329,7 +329,7 @@
     pub(crate) fn report_holds(&mut self, now: u64) {
         let mut held: BTreeMap<String, Vec<u64>> = BTreeMap::new();
         for entry in &self.plan.runners {
-            if entry.owner != self.me {
+            if entry.owner != self.local_peer {
                 held.entry(entry.owner.name.clone()).or_default();
             }
         }
--- a/crates/transport/src/links.rs
+++ b/crates/transport/src/links.rs
@@ -41,7 +41,7 @@
         true
     }
 
-    fn answer(&self, number: u64, body: PeerMessage) {
+    fn complete(&self, number: u64, body: PeerMessage) {
         let found = self.waiting.lock().remove(&number);
         if let Some((_, on_response)) = found {
             on_response(body);
@@ -107,8 +107,8 @@
         timeout: Duration,
     ) -> Option<PeerMessage> {
         let (sender, receiver) = bounded(1);
-        let on_response = Box::new(move |answer| {
-            let _ = sender.try_send(answer);
+        let on_response = Box::new(move |response| {
+            let _ = sender.try_send(response);
         });
         self.ask(address, body, on_response);
         receiver.recv_timeout(timeout).ok()
@@ -174,7 +174,7 @@
         let mut buffer = BufReader::new(reader);
         while let Ok(envelope) = decode(&mut buffer) {
             if envelope.is_answer {
-                pending.answer(envelope.number, envelope.body);
+                pending.complete(envelope.number, envelope.body);
             }
         }
         flag.store(true, Ordering::SeqCst);
