--- a/crates/hallkeel/src/changes.rs
+++ b/crates/hallkeel/src/changes.rs
@@ -1,13 +1,13 @@
-//! Commands that change the configuration, the voters or a daemon.
+//! Commands that read or change the configuration, replace a voter or drain a front.
 
-use crate::cores::{ask, CliError, Cores};
+use crate::cores::{request, CliError, Cores};
 use crate::fronts::KnownFronts;
 use oxhttp::model::Method;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Times that a small change is tried again when another operator was faster.
+/// How often an edit is attempted if other operators change the configuration at the same time.
 const MAX_CONFLICTS: usize = 5;
 
 fn read_file(file: &Path) -> Result<Vec<u8>, CliError> {
@@ -21,24 +21,24 @@
     );
 }
 
-fn in_force(cores: &Cores) -> Result<(u64, Value), CliError> {
-    let reported = cores.ask_good(Method::GET, "/blueprint", &[])?;
-    let version = reported["version"].as_u64().unwrap_or(0);
-    Ok((version, reported["blueprint"].clone()))
+fn current_configuration(cores: &Cores) -> Result<(u64, Value), CliError> {
+    let response = cores.request_ok(Method::GET, "/blueprint", &[])?;
+    let version = response["version"].as_u64().unwrap_or(0);
+    Ok((version, response["blueprint"].clone()))
 }
 
-/// Prints the blueprint in force.
+/// Prints the current configuration, and its version on stderr.
 pub fn get(cores: &Cores) -> Result<(), CliError> {
-    let (version, configuration) = in_force(cores)?;
+    let (version, configuration) = current_configuration(cores)?;
     eprintln!("version {version}");
     print_pretty(&configuration);
     Ok(())
 }
 
-/// Prints how the blueprint came to be.
+/// Prints the history of configuration versions.
 pub fn history(cores: &Cores) -> Result<(), CliError> {
-    let reported = cores.ask_good(Method::GET, "/blueprint/history", &[])?;
-    for line in reported.as_array().into_iter().flatten() {
+    let response = cores.request_ok(Method::GET, "/blueprint/history", &[])?;
+    for line in response.as_array().into_iter().flatten() {
         println!(
             "version {} at {} ms by {} {}",
             line["version"],
@@ -50,88 +50,88 @@
     Ok(())
 }
 
-/// Checks a file without putting it.
+/// Validates a configuration file without applying it.
 pub fn check(cores: &Cores, file: &Path) -> Result<(), CliError> {
-    let reported = cores.ask_good(Method::POST, "/blueprint/check", &read_file(file)?)?;
-    println!("good: {} listings", reported["listings"]);
+    let response = cores.request_ok(Method::POST, "/blueprint/check", &read_file(file)?)?;
+    println!("good: {} listings", response["listings"]);
     Ok(())
 }
 
-// A note goes into a query; what would need escaping becomes a '-'.
+// The note is sent as a query parameter: characters that might need escaping are replaced by '-'.
 fn put_path(expected: u64, note: &str) -> String {
-    let plain: String = note
+    let sanitized: String = note
         .chars()
-        .map(|letter| {
-            if letter.is_ascii_alphanumeric() || letter == '.' {
-                letter
+        .map(|character| {
+            if character.is_ascii_alphanumeric() || character == '.' {
+                character
             } else {
                 '-'
             }
         })
         .collect();
-    format!("/blueprint?expected={expected}&note={plain}")
+    format!("/blueprint?expected={expected}&note={sanitized}")
 }
 
-fn reported_in_force(reported: &Value) {
+fn print_applied(response: &Value) {
     println!(
         "version {} is in force: held by {} of {} fronts after {} ms",
-        reported["version"], reported["fronts"], reported["roster"], reported["took_ms"]
+        response["version"], response["fronts"], response["roster"], response["took_ms"]
     );
 }
 
-/// Puts a file.
+/// Replaces the configuration with the content of a file if `expected`, or else the current version, is in effect.
 pub fn put(cores: &Cores, file: &Path, expected: Option<u64>, note: &str) -> Result<(), CliError> {
     let text = read_file(file)?;
     let expected = match expected {
         Some(expected) => expected,
-        None => in_force(cores)?.0,
+        None => current_configuration(cores)?.0,
     };
-    let reported = cores.ask_good(Method::PUT, &put_path(expected, note), &text)?;
-    reported_in_force(&reported);
+    let response = cores.request_ok(Method::PUT, &put_path(expected, note), &text)?;
+    print_applied(&response);
     Ok(())
 }
 
-/// Reads, changes and puts the whole blueprint; where another operator was faster, again.
-fn rewrite(
+/// Reads, edits and writes back the whole configuration; repeats this if another operator changed it in between (409).
+fn edit_configuration(
     cores: &Cores,
     note: &str,
     edit: impl Fn(&mut Value) -> Result<(), CliError>,
 ) -> Result<(), CliError> {
     for _ in 0..MAX_CONFLICTS {
-        let (expected, mut configuration) = in_force(cores)?;
+        let (expected, mut configuration) = current_configuration(cores)?;
         edit(&mut configuration)?;
         let body = serde_json::to_vec(&configuration).unwrap_or_default();
         let path = put_path(expected, note);
-        let (status, reported) = cores.ask(Method::PUT, &path, &body)?;
+        let (status, response) = cores.request(Method::PUT, &path, &body)?;
         match status {
             200 => {
-                reported_in_force(&reported);
+                print_applied(&response);
                 return Ok(());
             }
             409 => continue,
             _ => {
                 return cores
-                    .ask_good(Method::PUT, &path, &body)
-                    .map(|reported| reported_in_force(&reported))
+                    .request_ok(Method::PUT, &path, &body)
+                    .map(|response| print_applied(&response))
             }
         }
     }
-    Err(CliError::Refused(
-        "other operators were faster each time; nothing was changed".into(),
+    Err(CliError::Rejected(
+        "each attempt conflicted with another operator's change; nothing was changed".into(),
     ))
 }
 
-/// The place that a path names; lists of named things are gone into by name.
-fn place<'a>(configuration: &'a mut Value, path: &str) -> Option<&'a mut Value> {
+/// Finds the value at a dotted path; items of a list are selected by their `name` field.
+fn find_value<'a>(configuration: &'a mut Value, path: &str) -> Option<&'a mut Value> {
     path.split('.')
-        .try_fold(configuration, |here, step| match here {
-            Value::Object(fields) => fields.get_mut(step),
-            Value::Array(items) => items.iter_mut().find(|item| item["name"] == step),
+        .try_fold(configuration, |parent, segment| match parent {
+            Value::Object(fields) => fields.get_mut(segment),
+            Value::Array(items) => items.iter_mut().find(|item| item["name"] == segment),
             _ => None,
         })
 }
 
-/// Changes single fields.
+/// Sets individual fields; each argument is `path=value`.
 pub fn change(cores: &Cores, fields: &[String]) -> Result<(), CliError> {
     let mut edits = Vec::new();
     for field in fields {
@@ -142,10 +142,12 @@
         let value = serde_json::from_str(value).unwrap_or_else(|_| Value::String(value.into()));
         edits.push((path, value));
     }
-    rewrite(cores, &fields.join("."), |configuration| {
+    edit_configuration(cores, &fields.join("."), |configuration| {
         for (path, value) in &edits {
-            let Some(found) = place(configuration, path) else {
-                return Err(CliError::Input(format!("the blueprint has no {path}")));
+            let Some(found) = find_value(configuration, path) else {
+                return Err(CliError::Input(format!(
+                    "the configuration has no field {path}"
+                )));
             };
             *found = value.clone();
         }
@@ -153,10 +155,10 @@
     })
 }
 
-/// Sets the state of a district.
+/// Sets the state of a zone (a `district` in the configuration).
 pub fn zone(cores: &Cores, name: &str, state: &str) -> Result<(), CliError> {
-    rewrite(cores, &format!("{name}.{state}"), |configuration| {
-        let Some(found) = place(configuration, &format!("districts.{name}")) else {
+    edit_configuration(cores, &format!("{name}.{state}"), |configuration| {
+        let Some(found) = find_value(configuration, &format!("districts.{name}")) else {
             return Err(CliError::Input(format!("there is no district {name:?}")));
         };
         found["state"] = state.into();
@@ -164,28 +166,28 @@
     })
 }
 
-/// Tells a front to drain and stop.
+/// Asks a front to drain and stop.
 pub fn drain(cores: &Cores, name: &str) -> Result<(), CliError> {
-    let Some(address) = KnownFronts::ask(cores)?.address_of(name) else {
+    let Some(address) = KnownFronts::fetch(cores)?.address_of(name) else {
         return Err(CliError::Input(format!("no front {name:?} is known")));
     };
-    match ask(Method::POST, address, "/drain", &[]) {
+    match request(Method::POST, address, "/drain", &[]) {
         Some((202, _)) => {
             println!("{name} drains; it stops when its work is done");
             Ok(())
         }
-        Some((_, reported)) => Err(CliError::Refused(reported.to_string())),
-        None => Err(CliError::Unreached(format!("{name} does not answer"))),
+        Some((_, response)) => Err(CliError::Rejected(response.to_string())),
+        None => Err(CliError::Unreachable(format!("{name} does not respond"))),
     }
 }
 
-/// Puts an empty core in the place of a voter.
+/// Replaces a voter with an empty core.
 pub fn replace_voter(cores: &Cores, old: SocketAddr, new: SocketAddr) -> Result<(), CliError> {
     let path = format!("/voters/replace?old={old}&new={new}");
-    let reported = cores.ask_good(Method::POST, &path, &[])?;
+    let response = cores.request_ok(Method::POST, &path, &[])?;
     println!(
         "{new} takes the place of {old}: era {}, set {}",
-        reported["era"], reported["no"]
+        response["era"], response["no"]
     );
     Ok(())
 }
--- a/crates/hallkeel/src/cores.rs
+++ b/crates/hallkeel/src/cores.rs
@@ -1,4 +1,4 @@
-//! The cores as the tool reaches them, and why it may fail.
+//! HTTP requests to the cores' operator ports, and the errors of the tool.
 
 use oxhttp::model::Method;
 use serde_json::Value;
@@ -8,31 +8,32 @@
 use std::time::Duration;
 use transport::call;
 
-/// Longest time that one daemon's answer is waited for.
+/// Timeout of a request to one daemon.
 const TIMEOUT: Duration = Duration::from_secs(8);
 const MAX_RESPONSE_BYTES: u64 = 32 << 20;
-/// How often the cores are asked again while none scales, and the pause between.
+/// How often a request is attempted while no core holds the scaling role.
 const ROLE_ATTEMPTS: usize = 8;
+/// Pause between these attempts.
 const ROLE_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Why the tool did not do what it was asked.
+/// Error that ends a command.
 #[derive(Debug)]
 pub enum CliError {
-    /// The fleet refused, or could not say.
-    Refused(String),
-    /// Arguments or a file are no good.
+    /// The fleet rejected the command, or its outcome is undecided.
+    Rejected(String),
+    /// An argument or a file is invalid.
     Input(String),
-    /// No core answered.
-    Unreached(String),
+    /// No daemon responded.
+    Unreachable(String),
 }
 
 impl CliError {
-    /// The process's exit code.
+    /// Exit code of the process.
     pub fn code(&self) -> u8 {
         match self {
-            Self::Refused(_) => 1,
+            Self::Rejected(_) => 1,
             Self::Input(_) => 2,
-            Self::Unreached(_) => 3,
+            Self::Unreachable(_) => 3,
         }
     }
 }
@@ -40,25 +41,30 @@
 impl fmt::Display for CliError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Refused(text) | Self::Input(text) | Self::Unreached(text) => {
+            Self::Rejected(text) | Self::Input(text) | Self::Unreachable(text) => {
                 formatter.write_str(text)
             }
         }
     }
 }
 
-/// What one core answers to a question; none where it does not answer.
-pub type CoreAnswer = (SocketAddr, Option<Value>);
+/// A core's address and its response; `None` if it didn't respond with status 200.
+pub type CoreResponse = (SocketAddr, Option<Value>);
 
-/// The cores as the tool reaches them.
+/// Client for the cores' operator ports.
 pub struct Cores {
     addresses: Vec<SocketAddr>,
 }
 
-/// Asks one daemon; none where it does not answer.
-pub fn ask(method: Method, address: SocketAddr, path: &str, body: &[u8]) -> Option<(u16, Value)> {
+/// Sends a request to one daemon; returns the status and JSON body, or `None` if it doesn't respond.
+pub fn request(
+    method: Method,
+    address: SocketAddr,
+    path: &str,
+    body: &[u8],
+) -> Option<(u16, Value)> {
     let uri = format!("http://{address}{path}");
-    let answer = call(
+    let response = call(
         method,
         &uri,
         &[],
@@ -67,18 +73,18 @@
         MAX_RESPONSE_BYTES,
     )
     .ok()?;
-    let reported = serde_json::from_slice(&answer.body).unwrap_or_default();
-    Some((answer.status, reported))
+    let body_json = serde_json::from_slice(&response.body).unwrap_or_default();
+    Some((response.status, body_json))
 }
 
-/// What a daemon tells at a path; none where it does not answer or refuses.
-pub fn ask_for_state(address: SocketAddr, path: &str) -> Option<Value> {
-    let (status, reported) = ask(Method::GET, address, path, &[])?;
-    (status == 200).then_some(reported)
+/// Reads the JSON document at a path of a daemon; `None` if the daemon doesn't respond with status 200.
+pub fn get_json(address: SocketAddr, path: &str) -> Option<Value> {
+    let (status, body_json) = request(Method::GET, address, path, &[])?;
+    (status == 200).then_some(body_json)
 }
 
 impl Cores {
-    /// The cores at these addresses of operator ports; there must be one at least.
+    /// Creates a client for these operator ports; there must be at least one.
     pub fn new(addresses: Vec<SocketAddr>) -> Result<Self, CliError> {
         if addresses.is_empty() {
             let text = "name the cores' operator ports with --cores or HALLKEEL_CORES";
@@ -87,78 +93,88 @@
         Ok(Self { addresses })
     }
 
-    /// Asks the cores one after the other until one answers other than that it cannot. While the
-    /// duty is between two cores none can tell what it decides, so they are asked again.
-    pub fn ask(&self, method: Method, path: &str, body: &[u8]) -> Result<(u16, Value), CliError> {
+    /// Sends a request to the cores in turn until one handles it. While the scaling role moves from one core to another,
+    /// all of them respond 421 (no core can decide), so the request is retried.
+    pub fn request(
+        &self,
+        method: Method,
+        path: &str,
+        body: &[u8],
+    ) -> Result<(u16, Value), CliError> {
         for _ in 0..ROLE_ATTEMPTS {
-            let answer = self.ask_once(&method, path, body)?;
-            if answer.0 != 421 {
-                return Ok(answer);
+            let response = self.try_each_core(&method, path, body)?;
+            if response.0 != 421 {
+                return Ok(response);
             }
             thread::sleep(ROLE_RETRY_PAUSE);
         }
-        self.ask_once(&method, path, body)
+        self.try_each_core(&method, path, body)
     }
 
-    /// What each core tells of itself; an error where none answers.
-    pub fn statuses(&self) -> Result<Vec<CoreAnswer>, CliError> {
-        let statuses = self.ask_all("/status");
+    /// The status of every core; an error if none responds.
+    pub fn statuses(&self) -> Result<Vec<CoreResponse>, CliError> {
+        let statuses = self.get_from_all("/status");
         if statuses.iter().all(|(_, status)| status.is_none()) {
-            return Err(CliError::Unreached("no core answered".into()));
+            return Err(CliError::Unreachable("no core responded".into()));
         }
         Ok(statuses)
     }
 
-    /// Asks all cores at the same time, so that one that does not answer holds up no other.
-    pub fn ask_all(&self, path: &str) -> Vec<CoreAnswer> {
+    /// Reads a path from all cores concurrently, so that an unresponsive core doesn't delay the others.
+    pub fn get_from_all(&self, path: &str) -> Vec<CoreResponse> {
         thread::scope(|scope| {
-            let asked: Vec<_> = self
+            let requests: Vec<_> = self
                 .addresses
                 .iter()
-                .map(|address| (*address, scope.spawn(|| ask_for_state(*address, path))))
+                .map(|address| (*address, scope.spawn(|| get_json(*address, path))))
                 .collect();
-            asked
+            requests
                 .into_iter()
-                .map(|(address, answer)| (address, answer.join().unwrap_or(None)))
+                .map(|(address, response)| (address, response.join().unwrap_or(None)))
                 .collect()
         })
     }
 
-    fn ask_once(&self, method: &Method, path: &str, body: &[u8]) -> Result<(u16, Value), CliError> {
+    fn try_each_core(
+        &self,
+        method: &Method,
+        path: &str,
+        body: &[u8],
+    ) -> Result<(u16, Value), CliError> {
         let mut last = None;
         for address in &self.addresses {
-            let answer = ask(method.clone(), *address, path, body);
-            match answer {
-                Some((status, reported)) if status != 503 && status != 421 => {
-                    return Ok((status, reported))
+            let response = request(method.clone(), *address, path, body);
+            match response {
+                Some((status, body_json)) if status != 503 && status != 421 => {
+                    return Ok((status, body_json))
                 }
                 other => last = other.or(last),
             }
         }
         match last {
-            Some((status, reported)) => Ok((status, reported)),
-            None => Err(CliError::Unreached("no core answered".into())),
+            Some((status, body_json)) => Ok((status, body_json)),
+            None => Err(CliError::Unreachable("no core responded".into())),
         }
     }
 
-    /// Asks and takes any answer but a good one as a refusal.
-    pub fn ask_good(&self, method: Method, path: &str, body: &[u8]) -> Result<Value, CliError> {
-        let (status, reported) = self.ask(method, path, body)?;
+    /// Like [`Self::request`], but turns every status other than 200 into an error.
+    pub fn request_ok(&self, method: Method, path: &str, body: &[u8]) -> Result<Value, CliError> {
+        let (status, body_json) = self.request(method, path, body)?;
         if status == 200 {
-            return Ok(reported);
+            return Ok(body_json);
         }
-        let mut text = reported["error"]
+        let mut text = body_json["error"]
             .as_str()
-            .unwrap_or("the core refused")
+            .unwrap_or("the core rejected the request")
             .to_string();
-        if let Some(version) = reported["version"].as_u64() {
+        if let Some(version) = body_json["version"].as_u64() {
             text.push_str(&format!(" (version {version})"));
         }
-        for fault in reported["faults"].as_array().into_iter().flatten() {
+        for fault in body_json["faults"].as_array().into_iter().flatten() {
             let path = fault["path"].as_str().unwrap_or_default();
             let reason = fault["reason"].as_str().unwrap_or_default();
             text.push_str(&format!("\n  {path}: {reason}"));
         }
-        Err(CliError::Refused(text))
+        Err(CliError::Rejected(text))
     }
 }
--- a/crates/hallkeel/src/fronts.rs
+++ b/crates/hallkeel/src/fronts.rs
@@ -1,33 +1,33 @@
-//! The fronts of the fleet, by what all cores hear of them.
+//! The fronts of the fleet, merged from the lists of all cores.
 //!
-//! A core that has just started answers before it hears any front, and one whose links are cut hears only some. No single core's list is
-//! therefore taken for the fleet's.
+//! One core's list may be incomplete: a core that has just started responds before it has heard from any front, and a
+//! partitioned core hears from only some.
 
-use crate::cores::{CliError, CoreAnswer, Cores};
+use crate::cores::{CliError, CoreResponse, Cores};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Where a front was heard last.
-struct HeardFront {
+/// A front's address, from the core that heard from it most recently.
+struct FrontEntry {
     http: Option<SocketAddr>,
     heard_ms_ago: u64,
 }
 
-/// The fronts that any core hears.
+/// All fronts that at least one core hears from.
 pub struct KnownFronts {
-    fronts: BTreeMap<String, HeardFront>,
+    fronts: BTreeMap<String, FrontEntry>,
 }
 
 impl KnownFronts {
-    /// Asks all cores for the fronts that they hear.
-    pub fn ask(cores: &Cores) -> Result<Self, CliError> {
+    /// Requests the status of all cores and merges their lists of fronts.
+    pub fn fetch(cores: &Cores) -> Result<Self, CliError> {
         let statuses = cores.statuses()?;
         Ok(Self::from_statuses(&statuses))
     }
 
-    /// Merges the cores' lists; of a front that several hear, what was heard last counts.
-    pub fn from_statuses(statuses: &[CoreAnswer]) -> Self {
+    /// Merges the cores' lists; if several list a front, the most recently heard entry is used.
+    pub fn from_statuses(statuses: &[CoreResponse]) -> Self {
         let mut fronts = BTreeMap::new();
         let reported = statuses.iter().filter_map(|(_, status)| status.as_ref());
         for front in reported.flat_map(|status| status["fronts"].as_array().into_iter().flatten()) {
@@ -36,27 +36,27 @@
         Self { fronts }
     }
 
-    /// The address of a front's operator port.
+    /// Address of a front's operator port.
     pub fn address_of(&self, name: &str) -> Option<SocketAddr> {
         self.fronts.get(name)?.http
     }
 
-    /// All fronts by name, each with the address of its operator port.
+    /// All fronts in the order of their names, each with the address of its operator port.
     pub fn addresses(&self) -> impl Iterator<Item = (&String, Option<SocketAddr>)> {
         self.fronts.iter().map(|(name, front)| (name, front.http))
     }
 }
 
-fn merge(fronts: &mut BTreeMap<String, HeardFront>, reported: &Value) {
+fn merge(fronts: &mut BTreeMap<String, FrontEntry>, reported: &Value) {
     let Some(name) = reported["name"].as_str() else {
         return;
     };
     let heard_ms_ago = reported["heard_ms_ago"].as_u64().unwrap_or(u64::MAX);
-    let known = fronts.get(name);
-    if known.is_some_and(|known| known.heard_ms_ago <= heard_ms_ago) {
+    let existing = fronts.get(name);
+    if existing.is_some_and(|existing| existing.heard_ms_ago <= heard_ms_ago) {
         return;
     }
     let http = reported["http"].as_str().and_then(|text| text.parse().ok());
-    let front = HeardFront { http, heard_ms_ago };
+    let front = FrontEntry { http, heard_ms_ago };
     fronts.insert(name.to_string(), front);
 }
--- a/crates/hallkeel/src/main.rs
+++ b/crates/hallkeel/src/main.rs
@@ -1,4 +1,4 @@
-//! `hallkeel`: the operator's tool over the whole fleet.
+//! `hallkeel`: the command line tool for operators of a fleet.
 
 mod changes;
 mod cores;
@@ -14,13 +14,13 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The operator's tool over a whole hallkeel fleet.
+/// Command line tool for operators of a hallkeel fleet.
 ///
-/// Exit codes: 0 done, 1 refused, stale or undecided, 2 bad arguments or files, 3 no core answered.
+/// Exit codes: 0 done, 1 rejected, stale or undecided, 2 invalid arguments or files, 3 no daemon responded.
 #[derive(Parser)]
 #[command(name = "hallkeel", version)]
 struct Flags {
-    /// Addresses of the cores' operator ports, with commas between
+    /// Addresses of the cores' operator ports, separated by commas
     #[arg(long, env = "HALLKEEL_CORES", value_delimiter = ',', global = true)]
     cores: Vec<SocketAddr>,
     #[command(subcommand)]
@@ -29,33 +29,33 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Show the whole fleet: daemons, versions, duty, functions and runners
+    /// Show the whole fleet: daemons, versions, scaling role, functions and runners
     Status {
         /// Print everything as JSON
         #[arg(long)]
         json: bool,
-        /// Show every runner too
+        /// Also show every runner
         #[arg(long)]
         runners: bool,
     },
-    /// Show the fleet again and again until Ctrl-C
+    /// Show the status of the fleet periodically until Ctrl-C
     Watch {
-        /// Seconds between
+        /// Interval in seconds
         #[arg(long, default_value_t = 2)]
         every: u64,
     },
-    /// Show gateways and controllers by what they tell at their wire addresses
+    /// Show the status of gateways and controllers
     Fleet {
         /// Wire addresses of gateways and controllers
         daemons: Vec<SocketAddr>,
-        /// Show what the scaler thinks of this function
+        /// Show only the scaler's status of this function
         #[arg(long)]
         function: Option<String>,
         /// Print everything as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Show what each tenant has sent to these gateways: requests, those that were rejected, share
+    /// Show the usage of each tenant at these gateways: requests, rejected requests, share
     Tenants {
         /// Wire addresses of gateways
         gateways: Vec<SocketAddr>,
@@ -63,78 +63,78 @@
         #[arg(long)]
         json: bool,
     },
-    /// Print the blueprint in force
+    /// Print the current configuration (blueprint)
     Get,
-    /// Hand over a whole blueprint
+    /// Replace the whole configuration
     Put {
-        /// File with the blueprint as JSON
+        /// File with the configuration as JSON
         file: PathBuf,
-        /// Version that must be in force; without it the one in force now is taken
+        /// Version that must be current for the change to apply; defaults to the current one
         #[arg(long)]
         expected: Option<u64>,
         /// Short note for the history
         #[arg(long, default_value = "")]
         note: String,
     },
-    /// Check a blueprint without putting it
+    /// Validate a configuration without applying it
     Check {
-        /// File with the blueprint as JSON
+        /// File with the configuration as JSON
         file: PathBuf,
     },
-    /// Show how the blueprint in force came to be
+    /// Show the history of the configuration
     History,
-    /// Change fields of the blueprint in force: listings.sign-000.concurrency=4
+    /// Change fields of the current configuration: listings.sign-000.concurrency=4
     Change {
-        /// Path and new value; the value is JSON, or else text
+        /// Path and new value, path=value; a value that is not valid JSON is taken as text
         #[arg(required = true)]
         fields: Vec<String>,
     },
-    /// Take all work out of a district
+    /// Evacuate a district: move all work out of it
     Evacuate {
         /// Name of the district
         #[arg(value_name = "DISTRICT")]
         zone: String,
     },
-    /// Let work into a district again
+    /// Reopen an evacuated district
     Reopen {
         /// Name of the district
         #[arg(value_name = "DISTRICT")]
         zone: String,
     },
-    /// Let a front finish its work, hand its runners over and stop
+    /// Drain a front: it finishes its work, hands over its runners and stops
     Drain {
         /// Name of the front
         front: String,
     },
-    /// Tell why a function has these runners and quotas
+    /// Explain why a function has its current runners and quotas
     Explain {
         /// Name of the function
         function: String,
     },
-    /// Show the disk machines whose majority decides, or put an empty core in the place of one
+    /// Show the voters (the cores whose majority decides) or replace one
     Voters {
         #[command(subcommand)]
         action: VotersAction,
     },
-    /// Print every daemon's counts as JSON
+    /// Print the metrics of every daemon as JSON
     Metrics,
 }
 
 #[derive(Subcommand)]
 enum VotersAction {
-    /// Show the voters, and whether each answers and votes
+    /// Show the voters, and whether each of them responds and votes
     List,
-    /// Put an empty core in the place of a voter; both by wire address
+    /// Replace a voter with an empty core; both are given by wire address
     Replace {
-        /// The voter that leaves
+        /// Voter to remove
         old: SocketAddr,
-        /// The empty core that takes its place
+        /// Empty core that replaces it
         new: SocketAddr,
     },
 }
 
 fn run(flags: Flags) -> Result<(), CliError> {
-    // Only gateways and controllers are asked without cores.
+    // `fleet` and `tenants` need no cores; all other commands return the error for an empty list.
     let cores = Cores::new(flags.cores);
     match flags.command {
         Command::Fleet {
@@ -169,15 +169,15 @@
 }
 
 fn main() -> ExitCode {
-    // SAFETY: nothing else runs yet; a reader that goes away then ends the tool quietly.
+    // SAFETY: no other thread runs yet. With the default action, a closed output pipe ends the tool without a panic.
     unsafe {
         libc::signal(libc::SIGPIPE, libc::SIG_DFL);
     }
     match run(Flags::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("hallkeel: {fault}");
-            ExitCode::from(fault.code())
+        Err(error) => {
+            eprintln!("hallkeel: {error}");
+            ExitCode::from(error.code())
         }
     }
 }
--- a/crates/hallkeel/src/show.rs
+++ b/crates/hallkeel/src/show.rs
@@ -1,34 +1,34 @@
-//! Commands that show the fleet of cores and fronts: status, explain, voters, metrics.
+//! Commands that show the state of cores and fronts: status, watch, explain, metrics and voters.
 
-use crate::cores::{ask_for_state, CliError, CoreAnswer, Cores};
+use crate::cores::{get_json, CliError, CoreResponse, Cores};
 use crate::fronts::KnownFronts;
 use oxhttp::model::Method;
 use serde_json::{json, Value};
 use std::thread;
 use std::time::Duration;
 
-/// A clock that is off by less is not worth a word, in milliseconds.
+/// Smallest clock skew that is reported, in milliseconds.
 const MAX_CLOCK_SKEW_MS: i64 = 1_000;
 
-/// Everything that the daemons tell of themselves.
+/// The responses of all daemons for one path; `None` for a daemon that doesn't respond.
 struct Fleet {
-    cores: Vec<CoreAnswer>,
+    cores: Vec<CoreResponse>,
     fronts: Vec<(String, Option<Value>)>,
 }
 
-fn look(cores: &Cores, path: &str) -> Result<Fleet, CliError> {
+fn fetch_fleet(cores: &Cores, path: &str) -> Result<Fleet, CliError> {
     let statuses = cores.statuses()?;
     let known = KnownFronts::from_statuses(&statuses);
     let fronts = known.addresses().map(|(name, address)| {
-        let reported = address.and_then(|address| ask_for_state(address, path));
-        (name.clone(), reported)
+        let response = address.and_then(|address| get_json(address, path));
+        (name.clone(), response)
     });
     Ok(Fleet {
         fronts: fronts.collect(),
         cores: if path == "/status" {
             statuses
         } else {
-            cores.ask_all(path)
+            cores.get_from_all(path)
         },
     })
 }
@@ -39,21 +39,21 @@
         .map_or_else(|| value.to_string(), str::to_string)
 }
 
-/// Shows the fleet once.
+/// Prints the status of the fleet once, as tables or as JSON.
 pub fn status(cores: &Cores, as_json: bool, with_runners: bool) -> Result<(), CliError> {
-    let fleet = look(cores, "/status")?;
+    let fleet = fetch_fleet(cores, "/status")?;
     if as_json {
         let all: Vec<Value> = fleet
             .cores
             .iter()
             .map(
-                |(address, reported)| json!({ "address": address.to_string(), "status": reported }),
+                |(address, response)| json!({ "address": address.to_string(), "status": response }),
             )
             .collect();
         let fronts: Vec<Value> = fleet
             .fronts
             .iter()
-            .map(|(name, reported)| json!({ "name": name, "status": reported }))
+            .map(|(name, response)| json!({ "name": name, "status": response }))
             .collect();
         let whole = json!({ "cores": all, "fronts": fronts });
         println!(
@@ -66,10 +66,10 @@
     let scaling = fleet
         .cores
         .iter()
-        .filter_map(|(_, reported)| reported.as_ref())
-        .find(|reported| reported["duty"]["here"] == true);
+        .filter_map(|(_, response)| response.as_ref())
+        .find(|response| response["duty"]["here"] == true);
     let Some(core) = scaling else {
-        println!("no core scales now");
+        println!("no core holds the scaling role");
         return Ok(());
     };
     show_functions(core);
@@ -85,55 +85,55 @@
         "{:<12} {:<9} {:>9} {:>7}  state",
         "daemon", "district", "blueprint", "plan"
     );
-    for (address, reported) in &fleet.cores {
-        match reported {
+    for (address, response) in &fleet.cores {
+        match response {
             None => println!("{address:<12} does not answer"),
-            Some(reported) => show_core(reported),
+            Some(response) => show_core(response),
         }
     }
-    for (name, reported) in &fleet.fronts {
-        match reported {
+    for (name, response) in &fleet.fronts {
+        match response {
             None => println!("{name:<12} does not answer"),
-            Some(reported) => show_front(name, reported),
+            Some(response) => show_front(name, response),
         }
     }
 }
 
-fn show_core(reported: &Value) {
-    let role = match reported["duty"]["here"] == true {
-        true => format!(", scales (term {})", reported["duty"]["term"]),
+fn show_core(response: &Value) {
+    let role = match response["duty"]["here"] == true {
+        true => format!(", scales (term {})", response["duty"]["term"]),
         false => String::new(),
     };
     println!(
         "{:<12} {:<9} {:>9} {:>7}  era {}, {} keys{role}",
-        text(&reported["name"]),
-        text(&reported["district"]),
-        text(&reported["blueprint"]),
-        text(&reported["plan"]),
-        reported["era"],
-        reported["keys"],
+        text(&response["name"]),
+        text(&response["district"]),
+        text(&response["blueprint"]),
+        text(&response["plan"]),
+        response["era"],
+        response["keys"],
     );
 }
 
-fn show_front(name: &str, reported: &Value) {
-    let standing = match reported["standing"] == true {
+fn show_front(name: &str, response: &Value) {
+    let standing = match response["standing"] == true {
         true => "standing",
         false => "no standing",
     };
-    let draining = match reported["draining"] == true {
+    let draining = match response["draining"] == true {
         true => ", draining",
         false => "",
     };
     println!(
         "{name:<12} {:<9} {:>9} {:>7}  {standing}{draining}, keeps {} runners",
-        text(&reported["district"]),
-        text(&reported["blueprint"]["no"]),
-        text(&reported["plan"]["no"]),
-        reported["runners"].as_array().map_or(0, Vec::len)
+        text(&response["district"]),
+        text(&response["blueprint"]["no"]),
+        text(&response["plan"]["no"]),
+        response["runners"].as_array().map_or(0, Vec::len)
     );
 }
 
-/// Daemons whose wall clocks are off, by the first core that answers.
+/// Prints the daemons whose wall clocks are skewed, as measured by the scaling core.
 fn show_clocks(core: &Value) {
     for clock in core["clocks"].as_array().into_iter().flatten() {
         let off_ms = clock["off_ms"].as_i64().unwrap_or(0);
@@ -150,17 +150,17 @@
         "function", "demand/s", "fcast/s", "cap/s", "runners", "seats", "waiting"
     );
     let functions = core["functions"].as_object().cloned().unwrap_or_default();
-    for (name, note) in &functions {
-        let number = |field: &str| note[field].as_f64().unwrap_or(0.0);
+    for (name, function_status) in &functions {
+        let number = |field: &str| function_status[field].as_f64().unwrap_or(0.0);
         println!(
             "{name:<24} {:>8.1} {:>8.1} {:>8.1} {:>7} {:>5} {:>7}  {}",
             number("demand"),
             number("forecast"),
             number("capacity"),
-            text(&note["runners"]),
-            text(&note["seats"]),
-            text(&note["waiting"]),
-            text(&note["reason"])
+            text(&function_status["runners"]),
+            text(&function_status["seats"]),
+            text(&function_status["waiting"]),
+            text(&function_status["reason"])
         );
     }
 }
@@ -186,7 +186,7 @@
     }
 }
 
-/// Shows the fleet until Ctrl-C.
+/// Clears the terminal and prints the status every `every` seconds until Ctrl-C.
 pub fn watch(cores: &Cores, every: u64) -> Result<(), CliError> {
     loop {
         print!("\x1b[2J\x1b[H");
@@ -195,15 +195,15 @@
     }
 }
 
-/// Tells why a function has what it has.
+/// Prints the measurements and the decision behind a function's runners and quotas.
 pub fn explain(cores: &Cores, function: &str) -> Result<(), CliError> {
-    let reported = cores.ask_good(Method::GET, &format!("/explain/{function}"), &[])?;
-    let note = &reported["note"];
-    let number = |field: &str| note[field].as_f64().unwrap_or(0.0);
+    let response = cores.request_ok(Method::GET, &format!("/explain/{function}"), &[])?;
+    let function_status = &response["note"];
+    let number = |field: &str| function_status[field].as_f64().unwrap_or(0.0);
     println!("function   {function}");
     println!("measured   {:.2} requests a second", number("measured"));
     println!("forecast   {:.2} requests a second", number("forecast"));
-    println!("waiting    {} tickets", note["waiting"]);
+    println!("waiting    {} requests", function_status["waiting"]);
     println!(
         "demand     {:.2} requests a second, with what waits",
         number("demand")
@@ -211,15 +211,15 @@
     println!(
         "capacity   {:.2} requests a second from {} runners with {} seats",
         number("capacity"),
-        note["runners"],
-        note["seats"]
+        function_status["runners"],
+        function_status["seats"]
     );
-    match note["pace_ms"].as_f64() {
-        Some(pace) => println!("pace       {pace:.1} ms an answer, as learnt"),
-        None => println!("pace       not learnt yet"),
+    match function_status["pace_ms"].as_f64() {
+        Some(pace) => println!("pace       {pace:.1} ms per response (learned)"),
+        None => println!("pace       not learned yet"),
     }
-    println!("decision   {}", text(&note["reason"]));
-    for runner in reported["runners"].as_array().into_iter().flatten() {
+    println!("decision   {}", text(&function_status["reason"]));
+    for runner in response["runners"].as_array().into_iter().flatten() {
         println!(
             "runner     {} on {} ({}), quota {}, keeper {} epoch {}, {}, {}",
             text(&runner["id"]),
@@ -235,26 +235,26 @@
     Ok(())
 }
 
-/// Prints every daemon's counts.
+/// Prints the metrics of every daemon as JSON.
 pub fn metrics(cores: &Cores) -> Result<(), CliError> {
-    let fleet = look(cores, "/metrics")?;
-    let core_counts = fleet
+    let fleet = fetch_fleet(cores, "/metrics")?;
+    let core_metrics = fleet
         .cores
         .into_iter()
-        .map(|(address, reported)| (address.to_string(), reported));
-    let all: serde_json::Map<String, Value> = core_counts
+        .map(|(address, response)| (address.to_string(), response));
+    let all: serde_json::Map<String, Value> = core_metrics
         .chain(fleet.fronts)
-        .map(|(name, reported)| (name, reported.unwrap_or(Value::Null)))
+        .map(|(name, response)| (name, response.unwrap_or(Value::Null)))
         .collect();
     println!("{}", serde_json::to_string_pretty(&all).unwrap_or_default());
     Ok(())
 }
 
-/// Shows the voters.
+/// Prints the voter set and whether each voter responds and votes.
 pub fn voters(cores: &Cores) -> Result<(), CliError> {
-    let reported = cores.ask_good(Method::GET, "/voters", &[])?;
-    println!("era {}, set {}", reported["era"], reported["no"]);
-    for voter in reported["voters"].as_array().into_iter().flatten() {
+    let response = cores.request_ok(Method::GET, "/voters", &[])?;
+    println!("era {}, set {}", response["era"], response["no"]);
+    for voter in response["voters"].as_array().into_iter().flatten() {
         let state = match (voter["answers"].as_bool(), voter["votes"].as_bool()) {
             (Some(true), Some(true)) => "votes",
             (Some(true), _) => "answers, but does not vote",
--- a/crates/hallkeel/src/tenants.rs
+++ b/crates/hallkeel/src/tenants.rs
@@ -1,58 +1,64 @@
-//! The command that shows what each tenant has sent, over all gateways. Keys are told by their number alone.
+//! The `tenants` command: usage of each tenant, summed over all gateways. Of API keys, only the number is shown.
 
 use crate::cores::CliError;
-use crate::wire::ask;
+use crate::wire::request;
 use protocol::{Message, TenantUsage};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Shows the tenants as gateways tell of them at their wire addresses.
+/// Requests the tenant usage from gateways at their wire addresses and prints the sums.
 pub fn show(gateways: &[SocketAddr], is_json: bool) -> Result<(), CliError> {
     if gateways.is_empty() {
         let text = "name at least one gateway's wire address".to_string();
         return Err(CliError::Input(text));
     }
     let mut tenants: BTreeMap<String, TenantUsage> = BTreeMap::new();
-    let mut answers = 0;
+    let mut response_count = 0;
     for address in gateways {
-        match ask(address, &Message::RequestTenantUsage) {
+        match request(address, &Message::RequestTenantUsage) {
             Ok(Message::TenantUsage(usage)) => {
-                answers += 1;
-                usage.into_iter().for_each(|one| add(&mut tenants, one));
+                response_count += 1;
+                usage
+                    .into_iter()
+                    .for_each(|tenant_usage| add(&mut tenants, tenant_usage));
             }
-            Ok(_) => eprintln!("{address}: it answers something else"),
+            Ok(_) => eprintln!("{address}: unexpected response"),
             Err(reason) => eprintln!("{address}: {reason}"),
         }
     }
-    if answers == 0 {
-        return Err(CliError::Unreached("no gateway answered".to_string()));
+    if response_count == 0 {
+        return Err(CliError::Unreachable("no gateway responded".to_string()));
     }
     print(&tenants, is_json);
     Ok(())
 }
 
-/// Adds what one gateway tells of a tenant. Gateways that differ in the number of keys have different configurations; the most is shown.
+/// Adds a tenant's usage at one gateway. The number of keys differs only between gateways with different configurations;
+/// the largest is shown.
 fn add(tenants: &mut BTreeMap<String, TenantUsage>, usage: TenantUsage) {
-    let known = tenants.entry(usage.tenant.clone());
-    let known = known.or_insert_with(|| TenantUsage {
+    let total_usage = tenants.entry(usage.tenant.clone());
+    let total_usage = total_usage.or_insert_with(|| TenantUsage {
         tenant: usage.tenant.clone(),
         ..TenantUsage::default()
     });
-    known.keys = known.keys.max(usage.keys);
-    known.requests += usage.requests;
-    known.rejected += usage.rejected;
+    total_usage.keys = total_usage.keys.max(usage.keys);
+    total_usage.requests += usage.requests;
+    total_usage.rejected += usage.rejected;
 }
 
 fn print(tenants: &BTreeMap<String, TenantUsage>, is_json: bool) {
-    let total: u64 = tenants.values().map(|one| one.requests).sum();
-    let share = |one: &TenantUsage| one.requests as f64 / total.max(1) as f64;
+    let total: u64 = tenants
+        .values()
+        .map(|tenant_usage| tenant_usage.requests)
+        .sum();
+    let share = |tenant_usage: &TenantUsage| tenant_usage.requests as f64 / total.max(1) as f64;
     if is_json {
         let list: Vec<_> = tenants
             .values()
-            .map(|one| {
-                json!({ "tenant": one.tenant, "keys": one.keys, "requests": one.requests,
-                        "rejected": one.rejected, "share": share(one) })
+            .map(|tenant_usage| {
+                json!({ "tenant": tenant_usage.tenant, "keys": tenant_usage.keys, "requests": tenant_usage.requests,
+                        "rejected": tenant_usage.rejected, "share": share(tenant_usage) })
             })
             .collect();
         println!("{}", json!(list));
@@ -62,14 +68,14 @@
         "{:<32} {:>6} {:>12} {:>12} {:>7}",
         "tenant", "keys", "requests", "rejected", "share"
     );
-    for one in tenants.values() {
+    for tenant_usage in tenants.values() {
         println!(
             "{:<32} {:>6} {:>12} {:>12} {:>6.1}%",
-            one.tenant,
-            one.keys,
-            one.requests,
-            one.rejected,
-            share(one) * 100.0
+            tenant_usage.tenant,
+            tenant_usage.keys,
+            tenant_usage.requests,
+            tenant_usage.rejected,
+            share(tenant_usage) * 100.0
         );
     }
 }
--- a/crates/hallkeel/tests/newly_started_core.rs
+++ b/crates/hallkeel/tests/newly_started_core.rs
@@ -1,4 +1,4 @@
-//! The operator's tool beside a core that has just started: it answers and has not heard any front yet.
+//! The tool with several cores, of which one has just started: it responds but has not heard from any front yet.
 
 use oxhttp::model::{Body, Method, Request, Response};
 use serde_json::{json, Value};
@@ -10,7 +10,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves HTTP on a free port of loopback. A port that something else takes first is passed over.
+/// Serves HTTP on a free loopback port. If another process takes the port first, another one is tried.
 fn serve(
     handle: impl Fn(&mut Request<Body>) -> Response<Body> + Send + Sync + 'static,
 ) -> SocketAddr {
@@ -29,8 +29,8 @@
     listener.local_addr().expect("an address")
 }
 
-/// A stand-in core whose status names these fronts.
-fn core_that_knows(fronts: Vec<Value>) -> SocketAddr {
+/// Starts a fake core whose status lists these fronts.
+fn fake_core(fronts: Vec<Value>) -> SocketAddr {
     serve(move |_| {
         let status =
             json!({ "name": "core", "district": "a", "fronts": fronts, "duty": { "here": true } });
@@ -38,8 +38,8 @@
     })
 }
 
-/// A stand-in front, and how often it was told to drain.
-fn front() -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts a fake front; returns its address and the number of drain requests it has received.
+fn fake_front() -> (SocketAddr, Arc<AtomicUsize>) {
     let drains = Arc::new(AtomicUsize::new(0));
     let counted = drains.clone();
     let address = serve(move |request| {
@@ -52,7 +52,7 @@
     (address, drains)
 }
 
-fn report_of(name: &str, address: SocketAddr, heard_ms_ago: u64) -> Value {
+fn front_entry(name: &str, address: SocketAddr, heard_ms_ago: u64) -> Value {
     json!({ "name": name, "http": address.to_string(), "heard_ms_ago": heard_ms_ago })
 }
 
@@ -70,11 +70,11 @@
 }
 
 #[test]
-fn a_front_that_another_core_hears_is_drained() {
-    let (front, drains) = front();
+fn a_front_that_only_another_core_hears_from_is_drained() {
+    let (front, drains) = fake_front();
     let cores = [
-        core_that_knows(vec![]),
-        core_that_knows(vec![report_of("front-2", front, 10)]),
+        fake_core(vec![]),
+        fake_core(vec![front_entry("front-2", front, 10)]),
     ];
     let output = hallkeel(&cores, &["drain", "front-2"]);
     assert!(output.status.success(), "{}", text_of(&output));
@@ -82,11 +82,11 @@
 }
 
 #[test]
-fn a_front_that_another_core_hears_is_shown() {
-    let (front, _) = front();
+fn a_front_that_only_another_core_hears_from_is_shown() {
+    let (front, _) = fake_front();
     let cores = [
-        core_that_knows(vec![]),
-        core_that_knows(vec![report_of("front-2", front, 10)]),
+        fake_core(vec![]),
+        fake_core(vec![front_entry("front-2", front, 10)]),
     ];
     let output = hallkeel(&cores, &["status"]);
     let text = text_of(&output);
@@ -95,18 +95,18 @@
 }
 
 #[test]
-fn a_front_is_drained_where_it_was_heard_last() {
-    let (former, former_drains) = front();
-    let (front, drains) = front();
+fn a_front_is_drained_at_its_most_recently_heard_address() {
+    let (old_front, old_drains) = fake_front();
+    let (front, drains) = fake_front();
     let cores = [
-        core_that_knows(vec![report_of("front-2", former, 9_000)]),
-        core_that_knows(vec![report_of("front-2", front, 10)]),
+        fake_core(vec![front_entry("front-2", old_front, 9_000)]),
+        fake_core(vec![front_entry("front-2", front, 10)]),
     ];
     let output = hallkeel(&cores, &["drain", "front-2"]);
     assert!(output.status.success(), "{}", text_of(&output));
     assert_eq!(
         (
-            former_drains.load(Ordering::SeqCst),
+            old_drains.load(Ordering::SeqCst),
             drains.load(Ordering::SeqCst)
         ),
         (0, 1)
@@ -114,14 +114,14 @@
 }
 
 #[test]
-fn a_front_that_no_core_hears_is_refused() {
-    let cores = [core_that_knows(vec![]), core_that_knows(vec![])];
+fn draining_a_front_that_no_core_hears_from_is_an_input_error() {
+    let cores = [fake_core(vec![]), fake_core(vec![])];
     let output = hallkeel(&cores, &["drain", "front-2"]);
     assert_eq!(output.status.code(), Some(2), "{}", text_of(&output));
 }
 
 #[test]
-fn a_fleet_whose_cores_do_not_answer_is_unreached() {
+fn commands_fail_as_unreachable_if_no_core_responds() {
     for arguments in [["drain", "front-2"].as_slice(), &["status"], &["metrics"]] {
         let output = hallkeel(&[free_address()], arguments);
         assert_eq!(output.status.code(), Some(3), "{}", text_of(&output));
