--- a/tests/experiment/src/comparison.rs
+++ b/tests/experiment/src/comparison.rs
@@ -59,7 +59,7 @@
 impl MetricChange {
     /// Whether the metric differs on any day.
     #[must_use]
-    pub fn has_changed(&self) -> bool {
+    pub fn differs(&self) -> bool {
         let mut differences = self.differences.iter();
         differences.any(|difference| difference.abs() >= UNCHANGED_BELOW)
     }
--- a/tests/experiment/src/plot.rs
+++ b/tests/experiment/src/plot.rs
@@ -22,17 +22,14 @@
 ///
 /// The file cannot be written.
 pub fn draw(path: &Path, title: &str, changes: &[MetricChange]) -> Result<(), ExperimentError> {
-    let changed: Vec<&MetricChange> = changes
-        .iter()
-        .filter(|change| change.has_changed())
-        .collect();
+    let shown: Vec<&MetricChange> = changes.iter().filter(|change| change.differs()).collect();
     let failed = |error: &dyn std::fmt::Display| ExperimentError::Plot(error.to_string());
-    let height = FRAME_HEIGHT + ROW_HEIGHT * changed.len() as u32;
+    let height = FRAME_HEIGHT + ROW_HEIGHT * shown.len() as u32;
     let area = SVGBackend::new(path, (WIDTH, height)).into_drawing_area();
     area.fill(&WHITE).map_err(|error| failed(&error))?;
-    let differences = changed.iter().flat_map(|change| &change.differences);
+    let differences = shown.iter().flat_map(|change| &change.differences);
     let range = differences.fold(MIN_RANGE, |range, difference| range.max(difference.abs())) * 1.1;
-    let rows = changed.len().max(1) as f64;
+    let rows = shown.len().max(1) as f64;
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 18))
         .margin(10)
@@ -43,17 +40,17 @@
     let name = |row: &f64| {
         let index = rows - row - 0.5;
         let is_middle = index >= 0.0 && index.fract().abs() < 0.01;
-        let metric = changed.get(index as usize).filter(|_| is_middle);
+        let metric = shown.get(index as usize).filter(|_| is_middle);
         metric.map_or_else(String::new, |change| change.metric.clone())
     };
     chart
         .configure_mesh()
-        .y_labels(2 * changed.len() + 1)
+        .y_labels(2 * shown.len() + 1)
         .y_label_formatter(&name)
         .disable_y_mesh()
         .draw()
         .map_err(|error| failed(&error))?;
-    for (index, change) in changed.iter().enumerate() {
+    for (index, change) in shown.iter().enumerate() {
         let row = rows - index as f64 - 0.5;
         let points = change.differences.iter();
         let points = points.map(|difference| Circle::new((*difference, row), 3, BLUE.filled()));
--- a/tests/experiment/src/table.rs
+++ b/tests/experiment/src/table.rs
@@ -11,7 +11,7 @@
     let mut text = String::from(
         "| metric | base | change | median difference | least | greatest | pairs | beyond noise |\n|---|---|---|---|---|---|---|---|\n",
     );
-    for change in changes.iter().filter(|change| change.has_changed()) {
+    for change in changes.iter().filter(|change| change.differs()) {
         let summary = change.summary;
         let verdict = if summary.is_significant() {
             "yes"
