--- a/tests/lab/src/failing_platform.rs
+++ b/tests/lab/src/failing_platform.rs
@@ -3,7 +3,7 @@
 use crate::member::Member;
 use std::collections::BTreeSet;
 
-/// The platform is in fault for twelve seconds.
+/// Injects a platform fault for twelve seconds; no warm runner may be stopped because of it.
 pub fn platform(context: &mut ScenarioContext, injected_fault: &str) -> Result<(), LabError> {
     context.fails();
     inject_fault(context, injected_fault, 12);
@@ -28,7 +28,7 @@
     Ok(())
 }
 
-/// Workers crash while the platform's lists go on naming what ran there.
+/// A worker crashes while the platform keeps listing the runners that ran on it.
 pub fn ghosts(context: &mut ScenarioContext) -> Result<(), LabError> {
     inject_fault(context, "ghosts", 20);
     context.until(3.0);
@@ -41,7 +41,7 @@
     Ok(())
 }
 
-/// The platform stands still, as a process, while everyone arrives at once.
+/// The platform process is stopped for twenty seconds during a burst of arrivals.
 pub fn platform_down(context: &mut ScenarioContext) -> Result<(), LabError> {
     context.fails();
     context.fleet.platform.signal(libc::SIGSTOP);
@@ -57,11 +57,11 @@
     let reported = context.post(&uri, Vec::new());
     context.expect(
         reported == Some(200),
-        "the platform did not take the trouble",
+        "the platform did not accept the fault",
     );
 }
 
-/// Runners that their owners call warm.
+/// Ids of the runners that their owners report as warm.
 fn warm_runners(context: &ScenarioContext) -> BTreeSet<String> {
     let runners = context.fleet.fronts.iter().flat_map(Member::runners);
     runners
--- a/tests/lab/src/relay.rs
+++ b/tests/lab/src/relay.rs
@@ -7,22 +7,22 @@
 use std::thread;
 use transport::{decode, encode, Envelope};
 
-/// Pairs (from, to) of daemons between which nothing passes.
+/// Pairs (from, to) of daemons whose messages in this direction are dropped.
 type Cuts = Arc<Mutex<HashSet<(String, String)>>>;
 
-/// Relays between the daemons, by which the lab cuts links. The daemons know nothing of it.
+/// TCP relays in front of the daemons, through which the lab cuts links. The daemons are not aware of them.
 pub struct Relays {
     cuts: Cuts,
     names: Vec<String>,
 }
 
 impl Relays {
-    /// Opens a relay before each daemon.
-    pub fn open(base: u16, names: &[String]) -> io::Result<Self> {
+    /// Opens a relay in front of each daemon.
+    pub fn open(base_port: u16, names: &[String]) -> io::Result<Self> {
         let cuts = Cuts::default();
         for name in names {
-            let listener = TcpListener::bind(reached_at(base, name, true))?;
-            let (target, to, cuts) = (wire_port(base, name), name.clone(), cuts.clone());
+            let listener = TcpListener::bind(reached_at(base_port, name, true))?;
+            let (target, to, cuts) = (wire_port(base_port, name), name.clone(), cuts.clone());
             thread::spawn(move || {
                 for stream in listener.incoming().flatten() {
                     let (to, cuts) = (to.clone(), cuts.clone());
@@ -36,12 +36,12 @@
         })
     }
 
-    /// Cuts one direction.
+    /// Drops the messages of one direction.
     pub fn cut_one_way(&self, from: &str, to: &str) {
         self.cuts.lock().insert((from.into(), to.into()));
     }
 
-    /// Cuts a daemon off from all others.
+    /// Cuts both directions between a daemon and all others.
     pub fn cut_off(&self, name: &str) {
         for other in &self.names {
             self.cut_one_way(name, other);
@@ -49,54 +49,56 @@
         }
     }
 
-    /// Heals all cuts.
+    /// Removes all cuts.
     pub fn heal(&self) {
         self.cuts.lock().clear();
     }
 }
 
-fn pass(
+fn forward(
     from: &mut impl io::Read,
-    into: &mut TcpStream,
+    writer: &mut TcpStream,
     cuts: &Cuts,
-    ends: impl Fn(&Envelope) -> (String, String),
+    endpoints: impl Fn(&Envelope) -> (String, String),
 ) {
     while let Ok(envelope) = decode(from) {
-        if cuts.lock().contains(&ends(&envelope)) {
+        if cuts.lock().contains(&endpoints(&envelope)) {
             continue;
         }
-        let written = encode(&envelope).map(|frame| into.write_all(&frame));
+        let written = encode(&envelope).map(|frame| writer.write_all(&frame));
         if !matches!(written, Some(Ok(()))) {
             return;
         }
     }
 }
 
-// The caller's name is in each of its messages; answers go back to whoever called.
+// The caller is identified by the sender of its messages; responses on the connection are addressed to it.
 fn relay(stream: TcpStream, target: SocketAddr, to: &str, cuts: &Cuts) {
-    let Ok(onward) = TcpStream::connect(target) else {
+    let Ok(upstream) = TcpStream::connect(target) else {
         return;
     };
-    let _ = (stream.set_nodelay(true), onward.set_nodelay(true));
-    let (Ok(mut caller), Ok(mut back)) = (stream.try_clone(), onward.try_clone()) else {
+    let _ = (stream.set_nodelay(true), upstream.set_nodelay(true));
+    let (Ok(mut caller), Ok(mut upstream_reader)) = (stream.try_clone(), upstream.try_clone())
+    else {
         return;
     };
     let caller_name = Arc::new(Mutex::new(String::new()));
-    let (known, own, cuts_back) = (caller_name.clone(), to.to_string(), cuts.clone());
-    let mut answers_into = caller.try_clone().ok();
-    let answers = thread::spawn(move || {
-        if let Some(into) = answers_into.as_mut() {
-            pass(&mut back, into, &cuts_back, |_| {
-                (own.clone(), known.lock().clone())
+    let (destination_name, target_name, cuts_back) =
+        (caller_name.clone(), to.to_string(), cuts.clone());
+    let mut response_writer = caller.try_clone().ok();
+    let response_thread = thread::spawn(move || {
+        if let Some(writer) = response_writer.as_mut() {
+            forward(&mut upstream_reader, writer, &cuts_back, |_| {
+                (target_name.clone(), destination_name.lock().clone())
             });
         }
         let _ = stream.shutdown(Shutdown::Both);
     });
-    let mut into = onward;
-    pass(&mut caller, &mut into, cuts, |envelope| {
+    let mut writer = upstream;
+    forward(&mut caller, &mut writer, cuts, |envelope| {
         *caller_name.lock() = envelope.from.name.clone();
         (envelope.from.name.clone(), to.to_string())
     });
-    let _ = into.shutdown(Shutdown::Both);
-    let _ = answers.join();
+    let _ = writer.shutdown(Shutdown::Both);
+    let _ = response_thread.join();
 }
--- a/tests/lab/src/scenario.rs
+++ b/tests/lab/src/scenario.rs
@@ -95,10 +95,10 @@
     let seen = watch.end();
     context.note(format!(
         "{} answers on versions, {} rises",
-        seen.asked, seen.rises
+        seen.polls, seen.increases
     ));
-    context.expect(seen.asked > 0, "no daemon told its versions");
-    context.broken.extend(seen.slips);
+    context.expect(seen.polls > 0, "no daemon told its versions");
+    context.broken.extend(seen.decreases);
     let folder = dir.join("ledgers");
     let runs = run_log::read_all(&folder).map_err(|error| LabError::Fleet(error.to_string()))?;
     let workers = workers_of_runners(&folder)?;
--- a/tests/lab/src/watch.rs
+++ b/tests/lab/src/watch.rs
@@ -6,23 +6,23 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// What a daemon tells of its versions, by epoch and number.
+/// Versions of the configuration and the plan that a daemon reports, each as epoch and number.
 type ReportedVersions = ((u64, u64), (u64, u64));
 
-/// Asks every daemon again and again which versions it holds, and notes each that goes back. A
-/// daemon that was started again tells nothing before it has read at a majority; what it tells then
-/// counts against what it reported before.
+/// Polls the versions that every daemon holds and records each one that decreases. A restarted daemon
+/// reports no version until it has read from a majority; after that, its versions are compared with
+/// those from before the restart.
 pub struct Watch {
-    is_over: Arc<AtomicBool>,
-    watching: JoinHandle<Seen>,
+    stop_requested: Arc<AtomicBool>,
+    thread_handle: JoinHandle<WatchResults>,
 }
 
-/// What a watch has seen.
+/// Results of a watch.
 #[derive(Default)]
-pub struct Seen {
-    pub asked: usize,
-    pub rises: usize,
-    pub slips: Vec<String>,
+pub struct WatchResults {
+    pub polls: usize,
+    pub increases: usize,
+    pub decreases: Vec<String>,
 }
 
 fn version(reported: &serde_json::Value) -> (u64, u64) {
@@ -30,10 +30,10 @@
     (field("era"), field("no"))
 }
 
-fn versions_reported_by(http: SocketAddr) -> Option<ReportedVersions> {
-    let member = Member::asked_at(http);
+fn request_versions(http: SocketAddr) -> Option<ReportedVersions> {
+    let member = Member::at_address(http);
     let status = member.get_json("/status")?;
-    // Cores tell versions with their epochs apart from the numbers that operators read.
+    // Cores report versions with epochs under `held`, apart from the plain numbers meant for operators.
     let held = if status["held"].is_object() {
         &status["held"]
     } else {
@@ -44,47 +44,53 @@
 }
 
 impl Watch {
-    /// Begins to watch daemons at these addresses.
+    /// Starts polling the daemons, given by name and address, in a thread.
     pub fn begin(daemons: Vec<(String, SocketAddr)>) -> Self {
-        let is_over = Arc::new(AtomicBool::new(false));
-        let over = is_over.clone();
-        let watching = thread::spawn(move || {
-            let mut seen = Seen::default();
+        let stop_requested = Arc::new(AtomicBool::new(false));
+        let stop_flag = stop_requested.clone();
+        let thread_handle = thread::spawn(move || {
+            let mut results = WatchResults::default();
             let mut newest: BTreeMap<String, ReportedVersions> = BTreeMap::new();
-            while !over.load(Ordering::SeqCst) {
+            while !stop_flag.load(Ordering::SeqCst) {
                 for (name, http) in &daemons {
-                    if let Some(reported) = versions_reported_by(*http) {
-                        seen.take(name, reported, &mut newest);
+                    if let Some(reported) = request_versions(*http) {
+                        results.record(name, reported, &mut newest);
                     }
                 }
                 thread::sleep(Duration::from_millis(100));
             }
-            seen
+            results
         });
-        Self { is_over, watching }
+        Self {
+            stop_requested,
+            thread_handle,
+        }
     }
 
-    /// Ends the watch and gives what it has seen.
-    pub fn end(self) -> Seen {
-        self.is_over.store(true, Ordering::SeqCst);
-        self.watching.join().unwrap_or_default()
+    /// Stops polling and returns the results.
+    pub fn end(self) -> WatchResults {
+        self.stop_requested.store(true, Ordering::SeqCst);
+        self.thread_handle.join().unwrap_or_default()
     }
 }
 
-impl Seen {
-    fn take(
+impl WatchResults {
+    fn record(
         &mut self,
         name: &str,
         reported: ReportedVersions,
         newest: &mut BTreeMap<String, ReportedVersions>,
     ) {
-        self.asked += 1;
-        let known = newest.entry(name.to_string()).or_insert(reported);
-        if reported.0 < known.0 || (reported.1 < known.1 && reported.1 .1 > 0) {
-            let text = format!("{name} slips back from {known:?} to {reported:?}");
-            self.slips.push(text);
+        self.polls += 1;
+        let newest_known = newest.entry(name.to_string()).or_insert(reported);
+        if reported.0 < newest_known.0 || (reported.1 < newest_known.1 && reported.1 .1 > 0) {
+            let text = format!("{name}: version decreased from {newest_known:?} to {reported:?}");
+            self.decreases.push(text);
         }
-        self.rises += usize::from(reported.0 > known.0 || reported.1 > known.1);
-        *known = (reported.0.max(known.0), reported.1.max(known.1));
+        self.increases += usize::from(reported.0 > newest_known.0 || reported.1 > newest_known.1);
+        *newest_known = (
+            reported.0.max(newest_known.0),
+            reported.1.max(newest_known.1),
+        );
     }
 }
