--- a/tests/lab/src/keeping_on.rs
+++ b/tests/lab/src/keep_alive_callers.rs
@@ -6,89 +6,95 @@
 use std::time::Duration;
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Callers for each front.
+/// Number of callers for each front.
 const CALLERS_EACH: usize = 2;
 
 #[derive(Default)]
 struct Counts {
-    asked: AtomicUsize,
-    kept: AtomicUsize,
-    cut: AtomicUsize,
+    requests: AtomicUsize,
+    reused: AtomicUsize,
+    aborted: AtomicUsize,
 }
 
-/// Callers that ask on and on over one connection, as long as the front keeps it.
-pub struct KeepingOn {
-    is_over: Arc<AtomicBool>,
+/// Callers that send one request after another over a connection for as long as the front keeps it open.
+pub struct KeepAliveCallers {
+    stop_requested: Arc<AtomicBool>,
     counts: Arc<Counts>,
     callers: Vec<JoinHandle<()>>,
 }
 
-impl KeepingOn {
-    /// Begins to ask a function at each front.
-    pub fn begin(fronts: Vec<SocketAddr>, function: &str, kind: &str) -> Self {
-        let is_over = Arc::new(AtomicBool::new(false));
+impl KeepAliveCallers {
+    /// Starts threads that call a function at each front.
+    pub fn start(fronts: Vec<SocketAddr>, function: &str, kind: &str) -> Self {
+        let stop_requested = Arc::new(AtomicBool::new(false));
         let counts = Arc::new(Counts::default());
-        let places = (0..fronts.len()).flat_map(|place| [place; CALLERS_EACH]);
-        let callers = places.map(|place| {
-            let (is_over, counts, fronts) = (is_over.clone(), counts.clone(), fronts.clone());
-            let ask = format!(
+        let indexes = (0..fronts.len()).flat_map(|index| [index; CALLERS_EACH]);
+        let callers = indexes.map(|index| {
+            let (stop_requested, counts, fronts) =
+                (stop_requested.clone(), counts.clone(), fronts.clone());
+            let request = format!(
                 "POST /call/{function} HTTP/1.1\r\nhost: x\r\nhallkeel-kind: {kind}\r\n\
                  content-type: application/json\r\ncontent-length: 2\r\n\r\n{{}}"
             );
             thread::spawn(move || {
-                let mut place = place;
-                while !is_over.load(Ordering::SeqCst) {
-                    ask_on(fronts[place % fronts.len()], &ask, &is_over, &counts);
-                    place += 1;
+                let mut index = index;
+                while !stop_requested.load(Ordering::SeqCst) {
+                    call_repeatedly(
+                        fronts[index % fronts.len()],
+                        &request,
+                        &stop_requested,
+                        &counts,
+                    );
+                    index += 1;
                     thread::sleep(Duration::from_millis(20));
                 }
             })
         });
         let callers = callers.collect();
         Self {
-            is_over,
+            stop_requested,
             counts,
             callers,
         }
     }
 
-    /// Ends the callers, and gives how often they asked, how often on a connection that was used
-    /// before, and how often they were cut off after they had asked.
-    pub fn end(self) -> (usize, usize, usize) {
-        self.is_over.store(true, Ordering::SeqCst);
+    /// Stops the callers. Returns the number of requests, of requests on a reused connection, and of
+    /// requests that failed on an open connection.
+    pub fn stop(self) -> (usize, usize, usize) {
+        self.stop_requested.store(true, Ordering::SeqCst);
         for caller in self.callers {
             let _ = caller.join();
         }
-        let reported = |count: &AtomicUsize| count.load(Ordering::SeqCst);
+        let load = |count: &AtomicUsize| count.load(Ordering::SeqCst);
         let counts = &self.counts;
         (
-            reported(&counts.asked),
-            reported(&counts.kept),
-            reported(&counts.cut),
+            load(&counts.requests),
+            load(&counts.reused),
+            load(&counts.aborted),
         )
     }
 }
 
-fn ask_on(front: SocketAddr, ask: &str, is_over: &AtomicBool, counts: &Counts) {
+fn call_repeatedly(front: SocketAddr, request: &str, stop_requested: &AtomicBool, counts: &Counts) {
     let Ok(mut stream) = TcpStream::connect_timeout(&front, Duration::from_secs(2)) else {
         return;
     };
     let _ = stream.set_read_timeout(Some(TIMEOUT));
-    let mut is_kept = false;
-    while !is_over.load(Ordering::SeqCst) {
-        counts.asked.fetch_add(1, Ordering::SeqCst);
+    let mut is_reused = false;
+    while !stop_requested.load(Ordering::SeqCst) {
+        counts.requests.fetch_add(1, Ordering::SeqCst);
         counts
-            .kept
-            .fetch_add(usize::from(is_kept), Ordering::SeqCst);
-        let answered = stream
-            .write_all(ask.as_bytes())
-            .and_then(|()| read(&mut stream));
-        match answered {
+            .reused
+            .fetch_add(usize::from(is_reused), Ordering::SeqCst);
+        let result = stream
+            .write_all(request.as_bytes())
+            .and_then(|()| read_response(&mut stream));
+        match result {
             Err(_) => {
-                counts.cut.fetch_add(1, Ordering::SeqCst);
+                counts.aborted.fetch_add(1, Ordering::SeqCst);
                 return;
             }
-            Ok(()) => is_kept = true,
+            Ok(()) => is_reused = true,
         }
         thread::sleep(Duration::from_millis(50));
         if is_closed(&stream) {
@@ -97,8 +103,8 @@
     }
 }
 
-/// Whether the front has closed the connection since its last answer, as callers look before they use
-/// one again.
+/// Whether the front has closed the connection since its last response. Callers check this before they
+/// reuse a connection.
 fn is_closed(stream: &TcpStream) -> bool {
     let _ = stream.set_nonblocking(true);
     let peeked = stream.peek(&mut [0]);
@@ -106,16 +112,16 @@
     matches!(peeked, Ok(0)) || peeked.is_err_and(|error| error.kind() != io::ErrorKind::WouldBlock)
 }
 
-/// Reads one whole answer.
-fn read(stream: &mut TcpStream) -> io::Result<()> {
+/// Reads one complete response.
+fn read_response(stream: &mut TcpStream) -> io::Result<()> {
     let mut bytes = Vec::new();
-    let mut part = [0; 4096];
+    let mut chunk = [0; 4096];
     loop {
-        let count = stream.read(&mut part)?;
+        let count = stream.read(&mut chunk)?;
         if count == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        bytes.extend_from_slice(&part[..count]);
+        bytes.extend_from_slice(&chunk[..count]);
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut response = httparse::Response::new(&mut headers);
         let parsed = response.parse(&bytes).map_err(io::Error::other)?;
--- a/tests/lab/src/main.rs
+++ b/tests/lab/src/main.rs
@@ -16,7 +16,7 @@
 mod interface;
 mod interface_operators;
 mod judge;
-mod keeping_on;
+mod keep_alive_callers;
 mod load;
 mod member;
 mod operating;
--- a/tests/lab/src/planned.rs
+++ b/tests/lab/src/planned.rs
@@ -2,7 +2,7 @@
 use crate::deployment::LabError;
 use crate::failing_disks::put_figures;
 use crate::judge;
-use crate::keeping_on::KeepingOn;
+use crate::keep_alive_callers::KeepAliveCallers;
 use crate::operating::set_state;
 use crate::run_log::unix_now_ms;
 use serde_json::Value;
@@ -31,7 +31,7 @@
         .collect();
     let group = context.deployment.groups[0].clone();
     let kind = group.kinds.last().cloned().unwrap_or_default();
-    let keeping_on = KeepingOn::begin(fronts, &format!("{}-000", group.prefix), &kind);
+    let callers = KeepAliveCallers::start(fronts, &format!("{}-000", group.prefix), &kind);
     context.fails();
     let dir = context.fleet.dir.clone();
     let began = Instant::now();
@@ -59,7 +59,7 @@
     ));
     context.closes();
     context.until(50.0);
-    let (asked, kept, cut) = keeping_on.end();
+    let (asked, kept, cut) = callers.stop();
     context.note(format!(
         "{asked} asks of callers that keep their connections, {kept} on one used before, {cut} cut"
     ));
--- a/tests/lab/src/scenario.rs
+++ b/tests/lab/src/scenario.rs
@@ -13,7 +13,7 @@
 use std::path::Path;
 use std::thread;
 
-/// Lists all scenarios.
+/// Prints the names and descriptions of all scenarios.
 pub fn list() -> Result<(), LabError> {
     for scenario in all() {
         println!("{:<22} {}", scenario.name, scenario.about);
@@ -21,23 +21,23 @@
     Ok(())
 }
 
-/// Runs one scenario under traffic and judges it.
+/// Runs one scenario under traffic and checks the results.
 pub fn run(name: &str, file: &Path, dir: &Path, report: Option<&Path>) -> Result<(), LabError> {
     let scenarios = all();
-    let Some(scenario) = scenarios.iter().find(|known| known.name == name) else {
+    let Some(scenario) = scenarios.iter().find(|candidate| candidate.name == name) else {
         let text = format!("there is no scenario {name:?}; `scenario` alone lists them");
         return Err(LabError::Input(text));
     };
-    let part = Part {
+    let setup = ScenarioSetup {
         name: scenario.name.to_string(),
         needs: scenario.needs,
         with_crowd: scenario.with_crowd,
         seconds: scenario.seconds,
     };
-    perform(&part, file, dir, report, 1, scenario.act)
+    run_scenario(&setup, file, dir, report, 1, scenario.act)
 }
 
-/// Runs every scenario so many times, one after the other, and goes on after one that is broken.
+/// Runs all scenarios `repeat` times, one after the other; a failed scenario doesn't stop the others.
 pub fn run_all(
     file: &Path,
     dir: &Path,
@@ -49,7 +49,7 @@
         for scenario in all() {
             match run(scenario.name, file, dir, report) {
                 Err(LabError::Input(text)) => return Err(LabError::Input(text)),
-                Err(fault) => broken.push(format!("{} {}: {fault}", scenario.name, round + 1)),
+                Err(error) => broken.push(format!("{} {}: {error}", scenario.name, round + 1)),
                 Ok(()) => {}
             }
         }
@@ -60,17 +60,17 @@
     Err(LabError::Broken(broken.join("; ")))
 }
 
-/// What a failure is brought about under.
-pub struct Part {
+/// Fleet and traffic that a scenario runs with.
+pub struct ScenarioSetup {
     pub name: String,
     pub needs: Needs,
     pub with_crowd: bool,
     pub seconds: u64,
 }
 
-/// Brings a fleet up, acts on it under traffic, and judges.
-pub fn perform(
-    part: &Part,
+/// Starts a fleet, runs `act` on it under traffic, and checks the results.
+pub fn run_scenario(
+    setup: &ScenarioSetup,
     file: &Path,
     dir: &Path,
     report: Option<&Path>,
@@ -78,10 +78,10 @@
     act: impl FnOnce(&mut ScenarioContext) -> Result<(), LabError>,
 ) -> Result<(), LabError> {
     let deployment = Deployment::read(file)?;
-    let ready = make_ready(&deployment, file, dir, part.needs)?;
+    let ready = make_ready(&deployment, file, dir, setup.needs)?;
     let fronts: Vec<SocketAddr> = ready.fleet.fronts.iter().map(|front| front.http).collect();
     let mut context = ScenarioContext::new(ready.fleet, deployment.clone());
-    let (seconds, with_crowd) = (part.seconds, part.with_crowd);
+    let (seconds, with_crowd) = (setup.seconds, setup.with_crowd);
     let daemons = context.fleet.daemons();
     let daemons = daemons.map(|daemon| (daemon.name.clone(), daemon.http));
     let watch = Watch::begin(daemons.collect());
@@ -89,16 +89,16 @@
         let deployment = deployment.clone();
         thread::spawn(move || callers::send(&deployment, &fronts, seconds, with_crowd, seed))
     };
-    let acted = act(&mut context);
+    let act_result = act(&mut context);
     let planned_calls = traffic.join().unwrap_or_default();
-    acted?;
-    let seen = watch.end();
+    act_result?;
+    let watch_results = watch.end();
     context.note(format!(
         "{} answers on versions, {} rises",
-        seen.polls, seen.increases
+        watch_results.polls, watch_results.increases
     ));
-    context.expect(seen.polls > 0, "no daemon told its versions");
-    context.broken.extend(seen.decreases);
+    context.expect(watch_results.polls > 0, "no daemon told its versions");
+    context.broken.extend(watch_results.decreases);
     let folder = dir.join("ledgers");
     let runs = run_log::read_all(&folder).map_err(|error| LabError::Fleet(error.to_string()))?;
     let workers = workers_of_runners(&folder)?;
@@ -116,17 +116,17 @@
     for check in checks.iter().filter(|check| wanted.contains(&check.name)) {
         context.note(format!("{}: {}", check.name, check.found));
     }
-    conclude(&part.name, file, &context, report)
+    write_result(&setup.name, file, &context, report)
 }
 
-/// The worker of each runner, by the ledger in which it stands.
+/// Maps each runner to its worker: the name of the run log in which the runner appears.
 fn workers_of_runners(folder: &Path) -> Result<BTreeMap<String, String>, LabError> {
-    let fault = |error: std::io::Error| LabError::Fleet(error.to_string());
+    let to_error = |error: std::io::Error| LabError::Fleet(error.to_string());
     let mut workers = BTreeMap::new();
-    for entry in std::fs::read_dir(folder).map_err(fault)? {
-        let path = entry.map_err(fault)?.path();
+    for entry in std::fs::read_dir(folder).map_err(to_error)? {
+        let path = entry.map_err(to_error)?.path();
         let name = path.file_name().unwrap_or_default().to_string_lossy();
-        let text = std::fs::read_to_string(&path).map_err(fault)?;
+        let text = std::fs::read_to_string(&path).map_err(to_error)?;
         for line in text.lines() {
             if let Some(runner) = line.split(' ').nth(1) {
                 workers.insert(runner.to_string(), name.to_string());
@@ -136,7 +136,7 @@
     Ok(workers)
 }
 
-fn conclude(
+fn write_result(
     name: &str,
     file: &Path,
     context: &ScenarioContext,
--- a/tests/lab/src/soak.rs
+++ b/tests/lab/src/soak.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Needs;
 use crate::operating::set_state;
 use crate::run_log::unix_now_ms;
-use crate::scenario::{perform, Part};
+use crate::scenario::{run_scenario, ScenarioSetup};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::path::Path;
@@ -140,7 +140,7 @@
     for (from, until, injected_fault) in &course {
         println!("  {from:6.1} to {until:6.1} s: {injected_fault:?}");
     }
-    let part = Part {
+    let part = ScenarioSetup {
         name: format!("soak {seed}"),
         needs: Needs {
             relays: true,
@@ -149,7 +149,7 @@
         with_crowd: false,
         seconds,
     };
-    perform(&part, file, dir, report, seed, |context| {
+    run_scenario(&part, file, dir, report, seed, |context| {
         follow(context, course)
     })
 }
--- a/tests/lab/src/worker.rs
+++ b/tests/lab/src/worker.rs
@@ -26,19 +26,19 @@
     runners: Mutex<HashMap<String, Runner>>,
     run_log: Arc<RunLog>,
     runner_faults: RunnerFaults,
-    /// How many times longer all its runners take.
-    times: Arc<AtomicU32>,
+    /// Factor by which the duration of all runs on this worker is multiplied.
+    slowdown: Arc<AtomicU32>,
 }
 
-/// Stands in for a worker: it starts and stops runners in its own process.
+/// Runs a fake worker, which starts and stops fake runners within its own process.
 pub fn run(http: SocketAddr, deployment: &Path, run_log: &Path) -> Result<(), LabError> {
-    let open = RunLog::open(run_log).map_err(|error| LabError::Input(error.to_string()))?;
+    let opened_log = RunLog::open(run_log).map_err(|error| LabError::Input(error.to_string()))?;
     let state = WorkerState {
         deployment: Deployment::read(deployment)?,
         runners: Mutex::default(),
-        run_log: Arc::new(open),
+        run_log: Arc::new(opened_log),
         runner_faults: RunnerFaults::default(),
-        times: Arc::new(AtomicU32::new(1)),
+        slowdown: Arc::new(AtomicU32::new(1)),
     };
     serve(http, 64, Duration::from_secs(30), move |request| {
         handle(&state, request)
@@ -59,9 +59,9 @@
         (&Method::POST, "/start") => start(state, &body),
         (&Method::POST, "/mischief") => runner_fault(state, &body),
         (&Method::POST, path) if path.starts_with("/slow/") => {
-            let times = path.trim_start_matches("/slow/").parse().unwrap_or(1);
-            state.times.store(times, Ordering::Relaxed);
-            json(200, &serde_json::json!({ "times": times }))
+            let slowdown = path.trim_start_matches("/slow/").parse().unwrap_or(1);
+            state.slowdown.store(slowdown, Ordering::Relaxed);
+            json(200, &serde_json::json!({ "times": slowdown }))
         }
         (&Method::GET, "/runners") => {
             let runners = state.runners.lock();
@@ -96,7 +96,7 @@
             group.pace_ms,
             state.run_log.clone(),
             state.runner_faults.clone(),
-            state.times.clone(),
+            state.slowdown.clone(),
         )
     });
     json(202, &serde_json::json!({ "state": "starting" }))
