--- a/tests/lab/src/failing_runners.rs
+++ b/tests/lab/src/failing_runners.rs
@@ -3,13 +3,13 @@
 use crate::judge;
 use crate::run_log::unix_now_ms;
 
-pub fn misbehave(
+pub fn inject_runner_fault(
     context: &mut ScenarioContext,
     runner_fault: &str,
     share: f64,
 ) -> Result<(), LabError> {
     context.until(4.0);
-    // A runner that never answers, or late, ends its try with the budget, so that none is tried again.
+    // With a slow or stalled runner, the attempt uses up the whole time budget, so the call is not retried.
     if !matches!(runner_fault, "slow" | "stall") {
         context.wanted.push(judge::RETRIES);
     }
@@ -31,7 +31,7 @@
     Ok(())
 }
 
-/// Everyone arrives at once; the failure closes with the arrival.
+/// All callers arrive at once; the failure window ends after the first second.
 pub fn rush(context: &mut ScenarioContext) -> Result<(), LabError> {
     context.fails();
     context.until(1.0);
@@ -54,14 +54,14 @@
 fn lose_zone(context: &mut ScenarioContext) {
     context.fails();
     let deployment = context.deployment.clone();
-    for (place, zone) in deployment.cores.iter().enumerate() {
+    for (index, zone) in deployment.cores.iter().enumerate() {
         if zone == "c" {
-            context.fleet.cores[place].kill();
+            context.fleet.cores[index].kill();
         }
     }
-    for (place, zone) in deployment.fronts.iter().enumerate() {
+    for (index, zone) in deployment.fronts.iter().enumerate() {
         if zone == "c" {
-            context.fleet.fronts[place].kill();
+            context.fleet.fronts[index].kill();
         }
     }
     for worker in &mut context.fleet.workers {
@@ -75,13 +75,13 @@
 pub fn workers_crash(context: &mut ScenarioContext) -> Result<(), LabError> {
     context.until(5.0);
     context.fails();
-    for place in [0, 1] {
-        context.fleet.workers[place].kill();
+    for index in [0, 1] {
+        context.fleet.workers[index].kill();
     }
     context.until(10.0);
     let dir = context.fleet.dir.clone();
-    for place in [0, 1] {
-        context.fleet.workers[place].start(&dir)?;
+    for index in [0, 1] {
+        context.fleet.workers[index].start(&dir)?;
     }
     context.closes();
     Ok(())
@@ -93,22 +93,25 @@
     let name = context.fleet.workers[0].name.clone();
     let uri = format!("http://{}/lab/leave/{name}", context.fleet.platform.http);
     let reported = context.post(&uri, Vec::new());
-    context.expect(reported == Some(200), "the platform did not take the leave");
+    context.expect(
+        reported == Some(200),
+        "the platform did not accept the leave command",
+    );
     context.closes();
-    // The platform's lists lag; the bound counts from when they tell it.
+    // The platform's lists are delayed; the bound counts from the time when they show the change.
     let lag = context.deployment.list_lag_ms;
     let since = unix_now_ms() + lag + context.deployment.bounds.change_ms;
     context.until(20.0);
     let run_log = context.fleet.dir.join("ledgers").join(&name);
     let text = std::fs::read_to_string(run_log).unwrap_or_default();
-    let late = text.lines().filter(|line| {
+    let late_runs = text.lines().filter(|line| {
         let time = line
             .split(' ')
             .next()
             .and_then(|word| word.parse::<u64>().ok());
         time.is_some_and(|time| time > since)
     });
-    let count = late.count();
+    let count = late_runs.count();
     context.note(format!(
         "{count} runs on the leaving worker after the bound"
     ));
@@ -122,11 +125,11 @@
     let runners = context.fleet.cores[holder].runners();
     let groups = context.deployment.groups.clone();
     let (busy, rare) = (&groups[0].prefix, &groups[1].prefix);
-    let found = runners.iter().find(|runner| {
+    let busy_runner = runners.iter().find(|runner| {
         let function = runner["function"].as_str().unwrap_or_default();
         function == format!("{busy}-000")
     });
-    let Some(runner) = found else {
+    let Some(runner) = busy_runner else {
         return Err(LabError::Fleet("no runner of the first function".into()));
     };
     let text = |field: &str| runner[field].as_str().unwrap_or_default().to_string();
@@ -134,7 +137,7 @@
         .fleet
         .workers
         .iter()
-        .find(|one| one.name == text("worker"));
+        .find(|candidate| candidate.name == text("worker"));
     let control = worker
         .map(|worker| worker.http.to_string())
         .unwrap_or_default();
--- a/tests/lab/src/operating.rs
+++ b/tests/lab/src/operating.rs
@@ -5,13 +5,13 @@
 use serde_json::Value;
 
 pub fn set_state(configuration: &mut Value, zone: &str, state: &str) {
-    for known in configuration["districts"]
+    for district in configuration["districts"]
         .as_array_mut()
         .into_iter()
         .flatten()
     {
-        if known["name"] == zone {
-            known["state"] = state.into();
+        if district["name"] == zone {
+            district["state"] = state.into();
         }
     }
 }
@@ -19,50 +19,54 @@
 pub fn evacuate(context: &mut ScenarioContext) -> Result<(), LabError> {
     context.until(5.0);
     context.fails();
-    let began = unix_now_ms();
+    let start_ms = unix_now_ms();
     let (acknowledged, held) =
         context.put_edited(|configuration| set_state(configuration, "a", "evacuated"))?;
     context.closes();
     put_figures(context, acknowledged, held);
     let bound = context.deployment.bounds.evacuation_ms;
-    context.no_work.push(("a".into(), began + bound, u64::MAX));
+    context
+        .no_work
+        .push(("a".into(), start_ms + bound, u64::MAX));
     Ok(())
 }
 
-pub fn puts_race(context: &mut ScenarioContext) -> Result<(), LabError> {
+pub fn concurrent_puts(context: &mut ScenarioContext) -> Result<(), LabError> {
     context.until(2.0);
-    let mut stale = 0;
+    let mut conflicts = 0;
     for round in 0..10u64 {
         let (version, configuration) = context.configuration()?;
         let texts: Vec<String> = (0..2u64)
             .map(|writer| {
-                let mut own = configuration.clone();
-                own["bounds"]["claim_ms"] = (600_000 + round * 10 + writer).into();
-                own.to_string()
+                let mut edited = configuration.clone();
+                edited["bounds"]["claim_ms"] = (600_000 + round * 10 + writer).into();
+                edited.to_string()
             })
             .collect();
         let fleet = &context.fleet;
-        let answers: Vec<u16> = std::thread::scope(|scope| {
+        let statuses: Vec<u16> = std::thread::scope(|scope| {
             let puts: Vec<_> = texts
                 .iter()
                 .enumerate()
-                .map(|(place, text)| scope.spawn(move || fleet.put_at(place, text, version)))
+                .map(|(index, text)| scope.spawn(move || fleet.put_at(index, text, version)))
                 .collect();
-            let joined = puts.into_iter().map(|put| put.join().ok().flatten());
-            joined
+            let responses = puts.into_iter().map(|put| put.join().ok().flatten());
+            responses
                 .map(|reported| reported.map_or(0, |(status, _)| status))
                 .collect()
         });
-        let won = answers.iter().filter(|status| **status == 200).count();
-        stale += answers.iter().filter(|status| **status == 409).count();
-        let text = format!("round {round}: {won} puts won, answers {answers:?}");
-        context.expect(won <= 1, &text);
+        let accepted = statuses.iter().filter(|status| **status == 200).count();
+        conflicts += statuses.iter().filter(|status| **status == 409).count();
+        let text = format!("round {round}: {accepted} puts accepted, statuses {statuses:?}");
+        context.expect(accepted <= 1, &text);
     }
-    context.note(format!("10 races: {stale} losers were told 409"));
+    context.note(format!(
+        "10 rounds: {conflicts} puts were rejected with 409"
+    ));
     Ok(())
 }
 
-pub fn puts_storm(context: &mut ScenarioContext) -> Result<(), LabError> {
+pub fn consecutive_puts(context: &mut ScenarioContext) -> Result<(), LabError> {
     context.until(2.0);
     let mut acknowledged = Vec::new();
     let mut held = Vec::new();
@@ -87,18 +91,18 @@
     Ok(())
 }
 
-pub fn configuration_bound(context: &mut ScenarioContext) -> Result<(), LabError> {
+pub fn largest_configuration(context: &mut ScenarioContext) -> Result<(), LabError> {
     context.until(3.0);
     for size in [500, 1_000, 2_000] {
         let (acknowledged, held) = context.put_edited(|configuration| {
             let Some(function_specs) = configuration["listings"].as_array_mut() else {
                 return;
             };
-            let Some(last) = function_specs.last().cloned() else {
+            let Some(last_spec) = function_specs.last().cloned() else {
                 return;
             };
             for number in function_specs.len()..size {
-                let mut function_spec = last.clone();
+                let mut function_spec = last_spec.clone();
                 function_spec["name"] = format!("grown-{number}").into();
                 function_specs.push(function_spec);
             }
