--- a/tests/lab/src/failing_system.rs
+++ b/tests/lab/src/failing_system.rs
@@ -9,8 +9,8 @@
     fault_injection::command(&context.fleet.dir, name, words)
 }
 
-/// One disk machine's disk fails in some way for eight seconds; its voter closes where a write or sync
-/// failed, and must vote again by itself.
+/// The disk of the scaling core fails or stalls for eight seconds. After a failed write or sync, its voter
+/// stops voting; it must resume voting without intervention.
 pub fn disk(context: &mut ScenarioContext, words: &str) -> Result<(), LabError> {
     context.until(4.0);
     let holder = context.role_holder().unwrap_or(0);
@@ -18,17 +18,17 @@
     context.fails();
     command(context, &name, words)?;
     context.until(6.0);
-    let began = Instant::now();
+    let start = Instant::now();
     let (acknowledged, _) = context.put_edited(|configuration| {
         configuration["bounds"]["claim_ms"] = 700_000.into();
     })?;
     context.note(format!(
         "a put beside it was acknowledged in {} ms, {} ms with the asking",
         acknowledged.as_millis(),
-        began.elapsed().as_millis()
+        start.elapsed().as_millis()
     ));
     context.until(12.0);
-    let is_closed = words != "stall" && !votes(context, &context.fleet.wire_address(holder));
+    let is_closed = words != "stall" && !is_voting(context, &context.fleet.wire_address(holder));
     command(context, &name, "")?;
     context.note(format!("its voter had closed: {is_closed}"));
     context.expect(
@@ -37,16 +37,16 @@
     );
     context.closes();
     let address = context.fleet.wire_address(holder);
-    let took = context
-        .fleet
-        .wait_until("the voter votes again", |fleet| votes_in(fleet, &address))?;
+    let elapsed = context.fleet.wait_until("the voter votes again", |fleet| {
+        is_voting_in(fleet, &address)
+    })?;
     context.note(format!(
         "it voted again by itself after {:.1} s",
-        took.as_secs_f64()
+        elapsed.as_secs_f64()
     ));
     let bound = Duration::from_millis(context.deployment.bounds.return_ms);
     context.expect(
-        took <= bound,
+        elapsed <= bound,
         "the voter did not vote again within the bound",
     );
     let during = context.failed;
@@ -54,11 +54,11 @@
     Ok(())
 }
 
-fn votes(context: &ScenarioContext, address: &str) -> bool {
-    votes_in(&context.fleet, address)
+fn is_voting(context: &ScenarioContext, address: &str) -> bool {
+    is_voting_in(&context.fleet, address)
 }
 
-fn votes_in(fleet: &crate::fleet::Fleet, address: &str) -> bool {
+fn is_voting_in(fleet: &crate::fleet::Fleet, address: &str) -> bool {
     let mut cores = fleet.cores.iter();
     let reported = cores.find_map(|core| core.get_json("/voters"));
     let voters = reported.and_then(|reported| reported["voters"].as_array().cloned());
@@ -66,29 +66,29 @@
     voters.any(|voter| voter["address"] == address && voter["votes"] == true)
 }
 
-/// Right after a put was acknowledged all disk machines lose power, with all that was not synced; five
-/// times. The put must be in force when they are back.
+/// Five times, all cores lose power, and with it all unsynced data, right after a put was acknowledged.
+/// The put must still be in effect when they are back.
 pub fn power_lost(context: &mut ScenarioContext) -> Result<(), LabError> {
     context.until(3.0);
     context.fails();
     let dir = context.fleet.dir.clone();
-    let mut lost = 0;
+    let mut lost_bytes = 0;
     for round in 0..5u64 {
         let wanted = 600_000 + round;
-        let began = Instant::now();
+        let start = Instant::now();
         while !context.put_once(|configuration| configuration["bounds"]["claim_ms"] = wanted.into())
         {
-            if began.elapsed() > Duration::from_secs(10) {
+            if start.elapsed() > Duration::from_secs(10) {
                 return Err(LabError::Broken("no put was taken for ten seconds".into()));
             }
         }
         for core in &mut context.fleet.cores {
             core.kill();
         }
-        for place in 0..context.fleet.cores.len() {
-            let name = context.fleet.cores[place].name.clone();
-            lost += fault_injection::lose_unsynced(&dir, &name)?;
-            context.fleet.cores[place].start(&dir)?;
+        for index in 0..context.fleet.cores.len() {
+            let name = context.fleet.cores[index].name.clone();
+            lost_bytes += fault_injection::lose_unsynced(&dir, &name)?;
+            context.fleet.cores[index].start(&dir)?;
         }
         context
             .fleet
@@ -103,17 +103,18 @@
     }
     context.closes();
     context.note(format!(
-        "5 losses of power, {lost} unsynced bytes went with them"
+        "5 losses of power, {lost_bytes} unsynced bytes went with them"
     ));
     Ok(())
 }
 
-/// Wall clocks jump an hour ahead for four seconds and then an hour back for four; no name is all.
+/// The wall clocks of the named daemons (of all if `names` is empty) are an hour ahead for four seconds
+/// and then an hour behind for four.
 pub fn clocks(context: &mut ScenarioContext, names: &[&str]) -> Result<(), LabError> {
     let all: Vec<String> = context
         .fleet
         .daemons()
-        .map(|one| one.name.clone())
+        .map(|daemon| daemon.name.clone())
         .collect();
     let names: Vec<String> = if names.is_empty() {
         all
@@ -122,21 +123,21 @@
     };
     context.until(4.0);
     context.fails();
-    for jump in [HOUR_MS, -HOUR_MS] {
+    for offset_ms in [HOUR_MS, -HOUR_MS] {
         for name in &names {
-            command(context, name, &format!("wall={jump}"))?;
+            command(context, name, &format!("wall={offset_ms}"))?;
         }
-        context.until(if jump > 0 { 7.5 } else { 11.5 });
-        let reported = clocks_told(context);
+        context.until(if offset_ms > 0 { 7.5 } else { 11.5 });
+        let reported = count_skewed_clocks(context);
         context.note(format!(
-            "jump of {} min: clocks told to be off: {reported}",
-            jump / 60_000
+            "jump of {} min: clocks reported as skewed: {reported}",
+            offset_ms / 60_000
         ));
         context.expect(
             reported > 0 || names.len() > 1,
-            "no core tells of the clock",
+            "no core reports the clock skew",
         );
-        context.until(if jump > 0 { 8.0 } else { 12.0 });
+        context.until(if offset_ms > 0 { 8.0 } else { 12.0 });
     }
     for name in &names {
         command(context, name, "")?;
@@ -145,12 +146,13 @@
     Ok(())
 }
 
-/// Daemons whose clocks a core tells to be off by more than a second.
-fn clocks_told(context: &ScenarioContext) -> usize {
+/// Number of daemons whose clocks a core reports as skewed by more than a second.
+fn count_skewed_clocks(context: &ScenarioContext) -> usize {
     let mut cores = context.fleet.cores.iter();
     let status = cores.find_map(|core| core.get_json("/status"));
-    let lines = status.and_then(|status| status["clocks"].as_array().cloned());
-    let lines = lines.unwrap_or_default();
-    let off = |line: &&serde_json::Value| line["off_ms"].as_i64().unwrap_or(0).abs() > 1_000;
-    lines.iter().filter(off).count()
+    let clocks_reported = status.and_then(|status| status["clocks"].as_array().cloned());
+    let clocks_reported = clocks_reported.unwrap_or_default();
+    let is_skewed =
+        |clock: &&serde_json::Value| clock["off_ms"].as_i64().unwrap_or(0).abs() > 1_000;
+    clocks_reported.iter().filter(is_skewed).count()
 }
--- a/tests/lab/src/operating.rs
+++ b/tests/lab/src/operating.rs
@@ -1,6 +1,6 @@
 use crate::context::ScenarioContext;
 use crate::deployment::LabError;
-use crate::failing_disks::put_figures;
+use crate::failing_disks::report_put_times;
 use crate::run_log::unix_now_ms;
 use serde_json::Value;
 
@@ -23,7 +23,7 @@
     let (acknowledged, held) =
         context.put_edited(|configuration| set_state(configuration, "a", "evacuated"))?;
     context.closes();
-    put_figures(context, acknowledged, held);
+    report_put_times(context, acknowledged, held);
     let bound = context.deployment.bounds.evacuation_ms;
     context
         .no_work
@@ -108,7 +108,7 @@
             }
         })?;
         context.note(format!("{size} listings"));
-        put_figures(context, acknowledged, held);
+        report_put_times(context, acknowledged, held);
     }
     Ok(())
 }
--- a/tests/lab/src/planned.rs
+++ b/tests/lab/src/planned.rs
@@ -1,6 +1,6 @@
 use crate::context::ScenarioContext;
 use crate::deployment::LabError;
-use crate::failing_disks::put_figures;
+use crate::failing_disks::report_put_times;
 use crate::judge;
 use crate::keep_alive_callers::KeepAliveCallers;
 use crate::operating::set_state;
@@ -182,7 +182,7 @@
         context.put_edited(|configuration| set_state(configuration, "c", "open"))?;
     context.reopened = Some(("c".into(), unix_now_ms()));
     context.closes();
-    put_figures(context, acknowledged, held);
+    report_put_times(context, acknowledged, held);
     // The others are closed, so that the zone must carry the work.
     context.put_edited(|configuration| {
         set_state(configuration, "a", "evacuated");
